--- /dev/null
+++ b/crates/flaxdeck-scale/src/measurement.rs
@@ -0,0 +1,77 @@
+//! One measured figure of one run, a row of `docs/capacity/runs/*.csv`.
+
+use serde::{Deserialize, Serialize};
+
+/// How events reach the forwarders of a run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Distribution {
+    /// Every planner and the coordinator tell every event to every forwarder.
+    EachEvent,
+    /// One planner tells batches with purge digests; the coordinator is asked only where no planner is heard.
+    Digest,
+}
+
+/// Whose figure it is. Figures of several processes or forwarders of a role are means of one, unless the metric says so.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Role {
+    Coordinator,
+    Planner,
+    RealForwarder,
+    HollowForwarder,
+}
+
+/// What is measured, with its unit.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Metric {
+    /// Bytes a second, of message bodies with their framing and seal; `kind` names the message.
+    BytesInPerS,
+    BytesOutPerS,
+    MessagesInPerS,
+    MessagesOutPerS,
+    /// Bytes a second of a connection's IP and TCP headers both ways, from the segments counted or estimated.
+    HeaderBytesPerS,
+    /// Processor time of the process over the time of the run, in cores.
+    Cores,
+    /// Processor time a message handled, in microseconds.
+    MicrosPerMessage,
+    /// Resident memory at the end, in bytes: of a process for real programs, of one forwarder for hollow ones.
+    ResidentBytes,
+    /// Descriptors open at the end.
+    Descriptors,
+    /// From when the coordinator held an event to when it was in force at a forwarder, in milliseconds.
+    DelayMedianMs,
+    DelayP99Ms,
+    DelayWorstMs,
+    /// Events over all forwarders of the role and the whole run.
+    EventsExpected,
+    EventsLost,
+    EventsDoubled,
+    EventsOutOfOrder,
+    /// Requests at the real forwarders: share answered in time, its 99th percentile, rule breaks.
+    ServedShare,
+    ServiceP99Ms,
+    RulesBroken,
+}
+
+/// A row.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Measurement {
+    /// Names the run: file, seed and repetition.
+    pub run: String,
+    pub seed: u64,
+    pub distribution: Distribution,
+    pub hollow_forwarders: u32,
+    pub hosts: u32,
+    pub purges_per_s: f64,
+    pub planners: u32,
+    /// `none`, or the fault as the scale file names it.
+    pub fault: String,
+    pub role: Role,
+    pub metric: Metric,
+    /// The kind of message where the metric has kinds; else empty.
+    pub kind: String,
+    pub value: f64,
+}
