--- a/crates/flaxdeck-plan/src/lib.rs
+++ b/crates/flaxdeck-plan/src/lib.rs
@@ -24,6 +24,15 @@
     GoOn,
 }
 
+/// How forwarders hear of the coordinator's events.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Events {
+    /// Each event by itself, from the coordinator and from every planner.
+    EachEvent,
+    /// Batches with purge digests from one planner, another ready to step in; from the coordinator while there is none.
+    Digest { batch_ms: u32 },
+}
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogForm {
     Text,
@@ -43,6 +52,9 @@
     pub drift: f64,
     pub seated: bool,
     pub report_every_ms: u32,
+    /// Between reports while there is nothing urgent to tell; as long as `report_every_ms` unless the file says so.
+    pub report_idle_ms: u32,
+    pub events: Events,
     pub blind: Blind,
     pub log_form: LogForm,
     /// The folder in which a forwarder keeps its state; relative to the plan's own place. None keeps nothing.
@@ -54,7 +66,11 @@
 /// How many planners one file may name: each forwarder reports to all of them.
 pub const PLANNERS_MOST: usize = 8;
 
-const TOP: &[&str] = &["key-file", "planners", "shares", "reports", "blind", "state", "log"];
+/// The least and the longest time between two batches of events, and what holds where the file tells none.
+const BATCH_MS: [f64; 2] = [100.0, 2_000.0];
+const BATCH_DEFAULT_MS: u32 = 1_000;
+
+const TOP: &[&str] = &["key-file", "planners", "shares", "reports", "events", "blind", "state", "log"];
 
 /// Reads a file's text; `file` is the name that faults bear.
 pub fn read(file: &str, text: &str) -> Result<Plan, Vec<Fault>> {
@@ -72,6 +88,8 @@
         drift: 0.01,
         seated: true,
         report_every_ms: 200,
+        report_idle_ms: 200,
+        events: Events::EachEvent,
         blind: Blind::BounceAfter { ms: 2_500.0 },
         state_folder: None,
         log_form: LogForm::Text,
@@ -118,7 +136,9 @@
         }
     }
     if let Some(form) = only(&mut forms, "reports", faults) {
-        let every = only(&mut form.forms(&["every-ms"], faults), "every-ms", faults);
+        let mut inner = form.forms(&["every-ms", "idle-ms"], faults);
+        let every = only(&mut inner, "every-ms", faults);
+        let idle = only(&mut inner, "idle-ms", faults);
         let place = every.as_ref().map(|form| form.place);
         let every = every.and_then(|form| form.number(20.0, 5_000.0, faults));
         plan.report_every_ms = every.map_or(plan.report_every_ms, |ms| ms as u32);
@@ -128,6 +148,12 @@
             let why = "a grant must outlast three reports, or every lost one takes it away";
             faults.add(place.unwrap_or(form.place), what, why, "report more often or grant for longer");
         }
+        let least = f64::from(plan.report_every_ms);
+        let idle = idle.and_then(|form| form.number(least, 10_000.0, faults));
+        plan.report_idle_ms = idle.map_or(plan.report_every_ms, |ms| ms as u32);
+    }
+    if let Some(form) = only(&mut forms, "events", faults) {
+        events(&form, plan, faults);
     }
     if let Some(form) = only(&mut forms, "blind", faults) {
         blind(&form, plan, faults);
@@ -158,6 +184,31 @@
     }
 }
 
+fn events(form: &Form, plan: &mut Plan, faults: &mut Faults) {
+    let mut inner = form.forms(&["by", "batch-ms"], faults);
+    let by = only(&mut inner, "by", faults);
+    let by = by.and_then(|form| form.choice(&["each-event", "digest"], faults));
+    let batch = only(&mut inner, "batch-ms", faults);
+    if by != Some("digest") {
+        if let Some(batch) = batch {
+            let why = "only digests come in batches";
+            faults.add(batch.place, "batch-ms without (by digest)".into(), why, "take batch-ms out");
+        }
+        return;
+    }
+    let batch = batch.and_then(|form| form.number(BATCH_MS[0], BATCH_MS[1], faults));
+    plan.events = Events::Digest { batch_ms: batch.map_or(BATCH_DEFAULT_MS, |ms| ms as u32) };
+    if plan.planners.is_empty() {
+        let why = "digests come from planners";
+        faults.add(
+            form.place,
+            "(by digest) without planners".into(),
+            why,
+            "list planners, or take events out",
+        );
+    }
+}
+
 fn blind(form: &Form, plan: &mut Plan, faults: &mut Faults) {
     let mut inner = form.forms(&["after-ms", "then"], faults);
     let after = only(&mut inner, "after-ms", faults);
--- a/crates/flaxdeck-recovery/src/numbering.rs
+++ b/crates/flaxdeck-recovery/src/numbering.rs
@@ -286,6 +286,28 @@
         follows
     }
 
+    /// All events between the last one and another have been brought by somebody who knows the same numbering, and who
+    /// had all that the coordinator had at the time `whole_at`. False if they don't follow the last one, or come too
+    /// soon after the coordinator contradicted what others brought.
+    pub fn moved_on(&mut self, now: Time, after: Mark, upto: Mark, whole_at: Option<Time>) -> bool {
+        let follows = after == self.last && upto.number >= after.number && now >= self.distrusts_until;
+        if follows && upto != after {
+            self.applies(upto);
+        }
+        if follows {
+            self.sure = self.sure.max(whole_at);
+        }
+        follows
+    }
+
+    /// A whole list brought by somebody else has taken the place of all that was known.
+    pub fn replaced_by(&mut self, now: Time, upto: Mark) {
+        self.applied.clear();
+        self.applies(upto);
+        self.sure = Some(now);
+        (self.link, self.from_the_start) = (None, false);
+    }
+
     /// Whether all that the coordinator has told has come, as far as can be seen.
     pub fn current(&self, now: Time) -> bool {
         self.link.as_ref().is_some_and(|link| link.proven && now.since(link.heard) >= SETTLES)
--- a/crates/flaxdeck-talk/src/feed.rs
+++ b/crates/flaxdeck-talk/src/feed.rs
@@ -73,6 +73,8 @@
     urgency: Rc<Urgency>,
     /// Others may tell the same sooner: the first call waits.
     waits: bool,
+    /// Others tell all of it: no link is held, none is opened.
+    paused: bool,
     /// When the link came up, last had a whole frame, or began one.
     heard: Instant,
     /// It has been told that all has come which the coordinator had when the link came up.
@@ -95,9 +97,21 @@
         let numbering = if trusts { Numbering::trusting(last) } else { Numbering::new(last) };
         let numbering = Rc::new(RefCell::new(numbering));
         let (pace, clock) = (Pace::new(seed, RETRY[0], RETRY[1]), Clock::start());
-        let (urgency, waits) = (Rc::default(), false);
+        let (urgency, waits, paused) = (Rc::default(), false, false);
         let (heard, told_current, link) = (Instant::now(), false, None);
-        let feed = Feed { address, names, clock, numbering, pace, link, urgency, waits, heard, told_current };
+        let feed = Feed {
+            address,
+            names,
+            clock,
+            numbering,
+            pace,
+            link,
+            urgency,
+            waits,
+            paused,
+            heard,
+            told_current,
+        };
         Ok((feed, events))
     }
 
@@ -112,6 +126,20 @@
         self.urgency.clone()
     }
 
+    /// Ends the link while others tell all that the coordinator would, or has it opened again. What they tell may be
+    /// late, so a numbering that is found to be another afterwards counts as not heard to its end.
+    pub fn pause_while(&mut self, others_tell: bool) {
+        if others_tell && !self.paused {
+            self.hang_up(true);
+        }
+        self.paused = others_tell;
+    }
+
+    /// The names by which frames are read.
+    pub fn names(&self) -> Rc<Names> {
+        self.names.clone()
+    }
+
     /// Whether all has come that the coordinator had to tell when the link came up.
     pub fn is_current(&self) -> bool {
         self.told_current
@@ -155,6 +183,9 @@
     /// The coordinator's next word; connections that end are opened again.
     pub async fn next(&mut self) -> Word {
         loop {
+            if self.paused {
+                std::future::pending::<()>().await;
+            }
             if self.waits {
                 let first = self.pace.first();
                 self.wait(first).await;
--- a/crates/flaxdeck-talk/src/lib.rs
+++ b/crates/flaxdeck-talk/src/lib.rs
@@ -3,4 +3,5 @@
 
 pub mod feed;
 pub mod line;
+pub mod messages;
 pub mod seal;
--- a/crates/flaxdeck-talk/src/seal.rs
+++ b/crates/flaxdeck-talk/src/seal.rs
@@ -16,7 +16,7 @@
 use serde::de::DeserializeOwned;
 
 /// Of this protocol; another is refused with a word in the log.
-pub const VERSION: u8 = 2;
+pub const VERSION: u8 = 3;
 /// Bytes of the greeting.
 pub const GREETING: usize = 4 + 1 + 1 + NONCE + HASH;
 /// Bytes of one frame at most: events, grants and ratings at their bounds fit.
--- a/crates/flaxdeck-terms/src/lib.rs
+++ b/crates/flaxdeck-terms/src/lib.rs
@@ -49,6 +49,11 @@
         place(&self.workloads, name).map(WorkloadId)
     }
 
+    /// A machine kind of that role, by its place in the list of kinds; none where the list has no such kind.
+    pub fn kind_of(&self, role: Role) -> Option<usize> {
+        (0..self.kinds.len()).find(|kind| self.role(Some(*kind)) == role)
+    }
+
     /// The role of a machine kind, by its place in the list of kinds.
     pub fn role(&self, kind: Option<usize>) -> Role {
         match kind {
--- a/crates/flaxdeck-wire/src/frames.rs
+++ b/crates/flaxdeck-wire/src/frames.rs
@@ -15,6 +15,10 @@
 const RECORD: usize = 27;
 /// Number and kind, which stand in every frame.
 const FIXED: usize = 9;
+/// The kind of a frame that tells the whole list of hosts.
+const WHOLE_LIST: u8 = 1;
+/// Written where a host has no zone, or no machine kind of its role is known.
+const NO_PLACE: u8 = u8::MAX;
 
 /// What a numbered event tells.
 #[derive(Clone, Debug)]
@@ -166,6 +170,49 @@
     })
 }
 
+/// A frame that tells the whole list of hosts under that number, for instances that pass it on in the coordinator's
+/// stead; none if a host's name or address has no form in a frame, or the list is over the bound of a frame.
+pub fn whole_list<'a>(
+    number: u64,
+    stations: impl Iterator<Item = &'a Station>,
+    names: &Names,
+) -> Option<Vec<u8>> {
+    let records: Option<Vec<[u8; RECORD]>> = stations.map(|station| record_of(station, names)).collect();
+    let payload = records?.concat();
+    let length = FIXED + payload.len();
+    if length > FRAME_MOST {
+        return None;
+    }
+    Some([&(length as u32).to_be_bytes()[..], &number.to_be_bytes(), &[WHOLE_LIST], &payload].concat())
+}
+
+/// The reverse of [`record`].
+fn record_of(station: &Station, names: &Names) -> Option<[u8; RECORD]> {
+    let Station { listed, address } = station;
+    let SocketAddr::V4(address) = address else { return None };
+    let digits = listed.host.0.strip_prefix("s-").filter(|digits| digits.len() == 8)?;
+    let name = u32::from_str_radix(digits, 16).ok()?;
+    let zone = listed.zone.map_or(Some(NO_PLACE), |zone| u8::try_from(zone.0).ok())?;
+    let kind = names.kind_of(listed.role).and_then(|kind| u8::try_from(kind).ok()).unwrap_or(NO_PLACE);
+    let cell = u16::try_from(listed.cell.0).ok()?;
+    let weight = (listed.weight * 1000.0).round() as u32;
+    let started = listed.started.map_or(0, |at| at.ms() as u64);
+    let standing = match listed.standing {
+        Standing::InService => 0,
+        Standing::Draining => 1,
+        Standing::Gone => 2,
+    };
+    let mut row = [0; RECORD];
+    row[..4].copy_from_slice(&name.to_be_bytes());
+    row[4..8].copy_from_slice(&address.ip().octets());
+    row[8..10].copy_from_slice(&address.port().to_be_bytes());
+    row[10..13].copy_from_slice(&[standing, zone, kind]);
+    row[13..15].copy_from_slice(&cell.to_be_bytes());
+    row[15..19].copy_from_slice(&weight.to_be_bytes());
+    row[19..].copy_from_slice(&started.to_be_bytes());
+    Some(row)
+}
+
 /// The events of a configuration, and the number of the last.
 pub fn known(known: &Fields, names: &Names) -> Result<(u64, Numbered), String> {
     let mut events = Numbered::new();
