--- a/crates/flaxdeck-guidance/examples/size.rs
+++ b/crates/flaxdeck-guidance/examples/size.rs
@@ -67,6 +67,7 @@
                 envelope,
                 seat: Default::default(),
                 last_event: Default::default(),
+                subscribes: false,
                 version: round * 1_000,
                 zone: 0,
                 link: None,
--- a/crates/flaxdeck-guidance/src/forwarder.rs
+++ b/crates/flaxdeck-guidance/src/forwarder.rs
@@ -19,6 +19,9 @@
 /// The coordinator speaks each second: past two of its words a connection to it counts as lost.
 const COORDINATOR_SILENT: Span = Span::from_ms(2_200);
 
+/// A planner counts as silent after so many idle reports without an answer.
+const IDLE_REPORTS_MISSED: f64 = 2.5;
+
 /// What the operator's file says of a forwarder.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stance {
@@ -72,6 +75,14 @@
     pub relayed: u64,
 }
 
+/// How a forwarder reports that hears of events by a subscription.
+struct Sparing {
+    /// Between reports while nothing urgent is to be told.
+    idle_every: Span,
+    /// The planner subscribed to: samples go to it alone, failures to all.
+    subscribed_to: Option<PlannerId>,
+}
+
 pub struct Guide {
     epoch: Epoch,
     stance: Stance,
@@ -88,6 +99,8 @@
     link_told: Option<(f64, Time)>,
     /// When the coordinator itself was last heard and known to be followed; none since the start.
     coordinator: Option<Time>,
+    /// None while every report is due at each tick and tells all.
+    sparing: Option<Sparing>,
     pub counted: Counted,
 }
 
@@ -116,10 +129,37 @@
             link: None,
             link_told: None,
             coordinator: None,
+            sparing: None,
             counted: Counted::default(),
         }
     }
 
+    /// Events come by a subscription from now on, and reports go out only as often as there is something to say: each
+    /// tick while a cold host is shared or a failure is to be told, else after `idle_every`.
+    pub fn report_sparingly(&mut self, idle_every: Span) {
+        let silent_after = idle_every * IDLE_REPORTS_MISSED;
+        self.known.iter_mut().for_each(|known| known.silent_after(silent_after));
+        self.sparing = Some(Sparing { idle_every, subscribed_to: None });
+    }
+
+    /// The planner that tells the events, if one does.
+    pub fn subscribed_to(&mut self, planner: Option<PlannerId>) {
+        self.sparing.iter_mut().for_each(|sparing| sparing.subscribed_to = planner);
+    }
+
+    /// Somebody who follows the coordinator has told all that it had at that time.
+    pub fn events_known_at(&mut self, at: Time) {
+        self.coordinator = self.coordinator.max(Some(at));
+    }
+
+    /// Whether a report to that planner is due at this tick.
+    pub fn is_report_due(&self, now: Time, to: PlannerId, sights: &[Sight]) -> bool {
+        let (Some(sparing), Some(side)) = (&self.sparing, self.sides.get(to.0 as usize)) else { return true };
+        let Some(last) = side.reported else { return true };
+        let urgent = |sight: &Sight| sight.cold.is_some() || sight.bad.is_some_and(|bad| bad > last);
+        side.echo.is_none() || now.since(last) >= sparing.idle_every || sights.iter().any(urgent)
+    }
+
     /// A conversation with a planner has begun.
     pub fn met(&mut self, planner: PlannerId) {
         self.known.get_mut(planner.0 as usize).into_iter().for_each(Known::met);
@@ -182,6 +222,15 @@
         let news = |sight: &&Sight| [sight.measured, sight.good, sight.bad].into_iter().any(newer);
         let mut told: Vec<&Sight> = sights.iter().filter(news).collect();
         told.sort_by_key(|sight| std::cmp::Reverse(sight.bad.filter(|bad| newer(Some(*bad)))));
+        if let Some(sparing) = &self.sparing {
+            let failed = told.iter().take_while(|sight| newer(sight.bad)).count();
+            let others = if sparing.subscribed_to == Some(to) { RARE_MOST } else { 0 };
+            // Which of the others are told goes round with the reports.
+            let turn = side.sent as usize * RARE_MOST;
+            let rest = told.len() - failed;
+            told[failed..].rotate_left(if rest > 0 { turn % rest } else { 0 });
+            told.truncate(failed + others);
+        }
         let ago = |at: Time| ms_up(now.since(at));
         let sample = |sight: &Sight| Sample {
             host: sight.host.0.to_string(),
@@ -201,6 +250,7 @@
             envelope: Envelope { from, to: known.epoch, number: side.sent, sent, echo: side.echo },
             seat: self.stance.seat,
             last_event,
+            subscribes: self.sparing.is_some(),
             version: side.version,
             zone: self.zone,
             link: self.link.map(|(full, at)| Fullness { full: full as f32, ago_ms: ago(at) }),
--- a/crates/flaxdeck-guidance/src/membership.rs
+++ b/crates/flaxdeck-guidance/src/membership.rs
@@ -33,6 +33,7 @@
     since: Time,
     nonsense: u32,
     shunned_until: Time,
+    silent_after: Span,
     /// A conversation has begun on which nothing was heard yet: whoever speaks first on it is the present run.
     met: bool,
 }
@@ -56,7 +57,13 @@
     pub fn new(id: PlannerId) -> Known {
         let (epoch, number, true_at, heard) = (Epoch(0), 0, None, None);
         let (since, nonsense, shunned_until, met) = (Time::default(), 0, Time::default(), false);
-        Known { id, epoch, number, true_at, heard, since, nonsense, shunned_until, met }
+        let silent_after = SILENT;
+        Known { id, epoch, number, true_at, heard, since, nonsense, shunned_until, silent_after, met }
+    }
+
+    /// How long it may say nothing until it counts as lost, where reports are rarer than usual; never below [`SILENT`].
+    pub fn silent_after(&mut self, span: Span) {
+        self.silent_after = span.max(SILENT);
     }
 
     /// A new conversation with it has begun, which only its present run can hold. Without that a run is taken for
@@ -93,7 +100,7 @@
     }
 
     pub fn live(&self, now: Time) -> bool {
-        self.heard.is_some_and(|heard| now.since(heard) < SILENT) && now >= self.shunned_until
+        self.heard.is_some_and(|heard| now.since(heard) < self.silent_after) && now >= self.shunned_until
     }
 
     fn steady(&self, now: Time) -> bool {
--- a/crates/flaxdeck-guidance/src/messages.rs
+++ b/crates/flaxdeck-guidance/src/messages.rs
@@ -49,6 +49,9 @@
 pub const LIVES_MOST: usize = 256;
 pub const RATINGS_MOST: usize = 128;
 pub const EVENTS_MOST: usize = 64;
+/// Samples and ratings in one message to or from a forwarder that subscribes, beside those of hosts that failed: what
+/// its budget of bytes leaves room for.
+pub const RARE_MOST: usize = 8;
 pub const NAME_MOST: usize = 64;
 
 /// Who wrote a message, to which run of whom, and when.
@@ -102,6 +105,8 @@
     pub seat: SeatId,
     /// The coordinator's last event that it has applied.
     pub last_event: Mark,
+    /// Events come to it by a subscription: guidance holds none, and only the ratings that matter most.
+    pub subscribes: bool,
     /// The version of the planner's ratings that it has.
     pub version: u64,
     /// The forwarder's location, by its place in the platform's list.
--- a/crates/flaxdeck-guidance/src/planner.rs
+++ b/crates/flaxdeck-guidance/src/planner.rs
@@ -34,6 +34,8 @@
     /// Messages sent to it.
     sent: u64,
     last_event: Mark,
+    /// Events reach it by a subscription.
+    subscribes: bool,
     version: u64,
     zone: u32,
 }
@@ -195,11 +197,13 @@
             heard: now,
             sent: 0,
             last_event: Mark::NONE,
+            subscribes: report.subscribes,
             version,
             zone: report.zone,
         });
         (member.number, member.stamp, member.heard) = (number, sent, now);
         (member.last_event, member.version) = (report.last_event, version);
+        member.subscribes = report.subscribes;
         let written = seen.unwrap_or(now);
         self.link(now, written, report);
         report.samples.iter().for_each(|sample| self.sample(now, from, written.max(now - REFRESH), sample));
@@ -225,6 +229,9 @@
     pub fn push(&mut self, now: Time, to: Epoch) -> Option<Guidance> {
         let member = self.members.get(&to)?;
         let last = member.last_event;
+        if member.subscribes {
+            return None;
+        }
         self.follows(last).filter(|at| *at < self.log.len())?;
         self.counted.pushes += 1;
         Some(self.guidance(now, to))
@@ -288,7 +295,8 @@
 
     fn guidance(&mut self, now: Time, to: Epoch) -> Guidance {
         let upto = Some(self.last_event()).filter(|_| self.current);
-        let later = self.members.get(&to).and_then(|member| self.follows(member.last_event));
+        let told_here = self.members.get(&to).filter(|member| !member.subscribes);
+        let later = told_here.and_then(|member| self.follows(member.last_event));
         let Some(member) = self.members.get_mut(&to) else { return Guidance::default() };
         member.sent += 1;
         let envelope = Envelope {
@@ -307,9 +315,14 @@
         let events: Vec<Relayed> = events.into_iter().flatten().cloned().collect();
         let after = member.last_event;
         member.last_event = events.last().map_or(after, |event| event.mark);
-        let changes = self.changes.range(member.version + 1..).take(RATINGS_MOST);
-        let told: Vec<(&u64, &String)> = changes.collect();
-        member.version = told.last().map_or(self.version, |(version, _)| **version);
+        let later = self.changes.range(member.version + 1..);
+        let told: Vec<(&u64, &String)> = if member.subscribes {
+            Self::matter_most(now, &self.hosts, later)
+        } else {
+            later.take(RATINGS_MOST).collect()
+        };
+        let newest = told.iter().map(|(version, _)| **version).max().filter(|_| !member.subscribes);
+        member.version = newest.unwrap_or(self.version);
         let rating =
             |(_, name): &(&u64, &String)| self.hosts.get(*name).map(|host| host.standing.rating(now, name));
         let link = self.links.get(&member.zone);
@@ -328,6 +341,19 @@
         }
     }
 
+    /// Of the hosts that changed, those that are down, and the latest of the others.
+    fn matter_most<'a>(
+        now: Time,
+        hosts: &BTreeMap<String, Host>,
+        later: impl DoubleEndedIterator<Item = (&'a u64, &'a String)>,
+    ) -> Vec<(&'a u64, &'a String)> {
+        let is_down = |name: &String| hosts.get(name).is_some_and(|host| host.standing.down(now).is_some());
+        let (mut told, others): (Vec<_>, Vec<_>) = later.rev().partition(|(_, name)| is_down(name));
+        told.truncate(RATINGS_MOST - RARE_MOST);
+        told.extend(others.into_iter().take(RARE_MOST));
+        told
+    }
+
     fn tidy(&mut self, now: Time) {
         if now >= self.next_tidy {
             self.next_tidy = now + TIDY;
