--- a/crates/flaxdeck-distribution/src/messages.rs
+++ b/crates/flaxdeck-distribution/src/messages.rs
@@ -76,7 +76,7 @@
 }
 
 /// A forwarder asks a planner for events, or to stop sending them.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Subscription {
     /// All events after this position.
     After(Mark),
