--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -6,9 +6,11 @@
 mod levels;
 mod log;
 mod recovery;
+mod scale;
 mod shapes;
 mod state;
 
+use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
@@ -21,6 +23,7 @@
 use flaxdeck_lab::Limits;
 use flaxdeck_net::clock;
 use flaxdeck_plan::{Blind, LogForm, Plan};
+use flaxdeck_talk::seal::Key;
 
 /// Exit codes that scripts can use: 0 done, 1 failed while running, 2 a file or the command line has faults.
 const FAULTY: u8 = 2;
@@ -98,6 +101,17 @@
     /// (in hand at the kill, asked while down, after the return), peaks at the stand-ins, rules broken. A run with its
     /// twin takes about 50 seconds.
     Recovery(recovery::Asked),
+    /// Measure what the control plane costs at size, with hollow forwarders beside real programs, on loopback
+    ///
+    /// Reads a scale file (S-expressions, see scale/), starts everything that it names, measures over a window and ends
+    /// by itself. A size over a bound is refused before anything starts.
+    Scale(scale::Asked),
+    /// A process of hollow forwarders, started by `scale`
+    #[command(hide = true)]
+    ScaleHollow { orders: PathBuf },
+    /// The stand-in coordinator, started by `scale`
+    #[command(hide = true)]
+    ScaleCoordinator { orders: PathBuf },
     /// Play one day of a model of the fleet in virtual time, and judge it by the rules
     Model {
         /// The model's file, see docs/comparing.md
@@ -175,6 +189,22 @@
     /// Run with a wall clock so many milliseconds ahead, for tests
     #[arg(long, hide = true, default_value_t = 0, allow_hyphen_values = true)]
     clock_apart_ms: i64,
+    /// Write all counters to that file as they grow, for measurements
+    #[arg(long, hide = true)]
+    counters: Option<PathBuf>,
+    /// End when standard input closes or the parent process ends, for measurements
+    #[arg(long, hide = true)]
+    ends_with_parent: bool,
+}
+
+impl Files {
+    /// What has to be in effect before anything else of the process.
+    fn begin_process(&self) {
+        clock::run_apart(self.clock_apart_ms);
+        if self.ends_with_parent {
+            flaxdeck_scale::processes::end_with_parent();
+        }
+    }
 }
 
 /// What ends the program, with its exit code.
@@ -197,6 +227,9 @@
         Command::Demo { rate, alone, log } => demo::run(rate, alone, log),
         Command::Levels { forwarders, rate, runs, seed } => levels::run(&forwarders, rate, runs, seed),
         Command::Recovery(asked) => recovery::run(&asked),
+        Command::Scale(asked) => scale::run(&asked),
+        Command::ScaleHollow { orders } => scale::hollow(&orders),
+        Command::ScaleCoordinator { orders } => scale::coordinator(&orders),
         Command::Model { file, seed } => compare::model(&file, seed),
         Command::Compare { a, b, budget_s, pairs, level, matters, kinds, seed, apart, judged, json } => {
             let budget = Duration::from_secs(budget_s);
@@ -229,8 +262,20 @@
     Stance { pledges, reserve: plan.reserve, seated: plan.seated, seat, blind_after }
 }
 
+/// What a plan tells a forwarder that listens there.
+fn guidelines(plan: &Plan, key: Key, window: Span, listen: &str) -> Guidelines {
+    Guidelines {
+        keeps: None,
+        planners: plan.planners.iter().map(|planner| planner.listen).collect(),
+        key,
+        stance: stance(plan, files::pledges(plan, window), listen),
+        report_every: Duration::from_millis(u64::from(plan.report_every_ms)),
+        counters: None,
+    }
+}
+
 fn forward(files: &Files) -> Result<(), Stop> {
-    clock::run_apart(files.clock_apart_ms);
+    files.begin_process();
     let Some(plan) = &files.plan else {
         let _log = log::start("info", LogForm::Text)?;
         return Ok(flaxdeck_dispatcher::run_guided(Some(&files.config), None)?);
@@ -244,18 +289,13 @@
         Some(folder) => Some(Keeps { folder, name: world.listen()? }),
         None => None,
     };
-    let guidelines = Guidelines {
-        keeps,
-        planners: plan.planners.iter().map(|planner| planner.listen).collect(),
-        key,
-        stance: stance(&plan, files::pledges(&plan, world.window), &world.listen()?),
-        report_every: Duration::from_millis(u64::from(plan.report_every_ms)),
-    };
+    let mut guidelines = guidelines(&plan, key, world.window, &world.listen()?);
+    (guidelines.keeps, guidelines.counters) = (keeps, files.counters.clone());
     Ok(flaxdeck_dispatcher::run_guided(Some(&files.config), Some(guidelines))?)
 }
 
 fn plan(files: &Files, name: &str) -> Result<(), Stop> {
-    clock::run_apart(files.clock_apart_ms);
+    files.begin_process();
     let file = files.plan.as_ref().ok_or_else(|| faulty("a planner needs --plan FILE"))?;
     let (plan, key) = files::plan(file)?;
     let names: Vec<&str> = plan.planners.iter().map(|planner| &*planner.name).collect();
@@ -268,9 +308,10 @@
     let own = Parts::below(plan.reserve / plan.planners.len() as f64);
     let pledges = files::pledges(&plan, world.window);
     let (name, listen) = (planner.name.clone(), planner.listen);
+    let counters = files.counters.clone();
     let start = || {
         let (feed, known) = world.feed(&name)?;
-        Ok(flaxdeck_planner::Start { name, listen, key, pledges, own, feed, known })
+        Ok(flaxdeck_planner::Start { name, listen, key, pledges, own, feed, known, counters })
     };
     Ok(flaxdeck_planner::run(start)?)
 }
--- /dev/null
+++ b/crates/flaxdeck-cli/src/scale.rs
@@ -0,0 +1,167 @@
+//! `flaxdeck scale`: runs of a scale file, and the processes that they start.
+
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use clap::Args;
+use flaxdeck_plan::LogForm;
+use flaxdeck_scale::measurement::{Measurement, Metric, Role};
+use flaxdeck_scale::messages::{CoordinatorOrders, HollowOrders};
+use flaxdeck_scale::report::{self, Rows};
+use flaxdeck_scale::scenario::{Fault, Point, Scenario};
+use flaxdeck_scale::{bounds, run, scenario};
+use indicatif::{ProgressBar, ProgressStyle};
+use serde::de::DeserializeOwned;
+use tokio::signal::unix::{SignalKind, signal};
+
+use crate::{Stop, faulty, files, guidelines, log};
+
+/// What `flaxdeck scale` is asked.
+#[derive(Args)]
+pub struct Asked {
+    /// The scale file: sizes, rates, times, a fault
+    file: String,
+    /// Write the rows of results there, as CSV
+    #[arg(long)]
+    out: Option<PathBuf>,
+    /// Only the point of that place in the file, counted from 1
+    #[arg(long)]
+    point: Option<usize>,
+    /// Only check the file and the bounds, and tell what would be run
+    #[arg(long)]
+    check: bool,
+}
+
+/// One run to be played.
+struct Planned {
+    point: Point,
+    seed: u64,
+    fault: Option<Fault>,
+}
+
+pub fn run(asked: &Asked) -> Result<(), Stop> {
+    let lines = |faults: Vec<flaxdeck_plan::Fault>| {
+        faulty(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
+    };
+    let scenario = scenario::read(&asked.file, &files::text(&asked.file)?).map_err(lines)?;
+    let planned = planned(&scenario, asked.point)?;
+    for Planned { point, .. } in &planned {
+        bounds::check(point).map_err(|over| faulty(format!("{}: {point:?} takes {over}", asked.file)))?;
+    }
+    println!("{HEAD}");
+    if asked.check {
+        return Ok(());
+    }
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = runtime.map_err(|error| format!("no runtime: {error}"))?;
+    runtime.block_on(until_ended(play_all(asked, &scenario, &planned)))
+}
+
+/// Plays on unless somebody ends the program; what was started is ended either way.
+async fn until_ended(playing: impl Future<Output = Result<(), Stop>>) -> Result<(), Stop> {
+    let signals = |kind| signal(kind).map_err(|error| format!("no signals: {error}"));
+    let (mut interrupt, mut terminate) =
+        (signals(SignalKind::interrupt())?, signals(SignalKind::terminate())?);
+    tokio::select! {
+        played = playing => played,
+        _ = interrupt.recv() => Err(Stop(1, "ended by ctrl-c, and all that was started with it".into())),
+        _ = terminate.recv() => Err(Stop(1, "ended by SIGTERM, and all that was started with it".into())),
+    }
+}
+
+/// All runs of a file: each with a fault beside a twin that has none.
+fn planned(scenario: &Scenario, only: Option<usize>) -> Result<Vec<Planned>, Stop> {
+    let points: Vec<Point> = match only {
+        None => scenario.points.clone(),
+        Some(at) => {
+            let point = at.checked_sub(1).and_then(|at| scenario.points.get(at));
+            vec![*point.ok_or_else(|| faulty(format!("there are {} points", scenario.points.len())))?]
+        }
+    };
+    let mut planned = Vec::new();
+    for point in points {
+        for run in 0..scenario.runs {
+            let seed = scenario.seed + u64::from(run);
+            planned.push(Planned { point, seed, fault: None });
+            planned.extend(scenario.fault.map(|fault| Planned { point, seed, fault: Some(fault) }));
+        }
+    }
+    Ok(planned)
+}
+
+async fn play_all(asked: &Asked, scenario: &Scenario, planned: &[Planned]) -> Result<(), Stop> {
+    let binary = std::env::current_exe().map_err(|error| format!("no path of this program: {error}"))?;
+    let bar = ProgressBar::new(planned.len() as u64);
+    let style = ProgressStyle::with_template("{elapsed_precise} {bar:30} {pos}/{len} {msg}");
+    bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
+    bar.enable_steady_tick(Duration::from_millis(200));
+    let mut rows: Vec<Measurement> = Vec::new();
+    for Planned { point, seed, fault } in planned {
+        let one = run::Asked { scenario, point: *point, seed: *seed, fault: *fault, binary: &binary };
+        let progress = |what: &str| bar.set_message(what.to_owned());
+        let played = run::play(&one, &progress).await?;
+        bar.suspend(|| println!("{}", line(&one, &played)));
+        bar.inc(1);
+        rows.extend(played.rows);
+        if let Some(out) = &asked.out {
+            report::write(out, &rows)?;
+        }
+    }
+    bar.finish_and_clear();
+    Ok(())
+}
+
+const HEAD: &str = "hollow  hosts  purges/s  planners  fault                bytes/s  messages/s  headers/s  cores  planner  coordinator  delay ms: median      99th     worst  expected      lost  replaced  doubled  disordered";
+
+/// A run in a line: bytes, messages and cores of one hollow forwarder, cores of a planner and the coordinator.
+fn line(asked: &run::Asked, rows: &Rows) -> String {
+    let hollow = |metrics: &[Metric]| -> f64 {
+        metrics.iter().filter_map(|metric| rows.sum(Role::HollowForwarder, *metric)).sum()
+    };
+    let one = |metric: Metric| hollow(&[metric]);
+    let cores = |role: Role| rows.sum(role, Metric::Cores).unwrap_or(f64::NAN);
+    let fault = asked.fault.map_or("none", |fault| fault.kind.word());
+    format!(
+        "{:>6}  {:>5}  {:>8}  {:>8}  {fault:<19}  {:>7.0}  {:>10.1}  {:>9.0}  {:.4}  {:>7.3}  {:>11.3}  {:>16.1}  {:>8.1}  {:>8.1}  {:>8}  {:>8}  {:>8}  {:>7}  {:>10}",
+        asked.point.hollow,
+        asked.point.hosts,
+        asked.point.purges_per_s,
+        asked.point.planners,
+        hollow(&[Metric::BytesInPerS, Metric::BytesOutPerS]),
+        hollow(&[Metric::MessagesInPerS, Metric::MessagesOutPerS]),
+        one(Metric::HeaderBytesPerS),
+        one(Metric::Cores),
+        cores(Role::Planner),
+        cores(Role::Coordinator),
+        one(Metric::DelayMedianMs),
+        one(Metric::DelayP99Ms),
+        one(Metric::DelayWorstMs),
+        one(Metric::EventsExpected),
+        one(Metric::EventsLost),
+        one(Metric::EventsReplaced),
+        one(Metric::EventsDoubled),
+        one(Metric::EventsOutOfOrder),
+    )
+}
+
+fn orders<T: DeserializeOwned>(path: &Path) -> Result<T, Stop> {
+    let text = files::text(&path.to_string_lossy())?;
+    serde_json::from_str(&text).map_err(|error| faulty(format!("{}: {error}", path.display())))
+}
+
+/// A process of hollow forwarders.
+pub fn hollow(path: &Path) -> Result<(), Stop> {
+    let orders: HollowOrders = orders(path)?;
+    let (plan, key) = files::plan(&orders.plan.to_string_lossy())?;
+    let window = files::world(&orders.configuration.to_string_lossy())?.window;
+    let _log = log::start("warn", LogForm::Text)?;
+    let guidelines = |name: &str| guidelines(&plan, key.clone(), window, name);
+    Ok(flaxdeck_scale::hollow::run(&orders, guidelines)?)
+}
+
+/// The stand-in coordinator.
+pub fn coordinator(path: &Path) -> Result<(), Stop> {
+    let orders: CoordinatorOrders = orders(path)?;
+    let _log = log::start("warn", LogForm::Text)?;
+    Ok(flaxdeck_scale::coordinator::run(orders)?)
+}
--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -1,7 +1,7 @@
 //! The process: start, signals, logger, counters.
 
 mod logger;
-mod start;
+pub(crate) mod start;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,12 +13,12 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, interval, sleep};
 
-use crate::routing::{Guidelines, Keeps, Router, accept, recall};
-use flaxdeck_guidance::messages::Epoch;
+use crate::control;
+use crate::routing::{Guidelines, Router, accept};
 use flaxdeck_net::clock::Clock;
+use flaxdeck_net::counters_file;
 use flaxdeck_net::listener::Claim;
 use flaxdeck_net::tally::{self, Count, count};
-use flaxdeck_talk::feed::{Event, Feed, Numbered};
 
 /// Between lines of counters in the log.
 const COUNTERS: Duration = Duration::from_secs(10);
@@ -56,26 +56,16 @@
     let signals = |kind| signal(kind).map_err(|error| format!("no signals: {error}"));
     let (mut asked_to_end, mut asked_to_reload) =
         (signals(SignalKind::terminate())?, signals(SignalKind::hangup())?);
-    let start::Start { address, mut feed, mut known, terms, names, carriage, bounds, seed, settings } =
-        start::read(path, guidelines.is_none())?;
+    let start = start::read(path, guidelines.is_none())?;
+    let (address, carriage, bounds, settings) =
+        (start.address, start.carriage, start.bounds, start.settings.clone());
     let refused = |error| format!("cannot listen at {address}: {error}");
     // Taken before anything is said in its name: while an earlier run still listens there, this one is none.
     let claim = Claim::take(address).map_err(refused)?;
-    let router = Router::new(clock, seed, terms, names, carriage, bounds);
-    // A guided forwarder keeps to what is its own from the first list on.
-    if let Some(guidelines) = guidelines {
-        let epoch = Epoch::new(clock.now(), std::process::id());
-        let (keeps, waits) = (guidelines.keeps.clone(), guidelines.stance.pledges.forwarder_waits());
-        router.guide_by(epoch, seed, guidelines, &mut feed);
-        if let Some(keeps) = keeps {
-            come_back(&router, &feed, clock, &keeps, &mut known, waits);
-        }
-    }
-    let last = feed.numbering().borrow().last();
-    known.into_iter().for_each(|(_, event)| router.told(last, event));
+    let counters = guidelines.as_ref().and_then(|guidelines| guidelines.counters.clone());
+    let router = control::begin(start, clock, guidelines, std::process::id(), None);
     let guided = router.is_guided();
-    spawn_local(router.clone().follow(feed));
-    spawn_local(router.clone().keep_time());
+    counters.into_iter().for_each(counters_file::spawn);
     // A client that finds nobody listening turns to another dispatcher; a guess or a bounce would keep it here.
     tokio::select! {
         () = router.comes_back() => {}
@@ -111,28 +101,6 @@
     Ok(())
 }
 
-/// What an earlier run has kept, in place of or beside what the configuration tells.
-fn come_back(
-    router: &Rc<Router>,
-    feed: &Feed,
-    clock: Clock,
-    keeps: &Keeps,
-    known: &mut Numbered,
-    waits: Span,
-) {
-    let mut recalled = recall(keeps, clock, feed.numbering().borrow().last(), waits);
-    if let Some(event) = recalled.event {
-        feed.numbering().borrow_mut().begin_at(clock.now(), event);
-        known.clear();
-    }
-    let last = feed.numbering().borrow().last();
-    known.splice(0..0, std::mem::take(&mut recalled.events).into_iter().map(|event| (last.number, event)));
-    // Told before the hints about hosts, and kept as the first snapshot.
-    let events: Vec<Event> = std::mem::take(known).into_iter().map(|(_, event)| event).collect();
-    events.iter().for_each(|event| router.told(last, event.clone()));
-    router.take_up(recalled, keeps, &events, last);
-}
-
 /// Reads the configuration again. The coordinator, its events and the limits change in place; what can't is
 /// said, and one that can't be used changes nothing.
 fn reload(path: Option<&str>, router: &Router, address: SocketAddr, settings: &Value, guided: bool) {
--- a/crates/flaxdeck-dispatcher/src/program/start.rs
+++ b/crates/flaxdeck-dispatcher/src/program/start.rs
@@ -36,7 +36,8 @@
     parse(&value, env::var("GW_LISTEN").ok(), trusts).map_err(|fault| format!("{path}: {fault}"))
 }
 
-fn parse(value: &Value, listen: Option<String>, trusts: bool) -> Result<Start, String> {
+/// What a configuration says; the address to listen at may be given apart.
+pub fn parse(value: &Value, listen: Option<String>, trusts: bool) -> Result<Start, String> {
     let fields = Fields::of(value, "the whole")?;
     let listen = listen.map_or_else(|| fields.text("listen").map(str::to_owned), Ok)?;
     let address = listen.parse().map_err(|_| format!("listen: {listen} is no address"))?;
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -4,6 +4,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -27,8 +28,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep, sleep_until};
 
-use super::Router;
 use super::keep::{Keeper, Keeps, Recalled, Wrote};
+use super::{InForce, Router};
 
 /// Between tries to reach a planner: as short as a report or two at first; at most as long as a planner may be silent
 /// until its hosts' lives are another's.
@@ -43,6 +44,8 @@
     pub report_every: Duration,
     /// Where this forwarder keeps its state, if it does.
     pub keeps: Option<Keeps>,
+    /// Where the counters of this process are written as they grow, if anywhere.
+    pub counters: Option<PathBuf>,
 }
 
 pub struct Guides {
@@ -281,6 +284,13 @@
         if let Some(made) = copies {
             self.report(News::Purged { object: None, group: GroupId::ALL, made });
         }
+        self.in_force(InForce::Anew { upto: mark });
+    }
+
+    /// Planners with a conversation that is up.
+    pub fn connected_planners(&self) -> usize {
+        let guides = self.guides.borrow();
+        guides.iter().map(|guides| guides.speakers.borrow().iter().flatten().count()).sum()
     }
 
     /// The coordinator itself has spoken.
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -40,6 +40,18 @@
     left: Cell<bool>,
 }
 
+/// Events that have come into force, as told to whoever watches.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum InForce {
+    /// All events with numbers over the first and up to that mark.
+    Events { after: u64, upto: Mark },
+    /// A whole list in place of all that was known.
+    Anew { upto: Mark },
+}
+
+/// Told at once whenever events have come into force.
+pub type Watcher = Box<dyn Fn(InForce)>;
+
 pub struct Router {
     clock: Clock,
     facade: RefCell<Facade>,
@@ -72,6 +84,7 @@
     settles: Span,
     /// What outlasts this process, where something does.
     keeper: RefCell<Option<Rc<keep::Keeper>>>,
+    watcher: RefCell<Option<Watcher>>,
 }
 
 impl Router {
@@ -108,6 +121,7 @@
             guides: RefCell::new(None),
             settles,
             keeper: RefCell::new(None),
+            watcher: RefCell::new(None),
         })
     }
 
@@ -174,6 +188,17 @@
             keeper.event(mark, &event);
         }
         self.apply(event);
+        self.in_force(InForce::Events { after: mark.number.saturating_sub(1), upto: mark });
+    }
+
+    /// Has somebody told of events that come into force from now on, and first of what is known.
+    pub fn watch(&self, watcher: Watcher, known: Option<Mark>) {
+        known.into_iter().for_each(|upto| watcher(InForce::Anew { upto }));
+        *self.watcher.borrow_mut() = Some(watcher);
+    }
+
+    fn in_force(&self, what: InForce) {
+        self.watcher.borrow().iter().for_each(|watcher| watcher(what));
     }
 
     fn apply(&self, event: Event) {
--- a/crates/flaxdeck-emulator/src/lib.rs
+++ b/crates/flaxdeck-emulator/src/lib.rs
@@ -21,7 +21,7 @@
 use serde_json::{Value, json};
 use tokio::runtime::Runtime;
 use world::{HostState, Inside};
-pub use world::{Kind, Layout, Manner, PULSE, Pulse};
+pub use world::{Kind, Layout, Manner, PULSE, Pulse, settings};
 
 /// Threads of the stand-ins.
 const THREADS: usize = 3;
--- a/crates/flaxdeck-emulator/src/world.rs
+++ b/crates/flaxdeck-emulator/src/world.rs
@@ -249,32 +249,37 @@
             "limits": {"memory_mb": layout.memory_mb, "sockets": layout.sockets},
             "coordinator": coordinator.to_string(),
             "known": {"index": state.known, "updates": state.events.iter().map(|(_, event)| event).collect::<Vec<_>>()},
-            "settings": {
-                "allowed": {"cancel": true, "conn_idle_ms": 15000.0, "connect_timeout_ms": 400.0, "max_attempts": 6,
-                    "max_retry_after_ms": 2000.0, "may_duplicate": true, "retry_after": true},
-                "family": "edge",
-                "family_info": {"class_parts": [false, false], "client_kb_per_s": KB_PER_MS * 1000.0,
-                    "collapses": false, "count_by_zone": [layout.forwarders, 0], "direct": true,
-                    "goes_through": [false, true], "max_age_ms": [0.0, 0.0], "purge_grace_ms": 500.0,
-                    "purge_settles_ms": 6000.0, "shield_kind": 1, "source_kind": 2,
-                    "upper_cold_from": layout.cold_from, "upper_cold_ms": layout.warm_within_ms,
-                    "upper_fall_multiple": layout.factor},
-                "group_size": layout.forwarders,
-                "kinds": ["cache", "parent", "origin"],
-                "request_classes": [
-                    {"name": "page", "effect": "idempotent", "objective_ms": 400.0, "aim_stretch": 2.0,
-                        "deadline_ms": 2500.0},
-                    {"name": "submit", "effect": "at_most_once", "objective_ms": 800.0, "deadline_ms": 2500.0}],
-                "rules": {"answer_slack_ms": 8.0, "cold_from": layout.cold_from, "fall_ms": layout.fall_ms,
-                    "overload_factor": layout.factor, "stop_sending_within_ms": 1000.0,
-                    "warm_within_ms": layout.warm_within_ms},
-                "stats": {"fields": ["outstanding", "x0", "x1"], "via": "inline"},
-                "tick_ms": 2.0, "zone": "here", "zones": ["here", "hub"]
-            }
+            "settings": settings(layout)
         })
     }
 }
 
+/// The platform's settings of a world of that layout.
+pub fn settings(layout: &Layout) -> Value {
+    json!({
+        "allowed": {"cancel": true, "conn_idle_ms": 15000.0, "connect_timeout_ms": 400.0, "max_attempts": 6,
+            "max_retry_after_ms": 2000.0, "may_duplicate": true, "retry_after": true},
+        "family": "edge",
+        "family_info": {"class_parts": [false, false], "client_kb_per_s": KB_PER_MS * 1000.0,
+            "collapses": false, "count_by_zone": [layout.forwarders, 0], "direct": true,
+            "goes_through": [false, true], "max_age_ms": [0.0, 0.0], "purge_grace_ms": 500.0,
+            "purge_settles_ms": 6000.0, "shield_kind": 1, "source_kind": 2,
+            "upper_cold_from": layout.cold_from, "upper_cold_ms": layout.warm_within_ms,
+            "upper_fall_multiple": layout.factor},
+        "group_size": layout.forwarders,
+        "kinds": ["cache", "parent", "origin"],
+        "request_classes": [
+            {"name": "page", "effect": "idempotent", "objective_ms": 400.0, "aim_stretch": 2.0,
+                "deadline_ms": 2500.0},
+            {"name": "submit", "effect": "at_most_once", "objective_ms": 800.0, "deadline_ms": 2500.0}],
+        "rules": {"answer_slack_ms": 8.0, "cold_from": layout.cold_from, "fall_ms": layout.fall_ms,
+            "overload_factor": layout.factor, "stop_sending_within_ms": 1000.0,
+            "warm_within_ms": layout.warm_within_ms},
+        "stats": {"fields": ["outstanding", "x0", "x1"], "via": "inline"},
+        "tick_ms": 2.0, "zone": "here", "zones": ["here", "hub"]
+    })
+}
+
 /// KB of an object, which follow from its name: 100 to 339, so 10 to 31 ms of a place. Its bytes are fewer.
 pub fn kb_of(object: &str) -> u64 {
     100 + u64::from_str_radix(object, 16).unwrap_or(0).wrapping_mul(0x9e37_79b9_7f4a_7c15) % 240
--- a/crates/flaxdeck-net/src/tally.rs
+++ b/crates/flaxdeck-net/src/tally.rs
@@ -63,6 +63,30 @@
     reloads_refused,
     log_lines_lost,
     must_not_happen,
+    feed_messages_in,
+    feed_bytes_in,
+    feed_messages_out,
+    feed_bytes_out,
+    greetings_messages_in,
+    greetings_bytes_in,
+    greetings_messages_out,
+    greetings_bytes_out,
+    reports_messages_in,
+    reports_bytes_in,
+    reports_messages_out,
+    reports_bytes_out,
+    guidance_messages_in,
+    guidance_bytes_in,
+    guidance_messages_out,
+    guidance_bytes_out,
+    subscriptions_messages_in,
+    subscriptions_bytes_in,
+    subscriptions_messages_out,
+    subscriptions_bytes_out,
+    deliveries_messages_in,
+    deliveries_bytes_in,
+    deliveries_messages_out,
+    deliveries_bytes_out,
 );
 
 thread_local! {
@@ -70,7 +94,23 @@
 }
 
 pub fn count(what: Count) {
-    TALLY.with(|tally| tally[what as usize].set(tally[what as usize].get() + 1));
+    count_by(what, 1);
+}
+
+/// Counts several at once.
+pub fn count_by(what: Count, amount: u64) {
+    TALLY.with(|tally| tally[what as usize].set(tally[what as usize].get() + amount));
+}
+
+/// Counts one message of so many bytes.
+pub fn count_message([messages, bytes]: [Count; 2], length: usize) {
+    count(messages);
+    count_by(bytes, length as u64);
+}
+
+/// All counters of this thread by name, zero ones too.
+pub fn snapshot() -> Vec<(&'static str, u64)> {
+    TALLY.with(|tally| NAMES.iter().copied().zip(tally.iter().map(Cell::get)).collect())
 }
 
 /// What must hold: asserted in debug builds, counted in release builds.
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -4,6 +4,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -12,8 +13,10 @@
 use flaxdeck_guidance::planner::Planner;
 use flaxdeck_guidance::{Parts, Pledges};
 use flaxdeck_net::clock::Clock;
+use flaxdeck_net::counters_file;
 use flaxdeck_net::listener::Listener;
 use flaxdeck_net::room::{Place, Room};
+use flaxdeck_net::tally;
 use flaxdeck_talk::feed::{Event, Feed, Numbered, Word};
 use flaxdeck_talk::line::{self, Hearer, Over, Speaker};
 use flaxdeck_talk::seal::Key;
@@ -39,6 +42,8 @@
     pub own: Parts,
     pub feed: Feed,
     pub known: Numbered,
+    /// Where its counters are written as they grow, if anywhere.
+    pub counters: Option<PathBuf>,
 }
 
 type Shared = Rc<RefCell<Speaker>>;
@@ -66,7 +71,7 @@
     let (mut terminate, mut interrupt) =
         (signals(SignalKind::terminate())?, signals(SignalKind::interrupt())?);
     let clock = Clock::start();
-    let Start { name, listen, key, pledges, own, feed, known } = start;
+    let Start { name, listen, key, pledges, own, feed, known, counters } = start;
     let epoch = Epoch::new(clock.now(), std::process::id());
     let server = Rc::new(Server {
         clock,
@@ -84,6 +89,7 @@
     spawn_local(server.clone().follow(feed));
     spawn_local(server.clone().accept(listener));
     spawn_local(server.clone().log_counters());
+    counters.into_iter().for_each(counters_file::spawn);
     tracing::info!(planner = name, epoch = epoch.0, "listening at {at}, {pledges:?}");
     tokio::select! {
         _ = terminate.recv() => {}
@@ -219,6 +225,7 @@
         let (forwarders, lives, [lent, out]) = planner.load(self.clock.now());
         let (counted, refused) = (planner.counted, self.refused.get());
         tracing::info!(forwarders, lives, lent, out, refused, ?counted, "counted");
+        tracing::info!("traffic: {}", tally::line());
     }
 
     async fn log_counters(self: Rc<Server>) {
--- /dev/null
+++ b/crates/flaxdeck-scale/src/hosts.rs
@@ -0,0 +1,75 @@
+//! Lines of the coordinator's list: generated ones, and their form in frames and in configurations.
+
+use std::net::{Ipv4Addr, SocketAddrV4};
+
+use serde::{Deserialize, Serialize};
+use serde_json::{Value, json};
+
+/// One host of the list.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Host {
+    pub id: u32,
+    pub address: SocketAddrV4,
+    /// 0 in service, 1 draining, 2 gone.
+    pub state: u8,
+    /// Places in the settings' lists of zones and kinds.
+    pub zone: u8,
+    pub kind: u8,
+    pub block: u16,
+    /// In thousandths.
+    pub weight: u32,
+    /// In milliseconds of Unix time; 0 for long past.
+    pub started_ms: u64,
+}
+
+/// The first id of generated hosts, clear of those that the emulator gives its own.
+const FIRST: u32 = 0x0010_0000;
+/// The discard port: nobody is meant to be called there.
+const PORT: u16 = 9;
+/// Every so many hosts one is a parent.
+const PARENT_EVERY: u32 = 10;
+const WEIGHT: u32 = 12_000;
+
+/// So many hosts, the first of them the origin, with addresses of loopback at which nobody listens.
+pub fn generated(count: u32) -> Vec<Host> {
+    let host = |n: u32| {
+        let [.., high, low] = n.to_be_bytes();
+        let (zone, kind) = match n {
+            0 => (1, 2),
+            n if n % PARENT_EVERY == 1 => (1, 1),
+            _ => (0, 0),
+        };
+        let address = SocketAddrV4::new(Ipv4Addr::new(127, 77, high, low), PORT);
+        Host { id: FIRST + n, address, state: 0, zone, kind, block: 0, weight: WEIGHT, started_ms: 0 }
+    };
+    (0..count).map(host).collect()
+}
+
+impl Host {
+    /// The line as frames hold it.
+    pub fn record(&self) -> Vec<u8> {
+        let mut record = self.id.to_be_bytes().to_vec();
+        record.extend(self.address.ip().octets());
+        record.extend(self.address.port().to_be_bytes());
+        record.extend([self.state, self.zone, self.kind]);
+        record.extend(self.block.to_be_bytes());
+        record.extend(self.weight.to_be_bytes());
+        record.extend(self.started_ms.to_be_bytes());
+        record
+    }
+
+    /// The line as configurations hold it, with the settings' names of zones and kinds.
+    pub fn row(&self, zones: &[String], kinds: &[String]) -> Value {
+        let health = ["Ready", "Terminating", "Gone"][usize::from(self.state.min(2))];
+        json!({
+            "host": format!("s-{:08x}", self.id),
+            "dial": self.address.to_string(),
+            "site": zones.get(usize::from(self.zone)),
+            "class": kinds.get(usize::from(self.kind)),
+            "block": self.block,
+            "health": health,
+            "share": f64::from(self.weight) / 1000.0,
+            "born_ms": self.started_ms,
+        })
+    }
+}
--- a/crates/flaxdeck-scale/src/measurement.rs
+++ b/crates/flaxdeck-scale/src/measurement.rs
@@ -48,6 +48,8 @@
     /// Events over all forwarders of the role and the whole run.
     EventsExpected,
     EventsLost,
+    /// Events that a whole list covered which came in place of all that was known; copies from before are in doubt.
+    EventsReplaced,
     EventsDoubled,
     EventsOutOfOrder,
     /// Requests at the real forwarders: share answered in time, its 99th percentile, rule breaks.
--- a/crates/flaxdeck-talk/src/feed.rs
+++ b/crates/flaxdeck-talk/src/feed.rs
@@ -17,7 +17,7 @@
 
 use flaxdeck_net::clock::{self, Clock};
 use flaxdeck_net::link::{self, Inbound, Outbound};
-use flaxdeck_net::tally::{Count, count};
+use flaxdeck_net::tally::{Count, count, count_message};
 use flaxdeck_wire::frames;
 pub use flaxdeck_wire::frames::{Event, Numbered};
 use flaxdeck_wire::{Malformed, Parsed};
@@ -165,7 +165,8 @@
                 continue;
             };
             let parsed = frames::parse(&mut inbound.bytes, &self.names);
-            if matches!(parsed, Ok(Parsed::Whole(_))) {
+            if let Ok(Parsed::Whole((_, frame, _))) = &parsed {
+                count_message([Count::feed_messages_in, Count::feed_bytes_in], frame.len());
                 self.heard = Instant::now();
             }
             match parsed {
@@ -261,7 +262,9 @@
         match timeout(CONNECT, link::connect(self.address)).await {
             Ok(Ok((inbound, outbound))) => {
                 let asked = self.numbering.borrow_mut().ask(self.clock.now());
-                outbound.send([Bytes::copy_from_slice(&asked.to_be_bytes())], [None, None]);
+                let asked = Bytes::copy_from_slice(&asked.to_be_bytes());
+                count_message([Count::feed_messages_out, Count::feed_bytes_out], asked.len());
+                outbound.send([asked], [None, None]);
                 self.heard = Instant::now();
                 (self.link, self.told_current) = (Some((inbound, outbound)), false);
             }
--- a/crates/flaxdeck-talk/src/lib.rs
+++ b/crates/flaxdeck-talk/src/lib.rs
@@ -2,5 +2,6 @@
 //! `seal` reads and writes.
 
 pub mod feed;
+pub mod kinds;
 pub mod line;
 pub mod seal;
--- a/crates/flaxdeck-talk/src/line.rs
+++ b/crates/flaxdeck-talk/src/line.rs
@@ -4,6 +4,7 @@
 use std::time::Duration;
 
 use flaxdeck_net::link::{self, Inbound, Outbound};
+use flaxdeck_net::tally::count_message;
 use flaxdeck_wire::{Malformed, Parsed};
 use rand::Rng;
 use serde::Serialize;
@@ -11,7 +12,8 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until, timeout};
 
-use crate::seal::{Greeting, Key, Opener, Sealer, Side};
+use crate::kinds::{Kind, Message};
+use crate::seal::{GREETING, Greeting, Key, Opener, Sealer, Side};
 
 /// How long connecting and greeting may take.
 const GREETED: Duration = Duration::from_millis(1000);
@@ -67,9 +69,13 @@
     let other = if side == Side::Planner { Side::Forwarder } else { Side::Planner };
     let theirs = async {
         outbound.send([ours.bytes(key)], [None, None]);
+        count_message(Kind::Greeting.counts_out(), GREETING);
         loop {
             match Greeting::read(&mut inbound.bytes, key, other)? {
-                Parsed::Whole(theirs) => return Ok(theirs),
+                Parsed::Whole(theirs) => {
+                    count_message(Kind::Greeting.counts_in(), GREETING);
+                    return Ok(theirs);
+                }
                 Parsed::Short(more) => {
                     if !matches!(inbound.more(more).await, Ok(true)) {
                         return Err(Over::Broken("ended before the greeting"));
@@ -91,9 +97,12 @@
     }
 
     /// Writes one message, or queues it. One over a bound is not sent, and ends the conversation.
-    pub fn speak(&mut self, message: &impl Serialize) {
+    pub fn speak(&mut self, message: &(impl Serialize + Message)) {
         match self.sealer.seal(message) {
-            Ok(bytes) => self.outbound.send([bytes], [None, None]),
+            Ok(bytes) => {
+                count_message(message.kind().counts_out(), bytes.len());
+                self.outbound.send([bytes], [None, None]);
+            }
             Err(malformed) => {
                 log::error!("not sent: {}", malformed.0);
                 self.outbound.close();
@@ -108,13 +117,15 @@
 
 impl Hearer {
     /// The next message. May be dropped and called again without loss.
-    pub async fn hear<T: DeserializeOwned>(&mut self) -> Result<T, Over> {
+    pub async fn hear<T: DeserializeOwned + Message>(&mut self) -> Result<T, Over> {
         loop {
             if self.outbound.is_closed() {
                 return Err(Over::Broken("closed here"));
             }
-            let more = match self.opener.open(&mut self.inbound.bytes)? {
+            let before = self.inbound.bytes.len();
+            let more = match self.opener.open::<T>(&mut self.inbound.bytes)? {
                 Parsed::Whole(message) => {
+                    count_message(message.kind().counts_in(), before - self.inbound.bytes.len());
                     self.heard = Instant::now();
                     return Ok(message);
                 }
