--- a/crates/flaxdeck-talk/src/lib.rs
+++ b/crates/flaxdeck-talk/src/lib.rs
@@ -2,6 +2,7 @@
 //! `seal` reads and writes.
 
 pub mod feed;
+pub mod kinds;
 pub mod line;
 pub mod messages;
 pub mod seal;
