--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -5,8 +5,9 @@
 use std::rc::Rc;
 
 use flaxdeck::words::Span;
+use flaxdeck_distribution::Cadence;
 use flaxdeck_guidance::Pledges;
-use flaxdeck_plan::Plan;
+use flaxdeck_plan::{Events, Plan};
 use flaxdeck_talk::feed::{Feed, Numbered};
 use flaxdeck_talk::seal::Key;
 use flaxdeck_terms::fields::Fields;
@@ -77,6 +78,20 @@
     }
 }
 
+/// Between two batches of events, where the plan has events come in batches.
+pub fn batch_every(plan: &Plan) -> Option<Span> {
+    match plan.events {
+        Events::EachEvent => None,
+        Events::Digest { batch_ms } => Some(Span::from_ms(u64::from(batch_ms))),
+    }
+}
+
+/// How often a planner tells subscribers of events.
+pub fn cadence(plan: &Plan) -> Cadence {
+    let cadence = Cadence::default();
+    Cadence { batch_every: batch_every(plan).unwrap_or(cadence.batch_every), ..cadence }
+}
+
 pub fn pledges(plan: &Plan, window: Span) -> Pledges {
     let granted = Span::from_ms(u64::from(plan.granted_ms));
     Pledges::of(window, granted, (plan.drift * 1000.0).ceil() as u32)
--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -16,7 +16,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use flaxdeck::words::Span;
-use flaxdeck_dispatcher::{Guidelines, Keeps};
+use flaxdeck_dispatcher::{Digests, Guidelines, Keeps};
 use flaxdeck_guidance::Parts;
 use flaxdeck_guidance::forwarder::Stance;
 use flaxdeck_guidance::messages::SeatId;
@@ -270,6 +270,10 @@
         key,
         stance: stance(plan, files::pledges(plan, window), listen),
         report_every: Duration::from_millis(u64::from(plan.report_every_ms)),
+        digests: files::batch_every(plan).map(|_| Digests {
+            cadence: files::cadence(plan),
+            report_idle_every: Span::from_ms(u64::from(plan.report_idle_ms)),
+        }),
         counters: None,
     }
 }
@@ -308,10 +312,10 @@
     let own = Parts::below(plan.reserve / plan.planners.len() as f64);
     let pledges = files::pledges(&plan, world.window);
     let (name, listen) = (planner.name.clone(), planner.listen);
-    let counters = files.counters.clone();
+    let (cadence, counters) = (files::cadence(&plan), files.counters.clone());
     let start = || {
         let (feed, known) = world.feed(&name)?;
-        Ok(flaxdeck_planner::Start { name, listen, key, pledges, own, feed, known, counters })
+        Ok(flaxdeck_planner::Start { name, listen, key, pledges, own, cadence, feed, known, counters })
     };
     Ok(flaxdeck_planner::run(start)?)
 }
--- a/crates/flaxdeck-dispatcher/src/lib.rs
+++ b/crates/flaxdeck-dispatcher/src/lib.rs
@@ -7,4 +7,4 @@
 mod routing;
 
 pub use program::{run, run_guided};
-pub use routing::{Guidelines, Keeps};
+pub use routing::{Digests, Guidelines, Keeps};
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -10,6 +10,7 @@
 
 use flaxdeck::facade::News;
 use flaxdeck::words::*;
+use flaxdeck_distribution::PlannerNumber;
 use flaxdeck_guidance::forwarder::{Guide, Informed, Stance};
 use flaxdeck_guidance::membership::PlannerId;
 use flaxdeck_guidance::messages::{Epoch, Guidance};
@@ -21,6 +22,7 @@
 use flaxdeck_recovery::{Mark, Pace, doubt};
 use flaxdeck_talk::feed::{Event, Feed, Urgency};
 use flaxdeck_talk::line::{self, Hearer, Over, Speaker};
+use flaxdeck_talk::messages::{FromForwarder, FromPlanner};
 use flaxdeck_talk::seal::Key;
 use flaxdeck_wire::frames;
 use tokio::sync::Notify;
@@ -29,6 +31,7 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep, sleep_until};
 
 use super::keep::{Keeper, Keeps, Recalled, Wrote};
+use super::subscription::{Digests, EventSubscription};
 use super::{InForce, Router};
 
 /// Between tries to reach a planner: as short as a report or two at first; at most as long as a planner may be silent
@@ -42,6 +45,8 @@
     pub key: Key,
     pub stance: Stance,
     pub report_every: Duration,
+    /// Events come by a subscription to one planner; none if each is told by all and by the coordinator.
+    pub digests: Option<Digests>,
     /// Where this forwarder keeps its state, if it does.
     pub keeps: Option<Keeps>,
     /// Where the counters of this process are written as they grow, if anywhere.
@@ -50,7 +55,8 @@
 
 pub struct Guides {
     guide: RefCell<Guide>,
-    speakers: RefCell<Vec<Option<Speaker>>>,
+    pub(super) speakers: RefCell<Vec<Option<Speaker>>>,
+    pub(super) subscription: Option<Rc<EventSubscription>>,
     guidelines: Guidelines,
     /// The coordinator's events as applied here, whoever brought them.
     numbering: Rc<RefCell<Numbering>>,
@@ -71,16 +77,30 @@
     report_now: Notify,
 }
 
+impl Guides {
+    /// The planner whose events are followed is told samples of hosts too.
+    pub(super) fn follows(&self, planner: Option<PlannerNumber>) {
+        self.guide.borrow_mut().subscribed_to(planner.map(|planner| PlannerId(planner.0)));
+    }
+}
+
 impl Router {
     /// Has the router guided from now on.
     pub fn guide_by(self: &Rc<Router>, epoch: Epoch, seed: u64, guidelines: Guidelines, feed: &mut Feed) {
         let (numbering, urgency) = (feed.numbering(), feed.urgency(!guidelines.planners.is_empty()));
         let (count, now) = (guidelines.planners.len(), self.clock.now());
-        let guide = Guide::start(now, epoch, guidelines.stance, count as u32);
+        let mut guide = Guide::start(now, epoch, guidelines.stance, count as u32);
+        let subscription = guidelines.digests.map(|digests| {
+            guide.report_sparingly(digests.report_idle_every);
+            let numbering = numbering.clone();
+            EventSubscription::start(now, count as u32, seed, digests, self.settles, numbering)
+        });
+        feed.pause_while(subscription.is_some());
         let unheard = guidelines.stance.blind_after.map_or(Unheard::GoOn, Unheard::BounceAfter);
         let guides = Rc::new(Guides {
             guide: RefCell::new(guide),
             speakers: RefCell::new((0..count).map(|_| None).collect()),
+            subscription: subscription.map(Rc::new),
             guidelines,
             numbering,
             lines: RefCell::default(),
@@ -102,6 +122,7 @@
             spawn_local(self.clone().listen_to(guides.clone(), at));
         }
         spawn_local(self.clone().report_for_ever(guides.clone()));
+        spawn_local(self.clone().keep_subscribed(guides.clone()));
         spawn_local(self.clone().keep_guided(guides));
     }
 
@@ -296,11 +317,17 @@
     /// The coordinator itself has spoken.
     pub(super) fn coordinator_heard(&self) {
         let Some(guides) = self.guides.borrow().clone() else { return };
-        guides.guide.borrow_mut().coordinator_heard(self.clock.now());
+        self.current_by_coordinator();
+        self.events_known_at(&guides, self.clock.now());
+    }
+
+    /// All is known here that the coordinator had at that time.
+    pub(super) fn events_known_at(&self, guides: &Guides, at: Time) {
+        guides.guide.borrow_mut().events_known_at(at);
         if guides.informed.get() == Informed::Blind {
-            self.tell_brain(&guides);
+            self.tell_brain(guides);
         }
-        self.note_vouched(&guides);
+        self.note_vouched(guides);
     }
 
     /// A coordinator that has little room is left to planners while they tell the same.
@@ -321,7 +348,10 @@
         let (guide, now) = (guides.guide.borrow(), self.clock.now());
         let [lent, granted] = guide.totals(now);
         let (informed, counted) = (guide.informed(now), guide.counted);
-        Some(format!("guidance: {informed:?} lent={lent:.3} granted={granted:.3} {counted:?}"))
+        let events =
+            guides.subscription.as_ref().map(|subscription| format!(" events: {}", subscription.line()));
+        let events = events.unwrap_or_default();
+        Some(format!("guidance: {informed:?} lent={lent:.3} granted={granted:.3} {counted:?}{events}"))
     }
 
     fn tell_brain(&self, guides: &Guides) {
@@ -360,10 +390,13 @@
                 guide.link(self.zone, self.facade.borrow().link());
                 let mut speakers = guides.speakers.borrow_mut();
                 for (at, speaker) in speakers.iter_mut().enumerate() {
-                    let Some(speaker) = speaker else { continue };
+                    let (Some(speaker), planner) = (speaker, PlannerId(at as u32)) else { continue };
+                    if !guide.is_report_due(now, planner, &sights) {
+                        continue;
+                    }
                     if speaker.may_speak() {
                         let last = guides.numbering.borrow().last();
-                        speaker.speak(&guide.report(now, PlannerId(at as u32), &sights, last));
+                        speaker.speak(&FromForwarder::Report(guide.report(now, planner, &sights, last)));
                     } else {
                         count(Count::reports_skipped);
                     }
@@ -419,8 +452,10 @@
                     guides.guide.borrow_mut().met(PlannerId(at as u32));
                     guides.speakers.borrow_mut()[at] = Some(speaker);
                     guides.report_now.notify_one();
+                    self.planner_connected(&guides, at, true);
                     let over = self.hear_out(&guides, at, hearer).await;
                     guides.speakers.borrow_mut()[at] = None;
+                    self.planner_connected(&guides, at, false);
                     log::warn!("planner {at} at {address}: the conversation is over: {over:?}");
                 }
                 Err(Over::Refused(why)) => {
@@ -441,7 +476,11 @@
     async fn hear_out(&self, guides: &Guides, at: usize, mut hearer: Hearer) -> Over {
         loop {
             let guidance: Guidance = match hearer.hear().await {
-                Ok(guidance) => guidance,
+                Ok(FromPlanner::Guidance(guidance)) => guidance,
+                Ok(FromPlanner::Delivery(delivery)) => {
+                    self.delivered(guides, at, delivery);
+                    continue;
+                }
                 Err(over) => return over,
             };
             let (now, last) = (self.clock.now(), guides.numbering.borrow().last());
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -5,6 +5,7 @@
 mod guides;
 mod keep;
 mod pulls;
+mod subscription;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -22,6 +23,7 @@
 pub use clients::accept;
 pub use guides::Guidelines;
 pub use keep::{Keeps, recall};
+pub use subscription::Digests;
 
 use crate::protocol::pool::Pool;
 use flaxdeck_net::clock::Clock;
@@ -33,8 +35,8 @@
 const SWEEP: Duration = Duration::from_secs(1);
 
 /// A pull's place in the table.
-#[derive(Default)]
 struct Seat {
+    object: ObjectId,
     /// There is a step to pick, or the client has left.
     stir: Notify,
     left: Cell<bool>,
@@ -183,12 +185,17 @@
 
     /// An event of the coordinator that follows what is known.
     pub fn told(&self, mark: Mark, event: Event) {
+        self.told_by_others(mark, event);
+        self.in_force(InForce::Events { after: mark.number.saturating_sub(1), upto: mark });
+    }
+
+    /// The same of one among several that come into force together.
+    fn told_by_others(&self, mark: Mark, event: Event) {
         self.keep_told(&event);
         if let Some(keeper) = &*self.keeper.borrow() {
             keeper.event(mark, &event);
         }
         self.apply(event);
-        self.in_force(InForce::Events { after: mark.number.saturating_sub(1), upto: mark });
     }
 
     /// Has somebody told of events that come into force from now on, and first of what is known.
@@ -219,11 +226,27 @@
         }
     }
 
+    /// Waits until it may have changed whether the coordinator is needed beside planners.
+    async fn coordinator_change(&self) -> bool {
+        match self.subscription() {
+            Some(subscription) => {
+                subscription.coordinator_change().await;
+                subscription.wants_coordinator()
+            }
+            None => std::future::pending().await,
+        }
+    }
+
     /// Follows the coordinator.
     pub async fn follow(self: Rc<Router>, mut feed: Feed) {
         self.begun();
         loop {
             tokio::select! {
+                wanted = self.coordinator_change() => {
+                    // What a link was asked for may have been replaced since.
+                    feed.pause_while(true);
+                    feed.pause_while(!wanted);
+                }
                 word = feed.next() => {
                     match word {
                         Word::Alive => {}
--- a/crates/flaxdeck-dispatcher/src/routing/pulls.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/pulls.rs
@@ -5,6 +5,7 @@
 
 use flaxdeck::facade::{News, Step};
 use flaxdeck::words::*;
+use tokio::sync::Notify;
 use tokio::task::{AbortHandle, JoinSet, spawn_local};
 use tokio::time::Instant;
 
@@ -54,9 +55,10 @@
             hard_stop: now + asked.waits,
             again: asked.again,
         };
-        let seat = Rc::new(Seat::default());
+        let seat = Rc::new(Seat { object: asked.object, stir: Notify::new(), left: Cell::new(false) });
         self.table.borrow_mut().insert(id, seat.clone());
         must(self.ids.borrow_mut().insert(asked.id.clone()), "open pulls differ by their ids");
+        self.asked_for(asked.object);
         self.report(News::Arrived(pull));
         let (router, asked, reply) = (self.clone(), Rc::from(asked), Some(reply));
         let (out, tasks) = (Vec::new(), JoinSet::new());
--- a/crates/flaxdeck-distribution/src/cadence.rs
+++ b/crates/flaxdeck-distribution/src/cadence.rs
@@ -3,7 +3,7 @@
 use flaxdeck::words::Span;
 
 /// How many batches a planner may miss before another is asked, and the least time that this takes.
-const MISSED_BATCHES: f64 = 3.0;
+const MISSED_BATCHES: f64 = 2.0;
 const SILENT_AT_LEAST: Span = Span::from_ms(1_500);
 
 /// The spans of the conversation about events, the same at planners and forwarders.
--- a/crates/flaxdeck-net/src/tally.rs
+++ b/crates/flaxdeck-net/src/tally.rs
@@ -58,6 +58,8 @@
     reports_skipped,
     events_relayed,
     events_unreadable,
+    deliveries_refused,
+    copies_doubted,
     accept_errors,
     reloads,
     reloads_refused,
--- a/crates/flaxdeck-plan/src/lib.rs
+++ b/crates/flaxdeck-plan/src/lib.rs
@@ -66,6 +66,8 @@
 /// How many planners one file may name: each forwarder reports to all of them.
 pub const PLANNERS_MOST: usize = 8;
 
+/// The longest time between two reports: who says nothing for a second more is taken to be lost.
+const IDLE_MOST_MS: f64 = 1_500.0;
 /// The least and the longest time between two batches of events, and what holds where the file tells none.
 const BATCH_MS: [f64; 2] = [100.0, 2_000.0];
 const BATCH_DEFAULT_MS: u32 = 1_000;
@@ -149,7 +151,7 @@
             faults.add(place.unwrap_or(form.place), what, why, "report more often or grant for longer");
         }
         let least = f64::from(plan.report_every_ms);
-        let idle = idle.and_then(|form| form.number(least, 10_000.0, faults));
+        let idle = idle.and_then(|form| form.number(least, IDLE_MOST_MS, faults));
         plan.report_idle_ms = idle.map_or(plan.report_every_ms, |ms| ms as u32);
     }
     if let Some(form) = only(&mut forms, "events", faults) {
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -1,5 +1,7 @@
 //! A planner on sockets: one connection to the coordinator, one from each forwarder. All that it decides is
-//! `flaxdeck_guidance::planner`; here messages only move.
+//! `flaxdeck_guidance::planner` and `flaxdeck_distribution::publisher`; here messages only move.
+
+mod events;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,6 +11,8 @@
 use std::time::Duration;
 
 use flaxdeck::words::{Coverage, Standing};
+use flaxdeck_distribution::messages::Subscription;
+use flaxdeck_distribution::{Cadence, SubscriberId};
 use flaxdeck_guidance::messages::{Epoch, Relayed, Report};
 use flaxdeck_guidance::planner::Planner;
 use flaxdeck_guidance::{Parts, Pledges};
@@ -17,13 +21,18 @@
 use flaxdeck_net::listener::Listener;
 use flaxdeck_net::room::{Place, Room};
 use flaxdeck_net::tally;
+use flaxdeck_recovery::Mark;
 use flaxdeck_talk::feed::{Event, Feed, Numbered, Word};
 use flaxdeck_talk::line::{self, Hearer, Over, Speaker};
+use flaxdeck_talk::messages::{FromForwarder, FromPlanner};
 use flaxdeck_talk::seal::Key;
 use tokio::net::TcpStream;
 use tokio::signal::unix::{SignalKind, signal};
+use tokio::sync::Notify;
 use tokio::task::{LocalSet, spawn_local};
-use tokio::time::{interval, sleep};
+use tokio::time::{Instant, interval, sleep, sleep_until};
+
+use events::Events;
 
 /// Between lines of counters in the log.
 const COUNTERS: Duration = Duration::from_secs(10);
@@ -40,6 +49,8 @@
     pub pledges: Pledges,
     /// Its own part of each cold host.
     pub own: Parts,
+    /// How often forwarders are told of events that subscribe to them.
+    pub cadence: Cadence,
     pub feed: Feed,
     pub known: Numbered,
     /// Where its counters are written as they grow, if anywhere.
@@ -54,6 +65,11 @@
     key: Key,
     /// By forwarder, with the number of its connection.
     speakers: RefCell<BTreeMap<Epoch, (u64, Shared)>>,
+    events: RefCell<Events>,
+    /// By the number of its connection.
+    subscribers: RefCell<BTreeMap<SubscriberId, Shared>>,
+    /// Somebody may be due sooner than was known.
+    due_changed: Notify,
     next: Cell<u64>,
     room: Room,
     refused: Cell<u64>,
@@ -71,23 +87,27 @@
     let (mut terminate, mut interrupt) =
         (signals(SignalKind::terminate())?, signals(SignalKind::interrupt())?);
     let clock = Clock::start();
-    let Start { name, listen, key, pledges, own, feed, known, counters } = start;
+    let Start { name, listen, key, pledges, own, cadence, feed, known, counters } = start;
     let epoch = Epoch::new(clock.now(), std::process::id());
     let server = Rc::new(Server {
         clock,
         planner: RefCell::new(Planner::start(clock.now(), epoch, pledges, own)),
         key,
         speakers: RefCell::default(),
+        events: RefCell::new(Events::start(clock.now(), cadence, feed.names())),
+        subscribers: RefCell::default(),
+        due_changed: Notify::new(),
         next: Cell::new(0),
         room: Room::new(CONNECTIONS_MOST),
         refused: Cell::new(0),
     });
-    known.into_iter().for_each(|(_, event)| server.told(event));
-    server.planner.borrow_mut().begins_at(feed.numbering().borrow().last());
+    known.into_iter().for_each(|(_, event)| server.listed(event));
+    server.begins_at(feed.numbering().borrow().last());
     let listener = Listener::open(listen).map_err(|error| format!("cannot listen at {listen}: {error}"))?;
     let at = listener.address().map_err(|error| format!("cannot listen at {listen}: {error}"))?;
     spawn_local(server.clone().follow(feed));
     spawn_local(server.clone().accept(listener));
+    spawn_local(server.clone().publish());
     spawn_local(server.clone().log_counters());
     counters.into_iter().for_each(counters_file::spawn);
     tracing::info!(planner = name, epoch = epoch.0, "listening at {at}, {pledges:?}");
@@ -101,6 +121,18 @@
 }
 
 impl Server {
+    /// All that is known here of the coordinator's events ends with that one.
+    fn begins_at(&self, mark: Mark) {
+        self.planner.borrow_mut().begins_at(mark);
+        self.events.borrow_mut().begins_at(self.clock.now(), mark);
+    }
+
+    /// Takes in what an event outside the numbering says of hosts.
+    fn listed(&self, event: Event) {
+        self.events.borrow_mut().list(&event);
+        self.told(event);
+    }
+
     fn told(&self, event: Event) {
         let Event::Hosts(coverage, stations) = event else { return };
         let (now, mut planner) = (self.clock.now(), self.planner.borrow_mut());
@@ -121,6 +153,7 @@
             let event = match feed.next().await {
                 Word::Alive => None,
                 Word::Event(mark, frame, event) => {
+                    self.events.borrow_mut().told(self.clock.now(), mark, &frame, &event);
                     self.told(event);
                     Some(Relayed { mark, frame: frame.to_vec() })
                 }
@@ -130,16 +163,19 @@
                         ?doubt,
                         "the coordinator's numbering is another: its list is taken anew"
                     );
-                    self.told(event);
-                    self.planner.borrow_mut().begins_at(mark);
+                    self.listed(event);
+                    self.begins_at(mark);
                     None
                 }
             };
             let news = event.is_some();
-            self.planner.borrow_mut().coordinator(self.clock.now(), event, feed.is_current());
+            let (now, current) = (self.clock.now(), feed.is_current());
+            self.planner.borrow_mut().coordinator(now, event, current);
+            self.events.borrow_mut().coordinator_heard(now, current);
             if news {
                 self.push();
             }
+            self.due_changed.notify_one();
         }
     }
 
@@ -151,11 +187,44 @@
                 continue;
             }
             if let Some(guidance) = self.planner.borrow_mut().push(self.clock.now(), *epoch) {
-                speaker.speak(&guidance);
+                speaker.speak(&FromPlanner::Guidance(guidance));
+            }
+        }
+    }
+
+    /// Tells subscribers of events, each when it is due; who reads slowly is told more at once later.
+    async fn publish(self: Rc<Server>) {
+        loop {
+            let due = self.events.borrow().next_due().map(|due| self.clock.instant(due));
+            tokio::select! {
+                () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {}
+                () = self.due_changed.notified() => {}
+            }
+            let now = self.clock.now();
+            let due = self.events.borrow_mut().due(now);
+            for id in due {
+                let Some(speaker) = self.subscribers.borrow().get(&id).cloned() else { continue };
+                if !speaker.borrow().may_speak() {
+                    continue;
+                }
+                if let Some(delivery) = self.events.borrow_mut().delivery(now, id) {
+                    speaker.borrow_mut().speak(&FromPlanner::Delivery(delivery));
+                }
             }
         }
     }
 
+    fn subscribe(&self, id: SubscriberId, speaker: &Shared, subscription: Subscription) {
+        self.subscribers.borrow_mut().insert(id, speaker.clone());
+        self.events.borrow_mut().subscribe(self.clock.now(), id, subscription);
+        self.due_changed.notify_one();
+    }
+
+    fn unsubscribe(&self, id: SubscriberId) {
+        self.subscribers.borrow_mut().remove(&id);
+        self.events.borrow_mut().leave(id);
+    }
+
     async fn accept(self: Rc<Server>, listener: Listener) {
         loop {
             let place = self.room.wait_for(1).await;
@@ -181,6 +250,7 @@
                 let over = self.converse(number, &speaker, hearer).await;
                 // A later connection of the same forwarder has a speaker of its own.
                 self.speakers.borrow_mut().retain(|_, (theirs, _)| *theirs != number);
+                self.unsubscribe(SubscriberId(number));
                 over
             }
             Err(over) => over,
@@ -198,7 +268,11 @@
         let mut known = None;
         loop {
             let report: Report = match hearer.hear().await {
-                Ok(report) => report,
+                Ok(FromForwarder::Report(report)) => report,
+                Ok(FromForwarder::Subscribe(subscription)) => {
+                    self.subscribe(SubscriberId(number), speaker, subscription);
+                    continue;
+                }
                 Err(over) => return over,
             };
             let from = report.envelope.from;
@@ -214,7 +288,7 @@
             }
             let judged = self.planner.borrow_mut().report(self.clock.now(), &report);
             match judged {
-                Ok(guidance) => speaker.borrow_mut().speak(&guidance),
+                Ok(guidance) => speaker.borrow_mut().speak(&FromPlanner::Guidance(guidance)),
                 Err(why) => tracing::warn!(forwarder = from.0, ?why, "a report is refused"),
             }
         }
@@ -225,6 +299,8 @@
         let (forwarders, lives, [lent, out]) = planner.load(self.clock.now());
         let (counted, refused) = (planner.counted, self.refused.get());
         tracing::info!(forwarders, lives, lent, out, refused, ?counted, "counted");
+        let ((subscribers, kept, bytes), counted) = self.events.borrow().load();
+        tracing::info!(subscribers, kept, bytes, ?counted, "events");
         tracing::info!("traffic: {}", tally::line());
     }
 
--- a/crates/flaxdeck-recovery/src/numbering.rs
+++ b/crates/flaxdeck-recovery/src/numbering.rs
@@ -286,11 +286,16 @@
         follows
     }
 
+    /// Whether what others bring may be taken: they may follow what was before the coordinator contradicted it.
+    pub fn trusts_others(&self, now: Time) -> bool {
+        now >= self.distrusts_until
+    }
+
     /// All events between the last one and another have been brought by somebody who knows the same numbering, and who
     /// had all that the coordinator had at the time `whole_at`. False if they don't follow the last one, or come too
     /// soon after the coordinator contradicted what others brought.
     pub fn moved_on(&mut self, now: Time, after: Mark, upto: Mark, whole_at: Option<Time>) -> bool {
-        let follows = after == self.last && upto.number >= after.number && now >= self.distrusts_until;
+        let follows = after == self.last && upto.number >= after.number && self.trusts_others(now);
         if follows && upto != after {
             self.applies(upto);
         }
--- a/crates/flaxdeck-scale/src/run.rs
+++ b/crates/flaxdeck-scale/src/run.rs
@@ -15,7 +15,7 @@
 use crate::delays::{Judge, Outcome, read_events};
 use crate::hosts;
 use crate::in_force;
-use crate::measurement::Role;
+use crate::measurement::{Distribution, Role};
 use crate::messages::{CoordinatorOrder, CoordinatorOrders, CoordinatorWord, HollowOrders, HollowWord};
 use crate::monotonic;
 use crate::processes::{Part, Process, tail};
@@ -122,6 +122,8 @@
     next: u32,
 }
 
+/// Between reports of forwarders that hear of events by digests, while they have nothing urgent to tell.
+const DIGEST_IDLE_MS: u32 = 1_500;
 const KEY: &str = "3f1c0e5d9a7b42688e4d1b2a3c5f6d7e8c9b0a1f2e3d4c5b6a79887a96b5c4d3";
 
 fn write(path: &Path, text: &str) -> Result<(), String> {
@@ -182,10 +184,17 @@
         let line =
             |(at, address): (usize, &SocketAddr)| format!("(planner (name p{at}) (listen \"{address}\"))");
         let lines: Vec<String> = planners.iter().enumerate().map(line).collect();
+        let every = self.asked.scenario.report_every_ms;
+        let (reports, events) = match self.asked.scenario.distribution {
+            Distribution::EachEvent => (format!("(every-ms {every})"), "(by each-event)"),
+            Distribution::Digest => {
+                (format!("(every-ms {every}) (idle-ms {DIGEST_IDLE_MS})"), "(by digest) (batch-ms 1000)")
+            }
+        };
         format!(
-            "(plan (key-file \"scale.key\") (planners {}) (reports (every-ms {})) (log (levels \"info\")))",
+            "(plan (key-file \"scale.key\") (planners {}) (reports {reports}) (events {events}) \
+             (log (levels \"info\")))",
             lines.join(" "),
-            self.asked.scenario.report_every_ms
         )
     }
 
--- a/crates/flaxdeck-talk/src/kinds.rs
+++ b/crates/flaxdeck-talk/src/kinds.rs
@@ -3,6 +3,8 @@
 use flaxdeck_guidance::messages::{Guidance, Report};
 use flaxdeck_net::tally::Count;
 
+use crate::messages::{FromForwarder, FromPlanner};
+
 /// What a message of a sealed conversation counts as.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
@@ -43,6 +45,24 @@
     fn kind(&self) -> Kind;
 }
 
+impl Message for FromForwarder {
+    fn kind(&self) -> Kind {
+        match self {
+            FromForwarder::Report(_) => Kind::Report,
+            FromForwarder::Subscribe(_) => Kind::Subscription,
+        }
+    }
+}
+
+impl Message for FromPlanner {
+    fn kind(&self) -> Kind {
+        match self {
+            FromPlanner::Guidance(_) => Kind::Guidance,
+            FromPlanner::Delivery(_) => Kind::Delivery,
+        }
+    }
+}
+
 impl Message for Report {
     fn kind(&self) -> Kind {
         Kind::Report
