--- a/crates/flaxdeck-cli/src/scale.rs
+++ b/crates/flaxdeck-cli/src/scale.rs
@@ -100,9 +100,9 @@
         let one = run::Asked { scenario, point: *point, seed: *seed, fault: *fault, binary: &binary };
         let progress = |what: &str| bar.set_message(what.to_owned());
         let played = run::play(&one, &progress).await?;
-        bar.suspend(|| println!("{}", line(&one, &played)));
+        bar.suspend(|| println!("{}", line(&one, &played.rows)));
         bar.inc(1);
-        rows.extend(played.rows);
+        rows.extend(played.rows.rows);
         if let Some(out) = &asked.out {
             report::write(out, &rows)?;
         }
--- a/crates/flaxdeck-emulator/src/clients.rs
+++ b/crates/flaxdeck-emulator/src/clients.rs
@@ -78,6 +78,11 @@
     open: Arc<AtomicU64>,
 }
 
+/// The object of that popularity, counted from 0.
+pub fn object_of_rank(rank: u64) -> u64 {
+    (rank + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
+}
+
 /// The pulls at one dispatcher, all settled before the first is sent.
 pub fn draw(load: &Load, dispatcher: usize) -> Vec<Planned> {
     let mut chance = Pcg64Mcg::seed_from_u64(load.seed ^ (dispatcher as u64) << 32);
@@ -99,7 +104,7 @@
         }
         let rank = weights.partition_point(|weight| *weight < chance.random::<f64>() * sum) as u64;
         let write = chance.random_bool(load.writes);
-        let object = format!("{:016x}", (rank + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let object = format!("{:016x}", object_of_rank(rank));
         planned.push(Planned { at, object, write });
     }
 }
--- a/crates/flaxdeck-emulator/src/lib.rs
+++ b/crates/flaxdeck-emulator/src/lib.rs
@@ -14,7 +14,7 @@
 use std::thread;
 use std::time::Duration;
 
-pub use clients::{Clients, Load, Told};
+pub use clients::{Clients, Load, Told, object_of_rank};
 use flaxdeck_rules::{Seen, Terms, Verdict};
 pub use proxy::{Proxy, Wire};
 pub use seekers::{End, Fate, Patience, Seekers};
@@ -26,6 +26,16 @@
 /// Threads of the stand-ins.
 const THREADS: usize = 3;
 
+/// A host of a world as a list names it.
+#[derive(Clone, Debug)]
+pub struct ListedHost {
+    /// `s-` and eight hex digits.
+    pub id: String,
+    pub address: SocketAddr,
+    pub kind: Kind,
+    pub places: f64,
+}
+
 /// The world, from the outside.
 pub struct World {
     inside: Arc<Inside>,
@@ -92,6 +102,26 @@
         Ok(())
     }
 
+    /// All hosts, for a coordinator that is not this world's own.
+    pub fn listed(&self) -> Vec<ListedHost> {
+        let state = self.inside.lock();
+        let listed = |(id, host): (&String, &HostState)| ListedHost {
+            id: id.clone(),
+            address: host.address,
+            kind: host.kind,
+            places: host.places,
+        };
+        state.hosts.iter().map(listed).collect()
+    }
+
+    /// A coordinator that is not this world's own announces that no copy of an object made before now is good.
+    pub fn purged_elsewhere(&self, object: &str) {
+        let now = self.now();
+        let mut state = self.inside.lock();
+        state.purged.insert(object.to_owned(), now);
+        state.record.push((now, Seen::Purged { object: object.to_owned() }));
+    }
+
     /// What a dispatcher is started with.
     pub fn config(&self, coordinator: SocketAddr) -> serde_json::Value {
         self.inside.config(coordinator)
--- a/crates/flaxdeck-net/src/counters_file.rs
+++ b/crates/flaxdeck-net/src/counters_file.rs
@@ -1,40 +1,37 @@
-//! Counters of this process written to a file as they grow, for whoever measures it from outside: one JSON object a
-//! line, with the microseconds since the writing began under `elapsed_us` and every counter under its name.
+//! Counters of a thread written to a file as they grow, for whoever measures the process from outside: one JSON object
+//! a line, with the microseconds since the writing began under `elapsed_us` and every counter under its name.
 
 use std::fs::File;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
-use std::time::Duration;
+use std::thread;
+use std::time::{Duration, Instant};
 
-use tokio::task::spawn_local;
-use tokio::time::{Instant, MissedTickBehavior, interval};
-
-use crate::tally;
+use crate::tally::{self, Reader};
 
 /// Between lines.
 const EVERY: Duration = Duration::from_millis(250);
 
-/// Writes a line now and then for ever, by a task of this thread, which is the one that counts.
+/// Has the counters of this thread written for as long as the process lives, by a thread that no work holds up.
 pub fn spawn(path: PathBuf) {
-    spawn_local(async move {
-        if let Err(error) = write(&path).await {
+    let counters = tally::reader();
+    thread::spawn(move || {
+        if let Err(error) = write(&path, &counters) {
             log::error!("counters are not written to {}: {error}", path.display());
         }
     });
 }
 
-async fn write(path: &Path) -> io::Result<()> {
+fn write(path: &Path, counters: &Reader) -> io::Result<()> {
     let mut file = File::create(path)?;
     let begun = Instant::now();
-    let mut ticks = interval(EVERY);
-    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        ticks.tick().await;
-        file.write_all(line(begun.elapsed()).as_bytes())?;
+        file.write_all(line(begun.elapsed(), counters).as_bytes())?;
+        thread::sleep(EVERY);
     }
 }
 
-fn line(elapsed: Duration) -> String {
-    let counters = tally::snapshot().into_iter().map(|(name, value)| format!(",\"{name}\":{value}"));
+fn line(elapsed: Duration, counters: &Reader) -> String {
+    let counters = counters.snapshot().map(|(name, value)| format!(",\"{name}\":{value}"));
     format!("{{\"elapsed_us\":{}{}}}\n", elapsed.as_micros(), counters.collect::<String>())
 }
--- a/crates/flaxdeck-net/src/tally.rs
+++ b/crates/flaxdeck-net/src/tally.rs
@@ -1,6 +1,7 @@
 //! Counters of this process. Every layer counts, the program writes them to the log.
 
-use std::cell::Cell;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
 
 macro_rules! tally {
     ($($name:ident),* $(,)?) => {
@@ -89,8 +90,26 @@
     deliveries_bytes_out,
 );
 
+type Tally = [AtomicU64; NAMES.len()];
+
 thread_local! {
-    static TALLY: [Cell<u64>; NAMES.len()] = const { [const { Cell::new(0) }; NAMES.len()] };
+    /// Only this thread writes it, so that no counting needs more than a load and a store; others may read it.
+    static TALLY: Arc<Tally> = Arc::new([const { AtomicU64::new(0) }; NAMES.len()]);
+}
+
+/// The counters of one thread, to be read by another.
+pub struct Reader(Arc<Tally>);
+
+/// The counters of this thread.
+pub fn reader() -> Reader {
+    Reader(TALLY.with(Arc::clone))
+}
+
+impl Reader {
+    /// All counters by name, zero ones too.
+    pub fn snapshot(&self) -> impl Iterator<Item = (&'static str, u64)> {
+        NAMES.iter().copied().zip(self.0.iter().map(|value| value.load(Ordering::Relaxed)))
+    }
 }
 
 pub fn count(what: Count) {
@@ -99,7 +118,10 @@
 
 /// Counts several at once.
 pub fn count_by(what: Count, amount: u64) {
-    TALLY.with(|tally| tally[what as usize].set(tally[what as usize].get() + amount));
+    TALLY.with(|tally| {
+        let value = &tally[what as usize];
+        value.store(value.load(Ordering::Relaxed) + amount, Ordering::Relaxed);
+    });
 }
 
 /// Counts one message of so many bytes.
@@ -108,11 +130,6 @@
     count_by(bytes, length as u64);
 }
 
-/// All counters of this thread by name, zero ones too.
-pub fn snapshot() -> Vec<(&'static str, u64)> {
-    TALLY.with(|tally| NAMES.iter().copied().zip(tally.iter().map(Cell::get)).collect())
-}
-
 /// What must hold: asserted in debug builds, counted in release builds.
 pub fn must(holds: bool, what: &str) {
     debug_assert!(holds, "{what}");
@@ -124,9 +141,6 @@
 
 /// All counters that are not zero, as `name=value` words.
 pub fn line() -> String {
-    let words = |tally: &[Cell<u64>; NAMES.len()]| {
-        let some = NAMES.iter().zip(tally).filter(|(_, value)| value.get() > 0);
-        some.map(|(name, value)| format!("{name}={}", value.get())).collect::<Vec<_>>().join(" ")
-    };
-    TALLY.with(words)
+    let some = reader().snapshot().filter(|(_, value)| *value > 0).collect::<Vec<_>>();
+    some.into_iter().map(|(name, value)| format!("{name}={value}")).collect::<Vec<_>>().join(" ")
 }
--- a/crates/flaxdeck-scale/src/coordinator.rs
+++ b/crates/flaxdeck-scale/src/coordinator.rs
@@ -52,6 +52,7 @@
 
 struct State {
     hosts: Vec<Host>,
+    unchanging: usize,
     names: Names,
     settings_names: [Vec<String>; 2],
     first: u64,
@@ -80,6 +81,7 @@
     let address = listener.address().map_err(|error| format!("cannot listen: {error}"))?;
     let state = State {
         hosts: orders.hosts,
+        unchanging: orders.unchanging,
         names,
         settings_names,
         first: 1,
@@ -190,8 +192,8 @@
             self.purges.draw(at, &mut self.chance);
         }
         while let Some(at) = self.changes.next.filter(|at| *at <= now) {
-            let which = self.chance.random_range(0..state.hosts.len().max(1));
-            state.change_host(which);
+            let some = state.unchanging..state.hosts.len().max(state.unchanging + 1);
+            state.change_host(self.chance.random_range(some));
             self.changes.draw(at, &mut self.chance);
         }
     }
--- a/crates/flaxdeck-scale/src/hosts.rs
+++ b/crates/flaxdeck-scale/src/hosts.rs
@@ -26,21 +26,18 @@
 const FIRST: u32 = 0x0010_0000;
 /// The discard port: nobody is meant to be called there.
 const PORT: u16 = 9;
-/// Every so many hosts one is a parent.
-const PARENT_EVERY: u32 = 10;
+/// Places in the settings' lists: caches of a zone in which no forwarder of a run is, as most of a long list are.
+const ZONE: u8 = 1;
+const KIND: u8 = 0;
 const WEIGHT: u32 = 12_000;
 
-/// So many hosts, the first of them the origin, with addresses of loopback at which nobody listens.
+/// So many caches of another zone, with addresses of loopback at which nobody listens.
 pub fn generated(count: u32) -> Vec<Host> {
     let host = |n: u32| {
         let [.., high, low] = n.to_be_bytes();
-        let (zone, kind) = match n {
-            0 => (1, 2),
-            n if n % PARENT_EVERY == 1 => (1, 1),
-            _ => (0, 0),
-        };
         let address = SocketAddrV4::new(Ipv4Addr::new(127, 77, high, low), PORT);
-        Host { id: FIRST + n, address, state: 0, zone, kind, block: 0, weight: WEIGHT, started_ms: 0 }
+        let (id, zone, kind) = (FIRST + n, ZONE, KIND);
+        Host { id, address, state: 0, zone, kind, block: 0, weight: WEIGHT, started_ms: 0 }
     };
     (0..count).map(host).collect()
 }
--- a/crates/flaxdeck-scale/src/lib.rs
+++ b/crates/flaxdeck-scale/src/lib.rs
@@ -14,4 +14,5 @@
 pub mod report;
 pub mod run;
 pub mod scenario;
+pub mod service;
 pub mod usage;
--- a/crates/flaxdeck-scale/src/messages.rs
+++ b/crates/flaxdeck-scale/src/messages.rs
@@ -34,6 +34,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CoordinatorOrders {
     pub hosts: Vec<Host>,
+    /// So many of the first of them never change.
+    pub unchanging: usize,
     pub purges_per_s: f64,
     pub host_changes_per_s: f64,
     pub seed: u64,
--- a/crates/flaxdeck-scale/src/report.rs
+++ b/crates/flaxdeck-scale/src/report.rs
@@ -14,7 +14,7 @@
 const SEGMENTS_A_MESSAGE: f64 = 2.0;
 
 /// The kinds of messages whose counters are read.
-const KINDS: [&str; 6] = ["feed", "greetings", "reports", "guidance", "subscriptions", "deliveries"];
+pub const KINDS: [&str; 6] = ["feed", "greetings", "reports", "guidance", "subscriptions", "deliveries"];
 
 /// What all rows of a run have in common.
 #[derive(Clone, Debug)]
--- a/crates/flaxdeck-scale/src/run.rs
+++ b/crates/flaxdeck-scale/src/run.rs
@@ -6,30 +6,35 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-use flaxdeck_emulator::{Layout, settings};
+use flaxdeck_emulator::{Layout, Proxy, Wire, settings};
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use tokio::process::Command;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 use crate::delays::{Judge, Outcome, read_events};
-use crate::hosts;
+use crate::hosts::{self, Host};
 use crate::in_force;
-use crate::measurement::Role;
+use crate::measurement::{Metric, Role};
 use crate::messages::{CoordinatorOrder, CoordinatorOrders, CoordinatorWord, HollowOrders, HollowWord};
 use crate::monotonic;
 use crate::processes::{Part, Process, tail};
-use crate::report::{Looks, Rows, Run};
+use crate::report::{KINDS, Looks, Rows, Run};
 use crate::scenario::{Fault, FaultKind, Point, Scenario};
+use crate::service::{self, Served, Service};
 use crate::usage;
 
 /// How long a process may take until it listens.
 const LISTENS_WITHIN: Duration = Duration::from_secs(10);
 /// How long all forwarders may take until they are current.
 const CURRENT_WITHIN: Duration = Duration::from_secs(90);
+/// How long the last requests may take beyond the drain.
+const ANSWERED_WITHIN: Duration = Duration::from_secs(4);
 const LOOK: Duration = Duration::from_millis(20);
 /// Slow readers run for the first part of each such span and stand still for the rest.
 const SLOW_TURN: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(800)];
+/// Sets the seeds of real forwarders apart from those of hollow ones.
+const REAL_SEEDS: u64 = 0x4ea1 << 48;
 /// By how much purges come more often in a storm.
 const STORM: f64 = 10.0;
 
@@ -44,11 +49,30 @@
     pub binary: &'a Path,
 }
 
+/// What one run gave.
+pub struct Played {
+    pub rows: Rows,
+    /// What both sides of all conversations counted, by kind.
+    pub both_sides: Vec<BothSides>,
+    /// Ids of all processes that it started, in case somebody wants to see that they have gone.
+    pub processes: Vec<u32>,
+}
+
+/// Messages and bytes of one kind since the start, as those counted who sent them and those who received them.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct BothSides {
+    pub kind: &'static str,
+    pub sent: [u64; 2],
+    pub received: [u64; 2],
+}
+
 /// Plays one run; all that it started has ended when it returns, also when it is dropped before.
-pub async fn play(asked: &Asked<'_>, progress: &dyn Fn(&str)) -> Result<Rows, String> {
+pub async fn play(asked: &Asked<'_>, progress: &dyn Fn(&str)) -> Result<Played, String> {
     let folder = Folder::create()?;
     let mut stage = Stage::start(asked, &folder.0, progress).await?;
     let measured = stage.measure(progress).await?;
+    let (both_sides, processes) = (stage.both_sides(), stage.processes().map(|process| process.id).collect());
+    let served = stage.service.as_ref().map(Service::served);
     let outcome = stage.end(&measured).await?;
     let fault = asked.fault.map_or("none", |fault| fault.kind.word()).to_owned();
     let Scenario { name, distribution, .. } = asked.scenario;
@@ -64,7 +88,17 @@
         rows.add_role(role, &measured.looks);
     }
     rows.add_outcome(Role::HollowForwarder, &outcome);
-    Ok(rows)
+    served.iter().for_each(|served| add_service(&mut rows, served));
+    Ok(Played { rows, both_sides, processes })
+}
+
+fn add_service(rows: &mut Rows, served: &Served) {
+    rows.add(Role::RealForwarder, Metric::ServedShare, "", served.share);
+    rows.add(Role::RealForwarder, Metric::ServiceP99Ms, "", served.p99_ms);
+    for rule in 1..=5 {
+        let broken = served.broken.get(&rule).copied().unwrap_or(0);
+        rows.add(Role::RealForwarder, Metric::RulesBroken, &format!("rule_{rule}"), broken as f64);
+    }
 }
 
 /// A folder of the run's own files, gone with it.
@@ -118,6 +152,13 @@
     planners_at: Vec<SocketAddr>,
     regions: Vec<Region>,
     killed: Vec<Killed>,
+    real: Vec<Process>,
+    real_at: Vec<SocketAddr>,
+    /// What the real forwarders serve, if there are any, and when the next purge of one of its objects is due.
+    service: Option<Service>,
+    next_purge: Option<Instant>,
+    /// Between the first process of hollow forwarders and the first planner, where a run or its twin cuts it.
+    wire: Option<Proxy>,
     /// The first number that no hollow forwarder has had.
     next: u32,
 }
@@ -135,7 +176,10 @@
         progress: &dyn Fn(&str),
     ) -> Result<Stage<'a>, String> {
         write(&folder.join("scale.key"), KEY)?;
-        let (coordinator, coordinator_at) = start_coordinator(asked, folder).await?;
+        let real = asked.point.real;
+        let service = (real > 0).then(|| Service::start(real, asked.seed)).transpose()?;
+        let own_hosts = service.as_ref().map(Service::hosts).unwrap_or_default();
+        let (coordinator, coordinator_at) = start_coordinator(asked, own_hosts, folder).await?;
         let mut stage = Stage {
             asked,
             folder,
@@ -145,12 +189,16 @@
             planners_at: Vec::new(),
             regions: Vec::new(),
             killed: Vec::new(),
+            real: Vec::new(),
+            real_at: Vec::new(),
+            service,
+            next_purge: None,
+            wire: None,
             next: 0,
         };
-        write(
-            &folder.join("config.json"),
-            &stage.configuration(json!({"index": 0, "updates": []})).to_string(),
-        )?;
+        let nothing_known = json!({"index": 0, "updates": []});
+        let configuration = stage.configuration(nothing_known, platform_settings(&asked.point));
+        write(&folder.join("config.json"), &configuration.to_string())?;
         for at in 0..asked.point.planners as usize {
             let any = SocketAddr::from(([127, 0, 0, 1], 0));
             let (process, address) = stage.start_planner(at, any).await?;
@@ -158,23 +206,57 @@
             stage.planners_at.push(address);
         }
         write(&folder.join("forwarders.plan"), &stage.plan(&stage.planners_at))?;
+        stage.start_wire()?;
         for at in 0..asked.point.processes {
             let count = share(asked.point.hollow, asked.point.processes, at);
-            let region = stage.start_region(count, "config.json", "forwarders.plan")?;
+            let plan = if at == 0 { "first.plan" } else { "forwarders.plan" };
+            let region = stage.start_region(count, "config.json", plan)?;
             stage.regions.push(region);
         }
+        for at in 0..asked.point.real as usize {
+            let (process, address) = stage.start_real(at).await?;
+            stage.real.push(process);
+            stage.real_at.push(address);
+        }
         stage.wait_until_current(progress).await?;
         Ok(stage)
     }
 
-    fn configuration(&self, known: Value) -> Value {
+    /// The plan of the first process of hollow forwarders, whose connections to the first planner may go over a wire
+    /// that can be cut.
+    fn start_wire(&mut self) -> Result<(), String> {
+        let mut planners = self.planners_at.clone();
+        if self.asked.scenario.fault.is_some_and(|fault| fault.kind == FaultKind::LinkCut) {
+            let wire = Proxy::start(planners[0]).map_err(|error| format!("no wire: {error}"))?;
+            planners[0] = wire.address;
+            self.wire = Some(wire);
+        }
+        write(&self.folder.join("first.plan"), &self.plan(&planners))
+    }
+
+    async fn start_real(&self, at: usize) -> Result<(Process, SocketAddr), String> {
+        let file = |ending: &str| self.folder.join(format!("real{at}.{ending}"));
+        let settings = self.service.as_ref().map_or(Value::Null, Service::settings);
+        let mut configuration = self.configuration(json!({"index": 0, "updates": []}), settings);
+        configuration["seed"] = format!("{:016x}", self.asked.seed ^ REAL_SEEDS ^ at as u64).into();
+        write(&file("json"), &configuration.to_string())?;
+        let mut command = Command::new(self.asked.binary);
+        command.args(["forward", "--ends-with-parent", "--config"]).arg(file("json"));
+        command.arg("--plan").arg(self.folder.join("forwarders.plan"));
+        command.arg("--counters").arg(file("counters"));
+        let process = Process::start(Part::RealForwarder(at), command, file("counters"), file("log"))?;
+        let address = listening(&process).await?;
+        Ok((process, address))
+    }
+
+    fn configuration(&self, known: Value, settings: Value) -> Value {
         json!({
             "listen": "127.0.0.1:0",
             "seed": format!("{:016x}", self.asked.seed),
             "limits": {"memory_mb": 64, "sockets": 512},
             "coordinator": self.coordinator_at.to_string(),
             "known": known,
-            "settings": platform_settings(&self.asked.point),
+            "settings": settings,
         })
     }
 
@@ -246,15 +328,20 @@
         let times = self.asked.scenario.times;
         progress("settling");
         self.coordinator.order(&CoordinatorOrder::Begin).await?;
-        sleep(Duration::from_secs_f64(times.settle_s)).await;
+        if let Some(service) = &mut self.service {
+            service.load(&self.real_at, times.settle_s + times.window_s, self.asked.seed);
+            self.next_purge = Some(Instant::now());
+        }
+        self.pass_until(Instant::now() + Duration::from_secs_f64(times.settle_s)).await?;
         progress("measuring");
         let (begun, from_us) = (Instant::now(), monotonic::now_us());
         let first = self.look();
         if let Some(fault) = self.asked.fault {
-            sleep_until(begun + Duration::from_secs_f64(fault.at_s)).await;
+            self.pass_until(begun + Duration::from_secs_f64(fault.at_s)).await?;
             self.cause(fault, begun + Duration::from_secs_f64(fault.at_s + fault.lasts_s)).await?;
         }
-        sleep_until(begun + Duration::from_secs_f64(times.window_s)).await;
+        self.pass_until(begun + Duration::from_secs_f64(times.window_s)).await?;
+        self.next_purge = None;
         let (seconds, until_us) = (begun.elapsed().as_secs_f64(), monotonic::now_us());
         let second = self.look();
         self.coordinator.order(&CoordinatorOrder::Stop).await?;
@@ -263,6 +350,11 @@
         };
         progress("draining");
         sleep(Duration::from_secs_f64(times.drain_s)).await;
+        let answered_by = Instant::now() + ANSWERED_WITHIN;
+        while self.service.as_ref().is_some_and(|service| !service.is_done()) && Instant::now() < answered_by
+        {
+            sleep(LOOK).await;
+        }
         let mut looks = Vec::new();
         for (id, role, instances, usage, counters) in second {
             // What was restarted within the window is left out: its counters began anew.
@@ -273,10 +365,40 @@
         Ok(Measured { from_us, until_us, looks })
     }
 
+    /// Lets time pass, with purges of what clients ask for when they are due.
+    async fn pass_until(&mut self, until: Instant) -> Result<(), String> {
+        while let Some(due) = self.next_purge.filter(|due| *due < until) {
+            sleep_until(due).await;
+            if let Some(service) = &mut self.service {
+                let object = service.purge();
+                self.coordinator.order(&CoordinatorOrder::Purge { object }).await?;
+            }
+            self.next_purge = Some(due + service::between_purges());
+        }
+        sleep_until(until).await;
+        Ok(())
+    }
+
+    fn processes(&self) -> impl Iterator<Item = &Process> {
+        let regions = self.regions.iter().map(|region| &region.process);
+        [&self.coordinator].into_iter().chain(&self.planners).chain(regions).chain(&self.real)
+    }
+
+    /// What both sides have counted of each kind since the start.
+    fn both_sides(&self) -> Vec<BothSides> {
+        let all: Vec<usage::Counters> =
+            self.processes().filter_map(|process| usage::last_counters(&process.counters)).collect();
+        let sum = |name: String| all.iter().filter_map(|counters| counters.values.get(&name)).sum::<u64>();
+        let side =
+            |kind: &str, way: &str| ["messages", "bytes"].map(|what| sum(format!("{kind}_{what}_{way}")));
+        KINDS
+            .iter()
+            .map(|kind| BothSides { kind, sent: side(kind, "out"), received: side(kind, "in") })
+            .collect()
+    }
+
     /// Reads all processes as they are now.
     fn look(&self) -> Vec<(u32, Role, u32, usage::Usage, usage::Counters)> {
-        let regions = self.regions.iter().map(|region| &region.process);
-        let processes = [&self.coordinator].into_iter().chain(&self.planners).chain(regions);
         let look = |process: &Process| {
             let (role, instances) = match process.part {
                 Part::Coordinator => (Role::Coordinator, 1),
@@ -287,41 +409,45 @@
             let counters = usage::last_counters(&process.counters).unwrap_or_default();
             usage::of(process.id).map(|usage| (process.id, role, instances, usage, counters))
         };
-        processes.filter_map(look).collect()
+        self.processes().filter_map(look).collect()
     }
 
     async fn cause(&mut self, fault: Fault, until: Instant) -> Result<(), String> {
         match fault.kind {
             FaultKind::PlannerKilled => {
                 self.planners[0].kill().await;
-                sleep_until(until).await;
+                self.pass_until(until).await?;
                 let (process, _) = self.start_planner(0, self.planners_at[0]).await?;
                 self.planners[0] = process;
             }
             FaultKind::PlannerHung => {
                 self.planners[0].signal(Signal::STOP);
-                sleep_until(until).await;
+                self.pass_until(until).await?;
                 self.planners[0].signal(Signal::CONT);
             }
             FaultKind::RegionRestarted => self.restart_region().await?,
             FaultKind::CoordinatorForgets => self.coordinator.order(&CoordinatorOrder::Forget).await?,
             FaultKind::CoordinatorSilent => {
                 self.coordinator.order(&CoordinatorOrder::Silent(true)).await?;
-                sleep_until(until).await;
+                self.pass_until(until).await?;
                 self.coordinator.order(&CoordinatorOrder::Silent(false)).await?;
             }
-            FaultKind::LinkCut => return Err("link-cut is not built yet".into()),
+            FaultKind::LinkCut => {
+                self.wire.iter().for_each(|wire| wire.set(Wire::Cut));
+                self.pass_until(until).await?;
+                self.wire.iter().for_each(|wire| wire.set(Wire::Whole));
+            }
             FaultKind::SlowReaders => {
                 while Instant::now() < until {
                     self.regions[0].process.signal(Signal::STOP);
-                    sleep(SLOW_TURN[1]).await;
+                    self.pass_until(Instant::now() + SLOW_TURN[1]).await?;
                     self.regions[0].process.signal(Signal::CONT);
-                    sleep(SLOW_TURN[0]).await;
+                    self.pass_until(Instant::now() + SLOW_TURN[0]).await?;
                 }
             }
             FaultKind::PurgeStorm => {
                 self.coordinator.order(&CoordinatorOrder::PurgeRateTimes(STORM)).await?;
-                sleep_until(until).await;
+                self.pass_until(until).await?;
                 self.coordinator.order(&CoordinatorOrder::PurgeRateTimes(1.0)).await?;
             }
         }
@@ -337,10 +463,11 @@
         };
         let text = fs::read_to_string(&known).map_err(|error| format!("{}: {error}", known.display()))?;
         let known = serde_json::from_str(&text).map_err(|error| format!("known events: {error}"))?;
-        write(&self.folder.join("restart.json"), &self.configuration(known).to_string())?;
+        let configuration = self.configuration(known, platform_settings(&self.asked.point));
+        write(&self.folder.join("restart.json"), &configuration.to_string())?;
         self.regions[0].process.kill().await;
         let count = self.regions[0].count;
-        let region = self.start_region(count, "restart.json", "forwarders.plan")?;
+        let region = self.start_region(count, "restart.json", "first.plan")?;
         let old = std::mem::replace(&mut self.regions[0], region);
         self.killed.push(Killed { in_force: old.in_force, first: old.first, count: old.count });
         Ok(())
@@ -351,8 +478,8 @@
         for region in &mut self.regions {
             region.process.end().await?;
         }
-        for planner in &mut self.planners {
-            planner.end().await?;
+        for process in self.real.iter_mut().chain(&mut self.planners) {
+            process.end().await?;
         }
         self.coordinator.end().await?;
         let events = read_events(&self.folder.join("events.txt"))?;
@@ -380,9 +507,15 @@
     settings(&Layout { forwarders, ..Layout::default() })
 }
 
-async fn start_coordinator(asked: &Asked<'_>, folder: &Path) -> Result<(Process, SocketAddr), String> {
+async fn start_coordinator(
+    asked: &Asked<'_>,
+    own_hosts: Vec<Host>,
+    folder: &Path,
+) -> Result<(Process, SocketAddr), String> {
+    let unchanging = own_hosts.len();
     let orders = CoordinatorOrders {
-        hosts: hosts::generated(asked.point.hosts),
+        hosts: [own_hosts, hosts::generated(asked.point.hosts)].concat(),
+        unchanging,
         purges_per_s: asked.point.purges_per_s,
         host_changes_per_s: asked.point.host_changes_per_s,
         seed: asked.seed,
