--- a/crates/flaxdeck-scale/src/delays.rs
+++ b/crates/flaxdeck-scale/src/delays.rs
@@ -103,7 +103,7 @@
     fn place(&self, note: &Note) -> Option<usize> {
         let exact = self.places.get(&(note.upto, note.hash)).copied();
         exact.or_else(|| {
-            let all = self.by_number.get(&note.upto)?;
+            let all = self.by_number.get(&note.upto).filter(|_| note.after.is_none())?;
             all.iter().rev().find(|at| self.events[**at].at_us <= note.at_us).copied()
         })
     }
