--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -88,8 +88,7 @@
 
 /// How often a planner tells subscribers of events.
 pub fn cadence(plan: &Plan) -> Cadence {
-    let cadence = Cadence::default();
-    Cadence { batch_every: batch_every(plan).unwrap_or(cadence.batch_every), ..cadence }
+    batch_every(plan).map_or_else(Cadence::default, Cadence::of_batches)
 }
 
 pub fn pledges(plan: &Plan, window: Span) -> Pledges {
--- a/crates/flaxdeck-cli/tests/coming_back.rs
+++ b/crates/flaxdeck-cli/tests/coming_back.rs
@@ -15,7 +15,7 @@
 
 fn setup(planners: usize, forwarders: usize) -> Setup {
     let binary = PathBuf::from(env!("CARGO_BIN_EXE_flaxdeck"));
-    Setup { guided: true, blind: "(blind (after-ms 900))", ..Setup::of(binary, planners, forwarders) }
+    Setup { guided: true, plan_words: "(blind (after-ms 900))", ..Setup::of(binary, planners, forwarders) }
 }
 
 fn fleet(setup: Setup, layout: Layout) -> Fleet {
@@ -273,7 +273,8 @@
 
 #[test]
 fn a_drain_known_before_the_kill_is_obeyed_though_nobody_can_be_reached_after_it() {
-    let mut fleet = fleet(Setup { blind: "(blind (then go-on))", ..with_state(1, 2) }, Layout::default());
+    let mut fleet =
+        fleet(Setup { plan_words: "(blind (then go-on))", ..with_state(1, 2) }, Layout::default());
     let caches = fleet.world.hosts(Kind::Cache);
     restart_all(&mut fleet, 2, |_| {});
     let (clients, begins) = clients(&fleet, 40.0, 5_000.0);
--- a/crates/flaxdeck-cli/tests/levels.rs
+++ b/crates/flaxdeck-cli/tests/levels.rs
@@ -130,7 +130,7 @@
 
 #[test]
 fn a_forwarder_that_hears_nobody_bounces_before_a_drain_is_a_second_old() {
-    let mut fleet = fleet(Setup { blind: "(blind (after-ms 900))", ..setup(2, 2) }, Layout::default());
+    let mut fleet = fleet(Setup { plan_words: "(blind (after-ms 900))", ..setup(2, 2) }, Layout::default());
     let caches = fleet.world.hosts(Kind::Cache);
     let (clients, begins) = load(&fleet, &[80.0], 200.0, 6_000.0);
     let cut = begins + 1_500.0;
--- a/crates/flaxdeck-distribution/src/fingerprint.rs
+++ b/crates/flaxdeck-distribution/src/fingerprint.rs
@@ -3,9 +3,9 @@
 use flaxdeck::hash::mix;
 use flaxdeck::words::ObjectId;
 
-/// Bits of a fingerprint. With 3,300 unsettled purges a request's object matches one by chance in one of 1.3 million
-/// cases; `docs/distribution.md` weighs other widths.
-pub const FINGERPRINT_BITS: u32 = 32;
+/// Bits of a fingerprint. With 3,300 unsettled purges a request's object matches one by chance in one of 81,000 cases;
+/// `docs/distribution.md` weighs other widths.
+pub const FINGERPRINT_BITS: u32 = 28;
 
 /// A hash of an object's id. Equal objects have equal fingerprints, so a purged object is always found; another object
 /// may share its fingerprint by chance, and then a copy is fetched anew that need not have been.
@@ -13,7 +13,7 @@
 pub struct Fingerprint(pub u32);
 
 impl Fingerprint {
-    /// The upper half of the hash by which all instances place objects.
+    /// The upper bits of the hash by which all instances place objects.
     pub fn of(object: ObjectId) -> Fingerprint {
         Fingerprint((mix(object.0) >> (u64::BITS - FINGERPRINT_BITS)) as u32)
     }
--- a/crates/flaxdeck-emulator/src/fleet.rs
+++ b/crates/flaxdeck-emulator/src/fleet.rs
@@ -69,7 +69,8 @@
     pub reserve: f64,
     /// Without planners every forwarder is a lone dispatcher: the program `flaxdeck-dispatcher` does the same.
     pub guided: bool,
-    pub blind: &'static str,
+    /// Further words of the plan: what to do when nobody is heard, how events are told.
+    pub plan_words: &'static str,
     /// Lines of the log are shown.
     pub shown: bool,
     /// A program that starts again finds the configuration of its first start, not one that tells what came since.
@@ -82,9 +83,9 @@
 impl Setup {
     /// Guided forwarders and planners, with the defaults of the plan file.
     pub fn of(binary: PathBuf, planners: usize, forwarders: usize) -> Setup {
-        let (reserve, guided, blind, shown) = (0.0, planners > 0, "", false);
+        let (reserve, guided, plan_words, shown) = (0.0, planners > 0, "", false);
         let (first_file, state) = (false, false);
-        Setup { binary, planners, forwarders, reserve, guided, blind, shown, first_file, state }
+        Setup { binary, planners, forwarders, reserve, guided, plan_words, shown, first_file, state }
     }
 }
 
@@ -155,7 +156,7 @@
             "(plan (key-file \"fleet.key\") (planners {}) (shares (reserve {})) (reports (every-ms 100)) {} {state})",
             planners.join(" "),
             self.setup.reserve,
-            self.setup.blind
+            self.setup.plan_words
         )
     }
 
--- a/crates/flaxdeck-emulator/src/lib.rs
+++ b/crates/flaxdeck-emulator/src/lib.rs
@@ -324,7 +324,7 @@
         let cold = state.hosts.iter().filter(|(_, host)| host.kind != Kind::Origin);
         Terms {
             grace: 1000.0,
-            purge_grace: 500.0,
+            purge_grace: layout.purge_grace_ms,
             slack: 50.0,
             window: layout.fall_ms,
             ramps: cold.map(|(id, host)| (id.clone(), self.inside.ramp(host.places))).collect(),
--- a/crates/flaxdeck-emulator/src/world.rs
+++ b/crates/flaxdeck-emulator/src/world.rs
@@ -54,6 +54,8 @@
     pub host_connections: u32,
     /// Calls a second that the coordinator answers; it closes the others.
     pub lists_per_s: f64,
+    /// How long after its announcement copies from before a purge may still be handed out.
+    pub purge_grace_ms: f64,
 }
 
 impl Default for Layout {
@@ -75,6 +77,7 @@
             sockets: 512,
             host_connections: u32::MAX,
             lists_per_s: f64::INFINITY,
+            purge_grace_ms: 500.0,
         }
     }
 }
@@ -262,7 +265,7 @@
         "family": "edge",
         "family_info": {"class_parts": [false, false], "client_kb_per_s": KB_PER_MS * 1000.0,
             "collapses": false, "count_by_zone": [layout.forwarders, 0], "direct": true,
-            "goes_through": [false, true], "max_age_ms": [0.0, 0.0], "purge_grace_ms": 500.0,
+            "goes_through": [false, true], "max_age_ms": [0.0, 0.0], "purge_grace_ms": layout.purge_grace_ms,
             "purge_settles_ms": 6000.0, "shield_kind": 1, "source_kind": 2,
             "upper_cold_from": layout.cold_from, "upper_cold_ms": layout.warm_within_ms,
             "upper_fall_multiple": layout.factor},
--- a/crates/flaxdeck-guidance/src/messages.rs
+++ b/crates/flaxdeck-guidance/src/messages.rs
@@ -51,7 +51,7 @@
 pub const EVENTS_MOST: usize = 64;
 /// Samples and ratings in one message to or from a forwarder that subscribes, beside those of hosts that failed: what
 /// its budget of bytes leaves room for.
-pub const RARE_MOST: usize = 8;
+pub const RARE_MOST: usize = 4;
 pub const NAME_MOST: usize = 64;
 
 /// Who wrote a message, to which run of whom, and when.
