--- a/crates/flaxdeck-distribution/src/subscriber.rs
+++ b/crates/flaxdeck-distribution/src/subscriber.rs
@@ -332,7 +332,10 @@
         if after == self.position {
             let applied = self.follow(now, purges, events, upto);
             self.planners[from.0 as usize].ask_again = None;
-            self.delivers(now, from);
+            // Nothing new from a planner that has lost the coordinator says nothing.
+            if applied != Applied::Nothing || ago.is_some() {
+                self.delivers(now, from);
+            }
             self.vouch(now, from, ago);
             return Ok(applied);
         }
@@ -364,15 +367,14 @@
     /// bear no numbers; the planner is told the position, and goes on from there.
     fn known_already(&mut self, now: Time, from: PlannerNumber, upto: Mark, ago: Option<u32>) {
         self.counted.duplicates += 1;
-        if upto == self.position {
-            self.delivers(now, from);
-            self.vouch(now, from, ago);
-            return;
-        }
-        self.ask_again(from, now + RESYNC);
         if ago.is_some() {
             self.delivers(now, from);
         }
+        if upto == self.position {
+            self.vouch(now, from, ago);
+        } else {
+            self.ask_again(from, now + RESYNC);
+        }
     }
 
     fn snapshot(
--- a/crates/flaxdeck-distribution/tests/subscriber.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber.rs
@@ -318,6 +318,18 @@
     assert_eq!(subscriber.position(), mark(15));
 }
 
+#[test]
+fn a_planner_that_has_lost_the_coordinator_is_left_for_the_other() {
+    let mut subscriber = connected(10);
+    let lost = || Delivery { coordinator_ago_ms: None, ..told(purges(10, 10)) };
+    for ms in (0..1_500).step_by(100) {
+        subscriber.delivered(at(ms), ONE, lost()).unwrap();
+        assert_eq!(subscriber.followed(), Some(ONE));
+    }
+    subscriber.delivered(at(1_500), ONE, lost()).unwrap();
+    assert_eq!(subscriber.followed(), Some(OTHER));
+}
+
 #[test]
 fn a_preferred_planner_is_followed_again_once_it_is_steady_and_delivers() {
     let mut subscriber = connected(10);
