--- a/crates/flaxdeck-distribution/src/publisher.rs
+++ b/crates/flaxdeck-distribution/src/publisher.rs
@@ -19,6 +19,8 @@
 const SLOTS: u64 = 16;
 /// The coordinator speaks each second: past two of its words a connection to it counts as lost.
 const COORDINATOR_SILENT: Span = Span::from_ms(2_200);
+/// How long a numbering that is no more is remembered: by then its subscribers have been given the state.
+const ABANDONED_KEPT: Span = Span::from_ms(60_000);
 /// Between two batches to a subscriber that is catching up.
 const CATCH_UP_EVERY: Span = Span::from_ms(20);
 /// A subscriber that was due and was not served is named again after so long.
@@ -88,6 +90,9 @@
 pub struct Publisher {
     cadence: Cadence,
     log: EventLog,
+    /// What was kept of the numbering before this one, and since when it is no more: whoever stands there has to be given
+    /// the state as it is, also where his number has not been reached again.
+    abandoned: Option<(Time, EventLog)>,
     members: BTreeMap<SubscriberId, Member>,
     /// When the coordinator was last heard, and whether all is known here that it had to tell.
     coordinator: Option<Time>,
@@ -104,6 +109,7 @@
         Publisher {
             cadence,
             log: EventLog::start(now, retention, base),
+            abandoned: None,
             members: BTreeMap::new(),
             coordinator: None,
             current: false,
@@ -143,6 +149,7 @@
     /// The coordinator's numbering turned out another, or the whole list came in place of what should have followed:
     /// nothing that was told before leads to `base`.
     pub fn renumbered(&mut self, now: Time, base: Mark) {
+        self.abandoned = Some((now, self.log.clone()));
         self.log.restart(now, base);
         self.cache = Cache::default();
         self.next_due = now;
@@ -174,6 +181,7 @@
             return Vec::new();
         }
         self.log.prune(now);
+        self.abandoned.take_if(|(since, _)| now.since(*since) >= ABANDONED_KEPT);
         let mut due = Vec::new();
         let mut next_due = Time::NEVER;
         for (id, member) in &self.members {
@@ -204,7 +212,7 @@
     fn next_message(&self, now: Time, id: SubscriberId, member: &Member) -> Time {
         let heartbeat = member.sent + self.cadence.heartbeat;
         let kept = match member.wants {
-            Wants::EventsAfter(position) => self.log.follows(position).map(|()| position),
+            Wants::EventsAfter(position) => self.follows(position).map(|()| position),
             Wants::Snapshot => Err(NotKept::Unknown),
         };
         match kept {
@@ -263,6 +271,18 @@
         Some(Delivery { update, coordinator_ago_ms })
     }
 
+    /// Whether a position is known here, and of which numbering.
+    fn follows(&self, position: Mark) -> Result<(), NotKept> {
+        let follows = self.log.follows(position);
+        let abandoned = |log: &EventLog| log.follows(position).is_ok();
+        match follows {
+            Err(NotKept::Ahead) if self.abandoned.as_ref().is_some_and(|(_, log)| abandoned(log)) => {
+                Err(NotKept::Unknown)
+            }
+            follows => follows,
+        }
+    }
+
     fn batch_after(&mut self, position: Mark) -> Result<Batch, NotKept> {
         let cached = self.cache.batches.iter().find(|batch| batch.after == position);
         let batch = match cached {
@@ -275,6 +295,7 @@
     }
 
     fn encode_after(&mut self, position: Mark) -> Result<Batch, NotKept> {
+        self.follows(position)?;
         let batch = self.log.batch_after(position)?;
         if batch.upto != batch.after {
             self.counted.encoded += 1;
--- a/crates/flaxdeck-distribution/src/subscriber.rs
+++ b/crates/flaxdeck-distribution/src/subscriber.rs
@@ -179,6 +179,9 @@
     followed: Option<PlannerNumber>,
     /// One that is preferred to the one followed, and asked whether it delivers.
     candidate: Option<PlannerNumber>,
+    /// Planners left for their silence since the one followed last delivered: each is waited for twice as long as the one
+    /// before, as it may only be far away.
+    silences: u32,
     /// Since when no planner knew the position.
     behind_since: Option<Time>,
     served: Option<Served>,
@@ -201,6 +204,7 @@
             from_snapshot: true,
             followed: None,
             candidate: None,
+            silences: 0,
             behind_since: None,
             served: None,
             vouched: None,
@@ -308,7 +312,7 @@
         let (count, again) = match refused {
             Refused::Gap => (&mut counted.gaps, RESYNC),
             Refused::OtherNumbering => (&mut counted.other_numbering, RESYNC),
-            Refused::Stale => (&mut counted.stale, ASK_AGAIN),
+            Refused::Stale => (&mut counted.stale, RESYNC),
             Refused::Invalid(_) => (&mut counted.invalid, ASK_AGAIN),
             Refused::NotConnected => (&mut counted.not_connected, ASK_AGAIN),
         };
@@ -388,7 +392,12 @@
         let ago_ms = ago.ok_or(Refused::Invalid(Invalid::NotCurrent))?;
         let known_at = self.known_at(from, ago_ms).ok_or(Refused::Stale)?;
         let newer = self.moved.is_none_or(|moved| known_at > moved + COORDINATOR_SKEW);
-        if !newer || (snapshot.upto.number < self.position.number && !self.from_snapshot) {
+        if !newer {
+            return Err(Refused::Stale);
+        }
+        if snapshot.upto.number < self.position.number && !self.from_snapshot {
+            // It knows all that the coordinator has, and that is less: the numbering is another. It is asked for.
+            self.from_snapshot = true;
             return Err(Refused::Stale);
         }
         let Snapshot { upto, list, group_purges, purges_reach_ms, .. } = snapshot;
@@ -437,6 +446,9 @@
         if self.candidate == Some(from) {
             (self.followed, self.candidate) = (Some(from), None);
         }
+        if self.followed == Some(from) {
+            self.silences = 0;
+        }
     }
 
     /// All is known here that the planner knew, and it knew all that the coordinator had so long ago.
@@ -514,7 +526,7 @@
     fn silent_at(&self, planner: &Planner) -> Option<Time> {
         let since = planner.wanted_since?;
         let from = planner.delivered.map_or(since, |delivered| delivered.max(since));
-        Some(from + self.cadence.silent_after())
+        Some(from + self.cadence.silent_after() * f64::from(1_u32 << self.silences.min(DOUBLINGS_MOST)))
     }
 
     fn is_silent(&self, now: Time, number: PlannerNumber) -> bool {
@@ -548,6 +560,7 @@
         let other = self.candidate.or(self.first_connected(now)).filter(|other| *other != followed);
         if other.is_some() {
             self.counted.failovers += 1;
+            self.silences += 1;
             (self.followed, self.candidate) = (other, None);
         }
     }
