--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -12,6 +12,7 @@
 
 use super::Router;
 use crate::protocol::session::{Closer, Heard, Session, Word};
+use flaxdeck_net::eviction::{self, Eviction};
 use flaxdeck_net::link::LINGER;
 use flaxdeck_net::listener::Listener;
 use flaxdeck_net::room::Place;
@@ -23,9 +24,6 @@
 const PAUSE: Duration = Duration::from_millis(5);
 /// Messages of one client heard in a row before others get their turn: what it may have open, asked and taken back.
 const AT_ONCE: usize = 2 * OPEN_MOST;
-/// How long a connection may say nothing before it is the first to make room: a few trips of a far client.
-const SILENT: Duration = Duration::from_millis(250);
-
 /// Connections that were ended here while the other side has not ended them yet: their descriptors are of those that are
 /// no client's and no host's.
 const ENDING_MOST: usize = 8;
@@ -87,41 +85,51 @@
         self.open_clients().iter().for_each(|client| client.closer.close());
     }
 
-    /// Those that never said anything go first, all of them; else the longest idle does.
+    /// Closes resting connections of clients, so that others find a place.
     fn make_room(&self) {
-        let clients: Vec<Rc<Client>> = self.open_clients();
-        // After a pause of this process its clients' words may lie unread: who has said one is not silent.
-        let silent = |client: &Rc<Client>| {
-            let quiet = client.quiet_since.get().elapsed() > SILENT;
-            !client.spoke.get() && quiet && !client.closer.has_unread() && !client.closer.is_midway()
-        };
-        let mut found = false;
-        for client in clients.iter().filter(|client| silent(client)) {
-            found = true;
-            count(Count::clients_closed_silent);
-            client.closer.close();
-        }
-        if found {
-            return;
-        }
-        let answered = |client: &Rc<Client>| client.pulls.borrow().values().all(|pull| !self.is_open(*pull));
-        // Not one that is new: its first pull may be on its way.
-        let idle = |client: &Rc<Client>| {
-            client.spoke.get()
-                && answered(client)
-                && client.closer.unread() == 0
-                && !client.closer.has_unread()
-                && !client.closer.is_midway()
-        };
-        if let Some(client) =
-            clients.iter().filter(|client| idle(client)).min_by_key(|client| client.quiet_since.get())
-        {
-            count(Count::clients_closed_idle);
-            client.closer.close();
+        let clients: Vec<Candidate> =
+            self.open_clients().into_iter().map(|client| Candidate { router: self, client }).collect();
+        match eviction::choose(&clients, Instant::now()) {
+            Eviction::Silent(silent) => silent.into_iter().for_each(|candidate| {
+                count(Count::clients_closed_silent);
+                candidate.client.closer.close();
+            }),
+            Eviction::Idle(candidate) => {
+                count(Count::clients_closed_idle);
+                candidate.client.closer.close();
+            }
+            Eviction::Nobody => {}
         }
     }
 }
 
+/// A client's connection that may have to make room.
+struct Candidate<'a> {
+    router: &'a Router,
+    client: Rc<Client>,
+}
+
+impl eviction::Connection for Candidate<'_> {
+    fn has_spoken(&self) -> bool {
+        self.client.spoke.get()
+    }
+
+    fn quiet_since(&self) -> Instant {
+        self.client.quiet_since.get()
+    }
+
+    fn is_busy(&self) -> bool {
+        let closer = &self.client.closer;
+        let has_open = || self.client.pulls.borrow().values().any(|pull| self.router.is_open(*pull));
+        closer.is_midway() || closer.unread() > 0 || has_open()
+    }
+
+    // After a pause of this process its clients' words may lie unread: who has said one is not silent.
+    fn has_unread(&self) -> bool {
+        self.client.closer.has_unread()
+    }
+}
+
 fn serve(router: &Rc<Router>, stream: TcpStream, place: Place) -> Weak<Client> {
     let session = Session::new(stream, router.names.clone(), router.asked.clone());
     let (pulls, quiet_since, spoke) = (RefCell::default(), Cell::new(Instant::now()), Cell::new(false));
--- a/crates/flaxdeck-net/src/lib.rs
+++ b/crates/flaxdeck-net/src/lib.rs
@@ -1,6 +1,7 @@
 //! Bytes only: the listener, connections with their buffers, what bounds them, the clock and the counters.
 
 pub mod clock;
+pub mod eviction;
 pub mod link;
 pub mod listener;
 pub mod room;
