--- a/crates/flaxdeck-net/src/lib.rs
+++ b/crates/flaxdeck-net/src/lib.rs
@@ -2,6 +2,7 @@
 
 pub mod clock;
 pub mod counters_file;
+pub mod eviction;
 pub mod link;
 pub mod listener;
 pub mod room;
