--- a/src/brain.rs
+++ b/src/brain.rs
@@ -28,6 +28,7 @@
 const BOUND: f64 = 1.5; // times the least load up to which the hash is kept to where all are over that
 const LATE_FULL: f64 = 1.0; // the same for a pull that can't come in time: what the others leave
 const ADMIT: f64 = 4.0; // the same at which no more is handed off: beyond, queues overflow
+const ADMIT_LARGE: f64 = 1.5; // most by which that grows with the size: as far as BOUND lets a load differ
 const LINK_FULL: f64 = 3.0; // transfers on the location's link over those that fit; a fill outruns an answer
 const LINK_IDLE: f64 = 0.7; // the same up to which pulls without a cache may use it: fills come first
 const LINK_BIAS: f64 = 2.0; // most by which a small pull may go on longer, and a large one must stop sooner
@@ -747,7 +748,10 @@
         let least = order.iter().map(|host| self.load(host)).min_by(f64::total_cmp)?;
         // Guards against the hash being lost where all caches are loaded alike: then no object moves. On a
         // full link only the cache that may hold it helps, so the hash is kept to for longer.
-        let most = if open { (least * BOUND).min(ADMIT) } else { ADMIT };
+        // Guards against small pulls taking every place that comes free before a large one looks again: the
+        // larger it is within its workload, the higher the load at which it is taken, if it comes in time.
+        let admit = ADMIT * (held.work / kind.mean_work.max(1.0)).clamp(1.0, ADMIT_LARGE);
+        let most = if open { (least * BOUND).min(admit) } else { admit };
         let left = held.promised.since(self.now).ms();
         // Guards against a loaded cache losing all its objects at once, and with them its hits: they go one
         // after another by what the hash draws, the same ones at every dispatcher.
