--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -284,6 +284,19 @@
     assert!(fake.finals.iter().any(|last| matches!(last, Final::Bounced { come_back: Some(_), .. })));
 }
 
+#[test]
+fn full_caches_admit_large_requests_further_than_small_ones_but_only_those_that_come_in_time() {
+    let mut fake = Fake::new(terms(), usual());
+    let sent = |fake: &mut Fake, object: u64, kb: f64| fake.pull_of(0, object, kb) < fake.sent.len();
+    let small = (0..200).filter(|object| sent(&mut fake, *object, 10.0)).count();
+    assert!((20..60).contains(&small), "{small} small ones are in hand at 10 places");
+    assert!(!sent(&mut fake, 200, 10.0), "no cache has room for a small one");
+    assert!(!sent(&mut fake, 201, 2_000.0), "this one would come late behind so many");
+    let large = (300..400).filter(|object| sent(&mut fake, *object, 100.0)).count();
+    assert!((1..=small).contains(&large), "{large} large ones beside {small} small ones");
+    assert!(!sent(&mut fake, 400, 100.0), "large ones are bounded as well");
+}
+
 #[test]
 fn a_pull_asked_again_is_not_promised_anew() {
     let mut fake = Fake::new(terms(), Vec::new());
