--- a/crates/flaxdeck-dispatcher/src/protocol/session.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/session.rs
@@ -9,9 +9,9 @@
 use flaxdeck::words::Span;
 use flaxdeck_terms::Names;
 use tokio::net::TcpStream;
-use tokio::time::{Instant, sleep_until, timeout_at};
+use tokio::time::{Instant, sleep_until};
 
-use flaxdeck_net::link::{self, Inbound, Outbound};
+use flaxdeck_net::link::{self, Inbound, Outbound, Unread};
 use flaxdeck_net::room::{Place, Room, SMALL};
 use flaxdeck_net::tally::{Count, count};
 use flaxdeck_wire::rpc::{self, Said};
@@ -24,9 +24,12 @@
 
 /// Answers owed to a client that takes none at which its connection is ended: far past what it may have open.
 const OWED_MOST: usize = 1024;
-/// How long a message may wait for memory before it is read past and refused: what its client says behind it, that it
-/// has left too, has to be heard in time.
+/// How long a message may wait for memory before it is read past and refused. An end of the connection is noticed
+/// meanwhile, and nothing else of its client is open that could be cancelled behind it.
 const FOR_MEMORY: Duration = Duration::from_millis(100);
+/// The same while other requests of its client are open: no attempt may begin for these 0.1 s after a cancellation, which
+/// may lie behind the message; what is left of that is for the reading and for a busy machine.
+const FOR_MEMORY_BESIDE_OPEN: Duration = Duration::from_millis(40);
 
 /// How long a whole message may take from its first byte, and the first one from the connection's start. Refusals
 /// are owed within 3 s of connecting, and a connection may have waited a while to be accepted.
@@ -61,8 +64,10 @@
     /// Since when a message is awaited that has to come: one that has begun, or the first of all.
     begun: Option<Instant>,
     midway: Rc<Cell<bool>>,
-    /// Since when a message waits for memory.
+    /// Since when messages have found no memory; until all that has come behind the first of them is heard.
     wants_memory: Option<Instant>,
+    /// Cloned into each reply, so that its count tells whether requests are open.
+    open: Rc<()>,
     /// The rest of a request that is read past, with its number.
     passing: Option<(u32, usize)>,
     /// What is owed to a client that takes no answers, beside what is queued for it.
@@ -88,6 +93,7 @@
     outbound: Outbound,
     call: u32,
     place: Option<Place>,
+    _open: Rc<()>,
 }
 
 impl Reply {
@@ -129,8 +135,8 @@
     pub fn new(stream: TcpStream, names: Rc<Names>, bytes: Rc<Room>) -> Session {
         let (inbound, outbound) = link::split(stream);
         let (held, begun, midway) = (None, Some(Instant::now()), Rc::default());
-        let (wants_memory, passing, owed) = (None, None, VecDeque::new());
-        Session { inbound, outbound, names, bytes, held, begun, midway, wants_memory, passing, owed }
+        let (wants_memory, open, passing, owed) = (None, Rc::new(()), None, VecDeque::new());
+        Session { inbound, outbound, names, bytes, held, begun, midway, wants_memory, open, passing, owed }
     }
 
     /// Answers what no host has to be asked for, or keeps it owed while the client takes nothing.
@@ -160,18 +166,34 @@
 
     /// What answers the pull of that number, with the place that it holds until the answer is written.
     pub fn reply(&self, call: u32, place: Option<Place>) -> Reply {
-        Reply { outbound: self.outbound.clone(), call, place }
+        Reply { outbound: self.outbound.clone(), call, place, _open: self.open.clone() }
     }
 
     pub fn closer(&self) -> Closer {
         Closer { outbound: self.outbound.clone(), midway: self.midway.clone() }
     }
 
-    /// Bytes have come that are not parsed yet.
+    /// Something has come that is not heard yet: bytes that are read, or the end of the connection; behind a message that
+    /// waited for memory also bytes that are not. The end is looked for at the system, which need not have told of it
+    /// yet where this process could not run for a while.
     pub fn has_more(&self) -> bool {
+        self.has_unparsed()
+            || match self.outbound.unread() {
+                Unread::Nothing => false,
+                Unread::Bytes => self.wants_memory.is_some(),
+                Unread::End => true,
+            }
+    }
+
+    fn has_unparsed(&self) -> bool {
         !self.inbound.bytes.is_empty()
     }
 
+    /// The client has ended its connection, though not all that it said before may be heard.
+    pub fn is_over(&self) -> bool {
+        self.outbound.is_peer_closed()
+    }
+
     /// The client's next word; meanwhile answers are written.
     pub async fn next(&mut self) -> Heard {
         loop {
@@ -185,7 +207,7 @@
             }
             let more = match self.passing {
                 Some((call, 0)) => {
-                    (self.passing, self.begun, self.wants_memory) = (None, None, None);
+                    (self.passing, self.begun) = (None, None);
                     return Heard::Unheld { call };
                 }
                 Some((call, left)) => {
@@ -199,7 +221,7 @@
                 }
                 None => match rpc::parse(&mut self.inbound.bytes, &self.names) {
                     Ok(Parsed::Whole(said)) => {
-                        (self.begun, self.held, self.wants_memory) = (None, None, None);
+                        (self.begun, self.held) = (None, None);
                         return self.heard(said);
                     }
                     Ok(Parsed::Short(more)) => more,
@@ -211,10 +233,12 @@
                 },
             };
             self.inbound.rest();
-            let midway = !self.inbound.bytes.is_empty() || self.passing.is_some();
+            let midway = self.has_unparsed() || self.passing.is_some();
             self.midway.set(midway);
             if midway {
                 self.begun.get_or_insert_with(Instant::now);
+            } else if self.wants_memory.is_some() && !self.outbound.has_unread() {
+                self.wants_memory = None;
             }
             match self.wait(more).await {
                 Waited::Stirred => {}
@@ -250,14 +274,22 @@
     async fn wait(&mut self, more: usize) -> Waited {
         let pending = self.outbound.pending();
         let enough = if self.passing.is_some() { more } else { self.inbound.bytes.len() + more };
+        if enough > SMALL && self.held.is_none() {
+            self.held = self.bytes.take_some(enough);
+        }
         let waits = enough > SMALL && self.held.is_none();
-        let memory_by = waits.then(|| *self.wants_memory.get_or_insert_with(Instant::now) + FOR_MEMORY);
+        let has_open = Rc::strong_count(&self.open) > 1;
+        let patience = if has_open { FOR_MEMORY_BESIDE_OPEN } else { FOR_MEMORY };
+        let memory_by = waits.then(|| *self.wants_memory.get_or_insert_with(Instant::now) + patience);
         let (inbound, held) = (&mut self.inbound, &mut self.held);
         let read = async {
-            let room = self.bytes.hold(enough, held);
-            match memory_by {
-                Some(by) if timeout_at(by, room).await.is_err() => return Waited::NoMemory,
-                _ => {}
+            if let Some(by) = memory_by {
+                tokio::select! {
+                    biased;
+                    () = self.bytes.hold(enough, held) => {}
+                    () = self.outbound.peer_closed() => return Waited::Over,
+                    () = sleep_until(by) => return Waited::NoMemory,
+                }
             }
             match inbound.more(more).await {
                 Ok(true) => Waited::Stirred,
--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -143,8 +143,8 @@
         }
         in_a_row += 1;
         // A pull may be taken back in the same breath, so all that has come is heard before any is handed off;
-        // but one client that sends without end leaves the others their turns.
-        if in_a_row == AT_ONCE || !session.has_more() {
+        // but one client that sends without end leaves the others their turns. What has ended does not go on for long.
+        if !session.has_more() || (in_a_row >= AT_ONCE && !session.is_over()) {
             in_a_row = 0;
             yield_now().await;
         }
--- a/crates/flaxdeck-dispatcher/tests/endings.rs
+++ b/crates/flaxdeck-dispatcher/tests/endings.rs
@@ -164,10 +164,12 @@
             .for_each(|_| writer.pull("submit", KEY, 2400, &[7; 40_000]).map(drop).unwrap_or_default());
     });
     written.join().unwrap();
+    let stalls = Stalls::watch(&world);
     client.cancel(1).unwrap();
-    let cancelled = Instant::now();
+    let cancelled = unix_now();
     world.logged(&["left: "]);
-    assert!(cancelled.elapsed() < Duration::from_millis(300), "{:?}", cancelled.elapsed());
+    let late = world.left_at()[0].saturating_sub(cancelled);
+    assert!(late < GONE + stalls.so_far(), "{late:?}");
     clogged.open();
     thread::sleep(Duration::from_millis(1500)); // the system's next try of the connection
     assert!(clogged.heard().iter().all(|line| !line.contains(&key(n))));
@@ -182,11 +184,14 @@
     let mut fills = world.client();
     fills.pull("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of 48,000 that there are
     wait_for("it is at the origin", || !world.origin.heard("want").is_empty());
+    let stalls = Stalls::watch(&world);
     let asked = Instant::now();
     let refused = client.pull("submit", KEY, 2400, &[7; 40_000]).unwrap();
     client.cancel(1).unwrap();
+    let cancelled = unix_now();
     world.logged(&["left: "]);
-    assert!(asked.elapsed() < Duration::from_millis(300), "{:?}", asked.elapsed());
+    let late = world.left_at()[0].saturating_sub(cancelled);
+    assert!(late < GONE + stalls.so_far(), "{late:?}");
     let answer = client.answer().unwrap();
     assert!(matches!(&answer, Answer::Error { call, word, .. } if *call == refused && word == "Backoff"));
     assert!(asked.elapsed() < Duration::from_millis(500), "{:?}", asked.elapsed());
--- a/crates/flaxdeck-dispatcher/tests/world/mod.rs
+++ b/crates/flaxdeck-dispatcher/tests/world/mod.rs
@@ -5,10 +5,10 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
-use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
-use std::time::{Duration, Instant};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use flaxdeck_toy::{Answer, Client, Coordinator, Host, body_of};
 use serde_json::{Value, json};
@@ -111,12 +111,29 @@
         self.signal("TERM");
     }
 
+    /// Has the process stand still until it is told to go on (`CONT`); a signal may take its time on a busy machine.
+    pub fn stand_still(&self) {
+        self.signal("STOP");
+        let stat = format!("/proc/{}/stat", self.process.id());
+        // The state follows the name, which stands in parentheses.
+        let stands = |text: String| text.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'));
+        wait_for("the process stands still", || std::fs::read_to_string(&stat).is_ok_and(stands));
+    }
+
     /// Waits until the log has a line with all these words.
     pub fn logged(&self, words: &[&str]) {
         let has = |line: &String| words.iter().all(|word| line.contains(word));
         wait_for(&format!("a log line with {words:?}"), || self.log.lock().unwrap().iter().any(has));
     }
 
+    /// When each client that has left so far was noticed, by the process's own clock, since 1970.
+    pub fn left_at(&self) -> Vec<Duration> {
+        let log = self.log.lock().unwrap();
+        let lines = log.iter().filter(|line| line.contains("left: pull"));
+        let time = |line: &String| line.split(' ').next()?.parse().ok().map(Duration::from_secs_f64);
+        lines.map(|line| time(line).expect("a line begins with its time")).collect()
+    }
+
     /// Whether a cache gets nothing of some new pulls that it would have its share of.
     pub fn spares(&self, cache: &Host) -> bool {
         let before = cache.heard("want").len();
@@ -125,6 +142,67 @@
     }
 }
 
+/// The time since 1970.
+pub fn unix_now() -> Duration {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap()
+}
+
+/// How long after its end a client has gone: nothing begins for it any more.
+pub const GONE: Duration = Duration::from_millis(100);
+
+/// Watches how late the machine itself runs the process and the threads here, so that a bound on a delay in the process
+/// can leave out what the process could not have helped.
+pub struct Stalls {
+    process: u32,
+    waited_before: Duration,
+    late_us: Arc<AtomicU64>,
+    over: Arc<AtomicBool>,
+}
+
+impl Stalls {
+    const STEP: Duration = Duration::from_millis(1);
+    /// A thread that wakes up this much late is as punctual as any.
+    const USUAL: Duration = Duration::from_millis(4);
+
+    pub fn watch(world: &World) -> Stalls {
+        let (process, late_us, over) = (world.process.id(), Arc::default(), Arc::default());
+        let stalls = Stalls { process, waited_before: waited_to_run(process), late_us, over };
+        let (late_us, over) = (stalls.late_us.clone(), stalls.over.clone());
+        thread::spawn(move || {
+            while !over.load(Ordering::Relaxed) {
+                let begun = Instant::now();
+                thread::sleep(Stalls::STEP);
+                let late = begun.elapsed() - Stalls::STEP;
+                if late > Stalls::USUAL {
+                    late_us.fetch_add(late.as_micros() as u64, Ordering::Relaxed);
+                }
+            }
+        });
+        stalls
+    }
+
+    /// By how much the machine was late, all in all; twice what was seen, since the system's own threads that carry bytes
+    /// between the two wait as well and tell nobody.
+    pub fn so_far(&self) -> Duration {
+        let here = Duration::from_micros(self.late_us.load(Ordering::Relaxed));
+        (here + waited_to_run(self.process).saturating_sub(self.waited_before)) * 2
+    }
+}
+
+/// How long a process's first thread has been ready to run and was not let, since its start; none where the system does
+/// not tell.
+fn waited_to_run(process: u32) -> Duration {
+    let text = std::fs::read_to_string(format!("/proc/{process}/schedstat")).unwrap_or_default();
+    let waited = text.split_whitespace().nth(1).and_then(|nanos| nanos.parse().ok());
+    waited.map_or(Duration::ZERO, Duration::from_nanos)
+}
+
+impl Drop for Stalls {
+    fn drop(&mut self) {
+        self.over.store(true, Ordering::Relaxed);
+    }
+}
+
 impl Drop for World {
     fn drop(&mut self) {
         let _ = self.process.kill();
@@ -295,8 +373,13 @@
 
 /// Asks for objects, the first of that number, until one is on its way to the first cache; gives its client and number.
 pub fn on_its_way(world: &World, first: u32) -> (Client, u32) {
+    on_its_way_over(world, first, || world.client())
+}
+
+/// The same, by clients of that make.
+pub fn on_its_way_over(world: &World, first: u32, make: impl Fn() -> Client) -> (Client, u32) {
     for n in first..first + 64 {
-        let mut client = world.client();
+        let mut client = make();
         client.pull("page", &key(n), 7000, b"").unwrap();
         let decided = |cache: &str| {
             let words = [&*format!("pull {n} leg 0 to"), cache];
--- a/crates/flaxdeck-net/src/link.rs
+++ b/crates/flaxdeck-net/src/link.rs
@@ -2,14 +2,18 @@
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
+use std::future::Future;
 use std::io::{self, ErrorKind, IoSlice};
 use std::mem::MaybeUninit;
 use std::net::{Shutdown, SocketAddr};
+use std::pin::pin;
 use std::rc::Rc;
+use std::task::{Context, Waker};
 use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
 use socket2::SockRef;
+use tokio::io::Interest;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
@@ -102,6 +106,15 @@
     stir: Rc<Notify>,
 }
 
+/// What lies next to be read on a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Unread {
+    Nothing,
+    Bytes,
+    /// The other side has closed or reset the connection, or shut its writing side.
+    End,
+}
+
 pub fn split(stream: TcpStream) -> (Inbound, Outbound) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("TCP_NODELAY not set: {error}");
@@ -153,10 +166,34 @@
         self.queue.borrow().closed
     }
 
-    /// Whether something has come from the other side that nobody here has read.
-    pub fn has_unread(&self) -> bool {
+    /// What has come from the other side that nobody here has read.
+    pub fn unread(&self) -> Unread {
         let mut byte = [MaybeUninit::uninit()];
-        matches!(SockRef::from(&*self.stream).peek(&mut byte), Ok(1..))
+        match SockRef::from(&*self.stream).peek(&mut byte) {
+            Ok(1..) => Unread::Bytes,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => Unread::Nothing,
+            _ => Unread::End,
+        }
+    }
+
+    /// Whether bytes have come from the other side that nobody here has read.
+    pub fn has_unread(&self) -> bool {
+        self.unread() == Unread::Bytes
+    }
+
+    /// Waits until the other side has closed or reset the connection, or shut its writing side. Bytes that it sent before
+    /// may lie unread: the system tells of the end as soon as it has come, not once it has been read up to.
+    pub async fn peer_closed(&self) {
+        // Of a stream, priority interest wakes for the end of reading alone: nothing here sends urgent bytes.
+        if self.stream.ready(Interest::PRIORITY).await.is_err() {
+            std::future::pending().await // the runtime ends
+        }
+    }
+
+    /// Whether that is known to have happened already.
+    pub fn is_peer_closed(&self) -> bool {
+        let mut context = Context::from_waker(Waker::noop());
+        pin!(self.peer_closed()).as_mut().poll(&mut context).is_ready()
     }
 
     /// Takes nothing more to send; the connection ends at its owner's next look, which writes what is queued.
