--- /dev/null
+++ b/crates/flaxdeck-dispatcher/tests/fleet/mod.rs
@@ -0,0 +1,83 @@
+//! Many built dispatchers at once, each a process with a configuration of its own.
+#![allow(dead_code)] // each test file uses a part
+
+use std::io::{BufRead, BufReader};
+use std::net::SocketAddr;
+use std::process::Child;
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use serde_json::Value;
+
+use crate::world::{command, listening};
+
+/// How long a process may take until it listens: far more than any does.
+const STARTED_WITHIN: Duration = Duration::from_secs(20);
+/// Between looks at what processes have logged.
+const LOOK: Duration = Duration::from_millis(2);
+
+/// A line of a process's log, with when it was read here.
+pub type Logged = (Instant, String);
+
+/// One dispatcher, which comes back at the address of its first start.
+pub struct Dispatcher {
+    config: Value,
+    process: Child,
+    address: Option<SocketAddr>,
+    log: Arc<Mutex<Vec<Logged>>>,
+}
+
+impl Dispatcher {
+    /// Starts one that listens at any port; does not wait for it.
+    pub fn spawn(mut config: Value) -> Dispatcher {
+        config["listen"] = "127.0.0.1:0".into();
+        let (process, log) = start(&config);
+        Dispatcher { config, process, address: None, log }
+    }
+
+    /// Where it listens, once it does.
+    pub fn address(&mut self) -> SocketAddr {
+        let begun = Instant::now();
+        while self.address.is_none() {
+            assert!(begun.elapsed() < STARTED_WITHIN, "a dispatcher does not listen");
+            self.address = self.log.lock().unwrap().iter().find_map(|(_, line)| listening(line));
+            thread::sleep(LOOK);
+        }
+        self.address.expect("just found")
+    }
+
+    /// Kills it without a word (SIGKILL).
+    pub fn kill(&mut self) {
+        self.address();
+        let _ = self.process.kill();
+        let _ = self.process.wait();
+    }
+
+    /// Starts it again after a kill; does not wait for it.
+    pub fn restart(&mut self) {
+        self.config["listen"] = self.address().to_string().into();
+        (self.process, self.log) = start(&self.config);
+    }
+
+    /// When this run of it logged a line with these words.
+    pub fn logged(&self, words: &str) -> Option<Instant> {
+        self.log.lock().unwrap().iter().find(|(_, line)| line.contains(words)).map(|(at, _)| *at)
+    }
+}
+
+impl Drop for Dispatcher {
+    fn drop(&mut self) {
+        let _ = self.process.kill();
+        let _ = self.process.wait();
+    }
+}
+
+fn start(config: &Value) -> (Child, Arc<Mutex<Vec<Logged>>>) {
+    let mut process = command(&config.to_string()).spawn().unwrap();
+    let lines = BufReader::new(process.stderr.take().unwrap()).lines().map_while(Result::ok);
+    let log: Arc<Mutex<Vec<Logged>>> = Arc::default();
+    let keeps = log.clone();
+    thread::spawn(move || lines.for_each(|line| keeps.lock().unwrap().push((Instant::now(), line))));
+    (process, log)
+}
