--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -59,6 +59,9 @@
                 count(Count::clients_opened);
                 let client = serve(&router, stream, place);
                 router.open.borrow_mut().push(client);
+                // Guards against more descriptors than there are: many that make room at once have given their places
+                // back before their connections are closed, which they do at their next turn.
+                yield_now().await;
             }
             Err(error) => {
                 count(Count::accept_errors);
@@ -151,8 +154,8 @@
         }
         in_a_row += 1;
         // A pull may be taken back in the same breath, so all that has come is heard before any is handed off;
-        // but one client that sends without end leaves the others their turns.
-        if in_a_row == AT_ONCE || !session.has_more() {
+        // but one client that sends without end leaves the others their turns. What has ended does not go on for long.
+        if !session.has_more() || (in_a_row >= AT_ONCE && !session.is_over()) {
             in_a_row = 0;
             yield_now().await;
         }
