--- a/crates/flaxdeck-fleet/src/hosts.rs
+++ b/crates/flaxdeck-fleet/src/hosts.rs
@@ -88,6 +88,14 @@
     Behind(u64),
 }
 
+impl Job {
+    /// The attempt that it is for.
+    pub fn attempt(self) -> u64 {
+        let (Job::Answer(attempt) | Job::Fill(attempt) | Job::Behind(attempt)) = self;
+        attempt
+    }
+}
+
 pub struct Host {
     pub id: String,
     pub kind: Kind,
--- a/crates/flaxdeck-fleet/src/lib.rs
+++ b/crates/flaxdeck-fleet/src/lib.rs
@@ -6,8 +6,12 @@
 pub mod hosts;
 pub mod links;
 pub mod model;
+pub mod outcome;
 pub mod queue;
+pub mod shape;
 pub mod traffic;
 
 pub use faults::{Fault, Trouble};
-pub use model::{Outcome, Shape, run};
+pub use model::run;
+pub use outcome::Outcome;
+pub use shape::Shape;
--- /dev/null
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -0,0 +1,128 @@
+//! Attempts: a pull handed to one host, from the hand-off to the word of its end.
+
+use flaxdeck::words::*;
+use flaxdeck_rules::{Answer, Seen};
+
+use super::events::Event;
+use super::{Model, time};
+use crate::hosts::{Job, Kind};
+
+/// One pull handed to one host.
+#[derive(Clone)]
+pub(super) struct Attempt {
+    pub(super) forwarder: usize,
+    /// The forwarder's run.
+    pub(super) run: u32,
+    pub(super) pull: PullId,
+    /// Which of the pull's attempts it is.
+    pub(super) leg: u32,
+    pub(super) want: u64,
+    pub(super) host: usize,
+    /// Where the host fills from if it holds no copy.
+    pub(super) source: usize,
+    /// When the oldest copy was made that may be handed out.
+    pub(super) oldest: f64,
+    /// The rank that a fill is kept with.
+    pub(super) keep: u8,
+    /// No fill: only a copy that is held.
+    pub(super) only_held: bool,
+    pub(super) sent: f64,
+    pub(super) fill_begun: f64,
+    /// Milliseconds that its fill took.
+    pub(super) waited: Option<f64>,
+    pub(super) told: Told,
+    pub(super) ending: Option<Ending>,
+    /// When the copy that it answers with was made.
+    pub(super) made: f64,
+    /// The parent that asks the origin for it.
+    pub(super) through: Option<usize>,
+}
+
+impl Model<'_> {
+    /// Milliseconds between an attempt's forwarder and its host.
+    pub(super) fn distance(&self, host: usize) -> f64 {
+        if self.hosts[host].kind == Kind::Cache { self.shape.near_ms } else { self.shape.far_ms }
+    }
+
+    /// An attempt reaches its host.
+    pub(super) fn at_host(&mut self, id: u64) {
+        let Some(attempt) = self.attempts.get(&id).filter(|attempt| attempt.ending.is_none()) else { return };
+        let (host, kb) = (attempt.host, self.wants[attempt.want as usize].kb);
+        match self.admit(host, Job::Answer(id), kb) {
+            None | Some(Ending::TimedOut) => {}
+            Some(ending) => self.end(id, ending, Told::Nothing),
+        }
+    }
+
+    /// An attempt has ended where it was; word of it goes back.
+    pub(super) fn end(&mut self, id: u64, ending: Ending, told: Told) {
+        let Some(attempt) = self.attempts.get_mut(&id) else { return };
+        if attempt.ending.is_some() {
+            return self.forget(id);
+        }
+        attempt.ending = Some(ending);
+        if told != Told::Nothing || ending != Ending::Answered {
+            attempt.told = told;
+        }
+        let host = attempt.host;
+        let near = if ending == Ending::TimedOut { 0.0 } else { self.distance(host) };
+        self.after(near, Event::Ended { attempt: id });
+    }
+
+    /// Nobody waits for it any more, unless a place still works on it.
+    pub(super) fn forget(&mut self, id: u64) {
+        self.attempts.remove(&id);
+    }
+
+    /// Word of an attempt's end reaches its forwarder.
+    pub(super) fn ended(&mut self, id: u64) {
+        let Some(attempt) = self.attempts.get(&id).cloned() else { return };
+        let Some(ending) = attempt.ending else { return };
+        // A cancelled or timed out one may still be worked on where it is.
+        if ending != Ending::TimedOut {
+            self.forget(id);
+        }
+        if self.forwarders[attempt.forwarder].run != attempt.run {
+            return;
+        }
+        if ending == Ending::Answered {
+            self.hand_out(&attempt);
+        }
+        let ended = self.end_as_told(&attempt, ending);
+        let decisions = self.forwarders[attempt.forwarder].brain.hand_off_ended(time(self.now), ended);
+        self.decide(attempt.forwarder, decisions);
+    }
+
+    /// A forwarder hands an attempt's answer to the client.
+    fn hand_out(&mut self, attempt: &Attempt) {
+        self.outcome.hits += u64::from(attempt.told == Told::Held);
+        let want = &self.wants[attempt.want as usize];
+        if !want.write && want.out.is_some() {
+            let object = want.object.to_string();
+            self.see(Seen::Copy { object, sent: attempt.sent, made: attempt.made });
+        }
+        self.answered(attempt.forwarder, attempt.pull, Answer::Finished, None);
+    }
+
+    /// An attempt's end as its forwarder's decisions are told of it.
+    fn end_as_told(&self, attempt: &Attempt, ending: Ending) -> Ended {
+        let host = &self.hosts[attempt.host];
+        let answered = ending == Ending::Answered;
+        let over_link = answered && host.kind == Kind::Cache;
+        Ended {
+            pull: attempt.pull,
+            leg: Leg(attempt.leg),
+            host: HostId(host.id.as_str().into()),
+            ending,
+            took: Span::of_ms(self.now - attempt.sent),
+            closed: answered,
+            told: attempt.told,
+            waited: attempt.waited.filter(|_| attempt.source != attempt.host).map(Span::of_ms),
+            report: LoadReport {
+                link: over_link.then(|| self.sites[host.zone].link_load),
+                in_hand: answered.then_some(host.told),
+                busy: None,
+            },
+        }
+    }
+}
--- /dev/null
+++ b/crates/flaxdeck-fleet/src/model/coordinator.rs
@@ -0,0 +1,124 @@
+//! The register, which tells everybody late, and what changes about hosts.
+
+use flaxdeck::words::*;
+use flaxdeck_rules::Seen;
+use rand::Rng;
+
+use super::events::Event;
+use super::{GROUPS, Model, time};
+use crate::hosts::{Job, Kind, Manner};
+
+/// Milliseconds by which a word reaches forwarders at different times.
+const JITTER_MS: f64 = 20.0;
+/// Milliseconds from a host's withdrawal to its restart.
+const DRAIN_MS: f64 = 1_500.0;
+
+/// What the register has said, by its number from 1.
+#[derive(Clone)]
+pub(super) enum Said {
+    /// A host's line in the list.
+    Line(Listed),
+    /// All that was made before that time is purged.
+    PurgeAll(f64),
+}
+
+impl Model<'_> {
+    /// A host as it is listed.
+    pub(super) fn line(&self, at: usize) -> Listed {
+        let host = &self.hosts[at];
+        let role = match host.kind {
+            Kind::Cache => Role::Cache,
+            Kind::Parent => Role::Parent,
+            Kind::Origin => Role::Origin,
+        };
+        Listed {
+            host: HostId(host.id.as_str().into()),
+            weight: host.places,
+            zone: (host.kind == Kind::Cache).then_some(ZoneId(host.zone)),
+            cell: CellId(0),
+            role,
+            standing: if host.up { Standing::InService } else { Standing::Gone },
+            started: host.started.map(|at| Time::at_ms(time(at).ms().floor())),
+        }
+    }
+
+    /// The register says something: it reaches everybody after its delay.
+    pub(super) fn say(&mut self, said: Said) {
+        self.said.push(said);
+        let (number, late) = (self.said.len() as u64, self.conditions.register_ms);
+        for forwarder in 0..self.forwarders.len() {
+            let jitter = self.chance.random_range(0.0..JITTER_MS);
+            self.after(late + jitter, Event::Told { forwarder, number });
+        }
+        for planner in 0..self.planners.len() {
+            self.after(late, Event::PlannerTold { planner, number });
+        }
+    }
+
+    /// A host is withdrawn, and starts again a while later.
+    pub(super) fn drain(&mut self, at: usize) {
+        let line = Listed { standing: Standing::Draining, ..self.line(at) };
+        self.see(Seen::Withdrawn { host: self.hosts[at].id.clone() });
+        self.say(Said::Line(line));
+        self.after(DRAIN_MS, Event::Restart { host: at });
+    }
+
+    /// A host dies with all that it has in hand.
+    pub(super) fn kill(&mut self, at: usize) {
+        for job in self.hosts[at].die() {
+            match job {
+                Job::Answer(id) => self.end(id, Ending::Broken, Told::Nothing),
+                Job::Fill(id) | Job::Behind(id) => self.fill_failed(id, Told::SourceUnreached),
+            }
+        }
+        let line = Listed { standing: Standing::Gone, ..self.line(at) };
+        self.say(Said::Line(line));
+    }
+
+    /// A host starts, cold.
+    pub(super) fn restart(&mut self, at: usize) {
+        if self.hosts[at].up {
+            self.kill(at);
+        }
+        let host = &mut self.hosts[at];
+        (host.up, host.started, host.manner) = (true, Some(self.now), Manner::Serve);
+        let id = host.id.clone();
+        self.see(Seen::Started { host: id.clone() });
+        self.see(Seen::Announced { host: id });
+        let line = self.line(at);
+        self.say(Said::Line(line));
+    }
+
+    /// The register's word of that number reaches a forwarder, unless it knows it; it learns what it lacks before it.
+    pub(super) fn told(&mut self, n: usize, number: u64) {
+        let last = self.forwarders[n].last_event;
+        if number <= last {
+            return;
+        }
+        for number in last + 1..=number {
+            self.apply(n, number);
+        }
+        let now = time(self.now);
+        self.forwarders[n].guide.iter_mut().for_each(|guide| guide.coordinator_heard(now));
+    }
+
+    /// A forwarder takes in the register's word of that number.
+    pub(super) fn apply(&mut self, n: usize, number: u64) {
+        self.forwarders[n].last_event = number;
+        match self.said[number as usize - 1].clone() {
+            Said::Line(line) => {
+                let now = time(self.now);
+                let decisions = self.forwarders[n].brain.list(now, Coverage::Changes, vec![line]);
+                self.decide(n, decisions);
+            }
+            Said::PurgeAll(made) => self.purge(n, time(made)),
+        }
+    }
+
+    fn purge(&mut self, n: usize, made: Time) {
+        for group in 0..GROUPS {
+            let decisions = self.forwarders[n].brain.purge(time(self.now), None, GroupId(group), made);
+            self.decide(n, decisions);
+        }
+    }
+}
--- /dev/null
+++ b/crates/flaxdeck-fleet/src/model/decisions.rs
@@ -0,0 +1,71 @@
+//! What a forwarder's decisions ask for is carried out.
+
+use flaxdeck::words::*;
+use flaxdeck_rules::Answer;
+
+use super::attempts::Attempt;
+use super::events::Event;
+use super::{Model, ms};
+
+impl Model<'_> {
+    /// Carries out decisions: cancellations first, then attempts, answers, and the next waking.
+    pub(super) fn decide(&mut self, n: usize, decisions: Decisions) {
+        decisions.cancels.into_iter().for_each(|cancel| self.cancel(&cancel));
+        decisions.hand_offs.into_iter().for_each(|hand_off| self.hand_off(n, &hand_off));
+        for last in decisions.finals {
+            match last {
+                Final::Bounced { pull, come_back } => self.answered(n, pull, Answer::Bounced, come_back),
+                Final::Forfeited { pull } => self.answered(n, pull, Answer::Forfeited, None),
+            }
+        }
+        // Every wish stands beside the earlier ones.
+        if let Some(wake) = decisions.wake {
+            let run = self.forwarders[n].run;
+            self.after((ms(wake) - self.now).max(0.001), Event::Wake { forwarder: n, run });
+        }
+    }
+
+    fn cancel(&mut self, cancel: &Cancel) {
+        let Some(want) = self.pulls.get(&cancel.pull.0) else { return };
+        for id in &self.wants[*want as usize].attempts {
+            let Some(attempt) = self.attempts.get_mut(id) else { continue };
+            if (attempt.pull, attempt.leg) == (cancel.pull, cancel.leg.0) {
+                attempt.ending = Some(Ending::Cancelled);
+            }
+        }
+    }
+
+    fn hand_off(&mut self, n: usize, hand_off: &HandOff) {
+        let run = self.forwarders[n].run;
+        let Some(open) = self.forwarders[n].open.get_mut(&hand_off.pull) else { return };
+        let (want, leg) = (open.want, open.attempts);
+        open.attempts += 1;
+        let host = self.names[&*hand_off.host.0];
+        let source = self.names[&*hand_off.source.0];
+        let id = self.number();
+        let attempt = Attempt {
+            forwarder: n,
+            run,
+            pull: hand_off.pull,
+            leg,
+            want,
+            host,
+            source,
+            oldest: hand_off.oldest.map_or(f64::NEG_INFINITY, |age| self.now - age.ms()),
+            keep: hand_off.keep,
+            only_held: hand_off.only_held,
+            sent: self.now,
+            fill_begun: self.now,
+            waited: None,
+            told: Told::Nothing,
+            ending: None,
+            made: self.now,
+            through: None,
+        };
+        self.outcome.hand_offs += 1;
+        self.attempts.insert(id, attempt);
+        self.wants[want as usize].attempts.push(id);
+        self.after(self.distance(host), Event::AtHost { attempt: id });
+        self.after(hand_off.allow.ms(), Event::TimeUp { attempt: id });
+    }
+}
--- /dev/null
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -0,0 +1,132 @@
+//! Forwarders: the real decisions, the real guidance, and what a forwarder starts with.
+
+use std::collections::BTreeMap;
+
+use flaxdeck::brain::Brain;
+use flaxdeck::words::*;
+use flaxdeck_guidance::forwarder::{Guide, Stance};
+use flaxdeck_guidance::messages::{Epoch, SeatId};
+use flaxdeck_rules::Seen;
+use rand::Rng;
+
+use super::clients::{AFTER_LOST_FORWARDER_MS, PROMISED_MS, STRETCH};
+use super::events::Event;
+use super::planners::{REPORT_MS, pledges};
+use super::{Model, Shape, time};
+
+/// A pull that a forwarder has not answered yet.
+pub(super) struct OpenPull {
+    pub(super) want: u64,
+    /// Its attempts so far.
+    pub(super) attempts: u32,
+}
+
+/// One forwarder.
+pub(super) struct Forwarder {
+    pub(super) brain: Brain,
+    /// None without planners.
+    pub(super) guide: Option<Guide>,
+    /// Counts its starts.
+    pub(super) run: u32,
+    /// The number of the register's last word that it knows.
+    pub(super) last_event: u64,
+    pub(super) open: BTreeMap<PullId, OpenPull>,
+}
+
+/// The terms of a location's forwarders: reads are the first workload, writes the second.
+fn terms(shape: &Shape, zone: usize) -> Terms {
+    let workload = |repeats, goes_through| Workload {
+        promised: Span::from_ms(PROMISED_MS),
+        stretch: STRETCH,
+        repeats,
+        goes_through,
+        parted: false,
+        fresh: None,
+        older: Span::ZERO,
+    };
+    Terms {
+        workloads: vec![workload(Repeats::Reissuable, false), workload(Repeats::AtMostOnce, true)],
+        zone: ZoneId(zone),
+        zone_dispatchers: vec![shape.forwarders as u32; shape.zones],
+        dispatchers: (shape.forwarders * shape.zones) as u32,
+        tick: Span::from_ms(2),
+        may_cancel: true,
+        may_duplicate: true,
+        may_name_return: true,
+        longest_return: Span::from_ms(2_000),
+        most_hand_offs: 6,
+        cold_from: shape.cold_from,
+        warm_within: Span::of_ms(shape.warm_within_ms),
+        overload_factor: shape.factor,
+        fall_window: Span::of_ms(shape.window_ms),
+        parent_cold_from: shape.cold_from,
+        parent_warm_within: Span::of_ms(shape.warm_within_ms),
+        parent_overload_factor: shape.factor,
+        direct: true,
+        joins: false,
+        client_kb_per_s: shape.place_pace * 1000.0,
+        purge_settles: Span::from_ms(6_000),
+        tells_link: true,
+        may_look: false,
+    }
+}
+
+impl Model<'_> {
+    /// A forwarder as it starts, for the run of that count.
+    pub(super) fn forwarder(&mut self, n: usize, run: u32) -> Forwarder {
+        let (zone, now) = (n / self.shape.forwarders, time(self.now));
+        let seed = self.chance.random();
+        let (brain, _) = Brain::start(now, seed, terms(self.shape, zone));
+        let guide = (self.shape.planners > 0).then(|| self.guide(n, run));
+        let last_event = self.said.len() as u64;
+        Forwarder { brain, guide, run, last_event, open: BTreeMap::new() }
+    }
+
+    fn guide(&self, n: usize, run: u32) -> Guide {
+        let epoch = Epoch((u64::from(run) + 1) << 20 | n as u64);
+        let stance = Stance {
+            pledges: pledges(self.shape.window_ms),
+            reserve: 0.0,
+            seated: true,
+            seat: SeatId(n as u64 + 1),
+            blind_after: None,
+        };
+        Guide::start(time(self.now), epoch, stance, self.shape.planners as u32)
+    }
+
+    /// A forwarder that has just started is told all that is known.
+    pub(super) fn listen(&mut self, n: usize) {
+        let lines = (0..self.hosts.len()).map(|at| self.line(at)).collect();
+        if self.forwarders[n].guide.is_some() {
+            self.take_hints(n);
+            let spread = REPORT_MS * self.chance.random::<f64>();
+            let run = self.forwarders[n].run;
+            self.after(spread, Event::Report { forwarder: n, run });
+        }
+        let decisions = self.forwarders[n].brain.list(time(self.now), Coverage::Whole, lines);
+        self.decide(n, decisions);
+    }
+
+    /// A forwarder's decisions are told what its guide knows by now.
+    pub(super) fn take_hints(&mut self, n: usize) {
+        let now = time(self.now);
+        let Forwarder { brain, guide: Some(guide), .. } = &mut self.forwarders[n] else { return };
+        let decisions = brain.guided(now, guide.hints(now));
+        self.decide(n, decisions);
+    }
+
+    /// So large a part of the forwarders dies and starts again at once; its clients ask again.
+    pub(super) fn kill_forwarders(&mut self, part: f64) {
+        let count = (self.forwarders.len() as f64 * part).floor() as usize;
+        for n in 0..count {
+            let open = std::mem::take(&mut self.forwarders[n].open);
+            for (pull, OpenPull { want, .. }) in open {
+                self.see(Seen::Left { pull: pull.0.to_string() });
+                self.again_unless_write(want, AFTER_LOST_FORWARDER_MS);
+            }
+            let run = self.forwarders[n].run + 1;
+            self.forwarders[n] = self.forwarder(n, run);
+            self.listen(n);
+        }
+    }
+}
--- /dev/null
+++ b/crates/flaxdeck-fleet/src/model/troubles.rs
@@ -0,0 +1,170 @@
+//! Faults of the shape: what changes when one begins, and what is put back when it ends.
+
+use std::collections::BTreeSet;
+
+use flaxdeck_rules::Seen;
+use rand::Rng;
+
+use super::coordinator::Said;
+use super::events::Event;
+use super::{Model, Shape};
+use crate::faults::Trouble;
+use crate::hosts::{Host, Kind, Manner};
+
+/// Milliseconds until hosts have dropped by themselves what was purged; forwarders ask by age until then.
+const SETTLES_MS: f64 = 5_000.0;
+/// Milliseconds between the groups of hosts that a deploy starts again.
+const DEPLOY_STEP_MS: f64 = 2_500.0;
+
+/// What faults have changed for now.
+pub(super) struct Conditions {
+    /// Objects a second that a scan asks for.
+    pub(super) scan_rate: f64,
+    /// How many it has asked for.
+    pub(super) scanned: u64,
+    /// The part of all requests that goes to one object.
+    pub(super) hot: f64,
+    /// How many times the usual load there is.
+    pub(super) load: f64,
+    /// Milliseconds until the register's word reaches anybody.
+    pub(super) register_ms: f64,
+    /// How many times the usual time the origin takes.
+    pub(super) origin_times: f64,
+    /// Planners answer no report.
+    pub(super) planners_silent: bool,
+    /// Each forwarder and planner reach only every other one of each other.
+    pub(super) planners_split: bool,
+    /// The hosts that each fault of the shape has struck.
+    struck: Vec<Vec<usize>>,
+}
+
+impl Conditions {
+    /// No fault has begun.
+    pub(super) fn usual(shape: &Shape) -> Conditions {
+        Conditions {
+            scan_rate: 0.0,
+            scanned: 0,
+            hot: 0.0,
+            load: 1.0,
+            register_ms: shape.register_ms,
+            origin_times: 1.0,
+            planners_silent: false,
+            planners_split: false,
+            struck: vec![Vec::new(); shape.faults.len()],
+        }
+    }
+}
+
+fn is_cache(host: &Host) -> bool {
+    host.kind == Kind::Cache
+}
+
+impl Model<'_> {
+    /// A fault of the shape begins.
+    pub(super) fn fault_begins(&mut self, at: usize) {
+        let trouble = self.shape.faults[at].trouble.clone();
+        let struck = self.struck_by(&trouble);
+        match trouble {
+            Trouble::Die { .. } | Trouble::LostZone { .. } | Trouble::LostHub => {
+                struck.iter().for_each(|host| self.kill(*host));
+            }
+            Trouble::Hang { .. } => self.set_manner(&struck, Manner::Silent),
+            Trouble::Fail { .. } => self.set_manner(&struck, Manner::Fail),
+            Trouble::Slow { times, .. } => self.set_manner(&struck, Manner::Slow(times)),
+            Trouble::Deploy { at_once } => self.deploy(at_once),
+            Trouble::LateRegister { ms } => self.conditions.register_ms += ms,
+            Trouble::SlowOrigin { times } => self.conditions.origin_times = times,
+            Trouble::OriginRefuses => self.set_manner(&[self.hosts.len() - 1], Manner::Fail),
+            Trouble::PurgeAll => self.purge_all(),
+            Trouble::Scan { rate } => {
+                self.conditions.scan_rate = rate;
+                self.after(0.0, Event::Scan);
+            }
+            Trouble::Hot { part } => self.conditions.hot = part,
+            Trouble::Overload { times } => self.conditions.load = times,
+            Trouble::KillForwarders { part } => self.kill_forwarders(part),
+            Trouble::SilentPlanners => self.conditions.planners_silent = true,
+            Trouble::SplitPlanners => self.conditions.planners_split = true,
+        }
+        self.conditions.struck[at] = struck;
+    }
+
+    /// A fault of the shape ends.
+    pub(super) fn fault_ends(&mut self, at: usize) {
+        let struck = std::mem::take(&mut self.conditions.struck[at]);
+        match self.shape.faults[at].trouble {
+            Trouble::Die { .. } | Trouble::LostZone { .. } | Trouble::LostHub => {
+                struck.into_iter().for_each(|host| self.restart(host));
+            }
+            Trouble::Hang { .. } | Trouble::Fail { .. } | Trouble::Slow { .. } => {
+                self.set_manner(&struck, Manner::Serve);
+            }
+            Trouble::LateRegister { ms } => {
+                let before = self.conditions.register_ms - ms;
+                self.conditions.register_ms = before.max(self.shape.register_ms);
+            }
+            Trouble::SlowOrigin { .. } => self.conditions.origin_times = 1.0,
+            Trouble::OriginRefuses => self.set_manner(&[self.hosts.len() - 1], Manner::Serve),
+            Trouble::Scan { .. } => self.conditions.scan_rate = 0.0,
+            Trouble::Hot { .. } => self.conditions.hot = 0.0,
+            Trouble::Overload { .. } => self.conditions.load = 1.0,
+            Trouble::SilentPlanners => self.conditions.planners_silent = false,
+            Trouble::SplitPlanners => self.conditions.planners_split = false,
+            Trouble::Deploy { .. } | Trouble::PurgeAll | Trouble::KillForwarders { .. } => {}
+        }
+    }
+
+    /// The hosts that a trouble strikes.
+    fn struck_by(&mut self, trouble: &Trouble) -> Vec<usize> {
+        match *trouble {
+            Trouble::Die { part } => self.draw_hosts(part, |host| host.kind != Kind::Origin),
+            Trouble::LostZone { zone } => self.draw_hosts(1.0, |host| is_cache(host) && host.zone == zone),
+            Trouble::LostHub => {
+                let mut parents = self.draw_hosts(1.0, |host| host.kind == Kind::Parent);
+                parents.pop();
+                parents
+            }
+            Trouble::Hang { part } | Trouble::Fail { part } | Trouble::Slow { part, .. } => {
+                self.draw_hosts(part, is_cache)
+            }
+            _ => Vec::new(),
+        }
+    }
+
+    /// So large a part of the hosts that the choice allows, drawn.
+    fn draw_hosts(&mut self, part: f64, choice: impl Fn(&Host) -> bool) -> Vec<usize> {
+        let mut all: Vec<usize> = (0..self.hosts.len()).filter(|at| choice(&self.hosts[*at])).collect();
+        let count = ((all.len() as f64 * part).ceil() as usize).min(all.len());
+        for at in 0..count {
+            let with = self.chance.random_range(at..all.len());
+            all.swap(at, with);
+        }
+        all.truncate(count);
+        all
+    }
+
+    fn set_manner(&mut self, hosts: &[usize], manner: Manner) {
+        hosts.iter().for_each(|host| self.hosts[*host].manner = manner);
+    }
+
+    /// All caches are drained and started again, so many at a time.
+    fn deploy(&mut self, at_once: usize) {
+        let caches = self.draw_hosts(1.0, is_cache);
+        for (turn, group) in caches.chunks(at_once.max(1)).enumerate() {
+            let after = turn as f64 * DEPLOY_STEP_MS;
+            group.iter().for_each(|host| self.after(after, Event::Drain { host: *host }));
+        }
+    }
+
+    /// Every object that was asked for is purged.
+    fn purge_all(&mut self) {
+        if self.shape.judged {
+            let objects: BTreeSet<u64> = self.wants.iter().map(|want| want.object).collect();
+            for object in objects {
+                self.see(Seen::Purged { object: object.to_string() });
+            }
+        }
+        self.say(Said::PurgeAll(self.now));
+        self.after(SETTLES_MS, Event::PurgeSettles { made: self.now });
+    }
+}
