--- a/crates/flaxdeck-guidance/src/pool.rs
+++ b/crates/flaxdeck-guidance/src/pool.rs
@@ -14,20 +14,21 @@
 const SLOT: u64 = 50;
 
 /// A slot of time, counted from the beginning of the planner's clock.
-type Slot = u64;
+pub type Slot = u64;
 
 fn slot_of(time: Time) -> Slot {
     time.ms() as u64 / SLOT
 }
 
-fn start_of(slot: Slot) -> Time {
+/// When a slot begins.
+pub fn start_of(slot: Slot) -> Time {
     Time::at_ms((slot * SLOT) as f64)
 }
 
 /// The sum of many parties' staircases by slots: a ring of sums that time moves along. A promise costs the slots that
 /// it raises, a look costs one, however many parties there are; adding all staircases up costs a look each.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Sums {
+pub struct Sums {
     parties: BTreeMap<Epoch, Staircase>,
     first: Slot,
     slots: VecDeque<u32>,
@@ -44,7 +45,7 @@
     }
 
     /// So much more of one party in all slots from now to before `end`, where it had less.
-    fn promise(&mut self, now: Slot, party: Epoch, amount: Parts, end: Slot) {
+    pub fn promise(&mut self, now: Slot, party: Epoch, amount: Parts, end: Slot) {
         self.advance(now);
         let stairs = self.parties.entry(party).or_default();
         let length = end.saturating_sub(self.first) as usize;
@@ -57,16 +58,19 @@
         stairs.add(amount, start_of(end));
     }
 
-    fn at(&self, slot: Slot) -> Parts {
+    /// The sum of all parties in a slot.
+    pub fn at(&self, slot: Slot) -> Parts {
         let place = slot.checked_sub(self.first).and_then(|place| self.slots.get(place as usize));
         Parts(place.copied().unwrap_or(0))
     }
 
-    fn of(&self, party: Epoch, slot: Slot) -> Parts {
+    /// What one party has promised of it.
+    pub fn of(&self, party: Epoch, slot: Slot) -> Parts {
         self.parties.get(&party).map_or(Parts::NONE, |stairs| stairs.at(start_of(slot)))
     }
 
-    fn prune(&mut self, now: Time) -> bool {
+    /// Forgets what has ended; true if nothing is left.
+    pub fn prune(&mut self, now: Time) -> bool {
         self.advance(slot_of(now));
         // By whole slots, as the sums hold them.
         let begun = start_of(slot_of(now));
@@ -176,35 +180,3 @@
         [self.pool_at(slot_of(at)), self.out.at(slot_of(at))]
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        #[test]
-        fn the_sums_are_those_of_all_staircases(
-            promises in prop::collection::vec((0u64..40, 0u64..5, 1u32..1000, 0u64..30), 1..60),
-        ) {
-            let (mut sums, mut plain, mut now) = (Sums::default(), Vec::new(), 100);
-            for (wait, party, amount, lasts) in promises {
-                now += wait / 8;
-                sums.promise(now, Epoch(party), Parts(amount), now + lasts);
-                plain.push((party, now, now + lasts, amount));
-                if wait % 5 == 0 {
-                    sums.prune(start_of(now));
-                }
-                for slot in now..now + 35 {
-                    let of = |who: u64| {
-                        let hold = plain.iter().filter(|(p, _, end, _)| *p == who && *end > slot);
-                        hold.map(|(.., amount)| *amount).max().unwrap_or(0)
-                    };
-                    let all: u32 = (0..5).map(of).sum();
-                    prop_assert_eq!(sums.at(slot), Parts(all));
-                    prop_assert_eq!(sums.of(Epoch(party), slot), Parts(of(party)));
-                }
-            }
-        }
-    }
-}
--- a/crates/flaxdeck-guidance/src/staircase.rs
+++ b/crates/flaxdeck-guidance/src/staircase.rs
@@ -45,26 +45,3 @@
         self.steps.is_empty()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        #[test]
-        fn at_any_time_it_tells_the_largest_promise_that_holds(
-            promises in prop::collection::vec((0u32..20, 0u64..20), 0..30),
-            looks in prop::collection::vec(0u64..22, 1..10),
-        ) {
-            let at = |time: u64| Time::at_ms(time as f64);
-            let mut stairs = Staircase::default();
-            promises.iter().for_each(|(amount, until)| stairs.add(Parts(*amount), at(*until)));
-            for look in looks {
-                let plain = promises.iter().filter(|(_, until)| *until > look).map(|(amount, _)| *amount).max();
-                prop_assert_eq!(stairs.at(at(look)), Parts(plain.unwrap_or(0)));
-            }
-            prop_assert!(stairs.steps.windows(2).all(|pair| pair[0].0 < pair[1].0 && pair[0].1 > pair[1].1));
-        }
-    }
-}
--- /dev/null
+++ b/crates/flaxdeck-guidance/tests/pool.rs
@@ -0,0 +1,32 @@
+//! The sums of many parties' staircases by slots, against adding all of them up.
+
+use flaxdeck_guidance::Parts;
+use flaxdeck_guidance::messages::Epoch;
+use flaxdeck_guidance::pool::{Sums, start_of};
+use proptest::prelude::*;
+
+proptest! {
+    #[test]
+    fn the_sums_are_those_of_all_staircases(
+        promises in prop::collection::vec((0u64..40, 0u64..5, 1u32..1000, 0u64..30), 1..60),
+    ) {
+        let (mut sums, mut plain, mut now) = (Sums::default(), Vec::new(), 100);
+        for (wait, party, amount, lasts) in promises {
+            now += wait / 8;
+            sums.promise(now, Epoch(party), Parts(amount), now + lasts);
+            plain.push((party, now, now + lasts, amount));
+            if wait % 5 == 0 {
+                sums.prune(start_of(now));
+            }
+            for slot in now..now + 35 {
+                let of = |who: u64| {
+                    let hold = plain.iter().filter(|(p, _, end, _)| *p == who && *end > slot);
+                    hold.map(|(.., amount)| *amount).max().unwrap_or(0)
+                };
+                let all: u32 = (0..5).map(of).sum();
+                prop_assert_eq!(sums.at(slot), Parts(all));
+                prop_assert_eq!(sums.of(Epoch(party), slot), Parts(of(party)));
+            }
+        }
+    }
+}
