--- /dev/null
+++ b/crates/flaxdeck-recovery/tests/belief.rs
@@ -0,0 +1,104 @@
+//! What of stored state may be believed, item by item.
+
+use flaxdeck::words::Span;
+use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::belief::{
+    Believed, Kept, KeptLine, KeptPurge, KeptRating, Later, Now, Uptime, bytes, judge,
+};
+
+const NOW: Now = Now {
+    uptime: Uptime { boot: 7, ms: 100_000 },
+    file: Mark { number: 1, hash: 1 },
+    waits: Span::from_ms(5_000),
+};
+
+fn line(host: &str, started: u64) -> KeptLine {
+    let address = "127.0.0.1:1".parse().unwrap();
+    KeptLine { host: host.into(), address, weight: 1.0, zone: None, cell: 0, role: 0, standing: 0, started }
+}
+
+fn rating(host: &str, started: u64) -> KeptRating {
+    let (measured_ago, good_ago, bad_ago) = (Some(1_000), Some(1_000), None);
+    KeptRating { host: host.into(), started, measures: [Some(3.0), None], measured_ago, good_ago, bad_ago }
+}
+
+fn kept(ago: u64) -> Kept {
+    Kept {
+        written: Uptime { boot: 7, ms: 100_000 - ago },
+        event: Mark { number: 9, hash: 5 },
+        lines: vec![line("a", 0), line("b", 500)],
+        purges: vec![KeptPurge { object: Some(1), group: 0, made: 1 }],
+        ratings: vec![rating("a", 0), rating("b", 400), rating("gone", 0)],
+        lent_until: None,
+    }
+}
+
+fn hosts(believed: &Believed) -> Vec<&str> {
+    believed.ratings.iter().map(|rating| &*rating.host).collect()
+}
+
+#[test]
+fn what_was_seen_of_a_host_counts_for_that_start_of_it_alone() {
+    let believed = judge(kept(2_000), NOW);
+    assert_eq!(hosts(&believed), ["a"], "b has restarted, one is listed no more");
+    assert_eq!(believed.ratings[0].good_ago, Some(3_000));
+    assert_eq!(believed.event, Some(Mark { number: 9, hash: 5 }));
+}
+
+#[test]
+fn what_is_old_is_worth_what_a_stranger_is() {
+    let believed = judge(kept(30_000), NOW);
+    assert_eq!((believed.ratings[0].good_ago, believed.ratings[0].measured_ago), (None, Some(31_000)));
+    assert_eq!(judge(kept(90_000), NOW).ratings, []);
+}
+
+#[test]
+fn after_a_boot_no_clock_vouches_for_any_age() {
+    let now = Now { uptime: Uptime { boot: 8, ms: 100_000 }, ..NOW };
+    let believed = judge(Kept { lent_until: Some(Uptime { boot: 7, ms: 1 }), ..kept(10) }, now);
+    assert_eq!((believed.ratings.len(), believed.waits), (0, None));
+    assert_eq!((believed.lines.len(), believed.purges.len()), (2, 1), "facts need no clock");
+    // Nor where none can be read.
+    let now = Now { uptime: Uptime::default(), ..NOW };
+    assert_eq!(judge(Kept { written: Uptime::default(), ..kept(10) }, now).waits, None);
+}
+
+#[test]
+fn shares_are_left_alone_for_what_may_be_out_and_never_for_longer_than_without_a_store() {
+    let waits = |ms| judge(Kept { lent_until: ms, ..kept(100) }, NOW).waits;
+    let at = |ms| Some(Uptime { boot: 7, ms });
+    assert_eq!(waits(None), Some(Span::ZERO));
+    assert_eq!(waits(at(99_000)), Some(Span::ZERO));
+    assert_eq!(waits(at(102_000)), Some(Span::from_ms(2_000)));
+    assert_eq!(waits(at(900_000)), Some(Span::from_ms(5_000)));
+    assert_eq!(waits(Some(Uptime { boot: 6, ms: 1 })), None);
+}
+
+#[test]
+fn a_configuration_of_a_later_event_outweighs_the_store() {
+    let now = Now { file: Mark { number: 10, hash: 2 }, ..NOW };
+    let believed = judge(kept(100), now);
+    assert_eq!((believed.event, believed.lines.len(), believed.purges.len()), (None, 0, 1));
+    assert!(believed.verdicts.iter().any(|verdict| verdict.item == "hosts" && !verdict.believed));
+}
+
+#[test]
+fn what_was_written_is_read_and_other_bytes_are_not() {
+    let (all, later) = (kept(3), Later::LendsUntil(Uptime { boot: 7, ms: 9 }));
+    let read = Kept::read(&bytes(&all), &[bytes(&later)]).unwrap();
+    assert_eq!(read, Kept { lent_until: Some(Uptime { boot: 7, ms: 9 }), ..all.clone() });
+    assert!(Kept::read(&bytes(&all), &[vec![9, 9, 9]]).is_err());
+    assert!(Kept::read(&[bytes(&all), vec![0]].concat(), &[]).is_err());
+}
+
+#[test]
+fn what_came_later_is_added_in_its_order() {
+    let mut all = kept(0);
+    let mark = |number| Mark { number, hash: 1 };
+    all.add(Later::Lines(mark(10), vec![KeptLine { standing: 1, ..line("a", 0) }, line("c", 0)]));
+    all.add(Later::Purged(mark(11), KeptPurge { object: None, group: 3, made: 2 }));
+    assert_eq!((all.event, all.lines.len(), all.lines[0].standing, all.purges.len()), (mark(11), 3, 1, 2));
+    all.add(Later::Whole(mark(1), vec![line("d", 0)]));
+    all.add(Later::LendsUntil(Uptime { boot: 7, ms: 9 }));
+    assert_eq!((all.event, all.lines.len(), all.lent_until.map(|at| at.ms)), (mark(1), 1, Some(9)));
+}
--- /dev/null
+++ b/crates/flaxdeck-recovery/tests/doubt.rs
@@ -0,0 +1,57 @@
+//! Which lines of a list that came instead of what followed may be used, and which copies.
+
+use std::collections::BTreeMap;
+
+use flaxdeck::words::Standing::{Draining, Gone, InService};
+use flaxdeck::words::{CellId, HostId, Listed, Role, Span, Standing, Time};
+use flaxdeck_recovery::doubt::{Doubted, copies_from};
+use flaxdeck_recovery::numbering::Doubt;
+
+fn at(ms: u64) -> Time {
+    Time::at_ms(100_000.0 + ms as f64)
+}
+
+fn line(name: &str, standing: Standing, started: Option<u64>) -> Listed {
+    let started = started.map(|ms| Time::at_ms(ms as f64));
+    let (host, cell) = (HostId(name.into()), CellId(0));
+    Listed { host, weight: 1.0, zone: None, cell, role: Role::Cache, standing, started }
+}
+
+fn known(lines: &[Listed]) -> BTreeMap<HostId, Listed> {
+    lines.iter().map(|line| (line.host.clone(), line.clone())).collect()
+}
+
+#[test]
+fn a_list_put_back_does_not_bring_a_withdrawn_host_into_service() {
+    let before = known(&[line("a", Draining, None), line("b", Gone, Some(5)), line("c", InService, None)]);
+    let list = vec![line("a", InService, None), line("b", InService, Some(9)), line("c", InService, None)];
+    let mut doubted = Doubted::default();
+    let (list, count) = doubted.adopt(at(0), &before, list);
+    let standings: Vec<Standing> = list.iter().map(|line| line.standing).collect();
+    assert_eq!((standings, count), (vec![Draining, InService, InService], 1), "b has started since");
+}
+
+#[test]
+fn a_later_event_ends_the_doubt_and_so_does_time() {
+    let before = known(&[line("a", Draining, None), line("b", Draining, None)]);
+    let list = || vec![line("a", InService, None), line("b", InService, None)];
+    let mut doubted = Doubted::default();
+    doubted.adopt(at(0), &before, list());
+    doubted.named([&HostId("a".into())]);
+    assert_eq!(doubted.run_out(at(59_999)).len(), 0);
+    assert_eq!(doubted.next(), Some(at(60_000)));
+    let out = doubted.run_out(at(60_000));
+    assert_eq!((&*out[0].host.0, out[0].standing, out.len()), ("b", InService, 1));
+    assert_eq!(doubted.next(), None);
+}
+
+#[test]
+fn copies_are_doubted_only_for_what_may_have_been_missed() {
+    let settles = Span::from_ms(6_000);
+    let doubt = |since, heard_to_the_end| Doubt { since, heard_to_the_end };
+    assert_eq!(copies_from(at(100), doubt(Some(at(0)), true), settles), None);
+    assert_eq!(copies_from(at(100), doubt(None, false), settles), None, "nothing was known before");
+    assert_eq!(copies_from(at(100), doubt(Some(at(0)), false), settles), Some(at(0)));
+    // What was purged earlier hosts have dropped by themselves.
+    assert_eq!(copies_from(at(9_000), doubt(Some(at(0)), false), settles), Some(at(3_000)));
+}
--- /dev/null
+++ b/crates/flaxdeck-recovery/tests/numbering.rs
@@ -0,0 +1,125 @@
+//! Whether the coordinator still speaks the numbering that is known, case by case.
+
+use flaxdeck::words::Time;
+use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::numbering::{Doubt, Next, Numbering, Why};
+
+fn at(ms: u64) -> Time {
+    Time::at_ms(1_000.0 + ms as f64)
+}
+
+fn mark(number: u64, hash: u64) -> Mark {
+    Mark { number, hash }
+}
+
+/// Known up to 20 and proven.
+fn known() -> Numbering {
+    let mut numbering = Numbering::new(mark(20, 7));
+    assert_eq!(numbering.ask(at(0)), 19);
+    assert_eq!(numbering.heard(at(1), mark(20, 7), false), Next::Skip);
+    numbering
+}
+
+#[test]
+fn the_last_event_again_proves_the_numbering_at_once() {
+    let mut numbering = known();
+    assert!(!numbering.current(at(1)) && numbering.current(at(40)));
+    assert_eq!(numbering.heard(at(50), mark(21, 8), false), Next::Apply);
+    assert!(!numbering.current(at(51)), "more may be on its way");
+    assert_eq!(numbering.heard(at(52), mark(23, 8), false), Next::AskAgain(Why::Gap));
+    assert_eq!(numbering.ask(at(60)), 20);
+}
+
+#[test]
+fn a_coordinator_that_numbers_from_one_again_is_noticed_before_it_has_come_as_far() {
+    let mut numbering = known();
+    numbering.ended(false);
+    numbering.ask(at(100));
+    let doubt = Doubt { since: Some(at(1)), heard_to_the_end: true };
+    assert_eq!(numbering.heard(at(101), mark(1, 9), true), Next::Adopt(Some(doubt)));
+    assert_eq!(numbering.heard(at(102), mark(2, 9), false), Next::Apply);
+}
+
+#[test]
+fn one_that_has_come_further_than_before_is_noticed_by_the_other_event() {
+    let mut numbering = known();
+    numbering.ended(true);
+    numbering.ask(at(100));
+    assert_eq!(numbering.heard(at(101), mark(20, 8), false), Next::AskAgain(Why::OtherEvent));
+    assert_eq!(numbering.ask(at(102)), 0, "the whole of it");
+    let doubt = Doubt { since: Some(at(1)), heard_to_the_end: false };
+    assert_eq!(numbering.heard(at(103), mark(1, 8), true), Next::Adopt(Some(doubt)));
+    assert_eq!(numbering.last(), mark(1, 8));
+}
+
+#[test]
+fn one_that_says_nothing_of_a_number_it_does_not_know_is_asked_for_all() {
+    let mut numbering = known();
+    numbering.ended(false);
+    numbering.ask(at(100));
+    assert_eq!(numbering.alive(at(1_100)), Next::AskAgain(Why::Nothing));
+    assert_eq!(numbering.ask(at(1_200)), 0);
+}
+
+#[test]
+fn one_that_jumps_far_ahead_gives_its_list_or_is_asked_for_it() {
+    let mut numbering = known();
+    numbering.ended(false);
+    numbering.ask(at(100));
+    assert!(matches!(numbering.heard(at(101), mark(900, 1), true), Next::Adopt(Some(_))));
+    let mut numbering = known();
+    numbering.ended(false);
+    numbering.ask(at(100));
+    assert_eq!(numbering.heard(at(101), mark(900, 1), false), Next::AskAgain(Why::Gap));
+    assert_eq!(numbering.ask(at(102)), 0);
+}
+
+#[test]
+fn what_a_planner_brings_counts_only_if_it_follows_in_this_numbering() {
+    let mut numbering = known();
+    assert!(!numbering.relayed(at(2), mark(20, 6), mark(21, 1)), "another numbering's");
+    assert!(!numbering.relayed(at(2), mark(19, 1), mark(20, 7)), "known");
+    assert!(numbering.relayed(at(2), mark(20, 7), mark(21, 1)));
+    assert_eq!(numbering.heard(at(9), mark(21, 1), false), Next::Skip);
+    assert_eq!(numbering.proves_by(), None, "the link has brought it too");
+    assert_eq!(numbering.heard(at(9), mark(22, 1), false), Next::Apply);
+    // What it does not bring in its turn it may not know.
+    assert!(numbering.relayed(at(10), mark(22, 1), mark(23, 1)));
+    assert_eq!(numbering.proves_by(), Some(at(510)));
+    assert_eq!(numbering.overdue(at(510)), Next::AskAgain(Why::Nothing));
+    assert_eq!(numbering.ask(at(520)), 22);
+}
+
+#[test]
+fn what_planners_brought_of_a_history_that_was_put_back_is_contradicted_by_the_coordinator() {
+    // Put back to 20, which all share; a planner that has not noticed brings the old 21 and 22.
+    let mut numbering = known();
+    assert!(numbering.relayed(at(10), mark(20, 7), mark(21, 1)));
+    assert!(numbering.relayed(at(10), mark(21, 1), mark(22, 2)));
+    assert_eq!(numbering.heard(at(20), mark(21, 1), false), Next::Skip);
+    assert_eq!(numbering.heard(at(20), mark(22, 9), false), Next::AskAgain(Why::OtherEvent));
+    assert_eq!(numbering.ask(at(30)), 0);
+    assert!(matches!(numbering.heard(at(31), mark(1, 5), true), Next::Adopt(Some(_))));
+    (2..=20).for_each(|n| assert_eq!(numbering.heard(at(31), mark(n, 7), false), Next::Apply));
+    assert!(!numbering.relayed(at(40), mark(20, 7), mark(21, 1)), "not from them again for a while");
+    assert_eq!(numbering.heard(at(41), mark(21, 8), false), Next::Apply);
+}
+
+#[test]
+fn what_was_heard_of_others_or_kept_is_in_doubt_as_well_when_the_numbering_is_another() {
+    let mut numbering = Numbering::new(mark(1, 3));
+    assert!(numbering.relayed(at(5), mark(1, 3), mark(2, 3)));
+    numbering.ask(at(9));
+    assert!(matches!(numbering.heard(at(10), mark(1, 4), true), Next::Adopt(Some(_))));
+    let mut numbering = Numbering::new(mark(1, 3));
+    numbering.begin_at(at(5), mark(9, 3));
+    numbering.ask(at(9));
+    assert!(matches!(numbering.heard(at(10), mark(1, 4), true), Next::Adopt(Some(_))));
+}
+
+#[test]
+fn a_files_numbering_that_turns_out_another_is_no_doubt_of_ours() {
+    let mut numbering = Numbering::new(mark(1, 3));
+    numbering.ask(at(0));
+    assert_eq!(numbering.heard(at(1), mark(1, 4), true), Next::Adopt(None));
+}
--- /dev/null
+++ b/crates/flaxdeck-recovery/tests/pace.rs
@@ -0,0 +1,66 @@
+//! Pauses between calls stay within their bounds and out of step with others'.
+
+use flaxdeck::words::{Span, Time};
+use flaxdeck_recovery::Pace;
+use flaxdeck_recovery::pace::{CALM, FIRST, GROWS};
+
+fn at(ms: f64) -> Time {
+    Time::at_ms(1_000.0 + ms)
+}
+
+const LEAST: Span = Span::from_ms(100);
+const MOST: Span = Span::from_ms(1_000);
+
+#[test]
+fn instances_that_failed_together_do_not_call_together() {
+    // A thousand that lost the coordinator in one moment: how many call in the worst 20 ms of the next seconds.
+    let mut calls = vec![0u32; 500];
+    for seed in 0..1_000 {
+        let (mut pace, mut now) = (Pace::new(seed, LEAST, MOST), 0.0);
+        while now < 9_000.0 {
+            now += pace.pause(at(now), false).ms();
+            calls[(now / 20.0) as usize] += 1;
+        }
+    }
+    // In step they would be 1,000 at once, over and over.
+    let most = calls.iter().max().unwrap();
+    assert!(*most < 150, "{most} of 1,000 within 20 ms");
+    // Once they have failed for a while they come seldom: about twice a second each.
+    let late: u32 = calls[200..450].iter().sum();
+    assert!((5_000..15_000).contains(&late), "{late} in 5 s");
+}
+
+#[test]
+fn who_hears_the_same_from_others_calls_seldom_until_that_ends() {
+    let (mut pace, mut now) = (Pace::new(5, LEAST, MOST), at(0.0));
+    let longest = (0..30).map(|_| pace.pause(now, true)).max().unwrap();
+    assert!(longest > MOST && longest <= MOST * CALM, "{longest:?}");
+    pace.hurry();
+    now = now + longest;
+    assert!(pace.pause(now, false) <= LEAST * GROWS);
+    let firsts: Vec<Span> = (0..200).map(|seed| Pace::new(seed, LEAST, MOST).first()).collect();
+    assert!(firsts.iter().all(|first| (FIRST[0]..=FIRST[1]).contains(first)));
+    // Spread: in step they would be 200 within any 30 ms.
+    for from in (150..420).step_by(10) {
+        let within = |first: &&Span| (f64::from(from)..f64::from(from) + 30.0).contains(&first.ms());
+        let count = firsts.iter().filter(within).count();
+        assert!(count < 40, "{count} within 30 ms from {from}");
+    }
+}
+
+#[test]
+fn pauses_stay_within_their_bounds_and_begin_anew_after_a_call_that_lasted() {
+    let mut pace = Pace::new(3, LEAST, MOST);
+    let mut now = at(0.0);
+    for _ in 0..1_000 {
+        let pause = pace.pause(now, false);
+        assert!(pause >= LEAST && pause <= MOST);
+        now = now + pause;
+    }
+    pace.answered(now);
+    let short = pace.pause(now + LEAST, false);
+    assert!(short >= LEAST, "one that breaks at once changes nothing");
+    pace.answered(now);
+    let first = pace.pause(now + MOST, false);
+    assert!(first <= LEAST * GROWS, "{first:?}");
+}
