--- a/crates/flaxdeck-lab/src/lib.rs
+++ b/crates/flaxdeck-lab/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub mod keep;
 mod pairs;
-mod sequence;
+pub mod sequence;
 pub mod service;
 
 pub use pairs::{Comparison, Figure, Limits, compare};
