--- a/crates/flaxdeck-fleet/src/faults.rs
+++ b/crates/flaxdeck-fleet/src/faults.rs
@@ -8,56 +8,70 @@
 pub enum Trouble {
     /// So large a part of all caches and parents dies at once; each starts again, cold, at the trouble's end.
     Die {
+        /// The part, from 0 to 1.
         part: f64,
     },
     /// Caches are drained and started again one after another, so many at a time.
     Deploy {
+        /// Caches that are drained together.
         at_once: usize,
     },
     /// What the register says comes so much later.
     LateRegister {
+        /// Milliseconds that are added.
         ms: f64,
     },
     /// All caches of a place are lost.
     LostZone {
+        /// The location.
         zone: usize,
     },
     /// All parents but the last are lost.
     LostHub,
     /// So large a part of the caches takes pulls and answers none.
     Hang {
+        /// The part, from 0 to 1.
         part: f64,
     },
     /// So large a part of the caches answers that it failed.
     Fail {
+        /// The part, from 0 to 1.
         part: f64,
     },
     /// So large a part of the caches takes so many times as long.
     Slow {
+        /// The part, from 0 to 1.
         part: f64,
+        /// The factor.
         times: f64,
     },
     /// The origin takes so many times as long.
     SlowOrigin {
+        /// The factor.
         times: f64,
     },
+    /// The origin answers that it failed.
     OriginRefuses,
     /// Every object is purged.
     PurgeAll,
     /// So many objects a second are asked for that nobody asks for again.
     Scan {
+        /// Requests a second.
         rate: f64,
     },
     /// So large a part of all pulls goes to one object.
     Hot {
+        /// The part, from 0 to 1.
         part: f64,
     },
     /// All load is so many times as high.
     Overload {
+        /// The factor.
         times: f64,
     },
     /// So large a part of the forwarders is killed; they start again at once.
     KillForwarders {
+        /// The part, from 0 to 1.
         part: f64,
     },
     /// All planners say nothing.
@@ -66,10 +80,14 @@
     SplitPlanners,
 }
 
+/// One fault of a day.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
+    /// Milliseconds from the beginning of the day.
     pub at_ms: f64,
+    /// Milliseconds until it ends.
     pub lasts_ms: f64,
+    /// What goes wrong.
     pub trouble: Trouble,
 }
 
--- a/crates/flaxdeck-fleet/src/hosts.rs
+++ b/crates/flaxdeck-fleet/src/hosts.rs
@@ -5,9 +5,13 @@
 /// How a host answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Manner {
+    /// As it should.
     Serve,
+    /// Not at all.
     Silent,
+    /// That it failed.
     Fail,
+    /// After so many times the usual time.
     Slow(f64),
 }
 
@@ -23,6 +27,7 @@
 }
 
 impl Copies {
+    /// No copies yet, room for so many KB.
     pub fn new(most_kb: f64) -> Copies {
         Copies { most_kb, ..Copies::default() }
     }
@@ -32,6 +37,7 @@
         self.kb
     }
 
+    /// Drops all copies.
     pub fn clear(&mut self) {
         *self = Copies::new(self.most_kb);
     }
@@ -56,6 +62,7 @@
         }
     }
 
+    /// Keeps a copy in place of an earlier one; one of rank 0 or too large for all the room is not kept.
     pub fn keep(&mut self, object: u64, rank: u8, made: f64, kb: f64) {
         if let Some((rank, used, _, kb)) = self.held.remove(&object) {
             self.order.remove(&(rank, used));
@@ -75,10 +82,14 @@
     }
 }
 
+/// What a host is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
+    /// Of the first tier, near forwarders.
     Cache,
+    /// Of the second tier, asked by caches.
     Parent,
+    /// Where all objects come from.
     Origin,
 }
 
@@ -101,27 +112,42 @@
     }
 }
 
+/// One host, in service or dead.
 pub struct Host {
+    /// Its name in the list.
     pub id: String,
+    /// What it is.
     pub kind: Kind,
+    /// The location of a cache.
     pub zone: usize,
+    /// Jobs that it works on at once when it is warm.
     pub places: f64,
+    /// Whether it lives.
     pub up: bool,
+    /// Counts its deaths: what was planned before one no longer counts.
     pub run: u32,
+    /// How it answers.
     pub manner: Manner,
-    /// Milliseconds; none for long past.
+    /// When it started, in milliseconds; none for long past.
     pub started: Option<f64>,
+    /// What it holds.
     pub copies: Copies,
+    /// Places that are taken.
     pub busy: usize,
+    /// Jobs that wait for a place.
     pub waiting: VecDeque<Job>,
+    /// Jobs that have a place.
     pub served: Vec<Job>,
+    /// Work of the last window, with when it was booked.
     spent: VecDeque<(f64, f64)>,
+    /// The sum of that work.
     sum: f64,
     /// Pulls in hand as last reported.
     pub told: f64,
 }
 
 impl Host {
+    /// A warm host without copies.
     pub fn new(id: String, kind: Kind, zone: usize, places: f64, most_kb: f64) -> Host {
         Host {
             id,
--- a/crates/flaxdeck-fleet/src/lib.rs
+++ b/crates/flaxdeck-fleet/src/lib.rs
@@ -2,6 +2,8 @@
 //! guidance, hosts, links, a late register, faults. One event queue, one thread, one source of chance: the same shape
 //! and seed give the same run. Assumptions and limits are in `docs/comparing.md`.
 
+#![warn(missing_docs)]
+
 pub mod faults;
 pub mod hosts;
 pub mod links;
--- a/crates/flaxdeck-fleet/src/links.rs
+++ b/crates/flaxdeck-fleet/src/links.rs
@@ -20,10 +20,12 @@
 }
 
 impl Link {
+    /// A link that carries so many KB a millisecond.
     pub fn new(pace: f64) -> Link {
         Link { pace, ..Link::default() }
     }
 
+    /// Transfers under way.
     pub fn transfers(&self) -> usize {
         self.ends.len()
     }
--- a/crates/flaxdeck-fleet/src/queue.rs
+++ b/crates/flaxdeck-fleet/src/queue.rs
@@ -104,10 +104,12 @@
         }
     }
 
+    /// Events that are left.
     pub fn len(&self) -> usize {
         self.current.len() + self.near + self.far.len()
     }
 
+    /// Whether none is left.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -126,10 +128,13 @@
 }
 
 impl<T> Plain<T> {
+    /// An event at that time.
     pub fn put(&mut self, time: u64, event: T) {
         self.heap.push(Reverse((time, self.next, Held(event))));
         self.next += 1;
     }
+
+    /// The next event with its time.
     pub fn take(&mut self) -> Option<(u64, T)> {
         self.heap.pop().map(|Reverse((time, _, Held(event)))| (time, event))
     }
--- a/crates/flaxdeck-fleet/src/traffic.rs
+++ b/crates/flaxdeck-fleet/src/traffic.rs
@@ -10,15 +10,19 @@
 pub struct Law {
     /// Pulls a second at each place.
     pub rate: f64,
+    /// Objects that are asked for.
     pub objects: u64,
+    /// The power of the rank by which popularity falls.
     pub power: f64,
-    /// The median size in KB, and the spread of its logarithm.
+    /// The median size in KB.
     pub median_kb: f64,
+    /// The standard deviation of the size's logarithm.
     pub spread: f64,
     /// The part of pulls that are at-most-once writes.
     pub writes: f64,
 }
 
+/// Traffic of one run: the law, with each object's popularity and size.
 pub struct Traffic {
     law: Law,
     /// Rising sums of the ranks' weights.
@@ -27,6 +31,7 @@
 }
 
 impl Traffic {
+    /// Draws the sizes of a law's objects.
     pub fn new(law: Law, chance: &mut Pcg64Mcg) -> Traffic {
         let mut sum = 0.0;
         let weight = |rank: u64| {
@@ -50,6 +55,7 @@
         self.sums.partition_point(|sum| *sum < draw).min(self.sums.len().saturating_sub(1)) as u64
     }
 
+    /// Whether the next request is a write.
     pub fn writes(&self, chance: &mut Pcg64Mcg) -> bool {
         self.law.writes > 0.0 && chance.random_bool(self.law.writes)
     }
--- a/crates/flaxdeck-lab/src/keep.rs
+++ b/crates/flaxdeck-lab/src/keep.rs
@@ -13,8 +13,11 @@
 
 /// One column; all of a table are of one length.
 pub enum Column {
+    /// Whole numbers.
     Whole(Vec<i64>),
+    /// Numbers with fractions.
     Number(Vec<f64>),
+    /// Texts.
     Text(Vec<String>),
 }
 
--- a/crates/flaxdeck-lab/src/pairs.rs
+++ b/crates/flaxdeck-lab/src/pairs.rs
@@ -13,7 +13,9 @@
 /// When to stop.
 #[derive(Clone, Debug)]
 pub struct Limits {
+    /// The time that pairs may take together.
     pub budget: Duration,
+    /// Pairs at most.
     pub pairs: u64,
     /// The chance that any of all intervals is ever wrong: divided among the figures and kinds (Bonferroni).
     pub level: f64,
@@ -21,6 +23,7 @@
     pub matters: f64,
     /// Kinds of faults, one drawn for each pair in turn, beside the shapes' own.
     pub kinds: Vec<String>,
+    /// From which the pairs' seeds are drawn.
     pub seed: u64,
     /// A and B get seeds of their own: what two settings that are the same must survive.
     pub apart: bool,
@@ -29,19 +32,26 @@
 /// One figure's answer.
 #[derive(Clone, Debug)]
 pub struct Figure {
+    /// What it is a figure of.
     pub name: String,
+    /// The differences of B from A.
     pub sequence: Sequence,
+    /// The means of A and B.
     pub means: [f64; 2],
 }
 
+/// The answers of a comparison so far.
 #[derive(Clone, Debug)]
 pub struct Comparison {
     /// The gain over all, then by kind, then other figures over all; larger is better in each.
     pub figures: Vec<Figure>,
+    /// Pairs played.
     pub pairs: u64,
+    /// The time that they took.
     pub took: Duration,
-    /// Breaches of rules in A's and B's runs, with the seed and kind of the first.
+    /// Breaches of rules in A's and B's runs.
     pub breaches: [u64; 2],
+    /// The first of them, with its pair and kind of fault.
     pub first_breach: Option<String>,
 }
 
--- a/crates/flaxdeck-lab/src/sequence.rs
+++ b/crates/flaxdeck-lab/src/sequence.rs
@@ -12,10 +12,13 @@
 /// What an interval says of B against A, larger being better.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
+    /// The whole interval lies above zero.
     Better,
+    /// The whole interval lies below zero.
     Worse,
     /// No difference larger than was asked for.
     Same,
+    /// The interval is too wide, or there is none yet.
     NotKnownYet,
 }
 
@@ -30,10 +33,12 @@
 }
 
 impl Sequence {
+    /// No differences yet; the interval may ever miss with this chance.
     pub fn new(level: f64) -> Sequence {
         Sequence { level, count: 0, mean: 0.0, squares: 0.0 }
     }
 
+    /// Adds a difference, B's figure less A's.
     pub fn add(&mut self, difference: f64) {
         self.count += 1;
         let off = difference - self.mean;
@@ -41,10 +46,12 @@
         self.squares += off * (difference - self.mean);
     }
 
+    /// Differences so far.
     pub fn count(&self) -> u64 {
         self.count
     }
 
+    /// Their mean.
     pub fn mean(&self) -> f64 {
         self.mean
     }
--- a/crates/flaxdeck-lab/src/service.rs
+++ b/crates/flaxdeck-lab/src/service.rs
@@ -4,12 +4,15 @@
 /// One slice of time, of wants by when they were first asked for.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Slice {
+    /// Wants that were first asked for within the slice.
     pub wants: u64,
     /// Finished within the promised time of their first try.
     pub in_time: u64,
+    /// Requests that were turned away with an answer.
     pub bounced: u64,
-    /// Answers of caches, and those from what they held.
+    /// Answers of caches.
     pub answers: u64,
+    /// Answers from what caches held.
     pub hits: u64,
     /// Connections that hosts closed as too many.
     pub turned_away: u64,
@@ -55,10 +58,13 @@
 pub struct Lost {
     /// Before the kill: in hand when it came.
     pub in_hand: f64,
+    /// Between the kill and the moment from which all processes ran again.
     pub while_down: f64,
+    /// From that moment on.
     pub after: f64,
 }
 
+/// Wants lost beyond the twin's, for processes killed at one moment that all ran again at another.
 pub fn lost(played: &[Slice], twin: &[Slice], killed: f64, up: f64) -> Lost {
     let mut lost = Lost::default();
     for (at, (played, twin)) in played.iter().zip(twin).enumerate() {
