--- a/crates/flaxdeck-fleet/src/faults.rs
+++ b/crates/flaxdeck-fleet/src/faults.rs
@@ -28,7 +28,7 @@
     },
     /// All parents but the last are lost.
     LostHub,
-    /// So large a part of the caches takes pulls and answers none.
+    /// So large a part of the caches takes requests and answers none.
     Hang {
         /// The part, from 0 to 1.
         part: f64,
@@ -59,7 +59,7 @@
         /// Requests a second.
         rate: f64,
     },
-    /// So large a part of all pulls goes to one object.
+    /// So large a part of all requests goes to one object.
     Hot {
         /// The part, from 0 to 1.
         part: f64,
--- a/crates/flaxdeck-fleet/src/hosts.rs
+++ b/crates/flaxdeck-fleet/src/hosts.rs
@@ -142,7 +142,7 @@
     spent: VecDeque<(f64, f64)>,
     /// The sum of that work.
     sum: f64,
-    /// Pulls in hand as last reported.
+    /// Requests in hand as last reported.
     pub told: f64,
 }
 
--- a/crates/flaxdeck-fleet/src/model.rs
+++ b/crates/flaxdeck-fleet/src/model.rs
@@ -61,9 +61,9 @@
     sites: Vec<Site>,
     wants: Vec<Want>,
     attempts: HashMap<u64, Attempt>,
-    /// The want of each pull.
-    pulls: HashMap<u64, u64>,
-    /// The next number of a pull or an attempt.
+    /// The want of each request.
+    requests: HashMap<u64, u64>,
+    /// The next number of a request or an attempt.
     next: u64,
     /// What the register has said, in order.
     said: Vec<Said>,
@@ -111,7 +111,7 @@
         self.queue.put(at.round() as u64, event);
     }
 
-    /// The next number of a pull or an attempt.
+    /// The next number of a request or an attempt.
     fn number(&mut self) -> u64 {
         let number = self.next;
         self.next += 1;
--- a/crates/flaxdeck-fleet/src/model/attempts.rs
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: a pull handed to one host, from the hand-off to the word of its end.
+//! Attempts: a request handed to one host, from the hand-off to the word of its end.
 
 use flaxdeck::words::*;
 use flaxdeck_rules::{Answer, Seen};
@@ -7,14 +7,14 @@
 use super::{Model, time};
 use crate::hosts::{Job, Kind};
 
-/// One pull handed to one host.
+/// One request handed to one host.
 #[derive(Clone)]
 pub(super) struct Attempt {
     pub(super) forwarder: usize,
     /// The forwarder's run.
     pub(super) run: u32,
-    pub(super) pull: PullId,
-    /// Which of the pull's attempts it is.
+    pub(super) request: PullId,
+    /// Which of the request's attempts it is.
     pub(super) leg: u32,
     pub(super) want: u64,
     pub(super) host: usize,
@@ -101,7 +101,7 @@
             let object = want.object.to_string();
             self.see(Seen::Copy { object, sent: attempt.sent, made: attempt.made });
         }
-        self.answered(attempt.forwarder, attempt.pull, Answer::Finished, None);
+        self.answered(attempt.forwarder, attempt.request, Answer::Finished, None);
     }
 
     /// An attempt's end as its forwarder's decisions are told of it.
@@ -110,7 +110,7 @@
         let answered = ending == Ending::Answered;
         let over_link = answered && host.kind == Kind::Cache;
         Ended {
-            pull: attempt.pull,
+            pull: attempt.request,
             leg: Leg(attempt.leg),
             host: HostId(host.id.as_str().into()),
             ending,
--- a/crates/flaxdeck-fleet/src/model/build.rs
+++ b/crates/flaxdeck-fleet/src/model/build.rs
@@ -68,7 +68,7 @@
             sites: (0..shape.zones).map(|_| Site::new(shape.link_pace)).collect(),
             wants: Vec::new(),
             attempts: HashMap::new(),
-            pulls: HashMap::new(),
+            requests: HashMap::new(),
             next: 0,
             said: Vec::new(),
             conditions: Conditions::usual(shape),
--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use super::events::Event;
-use super::forwarders::OpenPull;
+use super::forwarders::OpenRequest;
 use super::{GROUPS, Model, time};
 
 /// A read is promised within so many milliseconds, ...
@@ -40,12 +40,12 @@
     pub(super) served: bool,
 }
 
-/// A client's try: the forwarder that has it, in which run, and as which pull.
+/// A client's try: the forwarder that has it, in which run, and as which request.
 #[derive(Clone, Copy)]
 pub(super) struct Try {
     forwarder: usize,
     run: u32,
-    pull: PullId,
+    request: PullId,
 }
 
 impl Model<'_> {
@@ -102,25 +102,25 @@
         }
         want.tries += 1;
         let (tries, forwarder) = (want.tries, want.zone * self.shape.forwarders + place);
-        let pull = PullId(self.number());
+        let request = PullId(self.number());
         let run = self.forwarders[forwarder].run;
-        self.wants[id as usize].out = Some(Try { forwarder, run, pull });
+        self.wants[id as usize].out = Some(Try { forwarder, run, request });
         self.outcome.pulls += 1;
         let by = self.now + self.shape.wait_ms;
-        self.see(Seen::Asked { pull: pull.0.to_string(), by });
+        self.see(Seen::Asked { pull: request.0.to_string(), by });
         self.after(self.shape.wait_ms, Event::ClientStops { want: id, tries });
-        self.forwarders[forwarder].open.insert(pull, OpenPull { want: id, attempts: 0 });
-        self.pulls.insert(pull.0, id);
-        let told = self.pull(pull, id);
+        self.forwarders[forwarder].open.insert(request, OpenRequest { want: id, attempts: 0 });
+        self.requests.insert(request.0, id);
+        let told = self.request(request, id);
         let decisions = self.forwarders[forwarder].brain.pull(time(self.now), told);
         self.decide(forwarder, decisions);
     }
 
     /// What the forwarder is told of a try.
-    fn pull(&self, pull: PullId, want: u64) -> Pull {
+    fn request(&self, id: PullId, want: u64) -> Pull {
         let want = &self.wants[want as usize];
         Pull {
-            id: pull,
+            id,
             workload: WorkloadId(usize::from(want.write)),
             object: ObjectId(want.object),
             part: 0,
@@ -138,10 +138,11 @@
             return;
         }
         // This try had its answer, and the next one waits for its time.
-        let Some(Try { forwarder, run, pull }) = want.out.take() else { return };
+        let Some(Try { forwarder, run, request }) = want.out.take() else { return };
         // Unanswered on a whole connection: the record shows it.
-        if self.forwarders[forwarder].run == run && self.forwarders[forwarder].open.remove(&pull).is_some() {
-            let decisions = self.forwarders[forwarder].brain.client_left(time(self.now), pull);
+        if self.forwarders[forwarder].run == run && self.forwarders[forwarder].open.remove(&request).is_some()
+        {
+            let decisions = self.forwarders[forwarder].brain.client_left(time(self.now), request);
             self.decide(forwarder, decisions);
         }
         self.again(id, AFTER_NO_ANSWER_MS);
@@ -172,11 +173,11 @@
         self.outcome.lost += 1;
     }
 
-    /// A forwarder answers a pull, unless it had its answer before.
-    pub(super) fn answered(&mut self, n: usize, pull: PullId, how: Answer, come_back: Option<Span>) {
-        let Some(OpenPull { want, .. }) = self.forwarders[n].open.remove(&pull) else { return };
-        self.see(Seen::Answered { pull: pull.0.to_string(), how });
-        self.note([pull.0, how as u64, (self.now * 1000.0) as u64]);
+    /// A forwarder answers a request, unless it had its answer before.
+    pub(super) fn answered(&mut self, n: usize, request: PullId, how: Answer, come_back: Option<Span>) {
+        let Some(OpenRequest { want, .. }) = self.forwarders[n].open.remove(&request) else { return };
+        self.see(Seen::Answered { pull: request.0.to_string(), how });
+        self.note([request.0, how as u64, (self.now * 1000.0) as u64]);
         match how {
             Answer::Finished => self.finished(want),
             Answer::Bounced => {
--- a/crates/flaxdeck-fleet/src/model/decisions.rs
+++ b/crates/flaxdeck-fleet/src/model/decisions.rs
@@ -26,10 +26,10 @@
     }
 
     fn cancel(&mut self, cancel: &Cancel) {
-        let Some(want) = self.pulls.get(&cancel.pull.0) else { return };
+        let Some(want) = self.requests.get(&cancel.pull.0) else { return };
         for id in &self.wants[*want as usize].attempts {
             let Some(attempt) = self.attempts.get_mut(id) else { continue };
-            if (attempt.pull, attempt.leg) == (cancel.pull, cancel.leg.0) {
+            if (attempt.request, attempt.leg) == (cancel.pull, cancel.leg.0) {
                 attempt.ending = Some(Ending::Cancelled);
             }
         }
@@ -46,7 +46,7 @@
         let attempt = Attempt {
             forwarder: n,
             run,
-            pull: hand_off.pull,
+            request: hand_off.pull,
             leg,
             want,
             host,
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -14,8 +14,8 @@
 use super::planners::{REPORT_MS, pledges};
 use super::{Model, Shape, time};
 
-/// A pull that a forwarder has not answered yet.
-pub(super) struct OpenPull {
+/// A request that a forwarder has not answered yet.
+pub(super) struct OpenRequest {
     pub(super) want: u64,
     /// Its attempts so far.
     pub(super) attempts: u32,
@@ -30,7 +30,7 @@
     pub(super) run: u32,
     /// The number of the register's last word that it knows.
     pub(super) last_event: u64,
-    pub(super) open: BTreeMap<PullId, OpenPull>,
+    pub(super) open: BTreeMap<PullId, OpenRequest>,
 }
 
 /// The terms of a location's forwarders: reads are the first workload, writes the second.
@@ -120,8 +120,8 @@
         let count = (self.forwarders.len() as f64 * part).floor() as usize;
         for n in 0..count {
             let open = std::mem::take(&mut self.forwarders[n].open);
-            for (pull, OpenPull { want, .. }) in open {
-                self.see(Seen::Left { pull: pull.0.to_string() });
+            for (request, OpenRequest { want, .. }) in open {
+                self.see(Seen::Left { pull: request.0.to_string() });
                 self.again_unless_write(want, AFTER_LOST_FORWARDER_MS);
             }
             let run = self.forwarders[n].run + 1;
--- a/crates/flaxdeck-fleet/src/model/service.rs
+++ b/crates/flaxdeck-fleet/src/model/service.rs
@@ -111,7 +111,7 @@
         if matches!(job, Job::Answer(_)) {
             attempt.told = if is_origin { Told::Filled } else { Told::Held };
             if want.write {
-                let effect = attempt.pull.0.to_string();
+                let effect = attempt.request.0.to_string();
                 self.see(Seen::Ran { effect });
             }
         }
--- a/crates/flaxdeck-fleet/src/outcome.rs
+++ b/crates/flaxdeck-fleet/src/outcome.rs
@@ -13,13 +13,13 @@
     pub late: u64,
     /// Wants given up after all tries.
     pub lost: u64,
-    /// Pulls: tries of all wants.
+    /// Requests: tries of all wants.
     pub pulls: u64,
-    /// Pulls that were answered with the object.
+    /// Requests that were answered with the object.
     pub finished: u64,
-    /// Pulls that were turned away.
+    /// Requests that were turned away.
     pub bounced: u64,
-    /// Pulls that failed.
+    /// Requests that failed.
     pub forfeited: u64,
     /// Attempts at hosts.
     pub hand_offs: u64,
--- a/crates/flaxdeck-fleet/src/traffic.rs
+++ b/crates/flaxdeck-fleet/src/traffic.rs
@@ -5,10 +5,10 @@
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64Mcg;
 
-/// The law that one run's pulls follow.
+/// The law that one run's requests follow.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Law {
-    /// Pulls a second at each place.
+    /// Requests a second at each place.
     pub rate: f64,
     /// Objects that are asked for.
     pub objects: u64,
@@ -18,7 +18,7 @@
     pub median_kb: f64,
     /// The standard deviation of the size's logarithm.
     pub spread: f64,
-    /// The part of pulls that are at-most-once writes.
+    /// The part of requests that are at-most-once writes.
     pub writes: f64,
 }
 
@@ -44,7 +44,7 @@
         Traffic { law, sums, sizes }
     }
 
-    /// Milliseconds to the next pull of a place whose load is so many times the usual.
+    /// Milliseconds to the next request of a place whose load is so many times the usual.
     pub fn gap(&self, times: f64, chance: &mut Pcg64Mcg) -> f64 {
         -(1.0 - chance.random::<f64>()).ln() * 1000.0 / (self.law.rate * times).max(1e-6)
     }
