--- a/crates/flaxdeck-fleet/src/hosts.rs
+++ b/crates/flaxdeck-fleet/src/hosts.rs
@@ -96,7 +96,7 @@
 /// What a host does for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Job {
-    /// Answers a hand-off.
+    /// Answers an attempt.
     Answer(u64),
     /// Fills the cache that answers it.
     Fill(u64),
--- a/crates/flaxdeck-fleet/src/model/attempts.rs
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: a request handed to one host, from the hand-off to the word of its end.
+//! Attempts: a request handed to one host, from the decision to the word of its end.
 
 use flaxdeck::words::*;
 use flaxdeck_rules::{Answer, Seen};
@@ -15,7 +15,7 @@
     pub(super) run: u32,
     pub(super) request: PullId,
     /// Which of the request's attempts it is.
-    pub(super) leg: u32,
+    pub(super) index: u32,
     pub(super) want: u64,
     pub(super) host: usize,
     /// Where the host fills from if it holds no copy.
@@ -111,7 +111,7 @@
         let over_link = answered && host.kind == Kind::Cache;
         Ended {
             pull: attempt.request,
-            leg: Leg(attempt.leg),
+            leg: Leg(attempt.index),
             host: HostId(host.id.as_str().into()),
             ending,
             took: Span::of_ms(self.now - attempt.sent),
--- a/crates/flaxdeck-fleet/src/model/decisions.rs
+++ b/crates/flaxdeck-fleet/src/model/decisions.rs
@@ -11,7 +11,7 @@
     /// Carries out decisions: cancellations first, then attempts, answers, and the next waking.
     pub(super) fn decide(&mut self, n: usize, decisions: Decisions) {
         decisions.cancels.into_iter().for_each(|cancel| self.cancel(&cancel));
-        decisions.hand_offs.into_iter().for_each(|hand_off| self.hand_off(n, &hand_off));
+        decisions.hand_offs.into_iter().for_each(|attempt| self.begin_attempt(n, &attempt));
         for last in decisions.finals {
             match last {
                 Final::Bounced { pull, come_back } => self.answered(n, pull, Answer::Bounced, come_back),
@@ -29,31 +29,32 @@
         let Some(want) = self.requests.get(&cancel.pull.0) else { return };
         for id in &self.wants[*want as usize].attempts {
             let Some(attempt) = self.attempts.get_mut(id) else { continue };
-            if (attempt.request, attempt.leg) == (cancel.pull, cancel.leg.0) {
+            if (attempt.request, attempt.index) == (cancel.pull, cancel.leg.0) {
                 attempt.ending = Some(Ending::Cancelled);
             }
         }
     }
 
-    fn hand_off(&mut self, n: usize, hand_off: &HandOff) {
+    /// A forwarder sends a request to a host.
+    fn begin_attempt(&mut self, n: usize, decided: &HandOff) {
         let run = self.forwarders[n].run;
-        let Some(open) = self.forwarders[n].open.get_mut(&hand_off.pull) else { return };
-        let (want, leg) = (open.want, open.attempts);
+        let Some(open) = self.forwarders[n].open.get_mut(&decided.pull) else { return };
+        let (want, index) = (open.want, open.attempts);
         open.attempts += 1;
-        let host = self.names[&*hand_off.host.0];
-        let source = self.names[&*hand_off.source.0];
+        let host = self.names[&*decided.host.0];
+        let source = self.names[&*decided.source.0];
         let id = self.number();
         let attempt = Attempt {
             forwarder: n,
             run,
-            request: hand_off.pull,
-            leg,
+            request: decided.pull,
+            index,
             want,
             host,
             source,
-            oldest: hand_off.oldest.map_or(f64::NEG_INFINITY, |age| self.now - age.ms()),
-            keep: hand_off.keep,
-            only_held: hand_off.only_held,
+            oldest: decided.oldest.map_or(f64::NEG_INFINITY, |age| self.now - age.ms()),
+            keep: decided.keep,
+            only_held: decided.only_held,
             sent: self.now,
             fill_begun: self.now,
             waited: None,
@@ -66,6 +67,6 @@
         self.attempts.insert(id, attempt);
         self.wants[want as usize].attempts.push(id);
         self.after(self.distance(host), Event::AtHost { attempt: id });
-        self.after(hand_off.allow.ms(), Event::TimeUp { attempt: id });
+        self.after(decided.allow.ms(), Event::TimeUp { attempt: id });
     }
 }
