--- a/crates/flaxdeck-fleet/src/faults.rs
+++ b/crates/flaxdeck-fleet/src/faults.rs
@@ -16,7 +16,7 @@
         /// Caches that are drained together.
         at_once: usize,
     },
-    /// What the register says comes so much later.
+    /// The coordinator's events come so much later.
     LateRegister {
         /// Milliseconds that are added.
         ms: f64,
--- a/crates/flaxdeck-fleet/src/lib.rs
+++ b/crates/flaxdeck-fleet/src/lib.rs
@@ -1,5 +1,5 @@
 //! A model of the whole fleet in virtual time: clients, forwarders with the real decisions, planners with the real
-//! guidance, hosts, links, a late register, faults. One event queue, one thread, one source of chance: the same shape
+//! guidance, hosts, links, a late coordinator, faults. One event queue, one thread, one source of chance: the same shape
 //! and seed give the same run. Assumptions and limits are in `docs/comparing.md`.
 
 #![warn(missing_docs)]
--- a/crates/flaxdeck-fleet/src/model.rs
+++ b/crates/flaxdeck-fleet/src/model.rs
@@ -19,7 +19,7 @@
 use crate::traffic::Traffic;
 use attempts::Attempt;
 use clients::Want;
-use coordinator::Said;
+use coordinator::CoordinatorEvent;
 use events::Event;
 use forwarders::Forwarder;
 use sites::Site;
@@ -65,8 +65,8 @@
     requests: HashMap<u64, u64>,
     /// The next number of a request or an attempt.
     next: u64,
-    /// What the register has said, in order.
-    said: Vec<Said>,
+    /// What the coordinator has published, in order.
+    coordinator_events: Vec<CoordinatorEvent>,
     conditions: Conditions,
     outcome: Outcome,
     /// What was seen, with its time, if the run is judged.
--- a/crates/flaxdeck-fleet/src/model/build.rs
+++ b/crates/flaxdeck-fleet/src/model/build.rs
@@ -70,7 +70,7 @@
             attempts: HashMap::new(),
             requests: HashMap::new(),
             next: 0,
-            said: Vec::new(),
+            coordinator_events: Vec::new(),
             conditions: Conditions::usual(shape),
             outcome: Outcome::default(),
             record: Vec::new(),
--- a/crates/flaxdeck-fleet/src/model/coordinator.rs
+++ b/crates/flaxdeck-fleet/src/model/coordinator.rs
@@ -1,4 +1,4 @@
-//! The register, which tells everybody late, and what changes about hosts.
+//! The coordinator, whose events reach everybody late, and what changes about hosts.
 
 use flaxdeck::words::*;
 use flaxdeck_rules::Seen;
@@ -8,23 +8,23 @@
 use super::{GROUPS, Model, time};
 use crate::hosts::{Job, Kind, Manner};
 
-/// Milliseconds by which a word reaches forwarders at different times.
+/// Milliseconds by which an event reaches forwarders at different times.
 const JITTER_MS: f64 = 20.0;
 /// Milliseconds from a host's withdrawal to its restart.
 const DRAIN_MS: f64 = 1_500.0;
 
-/// What the register has said, by its number from 1.
+/// An event of the coordinator; they are numbered from 1.
 #[derive(Clone)]
-pub(super) enum Said {
-    /// A host's line in the list.
-    Line(Listed),
+pub(super) enum CoordinatorEvent {
+    /// A host's endpoint has changed.
+    Endpoint(Listed),
     /// All that was made before that time is purged.
     PurgeAll(f64),
 }
 
 impl Model<'_> {
-    /// A host as it is listed.
-    pub(super) fn line(&self, at: usize) -> Listed {
+    /// A host's endpoint.
+    pub(super) fn endpoint(&self, at: usize) -> Listed {
         let host = &self.hosts[at];
         let role = match host.kind {
             Kind::Cache => Role::Cache,
@@ -42,24 +42,25 @@
         }
     }
 
-    /// The register says something: it reaches everybody after its delay.
-    pub(super) fn say(&mut self, said: Said) {
-        self.said.push(said);
-        let (number, late) = (self.said.len() as u64, self.conditions.register_ms);
+    /// The coordinator publishes an event, which reaches everybody after its delay.
+    pub(super) fn publish(&mut self, event: CoordinatorEvent) {
+        self.coordinator_events.push(event);
+        let number = self.coordinator_events.len() as u64;
+        let delay = self.conditions.coordinator_ms;
         for forwarder in 0..self.forwarders.len() {
             let jitter = self.chance.random_range(0.0..JITTER_MS);
-            self.after(late + jitter, Event::Told { forwarder, number });
+            self.after(delay + jitter, Event::ForwarderHears { forwarder, number });
         }
         for planner in 0..self.planners.len() {
-            self.after(late, Event::PlannerTold { planner, number });
+            self.after(delay, Event::PlannerHears { planner, number });
         }
     }
 
     /// A host is withdrawn, and starts again a while later.
     pub(super) fn drain(&mut self, at: usize) {
-        let line = Listed { standing: Standing::Draining, ..self.line(at) };
+        let endpoint = Listed { standing: Standing::Draining, ..self.endpoint(at) };
         self.see(Seen::Withdrawn { host: self.hosts[at].id.clone() });
-        self.say(Said::Line(line));
+        self.publish(CoordinatorEvent::Endpoint(endpoint));
         self.after(DRAIN_MS, Event::Restart { host: at });
     }
 
@@ -71,8 +72,8 @@
                 Job::Fill(id) | Job::Behind(id) => self.fill_failed(id, Told::SourceUnreached),
             }
         }
-        let line = Listed { standing: Standing::Gone, ..self.line(at) };
-        self.say(Said::Line(line));
+        let endpoint = Listed { standing: Standing::Gone, ..self.endpoint(at) };
+        self.publish(CoordinatorEvent::Endpoint(endpoint));
     }
 
     /// A host starts, cold.
@@ -85,12 +86,12 @@
         let id = host.id.clone();
         self.see(Seen::Started { host: id.clone() });
         self.see(Seen::Announced { host: id });
-        let line = self.line(at);
-        self.say(Said::Line(line));
+        let endpoint = self.endpoint(at);
+        self.publish(CoordinatorEvent::Endpoint(endpoint));
     }
 
-    /// The register's word of that number reaches a forwarder, unless it knows it; it learns what it lacks before it.
-    pub(super) fn told(&mut self, n: usize, number: u64) {
+    /// The event of that number reaches a forwarder; if it is new, so are those before it that it lacks.
+    pub(super) fn forwarder_hears(&mut self, n: usize, number: u64) {
         let last = self.forwarders[n].last_event;
         if number <= last {
             return;
@@ -102,16 +103,16 @@
         self.forwarders[n].guide.iter_mut().for_each(|guide| guide.coordinator_heard(now));
     }
 
-    /// A forwarder takes in the register's word of that number.
+    /// A forwarder applies the event of that number.
     pub(super) fn apply(&mut self, n: usize, number: u64) {
         self.forwarders[n].last_event = number;
-        match self.said[number as usize - 1].clone() {
-            Said::Line(line) => {
+        match self.coordinator_events[number as usize - 1].clone() {
+            CoordinatorEvent::Endpoint(endpoint) => {
                 let now = time(self.now);
-                let decisions = self.forwarders[n].brain.list(now, Coverage::Changes, vec![line]);
+                let decisions = self.forwarders[n].brain.list(now, Coverage::Changes, vec![endpoint]);
                 self.decide(n, decisions);
             }
-            Said::PurgeAll(made) => self.purge(n, time(made)),
+            CoordinatorEvent::PurgeAll(made) => self.purge(n, time(made)),
         }
     }
 
--- a/crates/flaxdeck-fleet/src/model/events.rs
+++ b/crates/flaxdeck-fleet/src/model/events.rs
@@ -33,10 +33,10 @@
     TransferEnds { zone: usize, turn: u64 },
     /// Word that an attempt has ended reaches its forwarder.
     Ended { attempt: u64 },
-    /// What the register said under that number reaches a forwarder.
-    Told { forwarder: usize, number: u64 },
-    /// What the register said under that number reaches a planner.
-    PlannerTold { planner: usize, number: u64 },
+    /// The coordinator's event of that number reaches a forwarder.
+    ForwarderHears { forwarder: usize, number: u64 },
+    /// The coordinator's event of that number reaches a planner.
+    PlannerHears { planner: usize, number: u64 },
     /// A forwarder reports to all planners.
     Report { forwarder: usize, run: u32 },
     /// A report reaches a planner.
@@ -80,8 +80,8 @@
             }
             Event::TransferEnds { zone, turn } => self.transfer_ends(zone, turn),
             Event::Ended { attempt } => self.ended(attempt),
-            Event::Told { forwarder, number } => self.told(forwarder, number),
-            Event::PlannerTold { planner, number } => self.planner_told(planner, number),
+            Event::ForwarderHears { forwarder, number } => self.forwarder_hears(forwarder, number),
+            Event::PlannerHears { planner, number } => self.planner_hears(planner, number),
             Event::Report { forwarder, run } => self.report(forwarder, run),
             Event::Reported { planner, forwarder, report } => self.reported(planner, forwarder, &report),
             Event::Guided { planner, forwarder, run, guidance } => {
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -28,7 +28,7 @@
     pub(super) guide: Option<Guide>,
     /// Counts its starts.
     pub(super) run: u32,
-    /// The number of the register's last word that it knows.
+    /// The number of the coordinator's last event that it knows.
     pub(super) last_event: u64,
     pub(super) open: BTreeMap<PullId, OpenRequest>,
 }
@@ -78,7 +78,7 @@
         let seed = self.chance.random();
         let (brain, _) = Brain::start(now, seed, terms(self.shape, zone));
         let guide = (self.shape.planners > 0).then(|| self.guide(n, run));
-        let last_event = self.said.len() as u64;
+        let last_event = self.coordinator_events.len() as u64;
         Forwarder { brain, guide, run, last_event, open: BTreeMap::new() }
     }
 
@@ -96,14 +96,14 @@
 
     /// A forwarder that has just started is told all that is known.
     pub(super) fn listen(&mut self, n: usize) {
-        let lines = (0..self.hosts.len()).map(|at| self.line(at)).collect();
+        let endpoints = (0..self.hosts.len()).map(|at| self.endpoint(at)).collect();
         if self.forwarders[n].guide.is_some() {
             self.take_hints(n);
             let spread = REPORT_MS * self.chance.random::<f64>();
             let run = self.forwarders[n].run;
             self.after(spread, Event::Report { forwarder: n, run });
         }
-        let decisions = self.forwarders[n].brain.list(time(self.now), Coverage::Whole, lines);
+        let decisions = self.forwarders[n].brain.list(time(self.now), Coverage::Whole, endpoints);
         self.decide(n, decisions);
     }
 
--- a/crates/flaxdeck-fleet/src/model/planners.rs
+++ b/crates/flaxdeck-fleet/src/model/planners.rs
@@ -1,4 +1,4 @@
-//! Planners: what the register tells them, the reports that reach them and the guidance that they send.
+//! Planners: the coordinator's events that reach them, the reports that reach them and the guidance that they send.
 
 use flaxdeck::words::{Span, Standing, ZoneId};
 use flaxdeck_guidance::Pledges;
@@ -6,7 +6,7 @@
 use flaxdeck_guidance::messages::{Guidance, Relayed, Report};
 use flaxdeck_recovery::Mark;
 
-use super::coordinator::Said;
+use super::coordinator::CoordinatorEvent;
 use super::events::Event;
 use super::{Model, time};
 
@@ -20,19 +20,19 @@
     Pledges::of(Span::of_ms(window_ms), Span::from_ms(1_200), 10)
 }
 
-/// The register of the model never loses its numbering: a number is its event.
+/// The coordinator of the model never loses its numbering: a number is its event.
 fn mark(number: u64) -> Mark {
     Mark { number, hash: number }
 }
 
 impl Model<'_> {
-    /// The register's word of that number reaches a planner.
-    pub(super) fn planner_told(&mut self, planner: usize, number: u64) {
+    /// The coordinator's event of that number reaches a planner.
+    pub(super) fn planner_hears(&mut self, planner: usize, number: u64) {
         let now = time(self.now);
-        if let Said::Line(line) = &self.said[number as usize - 1] {
-            let started = line.started.map_or(0, |at| at.ms() as u64);
-            let started = (line.standing != Standing::Gone).then_some(started);
-            self.planners[planner].listed(now, &line.host.0, started);
+        if let CoordinatorEvent::Endpoint(endpoint) = &self.coordinator_events[number as usize - 1] {
+            let started = endpoint.started.map_or(0, |at| at.ms() as u64);
+            let started = (endpoint.standing != Standing::Gone).then_some(started);
+            self.planners[planner].listed(now, &endpoint.host.0, started);
         }
         let frame = number.to_be_bytes().to_vec();
         self.planners[planner].coordinator(now, Some(Relayed { mark: mark(number), frame }), true);
--- a/crates/flaxdeck-fleet/src/model/record.rs
+++ b/crates/flaxdeck-fleet/src/model/record.rs
@@ -8,7 +8,7 @@
 use super::{Model, Outcome};
 use crate::hosts::{Host, Kind};
 
-/// Milliseconds of grace that the rules allow, past the register's own lateness.
+/// Milliseconds of grace that the rules allow, past the coordinator's own lateness.
 const GRACE_MS: f64 = 1_000.0;
 const PURGE_GRACE_MS: f64 = 500.0;
 const SLACK_MS: f64 = 5.0;
@@ -39,7 +39,7 @@
     }
 
     fn verdict(&self) -> Verdict {
-        // The register's own lateness is no dispatcher's fault.
+        // The coordinator's own lateness is no dispatcher's fault.
         let terms = Terms {
             grace: GRACE_MS + self.shape.register_ms,
             purge_grace: PURGE_GRACE_MS + self.shape.register_ms,
--- a/crates/flaxdeck-fleet/src/model/troubles.rs
+++ b/crates/flaxdeck-fleet/src/model/troubles.rs
@@ -5,7 +5,7 @@
 use flaxdeck_rules::Seen;
 use rand::Rng;
 
-use super::coordinator::Said;
+use super::coordinator::CoordinatorEvent;
 use super::events::Event;
 use super::{Model, Shape};
 use crate::faults::Trouble;
@@ -26,8 +26,8 @@
     pub(super) hot: f64,
     /// How many times the usual load there is.
     pub(super) load: f64,
-    /// Milliseconds until the register's word reaches anybody.
-    pub(super) register_ms: f64,
+    /// Milliseconds until the coordinator's events reach anybody.
+    pub(super) coordinator_ms: f64,
     /// How many times the usual time the origin takes.
     pub(super) origin_times: f64,
     /// Planners answer no report.
@@ -46,7 +46,7 @@
             scanned: 0,
             hot: 0.0,
             load: 1.0,
-            register_ms: shape.register_ms,
+            coordinator_ms: shape.register_ms,
             origin_times: 1.0,
             planners_silent: false,
             planners_split: false,
@@ -72,7 +72,7 @@
             Trouble::Fail { .. } => self.set_manner(&struck, Manner::Fail),
             Trouble::Slow { times, .. } => self.set_manner(&struck, Manner::Slow(times)),
             Trouble::Deploy { at_once } => self.deploy(at_once),
-            Trouble::LateRegister { ms } => self.conditions.register_ms += ms,
+            Trouble::LateRegister { ms } => self.conditions.coordinator_ms += ms,
             Trouble::SlowOrigin { times } => self.conditions.origin_times = times,
             Trouble::OriginRefuses => self.set_manner(&[self.hosts.len() - 1], Manner::Fail),
             Trouble::PurgeAll => self.purge_all(),
@@ -100,8 +100,8 @@
                 self.set_manner(&struck, Manner::Serve);
             }
             Trouble::LateRegister { ms } => {
-                let before = self.conditions.register_ms - ms;
-                self.conditions.register_ms = before.max(self.shape.register_ms);
+                let before = self.conditions.coordinator_ms - ms;
+                self.conditions.coordinator_ms = before.max(self.shape.register_ms);
             }
             Trouble::SlowOrigin { .. } => self.conditions.origin_times = 1.0,
             Trouble::OriginRefuses => self.set_manner(&[self.hosts.len() - 1], Manner::Serve),
@@ -164,7 +164,7 @@
                 self.see(Seen::Purged { object: object.to_string() });
             }
         }
-        self.say(Said::PurgeAll(self.now));
+        self.publish(CoordinatorEvent::PurgeAll(self.now));
         self.after(SETTLES_MS, Event::PurgeSettles { made: self.now });
     }
 }
--- a/crates/flaxdeck-fleet/src/shape.rs
+++ b/crates/flaxdeck-fleet/src/shape.rs
@@ -38,7 +38,7 @@
     pub window_ms: f64,
     /// A cold host falls over when it is asked for more than so many times its capacity within the window.
     pub factor: f64,
-    /// Milliseconds until the register's word reaches anybody.
+    /// Milliseconds until the coordinator's events reach anybody.
     pub register_ms: f64,
     /// The law of the traffic.
     pub law: Law,
