--- a/crates/flaxdeck-fleet/src/hosts.rs
+++ b/crates/flaxdeck-fleet/src/hosts.rs
@@ -5,9 +5,13 @@
 /// How a host answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Manner {
+    /// As it should.
     Serve,
+    /// Not at all.
     Silent,
+    /// That it failed.
     Fail,
+    /// After so many times the usual time.
     Slow(f64),
 }
 
@@ -23,10 +27,17 @@
 }
 
 impl Copies {
+    /// No copies yet, room for so many KB.
     pub fn new(most_kb: f64) -> Copies {
         Copies { most_kb, ..Copies::default() }
     }
 
+    /// KB of all copies.
+    pub fn kb(&self) -> f64 {
+        self.kb
+    }
+
+    /// Drops all copies.
     pub fn clear(&mut self) {
         *self = Copies::new(self.most_kb);
     }
@@ -51,6 +62,7 @@
         }
     }
 
+    /// Keeps a copy in place of an earlier one; one of rank 0 or too large for all the room is not kept.
     pub fn keep(&mut self, object: u64, rank: u8, made: f64, kb: f64) {
         if let Some((rank, used, _, kb)) = self.held.remove(&object) {
             self.order.remove(&(rank, used));
@@ -70,17 +82,21 @@
     }
 }
 
+/// What a host is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
+    /// Of the first tier, near forwarders.
     Cache,
+    /// Of the second tier, asked by caches.
     Parent,
+    /// Where all objects come from.
     Origin,
 }
 
 /// What a host does for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Job {
-    /// Answers a hand-off.
+    /// Answers an attempt.
     Answer(u64),
     /// Fills the cache that answers it.
     Fill(u64),
@@ -88,27 +104,50 @@
     Behind(u64),
 }
 
+impl Job {
+    /// The attempt that it is for.
+    pub fn attempt(self) -> u64 {
+        let (Job::Answer(attempt) | Job::Fill(attempt) | Job::Behind(attempt)) = self;
+        attempt
+    }
+}
+
+/// One host, in service or dead.
 pub struct Host {
+    /// Its name in the list.
     pub id: String,
+    /// What it is.
     pub kind: Kind,
+    /// The location of a cache.
     pub zone: usize,
+    /// Jobs that it works on at once when it is warm.
     pub places: f64,
+    /// Whether it lives.
     pub up: bool,
+    /// Counts its deaths: what was planned before one no longer counts.
     pub run: u32,
+    /// How it answers.
     pub manner: Manner,
-    /// Milliseconds; none for long past.
+    /// When it started, in milliseconds; none for long past.
     pub started: Option<f64>,
+    /// What it holds.
     pub copies: Copies,
+    /// Places that are taken.
     pub busy: usize,
+    /// Jobs that wait for a place.
     pub waiting: VecDeque<Job>,
+    /// Jobs that have a place.
     pub served: Vec<Job>,
+    /// Work of the last window, with when it was booked.
     spent: VecDeque<(f64, f64)>,
+    /// The sum of that work.
     sum: f64,
-    /// Pulls in hand as last reported.
+    /// Requests in hand as last reported.
     pub told: f64,
 }
 
 impl Host {
+    /// A warm host without copies.
     pub fn new(id: String, kind: Kind, zone: usize, places: f64, most_kb: f64) -> Host {
         Host {
             id,
@@ -155,27 +194,3 @@
         self.waiting.drain(..).chain(self.served.drain(..)).collect()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_scan_pushes_out_only_what_is_of_the_lowest_rank() {
-        let mut copies = Copies::new(100.0);
-        (0..5).for_each(|object| copies.keep(object, 2, 0.0, 10.0));
-        (100..200).for_each(|object| copies.keep(object, 1, 0.0, 10.0));
-        assert!((0..5).all(|object| copies.look(object, 0.0).is_some()));
-        assert_eq!((100..200).filter(|object| copies.look(*object, 0.0).is_some()).count(), 5);
-    }
-
-    #[test]
-    fn a_copy_older_than_asked_is_none_and_a_new_one_takes_its_place() {
-        let mut copies = Copies::new(100.0);
-        copies.keep(1, 1, 5.0, 10.0);
-        assert_eq!((copies.look(1, 6.0), copies.look(1, 5.0)), (None, Some(5.0)));
-        copies.keep(1, 1, 9.0, 10.0);
-        assert_eq!(copies.look(1, 6.0), Some(9.0));
-        assert_eq!(copies.kb, 10.0);
-    }
-}
--- a/crates/flaxdeck-fleet/src/queue.rs
+++ b/crates/flaxdeck-fleet/src/queue.rs
@@ -104,10 +104,12 @@
         }
     }
 
+    /// Events that are left.
     pub fn len(&self) -> usize {
         self.current.len() + self.near + self.far.len()
     }
 
+    /// Whether none is left.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -126,43 +128,14 @@
 }
 
 impl<T> Plain<T> {
+    /// An event at that time.
     pub fn put(&mut self, time: u64, event: T) {
         self.heap.push(Reverse((time, self.next, Held(event))));
         self.next += 1;
     }
+
+    /// The next event with its time.
     pub fn take(&mut self) -> Option<(u64, T)> {
         self.heap.pop().map(|Reverse((time, _, Held(event)))| (time, event))
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        #[test]
-        fn the_wheel_gives_what_a_heap_gives_in_the_same_order(
-            steps in prop::collection::vec((any::<bool>(), 0u64..6_000_000), 1..400),
-        ) {
-            let (mut wheel, mut heap) = (Queue::default(), Plain::default());
-            let mut now = 0;
-            for (n, (put, ahead)) in steps.into_iter().enumerate() {
-                if put {
-                    // Some near, some far past the wheel's reach, some at one time.
-                    let time = now + if ahead % 3 == 0 { ahead } else { ahead % 5_000 };
-                    wheel.put(time, n);
-                    heap.put(time, n);
-                } else {
-                    let (ours, plain) = (wheel.take(), heap.take());
-                    prop_assert_eq!(ours, plain);
-                    now = ours.map_or(now, |(time, _)| time);
-                }
-            }
-            while let Some(plain) = heap.take() {
-                prop_assert_eq!(wheel.take(), Some(plain));
-            }
-            prop_assert!(wheel.take().is_none() && wheel.is_empty());
-        }
-    }
-}
--- a/crates/flaxdeck-lab/src/service.rs
+++ b/crates/flaxdeck-lab/src/service.rs
@@ -4,12 +4,15 @@
 /// One slice of time, of wants by when they were first asked for.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Slice {
+    /// Wants that were first asked for within the slice.
     pub wants: u64,
     /// Finished within the promised time of their first try.
     pub in_time: u64,
+    /// Requests that were turned away with an answer.
     pub bounced: u64,
-    /// Answers of caches, and those from what they held.
+    /// Answers of caches.
     pub answers: u64,
+    /// Answers from what caches held.
     pub hits: u64,
     /// Connections that hosts closed as too many.
     pub turned_away: u64,
@@ -55,10 +58,13 @@
 pub struct Lost {
     /// Before the kill: in hand when it came.
     pub in_hand: f64,
+    /// Between the kill and the moment from which all processes ran again.
     pub while_down: f64,
+    /// From that moment on.
     pub after: f64,
 }
 
+/// Wants lost beyond the twin's, for processes killed at one moment that all ran again at another.
 pub fn lost(played: &[Slice], twin: &[Slice], killed: f64, up: f64) -> Lost {
     let mut lost = Lost::default();
     for (at, (played, twin)) in played.iter().zip(twin).enumerate() {
@@ -84,51 +90,3 @@
     let told = |at: usize| sorted.get(at).copied().filter(|figure| figure.is_finite());
     [told(sorted.len() / 2), told(sorted.len().saturating_sub(1))]
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn slices(in_time: &[u64]) -> Vec<Slice> {
-        let slice = |in_time| Slice { wants: 1000, in_time, answers: 1000, hits: 900, ..Slice::default() };
-        in_time.iter().map(|in_time| slice(*in_time)).collect()
-    }
-
-    #[test]
-    fn service_is_full_once_it_stays_like_the_twins_and_not_at_a_lucky_slice() {
-        let twin = slices(&[999; 20]);
-        let mut played = vec![999; 20];
-        played[4] = 500;
-        played[5] = 990;
-        played[7] = 980;
-        assert_eq!(full_service(&slices(&played), &twin, 2_000.0), Some(2_000.0));
-        assert_eq!(full_service(&twin, &twin, 2_000.0), Some(0.0));
-        played[15] = 900;
-        assert_eq!(full_service(&slices(&played), &twin, 2_000.0), None, "too short a time to tell");
-        // A dip that the twin has as well is not ours.
-        let mut low = vec![999; 20];
-        (low[5], low[6]) = (700, 800);
-        assert_eq!(full_service(&slices(&low), &slices(&low), 2_000.0), Some(0.0));
-    }
-
-    #[test]
-    fn fewer_hits_or_connections_turned_away_are_not_full_service() {
-        let twin = slices(&[999; 12]);
-        for spoil in [|slice: &mut Slice| slice.hits = 860, |slice: &mut Slice| slice.turned_away = 1] {
-            let mut played = twin.clone();
-            spoil(&mut played[0]);
-            assert_eq!(full_service(&played, &twin, 0.0), Some(SLICE));
-        }
-    }
-
-    #[test]
-    fn losses_are_told_by_when_they_were_asked_for() {
-        let (twin, mut played) = (slices(&[1000; 8]), slices(&[1000; 8]));
-        for (at, in_time) in [(1, 990), (2, 900), (3, 950), (4, 999)] {
-            played[at].in_time = in_time;
-        }
-        let lost = lost(&played, &twin, 1_000.0, 2_000.0);
-        assert_eq!(lost, Lost { in_hand: 10.0, while_down: 150.0, after: 1.0 });
-        assert_eq!(median_and_worst(&[Some(1.0), None, Some(3.0)]), [Some(3.0), None]);
-    }
-}
