--- a/crates/flaxdeck-cli/tests/coming_back.rs
+++ b/crates/flaxdeck-cli/tests/coming_back.rs
@@ -142,7 +142,8 @@
     for planners in [0, 2] {
         // Without planners nobody vouches between two words of the coordinator, a second apart.
         let blind = if planners > 0 { "(blind (after-ms 900))" } else { "" };
-        let mut fleet = fleet(Setup { first_file: true, blind, ..setup(planners, 3) }, Layout::default());
+        let mut fleet =
+            fleet(Setup { first_file: true, plan_words: blind, ..setup(planners, 3) }, Layout::default());
         let caches = fleet.world.hosts(Kind::Cache);
         let (clients, begins) = clients(&fleet, 50.0, 5_000.0);
         // The most asked for, purged when every cache holds it.
@@ -404,7 +405,7 @@
     // of the coordinator, a second apart.
     let layout = Layout { cold_from: 0.01, warm_within_ms: 600_000.0, ..Layout::default() };
     let blind = if planners > 0 { "(blind (after-ms 900))" } else { "" };
-    let mut fleet = fleet(Setup { blind, ..setup(planners, 3) }, layout);
+    let mut fleet = fleet(Setup { plan_words: blind, ..setup(planners, 3) }, layout);
     let caches = fleet.world.hosts(Kind::Cache);
     let (clients, begins) = clients(&fleet, 450.0, 9_500.0);
     let mut script = vec![(begins + 200.0, Fault::ClocksApart(ms))];
--- a/crates/flaxdeck-wire/tests/whole_list.rs
+++ b/crates/flaxdeck-wire/tests/whole_list.rs
@@ -1,16 +1,10 @@
 //! A whole list that is written for others reads back as it was.
 
+mod names;
+
 use flaxdeck::words::*;
-use flaxdeck_terms::Names;
-use flaxdeck_terms::fields::Fields;
 use flaxdeck_wire::frames::{Event, Station, read, whole_list};
-
-fn names() -> Names {
-    let config = include_str!("../../../examples/toy/config.json");
-    let value: serde_json::Value = serde_json::from_str(config).unwrap();
-    let settings = Fields::of(&value, "the whole").unwrap().inner("settings").unwrap();
-    flaxdeck_terms::read(&settings).unwrap().1
-}
+use names::names;
 
 fn station(n: u32, role: Role, standing: Standing, zone: Option<ZoneId>) -> Station {
     let started = (n > 0).then(|| Time::at_ms(1_764_576_000_123.0));
