--- a/crates/flaxdeck-cli/src/scale.rs
+++ b/crates/flaxdeck-cli/src/scale.rs
@@ -111,7 +111,7 @@
     Ok(())
 }
 
-const HEAD: &str = "hollow  hosts  purges/s  planners  fault                bytes/s  messages/s  headers/s  cores  planner  coordinator  delay ms: median      99th     worst  expected      lost  replaced  doubled  disordered";
+const HEAD: &str = "hollow  hosts  purges/s  planners  fault                bytes/s  messages/s  headers/s  cores  planner  coordinator  delay ms: median      99th     worst  expected      lost  replaced  doubled  disordered  machine idle";
 
 /// A run in a line: bytes, messages and cores of one hollow forwarder, cores of a planner and the coordinator.
 fn line(asked: &run::Asked, rows: &Rows) -> String {
@@ -122,7 +122,7 @@
     let cores = |role: Role| rows.sum(role, Metric::Cores).unwrap_or(f64::NAN);
     let fault = asked.fault.map_or("none", |fault| fault.kind.word());
     format!(
-        "{:>6}  {:>5}  {:>8}  {:>8}  {fault:<19}  {:>7.0}  {:>10.1}  {:>9.0}  {:.4}  {:>7.3}  {:>11.3}  {:>16.1}  {:>8.1}  {:>8.1}  {:>8}  {:>8}  {:>8}  {:>7}  {:>10}",
+        "{:>6}  {:>5}  {:>8}  {:>8}  {fault:<19}  {:>7.0}  {:>10.1}  {:>9.0}  {:.4}  {:>7.3}  {:>11.3}  {:>16.1}  {:>8.1}  {:>8.1}  {:>8}  {:>8}  {:>8}  {:>7}  {:>10}  {:>12.2}",
         asked.point.hollow,
         asked.point.hosts,
         asked.point.purges_per_s,
@@ -141,6 +141,7 @@
         one(Metric::EventsReplaced),
         one(Metric::EventsDoubled),
         one(Metric::EventsOutOfOrder),
+        rows.sum(Role::Coordinator, Metric::MachineIdleShare).unwrap_or(f64::NAN),
     )
 }
 
--- a/crates/flaxdeck-scale/src/measurement.rs
+++ b/crates/flaxdeck-scale/src/measurement.rs
@@ -52,6 +52,9 @@
     EventsReplaced,
     EventsDoubled,
     EventsOutOfOrder,
+    /// The share of the whole machine's processor time that nobody used over the window, once a run, with the
+    /// coordinator's rows. Where it is near 0 processes waited for each other, and no figure of cost or delay counts.
+    MachineIdleShare,
     /// Requests at the real forwarders: share answered in time, its 99th percentile, rule breaks.
     ServedShare,
     ServiceP99Ms,
--- a/crates/flaxdeck-scale/src/run.rs
+++ b/crates/flaxdeck-scale/src/run.rs
@@ -87,6 +87,10 @@
     for role in [Role::Coordinator, Role::Planner, Role::RealForwarder, Role::HollowForwarder] {
         rows.add_role(role, &measured.looks);
     }
+    measured
+        .idle
+        .into_iter()
+        .for_each(|idle| rows.add(Role::Coordinator, Metric::MachineIdleShare, "", idle));
     rows.add_outcome(Role::HollowForwarder, &outcome);
     served.iter().for_each(|served| add_service(&mut rows, served));
     Ok(Played { rows, both_sides, processes })
@@ -125,6 +129,8 @@
     from_us: u64,
     until_us: u64,
     looks: Vec<Looks>,
+    /// The share of the machine that nobody used.
+    idle: Option<f64>,
 }
 
 /// A process of hollow forwarders, one after another if it is restarted.
@@ -335,7 +341,7 @@
         self.pass_until(Instant::now() + Duration::from_secs_f64(times.settle_s)).await?;
         progress("measuring");
         let (begun, from_us) = (Instant::now(), monotonic::now_us());
-        let first = self.look();
+        let (first, machine) = (self.look(), usage::machine());
         if let Some(fault) = self.asked.fault {
             self.pass_until(begun + Duration::from_secs_f64(fault.at_s)).await?;
             self.cause(fault, begun + Duration::from_secs_f64(fault.at_s + fault.lasts_s)).await?;
@@ -343,7 +349,7 @@
         self.pass_until(begun + Duration::from_secs_f64(times.window_s)).await?;
         self.next_purge = None;
         let (seconds, until_us) = (begun.elapsed().as_secs_f64(), monotonic::now_us());
-        let second = self.look();
+        let (second, idle) = (self.look(), machine.zip(usage::machine()).map(idle_share));
         self.coordinator.order(&CoordinatorOrder::Stop).await?;
         let CoordinatorWord::Stopped { .. } = self.coordinator.word().await? else {
             return Err("the coordinator said something else than that it has stopped".into());
@@ -362,7 +368,7 @@
             let (usage, counters) = ([before.3, usage], [before.4.clone(), counters]);
             looks.push(Looks { role, instances, seconds, usage, counters });
         }
-        Ok(Measured { from_us, until_us, looks })
+        Ok(Measured { from_us, until_us, looks, idle })
     }
 
     /// Lets time pass, with purges of what clients ask for when they are due.
@@ -497,6 +503,12 @@
     }
 }
 
+/// The part of all processor time between two looks that nobody used.
+fn idle_share((before, after): ([u64; 2], [u64; 2])) -> f64 {
+    let [all, idle] = [0, 1].map(|at| after[at].saturating_sub(before[at]) as f64);
+    idle / all.max(1.0)
+}
+
 /// How many of a whole fall to one of so many parts.
 fn share(whole: u32, parts: u32, at: u32) -> u32 {
     whole / parts + u32::from(at < whole % parts)
--- a/crates/flaxdeck-scale/src/usage.rs
+++ b/crates/flaxdeck-scale/src/usage.rs
@@ -29,6 +29,15 @@
     Some(Usage { cpu_s: ticks / TICKS_PER_S, resident_bytes: resident_kb * 1024, descriptors })
 }
 
+/// Processor time of the whole machine since its start, in ticks: all, and what nobody used.
+pub fn machine() -> Option<[u64; 2]> {
+    let stat = fs::read_to_string("/proc/stat").ok()?;
+    let fields = stat.lines().next()?.strip_prefix("cpu ")?.split_whitespace();
+    let ticks: Vec<u64> = fields.map_while(|field| field.parse().ok()).collect();
+    // Idle, and waiting for disks, stand fourth and fifth; guests, who come last, are counted in the first two.
+    Some([ticks.iter().take(8).sum(), ticks.get(3)? + ticks.get(4)?])
+}
+
 /// One line of a file of counters.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counters {
