--- a/crates/flaxdeck-scale/src/lib.rs
+++ b/crates/flaxdeck-scale/src/lib.rs
@@ -15,4 +15,5 @@
 pub mod run;
 pub mod scenario;
 pub mod service;
+mod stage;
 pub mod usage;
