--- a/crates/flaxdeck-guidance/src/planner.rs
+++ b/crates/flaxdeck-guidance/src/planner.rs
@@ -14,13 +14,15 @@
 use crate::{Parts, Pledges};
 
 /// A forwarder that says nothing for so long is forgotten; what it lent runs off by itself.
-const FORGOTTEN: Span = Span::from_ms(10_000);
-/// The most forwarders, lives and events that are kept, whatever comes.
-const MEMBERS_MOST: usize = 4_096;
-const POOLS_MOST: usize = 16_384;
-const LOG_MOST: usize = 4_096;
+pub const FORGOTTEN: Span = Span::from_ms(10_000);
+/// The most forwarders that are kept, whatever comes.
+pub const MEMBERS_MOST: usize = 4_096;
+/// The most lives of cold hosts that are kept, whatever comes.
+pub const POOLS_MOST: usize = 16_384;
+/// The most events that are kept to be passed on, whatever comes.
+pub const LOG_MOST: usize = 4_096;
 /// Bytes of events in one guidance: some lists of changes, or one whole list of 5,000 hosts.
-const EVENT_BYTES_MOST: usize = 192 * 1024;
+pub const EVENT_BYTES_MOST: usize = 192 * 1024;
 /// A rating is told again after so long, if there was any sample since.
 const REFRESH: Span = Span::from_ms(2_000);
 /// Between looks for what can be forgotten.
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -27,7 +27,7 @@
 /// After an accept that failed.
 const PAUSE: Duration = Duration::from_millis(5);
 /// Forwarders that may be connected at once, each with at most a frame and some messages in memory.
-const CONNECTIONS_MOST: usize = 4_096;
+pub const CONNECTIONS_MOST: usize = 4_096;
 
 /// What a planner is told at start.
 pub struct Start {
--- a/crates/flaxdeck-recovery/src/belief.rs
+++ b/crates/flaxdeck-recovery/src/belief.rs
@@ -87,7 +87,7 @@
 }
 
 /// Purges kept at most; older ones hosts have long dropped by themselves.
-const PURGES_MOST: usize = 1_024;
+pub const PURGES_MOST: usize = 1_024;
 
 /// Bytes that are no state of this version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- /dev/null
+++ b/crates/flaxdeck-scale/src/fit.rs
@@ -0,0 +1,157 @@
+//! Lines fitted to the measurements of runs of several sizes. Each (distribution, fault, planners, role, metric, kind) is
+//! fitted by itself over the drivers that the metric goes with by its nature.
+
+pub mod least_squares;
+pub mod line;
+pub mod nature;
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::measurement::Measurement;
+use least_squares::{Solution, least_squares};
+use line::{Evidence, FittedTerm, Line, Series};
+use nature::{Nature, Size, Term, nature};
+
+/// Sizes of a driver from which on it has a slope: two would fit any line exactly.
+pub const SIZES_LEAST: u32 = 3;
+/// The fault of runs without one: only these have slopes.
+pub const NO_FAULT: &str = "none";
+
+/// The lines of all series of the measurements, in their order.
+pub fn fit(measurements: &[Measurement]) -> Vec<Line> {
+    let mut groups: BTreeMap<Series, Vec<&Measurement>> = BTreeMap::new();
+    for row in measurements.iter().filter(|row| row.value.is_finite()) {
+        groups.entry(series_of(row)).or_default().push(row);
+    }
+    groups.into_iter().map(|(series, rows)| fit_series(series, &rows)).collect()
+}
+
+fn series_of(row: &Measurement) -> Series {
+    Series {
+        distribution: row.distribution,
+        fault: row.fault.clone(),
+        planners: row.planners,
+        role: row.role,
+        metric: row.metric,
+        kind: row.kind.clone(),
+    }
+}
+
+fn fit_series(series: Series, rows: &[&Measurement]) -> Line {
+    let terms = match nature(series.role, series.metric) {
+        Nature::Line(terms) if series.fault == NO_FAULT => terms,
+        _ => return measured(series, rows, Vec::new()),
+    };
+    let points: Vec<Point> = rows.iter().map(|row| Point { size: Size::of(row), value: row.value }).collect();
+    let ranges: Vec<FittedTerm> = terms.iter().map(|term| range(*term, &points)).collect();
+    match fit_terms(terms, &ranges, &points) {
+        Some((fitted, solution)) => slope(series, rows, &ranges, &fitted, &solution),
+        None => measured(series, rows, ranges),
+    }
+}
+
+struct Point {
+    size: Size,
+    value: f64,
+}
+
+/// How far a term's driver was varied.
+fn range(term: Term, points: &[Point]) -> FittedTerm {
+    let drivers: Vec<f64> = points.iter().map(|point| term.driver(&point.size)).collect();
+    let sizes: BTreeSet<u64> = drivers.iter().map(|driver| driver.to_bits()).collect();
+    FittedTerm {
+        term,
+        coefficient: None,
+        least: drivers.iter().copied().fold(f64::INFINITY, f64::min),
+        most: drivers.iter().copied().fold(f64::NEG_INFINITY, f64::max),
+        sizes: sizes.len() as u32,
+    }
+}
+
+/// Fits a constant and as many of the terms as the points bear. None if the main one, which comes first, has too few sizes,
+/// or less of an effect than the noise.
+fn fit_terms(terms: &[Term], ranges: &[FittedTerm], points: &[Point]) -> Option<(Vec<Term>, Solution)> {
+    let varied = |term: &Term| ranges.iter().any(|range| range.term == *term && range.sizes >= SIZES_LEAST);
+    let main = *terms.first().filter(|term| varied(term))?;
+    let mut fitted = vec![Term::Constant];
+    fitted.extend(terms.iter().copied().filter(varied));
+    while fitted.contains(&main) {
+        match solve(&fitted, points) {
+            Some(solution) => match most_negative(&solution) {
+                // More of a driver costs no less: a slope below zero is noise, and would flatter what is drawn out.
+                Some(at) => drop(fitted.remove(at)),
+                None => return Some((fitted, solution)),
+            },
+            // The last one can't be told from those before it.
+            None => drop(fitted.pop()),
+        }
+    }
+    None
+}
+
+fn solve(terms: &[Term], points: &[Point]) -> Option<Solution> {
+    if points.len() <= terms.len() {
+        return None;
+    }
+    let row = |point: &Point| terms.iter().map(|term| term.driver(&point.size)).collect();
+    let rows: Vec<Vec<f64>> = points.iter().map(row).collect();
+    let values: Vec<f64> = points.iter().map(|point| point.value).collect();
+    least_squares(&rows, &values)
+}
+
+/// The place of the most negative coefficient beside the constant's.
+fn most_negative(solution: &Solution) -> Option<usize> {
+    let negative = solution.coefficients.iter().enumerate().skip(1).filter(|(_, value)| **value < 0.0);
+    negative.min_by(|one, other| one.1.total_cmp(other.1)).map(|(at, _)| at)
+}
+
+fn slope(
+    series: Series,
+    rows: &[&Measurement],
+    ranges: &[FittedTerm],
+    fitted: &[Term],
+    solution: &Solution,
+) -> Line {
+    let coefficient = |term: Term| {
+        let at = fitted.iter().position(|other| *other == term)?;
+        solution.coefficients.get(at).copied()
+    };
+    let constant = FittedTerm {
+        term: Term::Constant,
+        coefficient: coefficient(Term::Constant),
+        least: 1.0,
+        most: 1.0,
+        sizes: 1,
+    };
+    let with_coefficient = |range: &FittedTerm| FittedTerm { coefficient: coefficient(range.term), ..*range };
+    let mut terms = vec![constant];
+    terms.extend(ranges.iter().map(with_coefficient));
+    let measured = measured(series, rows, Vec::new());
+    Line { evidence: Evidence::Slope, terms, residual: solution.residual, ..measured }
+}
+
+/// What was measured at the largest size, without a slope.
+fn measured(series: Series, rows: &[&Measurement], terms: Vec<FittedTerm>) -> Line {
+    let sizes = rows.iter().map(|row| Size::of(row));
+    let at = sizes.max_by(Size::order).unwrap_or_default();
+    let there: Vec<f64> = rows.iter().filter(|row| Size::of(row) == at).map(|row| row.value).collect();
+    let mean = there.iter().sum::<f64>() / there.len().max(1) as f64;
+    let value = match nature(series.role, series.metric) {
+        Nature::Line(_) | Nature::Mean => mean,
+        Nature::Most => there.iter().copied().fold(f64::NEG_INFINITY, f64::max),
+        Nature::Least => there.iter().copied().fold(f64::INFINITY, f64::min),
+    };
+    let squares: f64 = there.iter().map(|one| (one - mean).powi(2)).sum();
+    let runs: BTreeSet<String> = rows.iter().map(|row| row.run.clone()).collect();
+    Line {
+        series,
+        evidence: Evidence::Measured,
+        terms,
+        points: rows.len() as u32,
+        residual: (squares / there.len().max(1) as f64).sqrt(),
+        largest: rows.iter().map(|row| row.value).fold(f64::NEG_INFINITY, f64::max),
+        at,
+        value,
+        runs: runs.into_iter().collect(),
+    }
+}
--- a/crates/flaxdeck-scale/src/measurement.rs
+++ b/crates/flaxdeck-scale/src/measurement.rs
@@ -20,6 +20,8 @@
     Planner,
     RealForwarder,
     HollowForwarder,
+    /// A forwarder's decision engine by itself, measured apart from the runs (`examples/decisions.rs`).
+    Dispatcher,
 }
 
 /// What is measured, with its unit.
@@ -54,6 +56,27 @@
     ServedShare,
     ServiceP99Ms,
     RulesBroken,
+    /// Processor time of all decisions about one request, in microseconds; `kind` tells what stands beside.
+    DecisionMicros,
+}
+
+impl Metric {
+    /// The unit that its values are counted in.
+    pub fn unit(self) -> &'static str {
+        match self {
+            Metric::BytesInPerS | Metric::BytesOutPerS | Metric::HeaderBytesPerS => "bytes/s",
+            Metric::MessagesInPerS | Metric::MessagesOutPerS => "messages/s",
+            Metric::Cores => "cores",
+            Metric::MicrosPerMessage | Metric::DecisionMicros => "us",
+            Metric::ResidentBytes => "bytes",
+            Metric::Descriptors => "descriptors",
+            Metric::DelayMedianMs | Metric::DelayP99Ms | Metric::DelayWorstMs | Metric::ServiceP99Ms => "ms",
+            Metric::EventsExpected | Metric::EventsLost => "events",
+            Metric::EventsDoubled | Metric::EventsOutOfOrder => "events",
+            Metric::ServedShare => "share",
+            Metric::RulesBroken => "breaks",
+        }
+    }
 }
 
 /// A row.
