--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -1,5 +1,6 @@
 //! The program `flaxdeck`: one binary for people, over the libraries.
 
+mod capacity;
 mod compare;
 mod demo;
 mod files;
@@ -139,6 +140,8 @@
         #[arg(long)]
         json: bool,
     },
+    /// Compute what the control plane takes at the size of a target, from slopes of scale runs; print it as Markdown
+    Capacity(capacity::Asked),
     /// Tell what a forwarder's state folder holds, how old it is, and what of it would be believed now and why
     ///
     /// Changes nothing. Exit code 0 if it can be read whole, 1 if it is damaged or empty.
@@ -204,6 +207,7 @@
             let asked = compare::Asked { a, b, limits, judged, json };
             compare::compare(&asked)
         }
+        Command::Capacity(asked) => capacity::run(&asked),
         Command::State { folder, json } => state::show(&folder, json),
         Command::Check { file, explain, json, window_ms } => check(&file, explain, json, window_ms),
     };
--- a/crates/flaxdeck-net/src/listener.rs
+++ b/crates/flaxdeck-net/src/listener.rs
@@ -7,7 +7,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Connections that the kernel may hold before they are accepted: a burst while the one core is busy.
-const BACKLOG: i32 = 512;
+pub const BACKLOG: i32 = 512;
 
 pub struct Listener(TcpListener);
 
--- a/crates/flaxdeck-recovery/src/pace.rs
+++ b/crates/flaxdeck-recovery/src/pace.rs
@@ -13,7 +13,7 @@
 const CALM: f64 = 10.0;
 /// And the first call waits for a draw from this range, so that those who pass on what they hear are answered first:
 /// the least is a connection, a report and an answer, the rest a spread that leaves all of it within half a second.
-const FIRST: [Span; 2] = [Span::from_ms(150), Span::from_ms(450)];
+pub const FIRST: [Span; 2] = [Span::from_ms(150), Span::from_ms(450)];
 
 /// One called party's pauses.
 pub struct Pace {
--- /dev/null
+++ b/crates/flaxdeck-scale/src/capacity/estimate.rs
@@ -0,0 +1,179 @@
+//! What the fitted lines say of a size: a value, and how it is known.
+
+use std::fmt;
+
+use super::figures::{count, figure};
+use crate::fit::NO_FAULT;
+use crate::fit::line::{Evidence, Line};
+use crate::fit::nature::{Size, Term};
+use crate::measurement::{Distribution, Metric, Role};
+
+/// How a value is known.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Known {
+    /// Measured at that size, not drawn out.
+    Measured {
+        at: Size,
+    },
+    /// Measured apart from any size of the fleet.
+    MeasuredApart,
+    /// Read off a line that is drawn out by that factor.
+    Slope {
+        factor: f64,
+        /// Drivers that were held elsewhere than at the size, with their value.
+        held: Vec<(Term, f64)>,
+        /// A part of it was only measured, at that size.
+        partly_at: Option<Size>,
+    },
+    NotShown,
+}
+
+fn size_text(size: &Size) -> String {
+    let (forwarders, hosts, purges) = (count(size.forwarders), count(size.hosts), figure(size.purges));
+    format!("{forwarders} forwarders, {hosts} hosts, {purges} purges/s")
+}
+
+impl fmt::Display for Known {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Known::Measured { at } => write!(out, "measured at {}", size_text(at)),
+            Known::MeasuredApart => write!(out, "measured"),
+            Known::Slope { factor, held, partly_at } => {
+                write!(out, "slope x {}", figure(*factor))?;
+                for (term, at) in held {
+                    write!(out, ", {} held at {}", term.name(), figure(*at))?;
+                }
+                match partly_at {
+                    Some(at) => write!(out, ", a part measured at {}", size_text(at)),
+                    None => Ok(()),
+                }
+            }
+            Known::NotShown => write!(out, "not shown"),
+        }
+    }
+}
+
+/// A value at a size.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Estimate {
+    pub value: Option<f64>,
+    pub known: Known,
+}
+
+impl Estimate {
+    pub const NOT_SHOWN: Estimate = Estimate { value: None, known: Known::NotShown };
+
+    /// The same, counted otherwise.
+    pub fn map(self, change: impl FnOnce(f64) -> f64) -> Estimate {
+        Estimate { value: self.value.map(change), ..self }
+    }
+}
+
+/// What one line says of a size.
+pub fn estimate(line: &Line, size: &Size) -> Estimate {
+    match line.evidence {
+        Evidence::Measured => Estimate { value: Some(line.value), known: Known::Measured { at: line.at } },
+        Evidence::Slope => {
+            let held = line.held(size).iter().map(|term| (term.term, term.most)).collect();
+            let known = Known::Slope { factor: line.factor(size), held, partly_at: None };
+            Estimate { value: Some(line.predict(size)), known }
+        }
+    }
+}
+
+/// The sum of what several lines say of a size, known as well as the least known of them.
+pub fn total<'a>(lines: impl IntoIterator<Item = &'a Line>, size: &Size) -> Estimate {
+    let estimates = lines.into_iter().map(|line| estimate(line, size));
+    estimates.reduce(plus).unwrap_or(Estimate::NOT_SHOWN)
+}
+
+/// Two estimates together.
+pub fn plus(one: Estimate, other: Estimate) -> Estimate {
+    let value = one.value.zip(other.value).map(|(one, other)| one + other);
+    Estimate { value, known: least_known(one.known, other.known) }
+}
+
+fn least_known(one: Known, other: Known) -> Known {
+    match (one, other) {
+        (Known::NotShown, _) | (_, Known::NotShown) => Known::NotShown,
+        (Known::MeasuredApart, other) | (other, Known::MeasuredApart) => other,
+        (Known::Measured { at: one }, Known::Measured { at: other }) => {
+            Known::Measured { at: smaller(one, other) }
+        }
+        (Known::Slope { factor, held, partly_at }, Known::Measured { at })
+        | (Known::Measured { at }, Known::Slope { factor, held, partly_at }) => {
+            let at = partly_at.map_or(at, |partly| smaller(partly, at));
+            Known::Slope { factor, held, partly_at: Some(at) }
+        }
+        (
+            Known::Slope { factor, mut held, partly_at },
+            Known::Slope { factor: other, held: more, partly_at: also },
+        ) => {
+            let new: Vec<(Term, f64)> = more.into_iter().filter(|term| !held.contains(term)).collect();
+            held.extend(new);
+            let partly_at = [partly_at, also].into_iter().flatten().reduce(smaller);
+            Known::Slope { factor: factor.max(other), held, partly_at }
+        }
+    }
+}
+
+fn smaller(one: Size, other: Size) -> Size {
+    if one.order(&other).is_le() { one } else { other }
+}
+
+/// The fitted lines, by what they tell.
+#[derive(Clone, Copy)]
+pub struct Lines<'a> {
+    lines: &'a [Line],
+    planners: u32,
+}
+
+/// A kind that stands for all kinds together, where a run tells that, too.
+const ALL_KINDS: &[&str] = &["", "all", "total"];
+
+impl<'a> Lines<'a> {
+    /// Prefers runs with so many planners, where there are such.
+    pub fn new(lines: &'a [Line], planners: u32) -> Lines<'a> {
+        Lines { lines, planners }
+    }
+
+    /// The lines of a metric without faults, one for each kind of message. A line of all kinds together is left out where
+    /// there are lines by kind.
+    pub fn by_kind(&self, distribution: Distribution, role: Role, metric: Metric) -> Vec<&'a Line> {
+        let fits = |line: &&Line| {
+            let series = &line.series;
+            (series.distribution, series.role, series.metric) == (distribution, role, metric)
+                && series.fault == NO_FAULT
+        };
+        let all: Vec<&Line> = self.lines.iter().filter(fits).collect();
+        let preferred = |line: &&Line| line.series.planners == self.planners;
+        let few = if all.iter().any(preferred) { all.into_iter().filter(preferred).collect() } else { all };
+        let (whole, kinds): (Vec<&Line>, Vec<&Line>) =
+            few.into_iter().partition(|line| ALL_KINDS.contains(&line.series.kind.as_str()));
+        if kinds.is_empty() { whole } else { kinds }
+    }
+
+    /// The only line of a metric without kinds.
+    pub fn one(&self, distribution: Distribution, role: Role, metric: Metric) -> Option<&'a Line> {
+        self.by_kind(distribution, role, metric).into_iter().next()
+    }
+
+    /// The lines of runs with a fault.
+    pub fn with_faults(&self) -> impl Iterator<Item = &'a Line> + Clone + use<'a> {
+        self.lines.iter().filter(|line| line.series.fault != NO_FAULT)
+    }
+
+    /// All kinds of some metrics together, at a size.
+    pub fn total(&self, distribution: Distribution, role: Role, metrics: &[Metric], size: &Size) -> Estimate {
+        let lines = metrics.iter().flat_map(|metric| self.by_kind(distribution, role, *metric));
+        total(lines, size)
+    }
+
+    /// Names of all runs, sorted, each once.
+    pub fn runs(&self) -> Vec<String> {
+        let mut runs: Vec<String> = self.lines.iter().flat_map(|line| line.runs.iter().cloned()).collect();
+        runs.sort();
+        runs.dedup();
+        runs
+    }
+}
--- /dev/null
+++ b/crates/flaxdeck-scale/src/capacity/faults.rs
@@ -0,0 +1,73 @@
+//! What runs with a fault came to, beside the runs without it.
+
+use std::collections::BTreeSet;
+
+use super::figures::figure;
+use crate::fit::line::Line;
+use crate::fit::nature::Size;
+use crate::measurement::{Distribution, Metric, Role};
+
+/// A run's fault under one distribution.
+#[derive(Clone, Debug, PartialEq)]
+pub struct FaultRun {
+    pub fault: String,
+    pub distribution: Distribution,
+    pub at: Size,
+    pub figures: Vec<FaultFigure>,
+}
+
+/// A figure of the forwarders, and that of the twin without the fault.
+#[derive(Clone, Debug, PartialEq)]
+pub struct FaultFigure {
+    pub name: &'static str,
+    pub value: f64,
+    pub twin: Option<f64>,
+}
+
+/// What is told of a run with a fault.
+const TOLD: [(Metric, Role, &str); 8] = [
+    (Metric::EventsLost, Role::HollowForwarder, "events lost"),
+    (Metric::EventsDoubled, Role::HollowForwarder, "doubled"),
+    (Metric::EventsOutOfOrder, Role::HollowForwarder, "out of order"),
+    (Metric::DelayMedianMs, Role::HollowForwarder, "median delay, ms"),
+    (Metric::DelayWorstMs, Role::HollowForwarder, "worst delay, ms"),
+    (Metric::ServedShare, Role::RealForwarder, "share served"),
+    (Metric::ServiceP99Ms, Role::RealForwarder, "service at the 99th percentile, ms"),
+    (Metric::RulesBroken, Role::RealForwarder, "rules broken"),
+];
+
+/// Each fault under each distribution, as it was measured at the largest size.
+pub fn fault_runs<'a>(lines: impl Iterator<Item = &'a Line> + Clone) -> Vec<FaultRun> {
+    let names: BTreeSet<(String, Distribution)> =
+        lines.clone().map(|line| (line.series.fault.clone(), line.series.distribution)).collect();
+    let run = |(fault, distribution): (String, Distribution)| {
+        let own = lines
+            .clone()
+            .filter(|line| line.series.fault == fault && line.series.distribution == distribution);
+        fault_run(fault.clone(), distribution, &own.collect::<Vec<_>>())
+    };
+    names.into_iter().map(run).collect()
+}
+
+fn fault_run(fault: String, distribution: Distribution, lines: &[&Line]) -> FaultRun {
+    let told = TOLD.iter().filter_map(|(metric, role, name)| {
+        let of_metric = |line: &&&Line| line.series.metric == *metric && line.series.role == *role;
+        let line = lines.iter().find(of_metric)?;
+        Some(FaultFigure { name, value: line.value, twin: line.twin })
+    });
+    let figures = told.collect();
+    let at = lines.iter().map(|line| line.at).max_by(Size::order).unwrap_or_default();
+    FaultRun { fault, distribution, at, figures }
+}
+
+impl FaultRun {
+    /// All figures in one line, each with its twin's.
+    pub fn told(&self) -> String {
+        let one = |told: &FaultFigure| {
+            let twin = told.twin.map_or("twin not shown".to_owned(), |twin| format!("twin {}", figure(twin)));
+            format!("{} {} ({twin})", told.name, figure(told.value))
+        };
+        let all: Vec<String> = self.figures.iter().map(one).collect();
+        all.join("; ")
+    }
+}
--- a/crates/flaxdeck-scale/src/charts.rs
+++ b/crates/flaxdeck-scale/src/charts.rs
@@ -0,0 +1,236 @@
+//! Charts of measured points with the lines fitted to them, as SVG.
+
+use std::path::{Path, PathBuf};
+
+use plotters::prelude::*;
+
+use crate::error::CapacityError;
+use crate::fit::NO_FAULT;
+use crate::fit::fit;
+use crate::fit::line::{Evidence, Line};
+use crate::fit::nature::{Size, Term};
+use crate::measurement::{Distribution, Measurement, Metric, Role};
+
+const SIZE: (u32, u32) = (760, 460);
+const FONT: &str = "sans-serif";
+const POINT: u32 = 4;
+/// Room above the largest value.
+const HEADROOM: f64 = 1.1;
+
+/// One chart: metrics of a role, all kinds together, over one driver.
+struct Chart {
+    file: &'static str,
+    title: &'static str,
+    role: Role,
+    metrics: &'static [Metric],
+    driver: Term,
+    unit: &'static str,
+}
+
+const CHARTS: [Chart; 5] = [
+    Chart {
+        file: "dispatcher-bytes.svg",
+        title: "Control of one dispatcher, both ways, with headers",
+        role: Role::HollowForwarder,
+        metrics: &[Metric::BytesInPerS, Metric::BytesOutPerS, Metric::HeaderBytesPerS],
+        driver: Term::Purges,
+        unit: "bytes a second",
+    },
+    Chart {
+        file: "dispatcher-memory.svg",
+        title: "Resident memory of one dispatcher's control",
+        role: Role::HollowForwarder,
+        metrics: &[Metric::ResidentBytes],
+        driver: Term::Hosts,
+        unit: "bytes",
+    },
+    Chart {
+        file: "planner-bytes.svg",
+        title: "Bytes that a planner sends",
+        role: Role::Planner,
+        metrics: &[Metric::BytesOutPerS],
+        driver: Term::ForwarderPurges,
+        unit: "bytes a second",
+    },
+    Chart {
+        file: "planner-cores.svg",
+        title: "Processor time of a planner",
+        role: Role::Planner,
+        metrics: &[Metric::Cores],
+        driver: Term::ForwarderPurges,
+        unit: "cores",
+    },
+    Chart {
+        file: "delays.svg",
+        title: "Worst delay from the coordinator to in force",
+        role: Role::HollowForwarder,
+        metrics: &[Metric::DelayWorstMs],
+        driver: Term::Forwarders,
+        unit: "ms",
+    },
+];
+
+/// A measured point: the driver and the value of one run, all kinds together.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Point {
+    size: Size,
+    value: f64,
+}
+
+/// Draws all charts that the measurements have points for; tells the files written.
+pub fn draw(measurements: &[Measurement], folder: &Path) -> Result<Vec<PathBuf>, CapacityError> {
+    let lines = fit(measurements);
+    let mut written = Vec::new();
+    for chart in &CHARTS {
+        let path = folder.join(chart.file);
+        if chart.draw(measurements, &lines, &path)? {
+            written.push(path);
+        }
+    }
+    Ok(written)
+}
+
+impl Chart {
+    /// False if there is nothing to draw.
+    fn draw(&self, measurements: &[Measurement], lines: &[Line], path: &Path) -> Result<bool, CapacityError> {
+        let series: Vec<(Distribution, Vec<Point>)> = [Distribution::EachEvent, Distribution::Digest]
+            .into_iter()
+            .map(|distribution| (distribution, self.points(measurements, distribution)))
+            .filter(|(_, points)| !points.is_empty())
+            .collect();
+        if series.is_empty() {
+            return Ok(false);
+        }
+        let text = self
+            .svg(&series, lines)
+            .map_err(|cause| CapacityError::Chart { path: path.display().to_string(), cause })?;
+        std::fs::write(path, text).map_err(|error| CapacityError::File {
+            path: path.display().to_string(),
+            cause: error.to_string(),
+        })?;
+        Ok(true)
+    }
+
+    /// Points of runs without a fault.
+    fn points(&self, measurements: &[Measurement], distribution: Distribution) -> Vec<Point> {
+        let own = measurements.iter().filter(|row| {
+            row.fault == NO_FAULT
+                && row.distribution == distribution
+                && row.role == self.role
+                && self.metrics.contains(&row.metric)
+        });
+        let mut sums: Vec<(&str, Point)> = Vec::new();
+        for row in own {
+            let size = Size::of(row);
+            match sums.iter_mut().find(|(run, point)| *run == row.run && point.size == size) {
+                Some((_, point)) => point.value += row.value,
+                None => sums.push((&row.run, Point { size, value: row.value })),
+            }
+        }
+        sums.into_iter().map(|(_, point)| point).collect()
+    }
+
+    fn svg(&self, series: &[(Distribution, Vec<Point>)], lines: &[Line]) -> Result<String, String> {
+        let most = |of: &dyn Fn(&Point) -> f64| {
+            let values = series.iter().flat_map(|(_, points)| points.iter().map(of));
+            (values.fold(0.0, f64::max) * HEADROOM).max(f64::MIN_POSITIVE)
+        };
+        let (right, top) = (most(&|point| self.driver.driver(&point.size)), most(&|point| point.value));
+        let mut text = String::new();
+        {
+            let area = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
+            self.draw_series(&area, series, lines, (right, top)).map_err(|error| error.to_string())?;
+            area.present().map_err(|error| error.to_string())?;
+        }
+        Ok(text)
+    }
+
+    fn draw_series(
+        &self,
+        area: &DrawingArea<SVGBackend, plotters::coord::Shift>,
+        series: &[(Distribution, Vec<Point>)],
+        lines: &[Line],
+        (right, top): (f64, f64),
+    ) -> Result<(), Box<dyn std::error::Error>> {
+        area.fill(&WHITE)?;
+        let mut chart = ChartBuilder::on(area)
+            .caption(self.title, (FONT, 18))
+            .margin(12)
+            .x_label_area_size(40)
+            .y_label_area_size(90)
+            .build_cartesian_2d(0.0..right, 0.0..top)?;
+        let label = |value: &f64| crate::capacity::figures::figure(*value);
+        chart
+            .configure_mesh()
+            .x_desc(self.driver.name())
+            .y_desc(self.unit)
+            .x_label_formatter(&label)
+            .y_label_formatter(&label)
+            .draw()?;
+        for (distribution, points) in series {
+            let color = color(*distribution);
+            let dot = |point: &Point| {
+                Circle::new((self.driver.driver(&point.size), point.value), POINT, color.filled())
+            };
+            let drawn = chart.draw_series(points.iter().map(dot))?;
+            drawn.label(name(*distribution)).legend(move |at| Circle::new(at, POINT, color.filled()));
+            if let Some(ends) = self.fitted(lines, *distribution, points) {
+                chart.draw_series(LineSeries::new(ends, color))?;
+            }
+        }
+        chart.configure_series_labels().border_style(BLACK).background_style(WHITE).draw()?;
+        Ok(())
+    }
+
+    /// The fitted line over the driver, the others at the size of the largest point.
+    fn fitted(
+        &self,
+        lines: &[Line],
+        distribution: Distribution,
+        points: &[Point],
+    ) -> Option<Vec<(f64, f64)>> {
+        let own = |line: &&Line| {
+            let series = &line.series;
+            series.fault == NO_FAULT
+                && (series.distribution, series.role) == (distribution, self.role)
+                && self.metrics.contains(&series.metric)
+        };
+        let own: Vec<&Line> = lines.iter().filter(own).collect();
+        if own.is_empty() || own.iter().any(|line| line.evidence != Evidence::Slope) {
+            return None;
+        }
+        let largest = points.iter().map(|point| point.size).max_by(Size::order)?;
+        let drivers = points.iter().map(|point| self.driver.driver(&point.size));
+        let ends = [0.0, drivers.fold(0.0, f64::max)];
+        let at = |driver: f64| {
+            let size = self.at(driver, largest);
+            (driver, own.iter().map(|line| line.predict(&size)).sum())
+        };
+        Some(ends.map(at).to_vec())
+    }
+
+    /// The size with another value of the chart's driver.
+    fn at(&self, driver: f64, size: Size) -> Size {
+        match self.driver {
+            Term::Constant => size,
+            Term::Forwarders => Size { forwarders: driver, ..size },
+            Term::Hosts => Size { hosts: driver, ..size },
+            Term::Purges => Size { purges: driver, ..size },
+            Term::ForwarderPurges => Size { purges: driver / size.forwarders.max(1.0), ..size },
+        }
+    }
+}
+
+fn color(distribution: Distribution) -> RGBColor {
+    match distribution {
+        Distribution::EachEvent => RGBColor(190, 60, 40),
+        Distribution::Digest => RGBColor(30, 90, 170),
+    }
+}
+
+fn name(distribution: Distribution) -> &'static str {
+    match distribution {
+        Distribution::EachEvent => "each event",
+        Distribution::Digest => "digest",
+    }
+}
--- a/crates/flaxdeck-scale/src/fit.rs
+++ b/crates/flaxdeck-scale/src/fit.rs
@@ -23,7 +23,31 @@
     for row in measurements.iter().filter(|row| row.value.is_finite()) {
         groups.entry(series_of(row)).or_default().push(row);
     }
-    groups.into_iter().map(|(series, rows)| fit_series(series, &rows)).collect()
+    let line = |(series, rows): (&Series, &Vec<&Measurement>)| {
+        let line = fit_series(series.clone(), rows);
+        Line { twin: twin(&line, &groups), ..line }
+    };
+    groups.iter().map(line).collect()
+}
+
+/// What was measured without a fault where a line with one was.
+fn twin(line: &Line, groups: &BTreeMap<Series, Vec<&Measurement>>) -> Option<f64> {
+    if line.series.fault == NO_FAULT {
+        return None;
+    }
+    let rows = groups.get(&Series { fault: NO_FAULT.to_owned(), ..line.series.clone() })?;
+    let there: Vec<&Measurement> = rows.iter().copied().filter(|row| Size::of(row) == line.at).collect();
+    (!there.is_empty()).then(|| summed_up(&line.series, &there))
+}
+
+/// One value for several points.
+fn summed_up(series: &Series, rows: &[&Measurement]) -> f64 {
+    let values = rows.iter().map(|row| row.value);
+    match nature(series.role, series.metric) {
+        Nature::Line(_) | Nature::Mean => values.sum::<f64>() / rows.len() as f64,
+        Nature::Most => values.fold(f64::NEG_INFINITY, f64::max),
+        Nature::Least => values.fold(f64::INFINITY, f64::min),
+    }
 }
 
 fn series_of(row: &Measurement) -> Series {
@@ -68,17 +92,17 @@
     }
 }
 
-/// Fits a constant and as many of the terms as the points bear. None if the main one, which comes first, has too few sizes,
-/// or less of an effect than the noise.
+/// Fits a constant and as many of the terms as the points bear. None if the main one, which comes first, has too few sizes.
+/// A term whose coefficient comes out below zero is left out: more of a driver costs no less, so it is noise, and would
+/// flatter what is drawn out.
 fn fit_terms(terms: &[Term], ranges: &[FittedTerm], points: &[Point]) -> Option<(Vec<Term>, Solution)> {
     let varied = |term: &Term| ranges.iter().any(|range| range.term == *term && range.sizes >= SIZES_LEAST);
-    let main = *terms.first().filter(|term| varied(term))?;
+    terms.first().filter(|term| varied(term))?;
     let mut fitted = vec![Term::Constant];
     fitted.extend(terms.iter().copied().filter(varied));
-    while fitted.contains(&main) {
+    while !fitted.is_empty() {
         match solve(&fitted, points) {
             Some(solution) => match most_negative(&solution) {
-                // More of a driver costs no less: a slope below zero is noise, and would flatter what is drawn out.
                 Some(at) => drop(fitted.remove(at)),
                 None => return Some((fitted, solution)),
             },
@@ -134,24 +158,20 @@
 fn measured(series: Series, rows: &[&Measurement], terms: Vec<FittedTerm>) -> Line {
     let sizes = rows.iter().map(|row| Size::of(row));
     let at = sizes.max_by(Size::order).unwrap_or_default();
-    let there: Vec<f64> = rows.iter().filter(|row| Size::of(row) == at).map(|row| row.value).collect();
-    let mean = there.iter().sum::<f64>() / there.len().max(1) as f64;
-    let value = match nature(series.role, series.metric) {
-        Nature::Line(_) | Nature::Mean => mean,
-        Nature::Most => there.iter().copied().fold(f64::NEG_INFINITY, f64::max),
-        Nature::Least => there.iter().copied().fold(f64::INFINITY, f64::min),
-    };
-    let squares: f64 = there.iter().map(|one| (one - mean).powi(2)).sum();
+    let there: Vec<&Measurement> = rows.iter().copied().filter(|row| Size::of(row) == at).collect();
+    let value = summed_up(&series, &there);
+    let squares: f64 = there.iter().map(|row| (row.value - value).powi(2)).sum();
     let runs: BTreeSet<String> = rows.iter().map(|row| row.run.clone()).collect();
     Line {
         series,
         evidence: Evidence::Measured,
         terms,
         points: rows.len() as u32,
-        residual: (squares / there.len().max(1) as f64).sqrt(),
+        residual: (squares / there.len() as f64).sqrt(),
         largest: rows.iter().map(|row| row.value).fold(f64::NEG_INFINITY, f64::max),
         at,
         value,
+        twin: None,
         runs: runs.into_iter().collect(),
     }
 }
--- a/crates/flaxdeck-scale/src/fit/line.rs
+++ b/crates/flaxdeck-scale/src/fit/line.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FittedTerm {
     pub term: Term,
-    /// None where the driver was not varied enough, or where what it does is less than the noise.
+    /// None where the driver was not varied enough, can't be told from another one, or does less than the noise.
     pub coefficient: Option<f64>,
     pub least: f64,
     pub most: f64,
@@ -56,6 +56,8 @@
     /// The largest size measured, and the value there.
     pub at: Size,
     pub value: f64,
+    /// Of runs with a fault: the value of those without it at that size.
+    pub twin: Option<f64>,
     /// Names of the runs, sorted.
     pub runs: Vec<String>,
 }
@@ -73,10 +75,10 @@
     }
 
     /// By how much the line is drawn out at a size: the driver there over the largest one measured, the worst of all
-    /// terms, at least 1.
+    /// terms that were varied, at least 1.
     pub fn factor(&self, size: &Size) -> f64 {
-        let drawn = self.terms.iter().filter(|term| term.coefficient.is_some() && term.most > 0.0);
-        drawn.map(|term| term.term.driver(size) / term.most).fold(1.0, f64::max)
+        let varied = self.terms.iter().filter(|term| term.sizes >= super::SIZES_LEAST && term.most > 0.0);
+        varied.map(|term| term.term.driver(size) / term.most).fold(1.0, f64::max)
     }
 
     /// Drivers that belong to the metric and were held at one size or two, elsewhere than at that size.
@@ -115,6 +117,7 @@
     pub at_hosts: f64,
     pub at_purges_per_s: f64,
     pub value: f64,
+    pub twin: Option<f64>,
     /// Separated by `;`.
     pub runs: String,
 }
@@ -171,6 +174,7 @@
         at_hosts: line.at.hosts,
         at_purges_per_s: line.at.purges,
         value: rounded(line.value),
+        twin: line.twin.map(rounded),
         runs: line.runs.join(";"),
     }
 }
@@ -206,6 +210,7 @@
         largest: row.largest,
         at: Size { forwarders: row.at_forwarders, hosts: row.at_hosts, purges: row.at_purges_per_s },
         value: row.value,
+        twin: row.twin,
         runs: row.runs.split(';').filter(|run| !run.is_empty()).map(str::to_owned).collect(),
     }
 }
--- a/crates/flaxdeck-scale/src/fit/nature.rs
+++ b/crates/flaxdeck-scale/src/fit/nature.rs
@@ -107,7 +107,7 @@
 fn memory(role: Role) -> Nature {
     match role {
         Role::Coordinator | Role::Planner => Nature::Line(&[Term::Forwarders, Term::Hosts]),
-        Role::RealForwarder | Role::HollowForwarder => Nature::Line(&[Term::Hosts]),
+        Role::RealForwarder | Role::HollowForwarder => Nature::Line(&[Term::Hosts, Term::Purges]),
         Role::Dispatcher => Nature::Mean,
     }
 }
--- /dev/null
+++ b/crates/flaxdeck-scale/tests/charts.rs
@@ -0,0 +1,90 @@
+//! Charts over made-up measurements.
+
+use std::path::PathBuf;
+
+use flaxdeck_scale::charts;
+use flaxdeck_scale::measurement::{Distribution, Measurement, Metric, Role};
+
+fn row(distribution: Distribution, role: Role, metric: Metric, purges_per_s: f64, value: f64) -> Measurement {
+    Measurement {
+        run: format!("made-{purges_per_s}"),
+        seed: 1,
+        distribution,
+        hollow_forwarders: 1_000,
+        hosts: 100,
+        purges_per_s,
+        planners: 2,
+        fault: "none".into(),
+        role,
+        metric,
+        kind: String::new(),
+        value,
+    }
+}
+
+fn made() -> Vec<Measurement> {
+    let mut rows = Vec::new();
+    for purges in [33.0, 100.0, 330.0] {
+        for (distribution, bytes) in [(Distribution::EachEvent, 90.0), (Distribution::Digest, 3.0)] {
+            let add = |role, metric, value| row(distribution, role, metric, purges, value);
+            rows.push(add(Role::HollowForwarder, Metric::BytesInPerS, bytes * purges));
+            rows.push(add(Role::HollowForwarder, Metric::DelayWorstMs, 100.0 + purges));
+            rows.push(add(Role::Planner, Metric::Cores, 1e-4 * bytes * purges));
+        }
+    }
+    rows
+}
+
+/// A folder that goes with the test.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn create(name: &str) -> Folder {
+        let path = std::env::temp_dir().join(format!("flaxdeck-charts-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&path).expect("a folder can be made");
+        Folder(path)
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+#[test]
+fn charts_hold_points_of_both_distributions_and_their_lines() {
+    let folder = Folder::create("both");
+    let written = charts::draw(&made(), &folder.0).expect("they can be drawn");
+    let names: Vec<String> = written
+        .iter()
+        .filter_map(|path| path.file_name())
+        .map(|name| name.to_string_lossy().into())
+        .collect();
+    assert_eq!(
+        names,
+        ["dispatcher-bytes.svg", "planner-cores.svg", "delays.svg"],
+        "what nobody measured is not drawn"
+    );
+    let text = std::fs::read_to_string(&written[0]).expect("it can be read");
+    assert!(text.starts_with("<svg") && text.trim_end().ends_with("</svg>"));
+    assert_eq!(text.matches("<circle").count(), 6 + 2, "a point a run and the two of the legend");
+    assert!(text.contains("each event") && text.contains("digest"));
+    assert!(text.contains("purges a second"));
+}
+
+#[test]
+fn a_chart_is_the_same_each_time() {
+    let folder = Folder::create("same");
+    let read = || {
+        let written = charts::draw(&made(), &folder.0).expect("they can be drawn");
+        written.iter().map(|path| std::fs::read_to_string(path).expect("it is there")).collect::<Vec<_>>()
+    };
+    assert_eq!(read(), read());
+}
+
+#[test]
+fn a_folder_that_is_not_there_is_told() {
+    let error = charts::draw(&made(), &PathBuf::from("no/such/folder")).expect_err("it is not there");
+    assert!(error.to_string().starts_with("no/such/folder/dispatcher-bytes.svg: "), "{error}");
+}
