--- a/crates/flaxdeck-scale/src/fit/nature.rs
+++ b/crates/flaxdeck-scale/src/fit/nature.rs
@@ -87,8 +87,8 @@
     use Metric::*;
     match metric {
         DelayMedianMs | MicrosPerMessage | DecisionMicros | EventsExpected => Nature::Mean,
-        DelayP99Ms | DelayWorstMs | EventsLost | EventsDoubled | EventsOutOfOrder => Nature::Most,
-        ServiceP99Ms | RulesBroken => Nature::Most,
+        DelayP99Ms | DelayWorstMs | ServiceP99Ms => Nature::Most,
+        EventsLost | EventsDoubled | EventsOutOfOrder | EventsReplaced | RulesBroken => Nature::Most,
         ServedShare => Nature::Least,
         BytesInPerS | BytesOutPerS | MessagesInPerS | MessagesOutPerS | HeaderBytesPerS | Cores => rate(role),
         ResidentBytes => memory(role),
--- a/crates/flaxdeck-scale/src/measurement.rs
+++ b/crates/flaxdeck-scale/src/measurement.rs
@@ -50,6 +50,8 @@
     /// Events over all forwarders of the role and the whole run.
     EventsExpected,
     EventsLost,
+    /// Events that a whole list covered which came in place of all that was known; copies from before are in doubt.
+    EventsReplaced,
     EventsDoubled,
     EventsOutOfOrder,
     /// Requests at the real forwarders: share answered in time, its 99th percentile, rule breaks.
@@ -72,7 +74,7 @@
             Metric::Descriptors => "descriptors",
             Metric::DelayMedianMs | Metric::DelayP99Ms | Metric::DelayWorstMs | Metric::ServiceP99Ms => "ms",
             Metric::EventsExpected | Metric::EventsLost => "events",
-            Metric::EventsDoubled | Metric::EventsOutOfOrder => "events",
+            Metric::EventsDoubled | Metric::EventsOutOfOrder | Metric::EventsReplaced => "events",
             Metric::ServedShare => "share",
             Metric::RulesBroken => "breaks",
         }
