--- /dev/null
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -0,0 +1,208 @@
+//! What all decisions about one request take, with the hosts of the whole fleet and of one region listed, with and without
+//! the target's purges beside: rows of the runs' form, measured apart from them. On a quiet machine:
+//!
+//!     cargo run --release -p flaxdeck-scale --example decisions -- docs/capacity/target.plan > docs/capacity/runs/decisions.csv
+
+use std::error::Error;
+use std::path::Path;
+use std::time::Instant;
+
+use flaxdeck::brain::Brain;
+use flaxdeck::words::{Role as HostRole, *};
+use flaxdeck_scale::files;
+use flaxdeck_scale::fit::NO_FAULT;
+use flaxdeck_scale::measurement::{DECISIONS_RUN, Distribution, Measurement, Metric, Role};
+use flaxdeck_scale::target::{self, Target};
+
+/// Each point is measured so often, each time with another seed.
+const RUNS: u64 = 3;
+/// Requests whose decisions are timed in one run, after those that warm it up.
+const TIMED: u64 = 2_000;
+const WARM_UP: u64 = 200;
+/// Requests go round so many objects.
+const OBJECTS: u64 = 1_000;
+/// Purged objects have numbers from here on, so that no request is for one of them.
+const PURGED_FROM: u64 = 1_000_000;
+/// Every so many hosts one is a parent, and one is cold.
+const A_PARENT_EVERY: u64 = 10;
+const A_COLD_ONE_EVERY: u64 = 20;
+
+fn main() -> Result<(), Box<dyn Error>> {
+    let file = std::env::args().nth(1).ok_or("name the target's file")?;
+    let text = files::read_text(Path::new(&file))?;
+    let target = target::read(&file, &text).map_err(flaxdeck_scale::error::CapacityError::Target)?;
+    let mut rows = Vec::new();
+    for hosts in [target.hosts_a_region().round(), target.hosts] {
+        for purges_per_s in [0.0, target.purges_per_s] {
+            for seed in 1..=RUNS {
+                let value = decision_micros(&target, hosts as u64, purges_per_s, seed);
+                rows.push(row(hosts as u32, purges_per_s, seed, value));
+            }
+        }
+    }
+    print!("{}", files::table_text(&rows)?);
+    Ok(())
+}
+
+fn row(hosts: u32, purges_per_s: f64, seed: u64, value: f64) -> Measurement {
+    Measurement {
+        run: format!("{DECISIONS_RUN}-{seed}"),
+        seed,
+        distribution: Distribution::EachEvent,
+        hollow_forwarders: 0,
+        hosts,
+        purges_per_s,
+        planners: 0,
+        fault: NO_FAULT.to_owned(),
+        role: Role::Dispatcher,
+        metric: Metric::DecisionMicros,
+        kind: format!("hosts={hosts} purges={purges_per_s}"),
+        value,
+    }
+}
+
+/// Something that happens so many times a second.
+struct Schedule {
+    every_ms: f64,
+    next_ms: f64,
+    happened: u64,
+}
+
+impl Schedule {
+    fn new(per_s: f64) -> Schedule {
+        let every_ms = 1e3 / per_s;
+        Schedule { every_ms, next_ms: every_ms, happened: 0 }
+    }
+
+    /// The number of the next one, if it is due by then.
+    fn due(&mut self, now_ms: f64) -> Option<u64> {
+        (self.next_ms <= now_ms).then(|| {
+            self.next_ms += self.every_ms;
+            self.happened += 1;
+            self.happened
+        })
+    }
+}
+
+fn at(ms: f64) -> Time {
+    Time::at_ms(1_000_000.0 + ms)
+}
+
+/// The mean over requests at the mean rate of a dispatcher, from arrival to end, every one a hit.
+fn decision_micros(target: &Target, hosts: u64, purges_per_s: f64, seed: u64) -> f64 {
+    let settles_ms = 1e3 * target.purge_within_s;
+    let (mut engine, _) = Brain::start(at(0.0), seed, terms(settles_ms));
+    engine.list(at(0.0), Coverage::Whole, listed(hosts));
+    let mut purges = Schedule::new(purges_per_s);
+    let mut ticks = Schedule::new(1.0);
+    let each_ms = 1e3 / target.requests_each_per_s();
+    // As many purges are known as ever: those of the time in which they settle.
+    let mut now_ms = settles_ms;
+    let mut spent = 0.0;
+    for request in 0..WARM_UP + TIMED {
+        now_ms += each_ms;
+        while let Some(number) = purges.due(now_ms) {
+            let made = at(purges.next_ms - purges.every_ms);
+            engine.purge(at(now_ms), Some(ObjectId(PURGED_FROM + number)), GroupId(1), made);
+        }
+        while ticks.due(now_ms).is_some() {
+            engine.wake(at(now_ms));
+        }
+        let took = timed_request(&mut engine, at(now_ms), request);
+        spent += if request >= WARM_UP { took } else { 0.0 };
+    }
+    spent * 1e6 / TIMED as f64
+}
+
+/// Seconds that the decisions of one request take.
+fn timed_request(engine: &mut Brain, now: Time, number: u64) -> f64 {
+    let request = Pull {
+        id: PullId(number),
+        workload: WorkloadId(0),
+        object: ObjectId(number % OBJECTS),
+        part: 0,
+        group: GroupId(0),
+        size_kb: Some(50.0),
+        hard_stop: now + Span::from_ms(2_500),
+        again: false,
+    };
+    let begun = Instant::now();
+    let attempts = engine.pull(now, request).hand_offs;
+    for (index, attempt) in attempts.into_iter().enumerate() {
+        engine.hand_off_ended(now, hit(attempt, index as u32));
+    }
+    begun.elapsed().as_secs_f64()
+}
+
+fn hit(attempt: HandOff, index: u32) -> Ended {
+    Ended {
+        pull: attempt.pull,
+        leg: Leg(index),
+        host: attempt.host,
+        ending: Ending::Answered,
+        took: Span::from_ms(5),
+        closed: true,
+        told: Told::Held,
+        waited: None,
+        report: LoadReport::default(),
+    }
+}
+
+fn listed(hosts: u64) -> Vec<Listed> {
+    let line = |number: u64| Listed {
+        host: HostId(format!("s-{number:08x}").into()),
+        weight: 5.0,
+        zone: Some(ZoneId(usize::from(number.is_multiple_of(A_PARENT_EVERY)))),
+        cell: CellId(0),
+        role: role(number),
+        standing: Standing::InService,
+        started: number.is_multiple_of(A_COLD_ONE_EVERY).then(|| at(0.0)),
+    };
+    (0..hosts).map(line).collect()
+}
+
+fn role(number: u64) -> HostRole {
+    match number {
+        0 => HostRole::Origin,
+        parent if parent.is_multiple_of(A_PARENT_EVERY) => HostRole::Parent,
+        _ => HostRole::Cache,
+    }
+}
+
+/// Those of `flaxdeck-guidance`'s example `size`, but for the time in which a purge settles.
+fn terms(settles_ms: f64) -> Terms {
+    let class = Workload {
+        promised: Span::from_ms(500),
+        stretch: 2.0,
+        repeats: Repeats::Reissuable,
+        goes_through: false,
+        parted: false,
+        fresh: None,
+        older: Span::ZERO,
+    };
+    Terms {
+        workloads: vec![class],
+        zone: ZoneId(0),
+        zone_dispatchers: vec![8, 0],
+        dispatchers: 8,
+        tick: Span::from_ms(2),
+        may_cancel: true,
+        may_duplicate: true,
+        may_name_return: true,
+        longest_return: Span::from_ms(1_000),
+        most_hand_offs: 6,
+        cold_from: 0.2,
+        warm_within: Span::from_ms(60_000),
+        overload_factor: 2.0,
+        fall_window: Span::from_ms(3_000),
+        parent_cold_from: 0.1,
+        parent_warm_within: Span::from_ms(60_000),
+        parent_overload_factor: 2.0,
+        direct: true,
+        joins: false,
+        client_kb_per_s: 11_000.0,
+        purge_settles: Span::of_ms(settles_ms),
+        tells_link: true,
+        may_look: false,
+    }
+}
--- a/crates/flaxdeck-scale/src/lib.rs
+++ b/crates/flaxdeck-scale/src/lib.rs
@@ -19,5 +19,6 @@
 pub mod report;
 pub mod run;
 pub mod scenario;
+pub mod service;
 pub mod target;
 pub mod usage;
