--- a/crates/flaxdeck-scale/src/capacity/estimate.rs
+++ b/crates/flaxdeck-scale/src/capacity/estimate.rs
@@ -5,7 +5,7 @@
 use super::figures::{count, figure};
 use crate::fit::NO_FAULT;
 use crate::fit::line::{Evidence, Line};
-use crate::fit::nature::{Size, Term};
+use crate::fit::nature::{Nature, Size, Term, nature};
 use crate::measurement::{Distribution, Metric, Role};
 
 /// How a value is known.
@@ -15,6 +15,10 @@
     Measured {
         at: Size,
     },
+    /// Measured at that size only, though it grows with drivers that are larger elsewhere: a least value there.
+    MeasuredBelow {
+        at: Size,
+    },
     /// Measured apart from any size of the fleet.
     MeasuredApart,
     /// Read off a line that is drawn out by that factor.
@@ -28,6 +32,16 @@
     NotShown,
 }
 
+impl Known {
+    /// The size at which something was measured that is not drawn out.
+    fn measured_at(&self) -> Option<Size> {
+        match self {
+            Known::Measured { at } | Known::MeasuredBelow { at } => Some(*at),
+            Known::MeasuredApart | Known::Slope { .. } | Known::NotShown => None,
+        }
+    }
+}
+
 fn size_text(size: &Size) -> String {
     let (forwarders, hosts, purges) = (count(size.forwarders), count(size.hosts), figure(size.purges));
     format!("{forwarders} forwarders, {hosts} hosts, {purges} purges/s")
@@ -37,6 +51,7 @@
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Known::Measured { at } => write!(out, "measured at {}", size_text(at)),
+            Known::MeasuredBelow { at } => write!(out, "measured at {} only", size_text(at)),
             Known::MeasuredApart => write!(out, "measured"),
             Known::Slope { factor, held, partly_at } => {
                 write!(out, "slope x {}", figure(*factor))?;
@@ -72,7 +87,13 @@
 /// What one line says of a size.
 pub fn estimate(line: &Line, size: &Size) -> Estimate {
     match line.evidence {
-        Evidence::Measured => Estimate { value: Some(line.value), known: Known::Measured { at: line.at } },
+        Evidence::Measured => {
+            let known = match nature(line.series.role, line.series.metric) {
+                Nature::Line(terms) if is_below(line.at, size, terms) => Known::MeasuredBelow { at: line.at },
+                _ => Known::Measured { at: line.at },
+            };
+            Estimate { value: Some(line.value), known }
+        }
         Evidence::Slope => {
             let held = line.held(size).iter().map(|term| (term.term, term.most)).collect();
             let known = Known::Slope { factor: line.factor(size), held, partly_at: None };
@@ -81,6 +102,11 @@
     }
 }
 
+/// Whether one of the drivers is smaller at one size than at another.
+fn is_below(one: Size, other: &Size, terms: &[Term]) -> bool {
+    terms.iter().any(|term| term.driver(&one) < term.driver(other))
+}
+
 /// The sum of what several lines say of a size, known as well as the least known of them.
 pub fn total<'a>(lines: impl IntoIterator<Item = &'a Line>, size: &Size) -> Estimate {
     let estimates = lines.into_iter().map(|line| estimate(line, size));
@@ -97,14 +123,6 @@
     match (one, other) {
         (Known::NotShown, _) | (_, Known::NotShown) => Known::NotShown,
         (Known::MeasuredApart, other) | (other, Known::MeasuredApart) => other,
-        (Known::Measured { at: one }, Known::Measured { at: other }) => {
-            Known::Measured { at: smaller(one, other) }
-        }
-        (Known::Slope { factor, held, partly_at }, Known::Measured { at })
-        | (Known::Measured { at }, Known::Slope { factor, held, partly_at }) => {
-            let at = partly_at.map_or(at, |partly| smaller(partly, at));
-            Known::Slope { factor, held, partly_at: Some(at) }
-        }
         (
             Known::Slope { factor, mut held, partly_at },
             Known::Slope { factor: other, held: more, partly_at: also },
@@ -114,6 +132,20 @@
             let partly_at = [partly_at, also].into_iter().flatten().reduce(smaller);
             Known::Slope { factor: factor.max(other), held, partly_at }
         }
+        (Known::Slope { factor, held, partly_at }, measured)
+        | (measured, Known::Slope { factor, held, partly_at }) => {
+            let partly_at = [partly_at, measured.measured_at()].into_iter().flatten().reduce(smaller);
+            Known::Slope { factor, held, partly_at }
+        }
+        (one, other) => {
+            let at = [one.measured_at(), other.measured_at()].into_iter().flatten().reduce(smaller);
+            let is_below = [&one, &other].iter().any(|known| matches!(known, Known::MeasuredBelow { .. }));
+            match at {
+                Some(at) if is_below => Known::MeasuredBelow { at },
+                Some(at) => Known::Measured { at },
+                None => Known::NotShown,
+            }
+        }
     }
 }
 
--- a/crates/flaxdeck-scale/src/capacity/faults.rs
+++ b/crates/flaxdeck-scale/src/capacity/faults.rs
@@ -25,8 +25,9 @@
 }
 
 /// What is told of a run with a fault.
-const TOLD: [(Metric, Role, &str); 8] = [
+const TOLD: [(Metric, Role, &str); 9] = [
     (Metric::EventsLost, Role::HollowForwarder, "events lost"),
+    (Metric::EventsReplaced, Role::HollowForwarder, "covered by a whole list"),
     (Metric::EventsDoubled, Role::HollowForwarder, "doubled"),
     (Metric::EventsOutOfOrder, Role::HollowForwarder, "out of order"),
     (Metric::DelayMedianMs, Role::HollowForwarder, "median delay, ms"),
--- a/crates/flaxdeck-scale/src/capacity/page.rs
+++ b/crates/flaxdeck-scale/src/capacity/page.rs
@@ -10,15 +10,16 @@
 use minijinja::{Environment, UndefinedBehavior};
 use serde::Serialize;
 
-use super::estimate::{Estimate, Lines};
+use super::estimate::{Estimate, Known, Lines};
 use super::events::{Event, events};
 use super::faults::{FaultRun, fault_runs};
 use super::figures::{count, figure, span};
 use super::rows::{Basis, RoleRows, Row, roles};
 use super::state::{Bytes, State, states};
+use crate::charts;
 use crate::error::CapacityError;
 use crate::fit::line::{SlopeRow, lines};
-use crate::measurement::Distribution;
+use crate::measurement::{DECISIONS_RUN, Distribution};
 use crate::target::Target;
 
 const TEMPLATE: &str = include_str!("page.md.j2");
@@ -36,6 +37,7 @@
         states: states(basis).iter().map(state_cells).collect(),
         events: events(target).into_iter().map(|event| event_cells(event, &fault_runs)).collect(),
         faults: fault_runs.iter().map(fault_cells).collect(),
+        charts: charts::titles(&lines).into_iter().map(chart_cells).collect(),
         runs: run_cells(&basis.lines.runs()),
         bounds: bound_fields(target),
     };
@@ -63,6 +65,7 @@
     states: Vec<StateCells>,
     events: Vec<EventCells>,
     faults: Vec<FaultCells>,
+    charts: Vec<ChartCells>,
     runs: Vec<RunCells>,
     bounds: BoundFields,
 }
@@ -152,6 +155,15 @@
     known: String,
 }
 
+/// A value with its unit; what is counted in whole things is written whole.
+fn with_unit(value: f64, unit: &str) -> String {
+    match unit {
+        "descriptors" | "events" | "machines" => format!("{} {unit}", count(value)),
+        "cores" if value == 1.0 => "1 core".into(),
+        _ => format!("{} {unit}", figure(value)),
+    }
+}
+
 fn role_table(role: &RoleRows) -> RoleTable {
     RoleTable { title: role.title.clone(), rows: role.rows.iter().map(row_cells).collect() }
 }
@@ -159,7 +171,7 @@
 fn row_cells(row: &Row) -> RowCells {
     RowCells {
         what: row.what.clone(),
-        budget: row.budget.map_or("none".into(), |budget| format!("{} {}", figure(budget), row.unit)),
+        budget: row.budget.map_or("none".into(), |budget| with_unit(budget, row.unit)),
         each_event: estimate_cells(row, 0),
         digest: estimate_cells(row, 1),
         mechanism: row.mechanism.to_owned(),
@@ -168,14 +180,15 @@
 
 fn estimate_cells(row: &Row, at: usize) -> EstimateCells {
     let Estimate { value, known } = &row.estimates[at];
+    let least = if matches!(known, Known::MeasuredBelow { .. }) { "at least " } else { "" };
     let ratio = match (row.ratios()[at], row.is_over(at)) {
-        (Some(ratio), true) => format!("**{} over**", figure(ratio)),
-        (Some(ratio), false) => figure(ratio),
+        (Some(ratio), true) => format!("**{least}{} over**", figure(ratio)),
+        (Some(ratio), false) => format!("{least}{}", figure(ratio)),
         (None, true) => "**over**".into(),
         (None, false) => "-".into(),
     };
     EstimateCells {
-        value: value.map_or("-".into(), |value| format!("{} {}", figure(value), row.unit)),
+        value: value.map_or("-".into(), |value| with_unit(value, row.unit)),
         ratio,
         known: known.to_string(),
     }
@@ -245,7 +258,7 @@
     StateCells {
         role: state.role,
         what: state.what,
-        needed: figure(state.needed),
+        needed: count(state.needed),
         bytes_each,
         kept: state.kept.clone(),
         bound: match &state.bound {
@@ -302,10 +315,21 @@
     }
 }
 
+#[derive(Serialize)]
+struct ChartCells {
+    file: &'static str,
+    title: &'static str,
+}
+
+fn chart_cells((file, title): (&'static str, &'static str)) -> ChartCells {
+    ChartCells { file, title }
+}
+
 #[derive(Serialize)]
 struct RunCells {
     name: String,
     seeds: String,
+    command: String,
 }
 
 /// Runs are named by their file and seed, `name-seed`: one entry for a file, with its seeds.
@@ -315,12 +339,23 @@
         let (name, seed) = run.rsplit_once('-').unwrap_or((run, ""));
         match cells.iter_mut().find(|cell| cell.name == name) {
             Some(cell) => cell.seeds = format!("{}, {seed}", cell.seeds),
-            None => cells.push(RunCells { name: name.to_owned(), seeds: seed.to_owned() }),
+            None => {
+                cells.push(RunCells { name: name.to_owned(), seeds: seed.to_owned(), command: command(name) })
+            }
         }
     }
     cells
 }
 
+/// The one command by which the runs of a name are repeated.
+fn command(name: &str) -> String {
+    if name == DECISIONS_RUN {
+        let example = "cargo run --release -p flaxdeck-scale --example decisions";
+        return format!("{example} -- docs/capacity/target.plan > docs/capacity/runs/{name}.csv");
+    }
+    format!("flaxdeck scale scale/{name}.scale --out docs/capacity/runs/{name}.csv")
+}
+
 /// Bounds of the code that the readings name.
 #[derive(Serialize)]
 struct BoundFields {
--- a/crates/flaxdeck-scale/src/capacity/rows.rs
+++ b/crates/flaxdeck-scale/src/capacity/rows.rs
@@ -185,9 +185,9 @@
         mechanism: BY_EVENTS,
     };
     vec![
-        delay("an event until it is in force, worst", Metric::DelayWorstMs, within),
-        delay("the same, 99th percentile", Metric::DelayP99Ms, within),
-        delay("the same, median", Metric::DelayMedianMs, within),
+        delay("an event until it is in force: worst", Metric::DelayWorstMs, within),
+        delay("an event until it is in force: 99th percentile", Metric::DelayP99Ms, within),
+        delay("an event until it is in force: median", Metric::DelayMedianMs, within),
     ]
 }
 
@@ -207,6 +207,7 @@
         row("lost, most of any run", Metric::EventsLost, Some(0.0)),
         row("doubled, most of any run", Metric::EventsDoubled, Some(0.0)),
         row("out of order, most of any run", Metric::EventsOutOfOrder, Some(0.0)),
+        row("covered by a whole list, copies in doubt, most of any run", Metric::EventsReplaced, None),
     ]
 }
 
--- a/crates/flaxdeck-scale/src/capacity/state.rs
+++ b/crates/flaxdeck-scale/src/capacity/state.rs
@@ -182,7 +182,7 @@
         },
         State {
             role: PLANNER,
-            what: "the same in a purge storm",
+            what: "events to pass on, as far back as a purge may take, in a purge storm",
             needed: (target.storm_per_s() + target.changes_per_s()) * target.purge_within_s,
             bound: Some(events_kept()),
             bytes_each: Bytes::NotShown,
--- a/crates/flaxdeck-scale/src/charts.rs
+++ b/crates/flaxdeck-scale/src/charts.rs
@@ -90,7 +90,21 @@
     Ok(written)
 }
 
+/// File and title of the charts that there are, where these lines were fitted.
+pub fn titles(lines: &[Line]) -> Vec<(&'static str, &'static str)> {
+    let has_points = |chart: &&Chart| {
+        let own =
+            |line: &Line| line.series.fault == NO_FAULT && chart.shows(line.series.role, line.series.metric);
+        lines.iter().any(own)
+    };
+    CHARTS.iter().filter(has_points).map(|chart| (chart.file, chart.title)).collect()
+}
+
 impl Chart {
+    fn shows(&self, role: Role, metric: Metric) -> bool {
+        role == self.role && self.metrics.contains(&metric)
+    }
+
     /// False if there is nothing to draw.
     fn draw(&self, measurements: &[Measurement], lines: &[Line], path: &Path) -> Result<bool, CapacityError> {
         let series: Vec<(Distribution, Vec<Point>)> = [Distribution::EachEvent, Distribution::Digest]
@@ -114,10 +128,7 @@
     /// Points of runs without a fault.
     fn points(&self, measurements: &[Measurement], distribution: Distribution) -> Vec<Point> {
         let own = measurements.iter().filter(|row| {
-            row.fault == NO_FAULT
-                && row.distribution == distribution
-                && row.role == self.role
-                && self.metrics.contains(&row.metric)
+            row.fault == NO_FAULT && row.distribution == distribution && self.shows(row.role, row.metric)
         });
         let mut sums: Vec<(&str, Point)> = Vec::new();
         for row in own {
@@ -192,8 +203,8 @@
         let own = |line: &&Line| {
             let series = &line.series;
             series.fault == NO_FAULT
-                && (series.distribution, series.role) == (distribution, self.role)
-                && self.metrics.contains(&series.metric)
+                && series.distribution == distribution
+                && self.shows(series.role, series.metric)
         };
         let own: Vec<&Line> = lines.iter().filter(own).collect();
         if own.is_empty() || own.iter().any(|line| line.evidence != Evidence::Slope) {
--- a/crates/flaxdeck-scale/src/fit.rs
+++ b/crates/flaxdeck-scale/src/fit.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::measurement::Measurement;
+use crate::measurement::{Measurement, Metric, Role};
 use least_squares::{Solution, least_squares};
 use line::{Evidence, FittedTerm, Line, Series};
 use nature::{Nature, Size, Term, nature};
@@ -17,19 +17,43 @@
 /// The fault of runs without one: only these have slopes.
 pub const NO_FAULT: &str = "none";
 
+/// Cores of a planner or coordinator from which on its one thread is full. It then tells several events in one message, and
+/// what it sends and takes is less than it was asked for.
+pub const FULL_CORES: f64 = 0.9;
+
 /// The lines of all series of the measurements, in their order.
 pub fn fit(measurements: &[Measurement]) -> Vec<Line> {
+    let full = full_runs(measurements);
     let mut groups: BTreeMap<Series, Vec<&Measurement>> = BTreeMap::new();
     for row in measurements.iter().filter(|row| row.value.is_finite()) {
         groups.entry(series_of(row)).or_default().push(row);
     }
     let line = |(series, rows): (&Series, &Vec<&Measurement>)| {
-        let line = fit_series(series.clone(), rows);
+        let line = fit_series(series.clone(), rows, &full);
         Line { twin: twin(&line, &groups), ..line }
     };
     groups.iter().map(line).collect()
 }
 
+/// One run at one size.
+type RunKey = (String, Series, [u64; 3]);
+
+fn run_key(row: &Measurement) -> RunKey {
+    let Size { forwarders, hosts, purges } = Size::of(row);
+    let of_all = Series { role: Role::Planner, metric: Metric::Cores, kind: String::new(), ..series_of(row) };
+    (row.run.clone(), of_all, [forwarders, hosts, purges].map(f64::to_bits))
+}
+
+/// Runs in which a planner's or the coordinator's thread was full: no line is fitted through them.
+fn full_runs(measurements: &[Measurement]) -> BTreeSet<RunKey> {
+    let is_full = |row: &&Measurement| {
+        row.metric == Metric::Cores
+            && matches!(row.role, Role::Planner | Role::Coordinator)
+            && row.value >= FULL_CORES
+    };
+    measurements.iter().filter(is_full).map(run_key).collect()
+}
+
 /// What was measured without a fault where a line with one was.
 fn twin(line: &Line, groups: &BTreeMap<Series, Vec<&Measurement>>) -> Option<f64> {
     if line.series.fault == NO_FAULT {
@@ -61,16 +85,23 @@
     }
 }
 
-fn fit_series(series: Series, rows: &[&Measurement]) -> Line {
+fn fit_series(series: Series, rows: &[&Measurement], full: &BTreeSet<RunKey>) -> Line {
     let terms = match nature(series.role, series.metric) {
         Nature::Line(terms) if series.fault == NO_FAULT => terms,
-        _ => return measured(series, rows, Vec::new()),
+        _ => return measured(series, rows),
     };
-    let points: Vec<Point> = rows.iter().map(|row| Point { size: Size::of(row), value: row.value }).collect();
+    let unhindered: Vec<&Measurement> =
+        rows.iter().copied().filter(|row| !full.contains(&run_key(row))).collect();
+    let point = |row: &&Measurement| Point { size: Size::of(row), value: row.value };
+    let points: Vec<Point> = unhindered.iter().map(point).collect();
     let ranges: Vec<FittedTerm> = terms.iter().map(|term| range(*term, &points)).collect();
     match fit_terms(terms, &ranges, &points) {
-        Some((fitted, solution)) => slope(series, rows, &ranges, &fitted, &solution),
-        None => measured(series, rows, ranges),
+        Some((fitted, solution)) => {
+            let left_out = (rows.len() - unhindered.len()) as u32;
+            let line = slope(series, &unhindered, &ranges, &fitted, &solution);
+            Line { left_out, ..line }
+        }
+        None => measured(series, rows),
     }
 }
 
@@ -150,12 +181,12 @@
     let with_coefficient = |range: &FittedTerm| FittedTerm { coefficient: coefficient(range.term), ..*range };
     let mut terms = vec![constant];
     terms.extend(ranges.iter().map(with_coefficient));
-    let measured = measured(series, rows, Vec::new());
+    let measured = measured(series, rows);
     Line { evidence: Evidence::Slope, terms, residual: solution.residual, ..measured }
 }
 
 /// What was measured at the largest size, without a slope.
-fn measured(series: Series, rows: &[&Measurement], terms: Vec<FittedTerm>) -> Line {
+fn measured(series: Series, rows: &[&Measurement]) -> Line {
     let sizes = rows.iter().map(|row| Size::of(row));
     let at = sizes.max_by(Size::order).unwrap_or_default();
     let there: Vec<&Measurement> = rows.iter().copied().filter(|row| Size::of(row) == at).collect();
@@ -165,8 +196,9 @@
     Line {
         series,
         evidence: Evidence::Measured,
-        terms,
+        terms: Vec::new(),
         points: rows.len() as u32,
+        left_out: 0,
         residual: (squares / there.len() as f64).sqrt(),
         largest: rows.iter().map(|row| row.value).fold(f64::NEG_INFINITY, f64::max),
         at,
--- a/crates/flaxdeck-scale/src/fit/line.rs
+++ b/crates/flaxdeck-scale/src/fit/line.rs
@@ -49,6 +49,8 @@
     /// The constant first; empty where only what was measured is told.
     pub terms: Vec<FittedTerm>,
     pub points: u32,
+    /// Points left out as a thread was full in their runs.
+    pub left_out: u32,
     /// Root mean square of the residuals; of the points at the largest size where there is no slope.
     pub residual: f64,
     /// The largest value of all points.
@@ -111,6 +113,7 @@
     pub driver_most: Option<f64>,
     pub driver_sizes: Option<u32>,
     pub points: u32,
+    pub left_out: u32,
     pub residual: f64,
     pub largest: f64,
     pub at_forwarders: f64,
@@ -168,6 +171,7 @@
         driver_most: term.map(|term| term.most),
         driver_sizes: term.map(|term| term.sizes),
         points: line.points,
+        left_out: line.left_out,
         residual: rounded(line.residual),
         largest: rounded(line.largest),
         at_forwarders: line.at.forwarders,
@@ -206,6 +210,7 @@
         evidence: row.evidence,
         terms: Vec::new(),
         points: row.points,
+        left_out: row.left_out,
         residual: row.residual,
         largest: row.largest,
         at: Size { forwarders: row.at_forwarders, hosts: row.at_hosts, purges: row.at_purges_per_s },
--- a/crates/flaxdeck-scale/src/measurement.rs
+++ b/crates/flaxdeck-scale/src/measurement.rs
@@ -2,6 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
+/// The name of the runs that measure decisions by themselves (`examples/decisions.rs`).
+pub const DECISIONS_RUN: &str = "decisions";
+
 /// How events reach the forwarders of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
--- a/crates/flaxdeck-scale/tests/capacity.rs
+++ b/crates/flaxdeck-scale/tests/capacity.rs
@@ -7,11 +7,11 @@
 use flaxdeck_scale::capacity::page::page;
 use flaxdeck_scale::capacity::rows::{Basis, RoleRows, Row, roles};
 use flaxdeck_scale::capacity::state::states;
-use flaxdeck_scale::files;
-use flaxdeck_scale::fit::line::{Line, SlopeRow, rows};
+use flaxdeck_scale::fit::line::{Line, SlopeRow, lines, rows};
 use flaxdeck_scale::fit::{NO_FAULT, fit};
-use flaxdeck_scale::measurement::{Distribution, Measurement, Metric, Role};
+use flaxdeck_scale::measurement::{DECISIONS_RUN, Distribution, Measurement, Metric, Role};
 use flaxdeck_scale::target::{self, Target};
+use flaxdeck_scale::{charts, files};
 
 const TARGET: &str = include_str!("../../../docs/capacity/target.plan");
 const TEMPLATE: &str = include_str!("../src/capacity/page.md.j2");
@@ -163,6 +163,18 @@
     });
 }
 
+#[test]
+fn what_was_measured_below_the_target_is_a_least_value() {
+    let mut rows = made();
+    rows.retain(|row| row.metric != Metric::Descriptors || row.hollow_forwarders == 1_000);
+    with_roles(&rows, |roles| {
+        let whole = row(roles, "Planner that hears", "descriptors");
+        assert!(matches!(whole.estimates[0].known, Known::MeasuredBelow { .. }), "{whole:?}");
+    });
+    let page = page(&slopes(&rows), &the_target()).expect("it can be made");
+    assert!(page.contains("| 1,020 descriptors | at least 0.249 | measured at 1,000 forwarders, 3,500 hosts, 330 purges/s only |"));
+}
+
 #[test]
 fn rows_of_a_role_are_sorted_by_their_part_of_the_budget() {
     with_roles(&made(), |roles| {
@@ -212,7 +224,8 @@
     assert!(page.contains("| 1,390 bytes/s | 0.695 |"), "{page}");
     assert!(page.contains("| **13.7** |"), "it stands among what is over");
     assert!(page.contains("not shown"));
-    assert!(page.contains("| made | 1 |"), "runs are named with their seeds");
+    let run = "| made | 1 | `flaxdeck scale scale/made.scale --out docs/capacity/runs/made.csv` |";
+    assert!(page.contains(run), "runs are named with their seeds and their command");
 }
 
 #[test]
@@ -220,7 +233,8 @@
     let page = page(&[], &the_target()).expect("it can be made");
     assert!(page.contains("Nothing, of what is shown."));
     assert!(page.contains("None yet."));
-    assert!(!page.contains("over**") || page.contains("`MEMBERS_MOST`"), "only bounds of the code are over");
+    let over: Vec<&str> = page.lines().filter(|line| line.contains("over**")).collect();
+    assert!(over.iter().all(|line| line.contains("_MOST`")), "only bounds of the code are over: {over:?}");
 }
 
 /// What stands in the template outside of fields and tags.
@@ -255,6 +269,30 @@
     assert_eq!([0.45, 6.8, 3_600.0, 86_400.0].map(span), ["450 ms", "6.8 s", "60 min", "24 h"]);
 }
 
+#[test]
+fn decisions_share_the_core_at_the_mean_rate_of_requests() {
+    let mut rows = made();
+    rows.push(Measurement {
+        run: "decisions-1".into(),
+        role: Role::Dispatcher,
+        metric: Metric::DecisionMicros,
+        kind: "hosts=3500 purges=0".into(),
+        value: 1_100.0,
+        ..rows[0].clone()
+    });
+    with_roles(&rows, |roles| {
+        let row = row(roles, "Dispatcher", "decisions at the mean rate");
+        near(row.estimates[0].value, 1_100e-6 * 13e6 / 14_000.0);
+        assert!(row.is_over(0));
+        assert_eq!(row.estimates[0].known, Known::MeasuredApart);
+    });
+    let page = page(&slopes(&rows), &the_target()).expect("it can be made");
+    assert!(
+        page.contains("--example decisions -- docs/capacity/target.plan"),
+        "they have a command of their own"
+    );
+}
+
 fn beside_docs(path: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs").join(path)
 }
@@ -281,6 +319,17 @@
     assert_eq!(page_file.exists(), slopes.exists(), "the page and its slopes stand together");
     if page_file.exists() {
         let rows: Vec<SlopeRow> = files::read_table(&slopes).expect("it can be read");
+        for run in rows.iter().flat_map(|row| row.runs.split(';')) {
+            let name = run.rsplit_once('-').map_or(run, |(name, _)| name);
+            let file = beside_docs(&format!("../scale/{name}.scale"));
+            assert!(
+                name == DECISIONS_RUN || file.exists(),
+                "{run} can be repeated: there is a scale file for it"
+            );
+        }
+        for (file, title) in charts::titles(&lines(&rows)) {
+            assert!(beside_docs("capacity").join(file).exists(), "the chart of {title} is there");
+        }
         let computed = page(&rows, &the_target()).expect("it can be made");
         let committed = files::read_text(&page_file).expect("it can be read");
         assert!(computed == committed, "write it anew, by the command that it names itself");
--- a/crates/flaxdeck-scale/tests/charts.rs
+++ b/crates/flaxdeck-scale/tests/charts.rs
@@ -3,6 +3,7 @@
 use std::path::PathBuf;
 
 use flaxdeck_scale::charts;
+use flaxdeck_scale::fit::fit;
 use flaxdeck_scale::measurement::{Distribution, Measurement, Metric, Role};
 
 fn row(distribution: Distribution, role: Role, metric: Metric, purges_per_s: f64, value: f64) -> Measurement {
@@ -66,6 +67,8 @@
         ["dispatcher-bytes.svg", "planner-cores.svg", "delays.svg"],
         "what nobody measured is not drawn"
     );
+    let titled: Vec<&str> = charts::titles(&fit(&made())).into_iter().map(|(file, _)| file).collect();
+    assert_eq!(titled, names, "and the page names the same");
     let text = std::fs::read_to_string(&written[0]).expect("it can be read");
     assert!(text.starts_with("<svg") && text.trim_end().ends_with("</svg>"));
     assert_eq!(text.matches("<circle").count(), 6 + 2, "a point a run and the two of the legend");
--- a/crates/flaxdeck-scale/tests/fit.rs
+++ b/crates/flaxdeck-scale/tests/fit.rs
@@ -212,6 +212,23 @@
     assert_eq!(fit(&[plain, faulty, alone, digest]).len(), 4);
 }
 
+#[test]
+fn runs_with_a_full_thread_are_left_out_of_slopes() {
+    let mut rows = Vec::new();
+    for (forwarders, cores) in [(100, 0.2), (300, 0.4), (600, 0.7), (1_000, 0.98)] {
+        // At 1,000 it sends another amount than it was asked for.
+        let bytes = if cores > 0.9 { 500.0 } else { 1.0 } * f64::from(forwarders);
+        rows.push(row(Role::Planner, Metric::Cores, (forwarders, 100, 33.0), cores));
+        rows.push(row(Role::Planner, Metric::BytesOutPerS, (forwarders, 100, 33.0), bytes));
+    }
+    let lines = fit(&rows);
+    let bytes = lines.iter().find(|line| line.series.metric == Metric::BytesOutPerS).expect("it is a series");
+    assert_eq!((bytes.evidence, bytes.points, bytes.left_out), (Evidence::Slope, 3, 1));
+    let size = Size { forwarders: 1_200.0, hosts: 100.0, purges: 33.0 };
+    near(bytes.predict(&size), 1_200.0, 1e-6);
+    assert_eq!(bytes.factor(&size), 2.0, "drawn out from 600, where it was measured unhindered");
+}
+
 #[test]
 fn figures_that_are_no_numbers_are_left_out() {
     let rows = [
