--- a/crates/flaxdeck-scale/src/capacity/estimate.rs
+++ b/crates/flaxdeck-scale/src/capacity/estimate.rs
@@ -164,7 +164,7 @@
 const ALL_KINDS: &[&str] = &["", "all", "total"];
 
 impl<'a> Lines<'a> {
-    /// Prefers runs with so many planners, where there are such.
+    /// Goes by runs whose number of planners is nearest to that one.
     pub fn new(lines: &'a [Line], planners: u32) -> Lines<'a> {
         Lines { lines, planners }
     }
@@ -178,10 +178,11 @@
                 && series.fault == NO_FAULT
         };
         let all: Vec<&Line> = self.lines.iter().filter(fits).collect();
-        let preferred = |line: &&Line| line.series.planners == self.planners;
-        let few = if all.iter().any(preferred) { all.into_iter().filter(preferred).collect() } else { all };
+        let numbers = all.iter().map(|line| line.series.planners);
+        let nearest = numbers.min_by_key(|planners| planners.abs_diff(self.planners));
+        let few = all.into_iter().filter(|line| Some(line.series.planners) == nearest);
         let (whole, kinds): (Vec<&Line>, Vec<&Line>) =
-            few.into_iter().partition(|line| ALL_KINDS.contains(&line.series.kind.as_str()));
+            few.partition(|line| ALL_KINDS.contains(&line.series.kind.as_str()));
         if kinds.is_empty() { whole } else { kinds }
     }
 
--- a/crates/flaxdeck-scale/src/capacity/rows.rs
+++ b/crates/flaxdeck-scale/src/capacity/rows.rs
@@ -124,6 +124,7 @@
     rows.extend(kinds(basis, role, &size));
     rows.extend(delays(basis));
     rows.extend(events(basis));
+    rows.extend(service(basis));
     rows.extend(decisions(basis));
     rows
 }
@@ -216,6 +217,25 @@
     Estimate { value: Some(line.largest), known: Known::Measured { at: line.at } }
 }
 
+/// What became of requests at real forwarders beside the hollow ones, in runs without a fault.
+fn service(basis: Basis) -> Vec<Row> {
+    let row = |what: &str, unit, budget, metric| Row {
+        what: what.to_owned(),
+        unit,
+        budget,
+        estimates: both(|distribution| {
+            let line = basis.lines.one(distribution, Role::RealForwarder, metric);
+            line.map_or(Estimate::NOT_SHOWN, |line| estimate(line, &basis.target.size()))
+        }),
+        mechanism: "real forwarders under load beside the hollow ones",
+    };
+    vec![
+        row("rules broken by real forwarders", "breaks", Some(0.0), Metric::RulesBroken),
+        row("service of real forwarders: share in time", "of all", None, Metric::ServedShare),
+        row("service of real forwarders: 99th percentile", "ms", None, Metric::ServiceP99Ms),
+    ]
+}
+
 /// What decisions about requests take, which is not control but shares the core.
 fn decisions(basis: Basis) -> Vec<Row> {
     let mut rows = Vec::new();
--- a/crates/flaxdeck-scale/tests/capacity.rs
+++ b/crates/flaxdeck-scale/tests/capacity.rs
@@ -175,6 +175,22 @@
     assert!(page.contains("| 1,020 descriptors | at least 0.249 | measured at 1,000 forwarders, 3,500 hosts, 330 purges/s only |"));
 }
 
+#[test]
+fn runs_with_other_planners_are_not_added_up() {
+    let mut rows = made();
+    let others = rows.clone().into_iter().flat_map(|row| {
+        [1, 4].map(|planners| Measurement { planners, value: 3.0 * row.value, ..row.clone() })
+    });
+    rows.extend(others.collect::<Vec<_>>());
+    with_roles(&rows, |roles| {
+        near(row(roles, "Dispatcher", "all control").estimates[0].value, 27_400.0);
+    });
+    rows.retain(|row| row.planners != 2);
+    with_roles(&rows, |roles| {
+        near(row(roles, "Dispatcher", "all control").estimates[0].value, 3.0 * 27_400.0);
+    });
+}
+
 #[test]
 fn rows_of_a_role_are_sorted_by_their_part_of_the_budget() {
     with_roles(&made(), |roles| {
