--- a/crates/flaxdeck-scale/src/capacity/faults.rs
+++ b/crates/flaxdeck-scale/src/capacity/faults.rs
@@ -53,8 +53,11 @@
 fn fault_run(fault: String, distribution: Distribution, lines: &[&Line]) -> FaultRun {
     let told = TOLD.iter().filter_map(|(metric, role, name)| {
         let of_metric = |line: &&&Line| line.series.metric == *metric && line.series.role == *role;
-        let line = lines.iter().find(of_metric)?;
-        Some(FaultFigure { name, value: line.value, twin: line.twin })
+        let kinds: Vec<&Line> = lines.iter().filter(of_metric).copied().collect();
+        let twins: Option<Vec<f64>> = kinds.iter().map(|line| line.twin).collect();
+        let value = kinds.iter().map(|line| line.value).sum();
+        let twin = twins.map(|twins| twins.iter().sum());
+        (!kinds.is_empty()).then_some(FaultFigure { name, value, twin })
     });
     let figures = told.collect();
     let at = lines.iter().map(|line| line.at).max_by(Size::order).unwrap_or_default();
--- a/crates/flaxdeck-scale/src/capacity/page.rs
+++ b/crates/flaxdeck-scale/src/capacity/page.rs
@@ -14,12 +14,13 @@
 use super::events::{Event, events};
 use super::faults::{FaultRun, fault_runs};
 use super::figures::{count, figure, span};
-use super::rows::{Basis, RoleRows, Row, roles};
+use super::rows::{Basis, DISTRIBUTIONS, RoleRows, Row, roles};
 use super::state::{Bytes, State, states};
 use crate::charts;
 use crate::error::CapacityError;
 use crate::fit::line::{SlopeRow, lines};
-use crate::measurement::{DECISIONS_RUN, Distribution};
+use crate::fit::{FULL_CORES, FULL_IDLE};
+use crate::measurement::{DECISIONS_RUN, Distribution, Metric, Role};
 use crate::target::Target;
 
 const TEMPLATE: &str = include_str!("page.md.j2");
@@ -38,6 +39,9 @@
         events: events(target).into_iter().map(|event| event_cells(event, &fault_runs)).collect(),
         faults: fault_runs.iter().map(fault_cells).collect(),
         charts: charts::titles(&lines).into_iter().map(chart_cells).collect(),
+        idle: DISTRIBUTIONS.map(|distribution| idle_percent(basis, distribution)),
+        full_core: figure(100.0 * FULL_CORES),
+        full_idle: figure(100.0 * FULL_IDLE),
         runs: run_cells(&basis.lines.runs()),
         bounds: bound_fields(target),
     };
@@ -66,6 +70,10 @@
     events: Vec<EventCells>,
     faults: Vec<FaultCells>,
     charts: Vec<ChartCells>,
+    /// Idle share of the machine at the largest size, under each event and digest, in percent.
+    idle: [String; 2],
+    full_core: String,
+    full_idle: String,
     runs: Vec<RunCells>,
     bounds: BoundFields,
 }
@@ -214,7 +222,7 @@
     let mut found: Vec<(f64, OverCells)> = Vec::new();
     for role in roles {
         for row in &role.rows {
-            for (at, distribution) in super::rows::DISTRIBUTIONS.into_iter().enumerate() {
+            for (at, distribution) in DISTRIBUTIONS.into_iter().enumerate() {
                 if !row.is_over(at) {
                     continue;
                 }
@@ -315,6 +323,11 @@
     }
 }
 
+fn idle_percent(basis: Basis, distribution: Distribution) -> String {
+    let line = basis.lines.one(distribution, Role::Coordinator, Metric::MachineIdleShare);
+    line.map_or(NOT_SHOWN.to_owned(), |line| format!("{} %", figure(100.0 * line.value)))
+}
+
 #[derive(Serialize)]
 struct ChartCells {
     file: &'static str,
--- a/crates/flaxdeck-scale/src/capacity/rows.rs
+++ b/crates/flaxdeck-scale/src/capacity/rows.rs
@@ -224,8 +224,7 @@
         unit,
         budget,
         estimates: both(|distribution| {
-            let line = basis.lines.one(distribution, Role::RealForwarder, metric);
-            line.map_or(Estimate::NOT_SHOWN, |line| estimate(line, &basis.target.size()))
+            basis.lines.total(distribution, Role::RealForwarder, &[metric], &basis.target.size())
         }),
         mechanism: "real forwarders under load beside the hollow ones",
     };
--- a/crates/flaxdeck-scale/src/fit.rs
+++ b/crates/flaxdeck-scale/src/fit.rs
@@ -20,16 +20,18 @@
 /// Cores of a planner or coordinator from which on its one thread is full. It then tells several events in one message, and
 /// what it sends and takes is less than it was asked for.
 pub const FULL_CORES: f64 = 0.9;
+/// Idle share of the machine below which processes wait for each other, with the same effect.
+pub const FULL_IDLE: f64 = 0.05;
 
 /// The lines of all series of the measurements, in their order.
 pub fn fit(measurements: &[Measurement]) -> Vec<Line> {
-    let full = full_runs(measurements);
+    let left_out = LeftOut::of(measurements);
     let mut groups: BTreeMap<Series, Vec<&Measurement>> = BTreeMap::new();
     for row in measurements.iter().filter(|row| row.value.is_finite()) {
         groups.entry(series_of(row)).or_default().push(row);
     }
     let line = |(series, rows): (&Series, &Vec<&Measurement>)| {
-        let line = fit_series(series.clone(), rows, &full);
+        let line = fit_series(series.clone(), rows, &left_out);
         Line { twin: twin(&line, &groups), ..line }
     };
     groups.iter().map(line).collect()
@@ -44,14 +46,36 @@
     (row.run.clone(), of_all, [forwarders, hosts, purges].map(f64::to_bits))
 }
 
-/// Runs in which a planner's or the coordinator's thread was full: no line is fitted through them.
-fn full_runs(measurements: &[Measurement]) -> BTreeSet<RunKey> {
-    let is_full = |row: &&Measurement| {
-        row.metric == Metric::Cores
-            && matches!(row.role, Role::Planner | Role::Coordinator)
-            && row.value >= FULL_CORES
-    };
-    measurements.iter().filter(is_full).map(run_key).collect()
+/// Runs that no line is fitted through, or none of some roles.
+struct LeftOut {
+    /// The thread of a planner or the coordinator, or the whole machine, was full.
+    full: BTreeSet<RunKey>,
+    /// Real forwarders under load took part, which the number of forwarders does not count.
+    with_real: BTreeSet<RunKey>,
+}
+
+fn is_server(role: Role) -> bool {
+    matches!(role, Role::Planner | Role::Coordinator)
+}
+
+impl LeftOut {
+    fn of(measurements: &[Measurement]) -> LeftOut {
+        let is_full = |row: &&Measurement| match row.metric {
+            Metric::Cores => is_server(row.role) && row.value >= FULL_CORES,
+            Metric::MachineIdleShare => row.value < FULL_IDLE,
+            _ => false,
+        };
+        let is_real = |row: &&Measurement| row.role == Role::RealForwarder;
+        LeftOut {
+            full: measurements.iter().filter(is_full).map(run_key).collect(),
+            with_real: measurements.iter().filter(is_real).map(run_key).collect(),
+        }
+    }
+
+    fn leaves_out(&self, row: &Measurement) -> bool {
+        let key = run_key(row);
+        self.full.contains(&key) || (is_server(row.role) && self.with_real.contains(&key))
+    }
 }
 
 /// What was measured without a fault where a line with one was.
@@ -85,13 +109,13 @@
     }
 }
 
-fn fit_series(series: Series, rows: &[&Measurement], full: &BTreeSet<RunKey>) -> Line {
+fn fit_series(series: Series, rows: &[&Measurement], left_out: &LeftOut) -> Line {
     let terms = match nature(series.role, series.metric) {
         Nature::Line(terms) if series.fault == NO_FAULT => terms,
         _ => return measured(series, rows),
     };
     let unhindered: Vec<&Measurement> =
-        rows.iter().copied().filter(|row| !full.contains(&run_key(row))).collect();
+        rows.iter().copied().filter(|row| !left_out.leaves_out(row)).collect();
     let point = |row: &&Measurement| Point { size: Size::of(row), value: row.value };
     let points: Vec<Point> = unhindered.iter().map(point).collect();
     let ranges: Vec<FittedTerm> = terms.iter().map(|term| range(*term, &points)).collect();
--- a/crates/flaxdeck-scale/src/fit/line.rs
+++ b/crates/flaxdeck-scale/src/fit/line.rs
@@ -49,7 +49,7 @@
     /// The constant first; empty where only what was measured is told.
     pub terms: Vec<FittedTerm>,
     pub points: u32,
-    /// Points left out as a thread was full in their runs.
+    /// Points left out: a thread or the machine was full in their runs, or real forwarders took part uncounted.
     pub left_out: u32,
     /// Root mean square of the residuals; of the points at the largest size where there is no slope.
     pub residual: f64,
--- a/crates/flaxdeck-scale/src/fit/nature.rs
+++ b/crates/flaxdeck-scale/src/fit/nature.rs
@@ -89,7 +89,7 @@
         DelayMedianMs | MicrosPerMessage | DecisionMicros | EventsExpected => Nature::Mean,
         DelayP99Ms | DelayWorstMs | ServiceP99Ms => Nature::Most,
         EventsLost | EventsDoubled | EventsOutOfOrder | EventsReplaced | RulesBroken => Nature::Most,
-        ServedShare => Nature::Least,
+        ServedShare | MachineIdleShare => Nature::Least,
         BytesInPerS | BytesOutPerS | MessagesInPerS | MessagesOutPerS | HeaderBytesPerS | Cores => rate(role),
         ResidentBytes => memory(role),
         Descriptors => descriptors(role),
--- a/crates/flaxdeck-scale/src/measurement.rs
+++ b/crates/flaxdeck-scale/src/measurement.rs
@@ -81,7 +81,7 @@
             Metric::DelayMedianMs | Metric::DelayP99Ms | Metric::DelayWorstMs | Metric::ServiceP99Ms => "ms",
             Metric::EventsExpected | Metric::EventsLost => "events",
             Metric::EventsDoubled | Metric::EventsOutOfOrder | Metric::EventsReplaced => "events",
-            Metric::ServedShare => "share",
+            Metric::ServedShare | Metric::MachineIdleShare => "share",
             Metric::RulesBroken => "breaks",
         }
     }
--- a/crates/flaxdeck-scale/tests/fit.rs
+++ b/crates/flaxdeck-scale/tests/fit.rs
@@ -229,6 +229,40 @@
     assert_eq!(bytes.factor(&size), 2.0, "drawn out from 600, where it was measured unhindered");
 }
 
+#[test]
+fn runs_on_a_full_machine_are_left_out_of_slopes() {
+    let mut rows = Vec::new();
+    for (purges, idle) in [(33.0, 0.6), (100.0, 0.5), (200.0, 0.2), (330.0, 0.01)] {
+        rows.push(row(Role::Coordinator, Metric::MachineIdleShare, (100, 100, purges), idle));
+        rows.push(row(Role::HollowForwarder, Metric::BytesInPerS, (100, 100, purges), 90.0 * purges));
+    }
+    let lines = fit(&rows);
+    let bytes = lines.iter().find(|line| line.series.metric == Metric::BytesInPerS).expect("it is a series");
+    assert_eq!((bytes.evidence, bytes.points, bytes.left_out), (Evidence::Slope, 3, 1));
+    let idle =
+        lines.iter().find(|line| line.series.metric == Metric::MachineIdleShare).expect("it is a series");
+    assert_eq!(idle.value, 0.01, "it is told itself");
+}
+
+#[test]
+fn runs_with_real_forwarders_are_left_out_of_planners_slopes() {
+    let mut rows = Vec::new();
+    for forwarders in [100, 300, 600, 1_000] {
+        let bytes = if forwarders == 600 { 800.0 } else { f64::from(forwarders) };
+        for role in [Role::Planner, Role::HollowForwarder] {
+            rows.push(row(role, Metric::BytesOutPerS, (forwarders, 100, f64::from(forwarders)), bytes));
+        }
+    }
+    rows.push(row(Role::RealForwarder, Metric::Cores, (600, 100, 600.0), 0.1));
+    let lines = fit(&rows);
+    let left_out = |role: Role| {
+        let line = lines.iter().find(|line| line.series.role == role).expect("it is a series");
+        (line.points, line.left_out)
+    };
+    assert_eq!(left_out(Role::Planner), (3, 1));
+    assert_eq!(left_out(Role::HollowForwarder), (4, 0));
+}
+
 #[test]
 fn figures_that_are_no_numbers_are_left_out() {
     let rows = [
