--- a/crates/flaxdeck-scale/src/capacity/state.rs
+++ b/crates/flaxdeck-scale/src/capacity/state.rs
@@ -1,5 +1,6 @@
 //! What is kept by each role: entries at the size of the target, bytes each, how long, and the bound in the code.
 
+use flaxdeck_distribution::messages::{FULL_EVENTS_MOST, PURGES_MOST};
 use flaxdeck_guidance::messages::EVENTS_MOST;
 use flaxdeck_guidance::planner::{FORGOTTEN, LOG_MOST, MEMBERS_MOST, POOLS_MOST};
 use flaxdeck_plan::{PLANNERS_MOST, Plan};
@@ -52,14 +53,16 @@
 
 const DISPATCHER: &str = "dispatcher";
 const PLANNER: &str = "planner";
+const BATCH: &str = "a batch or snapshot (digest)";
 const STORE: &str = "an operator's store (state folder of one dispatcher)";
 
 /// What all roles keep, role by role, the fullest bound of a role first.
 pub fn states(basis: Basis) -> Vec<State> {
     let mut states = dispatcher(basis);
     states.extend(planner(basis));
+    states.extend(batches(basis));
     states.extend(store(basis));
-    let order = [DISPATCHER, PLANNER, STORE];
+    let order = [DISPATCHER, PLANNER, BATCH, STORE];
     let place = |state: &State| order.iter().position(|role| *role == state.role);
     let ratio = |state: &State| state.ratio().unwrap_or(-1.0);
     states.sort_by(|one, other| place(one).cmp(&place(other)).then(ratio(other).total_cmp(&ratio(one))));
@@ -221,6 +224,32 @@
     Bound { most: LOG_MOST as f64, name: "`LOG_MOST` in `crates/flaxdeck-guidance/src/planner.rs`" }
 }
 
+/// What one message with a digest holds, if it reaches as far back as a purge may take.
+fn batches(basis: Basis) -> Vec<State> {
+    let target = basis.target;
+    let row = |what, per_s: f64, bound| State {
+        role: BATCH,
+        what,
+        needed: per_s * target.purge_within_s,
+        bound: Some(bound),
+        bytes_each: Bytes::NotShown,
+        kept: "not kept".into(),
+    };
+    let purges = || Bound {
+        most: f64::from(PURGES_MOST),
+        name: "`PURGES_MOST` in `crates/flaxdeck-distribution/src/messages.rs`",
+    };
+    let others = Bound {
+        most: FULL_EVENTS_MOST as f64,
+        name: "`FULL_EVENTS_MOST` in `crates/flaxdeck-distribution/src/messages.rs`",
+    };
+    vec![
+        row("purges, as far back as one may take", target.purges_per_s, purges()),
+        row("purges, as far back as one may take, in a purge storm", target.storm_per_s(), purges()),
+        row("other events, for as long", target.changes_per_s(), others),
+    ]
+}
+
 fn store(basis: Basis) -> Vec<State> {
     let target = basis.target;
     let purges = target.purges_per_s * target.purge_within_s;
--- a/crates/flaxdeck-scale/tests/capacity.rs
+++ b/crates/flaxdeck-scale/tests/capacity.rs
@@ -226,8 +226,13 @@
     let states = states(Basis { lines: Lines::new(&lines, 2), target: &target });
     let ratio =
         |what: &str| states.iter().find(|state| state.what.starts_with(what)).and_then(|state| state.ratio());
+    let of_role = |role: &str, what: &str| {
+        let of_role = states.iter().filter(|state| state.role.starts_with(role));
+        of_role.filter(|state| state.what.starts_with(what)).find_map(|state| state.ratio())
+    };
     near(ratio("dispatchers heard, if"), 14_000.0 / 4_096.0);
-    near(ratio("purges, as far back"), 330.0 * 6.8 / 1_024.0);
+    near(of_role("an operator's store", "purges, as far back"), 330.0 * 6.8 / 1_024.0);
+    near(of_role("a batch", "purges, as far back as one may take, in"), 3_300.0 * 6.8 / 4_096.0);
     near(ratio("events told in messages"), (330.0 + 82_000.0 / 86_400.0) / 320.0);
 }
 
