--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
-.PHONY: help build test lint run toy sites
+.PHONY: help build test lint run toy sites capacity
 
 help:
-	@echo "make build | test | lint | run CONFIG=file.json | toy | sites"
+	@echo "make build | test | lint | run CONFIG=file.json | toy | sites | capacity"
 
 build:
 	cargo build --release
@@ -27,3 +27,10 @@
 sites:
 	cp $(KIT)/sites/real.json $(KIT)/sites/wire.json deploy/sites/
 	cat $(KIT)/sites/unlock.txt $(KIT)/more/mass/unlock.txt > deploy/sites/unlock.txt
+
+# Slopes, charts and the capacity page from the runs in docs/capacity/runs.
+capacity:
+	cargo build -p flaxdeck-cli
+	target/debug/flaxdeck capacity fit docs/capacity/runs docs/capacity/slopes.csv
+	target/debug/flaxdeck capacity charts docs/capacity/runs docs/capacity
+	target/debug/flaxdeck capacity docs/capacity/slopes.csv docs/capacity/target.plan > docs/CAPACITY.md
--- a/crates/flaxdeck-scale/src/capacity/estimate.rs
+++ b/crates/flaxdeck-scale/src/capacity/estimate.rs
@@ -33,6 +33,15 @@
 }
 
 impl Known {
+    /// Whether drivers were smaller than at the size, so that the value there is this one or more.
+    pub fn is_least(&self) -> bool {
+        match self {
+            Known::MeasuredBelow { .. } => true,
+            Known::Slope { held, .. } => !held.is_empty(),
+            Known::Measured { .. } | Known::MeasuredApart | Known::NotShown => false,
+        }
+    }
+
     /// The size at which something was measured that is not drawn out.
     fn measured_at(&self) -> Option<Size> {
         match self {
--- a/crates/flaxdeck-scale/src/capacity/page/cells.rs
+++ b/crates/flaxdeck-scale/src/capacity/page/cells.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 
 use super::NOT_SHOWN;
-use crate::capacity::estimate::{Estimate, Known};
+use crate::capacity::estimate::Estimate;
 use crate::capacity::events::Event;
 use crate::capacity::faults::FaultRun;
 use crate::capacity::figures::{count, figure};
@@ -58,7 +58,7 @@
 
 fn estimate_cells(row: &Row, at: usize) -> EstimateCells {
     let Estimate { value, known } = &row.estimates[at];
-    let least = if matches!(known, Known::MeasuredBelow { .. }) { "at least " } else { "" };
+    let least = if known.is_least() { "at least " } else { "" };
     let ratio = match (row.ratios()[at], row.is_over(at)) {
         (Some(ratio), true) => format!("**{least}{} over**", figure(ratio)),
         (Some(ratio), false) => format!("{least}{}", figure(ratio)),
@@ -66,7 +66,7 @@
         (None, false) => "-".into(),
     };
     EstimateCells {
-        value: value.map_or("-".into(), |value| with_unit(value, row.unit)),
+        value: value.map_or("-".into(), |value| format!("{least}{}", with_unit(value, row.unit))),
         ratio,
         known: known.to_string(),
     }
@@ -97,11 +97,13 @@
                     continue;
                 }
                 let ratio = row.ratios()[at];
+                let least = if row.estimates[at].known.is_least() { "at least " } else { "" };
                 let cells = OverCells {
                     role: role.title.clone(),
                     what: row.what.clone(),
                     distribution: distribution_name(distribution),
-                    ratio: ratio.map_or("none is allowed".into(), figure),
+                    ratio: ratio
+                        .map_or("none is allowed".into(), |ratio| format!("{least}{}", figure(ratio))),
                 };
                 found.push((ratio.unwrap_or(f64::INFINITY), cells));
             }
--- a/crates/flaxdeck-scale/src/capacity/rows.rs
+++ b/crates/flaxdeck-scale/src/capacity/rows.rs
@@ -13,6 +13,8 @@
 
 /// The bytes of all connections both ways, with the headers below them.
 const BYTES: &[Metric] = &[Metric::BytesInPerS, Metric::BytesOutPerS, Metric::HeaderBytesPerS];
+/// The same without those headers, which are estimated by the number of messages.
+const BODIES: &[Metric] = &[Metric::BytesInPerS, Metric::BytesOutPerS];
 const MESSAGES: &[Metric] = &[Metric::MessagesInPerS, Metric::MessagesOutPerS];
 
 /// One figure of a role under both distributions.
@@ -103,7 +105,8 @@
         mechanism,
     };
     let mut rows = vec![
-        row("all control, both ways, with headers", "bytes/s", bytes, total(BYTES), BY_EVENTS),
+        row("all control, both ways, with headers (estimated)", "bytes/s", bytes, total(BYTES), BY_EVENTS),
+        row("all control, both ways, without headers", "bytes/s", bytes, total(BODIES), BY_EVENTS),
         row("messages, both ways", "messages/s", None, total(MESSAGES), BY_EVENTS),
         row("processor time", "cores", Some(target.budget_cores), total(&[Metric::Cores]), BY_GUIDE),
         row(
--- a/crates/flaxdeck-scale/src/charts.rs
+++ b/crates/flaxdeck-scale/src/charts.rs
@@ -5,10 +5,9 @@
 use plotters::prelude::*;
 
 use crate::error::CapacityError;
-use crate::fit::NO_FAULT;
-use crate::fit::fit;
 use crate::fit::line::{Evidence, Line};
 use crate::fit::nature::{Size, Term};
+use crate::fit::{NO_FAULT, counted, fit};
 use crate::measurement::{Distribution, Measurement, Metric, Role};
 
 const SIZE: (u32, u32) = (760, 460);
@@ -79,11 +78,11 @@
 
 /// Draws all charts that the measurements have points for; tells the files written.
 pub fn draw(measurements: &[Measurement], folder: &Path) -> Result<Vec<PathBuf>, CapacityError> {
-    let lines = fit(measurements);
+    let (lines, measurements) = (fit(measurements), counted(measurements));
     let mut written = Vec::new();
     for chart in &CHARTS {
         let path = folder.join(chart.file);
-        if chart.draw(measurements, &lines, &path)? {
+        if chart.draw(&measurements, &lines, &path)? {
             written.push(path);
         }
     }
@@ -106,7 +105,12 @@
     }
 
     /// False if there is nothing to draw.
-    fn draw(&self, measurements: &[Measurement], lines: &[Line], path: &Path) -> Result<bool, CapacityError> {
+    fn draw(
+        &self,
+        measurements: &[&Measurement],
+        lines: &[Line],
+        path: &Path,
+    ) -> Result<bool, CapacityError> {
         let series: Vec<(Distribution, Vec<Point>)> = [Distribution::EachEvent, Distribution::Digest]
             .into_iter()
             .map(|distribution| (distribution, self.points(measurements, distribution)))
@@ -126,7 +130,7 @@
     }
 
     /// Points of runs without a fault.
-    fn points(&self, measurements: &[Measurement], distribution: Distribution) -> Vec<Point> {
+    fn points(&self, measurements: &[&Measurement], distribution: Distribution) -> Vec<Point> {
         let own = measurements.iter().filter(|row| {
             row.fault == NO_FAULT && row.distribution == distribution && self.shows(row.role, row.metric)
         });
--- a/crates/flaxdeck-scale/src/fit.rs
+++ b/crates/flaxdeck-scale/src/fit.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::measurement::{Measurement, Metric, Role};
+use crate::measurement::{Distribution, Measurement, Metric, Role};
 use least_squares::{Solution, least_squares};
 use line::{Evidence, FittedTerm, Line, Series};
 use nature::{Nature, Size, Term, nature};
@@ -20,14 +20,17 @@
 /// Cores of a planner or coordinator from which on its one thread is full. It then tells several events in one message, and
 /// what it sends and takes is less than it was asked for.
 pub const FULL_CORES: f64 = 0.9;
-/// Idle share of the machine below which processes wait for each other, with the same effect.
+/// Idle share of the machine below which processes wait for each other, so that no figure of cost or delay counts.
 pub const FULL_IDLE: f64 = 0.05;
+/// Under [`Distribution::EachEvent`] each event comes in a message of its own from each planner and the coordinator. With
+/// fewer messages than this share of that, several went in one, and bytes and messages are less than was asked for.
+pub const CROWDED_SHARE: f64 = 0.9;
 
 /// The lines of all series of the measurements, in their order.
 pub fn fit(measurements: &[Measurement]) -> Vec<Line> {
     let left_out = LeftOut::of(measurements);
     let mut groups: BTreeMap<Series, Vec<&Measurement>> = BTreeMap::new();
-    for row in measurements.iter().filter(|row| row.value.is_finite()) {
+    for row in counted(measurements) {
         groups.entry(series_of(row)).or_default().push(row);
     }
     let line = |(series, rows): (&Series, &Vec<&Measurement>)| {
@@ -37,6 +40,12 @@
     groups.iter().map(line).collect()
 }
 
+/// The measurements that count: figures of cost and delay only of runs that the machine had room for.
+pub fn counted(measurements: &[Measurement]) -> Vec<&Measurement> {
+    let left_out = LeftOut::of(measurements);
+    measurements.iter().filter(|row| row.value.is_finite() && !left_out.hides(row)).collect()
+}
+
 /// One run at one size.
 type RunKey = (String, Series, [u64; 3]);
 
@@ -46,11 +55,15 @@
     (row.run.clone(), of_all, [forwarders, hosts, purges].map(f64::to_bits))
 }
 
-/// Runs that no line is fitted through, or none of some roles.
+/// Runs whose figures don't count, or not for all metrics.
 struct LeftOut {
-    /// The thread of a planner or the coordinator, or the whole machine, was full.
+    /// The machine was full: figures of cost and delay don't count at all.
+    busy: BTreeSet<RunKey>,
+    /// The thread of a planner or the coordinator was full, or several events went in one message: no line is fitted
+    /// through them.
     full: BTreeSet<RunKey>,
-    /// Real forwarders under load took part, which the number of forwarders does not count.
+    /// Real forwarders under load took part, which the number of forwarders does not count: no line of a planner or the
+    /// coordinator is fitted through them.
     with_real: BTreeSet<RunKey>,
 }
 
@@ -60,24 +73,53 @@
 
 impl LeftOut {
     fn of(measurements: &[Measurement]) -> LeftOut {
-        let is_full = |row: &&Measurement| match row.metric {
-            Metric::Cores => is_server(row.role) && row.value >= FULL_CORES,
-            Metric::MachineIdleShare => row.value < FULL_IDLE,
-            _ => false,
+        let keys_where = |is_so: &dyn Fn(&Measurement) -> bool| -> BTreeSet<RunKey> {
+            measurements.iter().filter(|row| is_so(row)).map(run_key).collect()
         };
-        let is_real = |row: &&Measurement| row.role == Role::RealForwarder;
+        let is_busy = |row: &Measurement| row.metric == Metric::MachineIdleShare && row.value < FULL_IDLE;
+        let is_full =
+            |row: &Measurement| row.metric == Metric::Cores && is_server(row.role) && row.value >= FULL_CORES;
+        let mut full = keys_where(&is_full);
+        full.extend(crowded(measurements));
         LeftOut {
-            full: measurements.iter().filter(is_full).map(run_key).collect(),
-            with_real: measurements.iter().filter(is_real).map(run_key).collect(),
+            busy: keys_where(&is_busy),
+            full,
+            with_real: keys_where(&|row| row.role == Role::RealForwarder),
         }
     }
 
+    /// Whether a row is not to be believed at all.
+    fn hides(&self, row: &Measurement) -> bool {
+        row.metric.is_cost_or_delay() && self.busy.contains(&run_key(row))
+    }
+
+    /// Whether no line is to be fitted through a row.
     fn leaves_out(&self, row: &Measurement) -> bool {
         let key = run_key(row);
         self.full.contains(&key) || (is_server(row.role) && self.with_real.contains(&key))
     }
 }
 
+/// Runs in which several events went in one message to a hollow forwarder.
+fn crowded(measurements: &[Measurement]) -> BTreeSet<RunKey> {
+    let mut told: BTreeMap<RunKey, f64> = BTreeMap::new();
+    let mut asked: BTreeMap<RunKey, f64> = BTreeMap::new();
+    for row in measurements {
+        // A report is answered with guidance, which tells no event if there is none.
+        let sign = match (row.metric, row.kind.as_str()) {
+            (Metric::MessagesInPerS, "feed" | "guidance") => 1.0,
+            (Metric::MessagesOutPerS, "reports") => -1.0,
+            _ => continue,
+        };
+        if row.role == Role::HollowForwarder && row.distribution == Distribution::EachEvent {
+            *told.entry(run_key(row)).or_default() += sign * row.value;
+            asked.insert(run_key(row), f64::from(row.planners + 1) * row.purges_per_s);
+        }
+    }
+    let is_crowded = |(key, told): (RunKey, f64)| (told < CROWDED_SHARE * asked[&key]).then_some(key);
+    told.into_iter().filter_map(is_crowded).collect()
+}
+
 /// What was measured without a fault where a line with one was.
 fn twin(line: &Line, groups: &BTreeMap<Series, Vec<&Measurement>>) -> Option<f64> {
     if line.series.fault == NO_FAULT {
--- a/crates/flaxdeck-scale/src/fit/line.rs
+++ b/crates/flaxdeck-scale/src/fit/line.rs
@@ -83,14 +83,11 @@
         varied.map(|term| term.term.driver(size) / term.most).fold(1.0, f64::max)
     }
 
-    /// Drivers that belong to the metric and were held at one size or two, elsewhere than at that size.
+    /// Drivers that belong to the metric and were held at one size or two, below that size.
     pub fn held(&self, size: &Size) -> Vec<&FittedTerm> {
-        let elsewhere = |term: &&FittedTerm| {
-            let target = term.term.driver(size);
-            !(term.least..=term.most).contains(&target)
-        };
+        let is_below = |term: &&FittedTerm| term.most < term.term.driver(size);
         let held = self.terms.iter().filter(|term| term.sizes < super::SIZES_LEAST);
-        held.filter(|term| term.term != Term::Constant).filter(elsewhere).collect()
+        held.filter(|term| term.term != Term::Constant).filter(is_below).collect()
     }
 }
 
--- a/crates/flaxdeck-scale/src/measurement.rs
+++ b/crates/flaxdeck-scale/src/measurement.rs
@@ -69,6 +69,21 @@
 }
 
 impl Metric {
+    /// Whether it depends on how much of the machine the run had to itself.
+    pub fn is_cost_or_delay(self) -> bool {
+        use Metric::*;
+        matches!(
+            self,
+            Cores
+                | MicrosPerMessage
+                | DelayMedianMs
+                | DelayP99Ms
+                | DelayWorstMs
+                | ServiceP99Ms
+                | DecisionMicros
+        )
+    }
+
     /// The unit that its values are counted in.
     pub fn unit(self) -> &'static str {
         match self {
--- a/crates/flaxdeck-scale/tests/capacity.rs
+++ b/crates/flaxdeck-scale/tests/capacity.rs
@@ -172,7 +172,7 @@
         assert!(matches!(whole.estimates[0].known, Known::MeasuredBelow { .. }), "{whole:?}");
     });
     let page = page(&slopes(&rows), &the_target()).expect("it can be made");
-    assert!(page.contains("| 1,020 descriptors | at least 0.249 | measured at 1,000 forwarders, 3,500 hosts, 330 purges/s only |"));
+    assert!(page.contains("| at least 1,020 descriptors | at least 0.249 | measured at 1,000 forwarders, 3,500 hosts, 330 purges/s only |"));
 }
 
 #[test]
@@ -240,7 +240,7 @@
 fn the_page_marks_what_is_over_and_says_what_is_not_shown() {
     let page = page(&slopes(&made()), &the_target()).expect("it can be made");
     assert!(page.contains(
-        "| all control, both ways, with headers | 2,000 bytes/s | 27,400 bytes/s | **13.7 over** |"
+        "| all control, both ways, with headers (estimated) | 2,000 bytes/s | 27,400 bytes/s | **13.7 over** |"
     ));
     assert!(page.contains("| 1,390 bytes/s | 0.695 |"), "{page}");
     assert!(page.contains("| **13.7** |"), "it stands among what is over");
--- a/crates/flaxdeck-scale/tests/charts.rs
+++ b/crates/flaxdeck-scale/tests/charts.rs
@@ -76,6 +76,19 @@
     assert!(text.contains("purges a second"));
 }
 
+#[test]
+fn costs_and_delays_of_a_full_machine_are_not_drawn() {
+    let folder = Folder::create("busy");
+    let mut rows = made();
+    let idle =
+        |(distribution, purges)| row(distribution, Role::Coordinator, Metric::MachineIdleShare, purges, 0.0);
+    let runs = [33.0, 100.0, 330.0]
+        .map(|purges| [(Distribution::EachEvent, purges), (Distribution::Digest, purges)]);
+    rows.extend(runs.into_iter().flatten().map(idle));
+    let written = charts::draw(&rows, &folder.0).expect("they can be drawn");
+    assert_eq!(written, [folder.0.join("dispatcher-bytes.svg")]);
+}
+
 #[test]
 fn a_chart_is_the_same_each_time() {
     let folder = Folder::create("same");
--- a/crates/flaxdeck-scale/tests/fit.rs
+++ b/crates/flaxdeck-scale/tests/fit.rs
@@ -230,18 +230,47 @@
 }
 
 #[test]
-fn runs_on_a_full_machine_are_left_out_of_slopes() {
+fn costs_and_delays_of_a_full_machine_do_not_count() {
     let mut rows = Vec::new();
     for (purges, idle) in [(33.0, 0.6), (100.0, 0.5), (200.0, 0.2), (330.0, 0.01)] {
-        rows.push(row(Role::Coordinator, Metric::MachineIdleShare, (100, 100, purges), idle));
-        rows.push(row(Role::HollowForwarder, Metric::BytesInPerS, (100, 100, purges), 90.0 * purges));
+        let mut add = |role, metric, value| rows.push(row(role, metric, (100, 100, purges), value));
+        add(Role::Coordinator, Metric::MachineIdleShare, idle);
+        add(Role::HollowForwarder, Metric::BytesInPerS, 90.0 * purges);
+        add(Role::HollowForwarder, Metric::Cores, 1e-5 * purges);
+        add(Role::HollowForwarder, Metric::DelayWorstMs, purges);
+    }
+    let lines = fit(&rows);
+    let line =
+        |metric: Metric| lines.iter().find(|line| line.series.metric == metric).expect("it is a series");
+    assert_eq!(line(Metric::BytesInPerS).points, 4, "bytes count, as nothing shows that they are too few");
+    assert_eq!(line(Metric::Cores).points, 3);
+    assert_eq!(line(Metric::DelayWorstMs).value, 200.0, "at the largest size at which it counts");
+    assert_eq!(line(Metric::MachineIdleShare).value, 0.01, "the share itself is told");
+    rows.retain(|row| row.purges_per_s == 330.0);
+    assert!(fit(&rows).iter().all(|line| !line.series.metric.is_cost_or_delay()), "none is left to show");
+}
+
+#[test]
+fn runs_in_which_several_events_went_in_one_message_are_left_out_of_slopes() {
+    let mut rows = Vec::new();
+    // Of what two planners and the coordinator tell at 330 a second a quarter came in messages of its own.
+    for (purges, share) in [(0.0, 1.0), (33.0, 1.0), (100.0, 0.95), (330.0, 0.25)] {
+        let mut add = |metric, kind: &str, value| {
+            let plain = row(Role::HollowForwarder, metric, (100, 100, purges), value);
+            rows.push(Measurement { kind: kind.into(), ..plain });
+        };
+        add(Metric::MessagesInPerS, "feed", share * purges);
+        add(Metric::MessagesInPerS, "guidance", 2.0 * share * purges + 10.0);
+        add(Metric::MessagesOutPerS, "reports", 10.0);
+        add(Metric::BytesInPerS, "feed", 30.0 * share * purges);
     }
     let lines = fit(&rows);
     let bytes = lines.iter().find(|line| line.series.metric == Metric::BytesInPerS).expect("it is a series");
     assert_eq!((bytes.evidence, bytes.points, bytes.left_out), (Evidence::Slope, 3, 1));
-    let idle =
-        lines.iter().find(|line| line.series.metric == Metric::MachineIdleShare).expect("it is a series");
-    assert_eq!(idle.value, 0.01, "it is told itself");
+    let mut digests = rows.clone();
+    digests.iter_mut().for_each(|row| row.distribution = Distribution::Digest);
+    let lines = fit(&digests);
+    assert!(lines.iter().all(|line| line.left_out == 0), "batches hold several by their nature");
 }
 
 #[test]
