--- /dev/null
+++ b/crates/flaxdeck-scale/src/capacity/estimate.rs
@@ -0,0 +1,221 @@
+//! What the fitted lines say of a size: a value, and how it is known.
+
+use std::fmt;
+
+use super::figures::{count, figure};
+use crate::fit::NO_FAULT;
+use crate::fit::line::{Evidence, Line};
+use crate::fit::nature::{Nature, Size, Term, nature};
+use crate::measurement::{Distribution, Metric, Role};
+
+/// How a value is known.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Known {
+    /// Measured at that size, not drawn out.
+    Measured {
+        at: Size,
+    },
+    /// Measured at that size only, though it grows with drivers that are larger elsewhere: a least value there.
+    MeasuredBelow {
+        at: Size,
+    },
+    /// Measured apart from any size of the fleet.
+    MeasuredApart,
+    /// Read off a line that is drawn out by that factor.
+    Slope {
+        factor: f64,
+        /// Drivers that were held elsewhere than at the size, with their value.
+        held: Vec<(Term, f64)>,
+        /// A part of it was only measured, at that size.
+        partly_at: Option<Size>,
+    },
+    NotShown,
+}
+
+impl Known {
+    /// Whether drivers were smaller than at the size, so that the value there is this one or more.
+    pub fn is_least(&self) -> bool {
+        match self {
+            Known::MeasuredBelow { .. } => true,
+            Known::Slope { held, .. } => !held.is_empty(),
+            Known::Measured { .. } | Known::MeasuredApart | Known::NotShown => false,
+        }
+    }
+
+    /// The size at which something was measured that is not drawn out.
+    fn measured_at(&self) -> Option<Size> {
+        match self {
+            Known::Measured { at } | Known::MeasuredBelow { at } => Some(*at),
+            Known::MeasuredApart | Known::Slope { .. } | Known::NotShown => None,
+        }
+    }
+}
+
+fn size_text(size: &Size) -> String {
+    let (forwarders, hosts, purges) = (count(size.forwarders), count(size.hosts), figure(size.purges));
+    format!("{forwarders} forwarders, {hosts} hosts, {purges} purges/s")
+}
+
+impl fmt::Display for Known {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Known::Measured { at } => write!(out, "measured at {}", size_text(at)),
+            Known::MeasuredBelow { at } => write!(out, "measured at {} only", size_text(at)),
+            Known::MeasuredApart => write!(out, "measured"),
+            Known::Slope { factor, held, partly_at } => {
+                write!(out, "slope x {}", figure(*factor))?;
+                for (term, at) in held {
+                    write!(out, ", {} held at {}", term.name(), figure(*at))?;
+                }
+                match partly_at {
+                    Some(at) => write!(out, ", a part measured at {}", size_text(at)),
+                    None => Ok(()),
+                }
+            }
+            Known::NotShown => write!(out, "not shown"),
+        }
+    }
+}
+
+/// A value at a size.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Estimate {
+    pub value: Option<f64>,
+    pub known: Known,
+}
+
+impl Estimate {
+    pub const NOT_SHOWN: Estimate = Estimate { value: None, known: Known::NotShown };
+
+    /// The same, counted otherwise.
+    pub fn map(self, change: impl FnOnce(f64) -> f64) -> Estimate {
+        Estimate { value: self.value.map(change), ..self }
+    }
+}
+
+/// What one line says of a size.
+pub fn estimate(line: &Line, size: &Size) -> Estimate {
+    match line.evidence {
+        Evidence::Measured => {
+            let known = match nature(line.series.role, line.series.metric) {
+                Nature::Line(terms) if is_below(line.at, size, terms) => Known::MeasuredBelow { at: line.at },
+                _ => Known::Measured { at: line.at },
+            };
+            Estimate { value: Some(line.value), known }
+        }
+        Evidence::Slope => {
+            let held = line.held(size).iter().map(|term| (term.term, term.most)).collect();
+            let known = Known::Slope { factor: line.factor(size), held, partly_at: None };
+            Estimate { value: Some(line.predict(size)), known }
+        }
+    }
+}
+
+/// Whether one of the drivers is smaller at one size than at another.
+fn is_below(one: Size, other: &Size, terms: &[Term]) -> bool {
+    terms.iter().any(|term| term.driver(&one) < term.driver(other))
+}
+
+/// The sum of what several lines say of a size, known as well as the least known of them.
+pub fn total<'a>(lines: impl IntoIterator<Item = &'a Line>, size: &Size) -> Estimate {
+    let estimates = lines.into_iter().map(|line| estimate(line, size));
+    estimates.reduce(plus).unwrap_or(Estimate::NOT_SHOWN)
+}
+
+/// Two estimates together.
+pub fn plus(one: Estimate, other: Estimate) -> Estimate {
+    let value = one.value.zip(other.value).map(|(one, other)| one + other);
+    Estimate { value, known: least_known(one.known, other.known) }
+}
+
+fn least_known(one: Known, other: Known) -> Known {
+    match (one, other) {
+        (Known::NotShown, _) | (_, Known::NotShown) => Known::NotShown,
+        (Known::MeasuredApart, other) | (other, Known::MeasuredApart) => other,
+        (
+            Known::Slope { factor, mut held, partly_at },
+            Known::Slope { factor: other, held: more, partly_at: also },
+        ) => {
+            let new: Vec<(Term, f64)> = more.into_iter().filter(|term| !held.contains(term)).collect();
+            held.extend(new);
+            let partly_at = [partly_at, also].into_iter().flatten().reduce(smaller);
+            Known::Slope { factor: factor.max(other), held, partly_at }
+        }
+        (Known::Slope { factor, held, partly_at }, measured)
+        | (measured, Known::Slope { factor, held, partly_at }) => {
+            let partly_at = [partly_at, measured.measured_at()].into_iter().flatten().reduce(smaller);
+            Known::Slope { factor, held, partly_at }
+        }
+        (one, other) => {
+            let at = [one.measured_at(), other.measured_at()].into_iter().flatten().reduce(smaller);
+            let is_below = [&one, &other].iter().any(|known| matches!(known, Known::MeasuredBelow { .. }));
+            match at {
+                Some(at) if is_below => Known::MeasuredBelow { at },
+                Some(at) => Known::Measured { at },
+                None => Known::NotShown,
+            }
+        }
+    }
+}
+
+fn smaller(one: Size, other: Size) -> Size {
+    if one.order(&other).is_le() { one } else { other }
+}
+
+/// The fitted lines, by what they tell.
+#[derive(Clone, Copy)]
+pub struct Lines<'a> {
+    lines: &'a [Line],
+    planners: u32,
+}
+
+/// A kind that stands for all kinds together, where a run tells that, too.
+const ALL_KINDS: &[&str] = &["", "all", "total"];
+
+impl<'a> Lines<'a> {
+    /// Goes by runs whose number of planners is nearest to that one.
+    pub fn new(lines: &'a [Line], planners: u32) -> Lines<'a> {
+        Lines { lines, planners }
+    }
+
+    /// The lines of a metric without faults, one for each kind of message. A line of all kinds together is left out where
+    /// there are lines by kind.
+    pub fn by_kind(&self, distribution: Distribution, role: Role, metric: Metric) -> Vec<&'a Line> {
+        let fits = |line: &&Line| {
+            let series = &line.series;
+            (series.distribution, series.role, series.metric) == (distribution, role, metric)
+                && series.fault == NO_FAULT
+        };
+        let all: Vec<&Line> = self.lines.iter().filter(fits).collect();
+        let numbers = all.iter().map(|line| line.series.planners);
+        let nearest = numbers.min_by_key(|planners| planners.abs_diff(self.planners));
+        let few = all.into_iter().filter(|line| Some(line.series.planners) == nearest);
+        let (whole, kinds): (Vec<&Line>, Vec<&Line>) =
+            few.partition(|line| ALL_KINDS.contains(&line.series.kind.as_str()));
+        if kinds.is_empty() { whole } else { kinds }
+    }
+
+    /// The only line of a metric without kinds.
+    pub fn one(&self, distribution: Distribution, role: Role, metric: Metric) -> Option<&'a Line> {
+        self.by_kind(distribution, role, metric).into_iter().next()
+    }
+
+    /// The lines of runs with a fault.
+    pub fn with_faults(&self) -> impl Iterator<Item = &'a Line> + Clone + use<'a> {
+        self.lines.iter().filter(|line| line.series.fault != NO_FAULT)
+    }
+
+    /// All kinds of some metrics together, at a size.
+    pub fn total(&self, distribution: Distribution, role: Role, metrics: &[Metric], size: &Size) -> Estimate {
+        let lines = metrics.iter().flat_map(|metric| self.by_kind(distribution, role, *metric));
+        total(lines, size)
+    }
+
+    /// Names of all runs, sorted, each once.
+    pub fn runs(&self) -> Vec<String> {
+        let mut runs: Vec<String> = self.lines.iter().flat_map(|line| line.runs.iter().cloned()).collect();
+        runs.sort();
+        runs.dedup();
+        runs
+    }
+}
--- /dev/null
+++ b/crates/flaxdeck-scale/src/capacity/page.rs
@@ -0,0 +1,78 @@
+//! The page as Markdown: tables put together here, words around them from the template `page.md.j2`.
+
+mod cells;
+mod fields;
+
+use minijinja::syntax::SyntaxConfig;
+use minijinja::value::Serde;
+use minijinja::{Environment, UndefinedBehavior};
+use serde::Serialize;
+
+use super::estimate::Lines;
+use super::events::events;
+use super::faults::fault_runs;
+use super::figures::figure;
+use super::rows::{Basis, DISTRIBUTIONS, roles};
+use super::state::states;
+use crate::charts;
+use crate::error::CapacityError;
+use crate::fit::line::{SlopeRow, lines};
+use crate::fit::{FULL_CORES, FULL_IDLE};
+use crate::target::Target;
+use cells::*;
+use fields::*;
+
+const TEMPLATE: &str = include_str!("page.md.j2");
+const NOT_SHOWN: &str = "not shown";
+
+/// The page for these slopes and that target.
+pub fn page(slopes: &[SlopeRow], target: &Target) -> Result<String, CapacityError> {
+    let lines = lines(slopes);
+    let basis = Basis { lines: Lines::new(&lines, target.planners_each as u32), target };
+    let fault_runs = fault_runs(basis.lines.with_faults());
+    let context = Context {
+        target: target_fields(target),
+        roles: roles(basis).iter().map(role_table).collect(),
+        over: over(&roles(basis)),
+        states: states(basis).iter().map(state_cells).collect(),
+        events: events(target).into_iter().map(|event| event_cells(event, &fault_runs)).collect(),
+        faults: fault_runs.iter().map(fault_cells).collect(),
+        charts: charts::titles(&lines).into_iter().map(chart_cells).collect(),
+        idle: DISTRIBUTIONS.map(|distribution| idle_percent(basis, distribution)),
+        full_core: figure(100.0 * FULL_CORES),
+        full_idle: figure(100.0 * FULL_IDLE),
+        runs: run_cells(&basis.lines.runs()),
+        bounds: bound_fields(target),
+    };
+    let failed = |error: minijinja::Error| CapacityError::Template(format!("{error:#}"));
+    render(context).map_err(failed)
+}
+
+/// Fills the template in. A field that is not there is a fault.
+fn render(context: Context) -> Result<String, minijinja::Error> {
+    let syntax = SyntaxConfig::builder().trim_blocks(true).keep_trailing_newline(true).build()?;
+    let mut environment = Environment::new();
+    environment.set_syntax(syntax);
+    environment.set_undefined_behavior(UndefinedBehavior::Strict);
+    environment.add_template("page.md", TEMPLATE)?;
+    environment.get_template("page.md")?.render(Serde(context))
+}
+
+/// All that the template may name. Figures are texts already.
+#[derive(Serialize)]
+struct Context {
+    target: TargetFields,
+    roles: Vec<RoleTable>,
+    /// What is over its budget, by the most first.
+    over: Vec<OverCells>,
+    states: Vec<StateCells>,
+    events: Vec<EventCells>,
+    faults: Vec<FaultCells>,
+    charts: Vec<ChartCells>,
+    /// Idle share of the machine at the largest size, under each event and digest, in percent.
+    idle: [String; 2],
+    full_core: String,
+    full_idle: String,
+    runs: Vec<RunCells>,
+    bounds: BoundFields,
+}
--- a/crates/flaxdeck-scale/src/lib.rs
+++ b/crates/flaxdeck-scale/src/lib.rs
@@ -2,8 +2,13 @@
 //! path, beside real programs on loopback; slopes from runs of several sizes; the capacity page computed from them.
 
 pub mod bounds;
+pub mod capacity;
+pub mod charts;
 pub mod coordinator;
 pub mod delays;
+pub mod error;
+pub mod files;
+pub mod fit;
 pub mod hollow;
 pub mod hosts;
 pub mod in_force;
@@ -16,4 +21,5 @@
 pub mod scenario;
 pub mod service;
 mod stage;
+pub mod target;
 pub mod usage;
--- a/crates/flaxdeck-scale/src/measurement.rs
+++ b/crates/flaxdeck-scale/src/measurement.rs
@@ -2,6 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
+/// The name of the runs that measure decisions by themselves (`examples/decisions.rs`).
+pub const DECISIONS_RUN: &str = "decisions";
+
 /// How events reach the forwarders of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -20,6 +23,8 @@
     Planner,
     RealForwarder,
     HollowForwarder,
+    /// A forwarder's decision engine by itself, measured apart from the runs (`examples/decisions.rs`).
+    Dispatcher,
 }
 
 /// What is measured, with its unit.
@@ -59,6 +64,42 @@
     ServedShare,
     ServiceP99Ms,
     RulesBroken,
+    /// Processor time of all decisions about one request, in microseconds; `kind` tells what stands beside.
+    DecisionMicros,
+}
+
+impl Metric {
+    /// Whether it depends on how much of the machine the run had to itself.
+    pub fn is_cost_or_delay(self) -> bool {
+        use Metric::*;
+        matches!(
+            self,
+            Cores
+                | MicrosPerMessage
+                | DelayMedianMs
+                | DelayP99Ms
+                | DelayWorstMs
+                | ServiceP99Ms
+                | DecisionMicros
+        )
+    }
+
+    /// The unit that its values are counted in.
+    pub fn unit(self) -> &'static str {
+        match self {
+            Metric::BytesInPerS | Metric::BytesOutPerS | Metric::HeaderBytesPerS => "bytes/s",
+            Metric::MessagesInPerS | Metric::MessagesOutPerS => "messages/s",
+            Metric::Cores => "cores",
+            Metric::MicrosPerMessage | Metric::DecisionMicros => "us",
+            Metric::ResidentBytes => "bytes",
+            Metric::Descriptors => "descriptors",
+            Metric::DelayMedianMs | Metric::DelayP99Ms | Metric::DelayWorstMs | Metric::ServiceP99Ms => "ms",
+            Metric::EventsExpected | Metric::EventsLost => "events",
+            Metric::EventsDoubled | Metric::EventsOutOfOrder | Metric::EventsReplaced => "events",
+            Metric::ServedShare | Metric::MachineIdleShare => "share",
+            Metric::RulesBroken => "breaks",
+        }
+    }
 }
 
 /// A row.
