--- a/crates/flaxdeck-dispatcher/tests/cold_budget.rs
+++ b/crates/flaxdeck-dispatcher/tests/cold_budget.rs
@@ -10,12 +10,10 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use flaxdeck_toy::{Client, Coordinator, Host, pull_message};
-use fleet::Dispatcher;
-use rand::{Rng, SeedableRng};
-use rand_pcg::Pcg64Mcg;
+use flaxdeck_toy::{Coordinator, Host};
+use fleet::{Dispatcher, ask};
 use serde_json::{Value, json};
-use world::{CONFIG, key, unix_now};
+use world::{CONFIG, unix_now};
 
 const DISPATCHERS: usize = 30;
 /// Those of them that get the list late, and by how much.
@@ -128,53 +126,6 @@
     }
 }
 
-/// Asks one dispatcher for a new object each time, at that rate, until it is over; looks for it again where it went.
-fn ask(
-    address: SocketAddr,
-    rate: f64,
-    seed: u64,
-    over: Arc<AtomicBool>,
-    served: Arc<AtomicU32>,
-) -> JoinHandle<()> {
-    thread::spawn(move || {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let (mut due, mut number) = (Instant::now(), 0);
-        while !over.load(Ordering::Relaxed) {
-            let Ok(mut client) = Client::connect(address) else {
-                thread::sleep(Duration::from_millis(20));
-                due = Instant::now();
-                continue;
-            };
-            let (mut hears, served) = (client.again().unwrap(), served.clone());
-            let hears = thread::spawn(move || {
-                while let Ok(answer) = hears.answer() {
-                    let is_served = matches!(answer, flaxdeck_toy::Answer::Served { .. });
-                    served.fetch_add(u32::from(is_served), Ordering::Relaxed);
-                }
-            });
-            while !over.load(Ordering::Relaxed) && !hears.is_finished() {
-                due += Duration::from_secs_f64(-(1.0 - chance.random::<f64>()).ln() / rate);
-                thread::sleep(due.saturating_duration_since(Instant::now()));
-                number += 1;
-                let (id, key) = (client.id(number), key(seed as u32 * 10_000 + number));
-                let fields = [
-                    ("id", &*id),
-                    ("wait", "2000"),
-                    ("key", &key),
-                    ("slice", "0"),
-                    ("set", "7"),
-                    ("kb", "1460"),
-                ];
-                if client.send(&pull_message(number, "page", &fields, b"")).is_err() {
-                    break;
-                }
-            }
-            let _ = client.shut(); // it may have ended already
-            let _ = hears.join();
-        }
-    })
-}
-
 #[test]
 fn thirty_dispatchers_together_keep_to_a_cold_hosts_budget() {
     let hosts = Hosts::start();
@@ -193,7 +144,7 @@
         .zip(RATES)
         .enumerate()
         .map(|(at, (dispatcher, rate))| {
-            ask(dispatcher.address(), rate, at as u64 + 1, over.clone(), served.clone())
+            ask(dispatcher.address(), (rate, KB), at as u64 + 1, over.clone(), served.clone())
         })
         .collect();
     thread::sleep(Duration::from_millis(500));
--- a/crates/flaxdeck-dispatcher/tests/fleet/mod.rs
+++ b/crates/flaxdeck-dispatcher/tests/fleet/mod.rs
@@ -4,13 +4,17 @@
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::process::Child;
+use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
-use std::thread;
+use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
+use flaxdeck_toy::{Answer, Client, pull_message};
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
 use serde_json::Value;
 
-use crate::world::{command, listening};
+use crate::world::{command, key, listening};
 
 /// How long a process may take until it listens: far more than any does.
 const STARTED_WITHIN: Duration = Duration::from_secs(20);
@@ -81,3 +85,51 @@
     thread::spawn(move || lines.for_each(|line| keeps.lock().unwrap().push((Instant::now(), line))));
     (process, log)
 }
+
+/// Asks one dispatcher for a new object each time, at that rate and of that size in KB, until it is over; looks for it again where it went.
+pub fn ask(
+    address: SocketAddr,
+    (rate, kb): (f64, f64),
+    seed: u64,
+    over: Arc<AtomicBool>,
+    served: Arc<AtomicU32>,
+) -> JoinHandle<()> {
+    thread::spawn(move || {
+        let kb = kb.to_string();
+        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+        let (mut due, mut number) = (Instant::now(), 0);
+        while !over.load(Ordering::Relaxed) {
+            let Ok(mut client) = Client::connect(address) else {
+                thread::sleep(Duration::from_millis(20));
+                due = Instant::now();
+                continue;
+            };
+            let (mut hears, served) = (client.again().unwrap(), served.clone());
+            let hears = thread::spawn(move || {
+                while let Ok(answer) = hears.answer() {
+                    let is_served = matches!(answer, Answer::Served { .. });
+                    served.fetch_add(u32::from(is_served), Ordering::Relaxed);
+                }
+            });
+            while !over.load(Ordering::Relaxed) && !hears.is_finished() {
+                due += Duration::from_secs_f64(-(1.0 - chance.random::<f64>()).ln() / rate);
+                thread::sleep(due.saturating_duration_since(Instant::now()));
+                number += 1;
+                let (id, key) = (client.id(number), key(seed as u32 * 10_000 + number));
+                let fields = [
+                    ("id", &*id),
+                    ("wait", "2000"),
+                    ("key", &key),
+                    ("slice", "0"),
+                    ("set", "7"),
+                    ("kb", &kb),
+                ];
+                if client.send(&pull_message(number, "page", &fields, b"")).is_err() {
+                    break;
+                }
+            }
+            let _ = client.shut(); // it may have ended already
+            let _ = hears.join();
+        }
+    })
+}
--- a/examples/toy/src/coordinator.rs
+++ b/examples/toy/src/coordinator.rs
@@ -19,6 +19,9 @@
     events: Vec<(u64, u8, Vec<u8>)>,
     /// It listens no more.
     ended: bool,
+    /// Calls that are answered just now, how many of them at once at most, and how long each takes; it closes others.
+    calls: u32,
+    few: Option<(u32, Duration)>,
     /// How often all connections were ended, and how often they were left open without a further word.
     hung_up: u32,
     stopped: u32,
@@ -78,6 +81,11 @@
         while TcpStream::connect(self.address).is_ok() {} // lets the listener end
     }
 
+    /// From now on answers so few calls at once, each after so long, and closes all others.
+    pub fn answers_few(&self, at_once: u32, each_takes: Duration) {
+        self.told.0.lock().expect("no holder panics").few = Some((at_once, each_takes));
+    }
+
     /// Says nothing more on the connections that there are, but leaves them open.
     pub fn stop(&self) {
         self.told.0.lock().expect("no holder panics").stopped += 1;
@@ -126,6 +134,9 @@
     stream.read_exact(&mut number)?;
     let mut last = u64::from_be_bytes(number);
     let (lock, stir) = &**told;
+    if !answers(lock) {
+        return Ok(());
+    }
     let (hung_up, stopped, trickled) = {
         let told = lock.lock().expect("no holder panics");
         (told.hung_up, told.stopped, told.trickled)
@@ -165,6 +176,22 @@
     }
 }
 
+/// Whether a call is answered, after its time.
+fn answers(lock: &Mutex<Told>) -> bool {
+    let takes = {
+        let mut told = lock.lock().expect("no holder panics");
+        let Some((at_once, takes)) = told.few else { return true };
+        if told.calls >= at_once {
+            return false;
+        }
+        told.calls += 1;
+        takes
+    };
+    sleep(takes);
+    lock.lock().expect("no holder panics").calls -= 1;
+    true
+}
+
 fn frame(number: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
     let length = (9 + payload.len()) as u32;
     [&length.to_be_bytes()[..], &number.to_be_bytes(), &[kind], payload].concat()
