--- a/crates/flaxdeck-fleet/src/model/attempts.rs
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -89,7 +89,7 @@
             self.hand_out(&attempt);
         }
         let ended = self.end_as_told(&attempt, ending);
-        let decisions = self.forwarders[attempt.forwarder].brain.hand_off_ended(time(self.now), ended);
+        let decisions = self.forwarders[attempt.forwarder].engine.hand_off_ended(time(self.now), ended);
         self.decide(attempt.forwarder, decisions);
     }
 
@@ -104,7 +104,7 @@
         self.answered(attempt.forwarder, attempt.request, Answer::Finished, None);
     }
 
-    /// An attempt's end as its forwarder's decisions are told of it.
+    /// An attempt's end as its forwarder's decision engine learns of it.
     fn end_as_told(&self, attempt: &Attempt, ending: Ending) -> Ended {
         let host = &self.hosts[attempt.host];
         let answered = ending == Ending::Answered;
--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -112,7 +112,7 @@
         self.forwarders[forwarder].open.insert(request, OpenRequest { want: id, attempts: 0 });
         self.requests.insert(request.0, id);
         let told = self.request(request, id);
-        let decisions = self.forwarders[forwarder].brain.pull(time(self.now), told);
+        let decisions = self.forwarders[forwarder].engine.pull(time(self.now), told);
         self.decide(forwarder, decisions);
     }
 
@@ -142,7 +142,7 @@
         // Unanswered on a whole connection: the record shows it.
         if self.forwarders[forwarder].run == run && self.forwarders[forwarder].open.remove(&request).is_some()
         {
-            let decisions = self.forwarders[forwarder].brain.client_left(time(self.now), request);
+            let decisions = self.forwarders[forwarder].engine.client_left(time(self.now), request);
             self.decide(forwarder, decisions);
         }
         self.again(id, AFTER_NO_ANSWER_MS);
--- a/crates/flaxdeck-fleet/src/model/coordinator.rs
+++ b/crates/flaxdeck-fleet/src/model/coordinator.rs
@@ -109,7 +109,7 @@
         match self.coordinator_events[number as usize - 1].clone() {
             CoordinatorEvent::Endpoint(endpoint) => {
                 let now = time(self.now);
-                let decisions = self.forwarders[n].brain.list(now, Coverage::Changes, vec![endpoint]);
+                let decisions = self.forwarders[n].engine.list(now, Coverage::Changes, vec![endpoint]);
                 self.decide(n, decisions);
             }
             CoordinatorEvent::PurgeAll(made) => self.purge(n, time(made)),
@@ -118,7 +118,7 @@
 
     fn purge(&mut self, n: usize, made: Time) {
         for group in 0..GROUPS {
-            let decisions = self.forwarders[n].brain.purge(time(self.now), None, GroupId(group), made);
+            let decisions = self.forwarders[n].engine.purge(time(self.now), None, GroupId(group), made);
             self.decide(n, decisions);
         }
     }
--- a/crates/flaxdeck-fleet/src/model/events.rs
+++ b/crates/flaxdeck-fleet/src/model/events.rs
@@ -17,7 +17,7 @@
     Try { want: u64 },
     /// A client waits no longer for that try.
     ClientStops { want: u64, tries: u32 },
-    /// A forwarder's decisions asked to be woken.
+    /// A forwarder's decision engine asked to be woken.
     Wake { forwarder: usize, run: u32 },
     /// An attempt reaches its host.
     AtHost { attempt: u64 },
@@ -98,7 +98,7 @@
 
     fn wake(&mut self, forwarder: usize, run: u32) {
         if self.forwarders[forwarder].run == run {
-            let decisions = self.forwarders[forwarder].brain.wake(time(self.now));
+            let decisions = self.forwarders[forwarder].engine.wake(time(self.now));
             self.decide(forwarder, decisions);
         }
     }
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -1,4 +1,4 @@
-//! Forwarders: the real decisions, the real guidance, and what a forwarder starts with.
+//! Forwarders: the real decision engine, the real guidance, and what a forwarder starts with.
 
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
 
 /// One forwarder.
 pub(super) struct Forwarder {
-    pub(super) brain: Brain,
+    pub(super) engine: Brain,
     /// None without planners.
     pub(super) guide: Option<Guide>,
     /// Counts its starts.
@@ -76,10 +76,10 @@
     pub(super) fn forwarder(&mut self, n: usize, run: u32) -> Forwarder {
         let (zone, now) = (n / self.shape.forwarders, time(self.now));
         let seed = self.chance.random();
-        let (brain, _) = Brain::start(now, seed, terms(self.shape, zone));
+        let (engine, _) = Brain::start(now, seed, terms(self.shape, zone));
         let guide = (self.shape.planners > 0).then(|| self.guide(n, run));
         let last_event = self.coordinator_events.len() as u64;
-        Forwarder { brain, guide, run, last_event, open: BTreeMap::new() }
+        Forwarder { engine, guide, run, last_event, open: BTreeMap::new() }
     }
 
     fn guide(&self, n: usize, run: u32) -> Guide {
@@ -103,15 +103,15 @@
             let run = self.forwarders[n].run;
             self.after(spread, Event::Report { forwarder: n, run });
         }
-        let decisions = self.forwarders[n].brain.list(time(self.now), Coverage::Whole, endpoints);
+        let decisions = self.forwarders[n].engine.list(time(self.now), Coverage::Whole, endpoints);
         self.decide(n, decisions);
     }
 
-    /// A forwarder's decisions are told what its guide knows by now.
+    /// A forwarder's decision engine learns what its guide knows by now.
     pub(super) fn take_hints(&mut self, n: usize) {
         let now = time(self.now);
-        let Forwarder { brain, guide: Some(guide), .. } = &mut self.forwarders[n] else { return };
-        let decisions = brain.guided(now, guide.hints(now));
+        let Forwarder { engine, guide: Some(guide), .. } = &mut self.forwarders[n] else { return };
+        let decisions = engine.guided(now, guide.hints(now));
         self.decide(n, decisions);
     }
 
