--- a/crates/flaxdeck-cli/src/scale.rs
+++ b/crates/flaxdeck-cli/src/scale.rs
@@ -3,9 +3,9 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use clap::Args;
+use clap::{Args, ValueEnum};
 use flaxdeck_plan::LogForm;
-use flaxdeck_scale::measurement::{Measurement, Metric, Role};
+use flaxdeck_scale::measurement::{Distribution, Measurement, Metric, Role};
 use flaxdeck_scale::messages::{CoordinatorOrders, HollowOrders};
 use flaxdeck_scale::report::{self, Rows};
 use flaxdeck_scale::scenario::{Fault, Point, Scenario};
@@ -27,13 +27,33 @@
     /// Only the point of that place in the file, counted from 1
     #[arg(long)]
     point: Option<usize>,
+    /// How events reach the forwarders, in place of what the file says; several are played side by side, point by point
+    #[arg(long, value_enum, value_delimiter = ',')]
+    distribution: Vec<DistributionName>,
     /// Only check the file and the bounds, and tell what would be run
     #[arg(long)]
     check: bool,
 }
 
+/// A way of distribution, as the command line names it.
+#[derive(Clone, Copy, ValueEnum)]
+enum DistributionName {
+    EachEvent,
+    Digest,
+}
+
+impl DistributionName {
+    fn distribution(self) -> Distribution {
+        match self {
+            DistributionName::EachEvent => Distribution::EachEvent,
+            DistributionName::Digest => Distribution::Digest,
+        }
+    }
+}
+
 /// One run to be played.
 struct Planned {
+    distribution: Distribution,
     point: Point,
     seed: u64,
     fault: Option<Fault>,
@@ -44,7 +64,7 @@
         faulty(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
     };
     let scenario = scenario::read(&asked.file, &files::text(&asked.file)?).map_err(lines)?;
-    let planned = planned(&scenario, asked.point)?;
+    let planned = planned(&scenario, asked)?;
     for Planned { point, .. } in &planned {
         bounds::check(point).map_err(|over| faulty(format!("{}: {point:?} takes {over}", asked.file)))?;
     }
@@ -69,9 +89,14 @@
     }
 }
 
-/// All runs of a file: each with a fault beside a twin that has none.
-fn planned(scenario: &Scenario, only: Option<usize>) -> Result<Vec<Planned>, Stop> {
-    let points: Vec<Point> = match only {
+/// All runs of a file: each with a fault beside a twin that has none, and the ways of distribution beside each other.
+fn planned(scenario: &Scenario, asked: &Asked) -> Result<Vec<Planned>, Stop> {
+    let mut distributions: Vec<Distribution> =
+        asked.distribution.iter().map(|name| name.distribution()).collect();
+    if distributions.is_empty() {
+        distributions.push(scenario.distribution);
+    }
+    let points: Vec<Point> = match asked.point {
         None => scenario.points.clone(),
         Some(at) => {
             let point = at.checked_sub(1).and_then(|at| scenario.points.get(at));
@@ -82,8 +107,11 @@
     for point in points {
         for run in 0..scenario.runs {
             let seed = scenario.seed + u64::from(run);
-            planned.push(Planned { point, seed, fault: None });
-            planned.extend(scenario.fault.map(|fault| Planned { point, seed, fault: Some(fault) }));
+            for distribution in &distributions {
+                let planned_with = |fault| Planned { distribution: *distribution, point, seed, fault };
+                planned.push(planned_with(None));
+                planned.extend(scenario.fault.map(|fault| planned_with(Some(fault))));
+            }
         }
     }
     Ok(planned)
@@ -96,8 +124,10 @@
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     bar.enable_steady_tick(Duration::from_millis(200));
     let mut rows: Vec<Measurement> = Vec::new();
-    for Planned { point, seed, fault } in planned {
-        let one = run::Asked { scenario, point: *point, seed: *seed, fault: *fault, binary: &binary };
+    for Planned { distribution, point, seed, fault } in planned {
+        let scenario = Scenario { distribution: *distribution, ..scenario.clone() };
+        let one =
+            run::Asked { scenario: &scenario, point: *point, seed: *seed, fault: *fault, binary: &binary };
         let progress = |what: &str| bar.set_message(what.to_owned());
         let played = run::play(&one, &progress).await?;
         bar.suspend(|| println!("{}", line(&one, &played.rows)));
@@ -111,7 +141,7 @@
     Ok(())
 }
 
-const HEAD: &str = "hollow  hosts  purges/s  planners  fault                bytes/s  messages/s  headers/s  cores  planner  coordinator  delay ms: median      99th     worst  expected      lost  replaced  doubled  disordered  machine idle";
+const HEAD: &str = "distribution  hollow  hosts  purges/s  planners  fault                bytes/s  messages/s  headers/s  cores  planner  coordinator  delay ms: median      99th     worst  expected      lost  replaced  doubled  disordered  machine idle";
 
 /// A run in a line: bytes, messages and cores of one hollow forwarder, cores of a planner and the coordinator.
 fn line(asked: &run::Asked, rows: &Rows) -> String {
@@ -120,9 +150,13 @@
     };
     let one = |metric: Metric| hollow(&[metric]);
     let cores = |role: Role| rows.sum(role, Metric::Cores).unwrap_or(f64::NAN);
+    let distribution = match asked.scenario.distribution {
+        Distribution::EachEvent => "each-event",
+        Distribution::Digest => "digest",
+    };
     let fault = asked.fault.map_or("none", |fault| fault.kind.word());
     format!(
-        "{:>6}  {:>5}  {:>8}  {:>8}  {fault:<19}  {:>7.0}  {:>10.1}  {:>9.0}  {:.4}  {:>7.3}  {:>11.3}  {:>16.1}  {:>8.1}  {:>8.1}  {:>8}  {:>8}  {:>8}  {:>7}  {:>10}  {:>12.2}",
+        "{distribution:<12}  {:>6}  {:>5}  {:>8}  {:>8}  {fault:<19}  {:>7.0}  {:>10.1}  {:>9.0}  {:.4}  {:>7.3}  {:>11.3}  {:>16.1}  {:>8.1}  {:>8.1}  {:>8}  {:>8}  {:>8}  {:>7}  {:>10}  {:>12.2}",
         asked.point.hollow,
         asked.point.hosts,
         asked.point.purges_per_s,
