--- a/crates/flaxdeck-distribution/tests/digest.rs
+++ b/crates/flaxdeck-distribution/tests/digest.rs
@@ -23,7 +23,7 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig::with_cases(256))]
+    #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
     fn what_is_encoded_is_decoded_sorted_and_with_repeats(numbers in numbers(400)) {
--- a/crates/flaxdeck-distribution/tests/purge_index.rs
+++ b/crates/flaxdeck-distribution/tests/purge_index.rs
@@ -45,7 +45,7 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig::with_cases(200))]
+    #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     /// Beside a plain list of all purges: an unsettled one is found, or doubted.
     #[test]
