--- a/crates/flaxdeck-distribution/src/event_log.rs
+++ b/crates/flaxdeck-distribution/src/event_log.rs
@@ -246,11 +246,12 @@
         Ok(Batch { after: position, upto, purges: PurgeDigest::encode(objects), events })
     }
 
-    /// The latest purges, as many as one snapshot may hold, and how far back they are complete.
+    /// The latest purges, as many as one snapshot may hold with so many bytes of purges of groups, and how far back they
+    /// are complete.
     ///
     /// Each purge counts from when it came here, which is not before it was made: whoever has all that came within a
     /// time has all that was made within it.
-    pub fn purges_since(&self, now: Time) -> KeptPurges {
+    pub fn purges_since(&self, now: Time, group_bytes_most: usize) -> KeptPurges {
         let mut kept = KeptPurges::default();
         let (mut complete_after, mut frame_bytes) = (self.complete_after, 0);
         for entry in self.entries.iter().rev() {
@@ -258,7 +259,7 @@
                 Content::ObjectPurge(_) => kept.objects.len() < PURGES_MOST as usize,
                 Content::GroupPurge(frame) => {
                     frame_bytes += frame.len();
-                    kept.groups.len() < FULL_EVENTS_MOST && frame_bytes <= FULL_BYTES_MOST
+                    kept.groups.len() < FULL_EVENTS_MOST && frame_bytes <= group_bytes_most
                 }
                 Content::HostChange(_) => true,
             };
--- a/crates/flaxdeck-distribution/src/publisher.rs
+++ b/crates/flaxdeck-distribution/src/publisher.rs
@@ -307,7 +307,7 @@
     }
 
     fn take_snapshot(&self, now: Time, list: Vec<u8>) -> Snapshot {
-        let kept = self.log.purges_since(now);
+        let kept = self.log.purges_since(now, FULL_BYTES_MOST.saturating_sub(list.len()));
         Snapshot {
             upto: self.log.last(),
             list,
--- a/crates/flaxdeck-distribution/src/subscriber.rs
+++ b/crates/flaxdeck-distribution/src/subscriber.rs
@@ -646,7 +646,8 @@
 
 fn check_snapshot(snapshot: &Snapshot) -> Result<Vec<Fingerprint>, Invalid> {
     check_events(&snapshot.group_purges)?;
-    if snapshot.list.len() > FULL_BYTES_MOST {
+    let group_bytes: usize = snapshot.group_purges.iter().map(|event| event.frame.len()).sum();
+    if snapshot.list.len() + group_bytes > FULL_BYTES_MOST {
         return Err(Invalid::TooLong);
     }
     if snapshot.group_purges.last().is_some_and(|last| last.mark.number > snapshot.upto.number) {
--- a/crates/flaxdeck-distribution/tests/event_log.rs
+++ b/crates/flaxdeck-distribution/tests/event_log.rs
@@ -83,7 +83,7 @@
     let (entries, bytes) = log.size();
     assert!(bytes <= 20_000 && entries > 100);
     assert_eq!(log.counted.shortened as usize, 1_000 - entries);
-    let kept = log.purges_since(at(1_010));
+    let kept = log.purges_since(at(1_010), FULL_BYTES_MOST);
     assert_eq!(kept.objects.len(), entries);
     assert_eq!(kept.reach, Span::from_ms(entries as u64), "what came after the last that was dropped");
 }
@@ -93,10 +93,10 @@
     let mut log = log();
     log.append(at(500), mark(11), purge(1));
     log.append(at(600), mark(12), Content::GroupPurge(vec![3]));
-    let kept = log.purges_since(at(2_000));
+    let kept = log.purges_since(at(2_000), FULL_BYTES_MOST);
     assert_eq!((kept.objects.len(), kept.groups.len(), kept.reach), (1, 1, Span::from_ms(2_000)));
     log.restart(at(2_500), mark(3));
-    let kept = log.purges_since(at(3_000));
+    let kept = log.purges_since(at(3_000), FULL_BYTES_MOST);
     assert_eq!((kept.objects.len(), kept.groups.len(), kept.reach), (0, 0, Span::from_ms(500)));
     assert_eq!(log.batch_after(mark(12)), Err(NotKept::Ahead));
 }
@@ -108,11 +108,22 @@
         log.append(at(number), mark(number), purge(number));
     }
     let last = 10 + 2 * u64::from(PURGES_MOST);
-    let kept = log.purges_since(at(last));
+    let kept = log.purges_since(at(last), FULL_BYTES_MOST);
     assert_eq!(kept.objects.len(), PURGES_MOST as usize);
     assert_eq!(kept.reach, Span::from_ms(u64::from(PURGES_MOST)));
 }
 
+#[test]
+fn a_snapshots_purges_of_groups_fit_beside_its_list() {
+    let mut log = log();
+    for number in 11..21 {
+        log.append(at(number), mark(number), Content::GroupPurge(vec![0; 100]));
+    }
+    let kept = log.purges_since(at(20), 450);
+    let numbers: Vec<u64> = kept.groups.iter().map(|event| event.mark.number).collect();
+    assert_eq!((numbers, kept.reach), (vec![17, 18, 19, 20], Span::from_ms(4)));
+}
+
 #[test]
 fn a_long_way_to_catch_up_takes_several_batches_in_order() {
     let mut log = log();
@@ -140,7 +151,7 @@
     log.append(at(1), mark(11), purge(1));
     log.append(at(2), mark(14), purge(2));
     assert_eq!((log.counted.gaps, log.batch_after(mark(11))), (1, Err(NotKept::Unknown)));
-    assert_eq!(log.purges_since(at(5)).reach, Span::from_ms(3));
+    assert_eq!(log.purges_since(at(5), FULL_BYTES_MOST).reach, Span::from_ms(3));
     assert_eq!(log.last(), mark(14));
     log.append(at(6), mark(15), Content::HostChange(vec![0; FULL_BYTES_MOST + 1]));
     assert_eq!((log.counted.oversized, log.batch_after(mark(14))), (1, Err(NotKept::Unknown)));
--- a/crates/flaxdeck-distribution/tests/subscriber.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber.rs
@@ -216,6 +216,7 @@
     };
     let cases = [
         (change(&|snapshot| snapshot.list = vec![0; FULL_BYTES_MOST + 1]), Invalid::TooLong),
+        (change(&|snapshot| snapshot.list = vec![0; FULL_BYTES_MOST]), Invalid::TooLong),
         (change(&|snapshot| snapshot.group_purges = vec![event(31)]), Invalid::Marks),
         (change(&|snapshot| snapshot.group_purges = vec![event(9), event(8)]), Invalid::Marks),
         (change(&|snapshot| snapshot.group_purges = (1..258).map(event).collect()), Invalid::TooManyEvents),
@@ -226,7 +227,7 @@
     for (delivery, why) in cases {
         assert_eq!(subscriber.delivered(at(900), ONE, delivery), Err(Refused::Invalid(why)));
     }
-    assert_eq!((subscriber.position(), subscriber.counted.invalid), (mark(10), 6));
+    assert_eq!((subscriber.position(), subscriber.counted.invalid), (mark(10), 7));
 }
 
 #[test]
