--- a/crates/flaxdeck-recovery/src/lib.rs
+++ b/crates/flaxdeck-recovery/src/lib.rs
@@ -2,6 +2,7 @@
 //! decisions come out; no I/O, no clock. The reasons are in `docs/coming-back.md`.
 //!
 //! - [`numbering`]: whether the coordinator still speaks the numbering that is known here, and what follows if not.
+//! - [`live_edge`]: whether events come as they happen, or what happened before is still being told.
 //! - [`doubt`]: which lines of a list that came instead of what followed may be used.
 //! - [`belief`]: what of stored state may be believed, item by item.
 //! - [`clocks`]: what told Unix times mean by a clock of one's own that may be wrong.
@@ -11,9 +12,11 @@
 pub mod belief;
 pub mod clocks;
 pub mod doubt;
+pub mod live_edge;
 pub mod numbering;
 pub mod pace;
 pub mod phase;
 
+pub use live_edge::LiveEdge;
 pub use numbering::Mark;
 pub use pace::Pace;
--- a/crates/flaxdeck-recovery/src/numbering.rs
+++ b/crates/flaxdeck-recovery/src/numbering.rs
@@ -313,6 +313,11 @@
         (self.link, self.from_the_start) = (None, false);
     }
 
+    /// Whether the link has proven that its numbers mean here what they mean there.
+    pub fn is_proven(&self) -> bool {
+        self.link.as_ref().is_some_and(|link| link.proven)
+    }
+
     /// Whether all that the coordinator has told has come, as far as can be seen.
     pub fn current(&self, now: Time) -> bool {
         self.link.as_ref().is_some_and(|link| link.proven && now.since(link.heard) >= SETTLES)
--- a/crates/flaxdeck-talk/src/feed.rs
+++ b/crates/flaxdeck-talk/src/feed.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use flaxdeck::words::Span;
+use flaxdeck::words::{Span, Time};
 use flaxdeck_recovery::numbering::{Doubt, Next, Numbering, Why};
-use flaxdeck_recovery::{Mark, Pace};
+use flaxdeck_recovery::{LiveEdge, Mark, Pace};
 use flaxdeck_terms::Names;
 use flaxdeck_terms::fields::Fields;
 use tokio::sync::Notify;
@@ -79,6 +79,8 @@
     heard: Instant,
     /// It has been told that all has come which the coordinator had when the link came up.
     told_current: bool,
+    /// Tells that where events come without a pause.
+    live_edge: LiveEdge,
 }
 
 impl Feed {
@@ -98,7 +100,7 @@
         let numbering = Rc::new(RefCell::new(numbering));
         let (pace, clock) = (Pace::new(seed, RETRY[0], RETRY[1]), Clock::start());
         let (urgency, waits, paused) = (Rc::default(), false, false);
-        let (heard, told_current, link) = (Instant::now(), false, None);
+        let (heard, told_current, link, live_edge) = (Instant::now(), false, None, LiveEdge::default());
         let feed = Feed {
             address,
             names,
@@ -158,7 +160,7 @@
     }
 
     fn hang_up(&mut self, by_silence: bool) {
-        (self.link, self.told_current) = (None, false);
+        (self.link, self.told_current, self.live_edge) = (None, false, LiveEdge::default());
         self.numbering.borrow_mut().ended(by_silence);
     }
 
@@ -215,6 +217,7 @@
                 }
                 Ok(Parsed::Whole((number, frame, Some(event)))) => {
                     let (now, whole) = (self.clock.now(), event.is_whole_list());
+                    self.note_live(now, &event);
                     let mark = Mark { number, hash: event.hash() };
                     let next = self.numbering.borrow_mut().heard(now, mark, whole);
                     match next {
@@ -288,6 +291,13 @@
         }
     }
 
+    /// Notes that events come as they happen, where they come without a pause.
+    fn note_live(&mut self, now: Time, event: &Event) {
+        let Event::Purged { made, .. } = event else { return };
+        let live = self.live_edge.told(now, *made) && self.numbering.borrow().is_proven();
+        self.told_current |= live;
+    }
+
     async fn connect(&mut self) {
         count(Count::feed_connects);
         match timeout(CONNECT, link::connect(self.address)).await {
@@ -298,6 +308,7 @@
                 outbound.send([asked], [None, None]);
                 self.heard = Instant::now();
                 (self.link, self.told_current) = (Some((inbound, outbound)), false);
+                self.live_edge = LiveEdge::default();
             }
             Ok(Err(error)) => {
                 log::debug!("no connection to the coordinator: {error}");
