--- a/crates/flaxdeck-scale/src/lib.rs
+++ b/crates/flaxdeck-scale/src/lib.rs
@@ -20,5 +20,6 @@
 pub mod run;
 pub mod scenario;
 pub mod service;
+mod stage;
 pub mod target;
 pub mod usage;
