--- a/crates/flaxdeck-talk/src/feed.rs
+++ b/crates/flaxdeck-talk/src/feed.rs
@@ -113,6 +113,7 @@
             paused,
             heard,
             told_current,
+            live_edge,
         };
         Ok((feed, events))
     }
