--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -16,12 +16,12 @@
 const WRITE_KB: f64 = 5.0;
 /// Objects of scans are numbered from here, past all that the traffic's law knows.
 const SCANNED_FROM: u64 = 1_000_000_000;
-/// Milliseconds until a client asks again: after a try without an answer, ...
-const AFTER_NO_ANSWER_MS: f64 = 100.0;
+/// Milliseconds until a client retries: after a try without an answer, ...
+const RETRY_AFTER_TIMEOUT_MS: f64 = 100.0;
 /// ... after one that failed, or was turned away without a time, ...
-const AFTER_FAILURE_MS: f64 = 200.0;
+const RETRY_AFTER_FAILURE_MS: f64 = 200.0;
 /// ... and after its forwarder died.
-pub(super) const AFTER_LOST_FORWARDER_MS: f64 = 300.0;
+pub(super) const RETRY_AFTER_LOST_FORWARDER_MS: f64 = 300.0;
 
 /// What a client wants, and how far it has got.
 pub(super) struct Want {
@@ -145,11 +145,11 @@
             let decisions = self.forwarders[forwarder].engine.client_left(time(self.now), request);
             self.decide(forwarder, decisions);
         }
-        self.again(id, AFTER_NO_ANSWER_MS);
+        self.retry(id, RETRY_AFTER_TIMEOUT_MS);
     }
 
-    /// The client asks again after a while, or gives up once it has tried often enough.
-    pub(super) fn again(&mut self, id: u64, after_ms: f64) {
+    /// The client retries after a while, or gives up once it has tried often enough.
+    pub(super) fn retry(&mut self, id: u64, after_ms: f64) {
         let want = &mut self.wants[id as usize];
         want.out = None;
         if want.tries >= self.shape.tries {
@@ -159,12 +159,12 @@
         self.after(after_ms * jitter, Event::Try { want: id });
     }
 
-    /// Asks again for a read; a write that may have run is not asked for again.
-    pub(super) fn again_unless_write(&mut self, id: u64, after_ms: f64) {
+    /// Retries a read; a write that may have run is not retried.
+    pub(super) fn retry_unless_write(&mut self, id: u64, after_ms: f64) {
         if self.wants[id as usize].write {
             self.give_up(id);
         } else {
-            self.again(id, after_ms);
+            self.retry(id, after_ms);
         }
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// A forwarder answers a request, unless it had its answer before.
-    pub(super) fn answered(&mut self, n: usize, request: PullId, how: Answer, come_back: Option<Span>) {
+    pub(super) fn answered(&mut self, n: usize, request: PullId, how: Answer, retry_after: Option<Span>) {
         let Some(OpenRequest { want, .. }) = self.forwarders[n].open.remove(&request) else { return };
         self.see(Seen::Answered { pull: request.0.to_string(), how });
         self.note([request.0, how as u64, (self.now * 1000.0) as u64]);
@@ -182,11 +182,11 @@
             Answer::Finished => self.finished(want),
             Answer::Bounced => {
                 self.outcome.bounced += 1;
-                self.again(want, come_back.map_or(AFTER_FAILURE_MS, Span::ms));
+                self.retry(want, retry_after.map_or(RETRY_AFTER_FAILURE_MS, Span::ms));
             }
             Answer::Forfeited => {
                 self.outcome.forfeited += 1;
-                self.again_unless_write(want, AFTER_FAILURE_MS);
+                self.retry_unless_write(want, RETRY_AFTER_FAILURE_MS);
             }
         }
     }
--- a/crates/flaxdeck-fleet/src/model/decisions.rs
+++ b/crates/flaxdeck-fleet/src/model/decisions.rs
@@ -14,7 +14,9 @@
         decisions.hand_offs.into_iter().for_each(|attempt| self.begin_attempt(n, &attempt));
         for last in decisions.finals {
             match last {
-                Final::Bounced { pull, come_back } => self.answered(n, pull, Answer::Bounced, come_back),
+                Final::Bounced { pull, come_back: retry_after } => {
+                    self.answered(n, pull, Answer::Bounced, retry_after);
+                }
                 Final::Forfeited { pull } => self.answered(n, pull, Answer::Forfeited, None),
             }
         }
--- a/crates/flaxdeck-fleet/src/model/events.rs
+++ b/crates/flaxdeck-fleet/src/model/events.rs
@@ -13,7 +13,7 @@
     Arrival { zone: usize },
     /// The next client of a scan comes.
     Scan,
-    /// A client asks again.
+    /// A client retries.
     Try { want: u64 },
     /// A client waits no longer for that try.
     ClientStops { want: u64, tries: u32 },
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -9,7 +9,7 @@
 use flaxdeck_rules::Seen;
 use rand::Rng;
 
-use super::clients::{AFTER_LOST_FORWARDER_MS, PROMISED_MS, STRETCH};
+use super::clients::{PROMISED_MS, RETRY_AFTER_LOST_FORWARDER_MS, STRETCH};
 use super::events::Event;
 use super::planners::{REPORT_MS, pledges};
 use super::{Model, Shape, time};
@@ -115,14 +115,14 @@
         self.decide(n, decisions);
     }
 
-    /// So large a part of the forwarders dies and starts again at once; its clients ask again.
+    /// So large a part of the forwarders dies and starts again at once; its clients retry.
     pub(super) fn kill_forwarders(&mut self, part: f64) {
         let count = (self.forwarders.len() as f64 * part).floor() as usize;
         for n in 0..count {
             let open = std::mem::take(&mut self.forwarders[n].open);
             for (request, OpenRequest { want, .. }) in open {
                 self.see(Seen::Left { pull: request.0.to_string() });
-                self.again_unless_write(want, AFTER_LOST_FORWARDER_MS);
+                self.retry_unless_write(want, RETRY_AFTER_LOST_FORWARDER_MS);
             }
             let run = self.forwarders[n].run + 1;
             self.forwarders[n] = self.forwarder(n, run);
