--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -8,9 +8,9 @@
 use super::forwarders::OpenRequest;
 use super::{GROUPS, Model, time};
 
-/// A read is promised within so many milliseconds, ...
-pub(super) const PROMISED_MS: u64 = 400;
-/// ... and so many times the time that a place takes to send it.
+/// The latency objective of any request, in milliseconds, ...
+pub(super) const OBJECTIVE_MS: u64 = 400;
+/// ... to which so many times the time is added that a place takes to send it.
 pub(super) const STRETCH: f64 = 2.0;
 /// What a write sends.
 const WRITE_KB: f64 = 5.0;
@@ -29,8 +29,8 @@
     pub(super) object: u64,
     pub(super) kb: f64,
     pub(super) write: bool,
-    /// By when its first try was promised.
-    pub(super) promised: f64,
+    /// When the latency objective of its first try is past.
+    pub(super) objective: f64,
     pub(super) tries: u32,
     /// Its attempts, over all tries.
     pub(super) attempts: Vec<u64>,
@@ -76,13 +76,13 @@
 
     fn want(&mut self, zone: usize, object: u64, write: bool) {
         let kb = if write { WRITE_KB } else { self.traffic.kb(object) };
-        let promised = self.now + PROMISED_MS as f64 + STRETCH * kb / self.shape.place_pace;
+        let objective = self.now + OBJECTIVE_MS as f64 + STRETCH * kb / self.shape.place_pace;
         self.wants.push(Want {
             zone,
             object,
             kb,
             write,
-            promised,
+            objective,
             tries: 0,
             attempts: Vec::new(),
             out: None,
@@ -195,7 +195,7 @@
         let want = &mut self.wants[id as usize];
         (want.over, want.served) = (true, true);
         self.outcome.finished += 1;
-        if self.now <= want.promised {
+        if self.now <= want.objective {
             self.outcome.in_time += 1;
         } else {
             self.outcome.late += 1;
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -9,7 +9,7 @@
 use flaxdeck_rules::Seen;
 use rand::Rng;
 
-use super::clients::{PROMISED_MS, RETRY_AFTER_LOST_FORWARDER_MS, STRETCH};
+use super::clients::{OBJECTIVE_MS, RETRY_AFTER_LOST_FORWARDER_MS, STRETCH};
 use super::events::Event;
 use super::planners::{REPORT_MS, pledges};
 use super::{Model, Shape, time};
@@ -36,7 +36,7 @@
 /// The terms of a location's forwarders: reads are the first workload, writes the second.
 fn terms(shape: &Shape, zone: usize) -> Terms {
     let workload = |repeats, goes_through| Workload {
-        promised: Span::from_ms(PROMISED_MS),
+        promised: Span::from_ms(OBJECTIVE_MS),
         stretch: STRETCH,
         repeats,
         goes_through,
--- a/crates/flaxdeck-fleet/src/outcome.rs
+++ b/crates/flaxdeck-fleet/src/outcome.rs
@@ -7,9 +7,9 @@
 pub struct Outcome {
     /// Wants of clients, each tried some times.
     pub wants: u64,
-    /// Wants finished within the promised time of the first try.
+    /// Wants served within the latency objective of the first try.
     pub in_time: u64,
-    /// Wants finished later.
+    /// Wants served later.
     pub late: u64,
     /// Wants given up after all tries.
     pub lost: u64,
--- a/crates/flaxdeck-lab/src/service.rs
+++ b/crates/flaxdeck-lab/src/service.rs
@@ -6,7 +6,7 @@
 pub struct Slice {
     /// Wants that were first asked for within the slice.
     pub wants: u64,
-    /// Finished within the promised time of their first try.
+    /// Served within the latency objective of their first try.
     pub in_time: u64,
     /// Requests that were turned away with an answer.
     pub bounced: u64,
