--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -18,7 +18,7 @@
 const SCANNED_FROM: u64 = 1_000_000_000;
 /// Milliseconds until a client retries: after a try without an answer, ...
 const RETRY_AFTER_TIMEOUT_MS: f64 = 100.0;
-/// ... after one that failed, or was turned away without a time, ...
+/// ... after one that failed, or was rejected without a time, ...
 const RETRY_AFTER_FAILURE_MS: f64 = 200.0;
 /// ... and after its forwarder died.
 pub(super) const RETRY_AFTER_LOST_FORWARDER_MS: f64 = 300.0;
@@ -179,7 +179,7 @@
         self.see(Seen::Answered { pull: request.0.to_string(), how });
         self.note([request.0, how as u64, (self.now * 1000.0) as u64]);
         match how {
-            Answer::Finished => self.finished(want),
+            Answer::Finished => self.want_served(want),
             Answer::Bounced => {
                 self.outcome.bounced += 1;
                 self.retry(want, retry_after.map_or(RETRY_AFTER_FAILURE_MS, Span::ms));
@@ -191,7 +191,7 @@
         }
     }
 
-    fn finished(&mut self, id: u64) {
+    fn want_served(&mut self, id: u64) {
         let want = &mut self.wants[id as usize];
         (want.over, want.served) = (true, true);
         self.outcome.finished += 1;
--- a/crates/flaxdeck-fleet/src/outcome.rs
+++ b/crates/flaxdeck-fleet/src/outcome.rs
@@ -15,9 +15,9 @@
     pub lost: u64,
     /// Requests: tries of all wants.
     pub pulls: u64,
-    /// Requests that were answered with the object.
+    /// Requests that were served.
     pub finished: u64,
-    /// Requests that were turned away.
+    /// Requests that were rejected.
     pub bounced: u64,
     /// Requests that failed.
     pub forfeited: u64,
--- a/crates/flaxdeck-lab/src/service.rs
+++ b/crates/flaxdeck-lab/src/service.rs
@@ -8,7 +8,7 @@
     pub wants: u64,
     /// Served within the latency objective of their first try.
     pub in_time: u64,
-    /// Requests that were turned away with an answer.
+    /// Requests that were rejected.
     pub bounced: u64,
     /// Answers of caches.
     pub answers: u64,
@@ -22,7 +22,7 @@
 pub const SLICE: f64 = 500.0;
 /// Service counts as full once this many slices in a row are like the twin's: 5 s.
 const LASTING: usize = 10;
-/// By how much shares in time and bounced may differ, and the least of the twin's hits.
+/// By how much the shares of what came in time and of what was rejected may differ, and the least of the twin's hits.
 const WITHIN: f64 = 0.005;
 const HITS: f64 = 0.97;
 
@@ -33,10 +33,10 @@
 
     fn like(self, twin: Slice) -> bool {
         let in_time = twin.share(twin.in_time) - self.share(self.in_time);
-        let bounced = self.share(self.bounced) - twin.share(twin.bounced);
+        let rejected = self.share(self.bounced) - twin.share(twin.bounced);
         let hits = |slice: Slice| slice.hits as f64 / slice.answers.max(1) as f64;
         in_time <= WITHIN
-            && bounced <= WITHIN
+            && rejected <= WITHIN
             && hits(self) >= HITS * hits(twin)
             && self.turned_away <= twin.turned_away
     }
