--- a/crates/flaxdeck-fleet/src/hosts.rs
+++ b/crates/flaxdeck-fleet/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Cache hosts, parents and the origin: places, a waiting room, copies by rank and age, a cold ramp, falling over.
+//! Cache hosts, parents and the origin: places, a waiting room, copies by rank and age, slow start, falling over.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -168,7 +168,7 @@
         }
     }
 
-    /// The part of its capacity that it has.
+    /// The part of its capacity that it has: it grows evenly during slow start.
     pub fn part(&self, now: f64, from: f64, within: f64) -> f64 {
         self.started
             .map_or(1.0, |started| (from + (1.0 - from) * (now - started) / within.max(1.0)).clamp(0.0, 1.0))
--- a/crates/flaxdeck-fleet/src/model/service.rs
+++ b/crates/flaxdeck-fleet/src/model/service.rs
@@ -30,7 +30,7 @@
         self.cost(kb) * times
     }
 
-    /// Places that a host has: fewer while it is cold.
+    /// Places that a host has: fewer during slow start.
     fn capacity(&self, at: usize) -> usize {
         let host = &self.hosts[at];
         let part = host.part(self.now, self.shape.cold_from, self.shape.warm_within_ms);
@@ -62,7 +62,7 @@
         None
     }
 
-    /// Books work at a host; whether that is more than it can bear while it is cold.
+    /// Books work at a host; whether that is more than it can bear during slow start.
     fn falls_over(&mut self, at: usize, cost: f64) -> bool {
         let shape = self.shape;
         let asked = self.hosts[at].book(self.now, cost, shape.window_ms);
--- a/crates/flaxdeck-fleet/src/outcome.rs
+++ b/crates/flaxdeck-fleet/src/outcome.rs
@@ -29,7 +29,7 @@
     pub parent_fills: u64,
     /// Fills that the origin was asked for.
     pub origin_fills: u64,
-    /// Cold hosts that were asked for too much and fell over.
+    /// Hosts that were asked for too much during slow start and fell over.
     pub fell_over: u64,
     /// Events of the run.
     pub events: u64,
--- a/crates/flaxdeck-fleet/src/shape.rs
+++ b/crates/flaxdeck-fleet/src/shape.rs
@@ -30,13 +30,13 @@
     pub far_ms: f64,
     /// The origin's own milliseconds before its first byte.
     pub origin_ms: f64,
-    /// The part of its capacity that a host has when it starts cold.
+    /// The part of its capacity that a host has when its slow start begins.
     pub cold_from: f64,
-    /// Milliseconds until a cold host has all its capacity.
+    /// Milliseconds that slow start lasts.
     pub warm_within_ms: f64,
-    /// Milliseconds over which a cold host's work is added up.
+    /// Milliseconds over which a host's work is added up during slow start.
     pub window_ms: f64,
-    /// A cold host falls over when it is asked for more than so many times its capacity within the window.
+    /// A host falls over during slow start when it is asked for more than so many times its capacity within the window.
     pub factor: f64,
     /// Milliseconds until the coordinator's events reach anybody.
     pub register_ms: f64,
