--- a/crates/flaxdeck-fleet/src/outcome.rs
+++ b/crates/flaxdeck-fleet/src/outcome.rs
@@ -7,17 +7,17 @@
 pub struct Outcome {
     /// Wants of clients, each tried some times.
     pub wants: u64,
-    /// Wants finished within the promised time of the first try.
+    /// Wants served within the latency objective of the first try.
     pub in_time: u64,
-    /// Wants finished later.
+    /// Wants served later.
     pub late: u64,
     /// Wants given up after all tries.
     pub lost: u64,
     /// Requests: tries of all wants.
     pub pulls: u64,
-    /// Requests that were answered with the object.
+    /// Requests that were served.
     pub finished: u64,
-    /// Requests that were turned away.
+    /// Requests that were rejected.
     pub bounced: u64,
     /// Requests that failed.
     pub forfeited: u64,
@@ -29,7 +29,7 @@
     pub parent_fills: u64,
     /// Fills that the origin was asked for.
     pub origin_fills: u64,
-    /// Cold hosts that were asked for too much and fell over.
+    /// Hosts that were asked for too much during slow start and fell over.
     pub fell_over: u64,
     /// Events of the run.
     pub events: u64,
