--- a/crates/flaxdeck-recovery/src/numbering.rs
+++ b/crates/flaxdeck-recovery/src/numbering.rs
@@ -156,7 +156,7 @@
     pub fn heard(&mut self, now: Time, mark: Mark, whole: bool) -> Next {
         let Some(link) = &mut self.link else { return Next::Skip };
         link.heard = now;
-        let next = if link.proven { self.on_proven(now, mark) } else { self.on_first(mark, whole) };
+        let next = if link.proven { self.on_proven(now, mark) } else { self.on_first(now, mark, whole) };
         match next {
             Next::Apply => self.applies(mark),
             Next::Adopt(doubt) => {
@@ -211,8 +211,16 @@
     }
 
     // The first event of a link proves the numbering, replaces it, or has all asked for.
-    fn on_first(&mut self, mark: Mark, whole: bool) -> Next {
+    fn on_first(&mut self, now: Time, mark: Mark, whole: bool) -> Next {
         let Some(link) = &mut self.link else { return Next::Skip };
+        // Others may have brought more since the link asked. What it asked for proves the numbering all the same, and
+        // what they brought beyond has to come on the link in its turn.
+        let overtaken = mark.number < self.last.number && self.applied.get(&mark.number) == Some(&mark.hash);
+        if overtaken && !whole && link.asked > 0 {
+            (link.proven, self.from_the_start) = (true, false);
+            self.unechoed = Some((mark.number + 1, now));
+            return Next::Skip;
+        }
         if mark == self.last && (whole || link.asked > 0) {
             (link.proven, self.from_the_start) = (true, false);
             return Next::Skip;
