--- a/crates/flaxdeck-cli/src/scale.rs
+++ b/crates/flaxdeck-cli/src/scale.rs
@@ -27,6 +27,9 @@
     /// Only the point of that place in the file, counted from 1
     #[arg(long)]
     point: Option<usize>,
+    /// Leave the run's own files in the folder for temporary ones: logs of all processes, notes, counters
+    #[arg(long)]
+    keep_files: bool,
     /// Only check the file and the bounds, and tell what would be run
     #[arg(long)]
     check: bool,
@@ -97,7 +100,14 @@
     bar.enable_steady_tick(Duration::from_millis(200));
     let mut rows: Vec<Measurement> = Vec::new();
     for Planned { point, seed, fault } in planned {
-        let one = run::Asked { scenario, point: *point, seed: *seed, fault: *fault, binary: &binary };
+        let one = run::Asked {
+            scenario,
+            point: *point,
+            seed: *seed,
+            fault: *fault,
+            keeps_files: asked.keep_files,
+            binary: &binary,
+        };
         let progress = |what: &str| bar.set_message(what.to_owned());
         let played = run::play(&one, &progress).await?;
         bar.suspend(|| println!("{}", line(&one, &played.rows)));
--- a/crates/flaxdeck-cli/tests/scale.rs
+++ b/crates/flaxdeck-cli/tests/scale.rs
@@ -23,7 +23,7 @@
 fn played(text: &str) -> Played {
     let scenario = scenario::read("small.scale", text).unwrap();
     let (point, seed, fault) = (scenario.points[0], scenario.seed, scenario.fault);
-    let asked = Asked { scenario: &scenario, point, seed, fault, binary: binary() };
+    let asked = Asked { scenario: &scenario, point, seed, fault, keeps_files: false, binary: binary() };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(play(&asked, &|_| ())).unwrap()
 }
@@ -61,6 +61,19 @@
     assert!(begun.elapsed() < Duration::from_secs(20), "{:?}", begun.elapsed());
 }
 
+#[test]
+fn forwarders_restarted_together_follow_on_from_their_file_while_planners_are_faster_than_the_coordinator() {
+    let text = "(scale (name \"small\") (seed 4) (sizes (hollow 40) (processes 2) (hosts 50) (planners 2))
+        (rates (purges 60) (host-changes 2)) (times (settle-s 1) (window-s 6) (drain-s 3))
+        (fault (kind region-restarted) (at-s 2) (lasts-s 0)))";
+    let Played { rows, processes, .. } = played(text);
+    let hollow = |metric| rows.sum(Role::HollowForwarder, metric).unwrap();
+    assert!(hollow(Metric::EventsExpected) > 30.0 * 60.0 * 4.0, "{}", hollow(Metric::EventsExpected));
+    let bad = [Metric::EventsLost, Metric::EventsReplaced, Metric::EventsDoubled, Metric::EventsOutOfOrder];
+    assert_eq!(bad.map(hollow), [0.0; 4], "lost, replaced, doubled, out of order");
+    assert!(!processes.iter().any(|process| is_alive(*process)), "{processes:?}");
+}
+
 /// Ids of processes that have this one as their parent.
 fn children(of: u32) -> Vec<u32> {
     let children = std::fs::read_to_string(format!("/proc/{of}/task/{of}/children")).unwrap_or_default();
--- a/crates/flaxdeck-scale/src/coordinator.rs
+++ b/crates/flaxdeck-scale/src/coordinator.rs
@@ -40,6 +40,8 @@
 const WHOLE_LIST: u8 = 1;
 const CHANGES: u8 = 2;
 const PURGE: u8 = 3;
+/// Where a frame's kind stands, after its length and number.
+const KIND_AT: usize = 12;
 
 /// What connections wait for: it changes with each event and each order.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -277,14 +279,33 @@
         let rows: Vec<Value> = hosts.map(|host| host.row(zones, kinds)).collect();
         let last = self.last();
         let list = json!({"index": last.saturating_sub(1).max(1), "endpoints": {"seq": 1, "whole": true, "hosts": rows}});
-        let purge = self.frames.back().filter(|frame| frame[12] == PURGE).map(|frame| {
-            let word =
-                |at: usize| frame[at..at + 8].iter().fold(0, |word, byte| word << 8 | u64::from(*byte));
-            json!({"index": last, "evict": {"ref": format!("{:016x}", word(13)), "unix_ms": word(21)}})
-        });
-        let updates: Vec<Value> = [Some(list), purge].into_iter().flatten().collect();
+        let last_event = self.frames.back().and_then(|frame| self.event_as_json(frame, last));
+        let updates: Vec<Value> = [Some(list), last_event].into_iter().flatten().collect();
         json!({"index": last, "updates": updates})
     }
+
+    /// A purge or a change of a host as a configuration tells it; none of a whole list.
+    fn event_as_json(&self, frame: &Bytes, number: u64) -> Option<Value> {
+        let (kind, payload) = (frame[KIND_AT], &frame[KIND_AT + 1..]);
+        match kind {
+            PURGE => {
+                let [object, made] = [0, 8].map(|at| big_endian(&payload[at..at + 8]));
+                Some(json!({"index": number, "evict": {"ref": format!("{object:016x}"), "unix_ms": made}}))
+            }
+            CHANGES => {
+                let id = big_endian(&payload[..4]) as u32;
+                let host = self.hosts.iter().find(|host| host.id == id)?;
+                let [zones, kinds] = &self.settings_names;
+                let change = json!({"seq": 1, "whole": false, "hosts": [host.row(zones, kinds)]});
+                Some(json!({"index": number, "endpoints": change}))
+            }
+            _ => None,
+        }
+    }
+}
+
+fn big_endian(bytes: &[u8]) -> u64 {
+    bytes.iter().fold(0, |word, byte| word << 8 | u64::from(*byte))
 }
 
 async fn accept(state: Shared, listener: Listener) {
--- a/crates/flaxdeck-scale/src/run.rs
+++ b/crates/flaxdeck-scale/src/run.rs
@@ -15,6 +15,8 @@
     pub point: Point,
     pub seed: u64,
     pub fault: Option<Fault>,
+    /// The run's own files, with the logs of its processes, are left where they are.
+    pub keeps_files: bool,
     /// The program `flaxdeck`.
     pub binary: &'a Path,
 }
@@ -43,7 +45,10 @@
             "distribution digest: the plan file has no word for it yet, only each-event can be run".into()
         );
     }
-    let folder = Folder::create()?;
+    let folder = Folder::create(asked.keeps_files)?;
+    if asked.keeps_files {
+        progress(&format!("files in {}", folder.path().display()));
+    }
     let mut stage = Stage::start(asked, folder.path(), progress).await?;
     let measured = stage.measure(progress).await?;
     let (both_sides, processes) = (stage.both_sides(), stage.processes().map(|process| process.id).collect());
--- a/crates/flaxdeck-scale/src/stage/faults.rs
+++ b/crates/flaxdeck-scale/src/stage/faults.rs
@@ -35,9 +35,13 @@
             FaultKind::RegionRestarted => self.restart_region().await?,
             FaultKind::CoordinatorForgets => self.coordinator.order(&CoordinatorOrder::Forget).await?,
             FaultKind::CoordinatorSilent => {
+                // What a silent coordinator would have told counts as told only some seconds later, by the platform's
+                // page: no purge that clients could notice is made meanwhile.
+                let next_purge = self.next_purge.take();
                 self.coordinator.order(&CoordinatorOrder::Silent(true)).await?;
                 self.pass_until(until).await?;
                 self.coordinator.order(&CoordinatorOrder::Silent(false)).await?;
+                self.next_purge = next_purge.map(|_| until);
             }
             FaultKind::LinkCut => {
                 self.wire.iter().for_each(|wire| wire.set(Wire::Cut));
--- a/crates/flaxdeck-scale/src/stage/mod.rs
+++ b/crates/flaxdeck-scale/src/stage/mod.rs
@@ -20,27 +20,32 @@
 use crate::service::Service;
 pub use window::Measured;
 
-/// A folder of the run's own files, gone with it.
-pub struct Folder(PathBuf);
+/// A folder of the run's own files, gone with it unless it is kept.
+pub struct Folder {
+    path: PathBuf,
+    kept: bool,
+}
 
 impl Folder {
-    /// Makes a new one.
-    pub fn create() -> Result<Folder, String> {
+    /// Makes a new one; one that is kept outlasts the run.
+    pub fn create(kept: bool) -> Result<Folder, String> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let name = format!("flaxdeck-scale-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
         let path = std::env::temp_dir().join(name);
         fs::create_dir_all(&path).map_err(|error| format!("{}: {error}", path.display()))?;
-        Ok(Folder(path))
+        Ok(Folder { path, kept })
     }
 
     pub fn path(&self) -> &Path {
-        &self.0
+        &self.path
     }
 }
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0);
+        if !self.kept {
+            let _ = fs::remove_dir_all(&self.path);
+        }
     }
 }
 
