--- a/crates/flaxdeck-cli/src/scale.rs
+++ b/crates/flaxdeck-cli/src/scale.rs
@@ -27,9 +27,9 @@
     /// Only the point of that place in the file, counted from 1
     #[arg(long)]
     point: Option<usize>,
-    /// How events reach the forwarders, in place of what the file says; several are played side by side, point by point
-    #[arg(long, value_enum, value_delimiter = ',')]
-    distribution: Vec<DistributionName>,
+    /// Leave the run's own files in the folder for temporary ones: logs of all processes, notes, counters
+    #[arg(long)]
+    keep_files: bool,
     /// Only check the file and the bounds, and tell what would be run
     #[arg(long)]
     check: bool,
@@ -126,8 +126,14 @@
     let mut rows: Vec<Measurement> = Vec::new();
     for Planned { distribution, point, seed, fault } in planned {
         let scenario = Scenario { distribution: *distribution, ..scenario.clone() };
-        let one =
-            run::Asked { scenario: &scenario, point: *point, seed: *seed, fault: *fault, binary: &binary };
+        let one = run::Asked {
+            scenario: &scenario,
+            point: *point,
+            seed: *seed,
+            fault: *fault,
+            keeps_files: asked.keep_files,
+            binary: &binary,
+        };
         let progress = |what: &str| bar.set_message(what.to_owned());
         let played = run::play(&one, &progress).await?;
         bar.suspend(|| println!("{}", line(&one, &played.rows)));
