--- a/crates/flaxdeck-cli/src/scale.rs
+++ b/crates/flaxdeck-cli/src/scale.rs
@@ -30,6 +30,9 @@
     /// Leave the run's own files in the folder for temporary ones: logs of all processes, notes, counters
     #[arg(long)]
     keep_files: bool,
+    /// How events reach the forwarders, in place of what the file says; several are played side by side, point by point
+    #[arg(long, value_enum, value_delimiter = ',')]
+    distribution: Vec<DistributionName>,
     /// Only check the file and the bounds, and tell what would be run
     #[arg(long)]
     check: bool,
