--- a/crates/flaxdeck-scale/src/run.rs
+++ b/crates/flaxdeck-scale/src/run.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use crate::measurement::{Distribution, Metric, Role};
+use crate::measurement::{Metric, Role};
 use crate::report::{Rows, Run};
 use crate::scenario::{Fault, Point, Scenario};
 use crate::service::{Served, Service};
@@ -40,11 +40,6 @@
 
 /// Plays one run; all that it started has ended when it returns, also when it is dropped before.
 pub async fn play(asked: &Asked<'_>, progress: &dyn Fn(&str)) -> Result<Played, String> {
-    if asked.scenario.distribution == Distribution::Digest {
-        return Err(
-            "distribution digest: the plan file has no word for it yet, only each-event can be run".into()
-        );
-    }
     let folder = Folder::create(asked.keeps_files)?;
     if asked.keeps_files {
         progress(&format!("files in {}", folder.path().display()));
--- a/crates/flaxdeck-scale/src/service.rs
+++ b/crates/flaxdeck-scale/src/service.rs
@@ -13,6 +13,8 @@
 
 use crate::hosts::Host;
 
+/// Within which a purge has to be done everywhere, as in `docs/capacity/target.plan`.
+const PURGE_GRACE_MS: f64 = 6_800.0;
 /// Requests a second at each real forwarder: two thirds of what the hosts of the usual world bear for three.
 const RATE: f64 = 70.0;
 const OBJECTS: u64 = 2_000;
@@ -45,6 +47,11 @@
     chance: Pcg64Mcg,
 }
 
+/// The world of a run with so many forwarders: as usual, but for the purges' grace.
+pub fn layout(forwarders: usize) -> Layout {
+    Layout { forwarders, purge_grace_ms: PURGE_GRACE_MS, ..Layout::default() }
+}
+
 fn line(host: &ListedHost) -> Option<Host> {
     let SocketAddr::V4(address) = host.address else { return None };
     let id = u32::from_str_radix(host.id.strip_prefix("s-")?, 16).ok()?;
@@ -61,7 +68,7 @@
 impl Service {
     /// Starts hosts for so many real forwarders.
     pub fn start(forwarders: u32, seed: u64) -> Result<Service, String> {
-        let layout = Layout { forwarders: forwarders as usize, ..Layout::default() };
+        let layout = layout(forwarders as usize);
         let world = World::start(layout.clone())?;
         let chance = Pcg64Mcg::seed_from_u64(seed);
         Ok(Service { world: Some(world), layout, clients: None, chance })
--- a/crates/flaxdeck-scale/src/stage/start.rs
+++ b/crates/flaxdeck-scale/src/stage/start.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use flaxdeck_emulator::{Layout, Proxy, settings};
+use flaxdeck_emulator::{Proxy, settings};
 use serde_json::{Value, json};
 use tokio::process::Command;
 use tokio::time::{Instant, sleep, timeout};
@@ -17,7 +17,7 @@
 use crate::processes::{Part, Process, tail};
 use crate::run::Asked;
 use crate::scenario::{FaultKind, Point};
-use crate::service::Service;
+use crate::service::{Service, layout};
 
 /// How long a process may take until it listens.
 const LISTENS_WITHIN: Duration = Duration::from_secs(10);
@@ -210,7 +210,7 @@
 
 pub(super) fn platform_settings(point: &Point) -> Value {
     let forwarders = (point.hollow + point.real) as usize;
-    settings(&Layout { forwarders, ..Layout::default() })
+    settings(&layout(forwarders))
 }
 
 async fn start_coordinator(
