--- a/crates/flaxdeck-emulator/src/lib.rs
+++ b/crates/flaxdeck-emulator/src/lib.rs
@@ -25,6 +25,9 @@
 
 /// Threads of the stand-ins.
 const THREADS: usize = 3;
+/// Between looks whether a killed host's listener has closed, and how many there are at most.
+const CLOSING_LOOK: Duration = Duration::from_millis(20);
+const CLOSING_LOOKS: u32 = 50;
 
 /// A host of a world as a list names it.
 #[derive(Clone, Debug)]
@@ -36,6 +39,18 @@
     pub places: f64,
 }
 
+/// Listens where a host listened that was just killed: its listener closes at its next look, which may be late on a busy
+/// machine.
+fn open_again(address: SocketAddr) -> std::io::Result<tokio::net::TcpListener> {
+    for _ in 0..CLOSING_LOOKS {
+        thread::sleep(CLOSING_LOOK);
+        if let Ok((listener, _)) = hosts::open(address) {
+            return Ok(listener);
+        }
+    }
+    hosts::open(address).map(|(listener, _)| listener)
+}
+
 /// The world, from the outside.
 pub struct World {
     inside: Arc<Inside>,
@@ -253,11 +268,10 @@
     /// A host starts anew, empty and cold, and the coordinator says so.
     pub fn restart(&self, id: &str) -> Result<(), String> {
         self.kill(id);
-        thread::sleep(Duration::from_millis(20)); // its listener closes at its next look
         let _entered = self.runtime.enter();
         let address = self.inside.lock().hosts.get(id).map(|host| host.address);
         let address = address.ok_or_else(|| format!("there is no host {id}"))?;
-        let (listener, _) = hosts::open(address).map_err(|error| format!("{address}: {error}"))?;
+        let listener = open_again(address).map_err(|error| format!("{address}: {error}"))?;
         let now = self.now();
         let run = {
             let mut state = self.inside.lock();
