--- a/src/brain.rs
+++ b/src/brain.rs
@@ -246,9 +246,12 @@
         let owed = self.owed.remove(&(pull.object, pull.part)).filter(|_| pull.again);
         let promised = owed.unwrap_or(now + kind.of.promised + Span::of_ms(work * kind.of.stretch));
         let (id, stop) = (pull.id, pull.hard_stop - self.early);
-        let (out, tried, legs, pauses, ran) = (Vec::new(), Vec::new(), 0, 0, None);
+        let (out, tried, failed_by, legs, pauses, ran) = (Vec::new(), Vec::new(), Vec::new(), 0, 0, None);
         let (not_before, missed, done) = (now, false, false);
-        let held = Held { pull, work, promised, out, legs, ran, not_before, pauses, missed, tried, done };
+        #[rustfmt::skip]
+        let held = Held {
+            pull, work, promised, out, legs, ran, not_before, pauses, missed, tried, failed_by, done,
+        };
         self.pulls.insert(id, held);
         self.due.insert((stop, id));
         self.agenda.insert(id);
@@ -369,6 +372,8 @@
             held.tried.push(out.host.clone());
         }
         let cached = self.hosts.get(&out.host).is_none_or(|host| host.is(Role::Cache));
+        let failed = ended.ending == Errored && ended.told == Nothing;
+        held.failed_by.extend(failed.then(|| out.host.clone()));
         if lacking || !cached || matches!(ended.told, SourceRefused | OriginFailed) {
             held.pauses += 1;
             held.not_before = now + AGAIN * f64::from(1 << held.pauses.min(MOST_DOUBLED));
@@ -572,8 +577,25 @@
         held.out.is_empty() && !(in_time && self.may_follow(held)) && self.give_up(id)
     }
 
+    // Guards against bad clients that put caches out of use: what several have failed, each of which has
+    // answered others lately, and nobody answered, is the request's own fault. Two may have failed together.
+    fn pardon(&mut self, id: PullId) {
+        let (held, lately) = (&self.pulls[&id], Some(self.now - OLD));
+        let cached = |id: &&HostId| self.hosts.get(*id).is_some_and(|host| host.is(Role::Cache));
+        let caches: Vec<HostId> = held.failed_by.iter().filter(cached).cloned().collect();
+        let several = caches.iter().collect::<BTreeSet<_>>().len() > 2;
+        let well = caches.iter().all(|id| self.hosts[id].good > lately);
+        if several && well && held.failed_by.len() == held.legs as usize {
+            for id in &caches {
+                let host = self.hosts.get_mut(id).expect("just seen");
+                host.reputation = (host.reputation / (1.0 - PENALTY)).min(1.0);
+            }
+        }
+    }
+
     // A bounce promises that a retry is harmless; where that can't be known it is a forfeit.
     fn give_up(&mut self, id: PullId) -> bool {
+        self.pardon(id);
         let held = &self.pulls[&id];
         let harmless = match self.kinds[held.pull.workload.0].of.repeats {
             Repeats::Reissuable | Repeats::Numbered { scope: Scope::All, .. } => true,
--- a/src/state.rs
+++ b/src/state.rs
@@ -55,5 +55,6 @@
     pub(crate) pauses: u32,
     pub(crate) missed: bool, // the cache that it belongs to lacks it
     pub(crate) tried: Vec<HostId>,
+    pub(crate) failed_by: Vec<HostId>, // who answered it as failed, and named nobody else
     pub(crate) done: bool,
 }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -122,6 +122,53 @@
     assert!(!fake.sent[at].1.only_held, "the fault may be the client's");
 }
 
+#[test]
+fn requests_that_every_cache_fails_put_no_cache_out_of_use() {
+    let mut hosts = usual();
+    hosts.push(line("cc", Role::Cache));
+    let mut fake = Fake::new(terms(), hosts);
+    let homes = |fake: &mut Fake| -> Vec<HostId> {
+        let first = fake.sent.len();
+        (0..40).for_each(|object| drop(fake.fill(object, 100.0, Told::Held, |_| 20)));
+        fake.sent[first..].iter().map(|(_, sent)| sent.host.clone()).collect()
+    };
+    let before = homes(&mut fake);
+    for request in 0..6 {
+        let mut at = fake.pull(0, 1000 + request);
+        let finals = fake.finals.len();
+        while fake.finals.len() == finals {
+            while at < fake.sent.len() {
+                fake.end(at, Ending::Errored, Told::Nothing, 0);
+                at += 1;
+            }
+            fake.pass(1);
+        }
+        assert_eq!(homes(&mut fake), before, "the fault was the request's");
+    }
+}
+
+#[test]
+fn caches_that_fail_every_request_are_put_out_of_use() {
+    let mut fake = Fake::new(terms(), usual());
+    (0..40).for_each(|object| drop(fake.fill(object, 100.0, Told::Held, |_| 20)));
+    let mut at = fake.sent.len();
+    for object in 0..10 {
+        fake.pull(0, object);
+        for _ in 0..1000 {
+            while at < fake.sent.len() {
+                let cache = [host("a"), host("bb")].contains(&fake.sent[at].1.host);
+                let ending = if cache { Ending::Errored } else { Ending::Answered };
+                fake.end(at, ending, Told::Nothing, 0);
+                at += 1;
+            }
+            fake.pass(1);
+        }
+    }
+    let at_caches = fake.sent[40..].iter().filter(|(_, sent)| [host("a"), host("bb")].contains(&sent.host));
+    let at_caches = at_caches.count();
+    assert!(at_caches < 30, "{at_caches} attempts at caches that fail, of 60 were they never out");
+}
+
 #[test]
 fn an_at_most_once_pull_that_may_have_run_is_never_sent_again_nor_bounced() {
     for ending in [Ending::TimedOut, Ending::Errored, Ending::Broken] {
