--- /dev/null
+++ b/crates/flaxdeck-guidance/tests/sparing.rs
@@ -0,0 +1,144 @@
+//! Reports and guidance of a forwarder that hears of events by a subscription: only as often, and as much, as there is
+//! something to say.
+
+use flaxdeck::words::*;
+use flaxdeck_guidance::forwarder::{Guide, Stance};
+use flaxdeck_guidance::membership::PlannerId;
+use flaxdeck_guidance::messages::{Epoch, RARE_MOST, Relayed, SeatId};
+use flaxdeck_guidance::planner::Planner;
+use flaxdeck_guidance::{Parts, Pledges};
+use flaxdeck_recovery::Mark;
+
+const FOLLOWED: PlannerId = PlannerId(0);
+const OTHER: PlannerId = PlannerId(1);
+const IDLE: Span = Span::from_ms(1_500);
+const HOSTS: u32 = 20;
+
+fn at(ms: u64) -> Time {
+    Time::at_ms(1_000_000.0 + ms as f64)
+}
+
+fn pledges() -> Pledges {
+    Pledges::of(Span::from_ms(3_000), Span::from_ms(1_200), 10)
+}
+
+fn guide(epoch: u64) -> Guide {
+    let (pledges, blind_after) = (pledges(), Some(Span::from_ms(2_500)));
+    let stance = Stance { pledges, reserve: 0.0, seated: true, seat: SeatId(epoch), blind_after };
+    let mut guide = Guide::start(at(0), Epoch(epoch), stance, 2);
+    guide.report_sparingly(IDLE);
+    guide.subscribed_to(Some(FOLLOWED));
+    guide
+}
+
+fn host(n: u32) -> HostId {
+    HostId(format!("s-{n:08x}").into())
+}
+
+fn sight(n: u32, measured: Option<Time>, bad: Option<Time>) -> Sight {
+    let measures = [measured.map(|_| 10.0 + f64::from(n)), None];
+    Sight { host: host(n), started: None, measures, measured, good: measured, bad, in_hand: 0.0, cold: None }
+}
+
+fn measured(now: Time) -> Vec<Sight> {
+    (0..HOSTS).map(|n| sight(n, Some(now), None)).collect()
+}
+
+fn planner() -> Planner {
+    let mut planner = Planner::start(at(0), Epoch(1), pledges(), Parts::NONE);
+    (0..HOSTS).for_each(|n| planner.listed(at(0), &host(n).0, Some(0)));
+    planner
+}
+
+/// A report to the planner that is followed, and its answer, without delay; gives how many ratings came.
+fn trip(now: Time, guide: &mut Guide, planner: &mut Planner, sights: &[Sight]) -> usize {
+    let report = guide.report(now, FOLLOWED, sights, Mark::NONE);
+    let guidance = planner.report(now, &report).unwrap();
+    let ratings = guidance.ratings.len();
+    assert!(guidance.events.is_empty());
+    guide.guided(now, FOLLOWED, guidance, Mark::NONE).unwrap();
+    ratings
+}
+
+#[test]
+fn a_report_is_due_after_the_idle_time_and_at_once_for_a_failure_or_a_cold_host() {
+    let (mut guide, mut planner) = (guide(10), planner());
+    assert!(guide.is_report_due(at(0), FOLLOWED, &[]), "the first is an introduction");
+    trip(at(0), &mut guide, &mut planner, &[]);
+    let well = measured(at(100));
+    assert!(!guide.is_report_due(at(200), FOLLOWED, &well));
+    assert!(!guide.is_report_due(at(1_499), FOLLOWED, &well));
+    assert!(guide.is_report_due(at(1_500), FOLLOWED, &well));
+    let failed = [sight(3, None, Some(at(150)))];
+    assert!(guide.is_report_due(at(200), FOLLOWED, &failed));
+    let used = Used { right: 0.5, spent: 0.0, wished: 0.0 };
+    let cold = [Sight { cold: Some(used), ..sight(3, None, None) }];
+    assert!(guide.is_report_due(at(200), FOLLOWED, &cold));
+    trip(at(200), &mut guide, &mut planner, &failed);
+    assert!(!guide.is_report_due(at(400), FOLLOWED, &failed), "it is told once");
+}
+
+#[test]
+fn samples_go_round_to_the_planner_that_is_followed_and_failures_to_all() {
+    let mut guide = guide(10);
+    let mut told: Vec<String> = Vec::new();
+    for round in 1..=10 {
+        let now = at(round * 1_500);
+        let report = guide.report(now, FOLLOWED, &measured(now), Mark::NONE);
+        assert_eq!(report.samples.len(), RARE_MOST);
+        told.extend(report.samples.into_iter().map(|sample| sample.host));
+        assert!(guide.report(now, OTHER, &measured(now), Mark::NONE).samples.is_empty());
+    }
+    told.sort();
+    told.dedup();
+    assert_eq!(told.len(), HOSTS as usize, "each has its turn");
+    let now = at(20_000);
+    let mut sights = measured(now);
+    sights[7].bad = Some(now);
+    let report = guide.report(now, OTHER, &sights, Mark::NONE);
+    assert_eq!(report.samples.iter().map(|sample| &*sample.host).collect::<Vec<_>>(), [&*host(7).0]);
+}
+
+#[test]
+fn ratings_are_few_but_hosts_that_are_down_are_told_first() {
+    let (mut planner, mut one, mut other, mut late) = (planner(), guide(10), guide(11), guide(12));
+    for guide in [&mut one, &mut other, &mut late] {
+        trip(at(0), guide, &mut planner, &[]);
+    }
+    for round in 1..=6u64 {
+        let now = at(round * 1_500);
+        trip(now, &mut one, &mut planner, &measured(now));
+    }
+    assert!(trip(at(9_100), &mut other, &mut planner, &[]) <= RARE_MOST);
+    trip(at(9_100), &mut late, &mut planner, &[]);
+    let failed = [sight(0, None, Some(at(9_200))), sight(1, None, Some(at(9_200)))];
+    trip(at(9_200), &mut one, &mut planner, &failed);
+    trip(at(9_200), &mut other, &mut planner, &failed);
+    // Later changes of others don't push them out.
+    trip(at(9_300), &mut one, &mut planner, &measured(at(9_300))[2..]);
+    let report = late.report(at(9_400), FOLLOWED, &[], Mark::NONE);
+    let guidance = planner.report(at(9_400), &report).unwrap();
+    let down = |n: u32| {
+        guidance.ratings.iter().any(|rating| rating.host == *host(n).0 && rating.down_ago_ms.is_some())
+    };
+    assert!(down(0) && down(1), "{:?}", guidance.ratings);
+    assert!(guidance.ratings.len() <= RARE_MOST + 2);
+}
+
+#[test]
+fn who_subscribes_is_pushed_nothing_and_who_does_not_is() {
+    let mut planner = planner();
+    let mut subscribed = guide(10);
+    let stance =
+        Stance { pledges: pledges(), reserve: 0.0, seated: true, seat: SeatId(11), blind_after: None };
+    let mut told = Guide::start(at(0), Epoch(11), stance, 2);
+    planner.begins_at(Mark { number: 1, hash: 1 });
+    for guide in [&mut subscribed, &mut told] {
+        let report = guide.report(at(0), FOLLOWED, &[], Mark { number: 1, hash: 1 });
+        planner.report(at(0), &report).unwrap();
+    }
+    let event = Relayed { mark: Mark { number: 2, hash: 2 }, frame: vec![0] };
+    planner.coordinator(at(10), Some(event), true);
+    assert!(planner.push(at(10), Epoch(10)).is_none());
+    assert_eq!(planner.push(at(10), Epoch(11)).unwrap().events.len(), 1);
+}
