--- a/crates/flaxdeck-distribution/src/subscriber.rs
+++ b/crates/flaxdeck-distribution/src/subscriber.rs
@@ -12,6 +12,9 @@
 //!   while they have all that the coordinator has, and here one is taken only if its planner has heard the coordinator
 //!   since the position last moved: then it knows all that was applied here, in whatever numbering.
 
+mod checks;
+mod coordinator_need;
+
 use flaxdeck::hash::mix;
 use flaxdeck::words::{Span, Time};
 use flaxdeck_recovery::Mark;
@@ -20,6 +23,8 @@
 use crate::digest::InvalidDigest;
 use crate::fingerprint::Fingerprint;
 use crate::messages::*;
+use checks::{check_batch, check_snapshot};
+use coordinator_need::CoordinatorNeed;
 
 /// What was asked and not answered, or answered by what could not be taken, is asked again after so long.
 const ASK_AGAIN: Span = Span::from_ms(500);
@@ -34,10 +39,6 @@
 /// One that was left for its silence is left alone for that long, twice as long each further time, up to this many
 /// doublings.
 const DOUBLINGS_MOST: u32 = 5;
-/// The coordinator is needed so long after a planner should have been left for another: by then none delivers.
-const NONE_DELIVERS: Span = Span::from_ms(500);
-/// It is needed no more once planners have delivered for so long without a gap.
-const DELIVERS_AGAIN: Span = Span::from_ms(2_000);
 /// Beyond the hosts' time a snapshot's purges have to reach back so far: for clocks that run apart.
 const REACH_MARGIN: Span = Span::from_ms(500);
 /// A message is taken to have been written no longer ago than this, unless its conversation proves more.
@@ -154,22 +155,12 @@
     echoed: Option<Time>,
 }
 
-/// An unbroken time in which planners delivered.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Served {
-    since: Time,
-    last: Time,
-    /// The coordinator was needed before it.
-    after_need: bool,
-}
-
 /// Which planner is followed, and up to where events were applied.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Subscriber {
     cadence: Cadence,
     settles: Span,
     preference: u64,
-    started: Time,
     planners: Vec<Planner>,
     position: Mark,
     /// When the position last moved; none if nothing was ever applied.
@@ -184,7 +175,7 @@
     silences: u32,
     /// Since when no planner knew the position.
     behind_since: Option<Time>,
-    served: Option<Served>,
+    need: CoordinatorNeed,
     vouched: Option<Time>,
     pub counted: Counted,
 }
@@ -197,7 +188,6 @@
             cadence,
             settles,
             preference,
-            started: now,
             planners: (0..planners).map(|_| Planner::default()).collect(),
             position: Mark::NONE,
             moved: None,
@@ -206,7 +196,7 @@
             candidate: None,
             silences: 0,
             behind_since: None,
-            served: None,
+            need: CoordinatorNeed::new(now, cadence, preference),
             vouched: None,
             counted: Counted::default(),
         }
@@ -247,6 +237,9 @@
             (self.followed, self.candidate) = (None, None);
             self.counted.failovers += 1;
         }
+        if self.connected_planners().next().is_none() {
+            self.need.unconnected(now);
+        }
         self.choose(now);
     }
 
@@ -429,13 +422,7 @@
 
     /// A planner has delivered what was of use.
     fn delivers(&mut self, now: Time, from: PlannerNumber) {
-        let needed = self.needs_coordinator(now);
-        self.served = match self.served {
-            Some(served) if now.since(served.last) < self.none_delivers() => {
-                Some(Served { last: now, ..served })
-            }
-            _ => Some(Served { since: now, last: now, after_need: needed }),
-        };
+        self.need.delivered(now);
         let planner = &mut self.planners[from.0 as usize];
         planner.delivered = Some(now);
         if planner.connected.is_some_and(|connected| now.since(connected) >= STEADY)
@@ -491,9 +478,6 @@
     /// When [`actions`](Subscriber::actions) or [`needs_coordinator`](Subscriber::needs_coordinator) may say something
     /// else, if nothing comes until then.
     pub fn next_change(&self, now: Time) -> Option<Time> {
-        let served = self.served.map(|served| served.last).unwrap_or(self.started);
-        let needed = Some(served + self.none_delivers());
-        let again = self.served.map(|served| served.since + DELIVERS_AGAIN);
         let behind = self.behind_since.map(|since| since + BEHIND_MOST);
         let asked = |planner: &Planner| planner.asked.map(|asked| asked.last + ASK_AGAIN);
         let steady = |planner: &Planner| planner.connected.map(|connected| connected + STEADY);
@@ -506,20 +490,14 @@
                 Some(planner.avoided_until),
             ]
         });
-        let all = [needed, again, behind].into_iter().chain(planners).flatten();
+        let all = planners.chain([behind]).flatten().chain(self.need.changes_at());
         all.filter(|at| *at > now).min()
     }
 
-    /// Whether events have to come from the coordinator itself: no planner has delivered for a short time, or planners
-    /// have only just begun to again.
+    /// Whether events have to come from the coordinator itself: no planner has delivered for a short time, none is
+    /// connected, or planners have only just begun to deliver again.
     pub fn needs_coordinator(&self, now: Time) -> bool {
-        let Some(served) = self.served else { return now.since(self.started) >= self.none_delivers() };
-        let silent = now.since(served.last) >= self.none_delivers();
-        silent || (served.after_need && now.since(served.since) < DELIVERS_AGAIN)
-    }
-
-    fn none_delivers(&self) -> Span {
-        self.cadence.silent_after() + NONE_DELIVERS
+        self.need.is_needed(now)
     }
 
     /// When a planner that was asked counts as silent if it delivers nothing of use.
@@ -625,46 +603,3 @@
 fn same_kind(one: Subscription, other: Subscription) -> bool {
     std::mem::discriminant(&one) == std::mem::discriminant(&other)
 }
-
-fn check_events(events: &[FullEvent]) -> Result<(), Invalid> {
-    if events.len() > FULL_EVENTS_MOST {
-        return Err(Invalid::TooManyEvents);
-    }
-    let bytes: usize = events.iter().map(|event| event.frame.len()).sum();
-    if bytes > FULL_BYTES_MOST {
-        return Err(Invalid::TooLong);
-    }
-    let increasing = events.windows(2).all(|pair| pair[0].mark.number < pair[1].mark.number);
-    increasing.then_some(()).ok_or(Invalid::Marks)
-}
-
-/// Whether a batch is whole and in order in itself; gives its purges.
-fn check_batch(batch: &Batch) -> Result<Vec<Fingerprint>, Invalid> {
-    let Batch { after, upto, purges, events } = batch;
-    check_events(events)?;
-    let numbers = upto.number.checked_sub(after.number).ok_or(Invalid::Range)?;
-    if numbers == 0 && upto != after {
-        return Err(Invalid::Range);
-    }
-    if numbers != u64::from(purges.count) + events.len() as u64 {
-        return Err(Invalid::Count);
-    }
-    let in_range = |event: &FullEvent| event.mark.number > after.number && event.mark.number <= upto.number;
-    let ends_well = events.last().is_none_or(|last| last.mark.number < upto.number || last.mark == *upto);
-    if !ends_well || !events.iter().all(in_range) {
-        return Err(Invalid::Marks);
-    }
-    purges.decode().map_err(Invalid::Digest)
-}
-
-fn check_snapshot(snapshot: &Snapshot) -> Result<Vec<Fingerprint>, Invalid> {
-    check_events(&snapshot.group_purges)?;
-    let group_bytes: usize = snapshot.group_purges.iter().map(|event| event.frame.len()).sum();
-    if snapshot.list.len() + group_bytes > FULL_BYTES_MOST {
-        return Err(Invalid::TooLong);
-    }
-    if snapshot.group_purges.last().is_some_and(|last| last.mark.number > snapshot.upto.number) {
-        return Err(Invalid::Marks);
-    }
-    snapshot.purges.decode().map_err(Invalid::Digest)
-}
