--- a/crates/flaxdeck-recovery/src/numbering.rs
+++ b/crates/flaxdeck-recovery/src/numbering.rs
@@ -16,8 +16,13 @@
 /// coordinator lacks it, and would say so only by its empty frame a second later. The same holds for what others brought
 /// first: on a link that is whole it comes as well.
 const PROVES: Span = Span::from_ms(500);
-/// The last events by their numbers, against which a link's are held: more than a planner passes on at once.
-const REMEMBERED: usize = 256;
+/// For how long the last events are remembered, against which a link's are held: longer than a link takes to come up
+/// and to prove its numbering, at any rate of events.
+const REMEMBERED: Span = Span::from_ms(5_000);
+/// How many are remembered at least, however old: a coordinator that was put back may tell them once more.
+const REMEMBERED_LEAST: usize = 256;
+/// And how many at most. A link that is held against one beyond them asks for everything, with copies in doubt.
+pub const REMEMBERED_MOST: usize = 65_536;
 /// How long nothing is taken from others after the coordinator contradicted what they brought. They follow what was,
 /// until they find out themselves: their own link is silent or proven anew within that time.
 const DISTRUSTS: Span = Span::from_ms(2_500);
@@ -76,6 +81,14 @@
     new: bool,
 }
 
+/// An event that was applied.
+#[derive(Clone, Copy)]
+struct Applied {
+    hash: u64,
+    /// When it was applied, and once another has followed, when that was: a link asks for the last one.
+    at: Time,
+}
+
 /// What is known of the coordinator's numbering.
 pub struct Numbering {
     last: Mark,
@@ -89,7 +102,7 @@
     /// A number always means the same event, as the platform's page has it: nothing needs to be proven.
     trusts: bool,
     /// The last events as applied, whoever brought them.
-    applied: BTreeMap<u64, u64>,
+    applied: BTreeMap<u64, Applied>,
     distrusts_until: Time,
     /// The first event that others brought and the link has not, and since when.
     unechoed: Option<(u64, Time)>,
@@ -99,7 +112,8 @@
     /// One that has the numbering proven on each link.
     pub fn new(last: Mark) -> Numbering {
         let (link, from_the_start, sure, ended_whole) = (None, false, None, false);
-        let (applied, distrusts_until) = (BTreeMap::from([(last.number, last.hash)]), Time::default());
+        let applied = Applied { hash: last.hash, at: Time::default() };
+        let (applied, distrusts_until) = (BTreeMap::from([(last.number, applied)]), Time::default());
         let (trusts, unechoed) = (false, None);
         Numbering {
             last,
@@ -158,12 +172,12 @@
         link.heard = now;
         let next = if link.proven { self.on_proven(now, mark) } else { self.on_first(now, mark, whole) };
         match next {
-            Next::Apply => self.applies(mark),
+            Next::Apply => self.applies(now, mark),
             Next::Adopt(doubt) => {
                 // Others follow what was until they find out as well.
                 self.distrusts_until = doubt.map_or(self.distrusts_until, |_| now + DISTRUSTS);
                 self.applied.clear();
-                self.applies(mark);
+                self.applies(now, mark);
             }
             Next::AskAgain(_) => self.link = None,
             Next::Skip => {}
@@ -174,20 +188,34 @@
         next
     }
 
-    fn applies(&mut self, mark: Mark) {
+    fn applies(&mut self, now: Time, mark: Mark) {
+        if let Some(before) = self.applied.get_mut(&self.last.number) {
+            before.at = now;
+        }
         self.last = mark;
-        self.applied.insert(mark.number, mark.hash);
-        while self.applied.len() > REMEMBERED {
+        self.applied.insert(mark.number, Applied { hash: mark.hash, at: now });
+        while self.forgets_first(now) {
             self.applied.pop_first();
         }
     }
 
+    fn forgets_first(&self, now: Time) -> bool {
+        let first = self.applied.first_key_value();
+        let old = first.is_some_and(|(_, applied)| now.since(applied.at) > REMEMBERED);
+        (old && self.applied.len() > REMEMBERED_LEAST) || self.applied.len() > REMEMBERED_MOST
+    }
+
+    /// Whether another event than this was applied under its number; none if that is not remembered.
+    fn is_other(&self, mark: Mark) -> Option<bool> {
+        self.applied.get(&mark.number).map(|applied| applied.hash != mark.hash)
+    }
+
     fn on_proven(&mut self, now: Time, mark: Mark) -> Next {
         let Some(link) = &mut self.link else { return Next::Skip };
         match mark.number {
             // Somebody else brought it first, or brought what was meant to follow before the coordinator was put back.
             number if number <= self.last.number => {
-                let other = !self.trusts && self.applied.get(&number).is_some_and(|hash| *hash != mark.hash);
+                let other = !self.trusts && self.is_other(mark) == Some(true);
                 if !other {
                     let echoed = self.unechoed.is_some_and(|(first, _)| number >= first);
                     if echoed {
@@ -212,10 +240,10 @@
 
     // The first event of a link proves the numbering, replaces it, or has all asked for.
     fn on_first(&mut self, now: Time, mark: Mark, whole: bool) -> Next {
-        let Some(link) = &mut self.link else { return Next::Skip };
         // Others may have brought more since the link asked. What it asked for proves the numbering all the same, and
         // what they brought beyond has to come on the link in its turn.
-        let overtaken = mark.number < self.last.number && self.applied.get(&mark.number) == Some(&mark.hash);
+        let overtaken = mark.number < self.last.number && self.is_other(mark) == Some(false);
+        let Some(link) = &mut self.link else { return Next::Skip };
         if overtaken && !whole && link.asked > 0 {
             (link.proven, self.from_the_start) = (true, false);
             self.unechoed = Some((mark.number + 1, now));
@@ -285,7 +313,7 @@
     pub fn relayed(&mut self, now: Time, after: Mark, mark: Mark) -> bool {
         let follows = after == self.last && mark.number == after.number + 1 && now >= self.distrusts_until;
         if follows {
-            self.applies(mark);
+            self.applies(now, mark);
             self.sure = Some(now); // no more a file's: who passed it on follows the coordinator
             if self.link.as_ref().is_some_and(|link| link.proven) && !self.trusts {
                 self.unechoed.get_or_insert((mark.number, now));
@@ -305,7 +333,7 @@
     pub fn moved_on(&mut self, now: Time, after: Mark, upto: Mark, whole_at: Option<Time>) -> bool {
         let follows = after == self.last && upto.number >= after.number && self.trusts_others(now);
         if follows && upto != after {
-            self.applies(upto);
+            self.applies(now, upto);
         }
         if follows {
             self.sure = self.sure.max(whole_at);
@@ -316,7 +344,7 @@
     /// A whole list brought by somebody else has taken the place of all that was known.
     pub fn replaced_by(&mut self, now: Time, upto: Mark) {
         self.applied.clear();
-        self.applies(upto);
+        self.applies(now, upto);
         self.sure = Some(now);
         (self.link, self.from_the_start) = (None, false);
     }
--- a/crates/flaxdeck-recovery/tests/numbering.rs
+++ b/crates/flaxdeck-recovery/tests/numbering.rs
@@ -123,3 +123,42 @@
     numbering.ask(at(0));
     assert_eq!(numbering.heard(at(1), mark(1, 4), true), Next::Adopt(None));
 }
+
+/// Events that others bring, one each 3 ms from number 21 on; gives when the last of them came.
+fn brought(numbering: &mut Numbering, from: u64, events: u64) -> u64 {
+    let hash = |number: u64| if number == 20 { 7 } else { number * 31 };
+    for number in 20..20 + events {
+        let ms = from + (number - 19) * 3;
+        assert!(numbering.relayed(at(ms), mark(number, hash(number)), mark(number + 1, hash(number + 1))));
+    }
+    from + events * 3
+}
+
+#[test]
+fn a_link_overtaken_by_a_second_of_events_at_their_highest_rate_still_proves_the_numbering() {
+    let mut numbering = known();
+    numbering.ended(false);
+    assert_eq!(numbering.ask(at(100)), 19);
+    let now = brought(&mut numbering, 100, 330);
+    assert_eq!(numbering.heard(at(now), mark(20, 7), false), Next::Skip, "what it was asked for");
+    assert!(numbering.is_proven());
+    assert_eq!(numbering.heard(at(now), mark(21, 21 * 31), false), Next::Skip);
+    assert_eq!(numbering.heard(at(now), mark(22, 1), false), Next::AskAgain(Why::OtherEvent));
+}
+
+#[test]
+fn what_is_remembered_of_events_is_bounded_by_time_and_by_count() {
+    let mut numbering = known();
+    numbering.ended(false);
+    numbering.ask(at(100));
+    let now = brought(&mut numbering, 100, 2_000);
+    let first = numbering.heard(at(now), mark(20, 7), false);
+    assert_eq!(first, Next::AskAgain(Why::Gap), "longer ago than a link may take: all is asked for");
+
+    let mut numbering = known();
+    let most = flaxdeck_recovery::numbering::REMEMBERED_MOST as u64;
+    for number in 20..20 + 2 * most {
+        numbering.heard(at(1), mark(number + 1, 5), false);
+    }
+    assert_eq!(numbering.heard(at(1), mark(20 + 2 * most - 100, 6), false), Next::AskAgain(Why::OtherEvent));
+}
