--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -172,7 +172,7 @@
             drop(guide);
             self.report(News::Guided(guided));
         }
-        let keeper = Keeper::begin(keeps, self.clock, first, last);
+        let keeper = Keeper::begin(keeps, self.clock, self.settles, first, last);
         if let Some(wrote) = keeper.wrote() {
             spawn_local(self.clone().hear_writer(guides, keeper.clone(), wrote));
         }
--- a/crates/flaxdeck-dispatcher/src/routing/keep.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/keep.rs
@@ -51,6 +51,8 @@
 pub struct Keeper {
     clock: Clock,
     kept: RefCell<Kept>,
+    /// The time that a purge takes to settle at all hosts.
+    settles: Span,
     jobs: SyncSender<Job>,
     wrote: RefCell<Option<UnboundedReceiver<Wrote>>>,
     /// The queue was full: what it missed comes with the next snapshot.
@@ -181,11 +183,12 @@
 
 impl Keeper {
     /// Begins to keep, from what is known now.
-    pub fn begin(keeps: &Keeps, clock: Clock, events: &[Event], event: Mark) -> Rc<Keeper> {
+    pub fn begin(keeps: &Keeps, clock: Clock, settles: Span, events: &[Event], event: Mark) -> Rc<Keeper> {
         let mut kept = Kept { written: uptime(), event, ..Kept::default() };
         for told in events {
             kept.add(later(event, told));
         }
+        kept.forget_settled(settles);
         let (jobs, work) = sync_channel(WAITING);
         let (tells, wrote) = unbounded_channel();
         let (folder, name, first) = (keeps.folder.clone(), keeps.name.clone(), belief::bytes(&kept));
@@ -193,6 +196,7 @@
         Rc::new(Keeper {
             clock,
             kept: RefCell::new(kept),
+            settles,
             jobs,
             wrote: RefCell::new(Some(wrote)),
             behind: Cell::new(false),
@@ -252,6 +256,7 @@
             bad_ago: ago(sight.bad),
         };
         let mut kept = self.kept.borrow_mut();
+        kept.forget_settled(self.settles);
         (kept.written, kept.ratings) = (uptime(), seen.map(rating).collect());
         belief::bytes(&*kept)
     }
--- a/crates/flaxdeck-recovery/src/belief.rs
+++ b/crates/flaxdeck-recovery/src/belief.rs
@@ -86,8 +86,15 @@
     LendsUntil(Uptime),
 }
 
-/// Purges kept at most; older ones hosts have long dropped by themselves.
-pub const PURGES_MOST: usize = 1_024;
+/// Purges kept at most: ten times what comes in within a usual time to settle. Beyond it the oldest are folded into one
+/// purge of all copies from before them.
+pub const PURGES_MOST: usize = 32_768;
+/// How many are folded at once.
+const FOLDED: usize = PURGES_MOST / 16;
+/// The group that stands for all copies.
+const ALL_GROUPS: u64 = u64::MAX;
+/// Beyond the time to settle purges are kept for so long: for clocks of hosts that run apart.
+const SETTLE_MARGIN: Span = Span::from_ms(500);
 
 /// Bytes that are no state of this version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -128,12 +135,28 @@
             Later::Purged(mark, purge) => {
                 self.event = mark;
                 self.purges.push(purge);
-                let past = self.purges.len().saturating_sub(PURGES_MOST);
-                self.purges.drain(..past);
+                if self.purges.len() > PURGES_MOST {
+                    self.fold_oldest_purges();
+                }
             }
             Later::LendsUntil(until) => self.lent_until = Some(until),
         }
     }
+
+    /// Forgets purges that had settled when the latest was made: hosts have dropped what they concern.
+    pub fn forget_settled(&mut self, settles: Span) {
+        let latest = self.purges.iter().map(|purge| purge.made).max().unwrap_or(0);
+        let kept_for = (settles + SETTLE_MARGIN).ms().ceil() as u64;
+        self.purges.retain(|purge| purge.made.saturating_add(kept_for) >= latest);
+    }
+
+    /// The oldest purges become one of all copies from before the latest of them, which asks for no less.
+    fn fold_oldest_purges(&mut self) {
+        self.purges.sort_by_key(|purge| purge.made);
+        let oldest = self.purges.drain(..=FOLDED);
+        let Some(made) = oldest.map(|purge| purge.made).max() else { return };
+        self.purges.insert(0, KeptPurge { object: None, group: ALL_GROUPS, made });
+    }
 }
 
 /// What is believed of one item, and why.
--- a/crates/flaxdeck-recovery/tests/belief.rs
+++ b/crates/flaxdeck-recovery/tests/belief.rs
@@ -102,3 +102,56 @@
     all.add(Later::LendsUntil(Uptime { boot: 7, ms: 9 }));
     assert_eq!((all.event, all.lines.len(), all.lent_until.map(|at| at.ms)), (mark(1), 1, Some(9)));
 }
+
+const SETTLES: Span = Span::from_ms(6_800);
+
+fn purged(object: u64, made: u64) -> Later {
+    Later::Purged(Mark { number: object, hash: object }, KeptPurge { object: Some(object), group: 0, made })
+}
+
+/// From when on a copy of the object has to be by what is kept; 0 if any will do.
+fn copies_from(kept: &Kept, object: u64) -> u64 {
+    let concerns = |purge: &&KeptPurge| purge.object.map_or(purge.group == u64::MAX, |of| of == object);
+    kept.purges.iter().filter(concerns).map(|purge| purge.made).max().unwrap_or(0)
+}
+
+#[test]
+fn purges_are_kept_until_they_have_settled_at_any_rate() {
+    for per_s in [1, 330, 3_300] {
+        let mut kept = Kept::default();
+        let last = 30 * per_s;
+        for number in 0..=last {
+            kept.add(purged(number, 1_000 + number * 1_000 / per_s));
+            if number % 500 == 0 {
+                kept.forget_settled(SETTLES);
+            }
+        }
+        kept.forget_settled(SETTLES);
+        let latest = 1_000 + last * 1_000 / per_s;
+        for number in 0..=last {
+            let made = 1_000 + number * 1_000 / per_s;
+            let unsettled = made + 6_800 >= latest;
+            assert!(!unsettled || copies_from(&kept, number) == made, "{number} of {last}");
+        }
+        let within = per_s * 75 / 10 + 1;
+        assert!(kept.purges.len() as u64 <= within, "{} kept at {per_s} a second", kept.purges.len());
+    }
+}
+
+#[test]
+fn purges_beyond_the_bound_are_folded_into_one_that_asks_for_no_less() {
+    use flaxdeck_recovery::belief::PURGES_MOST;
+    let mut kept = Kept::default();
+    let count = 3 * PURGES_MOST as u64 + 1_000;
+    for number in 0..count {
+        kept.add(purged(number, 1_000 + number));
+        assert!(kept.purges.len() <= PURGES_MOST);
+    }
+    let sample = (0..count).step_by(97);
+    assert!(sample.clone().all(|number| copies_from(&kept, number) >= 1_000 + number), "none is forgotten");
+    assert_eq!(copies_from(&kept, count - 1), 1_000 + count - 1, "the latest are kept one by one");
+    assert!(copies_from(&kept, count) < 1_000 + count, "copies from later are in no doubt");
+    let (snapshot, records) = (bytes(&kept), vec![bytes(&purged(count, 1_000 + count))]);
+    let read = Kept::read(&snapshot, &records).unwrap();
+    assert_eq!((read.purges.len(), copies_from(&read, count)), (kept.purges.len() + 1, 1_000 + count));
+}
--- a/crates/flaxdeck-scale/src/capacity/state.rs
+++ b/crates/flaxdeck-scale/src/capacity/state.rs
@@ -252,7 +252,17 @@
 
 fn store(basis: Basis) -> Vec<State> {
     let target = basis.target;
-    let purges = target.purges_per_s * target.purge_within_s;
+    let purges = |what, per_s: f64| State {
+        role: STORE,
+        what,
+        needed: per_s * target.purge_within_s,
+        bound: Some(Bound {
+            most: belief::PURGES_MOST as f64,
+            name: "`PURGES_MOST` in `crates/flaxdeck-recovery/src/belief.rs`",
+        }),
+        bytes_each: Bytes::Encoded(per_purge()),
+        kept: "until they have settled; past the bound copies from before count as purged".into(),
+    };
     vec![
         State {
             role: STORE,
@@ -262,20 +272,8 @@
             bytes_each: Bytes::Encoded(per_host()),
             kept: "while listed".into(),
         },
-        State {
-            role: STORE,
-            what: "purges, as far back as one may take",
-            needed: purges,
-            bound: Some(Bound {
-                most: belief::PURGES_MOST as f64,
-                name: "`PURGES_MOST` in `crates/flaxdeck-recovery/src/belief.rs`",
-            }),
-            bytes_each: Bytes::Encoded(per_purge()),
-            kept: format!(
-                "by their count, which reaches {} back",
-                reach(belief::PURGES_MOST, target.purges_per_s)
-            ),
-        },
+        purges("purges, as far back as one may take", target.purges_per_s),
+        purges("purges, as far back as one may take, in a purge storm", target.storm_per_s()),
         State {
             role: STORE,
             what: "records in its log, each second",
--- a/crates/flaxdeck-scale/tests/capacity.rs
+++ b/crates/flaxdeck-scale/tests/capacity.rs
@@ -231,7 +231,12 @@
         of_role.filter(|state| state.what.starts_with(what)).find_map(|state| state.ratio())
     };
     near(ratio("dispatchers heard, if"), 14_000.0 / 4_096.0);
-    near(of_role("an operator's store", "purges, as far back"), 330.0 * 6.8 / 1_024.0);
+    let in_store = |what: &str| {
+        let in_store = states.iter().filter(|state| state.role.starts_with("an operator's store"));
+        in_store.filter(|state| state.what == what).find_map(|state| state.ratio())
+    };
+    near(in_store("purges, as far back as one may take"), 330.0 * 6.8 / 32_768.0);
+    near(in_store("purges, as far back as one may take, in a purge storm"), 3_300.0 * 6.8 / 32_768.0);
     near(of_role("a batch", "purges, as far back as one may take, in"), 3_300.0 * 6.8 / 4_096.0);
     near(ratio("events told in messages"), (330.0 + 82_000.0 / 86_400.0) / 320.0);
 }
