--- a/crates/flaxdeck-adapter/src/wire.rs
+++ b/crates/flaxdeck-adapter/src/wire.rs
@@ -130,8 +130,8 @@
                 seat.brain.list(now, coverage, listed)
             }
             "Accept" => {
-                let pull = seat.pull(fields)?;
-                seat.brain.pull(now, pull)
+                let request = seat.request(fields)?;
+                seat.brain.request(now, request)
             }
             "Resolved" => {
                 let ended = seat.ended(fields)?;
@@ -147,7 +147,7 @@
                 fields.whole("ctx")?;
                 seat.brain.wake(now)
             }
-            "Dropped" => seat.brain.client_left(now, PullId(fields.whole("request_id")?)),
+            "Dropped" => seat.brain.client_left(now, RequestId(fields.whole("request_id")?)),
             "CheckResult" => {
                 let (host, told) = (HostId(fields.text("host")?.into()), seat.report(fields)?);
                 seat.brain.seen(now, &host, told)
@@ -193,11 +193,11 @@
         })
     }
 
-    fn pull(&self, fields: &Fields) -> Result<Pull, String> {
+    fn request(&self, fields: &Fields) -> Result<Request, String> {
         let name = fields.text("qos")?;
         let workload = self.names.workload(name).ok_or_else(|| format!("unknown class {name}"))?;
-        Ok(Pull {
-            id: PullId(fields.whole("request_id")?),
+        Ok(Request {
+            id: RequestId(fields.whole("request_id")?),
             workload,
             object: ObjectId(fields.whole_or_none("key")?.unwrap_or(0)),
             part: fields.whole_or_none("slice")?.unwrap_or(0),
@@ -217,7 +217,7 @@
 
     fn ended(&self, fields: &Fields) -> Result<Ended, String> {
         Ok(Ended {
-            pull: PullId(fields.whole("request_id")?),
+            request: RequestId(fields.whole("request_id")?),
             leg: Leg(fields.whole("leg")? as u32),
             host: HostId(fields.text("host")?.into()),
             ending: match fields.text("reason")? {
@@ -243,12 +243,12 @@
 
 fn encode(who: &str, now: Time, decisions: Decisions, reply: &mut Vec<Value>) {
     for cancel in decisions.cancels {
-        reply.push(json!({"event_type": "UndoSend", "who": who, "request_id": cancel.pull.0,
+        reply.push(json!({"event_type": "UndoSend", "who": who, "request_id": cancel.request.0,
             "leg": cancel.leg.0}));
     }
     for sent in decisions.hand_offs {
         let bits = u8::from(sent.join) + 2 * u8::from(sent.only_held) + 8 * u8::from(sent.renew);
-        let mut action = json!({"event_type": "Obtain", "who": who, "request_id": sent.pull.0,
+        let mut action = json!({"event_type": "Obtain", "who": who, "request_id": sent.request.0,
             "host": &*sent.host.0, "miss_from": &*sent.source.0, "allow_for_ms": sent.allow.ms(),
             "bits": bits, "keep": sent.keep});
         if let Some(oldest) = sent.oldest {
@@ -258,15 +258,15 @@
     }
     for last in decisions.finals {
         reply.push(match last {
-            Final::Bounced { pull, come_back } => {
-                let mut action = json!({"event_type": "PushBack", "who": who, "request_id": pull.0});
+            Final::Bounced { request, come_back } => {
+                let mut action = json!({"event_type": "PushBack", "who": who, "request_id": request.0});
                 if let Some(come_back) = come_back {
                     action["come_back_ms"] = json!(come_back.ms());
                 }
                 action
             }
-            Final::Forfeited { pull } => {
-                json!({"event_type": "ReportFailure", "who": who, "request_id": pull.0})
+            Final::Forfeited { request } => {
+                json!({"event_type": "ReportFailure", "who": who, "request_id": request.0})
             }
         });
     }
--- a/crates/flaxdeck-adapter/tests/looks.rs
+++ b/crates/flaxdeck-adapter/tests/looks.rs
@@ -65,7 +65,7 @@
     ]
 }
 
-fn pull(id: u64, at: f64) -> Value {
+fn request(id: u64, at: f64) -> Value {
     json!({"event_type": "Accept", "who": "d-0", "request_id": id, "is_write": false, "key": id, "slice": 0,
         "set_no": 1, "qos": "page", "expires_ms": at + 3000.0})
 }
@@ -82,8 +82,8 @@
     let batches = replies(&[
         (1000.0, started("on_probe", true)),
         (1500.0, vec![wake]),
-        (1510.0, vec![pull(1, 1510.0)]),
-        (1520.0, vec![told, pull(2, 1520.0)]),
+        (1510.0, vec![request(1, 1510.0)]),
+        (1520.0, vec![told, request(2, 1520.0)]),
     ]);
     let looks = of(&batches[1], "Inspect");
     assert_eq!(looks.len(), 1, "{:?}", batches[1]);
--- a/crates/flaxdeck-cli/src/compare.rs
+++ b/crates/flaxdeck-cli/src/compare.rs
@@ -32,17 +32,17 @@
         out.gain()
     );
     println!(
-        "pulls {}: finished {}, bounced {}, forfeited {}",
-        out.pulls, out.finished, out.bounced, out.forfeited
+        "requests {}: finished {}, bounced {}, forfeited {}",
+        out.requests, out.finished, out.bounced, out.forfeited
     );
     println!(
         "hand-offs {}, hits {}, fills at parents {}, at the origin {}, hosts fallen over {}",
         out.hand_offs, out.hits, out.parent_fills, out.origin_fills, out.fell_over
     );
     println!(
-        "{} events in {took:.2} s, {:.0} pulls a second; digest {:016x}",
+        "{} events in {took:.2} s, {:.0} requests a second; digest {:016x}",
         out.events,
-        out.pulls as f64 / took,
+        out.requests as f64 / took,
         out.digest
     );
     let breaches = out.verdict.map_or(Vec::new(), |verdict| verdict.breaches);
--- a/crates/flaxdeck-cli/src/demo.rs
+++ b/crates/flaxdeck-cli/src/demo.rs
@@ -77,7 +77,7 @@
     took.sort_by(f64::total_cmp);
     let at = |part: f64| took.get((took.len() as f64 * part) as usize).copied().unwrap_or(0.0);
     let accounted = if verdict.all_accounted_for() { "all accounted for" } else { "SOME UNACCOUNTED FOR" };
-    println!("\npulls sent                         {:>8}", verdict.asked);
+    println!("\nrequests sent                     {:>8}", verdict.asked);
     println!("  finished                         {:>8}", verdict.finished);
     println!("  bounced, with a time to come back{:>8}", verdict.bounced);
     println!("  forfeited                        {:>8}", verdict.forfeited);
--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -38,7 +38,7 @@
 
 const LONG: &str = "A traffic router for a two-tier cache.
 
-Forwarders carry pulls from clients to cache hosts and decide each one by themselves. Planners hear from all
+Forwarders carry requests from clients to cache hosts and decide each one by themselves. Planners hear from all
 forwarders and tell each what the others saw, and who may use how much of a cold host. Either level goes on without
 the other.
 
@@ -46,10 +46,10 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Carry pulls, guided by the planners of the plan
+    /// Carry requests, guided by the planners of the plan
     ///
     /// Reads the platform's JSON (hosts, settings, limits) and the operator's plan, listens where the JSON says, and
-    /// runs until SIGTERM, after which every pull still gets its answer. SIGHUP has the JSON read again.
+    /// runs until SIGTERM, after which every request still gets its answer. SIGHUP has the JSON read again.
     Forward(Files),
     /// Guide forwarders
     ///
@@ -65,9 +65,9 @@
     /// Show it all at work: a small world on loopback that loses a planner, ends by itself within 20 seconds
     ///
     /// Starts hosts, a coordinator, two planners, three forwarders and clients. A cache starts cold, a planner is
-    /// killed, a cache drains; at the end a table tells what became of every pull, and whether a rule was broken.
+    /// killed, a cache drains; at the end a table tells what became of every request, and whether a rule was broken.
     Demo {
-        /// Pulls a second at the busiest forwarder
+        /// Requests a second at the busiest forwarder
         #[arg(long, default_value_t = 150.0)]
         rate: f64,
         /// Let the forwarders go without planners, to compare
@@ -86,7 +86,7 @@
         /// Numbers of forwarders to play
         #[arg(long, value_delimiter = ',', default_value = "2,8")]
         forwarders: Vec<usize>,
-        /// Pulls a second over all forwarders
+        /// Requests a second over all forwarders
         #[arg(long, default_value_t = 1000.0)]
         rate: f64,
         /// Runs of each kind
@@ -98,7 +98,7 @@
     },
     /// Kill and restart forwarders and planners among stand-ins, beside a twin in which nothing of ours is killed
     ///
-    /// Prints a row for each kind of world: seconds until service is as the twin's for 5 s, pulls lost beyond the twin's
+    /// Prints a row for each kind of world: seconds until service is as the twin's for 5 s, requests lost beyond the twin's
     /// (in hand at the kill, asked while down, after the return), peaks at the stand-ins, rules broken. A run with its
     /// twin takes about 50 seconds.
     Recovery(recovery::Asked),
--- a/crates/flaxdeck-cli/src/recovery.rs
+++ b/crates/flaxdeck-cli/src/recovery.rs
@@ -19,7 +19,7 @@
 const END: f64 = 16_000.0;
 /// The promise of the stand-ins' pages for a page, with its stretch at the mean size, in milliseconds.
 const IN_TIME: f64 = 440.0;
-/// What a place takes on average for a pull of the stand-ins, in milliseconds.
+/// What a place takes on average for a request of the stand-ins, in milliseconds.
 const MEAN_WORK: f64 = 21.0;
 /// Forwarders that have just started leave cold hosts alone: longer than that.
 const SETTLED: f64 = 5_500.0;
@@ -247,7 +247,7 @@
         for run in [&twin, &played] {
             broken.extend(run.breaches.iter().cloned());
             if !run.even {
-                broken.push("some pull was not accounted for".into());
+                broken.push("some request was not accounted for".into());
             }
         }
         most = most.max(played.most_of_bound);
--- a/crates/flaxdeck-cli/tests/coming_back.rs
+++ b/crates/flaxdeck-cli/tests/coming_back.rs
@@ -23,7 +23,7 @@
     Fleet::start(world, setup).unwrap()
 }
 
-/// Clients from now on, for so long, with so many pulls a second at each forwarder.
+/// Clients from now on, for so long, with so many requests a second at each forwarder.
 fn clients(fleet: &Fleet, rate: f64, lasts: f64) -> (Seekers, f64) {
     let begins = fleet.world.now() + 200.0;
     let load = Load {
@@ -40,7 +40,7 @@
     (fleet.world.seekers(&fleet.addresses(), &load, &ALL), begins)
 }
 
-/// Waits for the clients and judges; every pull must be accounted for, no byte wrong and no rule broken.
+/// Waits for the clients and judges; every request must be accounted for, no byte wrong and no rule broken.
 fn kept(fleet: &Fleet, clients: &Seekers) -> Verdict {
     let limit = fleet.world.now() + 20_000.0;
     while !clients.done() {
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn what_was_told_while_all_were_down_is_obeyed_from_the_first_pull_on() {
+fn what_was_told_while_all_were_down_is_obeyed_from_the_first_request_on() {
     for planners in [0, 2] {
         // Without planners nobody vouches between two words of the coordinator, a second apart.
         let blind = if planners > 0 { "(blind (after-ms 900))" } else { "" };
--- a/crates/flaxdeck-cli/tests/levels.rs
+++ b/crates/flaxdeck-cli/tests/levels.rs
@@ -37,7 +37,7 @@
     (fleet.world.clients(&fleet.addresses(), &load), begins)
 }
 
-/// Waits for the clients and judges; every pull must be accounted for and no byte wrong.
+/// Waits for the clients and judges; every request must be accounted for and no byte wrong.
 fn judged(fleet: &Fleet, clients: &Clients) -> Verdict {
     let limit = fleet.world.now() + 20_000.0;
     while !clients.done() {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_planner_killed_frozen_and_slow_midway_costs_no_pull_its_answer() {
+fn a_planner_killed_frozen_and_slow_midway_costs_no_request_its_answer() {
     let mut fleet = fleet(setup(2, 3), Layout::default());
     let (clients, begins) = load(&fleet, &[60.0], 200.0, 7_000.0);
     let script = [
--- a/crates/flaxdeck-dispatcher/src/program/logger.rs
+++ b/crates/flaxdeck-dispatcher/src/program/logger.rs
@@ -1,5 +1,5 @@
 //! The log: one line an entry on standard error, with the Unix time, the level and the module. A thread writes
-//! it, so that a reader who stops reading holds up no pull; lines past the queue are counted and lost.
+//! it, so that a reader who stops reading holds up no request; lines past the queue are counted and lost.
 
 use std::io::Write;
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
@@ -10,7 +10,7 @@
 
 use flaxdeck_net::tally::{Count, count};
 
-/// Enough for operators; details of single pulls are `debug`, which debug builds show.
+/// Enough for operators; details of single requests are `debug`, which debug builds show.
 const LEVEL: LevelFilter = if cfg!(debug_assertions) { LevelFilter::Debug } else { LevelFilter::Info };
 /// Lines that may wait to be written: some seconds of a debug build's.
 const LINES: usize = 4096;
--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -22,7 +22,7 @@
 
 /// Between lines of counters in the log.
 const COUNTERS: Duration = Duration::from_secs(10);
-/// After SIGTERM new clients go on coming for 0.4 s and pulls for 0.2 s more; the rest is for late ones.
+/// After SIGTERM new clients go on coming for 0.4 s and requests for 0.2 s more; the rest is for late ones.
 const STAYS: Duration = Duration::from_millis(700);
 /// SIGKILL comes no sooner after SIGTERM than the longest wait of a client and this together.
 const BEFORE_KILL: Span = Span::from_ms(700);
@@ -32,7 +32,7 @@
 const SPARE: Span = Span::from_ms(200);
 /// Between looks whether all is answered.
 const LOOK: Duration = Duration::from_millis(10);
-/// Looks in a row that have to find nothing left: a pull may be read between two.
+/// Looks in a row that have to find nothing left: a request may be read between two.
 const LOOKS: u32 = 3;
 
 /// One dispatcher by itself, as the platform starts it.
@@ -125,8 +125,8 @@
 }
 
 fn log_line(router: &Router) {
-    let [pulls, clients, hosts] = router.load();
-    log::info!("open: pulls={pulls} clients={clients} hosts={hosts}; counted: {}", tally::line());
+    let [requests, clients, hosts] = router.load();
+    log::info!("open: requests={requests} clients={clients} hosts={hosts}; counted: {}", tally::line());
     router.guidance_line().into_iter().for_each(|line| log::info!("{line}"));
 }
 
--- a/crates/flaxdeck-dispatcher/src/protocol/pool.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/pool.rs
@@ -88,7 +88,7 @@
     connect_within: Duration,
     idle: Duration,
     room: Room,
-    /// Bytes that open pulls hold, asked and answered.
+    /// Bytes that open requests hold, asked and answered.
     bytes: Rc<Room>,
     kept: RefCell<BTreeMap<HostId, Kept>>,
 }
--- a/crates/flaxdeck-dispatcher/src/protocol/session.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/session.rs
@@ -37,7 +37,7 @@
 
 /// What a client said.
 pub enum Heard {
-    Pull {
+    Request {
         call: u32,
         asked: Box<Asked>,
     },
@@ -88,7 +88,7 @@
     Over,
 }
 
-/// The one answer that a pull gets; it can be given once only.
+/// The one answer that a request gets; it can be given once only.
 pub struct Reply {
     outbound: Outbound,
     call: u32,
@@ -164,7 +164,7 @@
         link::end(&mut self.inbound, &self.outbound, within).await;
     }
 
-    /// What answers the pull of that number, with the place that it holds until the answer is written.
+    /// What answers the request of that number, with the place that it holds until the answer is written.
     pub fn reply(&self, call: u32, place: Option<Place>) -> Reply {
         Reply { outbound: self.outbound.clone(), call, place, _open: self.open.clone() }
     }
@@ -258,11 +258,11 @@
 
     fn heard(&mut self, said: Said) -> Heard {
         match said {
-            Said::Pull { call, asked } => return Heard::Pull { call, asked },
+            Said::Request { call, asked } => return Heard::Request { call, asked },
             Said::Cancel { call } => return Heard::Cancel { call },
             Said::Alive { call } => self.tell(call, Word::Alive),
             Said::Invalid { call, why } => {
-                count(Count::pulls_invalid);
+                count(Count::requests_invalid);
                 log::debug!("a client's request is invalid: {why}");
                 self.tell(call, Word::Failed(why));
             }
--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -5,7 +5,7 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use flaxdeck::words::PullId;
+use flaxdeck::words::RequestId;
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep, timeout};
@@ -18,7 +18,7 @@
 use flaxdeck_net::room::Place;
 use flaxdeck_net::tally::{Count, count};
 
-/// Pulls that one connection may have open by the protocol.
+/// Requests that one connection may have open by the protocol.
 const OPEN_MOST: usize = 32;
 /// The longest between looks for who can make room, and after a failed accept: descriptors come free within it.
 const PAUSE: Duration = Duration::from_millis(5);
@@ -30,8 +30,8 @@
 
 /// What the accepting side knows of a connection.
 pub(super) struct Client {
-    /// Its pulls by their numbers, also some that have their answers since it last spoke.
-    pulls: RefCell<BTreeMap<u32, PullId>>,
+    /// Its requests by their numbers, also some that have their answers since it last spoke.
+    requests: RefCell<BTreeMap<u32, RequestId>>,
     quiet_since: Cell<Instant>,
     /// It has said something whole.
     spoke: Cell<bool>,
@@ -123,7 +123,7 @@
 
     fn is_busy(&self) -> bool {
         let closer = &self.client.closer;
-        let has_open = || self.client.pulls.borrow().values().any(|pull| self.router.is_open(*pull));
+        let has_open = || self.client.requests.borrow().values().any(|request| self.router.is_open(*request));
         closer.is_midway() || closer.unread() > 0 || has_open()
     }
 
@@ -135,8 +135,8 @@
 
 fn serve(router: &Rc<Router>, stream: TcpStream, place: Place) -> Weak<Client> {
     let session = Session::new(stream, router.names.clone(), router.asked.clone());
-    let (pulls, quiet_since, spoke) = (RefCell::default(), Cell::new(Instant::now()), Cell::new(false));
-    let client = Rc::new(Client { pulls, quiet_since, spoke, closer: session.closer() });
+    let (requests, quiet_since, spoke) = (RefCell::default(), Cell::new(Instant::now()), Cell::new(false));
+    let client = Rc::new(Client { requests, quiet_since, spoke, closer: session.closer() });
     if router.ends.get() {
         client.closer.close();
     }
@@ -153,14 +153,14 @@
             break;
         }
         in_a_row += 1;
-        // A pull may be taken back in the same breath, so all that has come is heard before any is handed off;
+        // A request may be taken back in the same breath, so all that has come is heard before any is handed off;
         // but one client that sends without end leaves the others their turns. What has ended does not go on for long.
         if !session.has_more() || (in_a_row >= AT_ONCE && !session.is_over()) {
             in_a_row = 0;
             yield_now().await;
         }
     }
-    client.pulls.take().into_values().for_each(|pull| router.leave(pull));
+    client.requests.take().into_values().for_each(|request| router.leave(request));
     drop(client);
     if router.ends.get() {
         session.end(LINGER).await;
@@ -179,39 +179,41 @@
 impl Client {
     /// Acts on what the client said; false once its connection is of no more use.
     fn hear(&self, router: &Rc<Router>, session: &mut Session, heard: Heard) -> bool {
-        let mut pulls = self.pulls.borrow_mut();
-        pulls.retain(|_, pull| router.is_open(*pull));
+        let mut requests = self.requests.borrow_mut();
+        requests.retain(|_, request| router.is_open(*request));
         self.quiet_since.set(Instant::now());
         self.spoke.set(true);
         match heard {
-            Heard::Pull { call, .. } if pulls.contains_key(&call) => {
+            Heard::Request { call, .. } if requests.contains_key(&call) => {
                 count(Count::clients_malformed);
-                log::debug!("a client's connection is closed: two pulls of one number");
+                log::debug!("a client's connection is closed: two requests of one number");
                 return false;
             }
-            // Hosts tell pulls apart by their ids alone, so a second one would meddle with the first.
-            Heard::Pull { call, asked } if router.has_id(&asked.id) => {
-                count(Count::pulls_id_in_use);
+            // Hosts tell requests apart by their ids alone, so a second one would meddle with the first.
+            Heard::Request { call, asked } if router.has_id(&asked.id) => {
+                count(Count::requests_id_in_use);
                 session.tell(call, Word::Failed("Lost"));
             }
-            Heard::Pull { call, asked } => {
-                let fits = pulls.len() + self.closer.unread() < OPEN_MOST;
+            Heard::Request { call, asked } => {
+                let fits = requests.len() + self.closer.unread() < OPEN_MOST;
                 let (slot, held) = (router.slots.take(), router.asked.take_some(asked.body.len()));
                 match held.filter(|_| fits && slot.is_some()) {
                     Some(held) => {
-                        pulls.insert(call, router.take(asked, session.reply(call, slot), held));
+                        requests.insert(call, router.take(asked, session.reply(call, slot), held));
                     }
                     None => {
-                        count(Count::pulls_no_room);
+                        count(Count::requests_no_room);
                         session.tell(call, Word::Refused(router.come_back()));
                     }
                 }
             }
             Heard::Unheld { call } => {
-                count(Count::pulls_no_room);
+                count(Count::requests_no_room);
                 session.tell(call, Word::Refused(router.come_back()));
             }
-            Heard::Cancel { call } => pulls.remove(&call).into_iter().for_each(|pull| router.leave(pull)),
+            Heard::Cancel { call } => {
+                requests.remove(&call).into_iter().for_each(|request| router.leave(request))
+            }
             Heard::Other => {}
             Heard::Over => return false,
         }
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -1,4 +1,4 @@
-//! The planners beside the coordinator: reports go out, guidance comes in, and the facade is told what holds. No pull
+//! The planners beside the coordinator: reports go out, guidance comes in, and the facade is told what holds. No request
 //! waits for any of it. What is believed, lent and borrowed is decided in `flaxdeck-guidance`.
 
 use std::cell::{Cell, RefCell};
--- a/crates/flaxdeck-dispatcher/src/routing/keep.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/keep.rs
@@ -1,5 +1,5 @@
 //! What a forwarder keeps over its end, and takes up again: events, what was seen of hosts, and up to when it has
-//! lent. A thread of its own writes it, so no pull waits for a disk; whatever is wrong with the store, the forwarder
+//! lent. A thread of its own writes it, so no request waits for a disk; whatever is wrong with the store, the forwarder
 //! serves as one that has none. What of it is believed is decided in `flaxdeck_recovery::belief`.
 
 use std::cell::{Cell, RefCell};
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -1,10 +1,10 @@
-//! Pulls on their way: a task each, the table of all, and the facade that decides. Nothing here knows how
+//! Requests on their way: a task each, the table of all, and the facade that decides. Nothing here knows how
 //! anything is written on a connection.
 
 mod clients;
 mod guides;
 mod keep;
-mod pulls;
+mod requests;
 mod subscription;
 
 use std::cell::{Cell, RefCell};
@@ -34,7 +34,7 @@
 /// Between looks for connections that have been idle too long.
 const SWEEP: Duration = Duration::from_secs(1);
 
-/// A pull's place in the table.
+/// A request's place in the table.
 struct Seat {
     object: ObjectId,
     /// There is a step to pick, or the client has left.
@@ -57,14 +57,14 @@
 pub struct Router {
     clock: Clock,
     facade: RefCell<Facade>,
-    table: RefCell<BTreeMap<PullId, Rc<Seat>>>,
-    /// What clients call the pulls whose hand-offs are not all over.
+    table: RefCell<BTreeMap<RequestId, Rc<Seat>>>,
+    /// What clients call the requests whose hand-offs are not all over.
     ids: RefCell<BTreeSet<Bytes>>,
     names: Rc<Names>,
     zone: ZoneId,
     pool: Rc<Pool>,
     slots: Room,
-    /// Bytes that open pulls hold, as they were asked and as they are answered.
+    /// Bytes that open requests hold, as they were asked and as they are answered.
     asked: Rc<Room>,
     answered: Rc<Room>,
     clients: Room,
@@ -108,7 +108,7 @@
             pool: Pool::new(names.clone(), carriage, bounds.hosts, answered.clone()),
             names,
             zone,
-            slots: Room::new(bounds.pulls),
+            slots: Room::new(bounds.requests),
             asked,
             answered,
             clients: Room::new(bounds.clients),
@@ -127,7 +127,7 @@
         })
     }
 
-    /// Pulls that are open or whose answers are not written yet, client connections, host connections.
+    /// Requests that are open or whose answers are not written yet, client connections, host connections.
     pub fn load(&self) -> [usize; 3] {
         [self.slots.taken(), self.clients.taken(), self.pool.open()]
     }
@@ -142,7 +142,7 @@
         self.clients.taken() == 0 && self.ending.borrow().iter().all(AbortHandle::is_finished)
     }
 
-    /// No pull outlasts this time.
+    /// No request outlasts this time.
     pub fn end_by(&self, time: Time) {
         self.report(News::Ending(time));
     }
@@ -160,13 +160,13 @@
         self.stir(&named);
     }
 
-    fn pick(&self, pull: PullId) -> Step {
-        self.facade.borrow_mut().pick(pull)
+    fn pick(&self, request: RequestId) -> Step {
+        self.facade.borrow_mut().pick(request)
     }
 
     /// Whether an attempt may still be sent, and what it may ask for by now.
-    fn clear(&self, pull: PullId, leg: Leg) -> Option<Clearance> {
-        self.facade.borrow_mut().clear(self.clock.now(), pull, leg)
+    fn clear(&self, request: RequestId, leg: Leg) -> Option<Clearance> {
+        self.facade.borrow_mut().clear(self.clock.now(), request, leg)
     }
 
     fn has_id(&self, id: &Bytes) -> bool {
@@ -178,9 +178,9 @@
         self.facade.borrow().come_back()
     }
 
-    fn stir(&self, pulls: &[PullId]) {
+    fn stir(&self, requests: &[RequestId]) {
         let table = self.table.borrow();
-        pulls.iter().filter_map(|pull| table.get(pull)).for_each(|seat| seat.stir.notify_one());
+        requests.iter().filter_map(|request| table.get(request)).for_each(|seat| seat.stir.notify_one());
     }
 
     /// An event of the coordinator that follows what is known.
@@ -272,9 +272,9 @@
         }
     }
 
-    /// Takes over what a later configuration may change under load; open pulls notice nothing.
+    /// Takes over what a later configuration may change under load; open requests notice nothing.
     pub fn reload(&self, bounds: Bounds, feed: Feed, known: Numbered) {
-        self.slots.resize(bounds.pulls);
+        self.slots.resize(bounds.requests);
         self.asked.resize(bounds.asked);
         self.answered.resize(bounds.answered);
         self.clients.resize(bounds.clients);
--- a/crates/flaxdeck-dispatcher/src/routing/pulls.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -1,4 +1,4 @@
-//! One pull, from its arrival to its only answer.
+//! One request, from its arrival to its only answer.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -28,24 +28,24 @@
 
 struct Ride {
     router: Rc<Router>,
-    id: PullId,
+    id: RequestId,
     asked: Rc<Asked>,
     /// Room for the bytes of what was asked.
     _held: Place,
     seat: Rc<Seat>,
-    /// Until the pull has its answer.
+    /// Until the request has its answer.
     reply: Option<Reply>,
     out: Vec<Out>,
     tasks: JoinSet<(Leg, (Outcome, Option<Place>))>,
 }
 
 impl Router {
-    /// Takes a pull in; its task gives the answer.
-    pub(super) fn take(self: &Rc<Router>, asked: Box<Asked>, reply: Reply, held: Place) -> PullId {
-        let (id, now) = (PullId(self.next.get()), self.clock.now());
+    /// Takes a request in; its task gives the answer.
+    pub(super) fn take(self: &Rc<Router>, asked: Box<Asked>, reply: Reply, held: Place) -> RequestId {
+        let (id, now) = (RequestId(self.next.get()), self.clock.now());
         self.next.set(id.0 + 1);
-        count(Count::pulls);
-        let pull = Pull {
+        count(Count::requests);
+        let request = Request {
             id,
             workload: asked.workload,
             object: asked.object,
@@ -57,9 +57,9 @@
         };
         let seat = Rc::new(Seat { object: asked.object, stir: Notify::new(), left: Cell::new(false) });
         self.table.borrow_mut().insert(id, seat.clone());
-        must(self.ids.borrow_mut().insert(asked.id.clone()), "open pulls differ by their ids");
+        must(self.ids.borrow_mut().insert(asked.id.clone()), "open requests differ by their ids");
         self.asked_for(asked.object);
-        self.report(News::Arrived(pull));
+        self.report(News::Arrived(request));
         let (router, asked, reply) = (self.clone(), Rc::from(asked), Some(reply));
         let (out, tasks) = (Vec::new(), JoinSet::new());
         let ride = Ride { router, id, asked, _held: held, seat, reply, out, tasks };
@@ -68,14 +68,14 @@
     }
 
     /// The client has left.
-    pub(super) fn leave(&self, pull: PullId) {
-        let Some(seat) = self.table.borrow().get(&pull).cloned() else { return };
+    pub(super) fn leave(&self, request: RequestId) {
+        let Some(seat) = self.table.borrow().get(&request).cloned() else { return };
         seat.left.set(true);
         seat.stir.notify_one();
     }
 
-    pub(super) fn is_open(&self, pull: PullId) -> bool {
-        self.table.borrow().contains_key(&pull)
+    pub(super) fn is_open(&self, request: RequestId) -> bool {
+        self.table.borrow().contains_key(&request)
     }
 }
 
@@ -84,7 +84,7 @@
         loop {
             if self.seat.left.get() && self.reply.take().is_some() {
                 count(Count::left);
-                log::debug!("left: pull {}", self.id.0);
+                log::debug!("left: request {}", self.id.0);
                 self.close();
                 self.drop_unsent();
                 self.router.report(News::Left(self.id));
@@ -103,7 +103,7 @@
             }
         }
         self.router.ids.borrow_mut().remove(&self.asked.id);
-        must(self.router.pick(self.id) == Step::Wait, "a pull ends with no step left");
+        must(self.router.pick(self.id) == Step::Wait, "a request ends with no step left");
     }
 
     /// What waits for a connection waits for nobody any more, whether or not an attempt may be taken back.
@@ -120,9 +120,9 @@
         self.router.table.borrow_mut().remove(&self.id);
     }
 
-    /// The only place where a pull gets its answer.
+    /// The only place where a request gets its answer.
     fn answer(&mut self, answer: Answer, held: Option<Place>) {
-        let Some(reply) = self.reply.take() else { return must(false, "one answer a pull") };
+        let Some(reply) = self.reply.take() else { return must(false, "one answer a request") };
         count(match &answer {
             Answer::Finished(_) => Count::finished,
             Answer::Unchanged => Count::unchanged,
@@ -146,10 +146,10 @@
     }
 
     fn hand_off(&mut self, leg: Leg, hand_off: HandOff) {
-        must(self.reply.is_some(), "nothing is handed off for a pull that is over");
+        must(self.reply.is_some(), "nothing is handed off for a request that is over");
         count(Count::hand_offs);
         let (to, from, allow) = (&hand_off.host.0, &hand_off.source.0, hand_off.allow.ms());
-        log::debug!("pull {} leg {} to {to} filled from {from} within {allow} ms", self.id.0, leg.0);
+        log::debug!("request {} leg {} to {to} filled from {from} within {allow} ms", self.id.0, leg.0);
         let (router, asked, host) = (self.router.clone(), self.asked.clone(), hand_off.host.clone());
         let (id, until) = (self.id, Instant::now() + length(hand_off.allow));
         let begun = Rc::new(Cell::new(false));
@@ -181,7 +181,7 @@
             count(Count::taken_back);
             let Out { host, sent, task, .. } = self.out.remove(at);
             task.abort();
-            // Guards against a pull that waits for ever for the end of what it took back itself.
+            // Guards against a request that waits for ever for the end of what it took back itself.
             if self.reply.is_some() {
                 self.report_end(leg, host, sent, Outcome::bare(Ending::Cancelled));
             }
@@ -209,11 +209,11 @@
     fn report_end(&self, leg: Leg, host: HostId, sent: Instant, outcome: Outcome) {
         let Outcome { ending, told, waited, report, .. } = outcome;
         let link = report.link;
-        log::debug!("pull {} leg {} at {}: {ending:?} {told:?} {link:?}", self.id.0, leg.0, host.0);
-        let (pull, closed) = (self.id, self.reply.is_none());
+        log::debug!("request {} leg {} at {}: {ending:?} {told:?} {link:?}", self.id.0, leg.0, host.0);
+        let (request, closed) = (self.id, self.reply.is_none());
         let took = Span::of_ms(sent.elapsed().as_secs_f64() * 1000.0);
         self.router.report(News::Ended(Ended {
-            pull,
+            request,
             leg,
             host,
             ending,
--- a/crates/flaxdeck-dispatcher/tests/connects.rs
+++ b/crates/flaxdeck-dispatcher/tests/connects.rs
@@ -99,7 +99,7 @@
         (class["memory_span_ms"], class["deadline_ms"]) = (700.into(), 6000.into());
     });
     let mut client = world.client();
-    client.pull("submit", KEY, 5000, b"a form").unwrap();
+    client.request("submit", KEY, 5000, b"a form").unwrap();
     let mut first = clogged.accept();
     assert!(read_want(&mut first).is_some(), "the first attempt arrives");
     let ran = std::time::Instant::now();
--- a/crates/flaxdeck-dispatcher/tests/departures.rs
+++ b/crates/flaxdeck-dispatcher/tests/departures.rs
@@ -38,7 +38,7 @@
     /// Asks for an object of that number, and has not left yet.
     fn asks(way: Leaving, mut client: Client, class: &str, number: u32) -> Leaver {
         let (key, body): (_, &[u8]) = (key(number), if class == "submit" { b"a form" } else { b"" });
-        let call = client.pull(class, &key, 2400, body).unwrap();
+        let call = client.request(class, &key, 2400, body).unwrap();
         Leaver { way, client, key, call }
     }
 
@@ -170,7 +170,7 @@
     let crowd = EVERY_WAY.into_iter().enumerate().map(|(at, way)| {
         let mut client = connect(world.address, way, true);
         for _ in 0..UNREAD {
-            client.pull("submit", KEY, 2400, &[7; 40_000]).unwrap();
+            client.request("submit", KEY, 2400, &[7; 40_000]).unwrap();
         }
         (at as u32, way, client)
     });
@@ -194,14 +194,14 @@
     });
     world.hosts().for_each(|host| host.set(Manner::Silent));
     let mut fills = world.client();
-    fills.pull("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of 48,000 that there are
+    fills.request("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of 48,000 that there are
     wait_for("memory is full", || !world.origin.heard("want").is_empty());
     let mut leavers = leavers(&world, "page");
     let stays = Leaver::asks(Leaving::Close, world.client(), "page", 1);
     wait_for("first attempts", || leavers.iter().chain([&stays]).all(|one| attempts(&world, &one.key) > 0));
     for leaver in &mut leavers {
         for _ in 0..WRITES {
-            leaver.client.pull("submit", KEY, 2400, &[7; 10_000]).unwrap();
+            leaver.client.request("submit", KEY, 2400, &[7; 10_000]).unwrap();
         }
     }
     leave_and_are_gone(&world, leavers, SECOND_COPY);
@@ -245,12 +245,12 @@
     for n in 1..=TRIES {
         world.origin.set(Manner::Silent);
         let mut fills = world.client();
-        let call = fills.pull("submit", &key(n as u32), 2400, &[7; 40_000]).unwrap();
+        let call = fills.request("submit", &key(n as u32), 2400, &[7; 40_000]).unwrap();
         wait_for("memory is full", || attempts(&world, &key(n as u32)) > 0);
         world.origin.set(Manner::Serve);
         let stalls = Stalls::watch(&world);
         let mut waits = world.client();
-        waits.pull("submit", KEY, 2400, &[7; 40_000]).unwrap();
+        waits.request("submit", KEY, 2400, &[7; 40_000]).unwrap();
         thread::sleep(Duration::from_millis(60));
         fills.cancel(call).unwrap();
         let answer = waits.answer().unwrap();
--- a/crates/flaxdeck-dispatcher/tests/descriptors.rs
+++ b/crates/flaxdeck-dispatcher/tests/descriptors.rs
@@ -71,7 +71,7 @@
                 break;
             }
             let mut client = Client::connect(address).unwrap();
-            let mut ask = |n| client.pull("page", &key(round * AT_ONCE + n), 2400, b"").is_ok();
+            let mut ask = |n| client.request("page", &key(round * AT_ONCE + n), 2400, b"").is_ok();
             let asked = (0..AT_ONCE).filter(|n| ask(*n)).count();
             let answers = (0..asked).map_while(|_| client.answer().ok());
             served += answers.filter(|answer| matches!(answer, Answer::Served { .. })).count();
@@ -98,7 +98,7 @@
         // Long enough for the pauses between tries to have grown to their longest.
         thread::sleep(Duration::from_millis(1600));
         let asked = Instant::now();
-        let answer = world.pull("page", &key(n as u32), 2000, b"");
+        let answer = world.request("page", &key(n as u32), 2000, b"");
         assert!(finished(&answer, &key(n as u32)), "{answer:?} after {:?}", asked.elapsed());
 
         away.listen(64).unwrap();
--- a/crates/flaxdeck-dispatcher/tests/endings.rs
+++ b/crates/flaxdeck-dispatcher/tests/endings.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use flaxdeck_toy::{Answer, Client, Coordinator, Manner, pull_message};
+use flaxdeck_toy::{Answer, Client, Coordinator, Manner, request_message};
 use socket2::{Domain, Socket, Type};
 use world::*;
 
@@ -42,7 +42,7 @@
 /// Has so many writes answered of which the client reads nothing, and nothing waits in the process any more.
 fn unread_answers(world: &World, client: &mut Client, writes: usize) {
     for _ in 0..writes {
-        client.pull("submit", KEY, 2400, &[7; 40_000]).unwrap();
+        client.request("submit", KEY, 2400, &[7; 40_000]).unwrap();
     }
     wait_for("all writes are at the origin", || world.origin.heard("want").len() == writes);
     thread::sleep(Duration::from_millis(100));
@@ -67,7 +67,7 @@
     unread_answers(&world, &mut client, 20);
     client.send(&[0xc1; 400_000]).unwrap();
     takes_them_all(&mut client, 20);
-    assert!(finished(&world.pull("page", KEY, 2000, b""), KEY), "others notice nothing");
+    assert!(finished(&world.request("page", KEY, 2000, b""), KEY), "others notice nothing");
 }
 
 // The same at the end of the process, while a client goes on sending until the last moment.
@@ -95,7 +95,7 @@
     let mut world = World::start(1);
     let mut clients: Vec<Client> = (0..5).map(|_| world.client()).collect();
     for client in &mut clients {
-        client.pull("page", KEY, 2000, b"").unwrap();
+        client.request("page", KEY, 2000, b"").unwrap();
         assert!(finished(&client.answer().unwrap(), KEY));
     }
     world.terminate();
@@ -103,7 +103,7 @@
         let end = client.answer().unwrap_err();
         assert_eq!(end.kind(), std::io::ErrorKind::UnexpectedEof);
         // What crosses the end is not sent on; its client sees no answer and asks elsewhere.
-        let _ = client.pull("page", &key(1), 2000, b"");
+        let _ = client.request("page", &key(1), 2000, b"");
     }
     assert!(world.process.wait().unwrap().success());
     assert!(world.caches[0].heard("want").iter().all(|(line, _)| line.contains(KEY)));
@@ -113,7 +113,7 @@
 fn half_a_message_at_a_planned_end_is_waited_for() {
     let mut world = World::start(1);
     let mut client = world.client();
-    let message = pull_message(1, "page", &fields("9b1f03aa5c7e2d41", KEY), b"");
+    let message = request_message(1, "page", &fields("9b1f03aa5c7e2d41", KEY), b"");
     world.terminate();
     world.logged(&["asked to end"]);
     client.send(&message[..40]).unwrap();
@@ -129,7 +129,7 @@
     let mut world = World::start(1);
     world.caches[0].set(Manner::Late(500));
     let mut client = world.client();
-    client.pull("page", KEY, 2400, b"").unwrap();
+    client.request("page", KEY, 2400, b"").unwrap();
     wait_for("sent on", || !world.caches[0].heard("want").is_empty());
     ["HUP", "TERM", "HUP", "TERM"].into_iter().for_each(|name| world.signal(name));
     assert!(finished(&client.answer().unwrap(), KEY));
@@ -143,7 +143,7 @@
     let mut world = World::with(1, |config| config["coordinator"] = gone.to_string().into());
     world.caches[0].set(Manner::Late(500));
     let mut client = world.client();
-    client.pull("page", KEY, 2400, b"").unwrap();
+    client.request("page", KEY, 2400, b"").unwrap();
     wait_for("sent on", || !world.caches[0].heard("want").is_empty());
     world.terminate();
     assert!(finished(&client.answer().unwrap(), KEY));
@@ -161,7 +161,7 @@
     let mut writer = client.again().unwrap();
     let written = thread::spawn(move || {
         (0..writes)
-            .for_each(|_| writer.pull("submit", KEY, 2400, &[7; 40_000]).map(drop).unwrap_or_default());
+            .for_each(|_| writer.request("submit", KEY, 2400, &[7; 40_000]).map(drop).unwrap_or_default());
     });
     written.join().unwrap();
     let mut stalls = Stalls::witnessed(&world);
@@ -184,11 +184,11 @@
     let (mut client, n) = on_its_way(&world, 0);
     world.origin.set(Manner::Silent);
     let mut fills = world.client();
-    fills.pull("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of 48,000 that there are
+    fills.request("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of 48,000 that there are
     wait_for("it is at the origin", || !world.origin.heard("want").is_empty());
     let mut stalls = Stalls::witnessed(&world);
     let asked = Instant::now();
-    let refused = client.pull("submit", KEY, 2400, &[7; 40_000]).unwrap();
+    let refused = client.request("submit", KEY, 2400, &[7; 40_000]).unwrap();
     client.cancel(1).unwrap();
     stalls.sent();
     let cancelled = unix_now();
@@ -199,7 +199,7 @@
     let answer = client.answer().unwrap();
     assert!(matches!(&answer, Answer::Error { call, word, .. } if *call == refused && word == "Backoff"));
     assert!(asked.elapsed() < Duration::from_millis(500), "{:?}", asked.elapsed());
-    client.pull("page", &key(n + 100), 2000, b"").unwrap();
+    client.request("page", &key(n + 100), 2000, b"").unwrap();
     clogged.open();
     assert!(finished(&client.answer().unwrap(), &key(n + 100)), "its connection goes on");
     assert!(clogged.heard().iter().all(|line| !line.contains(&key(n))));
@@ -232,7 +232,7 @@
         }
         socket.connect(&world.address.into()).unwrap();
         let mut client = Client::over(TcpStream::from(socket)).unwrap();
-        client.pull("page", KEY, 2400, b"").unwrap();
+        client.request("page", KEY, 2400, b"").unwrap();
         wait_for("sent on", || !world.caches[0].heard("want").is_empty());
         if !resets {
             client.shut().unwrap();
@@ -242,7 +242,7 @@
         world.logged(&["left: "]);
         wait_for("given up", || !world.caches[0].heard("never_mind").is_empty());
         world.caches[0].set(Manner::Serve);
-        assert!(finished(&world.pull("page", &key(1), 2000, b""), &key(1)), "others notice nothing");
+        assert!(finished(&world.request("page", &key(1), 2000, b""), &key(1)), "others notice nothing");
     }
 }
 
@@ -259,7 +259,7 @@
     let mut slowest = Duration::ZERO;
     for n in 0..40 {
         let asked = Instant::now();
-        assert!(finished(&world.pull("page", &key(n), 2000, b""), &key(n)));
+        assert!(finished(&world.request("page", &key(n), 2000, b""), &key(n)));
         slowest = slowest.max(asked.elapsed());
     }
     assert!(slowest < Duration::from_millis(1500), "{slowest:?}");
@@ -274,10 +274,10 @@
     let mut world = World::start(1);
     let mut flood = narrow(world.address);
     // More than its connection takes, so that answers wait in the process and the rest is owed.
-    let asked = (0..700).take_while(|_| flood.pull("submit", KEY, 2400, &[7; 40_000]).is_ok()).count();
+    let asked = (0..700).take_while(|_| flood.request("submit", KEY, 2400, &[7; 40_000]).is_ok()).count();
     let _ = flood.send(&ALIVE.repeat(4000)); // it may be ended in the middle of this
     assert_eq!(asked, 700, "what is owed until then is within the bound");
-    assert!(finished(&world.pull("page", KEY, 2000, b""), KEY));
+    assert!(finished(&world.request("page", KEY, 2000, b""), KEY));
     world.terminate();
     world.logged(&["counted: ", "clients_flooding=1"]);
     assert!(world.process.wait().unwrap().success());
@@ -306,12 +306,12 @@
     });
     let mut client = world.client();
     let asked = Instant::now();
-    client.pull("page", KEY, 900, b"").unwrap();
+    client.request("page", KEY, 900, b"").unwrap();
     let first = client.answer().unwrap();
     assert!(matches!(first, Answer::Error { .. } | Answer::Served { .. }));
     assert!(asked.elapsed() < Duration::from_millis(950), "{:?}", asked.elapsed());
     assert!(client.quiet_for(Duration::from_millis(200)), "one answer");
-    client.pull("submit", KEY, 900, b"a form").unwrap();
+    client.request("submit", KEY, 900, b"a form").unwrap();
     assert!(matches!(client.answer().unwrap(), Answer::Served { .. }));
 }
 
@@ -391,7 +391,7 @@
             thread::spawn(move || {
                 let mut served = 0;
                 while !over.load(Ordering::Relaxed) {
-                    client.pull("page", &key(n), 7000, b"").unwrap();
+                    client.request("page", &key(n), 7000, b"").unwrap();
                     served += u32::from(matches!(client.answer().unwrap(), Answer::Served { .. }));
                 }
                 served
@@ -401,7 +401,7 @@
     thread::sleep(Duration::from_millis(500));
     let mut client = world.client();
     let asked = Instant::now();
-    client.pull("clip", &large, 4000, b"").unwrap();
+    client.request("clip", &large, 4000, b"").unwrap();
     let answer = client.answer().unwrap();
     assert!(matches!(&answer, Answer::Served { body, .. } if body.len() == 230_000), "{:?}", asked.elapsed());
     over.store(true, Ordering::Relaxed);
@@ -415,7 +415,7 @@
     let world = World::with(1, |config| config["limits"]["memory_mb"] = 0.8.into());
     let mut clients: Vec<Client> = (0..7).map(|_| world.client()).collect();
     let asked = Instant::now();
-    clients.iter_mut().for_each(|client| assert!(client.pull("submit", KEY, 2400, &[7; 40_000]).is_ok()));
+    clients.iter_mut().for_each(|client| assert!(client.request("submit", KEY, 2400, &[7; 40_000]).is_ok()));
     let answers: Vec<Answer> = clients.iter_mut().map(|client| client.answer().unwrap()).collect();
     assert!(answers.iter().any(|answer| matches!(answer, Answer::Served { .. })), "{answers:?}");
     assert!(asked.elapsed() < Duration::from_millis(1500), "{:?}", asked.elapsed());
--- a/crates/flaxdeck-dispatcher/tests/fleet/mod.rs
+++ b/crates/flaxdeck-dispatcher/tests/fleet/mod.rs
@@ -9,7 +9,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use flaxdeck_toy::{Answer, Client, pull_message};
+use flaxdeck_toy::{Answer, Client, request_message};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::Value;
@@ -124,7 +124,7 @@
                     ("set", "7"),
                     ("kb", &kb),
                 ];
-                if client.send(&pull_message(number, "page", &fields, b"")).is_err() {
+                if client.send(&request_message(number, "page", &fields, b"")).is_err() {
                     break;
                 }
             }
--- a/crates/flaxdeck-dispatcher/tests/mass_restart.rs
+++ b/crates/flaxdeck-dispatcher/tests/mass_restart.rs
@@ -48,7 +48,7 @@
         let begun = Instant::now();
         while begun.elapsed() < READY_WITHIN {
             let answer = Client::connect(address).and_then(|mut client| {
-                client.pull("page", &key(number), 1000, b"")?;
+                client.request("page", &key(number), 1000, b"")?;
                 client.answer()
             });
             if matches!(answer, Ok(Answer::Served { .. })) {
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -102,8 +102,8 @@
         hosts.extend((0..parents).map(|n| listed(&format!("s-00009a0{n}"), Role::Parent, 0, Some(start))));
         facade.report(start, News::Hosts(Coverage::Whole, hosts));
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let mut open: BTreeMap<PullId, (Time, u32)> = BTreeMap::new();
-        let mut out: Vec<(Time, PullId, Leg, HostId)> = Vec::new();
+        let mut open: BTreeMap<RequestId, (Time, u32)> = BTreeMap::new();
+        let mut out: Vec<(Time, RequestId, Leg, HostId)> = Vec::new();
         let deadlines: Vec<f64> =
             (0..classes).map(|at| settings["request_classes"][at]["deadline_ms"].as_f64().unwrap()).collect();
         let (mut now, mut next) = (start, 0);
@@ -112,16 +112,17 @@
             if next < 40 {
                 let class = next as usize % classes;
                 let hard_stop = now + Span::of_ms(deadlines[class].min(last));
-                let (object, id) = (ObjectId(chance.random_range(0..10)), PullId(next));
+                let (object, id) = (ObjectId(chance.random_range(0..10)), RequestId(next));
                 let (workload, group) = (WorkloadId(class), GroupId(3));
                 let size_kb = Some(chance.random_range(1.0..3000.0)).filter(|_| seed % 2 == 0);
-                let pull = Pull { id, workload, object, part: 0, group, size_kb, hard_stop, again: false };
+                let request =
+                    Request { id, workload, object, part: 0, group, size_kb, hard_stop, again: false };
                 open.insert(id, (hard_stop, 0));
-                facade.report(now, News::Arrived(pull));
+                facade.report(now, News::Arrived(request));
                 next += 1;
             }
             facade.tick(now);
-            for id in (0..next).map(PullId) {
+            for id in (0..next).map(RequestId) {
                 loop {
                     match facade.pick(id) {
                         Step::Wait => break,
@@ -175,9 +176,9 @@
     }
 }
 
-fn end(pull: PullId, leg: Leg, host: HostId, ending: Ending) -> Ended {
+fn end(request: RequestId, leg: Leg, host: HostId, ending: Ending) -> Ended {
     let (took, told, report) = (Span::of_ms(5.0), Told::Nothing, LoadReport::default());
-    Ended { pull, leg, host, ending, took, closed: false, told, waited: None, report }
+    Ended { request, leg, host, ending, took, closed: false, told, waited: None, report }
 }
 
 // The real process under some of them: each class gets its answers in time, and a planned end is one.
@@ -198,7 +199,7 @@
             let wait = class["deadline_ms"].as_f64().unwrap().min(2500.0) as u64;
             let mut client = world.client();
             let asked = Instant::now();
-            client.pull(class["name"].as_str().unwrap(), KEY, wait, b"").unwrap();
+            client.request(class["name"].as_str().unwrap(), KEY, wait, b"").unwrap();
             let answer = client.answer().unwrap();
             assert!(!matches!(answer, Answer::Alive { .. }), "seed {seed}: {answer:?}");
             assert!(asked.elapsed() < Duration::from_millis(wait + 150), "seed {seed}, {class}");
--- a/crates/flaxdeck-dispatcher/tests/world/mod.rs
+++ b/crates/flaxdeck-dispatcher/tests/world/mod.rs
@@ -117,10 +117,10 @@
         Client::connect(self.address).unwrap()
     }
 
-    /// Pulls one object on a connection of its own.
-    pub fn pull(&self, class: &str, key: &str, wait: u64, body: &[u8]) -> Answer {
+    /// Requests one object on a connection of its own.
+    pub fn request(&self, class: &str, key: &str, wait: u64, body: &[u8]) -> Answer {
         let mut client = self.client();
-        client.pull(class, key, wait, body).unwrap();
+        client.request(class, key, wait, body).unwrap();
         client.answer().unwrap()
     }
 
@@ -155,15 +155,15 @@
     /// When each client that has left so far was noticed, by the process's own clock, since 1970.
     pub fn left_at(&self) -> Vec<Duration> {
         let log = self.log.lock().unwrap();
-        let lines = log.iter().filter(|line| line.contains("left: pull"));
+        let lines = log.iter().filter(|line| line.contains("left: request"));
         let time = |line: &String| line.split(' ').next()?.parse().ok().map(Duration::from_secs_f64);
         lines.map(|line| time(line).expect("a line begins with its time")).collect()
     }
 
-    /// Whether a cache gets nothing of some new pulls that it would have its share of.
+    /// Whether a cache gets nothing of some new requests that it would have its share of.
     pub fn spares(&self, cache: &Host) -> bool {
         let before = cache.heard("want").len();
-        (0..8).for_each(|n| drop(self.pull("page", &key(n), 2000, b"")));
+        (0..8).for_each(|n| drop(self.request("page", &key(n), 2000, b"")));
         cache.heard("want").len() == before
     }
 }
@@ -267,10 +267,10 @@
     }
 }
 
-/// Opens so many pulls at once, of an object each, and takes their answers.
-pub fn pull_together(client: &mut Client, count: u32, wait: u64) -> Vec<Answer> {
+/// Opens so many requests at once, of an object each, and takes their answers.
+pub fn request_together(client: &mut Client, count: u32, wait: u64) -> Vec<Answer> {
     for n in 0..count {
-        client.pull("page", &key(n), wait, b"").unwrap();
+        client.request("page", &key(n), wait, b"").unwrap();
     }
     (0..count).map(|_| client.answer().unwrap()).collect()
 }
@@ -437,9 +437,9 @@
 pub fn on_its_way_over(world: &World, first: u32, make: impl Fn() -> Client) -> (Client, u32) {
     for n in first..first + 64 {
         let mut client = make();
-        client.pull("page", &key(n), 7000, b"").unwrap();
+        client.request("page", &key(n), 7000, b"").unwrap();
         let decided = |cache: &str| {
-            let words = [&*format!("pull {n} leg 0 to"), cache];
+            let words = [&*format!("request {n} leg 0 to"), cache];
             world.log.lock().unwrap().iter().any(|line| words.iter().all(|word| line.contains(word)))
         };
         wait_for("decided", || decided("to s-0000ca00") || decided("to s-0000ca01"));
--- a/crates/flaxdeck-emulator/src/clients.rs
+++ b/crates/flaxdeck-emulator/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: an open loop of pulls over some connections to each dispatcher. When a pull is sent was settled before
+//! Clients: an open loop of requests over some connections to each dispatcher. When a request is sent was settled before
 //! the first one; no answer is waited for. Every answer's bytes are checked, and a second answer is written down.
 
 use std::collections::{BTreeMap, HashMap};
@@ -24,24 +24,24 @@
 #[derive(Clone, Debug)]
 pub struct Load {
     pub seed: u64,
-    /// Pulls a second at each dispatcher, in order; dispatchers past the list get the last.
+    /// Requests a second at each dispatcher, in order; dispatchers past the list get the last.
     pub rates: Vec<f64>,
     /// Objects, drawn with a popularity that falls by this power of the rank.
     pub objects: u64,
     pub power: f64,
-    /// The share of pulls that are at-most-once writes.
+    /// The share of requests that are at-most-once writes.
     pub writes: f64,
     pub from_ms: f64,
     pub to_ms: f64,
     pub wait_ms: u64,
-    /// The number of the first connection, where several loads run at once: pulls are named after it.
+    /// The number of the first connection, where several loads run at once: requests are named after it.
     pub names_from: usize,
 }
 
 /// Connections to one dispatcher.
 const CONNECTIONS: usize = 8;
 
-/// One pull with its time.
+/// One request with its time.
 pub struct Planned {
     pub at: f64,
     pub object: String,
@@ -83,7 +83,7 @@
     (rank + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-/// The pulls at one dispatcher, all settled before the first is sent.
+/// The requests at one dispatcher, all settled before the first is sent.
 pub fn draw(load: &Load, dispatcher: usize) -> Vec<Planned> {
     let mut chance = Pcg64Mcg::seed_from_u64(load.seed ^ (dispatcher as u64) << 32);
     let rate = load.rates.get(dispatcher).or(load.rates.last()).copied().unwrap_or(0.0);
@@ -148,7 +148,7 @@
     write: bool,
 }
 
-/// One connection's pulls; a connection that breaks is opened again, and what was open on it has left.
+/// One connection's requests; a connection that breaks is opened again, and what was open on it has left.
 async fn run(
     world: &Arc<Inside>,
     address: SocketAddr,
@@ -177,12 +177,12 @@
             }
             let Planned { object, write: writes, .. } = planned.next().expect("just seen");
             call += 1;
-            let (now, pull) = (world.now(), format!("{name:08x}{call:08x}"));
-            world.see(Seen::Asked { pull: pull.clone(), by: now + wait as f64 });
+            let (now, request) = (world.now(), format!("{name:08x}{call:08x}"));
+            world.see(Seen::Asked { request: request.clone(), by: now + wait as f64 });
             open.lock()
                 .expect("no holder panics")
                 .insert(call, Open { object: object.clone(), sent: now, write: writes });
-            if write.write_all(&message(call, &pull, &object, writes, wait, false)).await.is_err() {
+            if write.write_all(&message(call, &request, &object, writes, wait, false)).await.is_err() {
                 break;
             }
         }
@@ -200,16 +200,17 @@
         if broke {
             tally.lock().expect("no holder panics").broken += 1;
             // Only who lost his connection has left; one that waits in vain on a whole one is a breach.
-            left.into_keys().for_each(|call| world.see(Seen::Left { pull: format!("{name:08x}{call:08x}") }));
+            left.into_keys()
+                .for_each(|call| world.see(Seen::Left { request: format!("{name:08x}{call:08x}") }));
         }
     }
 }
 
-pub fn message(call: u32, pull: &str, object: &str, writes: bool, wait: u64, again: bool) -> Vec<u8> {
+pub fn message(call: u32, request: &str, object: &str, writes: bool, wait: u64, again: bool) -> Vec<u8> {
     let text = |text: &str| Value::from(text);
     let kb = kb_of(object).to_string();
     let fields = [
-        ("id", pull),
+        ("id", request),
         ("wait", &*wait.to_string()),
         ("key", object),
         ("slice", "0"),
@@ -291,5 +292,5 @@
         }
         tally.lock().expect("no holder panics").took.push(now - asked.sent);
     }
-    world.see(Seen::Answered { pull: format!("{name:08x}{:08x}", spoken.call), how: spoken.how });
+    world.see(Seen::Answered { request: format!("{name:08x}{:08x}", spoken.call), how: spoken.how });
 }
--- a/crates/flaxdeck-emulator/src/hosts.rs
+++ b/crates/flaxdeck-emulator/src/hosts.rs
@@ -14,7 +14,7 @@
 
 use crate::world::{Inside, KB_PER_MS, Kind, Manner, body_of, kb_of};
 
-/// Pulls a place may have waiting before it says `full`.
+/// Requests a place may have waiting before it says `full`.
 const QUEUE: f64 = 6.0;
 /// Milliseconds until hosts have dropped by themselves what was purged.
 const SETTLES: f64 = 5_000.0;
@@ -84,7 +84,7 @@
         };
         let words: Vec<&str> = line.split(' ').collect();
         match words[..] {
-            ["want", pull, fields, length] => {
+            ["want", request, fields, length] => {
                 let mut body = vec![0; length.parse::<usize>().unwrap_or(0).min(100_000) + 2];
                 lines.read_exact(&mut body).await?;
                 let fields: HashMap<String, String> = fields
@@ -93,7 +93,7 @@
                     .map(|(name, value)| (name.to_owned(), value.to_owned()))
                     .collect();
                 let answer = tokio::select! {
-                    answer = answer(world, id, &fields, pull) => answer,
+                    answer = answer(world, id, &fields, request) => answer,
                     line = next_line(&mut lines) => {
                         held_over = Some(line?);
                         leave(world, id);
@@ -101,7 +101,7 @@
                     }
                 };
                 let Some((word, told, body)) = answer else { continue };
-                let head = format!("{pull} {word} {told} {}\r\n", body.len());
+                let head = format!("{request} {word} {told} {}\r\n", body.len());
                 write.write_all(&[head.as_bytes(), &body, b"\r\n"].concat()).await?;
             }
             ["there", tag] => write.write_all(format!("{tag} well - 0\r\n\r\n").as_bytes()).await?,
@@ -184,7 +184,7 @@
     world: &Arc<Inside>,
     id: &str,
     fields: &HashMap<String, String>,
-    pull: &str,
+    request: &str,
 ) -> Option<(&'static str, String, Vec<u8>)> {
     let field = |name: &str| fields.get(name).map_or("", String::as_str);
     let object = field("key").to_owned();
@@ -199,7 +199,7 @@
     let ended = match taken {
         Taken::Until(until) => {
             let made = if field("class") == "submit" {
-                world.see(Seen::Ran { effect: format!("{pull} {object}") });
+                world.see(Seen::Ran { effect: format!("{request} {object}") });
                 Ok(world.now())
             } else {
                 copy(world, id, &object, field("fetch"), field("newer"), &mut told).await
--- a/crates/flaxdeck-emulator/src/seekers.rs
+++ b/crates/flaxdeck-emulator/src/seekers.rs
@@ -200,7 +200,7 @@
         self.link.as_ref().is_some_and(|(_, number, _)| *number == link)
     }
 
-    fn pull(&self, call: u32) -> String {
+    fn request(&self, call: u32) -> String {
         format!("{:08x}{call:08x}", self.name)
     }
 
@@ -217,10 +217,10 @@
         self.call += 1;
         let (call, now) = (self.call, self.world.now());
         (want.tries, want.sent) = (want.tries + 1, now);
-        let pull = self.pull(call);
-        self.world.see(Seen::Asked { pull: pull.clone(), by: now + self.wait as f64 });
+        let request = self.request(call);
+        self.world.see(Seen::Asked { request: request.clone(), by: now + self.wait as f64 });
         let again = want.tries > 1 && now > first;
-        let bytes = message(call, &pull, &want.object, want.write, self.wait, again);
+        let bytes = message(call, &request, &want.object, want.write, self.wait, again);
         self.open.insert(call, want);
         let Some((write, ..)) = &mut self.link else { return };
         if write.write_all(&bytes).await.is_err() {
@@ -279,7 +279,7 @@
         self.hang_up();
         self.away_since = Some(self.world.now());
         for (call, mut want) in std::mem::take(&mut self.open) {
-            self.world.see(Seen::Left { pull: self.pull(call) });
+            self.world.see(Seen::Left { request: self.request(call) });
             want.broken = true;
             // What may have run is not asked again.
             if want.write { self.over(&want, End::Lost) } else { self.again(want, None) }
@@ -288,10 +288,10 @@
 
     fn answered(&mut self, spoken: Spoken) {
         let Some(want) = self.open.remove(&spoken.call) else {
-            let pull = self.pull(spoken.call);
-            return self.world.see(Seen::Answered { pull, how: spoken.how });
+            let request = self.request(spoken.call);
+            return self.world.see(Seen::Answered { request, how: spoken.how });
         };
-        self.world.see(Seen::Answered { pull: self.pull(spoken.call), how: spoken.how });
+        self.world.see(Seen::Answered { request: self.request(spoken.call), how: spoken.how });
         match spoken.how {
             Answer::Finished => {
                 match made_of(&want.object, &spoken.body) {
--- a/crates/flaxdeck-fleet/src/model/attempts.rs
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -13,7 +13,7 @@
     pub(super) forwarder: usize,
     /// The forwarder's run.
     pub(super) run: u32,
-    pub(super) request: PullId,
+    pub(super) request: RequestId,
     /// Which of the request's attempts it is.
     pub(super) index: u32,
     pub(super) want: u64,
@@ -110,7 +110,7 @@
         let answered = ending == Ending::Answered;
         let over_link = answered && host.kind == Kind::Cache;
         Ended {
-            pull: attempt.request,
+            request: attempt.request,
             leg: Leg(attempt.index),
             host: HostId(host.id.as_str().into()),
             ending,
--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -45,7 +45,7 @@
 pub(super) struct Try {
     forwarder: usize,
     run: u32,
-    request: PullId,
+    request: RequestId,
 }
 
 impl Model<'_> {
@@ -102,24 +102,24 @@
         }
         want.tries += 1;
         let (tries, forwarder) = (want.tries, want.zone * self.shape.forwarders + place);
-        let request = PullId(self.number());
+        let request = RequestId(self.number());
         let run = self.forwarders[forwarder].run;
         self.wants[id as usize].out = Some(Try { forwarder, run, request });
-        self.outcome.pulls += 1;
+        self.outcome.requests += 1;
         let by = self.now + self.shape.wait_ms;
-        self.see(Seen::Asked { pull: request.0.to_string(), by });
+        self.see(Seen::Asked { request: request.0.to_string(), by });
         self.after(self.shape.wait_ms, Event::ClientStops { want: id, tries });
         self.forwarders[forwarder].open.insert(request, OpenRequest { want: id, attempts: 0 });
         self.requests.insert(request.0, id);
         let told = self.request(request, id);
-        let decisions = self.forwarders[forwarder].engine.pull(time(self.now), told);
+        let decisions = self.forwarders[forwarder].engine.request(time(self.now), told);
         self.decide(forwarder, decisions);
     }
 
     /// What the forwarder is told of a try.
-    fn request(&self, id: PullId, want: u64) -> Pull {
+    fn request(&self, id: RequestId, want: u64) -> Request {
         let want = &self.wants[want as usize];
-        Pull {
+        Request {
             id,
             workload: WorkloadId(usize::from(want.write)),
             object: ObjectId(want.object),
@@ -174,9 +174,9 @@
     }
 
     /// A forwarder answers a request, unless it had its answer before.
-    pub(super) fn answered(&mut self, n: usize, request: PullId, how: Answer, retry_after: Option<Span>) {
+    pub(super) fn answered(&mut self, n: usize, request: RequestId, how: Answer, retry_after: Option<Span>) {
         let Some(OpenRequest { want, .. }) = self.forwarders[n].open.remove(&request) else { return };
-        self.see(Seen::Answered { pull: request.0.to_string(), how });
+        self.see(Seen::Answered { request: request.0.to_string(), how });
         self.note([request.0, how as u64, (self.now * 1000.0) as u64]);
         match how {
             Answer::Finished => self.want_served(want),
--- a/crates/flaxdeck-fleet/src/model/decisions.rs
+++ b/crates/flaxdeck-fleet/src/model/decisions.rs
@@ -14,10 +14,10 @@
         decisions.hand_offs.into_iter().for_each(|attempt| self.begin_attempt(n, &attempt));
         for last in decisions.finals {
             match last {
-                Final::Bounced { pull, come_back: retry_after } => {
-                    self.answered(n, pull, Answer::Bounced, retry_after);
+                Final::Bounced { request, come_back: retry_after } => {
+                    self.answered(n, request, Answer::Bounced, retry_after);
                 }
-                Final::Forfeited { pull } => self.answered(n, pull, Answer::Forfeited, None),
+                Final::Forfeited { request } => self.answered(n, request, Answer::Forfeited, None),
             }
         }
         // Every wish stands beside the earlier ones.
@@ -28,10 +28,10 @@
     }
 
     fn cancel(&mut self, cancel: &Cancel) {
-        let Some(want) = self.requests.get(&cancel.pull.0) else { return };
+        let Some(want) = self.requests.get(&cancel.request.0) else { return };
         for id in &self.wants[*want as usize].attempts {
             let Some(attempt) = self.attempts.get_mut(id) else { continue };
-            if (attempt.request, attempt.index) == (cancel.pull, cancel.leg.0) {
+            if (attempt.request, attempt.index) == (cancel.request, cancel.leg.0) {
                 attempt.ending = Some(Ending::Cancelled);
             }
         }
@@ -40,7 +40,7 @@
     /// A forwarder sends a request to a host.
     fn begin_attempt(&mut self, n: usize, decided: &HandOff) {
         let run = self.forwarders[n].run;
-        let Some(open) = self.forwarders[n].open.get_mut(&decided.pull) else { return };
+        let Some(open) = self.forwarders[n].open.get_mut(&decided.request) else { return };
         let (want, index) = (open.want, open.attempts);
         open.attempts += 1;
         let host = self.names[&*decided.host.0];
@@ -49,7 +49,7 @@
         let attempt = Attempt {
             forwarder: n,
             run,
-            request: decided.pull,
+            request: decided.request,
             index,
             want,
             host,
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -30,7 +30,7 @@
     pub(super) run: u32,
     /// The number of the coordinator's last event that it knows.
     pub(super) last_event: u64,
-    pub(super) open: BTreeMap<PullId, OpenRequest>,
+    pub(super) open: BTreeMap<RequestId, OpenRequest>,
 }
 
 /// The terms of a location's forwarders: reads are the first workload, writes the second.
@@ -121,7 +121,7 @@
         for n in 0..count {
             let open = std::mem::take(&mut self.forwarders[n].open);
             for (request, OpenRequest { want, .. }) in open {
-                self.see(Seen::Left { pull: request.0.to_string() });
+                self.see(Seen::Left { request: request.0.to_string() });
                 self.retry_unless_write(want, RETRY_AFTER_LOST_FORWARDER_MS);
             }
             let run = self.forwarders[n].run + 1;
--- a/crates/flaxdeck-fleet/src/outcome.rs
+++ b/crates/flaxdeck-fleet/src/outcome.rs
@@ -14,7 +14,7 @@
     /// Wants given up after all tries.
     pub lost: u64,
     /// Requests: tries of all wants.
-    pub pulls: u64,
+    pub requests: u64,
     /// Requests that were served.
     pub finished: u64,
     /// Requests that were rejected.
--- a/crates/flaxdeck-guidance/examples/size.rs
+++ b/crates/flaxdeck-guidance/examples/size.rs
@@ -1,5 +1,5 @@
 //! How large and how slow it gets: a planner fed by generated reports, a forwarder's report, and the time that a
-//! pull's decision takes with guidance and without. `cargo run --release -p flaxdeck-guidance --example size`
+//! request's decision takes with guidance and without. `cargo run --release -p flaxdeck-guidance --example size`
 
 use std::time::Instant;
 
@@ -173,7 +173,7 @@
     (0..hosts).map(line).collect()
 }
 
-/// The mean time of a pull's decisions, from its arrival to its end, every one a hit.
+/// The mean time of a request's decisions, from its arrival to its end, every one a hit.
 fn decisions(hosts: u64, guided: bool) -> f64 {
     let (mut brain, _) = Brain::start(at(0), 1, terms());
     brain.list(at(0), Coverage::Whole, lines(hosts));
@@ -197,8 +197,8 @@
                 Guided { hints: (0..hosts).map(hint).collect(), by_right: 1.0, link: None, vouched: true },
             );
         }
-        let pull = Pull {
-            id: PullId(n),
+        let request = Request {
+            id: RequestId(n),
             workload: WorkloadId(0),
             object: ObjectId(n % 1_000),
             part: 0,
@@ -208,10 +208,10 @@
             again: false,
         };
         let begun = Instant::now();
-        let offs = brain.pull(now, pull).hand_offs;
+        let offs = brain.request(now, request).hand_offs;
         for (leg, off) in offs.into_iter().enumerate() {
             let ended = Ended {
-                pull: off.pull,
+                request: off.request,
                 leg: Leg(leg as u32),
                 host: off.host,
                 ending: Ending::Answered,
@@ -263,7 +263,7 @@
     [10, 100, 1_000, 5_000].into_iter().for_each(report);
     for hosts in [10, 100, 1_000] {
         let (alone, guided) = (decisions(hosts, false), decisions(hosts, true));
-        println!("a pull's decisions at {hosts} hosts: {alone:.2} us alone, {guided:.2} us guided");
+        println!("a request's decisions at {hosts} hosts: {alone:.2} us alone, {guided:.2} us guided");
     }
     staircase();
 }
--- a/crates/flaxdeck-guidance/src/planner.rs
+++ b/crates/flaxdeck-guidance/src/planner.rs
@@ -1,4 +1,4 @@
-//! The whole of a planner: reports and the coordinator's events go in, guidance comes out. It decides no pull. Lost
+//! The whole of a planner: reports and the coordinator's events go in, guidance comes out. It decides no request. Lost
 //! whole, it leaves nothing behind that anybody waits for.
 
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/flaxdeck-guidance/src/shares.rs
+++ b/crates/flaxdeck-guidance/src/shares.rs
@@ -15,14 +15,14 @@
 /// How long word that others want some of a life counts, from when it was asked for: two reports. Where answers take
 /// longer nothing is lent, as a grant would come too late to be of use.
 const WANTED_LASTS: Span = Span::from_ms(500);
-/// Over how long what was turned away is averaged: a few reports, so that one pull's bad luck is no demand.
+/// Over how long what was turned away is averaged: a few reports, so that one request's bad luck is no demand.
 const AVERAGED: Span = Span::from_ms(500);
 /// How long the most that was wanted is kept back from lending: what is lent comes back only after a window and
 /// more, so demand that may turn within that time is worse off than alone.
 const HOLDS: Span = Span::from_ms(30_000);
-/// Hundredths of the own share that are never lent, so that a first pull need not wait for a grant.
+/// Hundredths of the own share that are never lent, so that a first request need not wait for a grant.
 const FLOOR: u32 = 10;
-/// The least of a life worth lending or borrowing: a thousandth. Less would be more messages than pulls.
+/// The least of a life worth lending or borrowing: a thousandth. Less would be more messages than requests.
 const LEAST: Parts = Parts(1_000);
 
 /// What the brain knows of a cold host's use by this forwarder.
--- a/crates/flaxdeck-net/src/room.rs
+++ b/crates/flaxdeck-net/src/room.rs
@@ -11,13 +11,13 @@
 pub const OWN_SOCKETS: usize = 24;
 /// Descriptors with which there is one for a client and one for a host.
 pub const SOCKETS_LEAST: u64 = OWN_SOCKETS as u64 + 2;
-/// The part of the memory limit that pulls may take beside the bytes they carry, and the part for those bytes,
+/// The part of the memory limit that requests may take beside the bytes they carry, and the part for those bytes,
 /// asked and answered; the rest is the program, its tables and what the allocator can't give back.
 const PULLS_PART: f64 = 0.2;
 const BYTES_PART: f64 = 0.4;
-/// What one pull takes beside the bytes it carries: its task, its places in tables, its connection's read buffer.
+/// What one request takes beside the bytes it carries: its task, its places in tables, its connection's read buffer.
 pub const PULL: f64 = 16.0 * 1024.0;
-/// Bytes of a message that count with its connection or pull; a larger one takes room of its own before it is read.
+/// Bytes of a message that count with its connection or request; a larger one takes room of its own before it is read.
 pub const SMALL: usize = 8 * 1024;
 /// Bytes of the largest object that the protocol provides for.
 pub const OBJECT_MOST: usize = 240_000;
@@ -31,7 +31,7 @@
 pub struct Bounds {
     pub clients: usize,
     pub hosts: usize,
-    pub pulls: usize,
+    pub requests: usize,
     /// Bytes that clients' messages may hold together, and the answers to them. An answer waits for room while its
     /// request holds some, so with one room for both all of it could be held by requests whose answers wait for it.
     pub asked: usize,
@@ -43,14 +43,14 @@
         let clients = (sockets / 3).max(1);
         let hosts = sockets.saturating_sub(clients + OWN_SOCKETS).max(1);
         let memory = memory_mb.max(0.0) * 1024.0 * 1024.0;
-        // Each client may have the start of a message here that is no pull yet.
+        // Each client may have the start of a message here that is no request yet.
         let bytes = ((memory * BYTES_PART) as usize).saturating_sub(clients * SMALL);
         let bytes = bytes.max(WRITE_MOST + OBJECT_MOST);
         let asked = bytes / (WRITE_MOST + OBJECT_MOST) * WRITE_MOST;
         Bounds {
             clients,
             hosts,
-            pulls: ((memory * PULLS_PART / PULL) as usize).max(1),
+            requests: ((memory * PULLS_PART / PULL) as usize).max(1),
             asked,
             answered: bytes - asked,
         }
--- a/crates/flaxdeck-net/tests/room.rs
+++ b/crates/flaxdeck-net/tests/room.rs
@@ -25,9 +25,9 @@
 #[test]
 fn the_bounds_together_stay_within_the_limits() {
     for (memory_mb, sockets) in [(32.0, 256), (32.0, 1024), (48.0, 384), (192.0, 1024)] {
-        let Bounds { clients, hosts, pulls, asked, answered } = Bounds::of(memory_mb, sockets);
+        let Bounds { clients, hosts, requests, asked, answered } = Bounds::of(memory_mb, sockets);
         assert!(clients + hosts + OWN_SOCKETS <= sockets);
-        let held = pulls as f64 * PULL + (asked + answered + clients * SMALL) as f64;
+        let held = requests as f64 * PULL + (asked + answered + clients * SMALL) as f64;
         assert!(held <= memory_mb * 0.65 * 1024.0 * 1024.0, "{memory_mb} MB, {sockets} descriptors");
     }
 }
--- a/crates/flaxdeck-plan/src/lib.rs
+++ b/crates/flaxdeck-plan/src/lib.rs
@@ -18,7 +18,7 @@
 /// What a forwarder does once it can't vouch for any host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Blind {
-    /// Every pull that is not out is bounced, with a time to come back.
+    /// Every request that is not out is bounced, with a time to come back.
     BounceAfter { ms: f64 },
     /// It goes on with what it knew last.
     GoOn,
--- a/crates/flaxdeck-rules/src/lib.rs
+++ b/crates/flaxdeck-rules/src/lib.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// How a pull was answered.
+/// How a request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Answer {
     Finished,
@@ -16,16 +16,16 @@
 pub enum Seen {
     /// A client asked, and waits until `by`.
     Asked {
-        pull: String,
+        request: String,
         by: f64,
     },
     Answered {
-        pull: String,
+        request: String,
         how: Answer,
     },
     /// The client gave up or lost its connection, and says so.
     Left {
-        pull: String,
+        request: String,
     },
     /// New work arrived at a host, for itself or as the source of a fill.
     Arrived {
@@ -55,7 +55,7 @@
     Purged {
         object: String,
     },
-    /// A copy was handed to a client's pull that was sent at `sent`; the copy was made at `made`.
+    /// A copy was handed to a client's request that was sent at `sent`; the copy was made at `made`.
     Copy {
         object: String,
         sent: f64,
@@ -120,7 +120,7 @@
 }
 
 impl Verdict {
-    /// Every pull has its end: the account is even.
+    /// Every request has its end: the account is even.
     pub fn all_accounted_for(&self) -> bool {
         self.asked == self.finished + self.bounced + self.forfeited + self.left
     }
@@ -148,20 +148,20 @@
         let at = *at;
         let mut breach = |rule, what: String| verdict.breaches.push(Breach { rule, at, what });
         match seen {
-            Seen::Asked { pull, by } => {
+            Seen::Asked { request, by } => {
                 verdict.asked += 1;
-                if open.insert(pull, *by).is_some() || over.contains_key(&**pull) {
-                    breach(1, format!("{pull} was asked twice under one name"));
+                if open.insert(request, *by).is_some() || over.contains_key(&**request) {
+                    breach(1, format!("{request} was asked twice under one name"));
                 }
             }
-            Seen::Answered { pull, how } => {
-                match open.remove(&**pull) {
-                    None => breach(1, format!("{pull} was answered again, or never asked: {how:?}")),
+            Seen::Answered { request, how } => {
+                match open.remove(&**request) {
+                    None => breach(1, format!("{request} was answered again, or never asked: {how:?}")),
                     Some(by) => {
                         if at > by + terms.slack {
-                            breach(1, format!("{pull} was answered {:.0} ms too late", at - by));
+                            breach(1, format!("{request} was answered {:.0} ms too late", at - by));
                         }
-                        over.insert(pull, at);
+                        over.insert(request, at);
                         *match how {
                             Answer::Finished => &mut verdict.finished,
                             Answer::Bounced => &mut verdict.bounced,
@@ -170,9 +170,9 @@
                     }
                 };
             }
-            Seen::Left { pull } => {
-                if open.remove(&**pull).is_some() {
-                    over.insert(pull, at);
+            Seen::Left { request } => {
+                if open.remove(&**request).is_some() {
+                    over.insert(request, at);
                     verdict.left += 1;
                 }
             }
@@ -235,8 +235,8 @@
             }
         }
     }
-    for (pull, by) in open {
-        verdict.breaches.push(Breach { rule: 1, at: by, what: format!("{pull} was never answered") });
+    for (request, by) in open {
+        verdict.breaches.push(Breach { rule: 1, at: by, what: format!("{request} was never answered") });
     }
     verdict
 }
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -116,8 +116,8 @@
 
 /// Seconds that the decisions of one request take.
 fn timed_request(engine: &mut Brain, now: Time, number: u64) -> f64 {
-    let request = Pull {
-        id: PullId(number),
+    let request = Request {
+        id: RequestId(number),
         workload: WorkloadId(0),
         object: ObjectId(number % OBJECTS),
         part: 0,
@@ -127,7 +127,7 @@
         again: false,
     };
     let begun = Instant::now();
-    let attempts = engine.pull(now, request).hand_offs;
+    let attempts = engine.request(now, request).hand_offs;
     for (index, attempt) in attempts.into_iter().enumerate() {
         engine.hand_off_ended(now, hit(attempt, index as u32));
     }
@@ -136,7 +136,7 @@
 
 fn hit(attempt: HandOff, index: u32) -> Ended {
     Ended {
-        pull: attempt.pull,
+        request: attempt.request,
         leg: Leg(index),
         host: attempt.host,
         ending: Ending::Answered,
--- a/crates/flaxdeck-terms/src/lib.rs
+++ b/crates/flaxdeck-terms/src/lib.rs
@@ -18,7 +18,7 @@
     pub kinds: Vec<String>,
     /// The values of a load report, in their order; empty where there is none.
     pub report: Vec<String>,
-    /// Where in a load report the fullness of the location's link, the pulls in hand and the share of capacity in use stand.
+    /// Where in a load report the fullness of the location's link, the requests in hand and the share of capacity in use stand.
     pub link_at: Option<usize>,
     pub in_hand_at: Option<usize>,
     pub busy_at: Option<usize>,
--- a/crates/flaxdeck-wire/src/lib.rs
+++ b/crates/flaxdeck-wire/src/lib.rs
@@ -28,7 +28,7 @@
     bytes.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
-/// A client's pull, as it was asked. Texts are slices of the bytes that came in.
+/// A client's request, as it was asked. Texts are slices of the bytes that came in.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Asked {
     pub workload: WorkloadId,
@@ -48,7 +48,7 @@
     pub body: Bytes,
 }
 
-/// The final answer to a client's pull.
+/// The final answer to a client's request.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
     Finished(Bytes),
--- a/crates/flaxdeck-wire/src/rpc.rs
+++ b/crates/flaxdeck-wire/src/rpc.rs
@@ -21,7 +21,7 @@
 /// What a client says.
 #[derive(Debug, PartialEq)]
 pub enum Said {
-    Pull {
+    Request {
         call: u32,
         asked: Box<Asked>,
     },
@@ -40,14 +40,14 @@
     Nothing,
 }
 
-/// A message; a pull's texts are still places in the bytes it was parsed from.
+/// A message; a request's texts are still places in the bytes it was parsed from.
 enum Draft {
-    Pull(u32, PullDraft),
+    Request(u32, RequestDraft),
     Done(Said),
 }
 
 #[derive(Default)]
-struct PullDraft {
+struct RequestDraft {
     workload: usize,
     id: Option<Range<usize>>,
     key: Option<Range<usize>>,
@@ -74,8 +74,8 @@
     let used = reader.at;
     let message = buffer.split_to(used).freeze();
     Ok(Parsed::Whole(match draft {
-        Draft::Pull(call, draft) => match asked(&message, draft) {
-            Ok(asked) => Said::Pull { call, asked: Box::new(asked) },
+        Draft::Request(call, draft) => match asked(&message, draft) {
+            Ok(asked) => Said::Request { call, asked: Box::new(asked) },
             Err(why) => Said::Invalid { call, why },
         },
         Draft::Done(said) => said,
@@ -110,7 +110,7 @@
             let call = call_number(reader)?;
             let method = reader.text(FIELD_MOST)?;
             match names.workload(method) {
-                Some(WorkloadId(workload)) => pull(reader, call, workload),
+                Some(WorkloadId(workload)) => request(reader, call, workload),
                 None => {
                     reader.skip(MESSAGE_MOST)?;
                     let why = "no such method";
@@ -132,24 +132,24 @@
     }
 }
 
-// What can be read as MessagePack but is no pull gets an answer, so the reader must stand behind it.
-fn pull(reader: &mut Reader, call: u32, workload: usize) -> Result<Draft, Stop> {
+// What can be read as MessagePack but is no request gets an answer, so the reader must stand behind it.
+fn request(reader: &mut Reader, call: u32, workload: usize) -> Result<Draft, Stop> {
     let mut parameters = reader.value(MESSAGE_MOST)?;
     let invalid = |why| Ok(Draft::Done(Said::Invalid { call, why }));
     match fields(&mut parameters, workload) {
-        Ok(draft) if parameters.at == reader.at => Ok(Draft::Pull(call, draft)),
+        Ok(draft) if parameters.at == reader.at => Ok(Draft::Request(call, draft)),
         Ok(_) => invalid("parameters left over"),
         Err(Stop::Bad(why)) => invalid(why),
         Err(short) => Err(short),
     }
 }
 
-fn fields(reader: &mut Reader, workload: usize) -> Result<PullDraft, Stop> {
+fn fields(reader: &mut Reader, workload: usize) -> Result<RequestDraft, Stop> {
     let parameters = reader.array()?;
     if parameters != 2 {
         return Err(Stop::Bad("not two parameters"));
     }
-    let mut draft = PullDraft { workload, ..PullDraft::default() };
+    let mut draft = RequestDraft { workload, ..RequestDraft::default() };
     let count = reader.map()?;
     if count > FIELDS_MOST {
         return Err(Stop::Bad("too many fields"));
@@ -181,7 +181,7 @@
     Ok(draft)
 }
 
-fn asked(message: &Bytes, draft: PullDraft) -> Result<Asked, &'static str> {
+fn asked(message: &Bytes, draft: RequestDraft) -> Result<Asked, &'static str> {
     let slice = |place: Range<usize>| message.slice(place);
     Ok(Asked {
         workload: WorkloadId(draft.workload),
--- a/crates/flaxdeck-wire/tests/rpc.rs
+++ b/crates/flaxdeck-wire/tests/rpc.rs
@@ -9,7 +9,7 @@
 use flaxdeck_wire::{Answer, Asked, Parsed};
 use names::names;
 
-use flaxdeck_toy::pull_message;
+use flaxdeck_toy::request_message;
 
 const FIELDS: [(&str, &str); 9] = [
     ("id", "9b1f03aa5c7e2d41"),
@@ -24,8 +24,8 @@
 ];
 
 #[test]
-fn a_pull_cut_at_every_byte_is_read_once_it_is_whole() {
-    let message = pull_message(7, "submit", &FIELDS, b"a form");
+fn a_request_cut_at_every_byte_is_read_once_it_is_whole() {
+    let message = request_message(7, "submit", &FIELDS, b"a form");
     let mut buffer = BytesMut::new();
     for (at, byte) in message.iter().enumerate() {
         assert!(
@@ -49,7 +49,7 @@
         body: "a form".into(),
     };
     for _ in 0..2 {
-        let whole = Parsed::Whole(Said::Pull { call: 7, asked: Box::new(asked.clone()) });
+        let whole = Parsed::Whole(Said::Request { call: 7, asked: Box::new(asked.clone()) });
         let before = buffer.len();
         assert_eq!(parse(&mut buffer, &names()), Ok(whole));
         assert_eq!(before - buffer.len(), message.len());
@@ -59,7 +59,7 @@
 
 #[test]
 fn no_cut_or_flipped_byte_makes_the_parser_panic_or_wait_past_its_bound() {
-    let message = pull_message(7, "page", &FIELDS, b"");
+    let message = request_message(7, "page", &FIELDS, b"");
     for at in 0..message.len() {
         for flip in [0x01, 0x40, 0x80, 0xff] {
             let mut bytes = message.clone();
@@ -72,13 +72,13 @@
 }
 
 #[test]
-fn a_body_over_the_bound_is_an_invalid_pull_and_one_far_over_it_is_refused_before_it_comes() {
-    let message = pull_message(7, "submit", &FIELDS, &[0; WRITE_MOST + 1]);
+fn a_body_over_the_bound_is_an_invalid_request_and_one_far_over_it_is_refused_before_it_comes() {
+    let message = request_message(7, "submit", &FIELDS, &[0; WRITE_MOST + 1]);
     let said = Said::Invalid { call: 7, why: "too long" };
     let mut buffer = BytesMut::from(&message[..]);
     assert_eq!(parse(&mut buffer, &names()), Ok(Parsed::Whole(said)));
     assert!(buffer.is_empty(), "all its bytes are taken");
-    let message = pull_message(7, "submit", &FIELDS, &[0; MESSAGE_MOST]);
+    let message = request_message(7, "submit", &FIELDS, &[0; MESSAGE_MOST]);
     assert!(parse(&mut BytesMut::from(&message[..200]), &names()).is_err());
 }
 
--- a/examples/toy/src/client.rs
+++ b/examples/toy/src/client.rs
@@ -1,4 +1,4 @@
-//! A client: just enough MessagePack-RPC to pull objects.
+//! A client: just enough MessagePack-RPC to request objects.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -30,8 +30,8 @@
     [0x80 | fields.len() as u8].into_iter().chain(pairs).collect()
 }
 
-/// The bytes of a pull; a test may send them in pieces of its own.
-pub fn pull_message(call: u32, class: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+/// The bytes of a request; a test may send them in pieces of its own.
+pub fn request_message(call: u32, class: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let head = [&[0x94, 0, 0xce][..], &call.to_be_bytes(), &text(class), &[0x92], &map(fields)].concat();
     [head, [&[0xc6][..], &(body.len() as u32).to_be_bytes(), body].concat()].concat()
 }
@@ -52,7 +52,7 @@
         self.stream.write_all(bytes)
     }
 
-    /// The id of a pull by its call: new with each, also beside other clients of this machine.
+    /// The id of a request by its call: new with each, also beside other clients of this machine.
     pub fn id(&self, call: u32) -> String {
         format!("{:08x}{call:08x}", self.stream.local_addr().map_or(0, |own| own.port()))
     }
@@ -63,13 +63,13 @@
         Ok(Client { stream: self.stream.try_clone()?, next: self.next })
     }
 
-    pub fn pull(&mut self, class: &str, key: &str, wait_ms: u64, body: &[u8]) -> io::Result<u32> {
+    pub fn request(&mut self, class: &str, key: &str, wait_ms: u64, body: &[u8]) -> io::Result<u32> {
         let (call, wait) = (self.next, wait_ms.to_string());
         let id = self.id(call);
         let fields =
             [("id", &*id), ("wait", &wait), ("key", key), ("slice", "0"), ("set", "7"), ("kb", "50")];
         self.next += 1;
-        self.send(&pull_message(call, class, &fields, body))?;
+        self.send(&request_message(call, class, &fields, body))?;
         Ok(call)
     }
 
--- a/examples/toy/src/lib.rs
+++ b/examples/toy/src/lib.rs
@@ -5,6 +5,6 @@
 mod coordinator;
 mod host;
 
-pub use client::{Answer, Client, pull_message};
+pub use client::{Answer, Client, request_message};
 pub use coordinator::Coordinator;
 pub use host::{Host, Manner, body_of};
--- a/examples/toy/src/main.rs
+++ b/examples/toy/src/main.rs
@@ -1,5 +1,5 @@
 //! `flaxdeck-toy world CONFIG` plays the coordinator and all hosts that a dispatcher's configuration names;
-//! `flaxdeck-toy pull ADDRESS CLASS KEY` pulls one object through a dispatcher.
+//! `flaxdeck-toy request ADDRESS CLASS KEY` requests one object through a dispatcher.
 
 use std::process::ExitCode;
 use std::thread;
@@ -7,7 +7,7 @@
 use flaxdeck_toy::{Answer, Client, Coordinator, Host};
 use serde_json::Value;
 
-const USAGE: &str = "usage: flaxdeck-toy world CONFIG | flaxdeck-toy pull ADDRESS CLASS KEY";
+const USAGE: &str = "usage: flaxdeck-toy world CONFIG | flaxdeck-toy request ADDRESS CLASS KEY";
 /// How long the client waits, in milliseconds.
 const WAIT: u64 = 2500;
 
@@ -16,7 +16,7 @@
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let done = match words[..] {
         ["world", config] => world(config),
-        ["pull", address, class, key] => pull(address, class, key),
+        ["request", address, class, key] => request(address, class, key),
         _ => Err(USAGE.to_owned()),
     };
     match done {
@@ -47,11 +47,11 @@
     }
 }
 
-fn pull(address: &str, class: &str, key: &str) -> Result<(), String> {
+fn request(address: &str, class: &str, key: &str) -> Result<(), String> {
     let address = address.parse().map_err(|_| format!("{address} is no address"))?;
     let mut client = Client::connect(address).map_err(|error| format!("{address}: {error}"))?;
     let body: &[u8] = if class == "submit" { b"a form" } else { b"" };
-    client.pull(class, key, WAIT, body).map_err(|error| error.to_string())?;
+    client.request(class, key, WAIT, body).map_err(|error| error.to_string())?;
     match client.answer().map_err(|error| error.to_string())? {
         Answer::Served { body, .. } => {
             println!("finished, {} bytes: {}", body.len(), String::from_utf8_lossy(&body))
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -1,7 +1,7 @@
 //! Every decision of one dispatcher. A caller makes a [`Brain`] with `start` and tells it each fact by a
-//! call: `list`, `pull`, `hand_off_ended`, `purge`, `guided`, `wake`, `client_left`, `ends_at`. Each call
+//! call: `list`, `request`, `hand_off_ended`, `purge`, `guided`, `wake`, `client_left`, `ends_at`. Each call
 //! returns [`Decisions`], applied in the order of its fields: cancels, hand-offs, final answers, next wake.
-//! An answered hand-off is its pull's final answer. The interface is `words.rs`; reasons: `docs/design.md`.
+//! An answered hand-off is its request's final answer. The interface: `words.rs`; reasons: `docs/design.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,15 +23,15 @@
 const STEP: f64 = 0.1; // share of the way back to 1 by a success: a third of a penalty, so 1 in 3 ejects
 const TRIAL: Span = Span::from_ms(5000); // between trials of a source out of use: the page's start
 // Load.
-const FULL: f64 = 2.0; // pulls in hand per full-pace place at which the hash moves down: some wait for fills
+const FULL: f64 = 2.0; // requests in hand per full-pace place at which the hash moves down: fills wait
 const STAYS: [f64; 2] = [0.6, 1.3]; // times FULL at which objects move, by their draw: not all at once
 const BOUND: f64 = 1.5; // times the least load up to which the hash is kept to where all are over that
-const LATE_FULL: f64 = 1.0; // the same for a pull that can't come in time: what the others leave
+const LATE_FULL: f64 = 1.0; // the same for a request that can't come in time: what the others leave
 const ADMIT: f64 = 4.0; // the same at which no more is handed off: beyond, queues overflow
 const ADMIT_LARGE: f64 = 1.5; // most by which that grows with the size: as far as BOUND lets a load differ
 const LINK_FULL: f64 = 3.0; // transfers on the location's link over those that fit; a fill outruns an answer
-const LINK_IDLE: f64 = 0.7; // the same up to which pulls without a cache may use it: fills come first
-const LINK_BIAS: f64 = 2.0; // most by which a small pull may go on longer, and a large one must stop sooner
+const LINK_IDLE: f64 = 0.7; // the same up to which requests without a cache may use it: fills come first
+const LINK_BIAS: f64 = 2.0; // most by which a small request may go on longer, a large one must stop sooner
 const IDLE: f64 = 0.5; // least part of a load that counts, however idle its host reports to be
 const OLD: Span = Span::from_ms(2000); // age at which a report says nothing more
 const COLD_USE: f64 = 0.8; // share of the fall multiple that may be used: chance and late news take the rest
@@ -51,11 +51,11 @@
 const LOOK: Span = Span::from_ms(400); // between looks at hosts that tell their load only so: a report's age
 const TIDY: Span = Span::from_ms(1000); // the periodic timer: memory only, so a second will do
 const REMEMBER: Span = Span::from_ms(60_000); // how long an object counts as seen: several cache lifetimes
-const TICKS_EARLY: f64 = 3.0; // ticks before the hard stop at which a pull gets its answer: one may slip
+const TICKS_EARLY: f64 = 3.0; // ticks before the hard stop at which a request gets its answer: one may slip
 const HAIR: Span = Span::from_ms(1); // taken off an age limit, and its least: the wire rounds
 
-/// The rules for a pull, in order; each tells whether it fired.
-const RULES: [fn(&mut Brain, PullId) -> bool; 6] = [
+/// The rules for a request, in order; each tells whether it fired.
+const RULES: [fn(&mut Brain, RequestId) -> bool; 6] = [
     Brain::drop_what_is_done,
     Brain::answer_before_the_hard_stop,
     Brain::give_up_when_nothing_may_follow,
@@ -96,12 +96,12 @@
         self.samples = (self.samples + 1.0).min(SETTLED);
         self.mean_work += (work - self.mean_work) / self.samples;
     }
-    /// What a pull weighs against a cold cache: the mean, or more until that is known.
+    /// What a request weighs against a cold cache: the mean, or more until that is known.
     fn cost(&self, work: f64) -> f64 {
         if self.samples < SETTLED { self.mean_work.max(work) } else { self.mean_work }
     }
-    fn large(&self, pull: &Pull) -> bool {
-        pull.size_kb.is_some_and(|kb| self.of.parted || kb >= LARGE_KB)
+    fn large(&self, request: &Request) -> bool {
+        request.size_kb.is_some_and(|kb| self.of.parted || kb >= LARGE_KB)
     }
 }
 
@@ -140,7 +140,7 @@
         self.slow = (pace + PACE_WEIGHT * (ratio.clamp(1.0, ADMIT) - pace), now);
     }
     fn report(&mut self, now: Time, told: LoadReport) {
-        self.others = told.in_hand.map(|pulls| ((pulls - self.in_hand).max(0.0), now)).or(self.others);
+        self.others = told.in_hand.map(|requests| ((requests - self.in_hand).max(0.0), now)).or(self.others);
         self.busy = told.busy.map(|busy| (busy, now)).or(self.busy);
     }
     fn has_room(&self) -> bool {
@@ -162,15 +162,15 @@
     terms: Terms,
     vouched: bool,  // the list of hosts can be trusted
     by_right: f64,  // the part of the equal share that holds where none was told
-    mean_work: f64, // of all pulls
+    mean_work: f64, // of all requests
     next_look: Time,
     hosts: BTreeMap<HostId, Host>,
-    pulls: BTreeMap<PullId, Held>,
+    requests: BTreeMap<RequestId, Held>,
     purges: Vec<(Option<ObjectId>, GroupId, Time)>,
     seen: BTreeMap<ObjectId, Time>,
-    owed: BTreeMap<(ObjectId, u64), Time>, // when pulls given up were promised, for clients that ask again
-    due: BTreeSet<(Time, PullId)>,
-    agenda: BTreeSet<PullId>,
+    owed: BTreeMap<(ObjectId, u64), Time>, // when requests given up were promised, for clients that ask again
+    due: BTreeSet<(Time, RequestId)>,
+    agenda: BTreeSet<RequestId>,
     next_tidy: Time,
     wake_at: Option<Time>,
     out: Decisions,
@@ -178,13 +178,13 @@
 
 /// What the shared hash draws for an object's part at a host, 0 to 1; the higher, the more it belongs there.
 // Guards against one cache being leant on for all parts of an object that is much asked for.
-fn draw(host: &Host, pull: &Pull) -> f64 {
-    ((mix(mix(pull.object.0 ^ mix(pull.part)) ^ host.hash) >> 11) as f64 + 1.0) / (1u64 << 53) as f64
+fn draw(host: &Host, request: &Request) -> f64 {
+    ((mix(mix(request.object.0 ^ mix(request.part)) ^ host.hash) >> 11) as f64 + 1.0) / (1u64 << 53) as f64
 }
 
 /// How much of the load at which objects move a host may have until this one does.
-fn stays(host: &Host, pull: &Pull) -> f64 {
-    STAYS[0] + (STAYS[1] - STAYS[0]) * draw(host, pull)
+fn stays(host: &Host, request: &Request) -> f64 {
+    STAYS[0] + (STAYS[1] - STAYS[0]) * draw(host, request)
 }
 
 impl Brain {
@@ -203,12 +203,12 @@
         let (early, chance, ends) = (terms.tick * TICKS_EARLY, Pcg64Mcg::seed_from_u64(seed), Time::NEVER);
         let next_look = if terms.may_look { now + LOOK } else { Time::NEVER };
         let (link, vouched, by_right, mean_work) = (None, true, 1.0, 0.0);
-        let (hosts, pulls, purges, seen) = (BTreeMap::new(), BTreeMap::new(), Vec::new(), BTreeMap::new());
+        let (hosts, requests, purges, seen) = (BTreeMap::new(), BTreeMap::new(), Vec::new(), BTreeMap::new());
         let (owed, due, agenda, wake_at) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new(), None);
         #[rustfmt::skip]
         let mut brain = Brain {
             now, born: now, chance, kinds, zone_mates: mates, link, ramps, early, ends, come_back, terms,
-            vouched, by_right, mean_work, next_look, hosts, pulls, purges, seen, owed, due, agenda,
+            vouched, by_right, mean_work, next_look, hosts, requests, purges, seen, owed, due, agenda,
             next_tidy: now + TIDY, wake_at, out: Decisions::default(),
         };
         let decisions = brain.wake(now);
@@ -227,33 +227,33 @@
             known.line = line;
             // Guards against a restarted dispatcher giving a cold host its share a second time.
             if now.since(self.born) < self.ramps[0].window && known.spent.is_empty() {
-                known.spent.push((self.born, PullId(u64::MAX), Leg(0), f64::INFINITY));
+                known.spent.push((self.born, RequestId(u64::MAX), Leg(0), f64::INFINITY));
             }
         }
-        self.agenda.extend(self.pulls.keys().copied());
+        self.agenda.extend(self.requests.keys().copied());
         self.wake(now)
     }
 
-    /// A client's pull, to be given exactly one final answer.
-    pub fn pull(&mut self, now: Time, mut pull: Pull) -> Decisions {
-        pull.hard_stop = pull.hard_stop.min(self.ends);
-        let kind = &mut self.kinds[pull.workload.0];
+    /// A client's request, to be given exactly one final answer.
+    pub fn request(&mut self, now: Time, mut request: Request) -> Decisions {
+        request.hard_stop = request.hard_stop.min(self.ends);
+        let kind = &mut self.kinds[request.workload.0];
         let pace = self.terms.client_kb_per_s / 1000.0;
-        let told = pull.size_kb.filter(|_| pace > 0.0).map(|kb| kb / pace);
+        let told = request.size_kb.filter(|_| pace > 0.0).map(|kb| kb / pace);
         told.into_iter().for_each(|work| kind.learn(work));
         let work = told.unwrap_or(kind.mean_work);
         self.mean_work += (work - self.mean_work) / kind.samples.max(1.0);
-        // A client that asks again waits since its first try, so an old promise holds for the new pull too.
-        let owed = self.owed.remove(&(pull.object, pull.part)).filter(|_| pull.again);
+        // A client that asks again waits since its first try, so an old promise holds for its new request.
+        let owed = self.owed.remove(&(request.object, request.part)).filter(|_| request.again);
         let promised = owed.unwrap_or(now + kind.of.promised + Span::of_ms(work * kind.of.stretch));
-        let (id, stop) = (pull.id, pull.hard_stop - self.early);
+        let (id, stop) = (request.id, request.hard_stop - self.early);
         let (out, tried, failed_by, legs, pauses, ran) = (Vec::new(), Vec::new(), Vec::new(), 0, 0, None);
         let (not_before, missed, done) = (now, false, false);
         #[rustfmt::skip]
         let held = Held {
-            pull, work, promised, out, legs, ran, not_before, pauses, missed, tried, failed_by, done,
+            request, work, promised, out, legs, ran, not_before, pauses, missed, tried, failed_by, done,
         };
-        self.pulls.insert(id, held);
+        self.requests.insert(id, held);
         self.due.insert((stop, id));
         self.agenda.insert(id);
         self.wake(now)
@@ -266,18 +266,18 @@
     }
 
     /// The client has left; no answer is owed any more.
-    pub fn client_left(&mut self, now: Time, id: PullId) -> Decisions {
-        self.pulls.get_mut(&id).into_iter().for_each(|held| held.done = true);
+    pub fn client_left(&mut self, now: Time, id: RequestId) -> Decisions {
+        self.requests.get_mut(&id).into_iter().for_each(|held| held.done = true);
         self.agenda.insert(id);
         self.wake(now)
     }
 
-    /// The process ends at that time: no pull outlasts it.
+    /// The process ends at that time: no request outlasts it.
     pub fn ends_at(&mut self, now: Time, ends: Time) -> Decisions {
         self.ends = ends;
-        for (id, held) in &mut self.pulls {
-            held.pull.hard_stop = held.pull.hard_stop.min(ends);
-            self.due.insert((held.pull.hard_stop - self.early, *id));
+        for (id, held) in &mut self.requests {
+            held.request.hard_stop = held.request.hard_stop.min(ends);
+            self.due.insert((held.request.hard_stop - self.early, *id));
         }
         self.wake(now)
     }
@@ -303,7 +303,7 @@
             }
             (down && !out).then(|| self.cut(&hint.host, 1.0));
         }
-        self.agenda.extend(self.pulls.keys().copied());
+        self.agenda.extend(self.requests.keys().copied());
         self.wake(now)
     }
 
@@ -324,22 +324,23 @@
     }
 
     /// Whether a hand-off may still be sent now that its connection is up, and what it may ask for by now.
-    // Guards against a connect that outlasts a grace, a window or the pull: the rules bind what is sent.
-    pub fn clear(&mut self, now: Time, id: PullId, leg: Leg) -> Option<Clearance> {
+    // Guards against a connect that outlasts a grace, a window or the request: the rules bind what is sent.
+    pub fn clear(&mut self, now: Time, id: RequestId, leg: Leg) -> Option<Clearance> {
         self.now = now;
-        let held = self.pulls.get(&id).filter(|held| !held.done && self.vouched)?;
+        let held = self.requests.get(&id).filter(|held| !held.done && self.vouched)?;
         let out = held.out.iter().find(|out| out.leg == leg)?;
-        let (kind, ids) = (&self.kinds[held.pull.workload.0], BTreeSet::from([&out.host, &out.source]));
+        let (kind, ids) = (&self.kinds[held.request.workload.0], BTreeSet::from([&out.host, &out.source]));
         let older = if out.source == out.host { kind.of.older } else { Span::ZERO };
-        let oldest = self.oldest(&held.pull, kind.of.fresh, older);
+        let oldest = self.oldest(&held.request, kind.of.fresh, older);
         let window = match (kind.of.repeats, &held.ran) {
             (Repeats::Numbered { remembered, .. }, Some((sent, _))) => *sent + remembered,
             _ => Time::NEVER,
         };
-        let sent_by = window.min(held.pull.hard_stop) - self.early;
+        let sent_by = window.min(held.request.hard_stop) - self.early;
         for id_of in ids {
             let host = self.hosts.get_mut(id_of).filter(|host| host.line.standing == Standing::InService)?;
-            let spent = host.spent.iter_mut().find(|(_, pull, leg_of, _)| (*pull, *leg_of) == (id, leg));
+            let spent =
+                host.spent.iter_mut().find(|(_, request, leg_of, _)| (*request, *leg_of) == (id, leg));
             let counts = spent.map(|spent| spent.0 = now).is_some(); // not with a process started since
             let (host, warm) = (&self.hosts[id_of], self.asked(&self.hosts[id_of], now).0 >= 1.0);
             (warm || host.is(Role::Origin) || (counts && self.cold_room(host, 0.0))).then_some(())?;
@@ -352,7 +353,7 @@
         self.now = now;
         let well = |origin: &Host| origin.usable() && origin.window >= WINDOW;
         let origin_well = ended.told == SourceRefused && self.origin().is_some_and(well);
-        let Some(held) = self.pulls.get_mut(&ended.pull) else { return self.wake(now) };
+        let Some(held) = self.requests.get_mut(&ended.request) else { return self.wake(now) };
         let Some(at) = held.out.iter().position(|out| out.leg == ended.leg) else { return self.wake(now) };
         let out = held.out.remove(at);
         let lacking = ended.ending == Ending::NoCopy || ended.told == NoPlace;
@@ -360,7 +361,7 @@
         held.missed |= lacking;
         let ran = (!ended.ending.never_ran()).then(|| (out.sent, out.host.clone()));
         held.ran = held.ran.take().or(ran);
-        // Guards against full parents scattering their objects: one that refuses has not failed. Its pull
+        // Guards against full parents scattering their objects: one that refuses has not failed. Its request
         // goes on to the origin only while that is well; another parent would fetch the object there anew.
         let parent = self.hosts.get(&out.source).is_some_and(|host| host.is(Role::Parent));
         let full = parent && ended.told == SourceRefused;
@@ -378,14 +379,14 @@
         if lacking || !cached || matches!(ended.told, SourceRefused | OriginFailed) {
             held.pauses += 1;
             held.not_before = now + AGAIN * f64::from(1 << held.pauses.min(MOST_DOUBLED));
-            self.due.insert((held.not_before, ended.pull));
+            self.due.insert((held.not_before, ended.request));
         }
-        let kind = &self.kinds[held.pull.workload.0];
-        let large = held.pull.size_kb.filter(|_| kind.large(&held.pull));
+        let kind = &self.kinds[held.request.workload.0];
+        let large = held.request.size_kb.filter(|_| kind.large(&held.request));
         let prompt = ended.waited.is_none_or(|waited| waited <= kind.of.promised);
-        self.agenda.insert(ended.pull);
+        self.agenda.insert(ended.request);
         if cached && ended.ending == Answered {
-            let (work, workload, sized) = (held.work, held.pull.workload, held.pull.size_kb.is_some());
+            let (work, workload, sized) = (held.work, held.request.workload, held.request.size_kb.is_some());
             self.time(&out, &ended, work.max(1.0), (!sized).then_some(workload));
         }
         self.release(&out, &ended, cached);
@@ -429,7 +430,7 @@
             (host.heard, host.mute) =
                 if id == &out.host && alive { (self.now, 0) } else { (host.heard, host.mute) };
             if id != &out.host && matches!(ended.told, Told::Held | Told::Aged | Told::Joined) {
-                host.spent.retain(|(_, pull, leg, _)| (*pull, *leg) != (ended.pull, ended.leg));
+                host.spent.retain(|(_, request, leg, _)| (*request, *leg) != (ended.request, ended.leg));
                 host.next_trial = if out.trial { self.now } else { host.next_trial };
             }
         }
@@ -455,7 +456,7 @@
             (Errored | NotConnected | Broken, _) if !excused => Some(out.host.clone()),
             _ => None,
         };
-        // Guards against all dispatchers losing pulls to each dead host: who can't be reached is out at once.
+        // Guards against all dispatchers losing requests to each dead host: one not reached is out at once.
         let dead = matches!((ended.ending, ended.told), (NotConnected, _) | (TurnedAway, SourceUnreached));
         culprit.into_iter().for_each(|id| self.blame(&id, if dead { 1.0 } else { PENALTY }));
     }
@@ -550,12 +551,12 @@
         self.link = if self.terms.tells_link { self.link } else { Some((guess, self.now)) };
     }
 
-    fn drop_what_is_done(&mut self, id: PullId) -> bool {
-        let Some(_) = self.pulls.get(&id).filter(|held| held.done) else { return false };
-        let held = self.pulls.remove(&id).expect("just seen");
-        self.due.remove(&(held.pull.hard_stop - self.early, id));
+    fn drop_what_is_done(&mut self, id: RequestId) -> bool {
+        let Some(_) = self.requests.get(&id).filter(|held| held.done) else { return false };
+        let held = self.requests.remove(&id).expect("just seen");
+        self.due.remove(&(held.request.hard_stop - self.early, id));
         let cancels =
-            held.out.iter().filter(|_| self.terms.may_cancel).map(|out| Cancel { pull: id, leg: out.leg });
+            held.out.iter().filter(|_| self.terms.may_cancel).map(|out| Cancel { request: id, leg: out.leg });
         self.out.cancels.extend(cancels);
         for host in held.out.iter().flat_map(|out| BTreeSet::from([&out.host, &out.source])) {
             self.hosts
@@ -566,22 +567,22 @@
         true
     }
 
-    // Guards against a lost pull: whatever else goes on, the client gets its answer while it listens.
-    fn answer_before_the_hard_stop(&mut self, id: PullId) -> bool {
-        self.pulls.get(&id).is_some_and(|held| self.now + self.early >= held.pull.hard_stop)
+    // Guards against a lost request: whatever else goes on, the client gets its answer while it listens.
+    fn answer_before_the_hard_stop(&mut self, id: RequestId) -> bool {
+        self.requests.get(&id).is_some_and(|held| self.now + self.early >= held.request.hard_stop)
             && self.give_up(id)
     }
 
-    fn give_up_when_nothing_may_follow(&mut self, id: PullId) -> bool {
-        let Some(held) = self.pulls.get(&id) else { return false };
-        let in_time = held.work < held.pull.hard_stop.since(self.now).ms();
+    fn give_up_when_nothing_may_follow(&mut self, id: RequestId) -> bool {
+        let Some(held) = self.requests.get(&id) else { return false };
+        let in_time = held.work < held.request.hard_stop.since(self.now).ms();
         held.out.is_empty() && !(in_time && self.may_follow(held)) && self.give_up(id)
     }
 
     // Guards against bad clients that put caches out of use: what several have failed, each of which has
     // answered others lately, and nobody answered, is the request's own fault. Two may have failed together.
-    fn pardon(&mut self, id: PullId) {
-        let (held, lately) = (&self.pulls[&id], Some(self.now - OLD));
+    fn pardon(&mut self, id: RequestId) {
+        let (held, lately) = (&self.requests[&id], Some(self.now - OLD));
         let cached = |id: &&HostId| self.hosts.get(*id).is_some_and(|host| host.is(Role::Cache));
         let caches: Vec<HostId> = held.failed_by.iter().filter(cached).cloned().collect();
         let several = caches.iter().collect::<BTreeSet<_>>().len() > 2;
@@ -595,17 +596,17 @@
     }
 
     // A bounce promises that a retry is harmless; where that can't be known it is a forfeit.
-    fn give_up(&mut self, id: PullId) -> bool {
+    fn give_up(&mut self, id: RequestId) -> bool {
         self.pardon(id);
-        let held = &self.pulls[&id];
-        let harmless = match self.kinds[held.pull.workload.0].of.repeats {
+        let held = &self.requests[&id];
+        let harmless = match self.kinds[held.request.workload.0].of.repeats {
             Repeats::Reissuable | Repeats::Numbered { scope: Scope::All, .. } => true,
             _ => held.ran.is_none() && held.out.is_empty(),
         };
-        self.owed.insert((held.pull.object, held.pull.part), held.promised);
-        let bounced = Final::Bounced { pull: id, come_back: self.come_back };
-        self.out.finals.push(if harmless { bounced } else { Final::Forfeited { pull: id } });
-        self.pulls.get_mut(&id).into_iter().for_each(|held| held.done = true);
+        self.owed.insert((held.request.object, held.request.part), held.promised);
+        let bounced = Final::Bounced { request: id, come_back: self.come_back };
+        self.out.finals.push(if harmless { bounced } else { Final::Forfeited { request: id } });
+        self.requests.get_mut(&id).into_iter().for_each(|held| held.done = true);
         self.agenda.insert(id);
         true
     }
@@ -613,7 +614,7 @@
     // Guards against an effect that happens twice.
     fn may_follow(&self, held: &Held) -> bool {
         let ran = held.ran.as_ref().map(|(sent, _)| *sent).or(held.out.first().map(|out| out.sent));
-        let allowed = match (self.kinds[held.pull.workload.0].of.repeats, ran) {
+        let allowed = match (self.kinds[held.request.workload.0].of.repeats, ran) {
             (Repeats::Reissuable, _) | (_, None) => true,
             (Repeats::AtMostOnce, Some(_)) => false,
             (Repeats::Numbered { remembered, .. }, Some(sent)) => self.now + self.early < sent + remembered,
@@ -621,13 +622,13 @@
         self.vouched && held.legs < self.terms.most_hand_offs.max(1) && allowed
     }
 
-    fn hand_off_what_waits(&mut self, id: PullId) -> bool {
+    fn hand_off_what_waits(&mut self, id: RequestId) -> bool {
         let waits = |held: &&Held| held.out.is_empty() && self.now >= held.not_before;
-        let Some(_) = self.pulls.get(&id).filter(waits) else { return false };
+        let Some(_) = self.requests.get(&id).filter(waits) else { return false };
         if !self.hand_off(id) {
             // Guards against overload in which all come late: what can't come in time makes room at once. So
             // does a known miss that may not be filled: those held would go on together when a link clears.
-            let held = self.pulls.get_mut(&id).expect("just seen");
+            let held = self.requests.get_mut(&id).expect("just seen");
             held.not_before = self.now + AGAIN;
             held.tried.clear();
             if held.missed || held.promised.since(self.now).ms() < held.work * FULL {
@@ -638,10 +639,10 @@
         true
     }
 
-    // Guards against hosts that take pulls and answer none: one that has answered nothing since the overdue
+    // Guards against hosts that take requests and answer none: one that answered nothing since the overdue
     // hand-off went out is blamed; a slow one has answered others. No source pays for a cache cut off midway.
-    fn note_what_is_overdue(&mut self, id: PullId) -> bool {
-        let Some(held) = self.pulls.get_mut(&id) else { return false };
+    fn note_what_is_overdue(&mut self, id: RequestId) -> bool {
+        let Some(held) = self.requests.get_mut(&id) else { return false };
         let fresh = |out: &&mut Out| out.silent.is_none() && out.overdue <= self.now;
         let Some(out) = held.out.iter_mut().find(fresh) else { return false };
         let ratio = self.now.since(out.sent).ms() / held.work.max(1.0);
@@ -657,7 +658,7 @@
             host.mute = (host.mute + 1).min(enough);
             muted.push((host.mute, id == &out.host, id.clone()));
         }
-        // Guards against blaming a host for one pull that is large, or for what waits behind another.
+        // Guards against blaming a host for one request that is large, or for what waits behind another.
         if muted.iter().all(|(mute, ..)| *mute < enough) && !muted.is_empty() {
             out.overdue = self.now + out.overdue.since(out.sent);
             self.due.insert((out.overdue, id));
@@ -666,20 +667,20 @@
         let culprit = muted.into_iter().max().map(|(.., id)| id);
         out.silent = Some(culprit.is_some());
         let again =
-            self.kinds[held.pull.workload.0].of.repeats == Repeats::Reissuable && self.terms.may_cancel;
+            self.kinds[held.request.workload.0].of.repeats == Repeats::Reissuable && self.terms.may_cancel;
         let taken_back = culprit.iter().filter(|_| again && !self.terms.may_duplicate);
-        self.out.cancels.extend(taken_back.map(|_| Cancel { pull: id, leg: out.leg }));
+        self.out.cancels.extend(taken_back.map(|_| Cancel { request: id, leg: out.leg }));
         held.tried.extend(culprit.clone());
         culprit.iter().for_each(|culprit| self.blame(culprit, PENALTY));
         true
     }
 
-    fn hand_off_beside_the_silent(&mut self, id: PullId) -> bool {
-        let Some(held) = self.pulls.get(&id) else { return false };
-        let reissuable = self.kinds[held.pull.workload.0].of.repeats == Repeats::Reissuable;
+    fn hand_off_beside_the_silent(&mut self, id: RequestId) -> bool {
+        let Some(held) = self.requests.get(&id) else { return false };
+        let reissuable = self.kinds[held.request.workload.0].of.repeats == Repeats::Reissuable;
         let silent = !held.out.is_empty() && held.out.iter().all(|out| out.silent == Some(true));
         let allowed = self.terms.may_duplicate && reissuable && silent && self.may_follow(held);
-        allowed && held.pull.hard_stop.since(self.now).ms() > held.work + SLACK.ms() && self.hand_off(id)
+        allowed && held.request.hard_stop.since(self.now).ms() > held.work + SLACK.ms() && self.hand_off(id)
     }
 
     fn ramp(&self, host: &Host) -> &Ramp {
@@ -708,7 +709,7 @@
         (self.ramp(host).part(host.line.started, since), spent)
     }
 
-    // Pulls in hand over the places at full pace. Guards against many dispatchers each taking one pull of its
+    // Requests in hand over the places at full pace. Guards against many dispatchers each taking one of their
     // own for one of every other's: the more they are, the more the host's last report counts.
     fn load(&self, host: &Host) -> f64 {
         let part = self.ramp(host).part(host.line.started, self.now);
@@ -717,7 +718,7 @@
         let known = host.elsewhere.filter(|(_, at)| self.now.since(*at) < OLD).map(|(others, _)| others);
         let mixed = told.map_or(guess, |(told, _)| (guess * DOUBT + told * mates) / (DOUBT + mates));
         let load = (host.in_hand + known.unwrap_or(mixed) + 1.0) / (host.line.weight * part).max(0.1);
-        // Guards against pulls that wait for a slow fill being taken for work that the cache does.
+        // Guards against requests that wait for a slow fill being taken for work that the cache does.
         let busy = host.busy.filter(|(_, at)| self.now.since(*at) < OLD).map_or(1.0, |(busy, _)| busy);
         (load * busy.clamp(IDLE, 1.0)).max(host.pace(self.now)) // guards against what no load tells
     }
@@ -730,29 +731,29 @@
         host.is(Role::Cache) && host.line.zone == Some(self.terms.zone)
     }
 
-    // Guards against a full link, on which fills outlive their pulls and every miss comes late: while it is
+    // Guards against a full link, where fills outlive their requests and every miss comes late: while it is
     // full only hits are asked for, and known misses bounce, the large ones first.
     fn link_open(&self, held: &Held, mean: f64) -> bool {
         let late = held.promised.since(self.now).ms() < held.work;
         // Of what tells no size most bytes are in few large ones, so it stops sooner, by its workload's mean.
-        let mean = if held.pull.size_kb.is_some() { mean } else { self.mean_work / LINK_BIAS };
+        let mean = if held.request.size_kb.is_some() { mean } else { self.mean_work / LINK_BIAS };
         let bias = if late { 0.0 } else { mean / held.work.max(1.0) }.clamp(1.0 / LINK_BIAS, LINK_BIAS);
         self.link.is_none_or(|(full, at)| full < LINK_FULL * bias || self.now.since(at) >= OLD)
     }
 
     /// Hosts of a role in the order of the shared hash (weighted rendezvous).
-    fn in_hash_order(&self, role: Role, pull: &Pull) -> Vec<&Host> {
+    fn in_hash_order(&self, role: Role, request: &Request) -> Vec<&Host> {
         let near = |host: &Host| role != Role::Cache || self.mine(host);
         let mine = |h: &&Host| h.is(role) && near(h) && h.line.standing == Standing::InService;
-        let score = |host: &Host| -draw(host, pull).ln() / host.line.weight.max(0.01);
+        let score = |host: &Host| -draw(host, request).ln() / host.line.weight.max(0.01);
         let mut order: Vec<&Host> = self.hosts.values().filter(mine).collect();
         order.sort_by(|a, b| score(a).total_cmp(&score(b)));
         order
     }
 
-    // A numbered pull that may have run stays among the hosts that drop its repeats.
+    // A numbered request that may have run stays among the hosts that drop its repeats.
     fn in_scope(&self, held: &Held, host: &Host) -> bool {
-        let repeats = self.kinds[held.pull.workload.0].of.repeats;
+        let repeats = self.kinds[held.request.workload.0].of.repeats;
         let (Repeats::Numbered { scope, .. }, Some((_, first))) = (repeats, &held.ran) else { return true };
         let cell = |line: &Listed| (line.zone, if scope == Scope::Cell { line.cell } else { CellId(0) });
         let same = |first: &Host| cell(&first.line) == cell(&host.line);
@@ -760,17 +761,17 @@
     }
 
     fn pick_cache(&self, held: &Held, open: bool) -> Option<HostId> {
-        let kind = &self.kinds[held.pull.workload.0];
+        let kind = &self.kinds[held.request.workload.0];
         let trials = kind.of.repeats == Repeats::Reissuable && held.legs == 0;
         let fits = |host: &Host| self.in_scope(held, host) && self.cold_room(host, kind.cost(held.work));
         let up = |host: &Host| host.reputation >= FLOOR || (trials && host.next_trial <= self.now);
-        let mut order = self.in_hash_order(Role::Cache, &held.pull);
+        let mut order = self.in_hash_order(Role::Cache, &held.request);
         self.wish(order.first(), kind.cost(held.work));
         order.retain(|host| up(host) && !held.tried.contains(&host.line.host) && fits(host));
         let least = order.iter().map(|host| self.load(host)).min_by(f64::total_cmp)?;
         // Guards against the hash being lost where all caches are loaded alike: then no object moves. On a
         // full link only the cache that may hold it helps, so the hash is kept to for longer.
-        // Guards against small pulls taking every place that comes free before a large one looks again: the
+        // Guards against small requests taking each place that comes free before a large one looks: the
         // larger it is within its workload, the higher the load at which it is taken, if it comes in time.
         let admit = ADMIT * (held.work / kind.mean_work.max(1.0)).clamp(1.0, ADMIT_LARGE);
         let most = if open { (least * BOUND).min(admit) } else { admit };
@@ -779,7 +780,7 @@
         // after another by what the hash draws, the same ones at every dispatcher.
         let in_time = |host: &&&Host| {
             let load = self.load(host);
-            load <= (if held.work < left { FULL * stays(host, &held.pull) } else { LATE_FULL })
+            load <= (if held.work < left { FULL * stays(host, &held.request) } else { LATE_FULL })
                 || (load <= most && load * held.work < left)
         };
         order.iter().find(in_time).map(|host| host.line.host.clone())
@@ -788,17 +789,17 @@
     // The adaptive set: parents stay unless the origin clearly beats them on the measure that the size picks
     // or their reputation has sunk; the shared hash picks within it, moving down on failure.
     fn pick_source(&self, held: &Held) -> Option<HostId> {
-        let kind = &self.kinds[held.pull.workload.0];
-        let measure = usize::from(kind.large(&held.pull));
+        let kind = &self.kinds[held.request.workload.0];
+        let measure = usize::from(kind.large(&held.request));
         let new = |host: &&Host| !held.tried.contains(&host.line.host) && self.cold_room(host, held.work);
         let trial = |host: &&&Host| held.legs == 0 && host.next_trial <= self.now;
         let origin = self.origin();
-        let mut parents = self.in_hash_order(Role::Parent, &held.pull);
+        let mut parents = self.in_hash_order(Role::Parent, &held.request);
         self.wish(parents.first(), held.work);
         let paces = parents.iter().filter(|host| host.usable()).map(|host| host.pace(self.now));
         let quick = paces.fold(ADMIT, f64::min);
         // Guards against parents that grow slow: as from a loaded cache, objects leave one by one.
-        let keeps = |host: &Host| host.pace(self.now) <= quick * FULL * stays(host, &held.pull);
+        let keeps = |host: &Host| host.pace(self.now) <= quick * FULL * stays(host, &held.request);
         let set = |host: &&&Host| host.usable() && host.beaten[measure] < SEVERAL && keeps(host);
         parents.retain(new);
         let first = parents.first().copied();
@@ -816,13 +817,13 @@
         chosen.map(|host| host.line.host.clone())
     }
 
-    /// Sends a pull to the next cache in its order, or past the caches where none is up.
-    fn hand_off(&mut self, id: PullId) -> bool {
-        let (now, held) = (self.now, &self.pulls[&id]);
-        let kind = &self.kinds[held.pull.workload.0];
+    /// Sends a request to the next cache in its order, or past the caches where none is up.
+    fn hand_off(&mut self, id: RequestId) -> bool {
+        let (now, held) = (self.now, &self.requests[&id]);
+        let kind = &self.kinds[held.request.workload.0];
         let (through, work) = (kind.of.goes_through, held.work);
         let open = through || self.link_open(held, kind.mean_work);
-        // With no cache up, or none with room while the link has some, a pull goes past the caches.
+        // With no cache up, or none with room while the link has some, a request goes past the caches.
         let idle = self.link.is_some_and(|(full, _)| full < LINK_IDLE) && work < kind.mean_work;
         let lost = !self.hosts.values().any(|h| self.mine(h) && h.usable());
         let straight = self.terms.direct && (through || lost || (open && idle));
@@ -832,7 +833,7 @@
         // Guards against slow sources whose fills take up the caches, and a stopped origin being asked on by
         // parents, or every parent asked in turn for what the first one lacks. Behind a slow origin parents
         // fetch what the hash draws, the same at every dispatcher, so that what is fetched serves all.
-        let narrow = |origin: &Host| draw(origin, &held.pull) > origin.reach;
+        let narrow = |origin: &Host| draw(origin, &held.request) > origin.reach;
         let shut = |origin: &Host| !origin.usable() && origin.next_trial > now;
         let stopped = origin.is_some_and(|origin| shut(origin) || narrow(origin));
         let room = |id: &HostId| through || (self.hosts[id].has_room() && !(stopped && held.missed));
@@ -849,14 +850,14 @@
         let only_held = stopped && behind.is(Role::Parent) && !through;
         // Where only a hit will do, a copy past its fresh time is worth more than none.
         let older = if source == host { kind.of.older } else { Span::ZERO };
-        let oldest = self.oldest(&held.pull, kind.of.fresh, older);
+        let oldest = self.oldest(&held.request, kind.of.fresh, older);
         let slow = self.load(&self.hosts[&host]).max(1.0);
         let patience = Span::of_ms(work * slow + behind.measures[0].unwrap_or(SLACK.ms())) * OVERDUE + SLACK;
-        let left = held.pull.hard_stop.since(now);
+        let left = held.request.hard_stop.since(now);
         let cut =
             kind.of.repeats == Repeats::Reissuable && !self.terms.may_duplicate && !self.terms.may_cancel;
         self.out.hand_offs.push(HandOff {
-            pull: id,
+            request: id,
             host: host.clone(),
             source: source.clone(),
             allow: if cut { patience.min(left) } else { left },
@@ -865,7 +866,7 @@
             only_held,
             oldest,
             fresh: kind.of.repeats != Repeats::Reissuable, // a reset there could not be made good
-            keep: if self.seen.contains_key(&held.pull.object) { 2 } else { 1 },
+            keep: if self.seen.contains_key(&held.request.object) { 2 } else { 1 },
         });
         let (leg, cost) = (Leg(held.legs), if past { work } else { kind.cost(work) });
         for (id_of, cost) in BTreeMap::from([(&source, work), (&host, cost)]) {
@@ -876,17 +877,17 @@
             host.spent.retain(|(at, ..)| now.since(*at) <= self.ramps[0].window);
         }
         self.due.insert((now + patience, id));
-        let held = self.pulls.get_mut(&id).expect("just seen");
-        self.seen.insert(held.pull.object, now);
+        let held = self.requests.get_mut(&id).expect("just seen");
+        self.seen.insert(held.request.object, now);
         held.legs += 1;
         held.out.push(Out { leg, host, source, sent: now, overdue: now + patience, silent: None, trial });
         true
     }
 
     // Guards against purged copies, wherever they lie: no copy from before the youngest purge will do.
-    fn oldest(&self, pull: &Pull, fresh: Option<Span>, older: Span) -> Option<Span> {
-        let group_hit = |group| group == GroupId::ALL || group == pull.group;
-        let hit = |object: Option<_>, group| object.map_or(group_hit(group), |it| it == pull.object);
+    fn oldest(&self, request: &Request, fresh: Option<Span>, older: Span) -> Option<Span> {
+        let group_hit = |group| group == GroupId::ALL || group == request.group;
+        let hit = |object: Option<_>, group| object.map_or(group_hit(group), |it| it == request.object);
         let hits = self.purges.iter().filter(|(object, group, _)| hit(*object, *group));
         let age = hits.map(|(.., made)| self.now.since(*made).less(HAIR).max(HAIR)).min();
         age.into_iter().chain(fresh.map(|fresh| fresh + older)).min().filter(|age| Some(*age) != fresh)
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -1,5 +1,5 @@
-//! The brain in blocking style, for callers that give each pull a task of its own: `report` what became known,
-//! `pick` a pull's next step until it says wait, `tick` at the time that `due` names. It only keeps in order
+//! The brain in blocking style, for callers that give each request a task of its own: `report` what became
+//! known, `pick` a request's next step until it says wait, `tick` at the time that `due` names. It only keeps in order
 //! what the brain returns; nothing here decides.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -16,24 +16,24 @@
         group: GroupId,
         made: Time,
     },
-    Arrived(Pull),
-    /// An answered hand-off is its pull's final answer.
+    Arrived(Request),
+    /// An answered hand-off is its request's final answer.
     Ended(Ended),
-    Left(PullId),
+    Left(RequestId),
     /// What other dispatchers tell.
     Guided(Guided),
     /// This process ends at that time.
     Ending(Time),
 }
 
-/// A pull's next step.
+/// A request's next step.
 #[derive(Debug, PartialEq)]
 pub enum Step {
     HandOff(Leg, HandOff),
     TakeBack(Leg),
     Bounce(Option<Span>),
     Forfeit,
-    /// Nothing now; ask again when the pull is named by `report` or `tick`.
+    /// Nothing now; ask again when the request is named by `report` or `tick`.
     Wait,
 }
 
@@ -44,10 +44,10 @@
     over: bool,
 }
 
-/// One dispatcher's decisions, asked for pull by pull.
+/// One dispatcher's decisions, asked for request by request.
 pub struct Facade {
     brain: Brain,
-    lines: BTreeMap<PullId, Line>,
+    lines: BTreeMap<RequestId, Line>,
     /// All wishes of the brain that have not come: earlier ones stand beside later ones.
     due: BTreeSet<Time>,
 }
@@ -60,33 +60,33 @@
         facade
     }
 
-    /// Takes in what became known; gives the pulls that have a step to pick.
-    pub fn report(&mut self, now: Time, news: News) -> Vec<PullId> {
+    /// Takes in what became known; gives the requests that have a step to pick.
+    pub fn report(&mut self, now: Time, news: News) -> Vec<RequestId> {
         let decisions = match news {
             News::Hosts(coverage, lines) => self.brain.list(now, coverage, lines),
             News::Purged { object, group, made } => self.brain.purge(now, object, group, made),
-            News::Arrived(pull) => {
-                self.lines.insert(pull.id, Line::default());
-                self.brain.pull(now, pull)
+            News::Arrived(request) => {
+                self.lines.insert(request.id, Line::default());
+                self.brain.request(now, request)
             }
             News::Ended(ended) => {
                 if ended.ending == Ending::Answered {
-                    self.end(ended.pull);
+                    self.end(ended.request);
                 }
                 self.brain.hand_off_ended(now, ended)
             }
             News::Guided(guided) => self.brain.guided(now, guided),
             News::Ending(ends) => self.brain.ends_at(now, ends),
-            News::Left(pull) => {
-                self.end(pull);
-                self.brain.client_left(now, pull)
+            News::Left(request) => {
+                self.end(request);
+                self.brain.client_left(now, request)
             }
         };
         self.sort(decisions)
     }
 
     /// To be called at the time that `due` names, or a little later.
-    pub fn tick(&mut self, now: Time) -> Vec<PullId> {
+    pub fn tick(&mut self, now: Time) -> Vec<RequestId> {
         if self.due().is_none_or(|due| due > now) {
             return Vec::new();
         }
@@ -96,8 +96,8 @@
     }
 
     /// Whether a hand-off that was picked may still be sent, and what it may ask for by now.
-    pub fn clear(&mut self, now: Time, pull: PullId, leg: Leg) -> Option<Clearance> {
-        self.brain.clear(now, pull, leg)
+    pub fn clear(&mut self, now: Time, request: RequestId, leg: Leg) -> Option<Clearance> {
+        self.brain.clear(now, request, leg)
     }
 
     /// What was seen of each host here, for others to hear.
@@ -110,7 +110,7 @@
         self.brain.link
     }
 
-    /// When a client may come back whose pull was not even reported.
+    /// When a client may come back whose request was not even reported.
     pub fn come_back(&self) -> Option<Span> {
         self.brain.come_back
     }
@@ -119,42 +119,42 @@
         self.due.first().copied()
     }
 
-    pub fn pick(&mut self, pull: PullId) -> Step {
-        let Some(line) = self.lines.get_mut(&pull) else { return Step::Wait };
+    pub fn pick(&mut self, request: RequestId) -> Step {
+        let Some(line) = self.lines.get_mut(&request) else { return Step::Wait };
         let step = line.steps.pop_front().unwrap_or(Step::Wait);
         line.over |= matches!(step, Step::Bounce(_) | Step::Forfeit);
         if line.over && step == Step::Wait {
-            self.lines.remove(&pull);
+            self.lines.remove(&request);
         }
         step
     }
 
-    // The pull is over by what the caller saw, so steps that were not picked yet have no use.
-    fn end(&mut self, pull: PullId) {
-        if let Some(line) = self.lines.get_mut(&pull) {
+    // The request is over by what the caller saw, so steps that were not picked yet have no use.
+    fn end(&mut self, request: RequestId) {
+        if let Some(line) = self.lines.get_mut(&request) {
             line.over = true;
             line.steps.retain(|step| matches!(step, Step::TakeBack(_)));
         }
     }
 
-    /// Puts each decision in its pull's line; gives the pulls that have a step to pick.
-    fn sort(&mut self, decisions: Decisions) -> Vec<PullId> {
+    /// Puts each decision in its request's line; gives the requests that have a step to pick.
+    fn sort(&mut self, decisions: Decisions) -> Vec<RequestId> {
         // On sockets the platform's protocol has no word for a look, so none is asked for there.
         let Decisions { cancels, hand_offs, finals, looks: _, wake } = decisions;
         let mut named = Vec::new();
         for cancel in cancels {
-            named.extend(self.add(cancel.pull, |_| Step::TakeBack(cancel.leg)));
+            named.extend(self.add(cancel.request, |_| Step::TakeBack(cancel.leg)));
         }
         for hand_off in hand_offs {
-            named.extend(self.add(hand_off.pull, |line| {
+            named.extend(self.add(hand_off.request, |line| {
                 line.legs += 1;
                 Step::HandOff(Leg(line.legs - 1), hand_off)
             }));
         }
         for last in finals {
             named.extend(match last {
-                Final::Bounced { pull, come_back } => self.add(pull, |_| Step::Bounce(come_back)),
-                Final::Forfeited { pull } => self.add(pull, |_| Step::Forfeit),
+                Final::Bounced { request, come_back } => self.add(request, |_| Step::Bounce(come_back)),
+                Final::Forfeited { request } => self.add(request, |_| Step::Forfeit),
             });
         }
         self.due.extend(wake);
@@ -162,10 +162,10 @@
         named
     }
 
-    fn add(&mut self, pull: PullId, step: impl FnOnce(&mut Line) -> Step) -> Option<PullId> {
-        let line = self.lines.get_mut(&pull)?;
+    fn add(&mut self, request: RequestId, step: impl FnOnce(&mut Line) -> Step) -> Option<RequestId> {
+        let line = self.lines.get_mut(&request)?;
         let step = step(line);
         line.steps.push_back(step);
-        Some(pull)
+        Some(request)
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! flaxdeck: which cache gets a pull, which source fills a miss, and when to stop trying.
+//! flaxdeck: which cache gets a request, which source fills a miss, and when to stop trying.
 //!
 //! [`brain::Brain`] holds every decision of one dispatcher; [`words`] holds the plain types that
-//! go in and come out; [`facade`] is the brain for callers that give each pull a task.
+//! go in and come out; [`facade`] is the brain for callers that give each request a task.
 
 pub mod brain;
 pub mod facade;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What the brain keeps of hosts, pulls and their hand-offs. Fields only: every decision is in `brain.rs`.
+//! What the brain keeps of hosts, requests and their hand-offs. Fields only: every decision is in `brain.rs`.
 
 use std::cell::Cell;
 
@@ -17,10 +17,10 @@
     pub(crate) beaten: [u32; 2],           // fills in a row in which the origin beat it by each
     pub(crate) in_hand: f64,
     pub(crate) busy: Option<(f64, Time)>, // the share of its capacity in use by its last report
-    pub(crate) others: Option<(f64, Time)>, // the other dispatchers' pulls there by its last report
+    pub(crate) others: Option<(f64, Time)>, // the other dispatchers' requests there by its last report
     pub(crate) window: f64, // how many hand-offs may be out at it at once, as a source or past the caches
     pub(crate) reach: f64,  // of the origin: the share of objects that parents may fetch there
-    pub(crate) spent: Vec<(Time, PullId, Leg, f64)>,
+    pub(crate) spent: Vec<(Time, RequestId, Leg, f64)>,
     pub(crate) elsewhere: Option<(f64, Time)>, // what others have out there, by their own word
     pub(crate) share: Option<f64>, // of a cold host's whole, by what others left to this dispatcher
     pub(crate) wished: Cell<f64>,  // what it turned away for want of that since the last look
@@ -43,9 +43,9 @@
     pub(crate) trial: bool,
 }
 
-/// A pull that has no final answer yet.
+/// A request that has no final answer yet.
 pub(crate) struct Held {
-    pub(crate) pull: Pull,
+    pub(crate) request: Request,
     pub(crate) work: f64,
     pub(crate) promised: Time,
     pub(crate) out: Vec<Out>,
--- a/src/words.rs
+++ b/src/words.rs
@@ -71,7 +71,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct PullId(pub u64);
+pub struct RequestId(pub u64);
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ObjectId(pub u64);
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -90,14 +90,14 @@
 pub struct ZoneId(pub usize);
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CellId(pub u64);
-/// The number of a hand-off within its pull, counted from 0.
+/// The number of a hand-off within its request, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Leg(pub u32);
 /// What names a host, the same at every dispatcher; its address need not be.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostId(pub Rc<str>);
 
-/// Whether a pull may run again.
+/// Whether a request may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeats {
     Reissuable,
@@ -116,11 +116,11 @@
     Cell,
 }
 
-/// What is known of a workload before its first pull.
+/// What is known of a workload before its first request.
 #[derive(Clone, Debug)]
 pub struct Workload {
     pub promised: Span,
-    /// The promised time grows by this multiple of the pull's sending time.
+    /// The promised time grows by this multiple of the request's sending time.
     pub stretch: f64,
     pub repeats: Repeats,
     /// Runs at the origin and is never kept.
@@ -199,10 +199,10 @@
     Whole,
 }
 
-/// A client's pull.
+/// A client's request.
 #[derive(Clone, Debug)]
-pub struct Pull {
-    pub id: PullId,
+pub struct Request {
+    pub id: RequestId,
     pub workload: WorkloadId,
     pub object: ObjectId,
     pub part: u64,
@@ -259,12 +259,12 @@
 /// The end of a hand-off.
 #[derive(Clone, Debug)]
 pub struct Ended {
-    pub pull: PullId,
+    pub request: RequestId,
     pub leg: Leg,
     pub host: HostId,
     pub ending: Ending,
     pub took: Span,
-    /// The pull has its final answer.
+    /// The request has its final answer.
     pub closed: bool,
     pub told: Told,
     /// The fill's wait for the source's first byte, or until it failed.
@@ -277,7 +277,7 @@
 pub struct LoadReport {
     /// Of a cache: transfers on its location's link over those that fit at full pace.
     pub link: Option<f64>,
-    /// Pulls that it holds.
+    /// Requests that it holds.
     pub in_hand: Option<f64>,
     /// The share of its capacity that it uses.
     pub busy: Option<f64>,
@@ -286,14 +286,14 @@
 /// Take a hand-off back.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cancel {
-    pub pull: PullId,
+    pub request: RequestId,
     pub leg: Leg,
 }
 
-/// Send a pull to a host.
+/// Send a request to a host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HandOff {
-    pub pull: PullId,
+    pub request: RequestId,
     pub host: HostId,
     /// Where a miss is filled from; the host itself for no fill.
     pub source: HostId,
@@ -322,8 +322,8 @@
 /// A final answer that the dispatcher gives itself.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Final {
-    Bounced { pull: PullId, come_back: Option<Span> },
-    Forfeited { pull: PullId },
+    Bounced { request: RequestId, come_back: Option<Span> },
+    Forfeited { request: RequestId },
 }
 
 /// All that one call asks of the caller, applied in the order of the fields.
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -11,7 +11,7 @@
     pub sent: Vec<(Leg, HandOff)>,
     pub looks: Vec<HostId>,
     pub again: bool,
-    /// The pulls that host "a" reports, and those that every other does.
+    /// The requests that host "a" reports, and those that every other does.
     pub at_a: f64,
     pub elsewhere: f64,
     /// The share of its capacity that host "a" reports in use.
@@ -106,7 +106,7 @@
         self.finals.extend(decisions.finals);
         self.looks.extend(decisions.looks);
         for sent in decisions.hand_offs {
-            let leg = self.sent.iter().filter(|(_, earlier)| earlier.pull == sent.pull).count();
+            let leg = self.sent.iter().filter(|(_, earlier)| earlier.request == sent.request).count();
             self.sent.push((Leg(leg as u32), sent));
         }
     }
@@ -125,16 +125,16 @@
         }
     }
 
-    /// A pull of 100 KB, so 100 ms; gives the place of its first hand-off, should there be one.
-    pub fn pull(&mut self, workload: usize, object: u64) -> usize {
-        self.pull_of(workload, object, 100.0)
+    /// A request of 100 KB, so 100 ms; gives the place of its first hand-off, should there be one.
+    pub fn request(&mut self, workload: usize, object: u64) -> usize {
+        self.request_of(workload, object, 100.0)
     }
 
-    pub fn pull_of(&mut self, workload: usize, object: u64, kb: f64) -> usize {
+    pub fn request_of(&mut self, workload: usize, object: u64, kb: f64) -> usize {
         self.ask(workload, object, 0, Some(kb))
     }
 
-    /// A pull that does not tell its size.
+    /// A request that does not tell its size.
     pub fn untold(&mut self, object: u64) -> usize {
         self.ask(0, object, 0, None)
     }
@@ -145,10 +145,10 @@
 
     fn ask(&mut self, workload: usize, object: u64, part: u64, size_kb: Option<f64>) -> usize {
         self.next += 1;
-        let (at, id, hard_stop) = (self.sent.len(), PullId(self.next), self.now + Span::from_ms(4000));
+        let (at, id, hard_stop) = (self.sent.len(), RequestId(self.next), self.now + Span::from_ms(4000));
         let (workload, object, group) = (WorkloadId(workload), ObjectId(object), GroupId(object % 4));
-        let pull = Pull { id, workload, object, part, group, size_kb, hard_stop, again: self.again };
-        let decisions = self.brain.pull(self.now, pull);
+        let request = Request { id, workload, object, part, group, size_kb, hard_stop, again: self.again };
+        let decisions = self.brain.request(self.now, request);
         self.apply(decisions);
         at
     }
@@ -176,9 +176,9 @@
         let (waited, closed) = (Some(waited), ending == Ending::Answered);
         let in_hand = Some(if sent.host == host("a") { self.at_a } else { self.elsewhere });
         let busy = self.busy.filter(|_| sent.host == host("a"));
-        let (pull, host) = (sent.pull, sent.host);
+        let (request, host) = (sent.request, sent.host);
         let ended = Ended {
-            pull,
+            request,
             leg,
             host,
             ending,
@@ -192,9 +192,9 @@
         self.apply(decisions);
     }
 
-    /// A pull that is answered at once; gives its source.
+    /// A request that is answered at once; gives its source.
     pub fn fill(&mut self, object: u64, kb: f64, told: Told, waited: impl Fn(&HostId) -> u64) -> HostId {
-        let at = self.pull_of(0, object, kb);
+        let at = self.request_of(0, object, kb);
         let source = self.sent[at].1.source.clone();
         self.end(at, Ending::Answered, told, waited(&source));
         source
--- a/tests/same.rs
+++ b/tests/same.rs
@@ -13,7 +13,7 @@
 use rand_pcg::Pcg64Mcg;
 
 /// Days by seed, with the digest of the decisions without guidance and how many hand-offs were in them; recorded
-/// anew whenever the decisions change on purpose: last for pulls that tell no size, and hosts that are slow.
+/// anew whenever the decisions change on purpose: last for requests that tell no size, and hosts that are slow.
 const RECORDED: [(u64, u64, u64); 6] = [
     (1, 0xe4e3b24a49b4cb4a, 6022),
     (2, 0xdde1a6c1e9dc6b22, 8543),
@@ -28,7 +28,7 @@
 /// What comes to be known later, by its time.
 enum Later {
     Ended(Ended),
-    Leaves(PullId),
+    Leaves(RequestId),
 }
 
 struct Day {
@@ -37,22 +37,30 @@
     later: BTreeMap<(Time, u64), Later>,
     wake: Option<Time>,
     next: u64,
-    legs: BTreeMap<PullId, u32>,
+    legs: BTreeMap<RequestId, u32>,
     digest: u64,
     hand_offs: u64,
     /// Hosts that fail, by name, and from when to when.
     trouble: Vec<(HostId, u64, u64, Ending, Told)>,
 }
 
+/// Names that types and fields had when the decisions were recorded, by those that they have now.
+const RECORDED_NAMES: [(&str, &str); 2] = [("RequestId(", "PullId("), ("request:", "pull:")];
+
+/// What was printed, as it was at the time of the record.
+fn as_recorded(printed: &str) -> String {
+    RECORDED_NAMES.iter().fold(printed.to_owned(), |text, (now, then)| text.replace(now, then))
+}
+
 impl Day {
     fn take(&mut self, now: Time, decisions: Decisions) {
-        for byte in format!("{now:?}{decisions:?}").bytes() {
+        for byte in as_recorded(&format!("{now:?}{decisions:?}")).bytes() {
             self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(0x100000001b3);
         }
         self.wake = decisions.wake.or(self.wake);
         for hand_off in decisions.hand_offs {
             self.hand_offs += 1;
-            let legs = self.legs.entry(hand_off.pull).or_default();
+            let legs = self.legs.entry(hand_off.request).or_default();
             let leg = Leg(*legs);
             *legs += 1;
             let ms = now.ms() as u64;
@@ -68,7 +76,7 @@
                 None => (Ending::Answered, Told::Filled, took + waited),
             };
             let ended = Ended {
-                pull: hand_off.pull,
+                request: hand_off.request,
                 leg,
                 host: hand_off.host,
                 ending,
@@ -126,7 +134,7 @@
         while let Some(entry) = day.later.first_entry().filter(|entry| entry.key().0 <= now) {
             let decisions = match entry.remove() {
                 Later::Ended(ended) => day.brain.hand_off_ended(now, ended),
-                Later::Leaves(pull) => day.brain.client_left(now, pull),
+                Later::Leaves(request) => day.brain.client_left(now, request),
             };
             day.take(now, decisions);
         }
@@ -136,9 +144,9 @@
         }
         if day.chance.random_bool(0.25) {
             day.next += 1;
-            let id = PullId(day.next);
+            let id = RequestId(day.next);
             let object = (1.0 / day.chance.random_range(0.002..1.0f64)) as u64;
-            let pull = Pull {
+            let request = Request {
                 id,
                 workload: WorkloadId([0, 0, 0, 0, 1, 2][day.chance.random_range(0..6)]),
                 object: ObjectId(object),
@@ -148,7 +156,7 @@
                 hard_stop: now + Span::from_ms(2_500),
                 again: day.chance.random_bool(0.1),
             };
-            let decisions = day.brain.pull(now, pull);
+            let decisions = day.brain.request(now, request);
             day.take(now, decisions);
             if day.chance.random_bool(0.03) {
                 day.later.insert((now + Span::from_ms(5), day.next), Later::Leaves(id));
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -14,7 +14,7 @@
 fn an_object_goes_to_the_same_cache_and_parent_at_every_dispatcher() {
     let (mut one, mut other) = (Fake::new(terms(), usual()), Fake::new(terms(), usual()));
     for object in 1..40 {
-        let (at, there) = (one.pull(0, object), other.pull(0, object));
+        let (at, there) = (one.request(0, object), other.request(0, object));
         assert_eq!(one.sent[at].1.host, other.sent[there].1.host);
         assert_eq!(one.sent[at].1.source, other.sent[there].1.source);
         assert!(is_parent(&one.sent[at].1.source));
@@ -27,7 +27,7 @@
 fn a_failing_parent_gets_trials_only_and_comes_back_by_one() {
     let mut fake = Fake::new(terms(), usual());
     for object in 0..40 {
-        let at = fake.pull(0, object);
+        let at = fake.request(0, object);
         let bad = fake.sent[at].1.source == host("p");
         let ending = if bad { Ending::TurnedAway } else { Ending::Answered };
         fake.end(at, ending, if bad { Told::SourceUnreached } else { Told::Filled }, 20);
@@ -77,16 +77,16 @@
 #[test]
 fn a_silent_cache_is_passed_by_and_a_slow_one_is_not() {
     let mut fake = Fake::new(terms(), usual());
-    let at = fake.pull(0, 1);
+    let at = fake.request(0, 1);
     let cache = fake.sent[at].1.host.clone();
     fake.pass(1500);
     assert_eq!(fake.sent.len(), 2, "a second copy beside the silent one");
     assert_ne!(fake.sent[1].1.host, cache);
     fake.end(1, Ending::Answered, Told::Held, 0);
-    assert_eq!(fake.cancels, vec![Cancel { pull: fake.sent[0].1.pull, leg: Leg(0) }]);
+    assert_eq!(fake.cancels, vec![Cancel { request: fake.sent[0].1.request, leg: Leg(0) }]);
 
     let mut fake = Fake::new(terms(), usual());
-    fake.pull(0, 1);
+    fake.request(0, 1);
     for _ in 0..15 {
         fake.pass(100);
         fake.fill(1, 100.0, Told::Filled, |_| 20);
@@ -98,27 +98,27 @@
 fn a_connection_that_died_while_idle_is_no_fault_of_its_host() {
     let mut fake = Fake::new(terms(), usual());
     for object in 0..6 {
-        let at = fake.pull(0, object);
+        let at = fake.request(0, object);
         let cache = fake.sent[at].1.host.clone();
         fake.end(at, Ending::Stale, Told::Nothing, 0);
         assert_eq!(fake.sent[at + 1].1.host, cache, "at once, to the same cache");
         fake.end(at + 1, Ending::Answered, Told::Held, 0);
     }
-    let at = fake.pull(1, 1);
+    let at = fake.request(1, 1);
     assert!(fake.sent[at].1.fresh);
     fake.end(at, Ending::Stale, Told::Nothing, 0);
-    assert_eq!(fake.finals, vec![Final::Forfeited { pull: PullId(7) }], "it may have run all the same");
+    assert_eq!(fake.finals, vec![Final::Forfeited { request: RequestId(7) }], "it may have run all the same");
 }
 
 #[test]
 fn writes_that_the_origin_cannot_use_do_not_stop_the_fills_behind_it() {
     let mut fake = Fake::new(terms(), usual());
     for object in 0..4 {
-        let at = fake.pull(1, object);
+        let at = fake.request(1, object);
         assert_eq!(fake.sent[at].1.host, host("o"));
         fake.end(at, Ending::Errored, Told::Nothing, 0);
     }
-    let at = fake.pull(0, 9);
+    let at = fake.request(0, 9);
     assert!(!fake.sent[at].1.only_held, "the fault may be the client's");
 }
 
@@ -134,7 +134,7 @@
     };
     let before = homes(&mut fake);
     for request in 0..6 {
-        let mut at = fake.pull(0, 1000 + request);
+        let mut at = fake.request(0, 1000 + request);
         let finals = fake.finals.len();
         while fake.finals.len() == finals {
             while at < fake.sent.len() {
@@ -153,7 +153,7 @@
     (0..40).for_each(|object| drop(fake.fill(object, 100.0, Told::Held, |_| 20)));
     let mut at = fake.sent.len();
     for object in 0..10 {
-        fake.pull(0, object);
+        fake.request(0, object);
         for _ in 0..1000 {
             while at < fake.sent.len() {
                 let cache = [host("a"), host("bb")].contains(&fake.sent[at].1.host);
@@ -170,31 +170,31 @@
 }
 
 #[test]
-fn an_at_most_once_pull_that_may_have_run_is_never_sent_again_nor_bounced() {
+fn an_at_most_once_request_that_may_have_run_is_never_sent_again_nor_bounced() {
     for ending in [Ending::TimedOut, Ending::Errored, Ending::Broken] {
         let mut fake = Fake::new(terms(), usual());
-        let at = fake.pull(1, 1);
+        let at = fake.request(1, 1);
         assert_eq!(fake.sent[at].1.host, host("o"));
         fake.pass(2000);
         fake.end(at, ending, Told::Nothing, 0);
         fake.pass(3000);
         assert_eq!(fake.sent.len(), 1);
-        assert_eq!(fake.finals, vec![Final::Forfeited { pull: PullId(1) }]);
+        assert_eq!(fake.finals, vec![Final::Forfeited { request: RequestId(1) }]);
     }
     let mut fake = Fake::new(terms(), usual());
-    let at = fake.pull(1, 1);
+    let at = fake.request(1, 1);
     fake.end(at, Ending::TurnedAway, Told::Nothing, 0);
     fake.pass(200);
     assert_eq!(fake.sent.len(), 2, "a refusal proves that nothing ran");
 }
 
 #[test]
-fn a_numbered_pull_that_may_have_run_stays_in_its_cell_while_that_remembers() {
+fn a_numbered_request_that_may_have_run_stays_in_its_cell_while_that_remembers() {
     let mut hosts = usual();
     hosts.extend([line("cc", Role::Cache), line("dd", Role::Cache)]);
     let mut fake = Fake::new(terms(), hosts);
     for object in 0..20 {
-        let at = fake.pull(2, object);
+        let at = fake.request(2, object);
         let first = fake.sent[at].1.host.clone();
         fake.end(at, Ending::Errored, Told::Nothing, 0);
         for (_, again) in &fake.sent[at + 1..] {
@@ -238,10 +238,10 @@
 fn a_restarted_dispatcher_takes_the_cold_hosts_window_as_spent() {
     let cold = |l: Listed| Listed { started: Some(Time::at_ms(99_000.0)), ..l };
     let mut fake = Fake::new(terms(), usual().into_iter().map(cold).collect());
-    fake.pull(0, 1);
+    fake.request(0, 1);
     assert!(fake.sent.is_empty());
     fake.pass(2100);
-    fake.pull(0, 2);
+    fake.request(0, 2);
     assert!(!fake.sent.is_empty(), "the window has passed");
 }
 
@@ -254,25 +254,25 @@
     fake.brain.purge(fake.now, None, GroupId(2), made);
     fake.pass(200);
     for (object, held_to) in [(1, true), (2, true), (6, true), (5, false)] {
-        let at = fake.pull(0, object);
+        let at = fake.request(0, object);
         let oldest = fake.sent[at].1.oldest;
         assert_eq!(oldest.is_some(), held_to, "object {object}");
         assert!(oldest.is_none_or(|oldest| oldest < fake.now.since(made)));
         fake.end(at, Ending::Answered, Told::Held, 0);
     }
     fake.pass(8000);
-    let at = fake.pull(0, 1);
+    let at = fake.request(0, 1);
     assert_eq!(fake.sent[at].1.oldest, None);
 }
 
 #[test]
-fn every_pull_gets_one_answer_before_its_hard_stop_whatever_is_up() {
+fn every_request_gets_one_answer_before_its_hard_stop_whatever_is_up() {
     let nothing = Vec::new();
     let only_caches = usual().into_iter().filter(|line| line.role == Role::Cache).collect();
     for hosts in [nothing, only_caches, usual()] {
         let mut fake = Fake::new(terms(), hosts);
         for workload in [0, 1, 2] {
-            fake.pull(workload, 9);
+            fake.request(workload, 9);
         }
         fake.pass(3995);
         assert_eq!(fake.finals.len(), 3);
@@ -285,9 +285,9 @@
 #[test]
 fn while_the_link_is_full_only_hits_are_asked_for_and_known_misses_bounce() {
     let mut fake = Fake::new(terms(), usual());
-    let at = fake.pull(0, 1);
+    let at = fake.request(0, 1);
     fake.end_with(at, Ending::Answered, Told::Held, 0, Some(20.0));
-    let at = fake.pull(0, 2);
+    let at = fake.request(0, 2);
     assert_eq!(fake.sent[at].1.source, fake.sent[at].1.host, "no fill");
     fake.end_with(at, Ending::NoCopy, Told::Nothing, 0, Some(20.0));
     fake.pass(150);
@@ -296,9 +296,9 @@
         matches!(fake.finals[..], [Final::Bounced { come_back: Some(_), .. }]),
         "its client is told at once"
     );
-    let hit = fake.pull(0, 3);
+    let hit = fake.request(0, 3);
     fake.end_with(hit, Ending::Answered, Told::Held, 0, Some(0.5));
-    fake.pull(0, 2);
+    fake.request(0, 2);
     assert!(is_parent(&fake.sent.last().unwrap().1.source), "there is room again");
 }
 
@@ -306,26 +306,28 @@
 fn behind_a_stopped_origin_parents_give_only_what_they_hold_and_the_rest_bounces() {
     let mut fake = Fake::new(terms(), usual());
     for object in 0..3 {
-        let at = fake.pull(0, object);
+        let at = fake.request(0, object);
         fake.end(at, Ending::TurnedAway, Told::OriginFailed, 900);
     }
-    let at = fake.pull(0, 9);
+    let at = fake.request(0, 9);
     assert!(fake.sent[at].1.only_held && is_parent(&fake.sent[at].1.source), "and no parent is blamed");
-    let pull = fake.sent[at].1.pull;
+    let request = fake.sent[at].1.request;
     fake.end(at, Ending::NoCopy, Told::SourceLacks, 20);
     fake.pass(150);
-    assert!(fake.sent[at + 1..].iter().all(|(_, sent)| sent.pull != pull), "no other parent is asked");
-    assert!(fake.finals.iter().any(|last| matches!(last, Final::Bounced { pull: id, .. } if *id == pull)));
+    assert!(fake.sent[at + 1..].iter().all(|(_, sent)| sent.request != request), "no other parent is asked");
+    assert!(
+        fake.finals.iter().any(|last| matches!(last, Final::Bounced { request: id, .. } if *id == request))
+    );
 }
 
 #[test]
-fn under_overload_what_cannot_come_in_time_bounces_and_small_pulls_go_on() {
+fn under_overload_what_cannot_come_in_time_bounces_and_small_requests_go_on() {
     let mut fake = Fake::new(terms(), usual());
     for object in 0..30 {
-        fake.pull_of(0, object, 3000.0);
+        fake.request_of(0, object, 3000.0);
     }
     assert!(fake.sent.len() < 30, "the large ones are held back");
-    let small = fake.pull_of(0, 99, 10.0);
+    let small = fake.request_of(0, 99, 10.0);
     assert_eq!(fake.sent.len(), small + 1, "a small one finds room");
     fake.pass(3500);
     assert!(fake.finals.iter().any(|last| matches!(last, Final::Bounced { come_back: Some(_), .. })));
@@ -334,7 +336,7 @@
 #[test]
 fn full_caches_admit_large_requests_further_than_small_ones_but_only_those_that_come_in_time() {
     let mut fake = Fake::new(terms(), usual());
-    let sent = |fake: &mut Fake, object: u64, kb: f64| fake.pull_of(0, object, kb) < fake.sent.len();
+    let sent = |fake: &mut Fake, object: u64, kb: f64| fake.request_of(0, object, kb) < fake.sent.len();
     let small = (0..200).filter(|object| sent(&mut fake, *object, 10.0)).count();
     assert!((20..60).contains(&small), "{small} small ones are in hand at 10 places");
     assert!(!sent(&mut fake, 200, 10.0), "no cache has room for a small one");
@@ -345,20 +347,20 @@
 }
 
 #[test]
-fn a_pull_asked_again_is_not_promised_anew() {
+fn a_request_asked_again_is_not_promised_anew() {
     let mut fake = Fake::new(terms(), Vec::new());
-    fake.pull(0, 1);
+    fake.request(0, 1);
     fake.pass(700);
     assert_eq!(fake.finals.len(), 1, "no host came up in time");
     fake.again = true;
-    fake.pull(0, 1);
+    fake.request(0, 1);
     assert_eq!(fake.finals.len(), 2, "its time has passed: the client is told at once");
-    fake.pull(0, 2);
+    fake.request(0, 2);
     assert_eq!(fake.finals.len(), 2, "another's has not");
 }
 
 #[test]
-fn small_pulls_without_a_fill_weigh_the_mean_at_a_cold_cache() {
+fn small_requests_without_a_fill_weigh_the_mean_at_a_cold_cache() {
     let mut fake = Fake::new(terms(), usual());
     for object in 0..200 {
         fake.fill(object, 100.0, Told::Held, |_| 0);
@@ -367,7 +369,7 @@
     fake.list(vec![Listed { started: Some(Time::at_ms(103_000.0)), ..line("a", Role::Cache) }]);
     let before = fake.sent.len();
     for object in 0..400 {
-        let at = fake.pull_of(0, object, 10.0);
+        let at = fake.request_of(0, object, 10.0);
         fake.end_with(at, Ending::Answered, Told::Held, 0, Some(20.0));
     }
     let at_cache = fake.sent[before..].iter().filter(|(_, sent)| sent.host == host("a")).count();
@@ -379,7 +381,7 @@
     let hosts = usual().into_iter().filter(|line| line.role != Role::Cache).collect();
     let mut fake = Fake::new(terms(), hosts);
     for object in 0..200 {
-        fake.pull(0, object);
+        fake.request(0, object);
     }
     assert!(fake.sent.iter().all(|(_, s)| is_parent(&s.host) && s.source == host("o")));
     assert!((10..100).contains(&fake.sent.len()), "{} sent at once", fake.sent.len());
@@ -387,7 +389,7 @@
     assert!(fake.finals.len() > 100, "the rest is told in time");
 }
 
-/// Where 60 objects go in a location of 17 dispatchers whose caches report so many pulls.
+/// Where 60 objects go in a location of 17 dispatchers whose caches report so many requests.
 fn hosts_under(at_a: f64, elsewhere: f64) -> Vec<HostId> {
     let mut fake = Fake::new(Terms { zone_dispatchers: vec![17, 0], ..terms() }, usual());
     (fake.at_a, fake.elsewhere, fake.took) = (at_a, elsewhere, 20);
@@ -418,7 +420,7 @@
     let wide = |line: Listed| Listed { weight: 500.0, ..line };
     let mut fake = Fake::new(terms(), usual().into_iter().map(wide).collect());
     for object in 0..200 {
-        fake.pull(0, object);
+        fake.request(0, object);
     }
     let fills = fake.sent.iter().filter(|(_, sent)| is_parent(&sent.source)).count();
     assert!((20..100).contains(&fills), "{fills} of 200 may be filled");
@@ -426,9 +428,9 @@
 }
 
 #[test]
-fn a_parent_that_cannot_be_reached_is_out_at_once_and_its_pull_goes_on_to_the_origin() {
+fn a_parent_that_cannot_be_reached_is_out_at_once_and_its_request_goes_on_to_the_origin() {
     let mut fake = Fake::new(terms(), usual());
-    let at = fake.pull(0, 1);
+    let at = fake.request(0, 1);
     let dead = fake.sent[at].1.source.clone();
     fake.end(at, Ending::TurnedAway, Told::SourceUnreached, 400);
     assert_eq!(fake.sent[at + 1].1.source, host("o"), "at once, without a pause");
@@ -441,10 +443,10 @@
 fn a_parent_that_refuses_is_full_and_its_objects_stay_with_it() {
     let no_origin: Vec<_> = usual().into_iter().filter(|line| line.role != Role::Origin).collect();
     let mut fake = Fake::new(terms(), no_origin);
-    let at = fake.pull(0, 1);
+    let at = fake.request(0, 1);
     let full = fake.sent[at].1.source.clone();
     assert!(is_parent(&full));
-    // Refused twice, the pull waits each time and asks the same parent again, not the other one.
+    // Refused twice, the request waits each time and asks the same parent again, not the other one.
     for refusals in 1..3 {
         fake.end(at + refusals - 1, Ending::TurnedAway, Told::SourceRefused, 20);
         assert_eq!(fake.sent.len(), at + refusals, "not at once");
@@ -457,9 +459,9 @@
 }
 
 #[test]
-fn a_full_parents_pull_goes_on_to_an_origin_that_is_well_and_the_parent_stays_in_use() {
+fn a_full_parents_request_goes_on_to_an_origin_that_is_well_and_the_parent_stays_in_use() {
     let mut fake = Fake::new(terms(), usual());
-    let at = fake.pull(0, 1);
+    let at = fake.request(0, 1);
     let full = fake.sent[at].1.source.clone();
     for object in 2..6 {
         fake.end(fake.sent.len() - 1, Ending::TurnedAway, Told::SourceRefused, 20);
@@ -468,7 +470,7 @@
         fake.end(fake.sent.len() - 1, Ending::Answered, Told::Filled, 20);
         let next = (object * 100..object * 100 + 40)
             .find(|object| fake.fill(*object, 100.0, Told::Filled, |_| 20) == full);
-        fake.pull(0, next.unwrap());
+        fake.request(0, next.unwrap());
         assert_eq!(fake.sent.last().unwrap().1.source, full);
     }
 }
@@ -477,11 +479,11 @@
 fn refusals_narrow_a_parents_window() {
     let mut fake = Fake::new(terms(), usual().into_iter().filter(|line| line.host != host("q")).collect());
     for object in 0..20 {
-        let at = fake.pull(0, object);
+        let at = fake.request(0, object);
         fake.end(at, Ending::TurnedAway, Told::SourceRefused, 20);
     }
     let before = fake.sent.len();
-    (100..110).for_each(|object| _ = fake.pull(0, object));
+    (100..110).for_each(|object| _ = fake.request(0, object));
     let fills = fake.sent[before..].iter().filter(|(_, sent)| is_parent(&sent.source)).count();
     assert!((1..4).contains(&fills), "{fills} of 10 fills at a parent that refused them all");
 }
@@ -492,15 +494,15 @@
     let sent_at_once = |slow: u64| {
         let mut fake = Fake::new(terms(), only_origin.clone());
         for object in 0..30 {
-            let at = fake.pull(0, object);
+            let at = fake.request(0, object);
             fake.pass(slow);
             fake.end(at, Ending::Answered, Told::Filled, 20);
         }
         let before = fake.sent.len();
-        (100..130).for_each(|object| _ = fake.pull(0, object));
+        (100..130).for_each(|object| _ = fake.request(0, object));
         fake.sent[before..].iter().filter(|(_, sent)| sent.source == host("o")).count()
     };
-    // A pull of 100 ms at an idle cache, with 20 ms to the first byte, is overdue after 390 ms.
+    // A request of 100 ms at an idle cache, with 20 ms to the first byte, is overdue after 390 ms.
     let (quick, slow) = (sent_at_once(100), sent_at_once(300));
     assert!(slow < 4 && quick > 12, "{quick} quick and {slow} slow fills at the origin");
 }
@@ -513,7 +515,7 @@
     let mut fetched_after = |waited: u64| {
         (first..first + 30).for_each(|n| _ = fake.fill(n, 100.0, Told::FilledThroughOrigin, |_| waited));
         let before = fake.sent.len();
-        (first + 100..first + 120).for_each(|object| _ = fake.pull(0, object));
+        (first + 100..first + 120).for_each(|object| _ = fake.request(0, object));
         let (leave, sent) = (fake.sent.len() - before, &fake.sent[before..]);
         let fetched = sent.iter().filter(|(_, sent)| is_parent(&sent.source) && !sent.only_held).count();
         (0..leave).for_each(|n| fake.end(before + n, Ending::Answered, Told::Held, 20));
@@ -532,22 +534,22 @@
 #[test]
 fn a_host_that_is_back_cold_before_an_attempt_is_written_does_not_get_it() {
     let mut fake = Fake::new(terms(), usual());
-    let at = fake.pull(0, 1);
+    let at = fake.request(0, 1);
     let (leg, sent) = fake.sent[at].clone();
     let now = fake.now;
-    assert!(fake.brain.clear(now, sent.pull, leg).is_some(), "it stands as long as nothing has changed");
+    assert!(fake.brain.clear(now, sent.request, leg).is_some(), "it stands as long as nothing has changed");
     for id in [&sent.host, &sent.source] {
         let was = usual().into_iter().find(|line| line.host == *id).unwrap();
         fake.list(vec![Listed { started: Some(now), ..was.clone() }]);
-        assert_eq!(fake.brain.clear(now, sent.pull, leg), None, "{id:?} is another process");
+        assert_eq!(fake.brain.clear(now, sent.request, leg), None, "{id:?} is another process");
         fake.list(vec![was]);
     }
 }
 
 #[test]
-fn a_pull_without_room_bounces_once_a_full_cache_could_not_answer_it_in_time() {
+fn a_request_without_room_bounces_once_a_full_cache_could_not_answer_it_in_time() {
     let mut fake = Fake::new(terms(), Vec::new());
-    fake.pull(0, 1);
+    fake.request(0, 1);
     fake.pass(450);
     assert!(fake.finals.is_empty(), "of 700 ms there are 250 left, at a full cache it takes 200");
     fake.pass(130);
@@ -555,13 +557,13 @@
 }
 
 #[test]
-fn no_pull_outlasts_the_end_of_the_process_it_was_told_of() {
+fn no_request_outlasts_the_end_of_the_process_it_was_told_of() {
     let mut fake = Fake::new(terms(), usual());
-    fake.pull(0, 1);
+    fake.request(0, 1);
     let now = fake.now;
     let decisions = fake.brain.ends_at(now, now + Span::from_ms(300));
     assert_eq!(decisions.finals, []);
-    fake.pull(0, 2);
+    fake.request(0, 2);
     fake.pass(299);
     assert_eq!(fake.finals.len(), 2, "each is answered before the end");
 }
@@ -569,7 +571,7 @@
 #[test]
 fn no_parent_pays_for_a_cache_that_was_cut_off_midway() {
     let mut fake = Fake::new(terms(), usual());
-    let one = fake.pull(0, 1);
+    let one = fake.request(0, 1);
     let (cache, parent) = (fake.sent[one].1.host.clone(), fake.sent[one].1.source.clone());
     let answer_elsewhere = |fake: &mut Fake, from: usize| {
         let elsewhere = |at: &usize| fake.sent[*at].1.host != cache;
@@ -578,7 +580,7 @@
         fake.sent.len()
     };
     for object in 2..20 {
-        fake.pull(0, object);
+        fake.request(0, object);
     }
     let through = |(_, sent): &&(Leg, HandOff)| sent.host == cache && sent.source == parent;
     assert!(fake.sent.iter().filter(through).count() > 3, "enough to put the parent out, were it blamed");
@@ -591,7 +593,7 @@
     }
     let before = fake.sent.len();
     for object in 100..140 {
-        fake.pull(0, object);
+        fake.request(0, object);
         seen = answer_elsewhere(&mut fake, seen);
     }
     assert!(fake.sent[before..].iter().any(|(_, sent)| sent.source == parent), "the parent stays in use");
@@ -599,22 +601,23 @@
 }
 
 #[test]
-fn what_was_decided_but_not_picked_has_no_use_once_a_pull_is_answered_or_its_client_has_left() {
+fn what_was_decided_but_not_picked_has_no_use_once_a_request_is_answered_or_its_client_has_left() {
     for answered in [true, false] {
         let now = Time::at_ms(100_000.0);
         let mut facade = Facade::start(now, 7, terms());
         facade.report(now, News::Hosts(Coverage::Whole, usual()));
-        let (pull, hard_stop, group) = (PullId(1), now + Span::from_ms(900), GroupId(1));
+        let (request, hard_stop, group) = (RequestId(1), now + Span::from_ms(900), GroupId(1));
         let (workload, object, size_kb) = (WorkloadId(0), ObjectId(1), Some(100.0));
-        let asked = Pull { id: pull, workload, object, part: 0, group, size_kb, hard_stop, again: false };
-        assert_eq!(facade.report(now, News::Arrived(asked)), [pull]);
-        let Step::HandOff(leg, sent) = facade.pick(pull) else { panic!("it is handed off") };
+        let asked =
+            Request { id: request, workload, object, part: 0, group, size_kb, hard_stop, again: false };
+        assert_eq!(facade.report(now, News::Arrived(asked)), [request]);
+        let Step::HandOff(leg, sent) = facade.pick(request) else { panic!("it is handed off") };
         let late = now + Span::from_ms(899);
-        assert_eq!(facade.tick(late), [pull], "given up, but nobody has asked yet");
+        assert_eq!(facade.tick(late), [request], "given up, but nobody has asked yet");
         let (ending, closed, told, took) = (Ending::Answered, true, Told::Held, Span::from_ms(899));
         let host = sent.host;
         let ended = Ended {
-            pull,
+            request,
             leg,
             host,
             ending,
@@ -624,8 +627,8 @@
             waited: None,
             report: LoadReport::default(),
         };
-        facade.report(late, if answered { News::Ended(ended) } else { News::Left(pull) });
-        assert_eq!((facade.pick(pull), facade.pick(pull)), (Step::TakeBack(leg), Step::Wait));
+        facade.report(late, if answered { News::Ended(ended) } else { News::Left(request) });
+        assert_eq!((facade.pick(request), facade.pick(request)), (Step::TakeBack(leg), Step::Wait));
     }
 }
 
@@ -640,24 +643,24 @@
     assert!(facade.due().is_some_and(|due| due > late), "the brain has named its next time to the report");
 }
 
-/// A location where no second copy may be out, and no pull tells its size.
+/// A location where no second copy may be out, and no request tells its size.
 fn single() -> Terms {
     Terms { may_duplicate: false, ..terms() }
 }
 
 #[test]
-fn without_second_copies_a_silent_cache_loses_its_pull_and_a_slow_one_keeps_it() {
+fn without_second_copies_a_silent_cache_loses_its_request_and_a_slow_one_keeps_it() {
     let mut fake = Fake::new(single(), usual());
-    let at = fake.pull(0, 1);
+    let at = fake.request(0, 1);
     let cache = fake.sent[at].1.host.clone();
     fake.pass(1500);
     assert_eq!(fake.sent.len(), 1, "never two at once");
-    assert_eq!(fake.cancels, vec![Cancel { pull: fake.sent[at].1.pull, leg: Leg(0) }]);
+    assert_eq!(fake.cancels, vec![Cancel { request: fake.sent[at].1.request, leg: Leg(0) }]);
     fake.end(at, Ending::Cancelled, Told::Nothing, 0);
     assert_ne!(fake.sent[1].1.host, cache, "at once, elsewhere");
 
     let mut fake = Fake::new(single(), usual());
-    let at = fake.pull(0, 1);
+    let at = fake.request(0, 1);
     assert!(fake.sent[at].1.allow >= Span::from_ms(3900), "no time-out cuts off what is only large");
     for _ in 0..30 {
         fake.pass(100);
@@ -692,10 +695,10 @@
     assert!(fake.looks.windows(2).all(|pair| pair[0] != pair[1]), "each in its turn");
     assert!(fake.looks.iter().all(|id| [host("a"), host("bb")].contains(id)), "no parent, not the origin");
     fake.seen("a", Some(30.0));
-    let at = fake.pull(0, 1);
+    let at = fake.request(0, 1);
     assert_eq!(fake.sent[at].1.source, fake.sent[at].1.host, "the link is full: only a hit is asked for");
     fake.pass(2100);
-    let at = fake.pull(0, 2);
+    let at = fake.request(0, 2);
     assert_ne!(fake.sent[at].1.source, fake.sent[at].1.host, "an old report says nothing");
 
     let mut fake = Fake::new(terms(), usual());
@@ -709,7 +712,7 @@
     let at_a = |fake: &mut Fake, took: u64| {
         let mut there = 0;
         for object in 0..100 {
-            let at = fake.pull(0, object);
+            let at = fake.request(0, object);
             let slow = fake.sent[at].1.host == host("a");
             there += u32::from(slow);
             fake.end_after(at, Ending::Answered, Told::Held, if slow { took } else { 100 });
@@ -729,11 +732,11 @@
     let fills_after = |took: u64| {
         let mut fake = Fake::new(Terms { tells_link: false, ..single() }, usual());
         for object in 0..20 {
-            let at = fake.pull(0, object);
+            let at = fake.request(0, object);
             fake.end_after(at, Ending::Answered, Told::Filled, took);
         }
         let before = fake.sent.len();
-        (100..140).for_each(|object| _ = fake.pull(0, object));
+        (100..140).for_each(|object| _ = fake.request(0, object));
         fake.sent[before..].iter().filter(|(_, sent)| sent.source != sent.host).count()
     };
     assert_eq!(fills_after(900), 0, "fills take nine times the sending time: only hits are asked for");
@@ -749,14 +752,14 @@
 }
 
 #[test]
-fn one_overdue_pull_that_nobody_else_waits_behind_proves_no_silence() {
+fn one_overdue_request_that_nobody_else_waits_behind_proves_no_silence() {
     let mut fake = Fake::new(single(), usual());
-    let at = fake.pull(0, 1);
+    let at = fake.request(0, 1);
     fake.pass(700);
     assert_eq!(fake.cancels, [], "it was due after 650 ms, and may be large");
     let cache = fake.sent[at].1.host.clone();
     let next = (2..40).find(|object| {
-        fake.pull(0, *object);
+        fake.request(0, *object);
         fake.sent.last().unwrap().1.host == cache
     });
     assert!(next.is_some());
@@ -770,15 +773,15 @@
     let ageing = |of: &Workload| Workload { fresh: Some(fresh), older, ..of.clone() };
     let mut fake =
         Fake::new(Terms { workloads: terms().workloads.iter().map(ageing).collect(), ..terms() }, usual());
-    let at = fake.pull(0, 1);
+    let at = fake.request(0, 1);
     assert_eq!(fake.sent[at].1.oldest, None, "a miss would be filled: the workload's fresh time");
     fake.end_with(at, Ending::Answered, Told::Held, 0, Some(30.0));
-    let at = fake.pull(0, 2);
+    let at = fake.request(0, 2);
     assert_eq!(fake.sent[at].1.source, fake.sent[at].1.host, "the link is full");
     assert_eq!(fake.sent[at].1.oldest, Some(Span::from_ms(28_000)));
     let made = fake.now - Span::from_ms(40);
     fake.brain.purge(fake.now, Some(ObjectId(3)), GroupId(3), made);
-    let at = fake.pull(0, 3);
+    let at = fake.request(0, 3);
     assert_eq!(fake.sent[at].1.oldest, Some(Span::from_ms(39)));
 }
 
@@ -787,13 +790,13 @@
     let wide = |line: Listed| Listed { weight: 500.0, ..line };
     let hosts = usual().into_iter().filter(|line| line.host != host("q"));
     let mut fake = Fake::new(terms(), hosts.map(wide).collect());
-    (0..60).for_each(|object| _ = fake.pull(0, object));
+    (0..60).for_each(|object| _ = fake.request(0, object));
     let at = |name: &str| fake.sent.iter().filter(|(_, sent)| sent.source == host(name)).count();
     assert_eq!((at("p"), at("o")), (24, 24), "its window first, then the origin's, then only hits");
 }
 
 #[test]
-fn pulls_that_wait_for_slow_fills_are_not_taken_for_work_that_a_cache_does() {
+fn requests_that_wait_for_slow_fills_are_not_taken_for_work_that_a_cache_does() {
     let moved_with = |busy: f64| {
         let mut fake = Fake::new(Terms { zone_dispatchers: vec![17, 0], ..single() }, usual());
         (fake.at_a, fake.busy) = (14.0, Some(busy));
