--- a/crates/flaxdeck-adapter/src/wire.rs
+++ b/crates/flaxdeck-adapter/src/wire.rs
@@ -135,7 +135,7 @@
             }
             "Resolved" => {
                 let ended = seat.ended(fields)?;
-                seat.brain.hand_off_ended(now, ended)
+                seat.brain.attempt_ended(now, ended)
             }
             "Outdated" => {
                 let object = fields.whole_or_none("key")?.filter(|key| *key != 0).map(ObjectId);
@@ -218,7 +218,7 @@
     fn ended(&self, fields: &Fields) -> Result<Ended, String> {
         Ok(Ended {
             request: RequestId(fields.whole("request_id")?),
-            leg: Leg(fields.whole("leg")? as u32),
+            index: AttemptIndex(fields.whole("leg")? as u32),
             host: HostId(fields.text("host")?.into()),
             ending: match fields.text("reason")? {
                 "S" => Ending::Answered,
@@ -244,9 +244,9 @@
 fn encode(who: &str, now: Time, decisions: Decisions, reply: &mut Vec<Value>) {
     for cancel in decisions.cancels {
         reply.push(json!({"event_type": "UndoSend", "who": who, "request_id": cancel.request.0,
-            "leg": cancel.leg.0}));
+            "leg": cancel.index.0}));
     }
-    for sent in decisions.hand_offs {
+    for sent in decisions.attempts {
         let bits = u8::from(sent.join) + 2 * u8::from(sent.only_held) + 8 * u8::from(sent.renew);
         let mut action = json!({"event_type": "Obtain", "who": who, "request_id": sent.request.0,
             "host": &*sent.host.0, "miss_from": &*sent.source.0, "allow_for_ms": sent.allow.ms(),
--- a/crates/flaxdeck-cli/src/compare.rs
+++ b/crates/flaxdeck-cli/src/compare.rs
@@ -36,8 +36,8 @@
         out.requests, out.finished, out.bounced, out.forfeited
     );
     println!(
-        "hand-offs {}, hits {}, fills at parents {}, at the origin {}, hosts fallen over {}",
-        out.hand_offs, out.hits, out.parent_fills, out.origin_fills, out.fell_over
+        "attempts {}, hits {}, fills at parents {}, at the origin {}, hosts fallen over {}",
+        out.attempts, out.hits, out.parent_fills, out.origin_fills, out.fell_over
     );
     println!(
         "{} events in {took:.2} s, {:.0} requests a second; digest {:016x}",
--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -80,7 +80,7 @@
     /// Play the same day with planners and without, side by side, on loopback
     ///
     /// A cache starts cold, a parent fails for a while; load is uneven between the forwarders. Prints a table with a
-    /// row for each run: share in time, fills at the origin, use of the cold cache, hand-offs to the failed parent,
+    /// row for each run: share in time, fills at the origin, use of the cold cache, attempts to the failed parent,
     /// bytes between the levels, rules broken. Each run takes about 25 seconds.
     Levels {
         /// Numbers of forwarders to play
--- a/crates/flaxdeck-dispatcher/src/protocol/pool.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to hosts. Each hand-off has a connection of its own while it is out, so that no large answer
+//! Connections to hosts. Each attempt has a connection of its own while it is out, so that no large answer
 //! holds up a small one and giving one up disturbs no other; afterwards the connection is kept for the next.
 
 use std::cell::{Cell, RefCell};
@@ -93,7 +93,7 @@
     kept: RefCell<BTreeMap<HostId, Kept>>,
 }
 
-/// A hand-off that is out. Dropped before its answer has come, it is given up.
+/// An attempt that is out. Dropped before its answer has come, it is given up.
 struct Open<'a> {
     pool: &'a Rc<Pool>,
     host: &'a HostId,
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -58,7 +58,7 @@
     clock: Clock,
     facade: RefCell<Facade>,
     table: RefCell<BTreeMap<RequestId, Rc<Seat>>>,
-    /// What clients call the requests whose hand-offs are not all over.
+    /// What clients call the requests whose attempts are not all over.
     ids: RefCell<BTreeSet<Bytes>>,
     names: Rc<Names>,
     zone: ZoneId,
@@ -165,8 +165,8 @@
     }
 
     /// Whether an attempt may still be sent, and what it may ask for by now.
-    fn clear(&self, request: RequestId, leg: Leg) -> Option<Clearance> {
-        self.facade.borrow_mut().clear(self.clock.now(), request, leg)
+    fn clear(&self, request: RequestId, index: AttemptIndex) -> Option<Clearance> {
+        self.facade.borrow_mut().clear(self.clock.now(), request, index)
     }
 
     fn has_id(&self, id: &Bytes) -> bool {
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -16,9 +16,9 @@
 use flaxdeck_net::tally::{Count, count, must};
 use flaxdeck_wire::{Answer, Asked, Outcome, Wish};
 
-/// A hand-off that is out.
+/// An attempt that is out.
 struct Out {
-    leg: Leg,
+    index: AttemptIndex,
     host: HostId,
     sent: Instant,
     /// Something of it may have been written.
@@ -36,7 +36,7 @@
     /// Until the request has its answer.
     reply: Option<Reply>,
     out: Vec<Out>,
-    tasks: JoinSet<(Leg, (Outcome, Option<Place>))>,
+    tasks: JoinSet<(AttemptIndex, (Outcome, Option<Place>))>,
 }
 
 impl Router {
@@ -96,8 +96,8 @@
             tokio::select! {
                 () = self.seat.stir.notified() => {}
                 Some(ended) = self.tasks.join_next() => {
-                    if let Ok((leg, (outcome, held))) = ended {
-                        self.ended(leg, outcome, held);
+                    if let Ok((index, (outcome, held))) = ended {
+                        self.ended(index, outcome, held);
                     }
                 }
             }
@@ -136,8 +136,8 @@
     fn steps(&mut self) {
         loop {
             match self.router.pick(self.id) {
-                Step::HandOff(leg, hand_off) => self.hand_off(leg, hand_off),
-                Step::TakeBack(leg) => self.take_back(leg),
+                Step::Attempt(index, attempt) => self.attempt(index, attempt),
+                Step::TakeBack(index) => self.take_back(index),
                 Step::Bounce(come_back) => self.answer(Answer::Bounced(come_back), None),
                 Step::Forfeit => self.answer(Answer::Forfeited, None),
                 Step::Wait => return,
@@ -145,51 +145,51 @@
         }
     }
 
-    fn hand_off(&mut self, leg: Leg, hand_off: HandOff) {
+    fn attempt(&mut self, index: AttemptIndex, attempt: Attempt) {
         must(self.reply.is_some(), "nothing is handed off for a request that is over");
-        count(Count::hand_offs);
-        let (to, from, allow) = (&hand_off.host.0, &hand_off.source.0, hand_off.allow.ms());
-        log::debug!("request {} leg {} to {to} filled from {from} within {allow} ms", self.id.0, leg.0);
-        let (router, asked, host) = (self.router.clone(), self.asked.clone(), hand_off.host.clone());
-        let (id, until) = (self.id, Instant::now() + length(hand_off.allow));
+        count(Count::attempts);
+        let (to, from, allow) = (&attempt.host.0, &attempt.source.0, attempt.allow.ms());
+        log::debug!("request {} attempt {} to {to} filled from {from} within {allow} ms", self.id.0, index.0);
+        let (router, asked, host) = (self.router.clone(), self.asked.clone(), attempt.host.clone());
+        let (id, until) = (self.id, Instant::now() + length(attempt.allow));
         let begun = Rc::new(Cell::new(false));
         let begins = begun.clone();
         let task = self.tasks.spawn_local(async move {
             let clear = || {
-                let Clearance { oldest, sent_by } = router.clear(id, leg)?;
+                let Clearance { oldest, sent_by } = router.clear(id, index)?;
                 let waits = until.checked_duration_since(Instant::now())?;
                 let wish = Wish {
                     class: &router.names.workloads[asked.workload.0],
                     waits: Span::of_ms(waits.as_secs_f64() * 1000.0),
-                    source: Some(&hand_off.source).filter(|source| **source != hand_off.host),
-                    keep: hand_off.keep,
-                    fresh: hand_off.fresh,
+                    source: Some(&attempt.source).filter(|source| **source != attempt.host),
+                    keep: attempt.keep,
+                    fresh: attempt.fresh,
                     oldest,
-                    join: hand_off.join,
-                    only_held: hand_off.only_held,
-                    renew: hand_off.renew,
+                    join: attempt.join,
+                    only_held: attempt.only_held,
+                    renew: attempt.renew,
                 };
                 Some((wish, until.min(router.clock.instant(sent_by))))
             };
-            (leg, router.pool.ask(&hand_off.host, &asked, until, clear, &begins).await)
+            (index, router.pool.ask(&attempt.host, &asked, until, clear, &begins).await)
         });
-        self.out.push(Out { leg, host, sent: Instant::now(), begun, task });
+        self.out.push(Out { index, host, sent: Instant::now(), begun, task });
     }
 
-    fn take_back(&mut self, leg: Leg) {
-        if let Some(at) = self.out.iter().position(|out| out.leg == leg) {
+    fn take_back(&mut self, index: AttemptIndex) {
+        if let Some(at) = self.out.iter().position(|out| out.index == index) {
             count(Count::taken_back);
             let Out { host, sent, task, .. } = self.out.remove(at);
             task.abort();
             // Guards against a request that waits for ever for the end of what it took back itself.
             if self.reply.is_some() {
-                self.report_end(leg, host, sent, Outcome::bare(Ending::Cancelled));
+                self.report_end(index, host, sent, Outcome::bare(Ending::Cancelled));
             }
         }
     }
 
-    fn ended(&mut self, leg: Leg, outcome: Outcome, held: Option<Place>) {
-        let Some(at) = self.out.iter().position(|out| out.leg == leg) else { return };
+    fn ended(&mut self, index: AttemptIndex, outcome: Outcome, held: Option<Place>) {
+        let Some(at) = self.out.iter().position(|out| out.index == index) else { return };
         let Out { host, sent, .. } = self.out.remove(at);
         // Guards against a client that keeps an old copy: one that is not named by its own tag is no answer, and
         // from then on the whole object is asked for.
@@ -203,18 +203,18 @@
             let body = outcome.body.clone();
             self.answer(if outcome.unchanged { Answer::Unchanged } else { Answer::Finished(body) }, held);
         }
-        self.report_end(leg, host, sent, outcome);
+        self.report_end(index, host, sent, outcome);
     }
 
-    fn report_end(&self, leg: Leg, host: HostId, sent: Instant, outcome: Outcome) {
+    fn report_end(&self, index: AttemptIndex, host: HostId, sent: Instant, outcome: Outcome) {
         let Outcome { ending, told, waited, report, .. } = outcome;
         let link = report.link;
-        log::debug!("request {} leg {} at {}: {ending:?} {told:?} {link:?}", self.id.0, leg.0, host.0);
+        log::debug!("request {} attempt {} at {}: {ending:?} {told:?} {link:?}", self.id.0, index.0, host.0);
         let (request, closed) = (self.id, self.reply.is_none());
         let took = Span::of_ms(sent.elapsed().as_secs_f64() * 1000.0);
         self.router.report(News::Ended(Ended {
             request,
-            leg,
+            index,
             host,
             ending,
             took,
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -103,7 +103,7 @@
         facade.report(start, News::Hosts(Coverage::Whole, hosts));
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let mut open: BTreeMap<RequestId, (Time, u32)> = BTreeMap::new();
-        let mut out: Vec<(Time, RequestId, Leg, HostId)> = Vec::new();
+        let mut out: Vec<(Time, RequestId, AttemptIndex, HostId)> = Vec::new();
         let deadlines: Vec<f64> =
             (0..classes).map(|at| settings["request_classes"][at]["deadline_ms"].as_f64().unwrap()).collect();
         let (mut now, mut next) = (start, 0);
@@ -126,21 +126,21 @@
                 loop {
                     match facade.pick(id) {
                         Step::Wait => break,
-                        Step::HandOff(leg, hand_off) => {
+                        Step::Attempt(index, attempt) => {
                             assert!(open.contains_key(&id), "seed {seed}: sent on after its end");
                             out.push((
                                 now + Span::of_ms(chance.random_range(1.0..400.0)),
                                 id,
-                                leg,
-                                hand_off.host,
+                                index,
+                                attempt.host,
                             ));
                         }
-                        Step::TakeBack(leg) => {
+                        Step::TakeBack(index) => {
                             assert!(cancels, "seed {seed}: cancelled where that is not allowed");
-                            out.retain(|(_, of, at, _)| (*of, *at) != (id, leg));
+                            out.retain(|(_, of, at, _)| (*of, *at) != (id, index));
                             if open.contains_key(&id) {
                                 let host = HostId("s-0000ca00".into());
-                                facade.report(now, News::Ended(end(id, leg, host, Ending::Cancelled)));
+                                facade.report(now, News::Ended(end(id, index, host, Ending::Cancelled)));
                             }
                         }
                         Step::Bounce(_) | Step::Forfeit => {
@@ -151,7 +151,7 @@
                     }
                 }
             }
-            for (_, id, leg, host) in out.extract_if(.., |(at, ..)| *at <= now).collect::<Vec<_>>() {
+            for (_, id, index, host) in out.extract_if(.., |(at, ..)| *at <= now).collect::<Vec<_>>() {
                 let ending = [
                     Ending::Answered,
                     Ending::Errored,
@@ -167,7 +167,7 @@
                     if ending == Ending::Answered {
                         open.remove(&id);
                     }
-                    facade.report(now, News::Ended(end(id, leg, host, ending)));
+                    facade.report(now, News::Ended(end(id, index, host, ending)));
                 }
             }
             now = now + Span::of_ms(1.0);
@@ -176,9 +176,9 @@
     }
 }
 
-fn end(request: RequestId, leg: Leg, host: HostId, ending: Ending) -> Ended {
+fn end(request: RequestId, index: AttemptIndex, host: HostId, ending: Ending) -> Ended {
     let (took, told, report) = (Span::of_ms(5.0), Told::Nothing, LoadReport::default());
-    Ended { request, leg, host, ending, took, closed: false, told, waited: None, report }
+    Ended { request, index, host, ending, took, closed: false, told, waited: None, report }
 }
 
 // The real process under some of them: each class gets its answers in time, and a planned end is one.
--- a/crates/flaxdeck-dispatcher/tests/sockets.rs
+++ b/crates/flaxdeck-dispatcher/tests/sockets.rs
@@ -77,7 +77,7 @@
     }
 }
 
-// What is known of how a hand-off ended decides whether an at-most-once request may be sent again or bounced.
+// What is known of how an attempt ended decides whether an at-most-once request may be sent again or bounced.
 #[test]
 fn an_at_most_once_request_is_sent_again_or_bounced_only_if_nothing_ran() {
     let rows = [
@@ -498,7 +498,7 @@
 }
 
 #[test]
-fn a_planned_end_with_a_hand_off_still_out_ends_well() {
+fn a_planned_end_with_an_attempt_still_out_ends_well() {
     let mut world = World::with(1, |config| config["settings"]["allowed"]["cancel"] = false.into());
     world.caches[0].set(Manner::Silent);
     let mut client = world.client();
--- a/crates/flaxdeck-dispatcher/tests/world/mod.rs
+++ b/crates/flaxdeck-dispatcher/tests/world/mod.rs
@@ -439,7 +439,7 @@
         let mut client = make();
         client.request("page", &key(n), 7000, b"").unwrap();
         let decided = |cache: &str| {
-            let words = [&*format!("request {n} leg 0 to"), cache];
+            let words = [&*format!("request {n} attempt 0 to"), cache];
             world.log.lock().unwrap().iter().any(|line| words.iter().all(|word| line.contains(word)))
         };
         wait_for("decided", || decided("to s-0000ca00") || decided("to s-0000ca01"));
--- a/crates/flaxdeck-fleet/src/model.rs
+++ b/crates/flaxdeck-fleet/src/model.rs
@@ -17,7 +17,7 @@
 use crate::hosts::Host;
 use crate::queue::Queue;
 use crate::traffic::Traffic;
-use attempts::Attempt;
+use attempts::OpenAttempt;
 use clients::Want;
 use coordinator::CoordinatorEvent;
 use events::Event;
@@ -60,7 +60,7 @@
     planners: Vec<Planner>,
     sites: Vec<Site>,
     wants: Vec<Want>,
-    attempts: HashMap<u64, Attempt>,
+    attempts: HashMap<u64, OpenAttempt>,
     /// The want of each request.
     requests: HashMap<u64, u64>,
     /// The next number of a request or an attempt.
--- a/crates/flaxdeck-fleet/src/model/attempts.rs
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -9,7 +9,7 @@
 
 /// One request handed to one host.
 #[derive(Clone)]
-pub(super) struct Attempt {
+pub(super) struct OpenAttempt {
     pub(super) forwarder: usize,
     /// The forwarder's run.
     pub(super) run: u32,
@@ -89,12 +89,12 @@
             self.hand_out(&attempt);
         }
         let ended = self.end_as_told(&attempt, ending);
-        let decisions = self.forwarders[attempt.forwarder].engine.hand_off_ended(time(self.now), ended);
+        let decisions = self.forwarders[attempt.forwarder].engine.attempt_ended(time(self.now), ended);
         self.decide(attempt.forwarder, decisions);
     }
 
     /// A forwarder hands an attempt's answer to the client.
-    fn hand_out(&mut self, attempt: &Attempt) {
+    fn hand_out(&mut self, attempt: &OpenAttempt) {
         self.outcome.hits += u64::from(attempt.told == Told::Held);
         let want = &self.wants[attempt.want as usize];
         if !want.write && want.out.is_some() {
@@ -105,13 +105,13 @@
     }
 
     /// An attempt's end as its forwarder's decision engine learns of it.
-    fn end_as_told(&self, attempt: &Attempt, ending: Ending) -> Ended {
+    fn end_as_told(&self, attempt: &OpenAttempt, ending: Ending) -> Ended {
         let host = &self.hosts[attempt.host];
         let answered = ending == Ending::Answered;
         let over_link = answered && host.kind == Kind::Cache;
         Ended {
             request: attempt.request,
-            leg: Leg(attempt.index),
+            index: AttemptIndex(attempt.index),
             host: HostId(host.id.as_str().into()),
             ending,
             took: Span::of_ms(self.now - attempt.sent),
--- a/crates/flaxdeck-fleet/src/model/decisions.rs
+++ b/crates/flaxdeck-fleet/src/model/decisions.rs
@@ -3,7 +3,7 @@
 use flaxdeck::words::*;
 use flaxdeck_rules::Answer;
 
-use super::attempts::Attempt;
+use super::attempts::OpenAttempt;
 use super::events::Event;
 use super::{Model, ms};
 
@@ -11,7 +11,7 @@
     /// Carries out decisions: cancellations first, then attempts, answers, and the next waking.
     pub(super) fn decide(&mut self, n: usize, decisions: Decisions) {
         decisions.cancels.into_iter().for_each(|cancel| self.cancel(&cancel));
-        decisions.hand_offs.into_iter().for_each(|attempt| self.begin_attempt(n, &attempt));
+        decisions.attempts.into_iter().for_each(|attempt| self.begin_attempt(n, &attempt));
         for last in decisions.finals {
             match last {
                 Final::Bounced { request, come_back: retry_after } => {
@@ -31,14 +31,14 @@
         let Some(want) = self.requests.get(&cancel.request.0) else { return };
         for id in &self.wants[*want as usize].attempts {
             let Some(attempt) = self.attempts.get_mut(id) else { continue };
-            if (attempt.request, attempt.index) == (cancel.request, cancel.leg.0) {
+            if (attempt.request, attempt.index) == (cancel.request, cancel.index.0) {
                 attempt.ending = Some(Ending::Cancelled);
             }
         }
     }
 
     /// A forwarder sends a request to a host.
-    fn begin_attempt(&mut self, n: usize, decided: &HandOff) {
+    fn begin_attempt(&mut self, n: usize, decided: &Attempt) {
         let run = self.forwarders[n].run;
         let Some(open) = self.forwarders[n].open.get_mut(&decided.request) else { return };
         let (want, index) = (open.want, open.attempts);
@@ -46,7 +46,7 @@
         let host = self.names[&*decided.host.0];
         let source = self.names[&*decided.source.0];
         let id = self.number();
-        let attempt = Attempt {
+        let attempt = OpenAttempt {
             forwarder: n,
             run,
             request: decided.request,
@@ -65,7 +65,7 @@
             made: self.now,
             through: None,
         };
-        self.outcome.hand_offs += 1;
+        self.outcome.attempts += 1;
         self.attempts.insert(id, attempt);
         self.wants[want as usize].attempts.push(id);
         self.after(self.distance(host), Event::AtHost { attempt: id });
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -54,7 +54,7 @@
         may_duplicate: true,
         may_name_return: true,
         longest_return: Span::from_ms(2_000),
-        most_hand_offs: 6,
+        most_attempts: 6,
         cold_from: shape.cold_from,
         warm_within: Span::of_ms(shape.warm_within_ms),
         overload_factor: shape.factor,
--- a/crates/flaxdeck-fleet/src/outcome.rs
+++ b/crates/flaxdeck-fleet/src/outcome.rs
@@ -22,7 +22,7 @@
     /// Requests that failed.
     pub forfeited: u64,
     /// Attempts at hosts.
-    pub hand_offs: u64,
+    pub attempts: u64,
     /// Attempts answered from a host's own copy.
     pub hits: u64,
     /// Fills that caches asked parents for.
--- a/crates/flaxdeck-fleet/tests/days.rs
+++ b/crates/flaxdeck-fleet/tests/days.rs
@@ -29,7 +29,7 @@
         let out = run(&Shape { planners, ..shape() }, 1);
         kept(&out, "calm");
         assert!(out.gain() > 0.97, "{out:?}");
-        assert!(out.hits * 2 > out.hand_offs, "{out:?}");
+        assert!(out.hits * 2 > out.attempts, "{out:?}");
     }
 }
 
--- a/crates/flaxdeck-guidance/examples/size.rs
+++ b/crates/flaxdeck-guidance/examples/size.rs
@@ -137,7 +137,7 @@
         may_duplicate: true,
         may_name_return: true,
         longest_return: Span::from_ms(1000),
-        most_hand_offs: 6,
+        most_attempts: 6,
         cold_from: 0.2,
         warm_within: Span::from_ms(60_000),
         overload_factor: 2.0,
@@ -208,11 +208,11 @@
             again: false,
         };
         let begun = Instant::now();
-        let offs = brain.request(now, request).hand_offs;
-        for (leg, off) in offs.into_iter().enumerate() {
+        let offs = brain.request(now, request).attempts;
+        for (index, off) in offs.into_iter().enumerate() {
             let ended = Ended {
                 request: off.request,
-                leg: Leg(leg as u32),
+                index: AttemptIndex(index as u32),
                 host: off.host,
                 ending: Ending::Answered,
                 took: Span::from_ms(5),
@@ -221,7 +221,7 @@
                 waited: None,
                 report: LoadReport::default(),
             };
-            brain.hand_off_ended(now, ended);
+            brain.attempt_ended(now, ended);
         }
         spent += begun.elapsed().as_secs_f64();
     }
--- a/crates/flaxdeck-guidance/src/messages.rs
+++ b/crates/flaxdeck-guidance/src/messages.rs
@@ -75,7 +75,7 @@
     pub lends: Parts,
     /// Would be used at once beside the own share.
     pub wishes: Parts,
-    /// Hand-offs out at the host.
+    /// Attempts out at the host.
     pub in_hand: u16,
 }
 
@@ -131,7 +131,7 @@
     pub life: Life,
     /// Others wish for more than is their own: worth lending.
     pub wanted: bool,
-    /// Hand-offs that others have out there.
+    /// Attempts that others have out there.
     pub others: u32,
 }
 
@@ -146,7 +146,7 @@
     pub down_ago_ms: Option<u32>,
     /// How long ago somebody last succeeded.
     pub good_ago_ms: Option<u32>,
-    /// How many hand-offs one forwarder should have out there at most, while it is weak.
+    /// How many attempts one forwarder should have out there at most, while it is weak.
     pub window: Option<u16>,
 }
 
--- a/crates/flaxdeck-guidance/src/pool.rs
+++ b/crates/flaxdeck-guidance/src/pool.rs
@@ -150,13 +150,13 @@
         level
     }
 
-    /// A forwarder has so many hand-offs out there.
+    /// A forwarder has so many attempts out there.
     pub fn has_out(&mut self, now: Time, who: Epoch, in_hand: u16) {
         let before = self.in_hand.insert(who, (in_hand, now)).map_or(0, |(before, _)| before);
         self.all_in_hand = self.all_in_hand + u32::from(in_hand) - u32::from(before);
     }
 
-    /// Hand-offs that others have out there, as they said lately.
+    /// Attempts that others have out there, as they said lately.
     pub fn others_have_out(&self, than: Epoch) -> u32 {
         self.all_in_hand - self.in_hand.get(&than).map_or(0, |(own, _)| u32::from(*own))
     }
--- a/crates/flaxdeck-guidance/src/ratings.rs
+++ b/crates/flaxdeck-guidance/src/ratings.rs
@@ -15,7 +15,7 @@
 const KEPT: usize = 4;
 /// The part of what all have out at a weak source that they are advised to have together.
 const NARROWED: f64 = 0.8;
-/// Hand-offs at a source that a forwarder's word of them counts for so long.
+/// Attempts at a source that a forwarder's word of them counts for so long.
 const IN_HAND_LASTS: Span = Span::from_ms(1_000);
 
 /// Of what a sample may tell: outside, it is nonsense.
@@ -56,7 +56,7 @@
     /// The latest failures of different forwarders, youngest first.
     failures: Vec<(Epoch, Time)>,
     good: Option<Time>,
-    /// Forwarders with hand-offs out there.
+    /// Forwarders with attempts out there.
     in_hand: Vec<(Epoch, u16, Time)>,
 }
 
--- a/crates/flaxdeck-lab/src/pairs.rs
+++ b/crates/flaxdeck-lab/src/pairs.rs
@@ -60,7 +60,7 @@
 const OTHERS: &[(&str, Read)] = &[
     ("in time", |out| out.in_time as f64 / out.wants.max(1) as f64),
     ("not lost", |out| 1.0 - out.lost as f64 / out.wants.max(1) as f64),
-    ("hits", |out| out.hits as f64 / out.hand_offs.max(1) as f64),
+    ("hits", |out| out.hits as f64 / out.attempts.max(1) as f64),
     ("spared origin", |out| -(out.origin_fills as f64) / out.wants.max(1) as f64),
 ];
 
--- a/crates/flaxdeck-net/src/tally.rs
+++ b/crates/flaxdeck-net/src/tally.rs
@@ -32,7 +32,7 @@
     forfeited,
     left,
     left_unsent,
-    hand_offs,
+    attempts,
     taken_back,
     superseded,
     hosts_connected,
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -127,17 +127,17 @@
         again: false,
     };
     let begun = Instant::now();
-    let attempts = engine.request(now, request).hand_offs;
+    let attempts = engine.request(now, request).attempts;
     for (index, attempt) in attempts.into_iter().enumerate() {
-        engine.hand_off_ended(now, hit(attempt, index as u32));
+        engine.attempt_ended(now, hit(attempt, index as u32));
     }
     begun.elapsed().as_secs_f64()
 }
 
-fn hit(attempt: HandOff, index: u32) -> Ended {
+fn hit(attempt: Attempt, index: u32) -> Ended {
     Ended {
         request: attempt.request,
-        leg: Leg(index),
+        index: AttemptIndex(index),
         host: attempt.host,
         ending: Ending::Answered,
         took: Span::from_ms(5),
@@ -190,7 +190,7 @@
         may_duplicate: true,
         may_name_return: true,
         longest_return: Span::from_ms(1_000),
-        most_hand_offs: 6,
+        most_attempts: 6,
         cold_from: 0.2,
         warm_within: Span::from_ms(60_000),
         overload_factor: 2.0,
--- a/crates/flaxdeck-terms/src/lib.rs
+++ b/crates/flaxdeck-terms/src/lib.rs
@@ -135,7 +135,7 @@
         may_duplicate: allowed.flag_or_false("may_duplicate")?,
         may_name_return: allowed.flag_or_false("retry_after")?,
         longest_return: allowed.span_or_zero("max_retry_after_ms")?,
-        most_hand_offs: allowed.number("max_attempts")? as u32,
+        most_attempts: allowed.number("max_attempts")? as u32,
         cold_from: rules.number("cold_from")?,
         warm_within: rules.span("warm_within_ms")?,
         overload_factor: rules.number("overload_factor")?,
--- a/crates/flaxdeck-wire/src/lib.rs
+++ b/crates/flaxdeck-wire/src/lib.rs
@@ -58,7 +58,7 @@
     Forfeited,
 }
 
-/// How a hand-off ended, with all that its answer tells.
+/// How an attempt ended, with all that its answer tells.
 #[derive(Debug, PartialEq)]
 pub struct Outcome {
     pub ending: Ending,
--- a/crates/flaxdeck-wire/src/lines.rs
+++ b/crates/flaxdeck-wire/src/lines.rs
@@ -13,7 +13,7 @@
 /// Bytes of an answer's first line; real ones have some 150.
 pub const HEAD_MOST: usize = 2048;
 
-/// What a hand-off asks of a host, beside the request itself.
+/// What an attempt asks of a host, beside the request itself.
 pub struct Wish<'a> {
     pub class: &'a str,
     pub waits: Span,
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -1,7 +1,7 @@
 //! Every decision of one dispatcher. A caller makes a [`Brain`] with `start` and tells it each fact by a
-//! call: `list`, `request`, `hand_off_ended`, `purge`, `guided`, `wake`, `client_left`, `ends_at`. Each call
-//! returns [`Decisions`], applied in the order of its fields: cancels, hand-offs, final answers, next wake.
-//! An answered hand-off is its request's final answer. The interface: `words.rs`; reasons: `docs/design.md`.
+//! call: `list`, `request`, `attempt_ended`, `purge`, `guided`, `wake`, `client_left`, `ends_at`. Each call
+//! returns [`Decisions`], applied in the order of its fields: cancels, attempts, final answers, next wake.
+//! An answered attempt is its request's final answer. The interface: `words.rs`; reasons: `docs/design.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,14 +37,14 @@
 const COLD_USE: f64 = 0.8; // share of the fall multiple that may be used: chance and late news take the rest
 const COLD_MOST: f64 = 1.6; // times its present capacity that a cold host is asked for: more is only queued
 const DOUBT: f64 = 8.0; // others from which on a report counts more than the own guess
-const WINDOW: f64 = 24.0; // hand-offs out at a source, or past the caches, at first: most end as hits
+const WINDOW: f64 = 24.0; // attempts out at a source, or past the caches, at first: most end as hits
 const NARROWED: f64 = 0.8; // left of that after a slow or failed one
 const SLOW: [f64; 2] = [0.85, 0.5]; // of overdue, past which a fill narrows a window; second, the origin's
 const SETTLED: f64 = 100.0; // samples after which a mean size is trusted and follows slowly
 // Time.
 const SLACK: Span = Span::from_ms(150); // added to an expected time before it counts as overdue: far trips
 const OVERDUE: f64 = 2.0; // times the expected time: a fair share of a link halves the pace at most
-const LATELY: f64 = 0.5; // of the time since an overdue hand-off: a host quiet for the rest is silent
+const LATELY: f64 = 0.5; // of the time since an overdue attempt: a host quiet for the rest is silent
 const AGAIN: Span = Span::from_ms(60); // first pause after a refusal: lets short queues drain
 const MOST_DOUBLED: u32 = 4; // doublings of that pause: then it is near a second
 const COME_BACK: Span = Span::from_ms(300); // named to bounced clients: a few of the transfers in hand
@@ -59,9 +59,9 @@
     Brain::drop_what_is_done,
     Brain::answer_before_the_hard_stop,
     Brain::give_up_when_nothing_may_follow,
-    Brain::hand_off_what_waits,
+    Brain::attempt_what_waits,
     Brain::note_what_is_overdue,
-    Brain::hand_off_beside_the_silent,
+    Brain::attempt_beside_the_silent,
 ];
 
 /// A cold host's least rise, what such a host can be asked for, and this dispatcher's equal part of it.
@@ -227,7 +227,7 @@
             known.line = line;
             // Guards against a restarted dispatcher giving a cold host its share a second time.
             if now.since(self.born) < self.ramps[0].window && known.spent.is_empty() {
-                known.spent.push((self.born, RequestId(u64::MAX), Leg(0), f64::INFINITY));
+                known.spent.push((self.born, RequestId(u64::MAX), AttemptIndex(0), f64::INFINITY));
             }
         }
         self.agenda.extend(self.requests.keys().copied());
@@ -247,11 +247,11 @@
         let owed = self.owed.remove(&(request.object, request.part)).filter(|_| request.again);
         let promised = owed.unwrap_or(now + kind.of.promised + Span::of_ms(work * kind.of.stretch));
         let (id, stop) = (request.id, request.hard_stop - self.early);
-        let (out, tried, failed_by, legs, pauses, ran) = (Vec::new(), Vec::new(), Vec::new(), 0, 0, None);
+        let (out, tried, failed_by, attempts, pauses, ran) = (Vec::new(), Vec::new(), Vec::new(), 0, 0, None);
         let (not_before, missed, done) = (now, false, false);
         #[rustfmt::skip]
         let held = Held {
-            request, work, promised, out, legs, ran, not_before, pauses, missed, tried, failed_by, done,
+            request, work, promised, out, attempts, ran, not_before, pauses, missed, tried, failed_by, done,
         };
         self.requests.insert(id, held);
         self.due.insert((stop, id));
@@ -323,12 +323,12 @@
         self.hosts.values().map(sight).collect()
     }
 
-    /// Whether a hand-off may still be sent now that its connection is up, and what it may ask for by now.
+    /// Whether an attempt may still be sent now that its connection is up, and what it may ask for by now.
     // Guards against a connect that outlasts a grace, a window or the request: the rules bind what is sent.
-    pub fn clear(&mut self, now: Time, id: RequestId, leg: Leg) -> Option<Clearance> {
+    pub fn clear(&mut self, now: Time, id: RequestId, index: AttemptIndex) -> Option<Clearance> {
         self.now = now;
         let held = self.requests.get(&id).filter(|held| !held.done && self.vouched)?;
-        let out = held.out.iter().find(|out| out.leg == leg)?;
+        let out = held.out.iter().find(|out| out.index == index)?;
         let (kind, ids) = (&self.kinds[held.request.workload.0], BTreeSet::from([&out.host, &out.source]));
         let older = if out.source == out.host { kind.of.older } else { Span::ZERO };
         let oldest = self.oldest(&held.request, kind.of.fresh, older);
@@ -340,7 +340,7 @@
         for id_of in ids {
             let host = self.hosts.get_mut(id_of).filter(|host| host.line.standing == Standing::InService)?;
             let spent =
-                host.spent.iter_mut().find(|(_, request, leg_of, _)| (*request, *leg_of) == (id, leg));
+                host.spent.iter_mut().find(|(_, request, index_of, _)| (*request, *index_of) == (id, index));
             let counts = spent.map(|spent| spent.0 = now).is_some(); // not with a process started since
             let (host, warm) = (&self.hosts[id_of], self.asked(&self.hosts[id_of], now).0 >= 1.0);
             (warm || host.is(Role::Origin) || (counts && self.cold_room(host, 0.0))).then_some(())?;
@@ -348,13 +348,14 @@
         (now < sent_by).then_some(Clearance { oldest, sent_by })
     }
 
-    /// A hand-off has ended.
-    pub fn hand_off_ended(&mut self, now: Time, ended: Ended) -> Decisions {
+    /// An attempt has ended.
+    pub fn attempt_ended(&mut self, now: Time, ended: Ended) -> Decisions {
         self.now = now;
         let well = |origin: &Host| origin.usable() && origin.window >= WINDOW;
         let origin_well = ended.told == SourceRefused && self.origin().is_some_and(well);
         let Some(held) = self.requests.get_mut(&ended.request) else { return self.wake(now) };
-        let Some(at) = held.out.iter().position(|out| out.leg == ended.leg) else { return self.wake(now) };
+        let at = held.out.iter().position(|out| out.index == ended.index);
+        let Some(at) = at else { return self.wake(now) };
         let out = held.out.remove(at);
         let lacking = ended.ending == Ending::NoCopy || ended.told == NoPlace;
         held.done |= ended.ending == Ending::Answered || ended.closed;
@@ -418,7 +419,7 @@
         }
     }
 
-    // What the ended hand-off gives back: places, and a cold source's budget that a hit left alone.
+    // What the ended attempt gives back: places, and a cold source's budget that a hit left alone.
     fn release(&mut self, out: &Out, ended: &Ended, cached: bool) {
         let alive = !matches!(ended.ending, TimedOut | NotConnected | Cancelled | NotSent | Superseded);
         self.hear_link(ended.report.link.filter(|_| cached));
@@ -430,7 +431,7 @@
             (host.heard, host.mute) =
                 if id == &out.host && alive { (self.now, 0) } else { (host.heard, host.mute) };
             if id != &out.host && matches!(ended.told, Told::Held | Told::Aged | Told::Joined) {
-                host.spent.retain(|(_, request, leg, _)| (*request, *leg) != (ended.request, ended.leg));
+                host.spent.retain(|(_, of, index, _)| (*of, *index) != (ended.request, ended.index));
                 host.next_trial = if out.trial { self.now } else { host.next_trial };
             }
         }
@@ -555,8 +556,8 @@
         let Some(_) = self.requests.get(&id).filter(|held| held.done) else { return false };
         let held = self.requests.remove(&id).expect("just seen");
         self.due.remove(&(held.request.hard_stop - self.early, id));
-        let cancels =
-            held.out.iter().filter(|_| self.terms.may_cancel).map(|out| Cancel { request: id, leg: out.leg });
+        let cancelled = held.out.iter().filter(|_| self.terms.may_cancel);
+        let cancels = cancelled.map(|out| Cancel { request: id, index: out.index });
         self.out.cancels.extend(cancels);
         for host in held.out.iter().flat_map(|out| BTreeSet::from([&out.host, &out.source])) {
             self.hosts
@@ -587,7 +588,7 @@
         let caches: Vec<HostId> = held.failed_by.iter().filter(cached).cloned().collect();
         let several = caches.iter().collect::<BTreeSet<_>>().len() > 2;
         let well = caches.iter().all(|id| self.hosts[id].good > lately);
-        if several && well && held.failed_by.len() == held.legs as usize {
+        if several && well && held.failed_by.len() == held.attempts as usize {
             for id in &caches {
                 let host = self.hosts.get_mut(id).expect("just seen");
                 host.reputation = (host.reputation / (1.0 - PENALTY)).min(1.0);
@@ -619,13 +620,13 @@
             (Repeats::AtMostOnce, Some(_)) => false,
             (Repeats::Numbered { remembered, .. }, Some(sent)) => self.now + self.early < sent + remembered,
         };
-        self.vouched && held.legs < self.terms.most_hand_offs.max(1) && allowed
+        self.vouched && held.attempts < self.terms.most_attempts.max(1) && allowed
     }
 
-    fn hand_off_what_waits(&mut self, id: RequestId) -> bool {
+    fn attempt_what_waits(&mut self, id: RequestId) -> bool {
         let waits = |held: &&Held| held.out.is_empty() && self.now >= held.not_before;
         let Some(_) = self.requests.get(&id).filter(waits) else { return false };
-        if !self.hand_off(id) {
+        if !self.attempt(id) {
             // Guards against overload in which all come late: what can't come in time makes room at once. So
             // does a known miss that may not be filled: those held would go on together when a link clears.
             let held = self.requests.get_mut(&id).expect("just seen");
@@ -640,7 +641,7 @@
     }
 
     // Guards against hosts that take requests and answer none: one that answered nothing since the overdue
-    // hand-off went out is blamed; a slow one has answered others. No source pays for a cache cut off midway.
+    // attempt went out is blamed; a slow one has answered others. No source pays for a cache cut off midway.
     fn note_what_is_overdue(&mut self, id: RequestId) -> bool {
         let Some(held) = self.requests.get_mut(&id) else { return false };
         let fresh = |out: &&mut Out| out.silent.is_none() && out.overdue <= self.now;
@@ -669,18 +670,18 @@
         let again =
             self.kinds[held.request.workload.0].of.repeats == Repeats::Reissuable && self.terms.may_cancel;
         let taken_back = culprit.iter().filter(|_| again && !self.terms.may_duplicate);
-        self.out.cancels.extend(taken_back.map(|_| Cancel { request: id, leg: out.leg }));
+        self.out.cancels.extend(taken_back.map(|_| Cancel { request: id, index: out.index }));
         held.tried.extend(culprit.clone());
         culprit.iter().for_each(|culprit| self.blame(culprit, PENALTY));
         true
     }
 
-    fn hand_off_beside_the_silent(&mut self, id: RequestId) -> bool {
+    fn attempt_beside_the_silent(&mut self, id: RequestId) -> bool {
         let Some(held) = self.requests.get(&id) else { return false };
         let reissuable = self.kinds[held.request.workload.0].of.repeats == Repeats::Reissuable;
         let silent = !held.out.is_empty() && held.out.iter().all(|out| out.silent == Some(true));
         let allowed = self.terms.may_duplicate && reissuable && silent && self.may_follow(held);
-        allowed && held.request.hard_stop.since(self.now).ms() > held.work + SLACK.ms() && self.hand_off(id)
+        allowed && held.request.hard_stop.since(self.now).ms() > held.work + SLACK.ms() && self.attempt(id)
     }
 
     fn ramp(&self, host: &Host) -> &Ramp {
@@ -688,7 +689,7 @@
     }
 
     // Guards against a cold host being pushed over by all dispatchers together: each keeps to its share of
-    // what the worst ramp bears within any window. A hand-off without a fill weighs the mean as well.
+    // what the worst ramp bears within any window. An attempt without a fill weighs the mean as well.
     fn cold_room(&self, host: &Host, cost: f64) -> bool {
         let (ramp, (part, spent)) = (self.ramp(host), self.asked(host, self.now));
         let share = host.share.map_or(ramp.share * self.by_right, |share| share * ramp.whole);
@@ -762,7 +763,7 @@
 
     fn pick_cache(&self, held: &Held, open: bool) -> Option<HostId> {
         let kind = &self.kinds[held.request.workload.0];
-        let trials = kind.of.repeats == Repeats::Reissuable && held.legs == 0;
+        let trials = kind.of.repeats == Repeats::Reissuable && held.attempts == 0;
         let fits = |host: &Host| self.in_scope(held, host) && self.cold_room(host, kind.cost(held.work));
         let up = |host: &Host| host.reputation >= FLOOR || (trials && host.next_trial <= self.now);
         let mut order = self.in_hash_order(Role::Cache, &held.request);
@@ -792,7 +793,7 @@
         let kind = &self.kinds[held.request.workload.0];
         let measure = usize::from(kind.large(&held.request));
         let new = |host: &&Host| !held.tried.contains(&host.line.host) && self.cold_room(host, held.work);
-        let trial = |host: &&&Host| held.legs == 0 && host.next_trial <= self.now;
+        let trial = |host: &&&Host| held.attempts == 0 && host.next_trial <= self.now;
         let origin = self.origin();
         let mut parents = self.in_hash_order(Role::Parent, &held.request);
         self.wish(parents.first(), held.work);
@@ -818,7 +819,7 @@
     }
 
     /// Sends a request to the next cache in its order, or past the caches where none is up.
-    fn hand_off(&mut self, id: RequestId) -> bool {
+    fn attempt(&mut self, id: RequestId) -> bool {
         let (now, held) = (self.now, &self.requests[&id]);
         let kind = &self.kinds[held.request.workload.0];
         let (through, work) = (kind.of.goes_through, held.work);
@@ -856,7 +857,7 @@
         let left = held.request.hard_stop.since(now);
         let cut =
             kind.of.repeats == Repeats::Reissuable && !self.terms.may_duplicate && !self.terms.may_cancel;
-        self.out.hand_offs.push(HandOff {
+        self.out.attempts.push(Attempt {
             request: id,
             host: host.clone(),
             source: source.clone(),
@@ -868,19 +869,19 @@
             fresh: kind.of.repeats != Repeats::Reissuable, // a reset there could not be made good
             keep: if self.seen.contains_key(&held.request.object) { 2 } else { 1 },
         });
-        let (leg, cost) = (Leg(held.legs), if past { work } else { kind.cost(work) });
+        let (index, cost) = (AttemptIndex(held.attempts), if past { work } else { kind.cost(work) });
         for (id_of, cost) in BTreeMap::from([(&source, work), (&host, cost)]) {
             let Some(host) = self.hosts.get_mut(id_of) else { continue };
             host.in_hand += 1.0;
             host.next_trial = if through { host.next_trial } else { now + TRIAL };
-            host.spent.push((now, id, leg, cost));
+            host.spent.push((now, id, index, cost));
             host.spent.retain(|(at, ..)| now.since(*at) <= self.ramps[0].window);
         }
         self.due.insert((now + patience, id));
         let held = self.requests.get_mut(&id).expect("just seen");
         self.seen.insert(held.request.object, now);
-        held.legs += 1;
-        held.out.push(Out { leg, host, source, sent: now, overdue: now + patience, silent: None, trial });
+        held.attempts += 1;
+        held.out.push(Out { index, host, source, sent: now, overdue: now + patience, silent: None, trial });
         true
     }
 
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -17,7 +17,7 @@
         made: Time,
     },
     Arrived(Request),
-    /// An answered hand-off is its request's final answer.
+    /// An answered attempt is its request's final answer.
     Ended(Ended),
     Left(RequestId),
     /// What other dispatchers tell.
@@ -29,8 +29,8 @@
 /// A request's next step.
 #[derive(Debug, PartialEq)]
 pub enum Step {
-    HandOff(Leg, HandOff),
-    TakeBack(Leg),
+    Attempt(AttemptIndex, Attempt),
+    TakeBack(AttemptIndex),
     Bounce(Option<Span>),
     Forfeit,
     /// Nothing now; ask again when the request is named by `report` or `tick`.
@@ -40,7 +40,7 @@
 #[derive(Default)]
 struct Line {
     steps: VecDeque<Step>,
-    legs: u32,
+    attempts: u32,
     over: bool,
 }
 
@@ -73,7 +73,7 @@
                 if ended.ending == Ending::Answered {
                     self.end(ended.request);
                 }
-                self.brain.hand_off_ended(now, ended)
+                self.brain.attempt_ended(now, ended)
             }
             News::Guided(guided) => self.brain.guided(now, guided),
             News::Ending(ends) => self.brain.ends_at(now, ends),
@@ -95,9 +95,9 @@
         self.sort(decisions)
     }
 
-    /// Whether a hand-off that was picked may still be sent, and what it may ask for by now.
-    pub fn clear(&mut self, now: Time, request: RequestId, leg: Leg) -> Option<Clearance> {
-        self.brain.clear(now, request, leg)
+    /// Whether an attempt that was picked may still be sent, and what it may ask for by now.
+    pub fn clear(&mut self, now: Time, request: RequestId, index: AttemptIndex) -> Option<Clearance> {
+        self.brain.clear(now, request, index)
     }
 
     /// What was seen of each host here, for others to hear.
@@ -140,15 +140,15 @@
     /// Puts each decision in its request's line; gives the requests that have a step to pick.
     fn sort(&mut self, decisions: Decisions) -> Vec<RequestId> {
         // On sockets the platform's protocol has no word for a look, so none is asked for there.
-        let Decisions { cancels, hand_offs, finals, looks: _, wake } = decisions;
+        let Decisions { cancels, attempts, finals, looks: _, wake } = decisions;
         let mut named = Vec::new();
         for cancel in cancels {
-            named.extend(self.add(cancel.request, |_| Step::TakeBack(cancel.leg)));
+            named.extend(self.add(cancel.request, |_| Step::TakeBack(cancel.index)));
         }
-        for hand_off in hand_offs {
-            named.extend(self.add(hand_off.request, |line| {
-                line.legs += 1;
-                Step::HandOff(Leg(line.legs - 1), hand_off)
+        for attempt in attempts {
+            named.extend(self.add(attempt.request, |line| {
+                line.attempts += 1;
+                Step::Attempt(AttemptIndex(line.attempts - 1), attempt)
             }));
         }
         for last in finals {
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What the brain keeps of hosts, requests and their hand-offs. Fields only: every decision is in `brain.rs`.
+//! What the brain keeps of hosts, requests and their attempts. Fields only: every decision is in `brain.rs`.
 
 use std::cell::Cell;
 
@@ -12,15 +12,15 @@
     pub(crate) reputation: f64,
     pub(crate) next_trial: Time,
     pub(crate) heard: Time,
-    pub(crate) mute: u32,                  // hand-offs found overdue since then
+    pub(crate) mute: u32,                  // attempts found overdue since then
     pub(crate) measures: [Option<f64>; 2], // latency in ms, bandwidth in KB a ms
     pub(crate) beaten: [u32; 2],           // fills in a row in which the origin beat it by each
     pub(crate) in_hand: f64,
     pub(crate) busy: Option<(f64, Time)>, // the share of its capacity in use by its last report
     pub(crate) others: Option<(f64, Time)>, // the other dispatchers' requests there by its last report
-    pub(crate) window: f64, // how many hand-offs may be out at it at once, as a source or past the caches
+    pub(crate) window: f64, // how many attempts may be out at it at once, as a source or past the caches
     pub(crate) reach: f64,  // of the origin: the share of objects that parents may fetch there
-    pub(crate) spent: Vec<(Time, RequestId, Leg, f64)>,
+    pub(crate) spent: Vec<(Time, RequestId, AttemptIndex, f64)>,
     pub(crate) elsewhere: Option<(f64, Time)>, // what others have out there, by their own word
     pub(crate) share: Option<f64>, // of a cold host's whole, by what others left to this dispatcher
     pub(crate) wished: Cell<f64>,  // what it turned away for want of that since the last look
@@ -32,9 +32,9 @@
     pub(crate) bad: Option<Time>,
 }
 
-/// A hand-off that is out.
+/// An attempt that is out.
 pub(crate) struct Out {
-    pub(crate) leg: Leg,
+    pub(crate) index: AttemptIndex,
     pub(crate) host: HostId,
     pub(crate) source: HostId,
     pub(crate) sent: Time,
@@ -49,8 +49,8 @@
     pub(crate) work: f64,
     pub(crate) promised: Time,
     pub(crate) out: Vec<Out>,
-    pub(crate) legs: u32,
-    pub(crate) ran: Option<(Time, HostId)>, // the first hand-off that may have run, with its host
+    pub(crate) attempts: u32,
+    pub(crate) ran: Option<(Time, HostId)>, // the first attempt that may have run, with its host
     pub(crate) not_before: Time,
     pub(crate) pauses: u32,
     pub(crate) missed: bool, // the cache that it belongs to lacks it
--- a/src/words.rs
+++ b/src/words.rs
@@ -90,9 +90,9 @@
 pub struct ZoneId(pub usize);
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CellId(pub u64);
-/// The number of a hand-off within its request, counted from 0.
+/// The number of an attempt within its request, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Leg(pub u32);
+pub struct AttemptIndex(pub u32);
 /// What names a host, the same at every dispatcher; its address need not be.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostId(pub Rc<str>);
@@ -101,7 +101,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeats {
     Reissuable,
-    /// Repeats are dropped by the hosts of the scope, for so long after the first hand-off.
+    /// Repeats are dropped by the hosts of the scope, for so long after the first attempt.
     Numbered {
         scope: Scope,
         remembered: Span,
@@ -145,7 +145,7 @@
     pub may_duplicate: bool,
     pub may_name_return: bool,
     pub longest_return: Span,
-    pub most_hand_offs: u32,
+    pub most_attempts: u32,
     pub cold_from: f64,
     pub warm_within: Span,
     pub overload_factor: f64,
@@ -214,7 +214,7 @@
     pub again: bool,
 }
 
-/// How a hand-off ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     Answered,
@@ -256,11 +256,11 @@
     OriginFailed,
 }
 
-/// The end of a hand-off.
+/// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct Ended {
     pub request: RequestId,
-    pub leg: Leg,
+    pub index: AttemptIndex,
     pub host: HostId,
     pub ending: Ending,
     pub took: Span,
@@ -283,16 +283,16 @@
     pub busy: Option<f64>,
 }
 
-/// Take a hand-off back.
+/// Take an attempt back.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cancel {
     pub request: RequestId,
-    pub leg: Leg,
+    pub index: AttemptIndex,
 }
 
 /// Send a request to a host.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HandOff {
+pub struct Attempt {
     pub request: RequestId,
     pub host: HostId,
     /// Where a miss is filled from; the host itself for no fill.
@@ -330,7 +330,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Decisions {
     pub cancels: Vec<Cancel>,
-    pub hand_offs: Vec<HandOff>,
+    pub attempts: Vec<Attempt>,
     pub finals: Vec<Final>,
     /// Ask these hosts for their load; what they tell is due as a [`LoadReport`].
     pub looks: Vec<HostId>,
@@ -378,9 +378,9 @@
     pub down: Option<Time>,
     /// When any dispatcher last succeeded there.
     pub good: Option<Time>,
-    /// Hand-offs that one dispatcher should have out there at most.
+    /// Attempts that one dispatcher should have out there at most.
     pub window: Option<f64>,
-    /// Hand-offs that other dispatchers have out there, and when that was true.
+    /// Attempts that other dispatchers have out there, and when that was true.
     pub others: Option<(f64, Time)>,
 }
 
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -8,7 +8,7 @@
     pub now: Time,
     pub finals: Vec<Final>,
     pub cancels: Vec<Cancel>,
-    pub sent: Vec<(Leg, HandOff)>,
+    pub sent: Vec<(AttemptIndex, Attempt)>,
     pub looks: Vec<HostId>,
     pub again: bool,
     /// The requests that host "a" reports, and those that every other does.
@@ -55,7 +55,7 @@
         may_duplicate: true,
         may_name_return: true,
         longest_return: Span::from_ms(1000),
-        most_hand_offs: 6,
+        most_attempts: 6,
         cold_from: 0.2,
         warm_within: Span::from_ms(10_000),
         overload_factor: 2.0,
@@ -105,9 +105,9 @@
         self.cancels.extend(decisions.cancels);
         self.finals.extend(decisions.finals);
         self.looks.extend(decisions.looks);
-        for sent in decisions.hand_offs {
-            let leg = self.sent.iter().filter(|(_, earlier)| earlier.request == sent.request).count();
-            self.sent.push((Leg(leg as u32), sent));
+        for sent in decisions.attempts {
+            let index = self.sent.iter().filter(|(_, earlier)| earlier.request == sent.request).count();
+            self.sent.push((AttemptIndex(index as u32), sent));
         }
     }
 
@@ -125,7 +125,7 @@
         }
     }
 
-    /// A request of 100 KB, so 100 ms; gives the place of its first hand-off, should there be one.
+    /// A request of 100 KB, so 100 ms; gives the place of its first attempt, should there be one.
     pub fn request(&mut self, workload: usize, object: u64) -> usize {
         self.request_of(workload, object, 100.0)
     }
@@ -157,7 +157,7 @@
         self.end_with(at, ending, told, waited, None);
     }
 
-    /// A hand-off that took so many milliseconds.
+    /// An attempt that took so many milliseconds.
     pub fn end_after(&mut self, at: usize, ending: Ending, told: Told, took: u64) {
         self.ended(at, ending, told, Span::ZERO, Span::from_ms(took), None);
     }
@@ -172,14 +172,14 @@
     }
 
     fn ended(&mut self, at: usize, ending: Ending, told: Told, waited: Span, took: Span, link: Option<f64>) {
-        let (leg, sent) = self.sent[at].clone();
+        let (index, sent) = self.sent[at].clone();
         let (waited, closed) = (Some(waited), ending == Ending::Answered);
         let in_hand = Some(if sent.host == host("a") { self.at_a } else { self.elsewhere });
         let busy = self.busy.filter(|_| sent.host == host("a"));
         let (request, host) = (sent.request, sent.host);
         let ended = Ended {
             request,
-            leg,
+            index,
             host,
             ending,
             took,
@@ -188,7 +188,7 @@
             waited,
             report: LoadReport { link, in_hand, busy },
         };
-        let decisions = self.brain.hand_off_ended(self.now, ended);
+        let decisions = self.brain.attempt_ended(self.now, ended);
         self.apply(decisions);
     }
 
--- a/tests/guided.rs
+++ b/tests/guided.rs
@@ -45,15 +45,15 @@
 }
 
 fn sources(brain: &mut Brain, now: Time, ids: std::ops::Range<u64>) -> Vec<HostId> {
-    ids.flat_map(|id| brain.request(now, request(id, now, 0)).hand_offs)
-        .map(|hand_off| hand_off.source)
+    ids.flat_map(|id| brain.request(now, request(id, now, 0)).attempts)
+        .map(|attempt| attempt.source)
         .collect()
 }
 
-fn ended(of: &HandOff, ending: Ending, told: Told, waited: f64) -> Ended {
+fn ended(of: &Attempt, ending: Ending, told: Told, waited: f64) -> Ended {
     Ended {
         request: of.request,
-        leg: Leg(0),
+        index: AttemptIndex(0),
         host: of.host.clone(),
         ending,
         took: Span::of_ms(waited + 5.0),
@@ -75,10 +75,10 @@
 #[test]
 fn an_own_success_outweighs_older_words_of_a_failure() {
     let mut brain = brain(lines());
-    let offs: Vec<HandOff> =
-        (1..9).flat_map(|id| brain.request(at(10), request(id, at(10), 0)).hand_offs).collect();
+    let offs: Vec<Attempt> =
+        (1..9).flat_map(|id| brain.request(at(10), request(id, at(10), 0)).attempts).collect();
     let of = offs.iter().find(|off| off.source == host("p")).unwrap();
-    brain.hand_off_ended(at(100), ended(of, Ending::Answered, Told::Filled, 5.0));
+    brain.attempt_ended(at(100), ended(of, Ending::Answered, Told::Filled, 5.0));
     brain.guided(at(110), told(vec![Hint { down: Some(at(90)), ..hint("p") }]));
     assert!(sources(&mut brain, at(120), 20..30).contains(&host("p")));
     brain.guided(at(130), told(vec![Hint { down: Some(at(125)), good: Some(at(128)), ..hint("p") }]));
@@ -119,7 +119,7 @@
         let now = at(2_500);
         let hints = vec![Hint { share, ..hint("a") }];
         brain.guided(now, Guided { hints, by_right, link: None, vouched: true });
-        let offs = (1..200).flat_map(|id| brain.request(now, request(id, now, 0)).hand_offs);
+        let offs = (1..200).flat_map(|id| brain.request(now, request(id, now, 0)).attempts);
         offs.filter(|off| off.host == host("a")).count()
     };
     let (plain, none, double) =
@@ -149,15 +149,15 @@
 #[test]
 fn with_nobody_to_vouch_for_the_hosts_new_requests_bounce_at_once_and_what_is_out_goes_on() {
     let mut brain = brain(lines());
-    let out = brain.request(at(10), request(1, at(10), 0)).hand_offs.remove(0);
+    let out = brain.request(at(10), request(1, at(10), 0)).attempts.remove(0);
     brain.guided(at(20), Guided { vouched: false, ..told(vec![]) });
     let decisions = brain.request(at(30), request(2, at(30), 0));
-    assert!(decisions.hand_offs.is_empty());
+    assert!(decisions.attempts.is_empty());
     assert!(matches!(decisions.finals[..], [Final::Bounced { request: RequestId(2), come_back: Some(_) }]));
-    let decisions = brain.hand_off_ended(at(40), ended(&out, Ending::Answered, Told::Held, 1.0));
+    let decisions = brain.attempt_ended(at(40), ended(&out, Ending::Answered, Told::Held, 1.0));
     assert!(decisions.finals.is_empty(), "answered by its host");
     brain.guided(at(50), told(vec![]));
-    assert_eq!(brain.request(at(60), request(3, at(60), 0)).hand_offs.len(), 1);
+    assert_eq!(brain.request(at(60), request(3, at(60), 0)).attempts.len(), 1);
 }
 
 #[test]
@@ -172,12 +172,12 @@
     let mut brain = brain(lines());
     let now = at(100);
     brain.guided(now, Guided { link: Some((50.0, at(90))), ..told(vec![]) });
-    let off = brain.request(now, request(1, now, 0)).hand_offs.remove(0);
+    let off = brain.request(now, request(1, now, 0)).attempts.remove(0);
     assert_eq!(off.source, off.host, "only a hit is asked for");
     brain.guided(at(110), Guided { link: Some((0.1, at(20))), ..told(vec![]) });
-    let off = brain.request(at(110), request(2, at(110), 0)).hand_offs.remove(0);
+    let off = brain.request(at(110), request(2, at(110), 0)).attempts.remove(0);
     assert_eq!(off.source, off.host, "older word changes nothing");
     let later = at(5_000);
-    let off = brain.request(later, request(3, later, 0)).hand_offs.remove(0);
+    let off = brain.request(later, request(3, later, 0)).attempts.remove(0);
     assert_ne!(off.source, off.host, "nor does word that is old by now");
 }
--- a/tests/same.rs
+++ b/tests/same.rs
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Days by seed, with the digest of the decisions without guidance and how many hand-offs were in them; recorded
+/// Days by seed, with the digest of the decisions without guidance and how many attempts were in them; recorded
 /// anew whenever the decisions change on purpose: last for requests that tell no size, and hosts that are slow.
 const RECORDED: [(u64, u64, u64); 6] = [
     (1, 0xe4e3b24a49b4cb4a, 6022),
@@ -37,15 +37,22 @@
     later: BTreeMap<(Time, u64), Later>,
     wake: Option<Time>,
     next: u64,
-    legs: BTreeMap<RequestId, u32>,
+    attempts_of: BTreeMap<RequestId, u32>,
     digest: u64,
-    hand_offs: u64,
+    attempts: u64,
     /// Hosts that fail, by name, and from when to when.
     trouble: Vec<(HostId, u64, u64, Ending, Told)>,
 }
 
 /// Names that types and fields had when the decisions were recorded, by those that they have now.
-const RECORDED_NAMES: [(&str, &str); 2] = [("RequestId(", "PullId("), ("request:", "pull:")];
+const RECORDED_NAMES: [(&str, &str); 6] = [
+    ("RequestId(", "PullId("),
+    ("AttemptIndex(", "Leg("),
+    ("Attempt {", "HandOff {"),
+    ("attempts:", "hand_offs:"),
+    ("request:", "pull:"),
+    ("index:", "leg:"),
+];
 
 /// What was printed, as it was at the time of the record.
 fn as_recorded(printed: &str) -> String {
@@ -58,27 +65,27 @@
             self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(0x100000001b3);
         }
         self.wake = decisions.wake.or(self.wake);
-        for hand_off in decisions.hand_offs {
-            self.hand_offs += 1;
-            let legs = self.legs.entry(hand_off.request).or_default();
-            let leg = Leg(*legs);
-            *legs += 1;
+        for attempt in decisions.attempts {
+            self.attempts += 1;
+            let attempts = self.attempts_of.entry(attempt.request).or_default();
+            let index = AttemptIndex(*attempts);
+            *attempts += 1;
             let ms = now.ms() as u64;
             let bad = |(id, from, to, ..): &&(HostId, u64, u64, Ending, Told)| {
-                (*from..*to).contains(&ms) && [&hand_off.host, &hand_off.source].contains(&id)
+                (*from..*to).contains(&ms) && [&attempt.host, &attempt.source].contains(&id)
             };
             let (took, waited) = (self.chance.random_range(1.0..90.0), self.chance.random_range(0.5..60.0));
-            let hit = self.chance.random_bool(0.6) || hand_off.source == hand_off.host;
+            let hit = self.chance.random_bool(0.6) || attempt.source == attempt.host;
             let (ending, told, took) = match self.trouble.iter().find(bad) {
-                Some((.., Ending::TimedOut, _)) => (Ending::TimedOut, Told::Nothing, hand_off.allow.ms()),
+                Some((.., Ending::TimedOut, _)) => (Ending::TimedOut, Told::Nothing, attempt.allow.ms()),
                 Some((.., ending, told)) => (*ending, *told, 2.0),
                 None if hit => (Ending::Answered, Told::Held, took),
                 None => (Ending::Answered, Told::Filled, took + waited),
             };
             let ended = Ended {
-                request: hand_off.request,
-                leg,
-                host: hand_off.host,
+                request: attempt.request,
+                index,
+                host: attempt.host,
                 ending,
                 took: Span::of_ms(took),
                 closed: false,
@@ -124,8 +131,9 @@
         let id = lines[chance.random_range(0..lines.len())].host.clone();
         trouble.push((id, from, from + chance.random_range(500..9_000), ending, told));
     }
-    let (later, legs) = (BTreeMap::new(), BTreeMap::new());
-    let mut day = Day { brain, chance, later, wake: None, next: 0, legs, digest: 0, hand_offs: 0, trouble };
+    let (later, attempts_of) = (BTreeMap::new(), BTreeMap::new());
+    let mut day =
+        Day { brain, chance, later, wake: None, next: 0, attempts_of, digest: 0, attempts: 0, trouble };
     day.take(start, decisions);
     let decisions = day.brain.list(start, Coverage::Whole, lines.clone());
     day.take(start, decisions);
@@ -133,7 +141,7 @@
         let now = Time::at_ms(100_000.0 + ms as f64);
         while let Some(entry) = day.later.first_entry().filter(|entry| entry.key().0 <= now) {
             let decisions = match entry.remove() {
-                Later::Ended(ended) => day.brain.hand_off_ended(now, ended),
+                Later::Ended(ended) => day.brain.attempt_ended(now, ended),
                 Later::Leaves(request) => day.brain.client_left(now, request),
             };
             day.take(now, decisions);
@@ -178,15 +186,15 @@
             day.take(now, decisions);
         }
     }
-    (day.digest, day.hand_offs)
+    (day.digest, day.attempts)
 }
 
 #[test]
 fn without_guidance_all_decisions_are_those_of_the_module_before() {
     let played = RECORDED.map(|(seed, ..)| {
-        let (digest, hand_offs) = day(seed);
-        println!("    ({seed}, {digest:#018x}, {hand_offs}),");
-        (seed, digest, hand_offs)
+        let (digest, attempts) = day(seed);
+        println!("    ({seed}, {digest:#018x}, {attempts}),");
+        (seed, digest, attempts)
     });
     assert_eq!(played, RECORDED);
 }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -83,7 +83,7 @@
     assert_eq!(fake.sent.len(), 2, "a second copy beside the silent one");
     assert_ne!(fake.sent[1].1.host, cache);
     fake.end(1, Ending::Answered, Told::Held, 0);
-    assert_eq!(fake.cancels, vec![Cancel { request: fake.sent[0].1.request, leg: Leg(0) }]);
+    assert_eq!(fake.cancels, vec![Cancel { request: fake.sent[0].1.request, index: AttemptIndex(0) }]);
 
     let mut fake = Fake::new(terms(), usual());
     fake.request(0, 1);
@@ -535,13 +535,13 @@
 fn a_host_that_is_back_cold_before_an_attempt_is_written_does_not_get_it() {
     let mut fake = Fake::new(terms(), usual());
     let at = fake.request(0, 1);
-    let (leg, sent) = fake.sent[at].clone();
+    let (index, sent) = fake.sent[at].clone();
     let now = fake.now;
-    assert!(fake.brain.clear(now, sent.request, leg).is_some(), "it stands as long as nothing has changed");
+    assert!(fake.brain.clear(now, sent.request, index).is_some(), "it stands as long as nothing has changed");
     for id in [&sent.host, &sent.source] {
         let was = usual().into_iter().find(|line| line.host == *id).unwrap();
         fake.list(vec![Listed { started: Some(now), ..was.clone() }]);
-        assert_eq!(fake.brain.clear(now, sent.request, leg), None, "{id:?} is another process");
+        assert_eq!(fake.brain.clear(now, sent.request, index), None, "{id:?} is another process");
         fake.list(vec![was]);
     }
 }
@@ -582,7 +582,7 @@
     for object in 2..20 {
         fake.request(0, object);
     }
-    let through = |(_, sent): &&(Leg, HandOff)| sent.host == cache && sent.source == parent;
+    let through = |(_, sent): &&(AttemptIndex, Attempt)| sent.host == cache && sent.source == parent;
     assert!(fake.sent.iter().filter(through).count() > 3, "enough to put the parent out, were it blamed");
     let mut seen = answer_elsewhere(&mut fake, 1);
     fake.pass(5);
@@ -611,14 +611,14 @@
         let asked =
             Request { id: request, workload, object, part: 0, group, size_kb, hard_stop, again: false };
         assert_eq!(facade.report(now, News::Arrived(asked)), [request]);
-        let Step::HandOff(leg, sent) = facade.pick(request) else { panic!("it is handed off") };
+        let Step::Attempt(index, sent) = facade.pick(request) else { panic!("it is handed off") };
         let late = now + Span::from_ms(899);
         assert_eq!(facade.tick(late), [request], "given up, but nobody has asked yet");
         let (ending, closed, told, took) = (Ending::Answered, true, Told::Held, Span::from_ms(899));
         let host = sent.host;
         let ended = Ended {
             request,
-            leg,
+            index,
             host,
             ending,
             took,
@@ -628,7 +628,7 @@
             report: LoadReport::default(),
         };
         facade.report(late, if answered { News::Ended(ended) } else { News::Left(request) });
-        assert_eq!((facade.pick(request), facade.pick(request)), (Step::TakeBack(leg), Step::Wait));
+        assert_eq!((facade.pick(request), facade.pick(request)), (Step::TakeBack(index), Step::Wait));
     }
 }
 
@@ -655,7 +655,7 @@
     let cache = fake.sent[at].1.host.clone();
     fake.pass(1500);
     assert_eq!(fake.sent.len(), 1, "never two at once");
-    assert_eq!(fake.cancels, vec![Cancel { request: fake.sent[at].1.request, leg: Leg(0) }]);
+    assert_eq!(fake.cancels, vec![Cancel { request: fake.sent[at].1.request, index: AttemptIndex(0) }]);
     fake.end(at, Ending::Cancelled, Told::Nothing, 0);
     assert_ne!(fake.sent[1].1.host, cache, "at once, elsewhere");
 
