--- a/crates/flaxdeck-adapter/src/wire.rs
+++ b/crates/flaxdeck-adapter/src/wire.rs
@@ -118,16 +118,16 @@
         let seat = self.seats.get_mut(who).ok_or_else(|| format!("{who} was never started"))?;
         let decisions = match name {
             "Endpoints" => {
-                let coverage = match fields.text("how")? {
-                    "Partial" => Coverage::Changes,
-                    "Complete" | "Persisted" => Coverage::Whole,
+                let list_kind = match fields.text("how")? {
+                    "Partial" => ListKind::Delta,
+                    "Complete" | "Persisted" => ListKind::Full,
                     "Error" => return Ok(()),
                     other => return Err(format!("unknown kind of list {other}")),
                 };
                 let number = fields.whole("sheet")?;
                 let rows = self.sheets.get(&number).ok_or_else(|| format!("list {number} was never sent"))?;
                 let listed = seat.listed(rows)?;
-                seat.brain.list(now, coverage, listed)
+                seat.brain.list(now, list_kind, listed)
             }
             "Accept" => {
                 let request = seat.request(fields)?;
@@ -168,27 +168,27 @@
         Ok((Seat { brain, names }, decisions))
     }
 
-    fn listed(&self, rows: &[Value]) -> Result<Vec<Listed>, String> {
+    fn listed(&self, rows: &[Value]) -> Result<Vec<Endpoint>, String> {
         rows.iter().map(|row| self.listed_one(&Fields::of(row, "a list entry")?)).collect()
     }
 
-    fn listed_one(&self, row: &Fields) -> Result<Listed, String> {
+    fn listed_one(&self, row: &Fields) -> Result<Endpoint, String> {
         let kind = row.text_or_none("shape")?.and_then(|shape| place(&self.names.kinds, shape));
         let role = self.names.role(kind);
-        let standing = match row.text("mode")? {
-            "in_service" => Standing::InService,
-            "terminating" => Standing::Draining,
-            "terminated" => Standing::Gone,
+        let health = match row.text("mode")? {
+            "in_service" => Health::InService,
+            "terminating" => Health::Draining,
+            "terminated" => Health::Removed,
             other => return Err(format!("unknown mode {other}")),
         };
         let zone = row.text_or_none("region_part")?.and_then(|zone| place(&self.names.zones, zone));
-        Ok(Listed {
+        Ok(Endpoint {
             host: HostId(row.text("host")?.into()),
             weight: row.number_or("heft", 1.0)?,
             zone: zone.map(ZoneId),
             cell: CellId(row.whole_or_none("cluster")?.unwrap_or(0)),
             role,
-            standing,
+            health,
             started: row.number_or_none("boot_time_ms")?.filter(|ms| *ms > 0.0).map(Time::at_ms),
         })
     }
--- a/crates/flaxdeck-dispatcher/src/protocol/pool.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/pool.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use flaxdeck::words::{Coverage, Ending, HostId, Standing};
+use flaxdeck::words::{Ending, Health, HostId, ListKind};
 use flaxdeck_terms::{Carriage, Names};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout, timeout_at};
@@ -17,7 +17,7 @@
 use flaxdeck_net::link::{self, Inbound, Outbound};
 use flaxdeck_net::room::{Place, Room};
 use flaxdeck_net::tally::{Count, count};
-use flaxdeck_wire::frames::Station;
+use flaxdeck_wire::frames::AddressedEndpoint;
 use flaxdeck_wire::lines::{self, Line, Wish};
 use flaxdeck_wire::{Asked, Outcome, Parsed};
 
@@ -117,12 +117,12 @@
     }
 
     /// Takes in lines of the list; with the whole list, what it leaves out is gone.
-    pub fn list(&self, coverage: Coverage, stations: &[Station]) {
+    pub fn list(&self, list_kind: ListKind, endpoints: &[AddressedEndpoint]) {
         let mut kept = self.kept.borrow_mut();
-        let named = |host: &HostId| stations.iter().any(|station| station.listed.host == *host);
-        kept.retain(|host, _| coverage == Coverage::Changes || named(host));
-        for Station { listed, address } in stations {
-            if listed.standing == Standing::Gone {
+        let named = |host: &HostId| endpoints.iter().any(|endpoint| endpoint.listed.host == *host);
+        kept.retain(|host, _| list_kind == ListKind::Delta || named(host));
+        for AddressedEndpoint { listed, address } in endpoints {
+            if listed.health == Health::Removed {
                 kept.remove(&listed.host);
                 continue;
             }
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -61,7 +61,7 @@
     /// The coordinator's events as applied here, whoever brought them.
     numbering: Rc<RefCell<Numbering>>,
     /// The lines of hosts as last told, and which of them are doubted.
-    lines: RefCell<BTreeMap<HostId, Listed>>,
+    lines: RefCell<BTreeMap<HostId, Endpoint>>,
     clocks: RefCell<Clocks>,
     /// What is told from now on has happened while this process ran.
     begun: Cell<bool>,
@@ -153,7 +153,7 @@
         );
     }
 
-    fn keep_lines(guides: &Guides, lines: &[Listed]) {
+    fn keep_lines(guides: &Guides, lines: &[Endpoint]) {
         guides.doubted.borrow_mut().named(lines.iter().map(|line| &line.host));
         let told = lines.iter().map(|line| (line.host.clone(), line.clone()));
         guides.lines.borrow_mut().extend(told);
@@ -211,8 +211,8 @@
     /// Lines of hosts that an event tells are kept, to be held against a list that comes in place of what follows.
     pub(super) fn keep_told(&self, event: &Event) {
         let Some(guides) = self.guides.borrow().clone() else { return };
-        if let Event::Hosts(_, stations) = event {
-            let lines: Vec<Listed> = stations.iter().map(|station| station.listed.clone()).collect();
+        if let Event::Hosts(_, endpoints) = event {
+            let lines: Vec<Endpoint> = endpoints.iter().map(|endpoint| endpoint.listed.clone()).collect();
             Router::keep_lines(&guides, &lines);
         }
     }
@@ -224,14 +224,14 @@
         let mut told: Vec<(Time, Span)> = Vec::new();
         match event {
             Event::Purged { made, .. } => told.push((*made, clocks::PURGE_LATE)),
-            Event::Hosts(Coverage::Changes, stations) => {
+            Event::Hosts(ListKind::Delta, endpoints) => {
                 let lines = guides.lines.borrow();
-                for line in stations.iter().map(|station| &station.listed) {
+                for line in endpoints.iter().map(|endpoint| &endpoint.listed) {
                     let anew = lines.get(&line.host).is_some_and(|before| before.started != line.started);
                     told.extend(line.started.filter(|_| anew).map(|started| (started, clocks::START_LATE)));
                 }
             }
-            Event::Hosts(Coverage::Whole, _) => {}
+            Event::Hosts(ListKind::Full, _) => {}
         }
         let changed = |(told, late): (Time, Span)| guides.clocks.borrow_mut().heard(now, told, late);
         if told.into_iter().map(changed).fold(false, |any, changed| any | changed) {
@@ -239,7 +239,7 @@
             let ahead = guides.clocks.borrow().ahead_ms();
             log::error!("the wall clock is {ahead:.0} ms ahead of the coordinator's");
             let lines = guides.lines.borrow().values().cloned().collect();
-            self.report_lines(Coverage::Changes, lines);
+            self.report_lines(ListKind::Delta, lines);
         }
     }
 
@@ -251,9 +251,9 @@
     }
 
     /// Lines of hosts go to the brain with their starts by the own clock.
-    pub(super) fn report_lines(&self, coverage: Coverage, mut lines: Vec<Listed>) {
+    pub(super) fn report_lines(&self, list_kind: ListKind, mut lines: Vec<Endpoint>) {
         self.guides.borrow().iter().for_each(|guides| guides.clocks.borrow().lines(&mut lines));
-        self.report(News::Hosts(coverage, lines));
+        self.report(News::Hosts(list_kind, lines));
     }
 
     /// When a purge counts as made. Guards against a clock that makes it older than it is: beside others it counts from
@@ -270,19 +270,19 @@
 
     /// A whole list came in place of what should have followed: what can't be vouched for counts as in doubt.
     pub(super) fn told_anew(&self, mark: Mark, event: Event, doubt: Option<Doubt>) {
-        let (Some(guides), Event::Hosts(coverage, mut stations)) = (self.guides.borrow().clone(), event)
+        let (Some(guides), Event::Hosts(list_kind, mut endpoints)) = (self.guides.borrow().clone(), event)
         else {
             return;
         };
         let now = self.clock.now();
-        let lines: Vec<Listed> = stations.iter().map(|station| station.listed.clone()).collect();
+        let lines: Vec<Endpoint> = endpoints.iter().map(|endpoint| endpoint.listed.clone()).collect();
         let mut withheld = 0;
         if doubt.is_some() {
             let (lines, count) = guides.doubted.borrow_mut().adopt(now, &guides.lines.borrow(), lines);
             withheld = count;
-            stations.iter_mut().zip(lines).for_each(|(station, line)| station.listed = line);
+            endpoints.iter_mut().zip(lines).for_each(|(endpoint, line)| endpoint.listed = line);
         }
-        let lines = stations.iter().map(|station| (station.listed.host.clone(), station.listed.clone()));
+        let lines = endpoints.iter().map(|endpoint| (endpoint.listed.host.clone(), endpoint.listed.clone()));
         *guides.lines.borrow_mut() = lines.collect();
         let copies = doubt.and_then(|doubt| doubt::copies_from(now, doubt, self.settles));
         if doubt.is_some() {
@@ -297,7 +297,7 @@
                 ))
             );
         }
-        let event = Event::Hosts(coverage, stations);
+        let event = Event::Hosts(list_kind, endpoints);
         if let Some(keeper) = &*self.keeper.borrow() {
             keeper.event(mark, &event);
         }
@@ -422,7 +422,7 @@
                     back.len()
                 );
                 Router::keep_lines(&guides, &back);
-                self.report_lines(Coverage::Changes, back);
+                self.report_lines(ListKind::Delta, back);
             }
         }
     }
--- a/crates/flaxdeck-dispatcher/src/routing/keep.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/keep.rs
@@ -16,7 +16,7 @@
 use flaxdeck_recovery::belief::{self, Believed, Kept, KeptLine, KeptPurge, KeptRating, Later, Now, Uptime};
 use flaxdeck_store::{Folder, Store, look};
 use flaxdeck_talk::feed::Event;
-use flaxdeck_wire::frames::Station;
+use flaxdeck_wire::frames::AddressedEndpoint;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 /// Things that may wait for the disk; past that a whole snapshot takes their place.
@@ -67,11 +67,11 @@
     Uptime { boot, ms }
 }
 
-fn line(station: &Station) -> KeptLine {
-    let Listed { host, weight, zone, cell, role, standing, started } = station.listed.clone();
+fn line(endpoint: &AddressedEndpoint) -> KeptLine {
+    let Endpoint { host, weight, zone, cell, role, health, started } = endpoint.listed.clone();
     KeptLine {
         host: host.0.to_string(),
-        address: station.address,
+        address: endpoint.address,
         weight,
         zone: zone.map(|zone| zone.0 as u32),
         cell: cell.0,
@@ -80,27 +80,26 @@
             Role::Parent => 1,
             Role::Origin => 2,
         },
-        standing: match standing {
-            Standing::InService => 0,
-            Standing::Draining => 1,
-            Standing::Gone => 2,
+        health: match health {
+            Health::InService => 0,
+            Health::Draining => 1,
+            Health::Removed => 2,
         },
         started: started.map_or(0, |at| at.ms() as u64),
     }
 }
 
-fn station(line: &KeptLine) -> Station {
-    let listed = Listed {
+fn endpoint(line: &KeptLine) -> AddressedEndpoint {
+    let listed = Endpoint {
         host: HostId(line.host.as_str().into()),
         weight: line.weight,
         zone: line.zone.map(|zone| ZoneId(zone as usize)),
         cell: CellId(line.cell),
         role: [Role::Cache, Role::Parent, Role::Origin][usize::from(line.role.min(2))],
-        standing: [Standing::InService, Standing::Draining, Standing::Gone]
-            [usize::from(line.standing.min(2))],
+        health: [Health::InService, Health::Draining, Health::Removed][usize::from(line.health.min(2))],
         started: Some(line.started).filter(|ms| *ms > 0).map(|ms| Time::at_ms(ms as f64)),
     };
-    Station { listed, address: line.address }
+    AddressedEndpoint { listed, address: line.address }
 }
 
 /// What an earlier run left, as far as it is to be believed, in the form of events and of what was seen.
@@ -153,7 +152,7 @@
         log::info!("kept {}: {word}: {}", verdict.item, verdict.why);
     }
     if event.is_some() {
-        recalled.events.push(Event::Hosts(Coverage::Whole, lines.iter().map(station).collect()));
+        recalled.events.push(Event::Hosts(ListKind::Full, lines.iter().map(endpoint).collect()));
     }
     recalled.events.extend(purges.into_iter().map(|KeptPurge { object, group, made }| Event::Purged {
         object: object.map(ObjectId),
@@ -280,8 +279,8 @@
 
 fn later(mark: Mark, event: &Event) -> Later {
     match event {
-        Event::Hosts(Coverage::Whole, stations) => Later::Whole(mark, stations.iter().map(line).collect()),
-        Event::Hosts(Coverage::Changes, stations) => Later::Lines(mark, stations.iter().map(line).collect()),
+        Event::Hosts(ListKind::Full, endpoints) => Later::Whole(mark, endpoints.iter().map(line).collect()),
+        Event::Hosts(ListKind::Delta, endpoints) => Later::Lines(mark, endpoints.iter().map(line).collect()),
         Event::Purged { object, group, made } => {
             let object = object.map(|object| object.0);
             Later::Purged(mark, KeptPurge { object, group: group.0, made: made.ms() as u64 })
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -210,14 +210,14 @@
 
     fn apply(&self, event: Event) {
         match event {
-            Event::Hosts(coverage, stations) => {
+            Event::Hosts(list_kind, endpoints) => {
                 // A whole list is long, and the first comes before the process listens.
-                for station in stations.iter().filter(|_| coverage == Coverage::Changes) {
-                    log::debug!("told: {} {:?}", station.listed.host.0, station.listed.standing);
+                for endpoint in endpoints.iter().filter(|_| list_kind == ListKind::Delta) {
+                    log::debug!("told: {} {:?}", endpoint.listed.host.0, endpoint.listed.health);
                 }
-                self.pool.list(coverage, &stations);
-                let lines = stations.into_iter().map(|station| station.listed).collect();
-                self.report_lines(coverage, lines);
+                self.pool.list(list_kind, &endpoints);
+                let lines = endpoints.into_iter().map(|endpoint| endpoint.listed).collect();
+                self.report_lines(list_kind, lines);
             }
             Event::Purged { object, group, made } => {
                 log::debug!("told: a purge of {object:?} in {group:?}");
--- a/crates/flaxdeck-dispatcher/tests/descriptors.rs
+++ b/crates/flaxdeck-dispatcher/tests/descriptors.rs
@@ -105,8 +105,8 @@
         let (returned, stalls) = (Instant::now(), Stalls::watch(&world));
         let mut back = Coordinator::on(TcpListener::from(away), 1 + n as u64).unwrap();
         back.change(&host, 1 - state as u8, 0, 0);
-        let standing = if state == 0 { "Draining" } else { "InService" };
-        world.logged(&["told: ", &host.id, standing]);
+        let health = if state == 0 { "Draining" } else { "InService" };
+        world.logged(&["told: ", &host.id, health]);
         let took = returned.elapsed();
         assert!(took < BACK_WITHIN + stalls.so_far(), "back after {took:?}");
         back.end();
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -79,9 +79,9 @@
     settings
 }
 
-fn listed(name: &str, role: Role, zone: usize, started: Option<Time>) -> Listed {
+fn listed(name: &str, role: Role, zone: usize, started: Option<Time>) -> Endpoint {
     let (host, zone) = (HostId(name.into()), Some(ZoneId(zone)));
-    Listed { host, weight: 4.0, zone, cell: CellId(0), role, standing: Standing::InService, started }
+    Endpoint { host, weight: 4.0, zone, cell: CellId(0), role, health: Health::InService, started }
 }
 
 // Hosts that answer none, some, or everything with an error: each request has its one end by its deadline.
@@ -100,7 +100,7 @@
             listed("s-00000001", Role::Origin, 0, None),
         ];
         hosts.extend((0..parents).map(|n| listed(&format!("s-00009a0{n}"), Role::Parent, 0, Some(start))));
-        facade.report(start, News::Hosts(Coverage::Whole, hosts));
+        facade.report(start, News::Hosts(ListKind::Full, hosts));
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let mut open: BTreeMap<RequestId, (Time, u32)> = BTreeMap::new();
         let mut out: Vec<(Time, RequestId, AttemptIndex, HostId)> = Vec::new();
--- a/crates/flaxdeck-fleet/src/model/coordinator.rs
+++ b/crates/flaxdeck-fleet/src/model/coordinator.rs
@@ -17,27 +17,27 @@
 #[derive(Clone)]
 pub(super) enum CoordinatorEvent {
     /// A host's endpoint has changed.
-    Endpoint(Listed),
+    Endpoint(Endpoint),
     /// All that was made before that time is purged.
     PurgeAll(f64),
 }
 
 impl Model<'_> {
     /// A host's endpoint.
-    pub(super) fn endpoint(&self, at: usize) -> Listed {
+    pub(super) fn endpoint(&self, at: usize) -> Endpoint {
         let host = &self.hosts[at];
         let role = match host.kind {
             Kind::Cache => Role::Cache,
             Kind::Parent => Role::Parent,
             Kind::Origin => Role::Origin,
         };
-        Listed {
+        Endpoint {
             host: HostId(host.id.as_str().into()),
             weight: host.places,
             zone: (host.kind == Kind::Cache).then_some(ZoneId(host.zone)),
             cell: CellId(0),
             role,
-            standing: if host.up { Standing::InService } else { Standing::Gone },
+            health: if host.up { Health::InService } else { Health::Removed },
             started: host.started.map(|at| Time::at_ms(time(at).ms().floor())),
         }
     }
@@ -58,7 +58,7 @@
 
     /// A host is withdrawn, and starts again a while later.
     pub(super) fn drain(&mut self, at: usize) {
-        let endpoint = Listed { standing: Standing::Draining, ..self.endpoint(at) };
+        let endpoint = Endpoint { health: Health::Draining, ..self.endpoint(at) };
         self.see(Seen::Withdrawn { host: self.hosts[at].id.clone() });
         self.publish(CoordinatorEvent::Endpoint(endpoint));
         self.after(DRAIN_MS, Event::Restart { host: at });
@@ -72,7 +72,7 @@
                 Job::Fill(id) | Job::Behind(id) => self.fill_failed(id, Told::SourceUnreached),
             }
         }
-        let endpoint = Listed { standing: Standing::Gone, ..self.endpoint(at) };
+        let endpoint = Endpoint { health: Health::Removed, ..self.endpoint(at) };
         self.publish(CoordinatorEvent::Endpoint(endpoint));
     }
 
@@ -109,7 +109,7 @@
         match self.coordinator_events[number as usize - 1].clone() {
             CoordinatorEvent::Endpoint(endpoint) => {
                 let now = time(self.now);
-                let decisions = self.forwarders[n].engine.list(now, Coverage::Changes, vec![endpoint]);
+                let decisions = self.forwarders[n].engine.list(now, ListKind::Delta, vec![endpoint]);
                 self.decide(n, decisions);
             }
             CoordinatorEvent::PurgeAll(made) => self.purge(n, time(made)),
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -103,7 +103,7 @@
             let run = self.forwarders[n].run;
             self.after(spread, Event::Report { forwarder: n, run });
         }
-        let decisions = self.forwarders[n].engine.list(time(self.now), Coverage::Whole, endpoints);
+        let decisions = self.forwarders[n].engine.list(time(self.now), ListKind::Full, endpoints);
         self.decide(n, decisions);
     }
 
--- a/crates/flaxdeck-fleet/src/model/planners.rs
+++ b/crates/flaxdeck-fleet/src/model/planners.rs
@@ -1,6 +1,6 @@
 //! Planners: the coordinator's events that reach them, the reports that reach them and the guidance that they send.
 
-use flaxdeck::words::{Span, Standing, ZoneId};
+use flaxdeck::words::{Health, Span, ZoneId};
 use flaxdeck_guidance::Pledges;
 use flaxdeck_guidance::membership::PlannerId;
 use flaxdeck_guidance::messages::{Guidance, Relayed, Report};
@@ -31,7 +31,7 @@
         let now = time(self.now);
         if let CoordinatorEvent::Endpoint(endpoint) = &self.coordinator_events[number as usize - 1] {
             let started = endpoint.started.map_or(0, |at| at.ms() as u64);
-            let started = (endpoint.standing != Standing::Gone).then_some(started);
+            let started = (endpoint.health != Health::Removed).then_some(started);
             self.planners[planner].listed(now, &endpoint.host.0, started);
         }
         let frame = number.to_be_bytes().to_vec();
--- a/crates/flaxdeck-guidance/examples/size.rs
+++ b/crates/flaxdeck-guidance/examples/size.rs
@@ -92,7 +92,7 @@
 
 fn report(hosts: u64) {
     let (mut brain, _) = Brain::start(at(0), 1, terms());
-    brain.list(at(0), Coverage::Whole, lines(hosts));
+    brain.list(at(0), ListKind::Full, lines(hosts));
     let stance = Stance {
         pledges: pledges(),
         reserve: 0.0,
@@ -154,8 +154,8 @@
     }
 }
 
-fn lines(hosts: u64) -> Vec<Listed> {
-    let line = |n: u64| Listed {
+fn lines(hosts: u64) -> Vec<Endpoint> {
+    let line = |n: u64| Endpoint {
         host: HostId(format!("s-{n:08x}").into()),
         weight: 5.0,
         zone: Some(ZoneId(usize::from(n.is_multiple_of(10)))),
@@ -167,7 +167,7 @@
         } else {
             Role::Cache
         },
-        standing: Standing::InService,
+        health: Health::InService,
         started: n.is_multiple_of(20).then(|| at(0)),
     };
     (0..hosts).map(line).collect()
@@ -176,7 +176,7 @@
 /// The mean time of a request's decisions, from its arrival to its end, every one a hit.
 fn decisions(hosts: u64, guided: bool) -> f64 {
     let (mut brain, _) = Brain::start(at(0), 1, terms());
-    brain.list(at(0), Coverage::Whole, lines(hosts));
+    brain.list(at(0), ListKind::Full, lines(hosts));
     const PULLS: u64 = 20_000;
     let mut spent = 0.0;
     for n in 0..PULLS {
--- a/crates/flaxdeck-guidance/src/planner.rs
+++ b/crates/flaxdeck-guidance/src/planner.rs
@@ -9,7 +9,7 @@
 use crate::membership::Refused;
 use crate::messages::*;
 use crate::pool::Pool;
-use crate::ratings::{Standing, sensible, sensible_link};
+use crate::ratings::{Health, sensible, sensible_link};
 use crate::seats::Seats;
 use crate::{Parts, Pledges};
 
@@ -44,7 +44,7 @@
 
 struct Host {
     started: u64,
-    standing: Standing,
+    health: Health,
     version: u64,
     told: Time,
 }
@@ -119,7 +119,7 @@
             }
             return;
         };
-        let new = || Host { started, standing: Standing::default(), version: 0, told: now };
+        let new = || Host { started, health: Health::default(), version: 0, told: now };
         let known = self.hosts.entry(host.to_owned()).or_insert_with(new);
         if known.started != started {
             // Another process: what was measured of the old one says nothing of it.
@@ -267,7 +267,7 @@
             self.counted.unlisted += 1;
             return;
         };
-        if host.standing.take(now, from, written, sample) || now.since(host.told) >= REFRESH {
+        if host.health.take(now, from, written, sample) || now.since(host.told) >= REFRESH {
             self.changes.remove(&host.version);
             self.version += 1;
             (host.version, host.told) = (self.version, now);
@@ -326,7 +326,7 @@
         let newest = told.iter().map(|(version, _)| **version).max().filter(|_| !member.subscribes);
         member.version = newest.unwrap_or(self.version);
         let rating =
-            |(_, name): &(&u64, &String)| self.hosts.get(*name).map(|host| host.standing.rating(now, name));
+            |(_, name): &(&u64, &String)| self.hosts.get(*name).map(|host| host.health.rating(now, name));
         let link = self.links.get(&member.zone);
         Guidance {
             envelope,
@@ -349,7 +349,7 @@
         hosts: &BTreeMap<String, Host>,
         later: impl DoubleEndedIterator<Item = (&'a u64, &'a String)>,
     ) -> Vec<(&'a u64, &'a String)> {
-        let is_down = |name: &String| hosts.get(name).is_some_and(|host| host.standing.down(now).is_some());
+        let is_down = |name: &String| hosts.get(name).is_some_and(|host| host.health.down(now).is_some());
         let (mut told, others): (Vec<_>, Vec<_>) = later.rev().partition(|(_, name)| is_down(name));
         told.truncate(RATINGS_MOST - RARE_MOST);
         told.extend(others.into_iter().take(RARE_MOST));
--- a/crates/flaxdeck-guidance/src/ratings.rs
+++ b/crates/flaxdeck-guidance/src/ratings.rs
@@ -51,7 +51,7 @@
 
 /// What forwarders together know of one host.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct Health {
     measures: [Fading; 2],
     /// The latest failures of different forwarders, youngest first.
     failures: Vec<(Epoch, Time)>,
@@ -85,7 +85,7 @@
     sensible(&sample) && rating.window != Some(0)
 }
 
-impl Standing {
+impl Health {
     /// Takes in a sample written at `written` at the earliest; true if others would want to know.
     pub fn take(&mut self, now: Time, from: Epoch, written: Time, sample: &Sample) -> bool {
         let was_down = self.down(now).is_some();
--- a/crates/flaxdeck-guidance/tests/ratings.rs
+++ b/crates/flaxdeck-guidance/tests/ratings.rs
@@ -2,7 +2,7 @@
 
 use flaxdeck::words::Time;
 use flaxdeck_guidance::messages::{Epoch, Sample};
-use flaxdeck_guidance::ratings::Standing;
+use flaxdeck_guidance::ratings::Health;
 
 fn at(ms: u64) -> Time {
     Time::at_ms(10_000.0 + ms as f64)
@@ -15,7 +15,7 @@
 
 #[test]
 fn one_forwarder_that_lost_its_network_takes_no_host_from_the_others() {
-    let mut host = Standing::default();
+    let mut host = Health::default();
     let told = (0..20).filter(|n| host.take(at(*n), Epoch(1), at(*n), &failed())).count();
     assert_eq!(told, 0);
     assert_eq!(host.rating(at(20), "p").down_ago_ms, None);
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_success_after_the_failures_lifts_the_word() {
-    let mut host = Standing::default();
+    let mut host = Health::default();
     host.take(at(0), Epoch(1), at(0), &failed());
     host.take(at(1), Epoch(2), at(1), &failed());
     let good = Sample { bad_ago_ms: None, good_ago_ms: Some(0), ..failed() };
@@ -36,7 +36,7 @@
 
 #[test]
 fn an_old_sample_told_late_weighs_less_than_a_young_one() {
-    let mut host = Standing::default();
+    let mut host = Health::default();
     let sample = |value, ago| Sample { measures: [Some(value), None], measured_ago_ms: ago, ..failed() };
     host.take(at(0), Epoch(1), at(0), &sample(10.0, 0));
     host.take(at(1), Epoch(2), at(1), &sample(1000.0, 9_000));
--- a/crates/flaxdeck-planner/src/events.rs
+++ b/crates/flaxdeck-planner/src/events.rs
@@ -4,18 +4,18 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use flaxdeck::words::{Coverage, HostId, Standing, Time};
+use flaxdeck::words::{Health, HostId, ListKind, Time};
 use flaxdeck_distribution::messages::{Delivery, Subscription};
 use flaxdeck_distribution::publisher::Counted;
 use flaxdeck_distribution::{Cadence, Content, Fingerprint, Publisher, Retention, SubscriberId};
 use flaxdeck_recovery::Mark;
 use flaxdeck_terms::Names;
-use flaxdeck_wire::frames::{Event, Station, whole_list};
+use flaxdeck_wire::frames::{AddressedEndpoint, Event, whole_list};
 
 /// What a planner knows of the coordinator's events, and who follows them here.
 pub struct Events {
     publisher: Publisher,
-    hosts: BTreeMap<HostId, Station>,
+    hosts: BTreeMap<HostId, AddressedEndpoint>,
     names: Rc<Names>,
 }
 
@@ -33,15 +33,15 @@
 
     /// Takes in what an event says of hosts.
     pub fn list(&mut self, event: &Event) {
-        let Event::Hosts(coverage, stations) = event else { return };
-        if *coverage == Coverage::Whole {
+        let Event::Hosts(list_kind, endpoints) = event else { return };
+        if *list_kind == ListKind::Full {
             self.hosts.clear();
         }
-        for station in stations {
-            let host = station.listed.host.clone();
-            match station.listed.standing {
-                Standing::Gone => drop(self.hosts.remove(&host)),
-                Standing::InService | Standing::Draining => drop(self.hosts.insert(host, station.clone())),
+        for endpoint in endpoints {
+            let host = endpoint.listed.host.clone();
+            match endpoint.listed.health {
+                Health::Removed => drop(self.hosts.remove(&host)),
+                Health::InService | Health::Draining => drop(self.hosts.insert(host, endpoint.clone())),
             }
         }
     }
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use flaxdeck::words::{Coverage, Standing};
+use flaxdeck::words::{Health, ListKind};
 use flaxdeck_distribution::messages::Subscription;
 use flaxdeck_distribution::{Cadence, SubscriberId};
 use flaxdeck_guidance::messages::{Epoch, Relayed, Report};
@@ -134,17 +134,17 @@
     }
 
     fn told(&self, event: Event) {
-        let Event::Hosts(coverage, stations) = event else { return };
+        let Event::Hosts(list_kind, endpoints) = event else { return };
         let (now, mut planner) = (self.clock.now(), self.planner.borrow_mut());
-        if coverage == Coverage::Whole {
-            let named: BTreeSet<&str> = stations.iter().map(|station| &*station.listed.host.0).collect();
+        if list_kind == ListKind::Full {
+            let named: BTreeSet<&str> = endpoints.iter().map(|endpoint| &*endpoint.listed.host.0).collect();
             let gone = planner.hosts().filter(|host| !named.contains(host.as_str())).cloned();
             gone.collect::<Vec<String>>().iter().for_each(|host| planner.listed(now, host, None));
         }
-        for station in &stations {
-            let line = &station.listed;
+        for endpoint in &endpoints {
+            let line = &endpoint.listed;
             let started = line.started.map_or(0, |at| at.ms() as u64);
-            planner.listed(now, &line.host.0, (line.standing != Standing::Gone).then_some(started));
+            planner.listed(now, &line.host.0, (line.health != Health::Removed).then_some(started));
         }
     }
 
--- a/crates/flaxdeck-recovery/src/belief.rs
+++ b/crates/flaxdeck-recovery/src/belief.rs
@@ -38,7 +38,7 @@
     pub zone: Option<u32>,
     pub cell: u64,
     pub role: u8,
-    pub standing: u8,
+    pub health: u8,
     /// Milliseconds of Unix time; zero for long past.
     pub started: u64,
 }
--- a/crates/flaxdeck-recovery/src/clocks.rs
+++ b/crates/flaxdeck-recovery/src/clocks.rs
@@ -14,7 +14,7 @@
 
 use std::collections::VecDeque;
 
-use flaxdeck::words::{Listed, Sight, Span, Time};
+use flaxdeck::words::{Endpoint, Sight, Span, Time};
 
 /// How late a purge may come by a clock that is right: its way to the coordinator and from there.
 pub const PURGE_LATE: Span = Span::from_ms(1_000);
@@ -66,7 +66,7 @@
     }
 
     /// Lines of the list by the own clock.
-    pub fn lines(&self, lines: &mut [Listed]) {
+    pub fn lines(&self, lines: &mut [Endpoint]) {
         lines.iter_mut().for_each(|line| line.started = line.started.map(|told| self.own(told)));
     }
 
--- a/crates/flaxdeck-recovery/src/doubt.rs
+++ b/crates/flaxdeck-recovery/src/doubt.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck::words::{HostId, Listed, Span, Standing, Time};
+use flaxdeck::words::{Endpoint, Health, HostId, Span, Time};
 
 use crate::numbering::Doubt;
 
@@ -17,8 +17,8 @@
 /// What is known of hosts by events of a numbering that is no more.
 #[derive(Default)]
 pub struct Doubted {
-    /// The standing that each host had, by the start it had then, and until when that counts.
-    held: BTreeMap<HostId, (Listed, Time)>,
+    /// The health that each host had, by the start it had then, and until when that counts.
+    held: BTreeMap<HostId, (Endpoint, Time)>,
 }
 
 impl Doubted {
@@ -27,15 +27,15 @@
     pub fn adopt(
         &mut self,
         now: Time,
-        known: &BTreeMap<HostId, Listed>,
-        mut list: Vec<Listed>,
-    ) -> (Vec<Listed>, usize) {
+        known: &BTreeMap<HostId, Endpoint>,
+        mut list: Vec<Endpoint>,
+    ) -> (Vec<Endpoint>, usize) {
         self.held.clear();
-        let withdrawn = |line: &&mut Listed| line.standing == Standing::InService;
+        let withdrawn = |line: &&mut Endpoint| line.health == Health::InService;
         for line in list.iter_mut().filter(withdrawn) {
             let Some(before) = known.get(&line.host) else { continue };
-            if before.standing != Standing::InService && !started_later(line, before) {
-                line.standing = before.standing;
+            if before.health != Health::InService && !started_later(line, before) {
+                line.health = before.health;
                 self.held.insert(line.host.clone(), (line.clone(), now + LASTS));
             }
         }
@@ -48,12 +48,12 @@
     }
 
     /// Hosts whose doubt has run out, as the new list had them.
-    pub fn run_out(&mut self, now: Time) -> Vec<Listed> {
+    pub fn run_out(&mut self, now: Time) -> Vec<Endpoint> {
         let (out, held) =
             std::mem::take(&mut self.held).into_iter().partition(|(_, (_, until))| *until <= now);
         self.held = held;
-        let out: BTreeMap<HostId, (Listed, Time)> = out;
-        out.into_values().map(|(line, _)| Listed { standing: Standing::InService, ..line }).collect()
+        let out: BTreeMap<HostId, (Endpoint, Time)> = out;
+        out.into_values().map(|(line, _)| Endpoint { health: Health::InService, ..line }).collect()
     }
 
     /// When that is next.
@@ -62,7 +62,7 @@
     }
 }
 
-fn started_later(line: &Listed, before: &Listed) -> bool {
+fn started_later(line: &Endpoint, before: &Endpoint) -> bool {
     line.started > before.started
 }
 
--- a/crates/flaxdeck-recovery/tests/belief.rs
+++ b/crates/flaxdeck-recovery/tests/belief.rs
@@ -14,7 +14,7 @@
 
 fn line(host: &str, started: u64) -> KeptLine {
     let address = "127.0.0.1:1".parse().unwrap();
-    KeptLine { host: host.into(), address, weight: 1.0, zone: None, cell: 0, role: 0, standing: 0, started }
+    KeptLine { host: host.into(), address, weight: 1.0, zone: None, cell: 0, role: 0, health: 0, started }
 }
 
 fn rating(host: &str, started: u64) -> KeptRating {
@@ -95,9 +95,9 @@
 fn what_came_later_is_added_in_its_order() {
     let mut all = kept(0);
     let mark = |number| Mark { number, hash: 1 };
-    all.add(Later::Lines(mark(10), vec![KeptLine { standing: 1, ..line("a", 0) }, line("c", 0)]));
+    all.add(Later::Lines(mark(10), vec![KeptLine { health: 1, ..line("a", 0) }, line("c", 0)]));
     all.add(Later::Purged(mark(11), KeptPurge { object: None, group: 3, made: 2 }));
-    assert_eq!((all.event, all.lines.len(), all.lines[0].standing, all.purges.len()), (mark(11), 3, 1, 2));
+    assert_eq!((all.event, all.lines.len(), all.lines[0].health, all.purges.len()), (mark(11), 3, 1, 2));
     all.add(Later::Whole(mark(1), vec![line("d", 0)]));
     all.add(Later::LendsUntil(Uptime { boot: 7, ms: 9 }));
     assert_eq!((all.event, all.lines.len(), all.lent_until.map(|at| at.ms)), (mark(1), 1, Some(9)));
--- a/crates/flaxdeck-recovery/tests/doubt.rs
+++ b/crates/flaxdeck-recovery/tests/doubt.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck::words::Standing::{Draining, Gone, InService};
-use flaxdeck::words::{CellId, HostId, Listed, Role, Span, Standing, Time};
+use flaxdeck::words::Health::{Draining, InService, Removed};
+use flaxdeck::words::{CellId, Endpoint, Health, HostId, Role, Span, Time};
 use flaxdeck_recovery::doubt::{Doubted, copies_from};
 use flaxdeck_recovery::numbering::Doubt;
 
@@ -11,24 +11,24 @@
     Time::at_ms(100_000.0 + ms as f64)
 }
 
-fn line(name: &str, standing: Standing, started: Option<u64>) -> Listed {
+fn line(name: &str, health: Health, started: Option<u64>) -> Endpoint {
     let started = started.map(|ms| Time::at_ms(ms as f64));
     let (host, cell) = (HostId(name.into()), CellId(0));
-    Listed { host, weight: 1.0, zone: None, cell, role: Role::Cache, standing, started }
+    Endpoint { host, weight: 1.0, zone: None, cell, role: Role::Cache, health, started }
 }
 
-fn known(lines: &[Listed]) -> BTreeMap<HostId, Listed> {
+fn known(lines: &[Endpoint]) -> BTreeMap<HostId, Endpoint> {
     lines.iter().map(|line| (line.host.clone(), line.clone())).collect()
 }
 
 #[test]
 fn a_list_put_back_does_not_bring_a_withdrawn_host_into_service() {
-    let before = known(&[line("a", Draining, None), line("b", Gone, Some(5)), line("c", InService, None)]);
+    let before = known(&[line("a", Draining, None), line("b", Removed, Some(5)), line("c", InService, None)]);
     let list = vec![line("a", InService, None), line("b", InService, Some(9)), line("c", InService, None)];
     let mut doubted = Doubted::default();
     let (list, count) = doubted.adopt(at(0), &before, list);
-    let standings: Vec<Standing> = list.iter().map(|line| line.standing).collect();
-    assert_eq!((standings, count), (vec![Draining, InService, InService], 1), "b has started since");
+    let healths: Vec<Health> = list.iter().map(|line| line.health).collect();
+    assert_eq!((healths, count), (vec![Draining, InService, InService], 1), "b has started since");
 }
 
 #[test]
@@ -41,7 +41,7 @@
     assert_eq!(doubted.run_out(at(59_999)).len(), 0);
     assert_eq!(doubted.next(), Some(at(60_000)));
     let out = doubted.run_out(at(60_000));
-    assert_eq!((&*out[0].host.0, out[0].standing, out.len()), ("b", InService, 1));
+    assert_eq!((&*out[0].host.0, out[0].health, out.len()), ("b", InService, 1));
     assert_eq!(doubted.next(), None);
 }
 
--- a/crates/flaxdeck-recovery/tests/numbering_model.rs
+++ b/crates/flaxdeck-recovery/tests/numbering_model.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use flaxdeck::words::{CellId, HostId, Listed, Role, Standing, Time};
+use flaxdeck::words::{CellId, Endpoint, Health, HostId, Role, Time};
 use flaxdeck_recovery::Mark;
 use flaxdeck_recovery::doubt::Doubted;
 use flaxdeck_recovery::numbering::{Next, Numbering};
@@ -19,13 +19,13 @@
 /// How long what others bring may stand against the coordinator.
 const CONTRADICTED: u64 = 800;
 
-type Standings = [bool; HOSTS]; // withdrawn or not
+type HostHealth = [bool; HOSTS]; // withdrawn or not
 
 #[derive(Clone, Debug)]
 struct Event {
     mark: Mark,
     whole: bool,
-    standings: Standings,
+    healths: HostHealth,
 }
 
 struct Coordinator {
@@ -47,19 +47,19 @@
     }
 
     fn tell(&mut self, chance: &mut Pcg64Mcg) {
-        let mut standings = self.last().standings;
+        let mut healths = self.last().healths;
         let host = chance.random_range(0..HOSTS);
-        standings[host] = !standings[host];
+        healths[host] = !healths[host];
         let number = self.last().mark.number + 1;
         let mark = self.mark(number);
-        self.events.push(Event { mark, whole: false, standings });
+        self.events.push(Event { mark, whole: false, healths });
     }
 
     /// It starts anew with its list as event `number`.
-    fn list(&mut self, number: u64, standings: Standings) {
+    fn list(&mut self, number: u64, healths: HostHealth) {
         self.run += 1;
         let mark = self.mark(number);
-        self.events = vec![Event { mark, whole: true, standings }];
+        self.events = vec![Event { mark, whole: true, healths }];
     }
 
     fn put_back(&mut self, events: usize) {
@@ -90,47 +90,47 @@
 struct Instance {
     numbering: Numbering,
     doubted: Doubted,
-    standings: Standings,
+    healths: HostHealth,
     link: Option<Link>,
     again_at: u64,
     /// What it would pass on, and the event that the first of it follows.
     log: (Mark, Vec<Event>),
 }
 
-fn line(host: usize, withdrawn: bool) -> Listed {
-    let standing = if withdrawn { Standing::Draining } else { Standing::InService };
+fn line(host: usize, withdrawn: bool) -> Endpoint {
+    let health = if withdrawn { Health::Draining } else { Health::InService };
     let (host, cell) = (HostId(format!("s-{host}").into()), CellId(0));
-    Listed { host, weight: 1.0, zone: None, cell, role: Role::Cache, standing, started: None }
+    Endpoint { host, weight: 1.0, zone: None, cell, role: Role::Cache, health, started: None }
 }
 
 impl Instance {
     fn new(first: &Event, trusting: bool) -> Instance {
         let numbering = if trusting { Numbering::trusting(first.mark) } else { Numbering::new(first.mark) };
-        let (doubted, standings, log) = (Doubted::default(), first.standings, (first.mark, Vec::new()));
-        Instance { numbering, doubted, standings, link: None, again_at: 0, log }
+        let (doubted, healths, log) = (Doubted::default(), first.healths, (first.mark, Vec::new()));
+        Instance { numbering, doubted, healths, link: None, again_at: 0, log }
     }
 
     fn applies(&mut self, event: &Event) {
         for host in 0..HOSTS {
-            if event.standings[host] != self.standings[host] {
-                self.standings[host] = event.standings[host];
+            if event.healths[host] != self.healths[host] {
+                self.healths[host] = event.healths[host];
             }
         }
         self.log.1.push(event.clone());
     }
 
     fn adopts(&mut self, now: Time, event: &Event, doubt: bool) {
-        let before: BTreeMap<HostId, Listed> = (0..HOSTS)
-            .map(|host| line(host, self.standings[host]))
+        let before: BTreeMap<HostId, Endpoint> = (0..HOSTS)
+            .map(|host| line(host, self.healths[host]))
             .map(|line| (line.host.clone(), line))
             .collect();
-        let mut list: Vec<Listed> = (0..HOSTS).map(|host| line(host, event.standings[host])).collect();
+        let mut list: Vec<Endpoint> = (0..HOSTS).map(|host| line(host, event.healths[host])).collect();
         if doubt {
             list = self.doubted.adopt(now, &before, list).0;
         }
         list.iter()
             .enumerate()
-            .for_each(|(host, line)| self.standings[host] = line.standing != Standing::InService);
+            .for_each(|(host, line)| self.healths[host] = line.health != Health::InService);
         self.log = (event.mark, Vec::new());
     }
 
@@ -227,7 +227,7 @@
     let mut withdrawn_since = [None::<u64>; HOSTS];
     let mut wrong_since = [[None::<u64>; HOSTS]; 2];
     for ms in (0..12_000).step_by(STEP as usize) {
-        let before = coordinator.last().standings;
+        let before = coordinator.last().healths;
         match chance.random_range(0..1_000) {
             // On quiet days nothing contradicts soon what others bring.
             n @ 0..30 if n < 3 || seed.is_multiple_of(2) => coordinator.tell(&mut chance),
@@ -243,7 +243,7 @@
             }),
             _ => {}
         }
-        for (since, withdrawn) in withdrawn_since.iter_mut().zip(coordinator.last().standings) {
+        for (since, withdrawn) in withdrawn_since.iter_mut().zip(coordinator.last().healths) {
             *since = if withdrawn { since.or(Some(ms)) } else { None };
         }
         for instance in &mut instances {
@@ -260,7 +260,7 @@
             let current = linked && instance.numbering.current(now);
             for host in 0..HOSTS {
                 let long = withdrawn_since[host].is_some_and(|since| ms >= since + 3 * COMES);
-                let wrong = current && long && !instance.standings[host];
+                let wrong = current && long && !instance.healths[host];
                 let since = &mut wrong_since[n][host];
                 *since = if wrong { since.or(Some(ms)) } else { None };
                 // What others bring of a history that is no more is contradicted once the link has not brought it.
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -92,7 +92,7 @@
 fn decision_micros(target: &Target, hosts: u64, purges_per_s: f64, seed: u64) -> f64 {
     let settles_ms = 1e3 * target.purge_within_s;
     let (mut engine, _) = Brain::start(at(0.0), seed, terms(settles_ms));
-    engine.list(at(0.0), Coverage::Whole, listed(hosts));
+    engine.list(at(0.0), ListKind::Full, listed(hosts));
     let mut purges = Schedule::new(purges_per_s);
     let mut ticks = Schedule::new(1.0);
     let each_ms = 1e3 / target.requests_each_per_s();
@@ -148,14 +148,14 @@
     }
 }
 
-fn listed(hosts: u64) -> Vec<Listed> {
-    let line = |number: u64| Listed {
+fn listed(hosts: u64) -> Vec<Endpoint> {
+    let line = |number: u64| Endpoint {
         host: HostId(format!("s-{number:08x}").into()),
         weight: 5.0,
         zone: Some(ZoneId(usize::from(number.is_multiple_of(A_PARENT_EVERY)))),
         cell: CellId(0),
         role: role(number),
-        standing: Standing::InService,
+        health: Health::InService,
         started: number.is_multiple_of(A_COLD_ONE_EVERY).then(|| at(0.0)),
     };
     (0..hosts).map(line).collect()
--- a/crates/flaxdeck-scale/src/capacity/state.rs
+++ b/crates/flaxdeck-scale/src/capacity/state.rs
@@ -301,7 +301,7 @@
         zone: Some(0),
         cell: 0,
         role: 0,
-        standing: 0,
+        health: 0,
         started: SOME_TIME,
     }
 }
--- a/crates/flaxdeck-wire/src/frames.rs
+++ b/crates/flaxdeck-wire/src/frames.rs
@@ -23,25 +23,25 @@
 /// What a numbered event tells.
 #[derive(Clone, Debug)]
 pub enum Event {
-    Hosts(Coverage, Vec<Station>),
+    Hosts(ListKind, Vec<AddressedEndpoint>),
     Purged { object: Option<ObjectId>, group: GroupId, made: Time },
 }
 
 impl Event {
     pub fn is_whole_list(&self) -> bool {
-        matches!(self, Event::Hosts(Coverage::Whole, _))
+        matches!(self, Event::Hosts(ListKind::Full, _))
     }
 
     /// A hash of what it tells, the same whether it came in a frame or in a file, in whatever order its lines stand.
     pub fn hash(&self) -> u64 {
-        let line = |station: &Station| {
-            let Station { listed, address } = station;
+        let line = |endpoint: &AddressedEndpoint| {
+            let AddressedEndpoint { listed, address } = endpoint;
             let words = [
                 (listed.weight * 1000.0).round() as u64,
                 listed.zone.map_or(u64::MAX, |zone| zone.0 as u64),
                 listed.cell.0,
                 listed.role as u64,
-                listed.standing as u64,
+                listed.health as u64,
                 listed.started.map_or(0, |at| at.ms() as u64),
                 u64::from(address.port()),
             ];
@@ -51,9 +51,9 @@
             })
         };
         let hash = match self {
-            Event::Hosts(coverage, stations) => {
-                let lines = stations.iter().map(line).fold(0u64, u64::wrapping_add);
-                fold(1 + *coverage as u64, &lines.to_be_bytes())
+            Event::Hosts(list_kind, endpoints) => {
+                let lines = endpoints.iter().map(line).fold(0u64, u64::wrapping_add);
+                fold(1 + *list_kind as u64, &lines.to_be_bytes())
             }
             Event::Purged { object, group, made } => {
                 let words = [object.map_or(0, |object| object.0), group.0, made.ms() as u64];
@@ -77,8 +77,8 @@
 
 /// A line of the list with the address at which this dispatcher reaches the host.
 #[derive(Clone, Debug)]
-pub struct Station {
-    pub listed: Listed,
+pub struct AddressedEndpoint {
+    pub listed: Endpoint,
     pub address: SocketAddr,
 }
 
@@ -115,9 +115,9 @@
             if !payload.len().is_multiple_of(RECORD) {
                 return Err(Malformed("a list that is not made of records"));
             }
-            let coverage = if kind == 1 { Coverage::Whole } else { Coverage::Changes };
-            let stations: Result<_, _> = payload.chunks(RECORD).map(|row| record(row, names)).collect();
-            Event::Hosts(coverage, stations?)
+            let list_kind = if kind == 1 { ListKind::Full } else { ListKind::Delta };
+            let endpoints: Result<_, _> = payload.chunks(RECORD).map(|row| record(row, names)).collect();
+            Event::Hosts(list_kind, endpoints?)
         }
         kind @ (3 | 4) => {
             let named = if kind == 3 { 8 } else { 2 };
@@ -148,23 +148,23 @@
 }
 
 /// Reads one line of a list: `RECORD` bytes.
-pub fn record(row: &[u8], names: &Names) -> Result<Station, Malformed> {
-    let standing = match row[10] {
-        0 => Standing::InService,
-        1 => Standing::Draining,
-        2 => Standing::Gone,
+pub fn record(row: &[u8], names: &Names) -> Result<AddressedEndpoint, Malformed> {
+    let health = match row[10] {
+        0 => Health::InService,
+        1 => Health::Draining,
+        2 => Health::Removed,
         _ => return Err(Malformed("a host of no known state")),
     };
     let zone = Some(usize::from(row[11])).filter(|zone| *zone < names.zones.len());
     let address = Ipv4Addr::new(row[4], row[5], row[6], row[7]);
-    Ok(Station {
-        listed: Listed {
+    Ok(AddressedEndpoint {
+        listed: Endpoint {
             host: HostId(format!("s-{:08x}", big_endian(&row[..4])).into()),
             weight: big_endian(&row[15..19]) as f64 / 1000.0,
             zone: zone.map(ZoneId),
             cell: CellId(big_endian(&row[13..15])),
             role: names.role(Some(usize::from(row[12]))),
-            standing,
+            health,
             started: started(big_endian(&row[19..27]) as f64),
         },
         address: SocketAddr::from((address, big_endian(&row[8..10]) as u16)),
@@ -175,10 +175,10 @@
 /// stead; none if a host's name or address has no form in a frame, or the list is over the bound of a frame.
 pub fn whole_list<'a>(
     number: u64,
-    stations: impl Iterator<Item = &'a Station>,
+    endpoints: impl Iterator<Item = &'a AddressedEndpoint>,
     names: &Names,
 ) -> Option<Vec<u8>> {
-    let records: Option<Vec<[u8; RECORD]>> = stations.map(|station| record_of(station, names)).collect();
+    let records: Option<Vec<[u8; RECORD]>> = endpoints.map(|endpoint| record_of(endpoint, names)).collect();
     let payload = records?.concat();
     let length = FIXED + payload.len();
     if length > FRAME_MOST {
@@ -188,8 +188,8 @@
 }
 
 /// The reverse of [`record`].
-fn record_of(station: &Station, names: &Names) -> Option<[u8; RECORD]> {
-    let Station { listed, address } = station;
+fn record_of(endpoint: &AddressedEndpoint, names: &Names) -> Option<[u8; RECORD]> {
+    let AddressedEndpoint { listed, address } = endpoint;
     let SocketAddr::V4(address) = address else { return None };
     let digits = listed.host.0.strip_prefix("s-").filter(|digits| digits.len() == 8)?;
     let name = u32::from_str_radix(digits, 16).ok()?;
@@ -198,16 +198,16 @@
     let cell = u16::try_from(listed.cell.0).ok()?;
     let weight = (listed.weight * 1000.0).round() as u32;
     let started = listed.started.map_or(0, |at| at.ms() as u64);
-    let standing = match listed.standing {
-        Standing::InService => 0,
-        Standing::Draining => 1,
-        Standing::Gone => 2,
+    let health = match listed.health {
+        Health::InService => 0,
+        Health::Draining => 1,
+        Health::Removed => 2,
     };
     let mut row = [0; RECORD];
     row[..4].copy_from_slice(&name.to_be_bytes());
     row[4..8].copy_from_slice(&address.ip().octets());
     row[8..10].copy_from_slice(&address.port().to_be_bytes());
-    row[10..13].copy_from_slice(&[standing, zone, kind]);
+    row[10..13].copy_from_slice(&[health, zone, kind]);
     row[13..15].copy_from_slice(&cell.to_be_bytes());
     row[15..19].copy_from_slice(&weight.to_be_bytes());
     row[19..].copy_from_slice(&started.to_be_bytes());
@@ -227,9 +227,9 @@
 fn update_of(update: &Fields, names: &Names) -> Result<Event, String> {
     if update.get("endpoints").is_some() {
         let list = update.inner("endpoints")?;
-        let coverage = if list.flag_or_false("whole")? { Coverage::Whole } else { Coverage::Changes };
-        let stations = list.rows("hosts")?.iter().map(|row| station(row, names));
-        return Ok(Event::Hosts(coverage, stations.collect::<Result<_, _>>()?));
+        let list_kind = if list.flag_or_false("whole")? { ListKind::Full } else { ListKind::Delta };
+        let endpoints = list.rows("hosts")?.iter().map(|row| endpoint(row, names));
+        return Ok(Event::Hosts(list_kind, endpoints.collect::<Result<_, _>>()?));
     }
     let purge = update.inner("evict")?;
     let made = purge.time("unix_ms")?;
@@ -239,25 +239,25 @@
     Ok(Event::Purged { object, group, made })
 }
 
-fn station(row: &Value, names: &Names) -> Result<Station, String> {
+fn endpoint(row: &Value, names: &Names) -> Result<AddressedEndpoint, String> {
     let row = Fields::of(row, "a host")?;
     let place =
         |names: &[String], name: Option<&str>| name.and_then(|name| flaxdeck_terms::place(names, name));
-    let standing = match row.text("health")? {
-        "Ready" => Standing::InService,
-        "Terminating" => Standing::Draining,
-        "Gone" => Standing::Gone,
+    let health = match row.text("health")? {
+        "Ready" => Health::InService,
+        "Terminating" => Health::Draining,
+        "Gone" => Health::Removed,
         other => return Err(format!("unknown health {other}")),
     };
     let dial = row.text("dial")?;
-    Ok(Station {
-        listed: Listed {
+    Ok(AddressedEndpoint {
+        listed: Endpoint {
             host: HostId(row.text("host")?.into()),
             weight: row.number_or("share", 1.0)?,
             zone: place(&names.zones, row.text_or_none("site")?).map(ZoneId),
             cell: CellId(row.whole_or_none("block")?.unwrap_or(0)),
             role: names.role(place(&names.kinds, row.text_or_none("class")?)),
-            standing,
+            health,
             started: started(row.number_or("born_ms", 0.0)?),
         },
         address: dial.parse().map_err(|_| format!("dial {dial} is no address"))?,
--- a/crates/flaxdeck-wire/tests/frames.rs
+++ b/crates/flaxdeck-wire/tests/frames.rs
@@ -33,14 +33,14 @@
             events.push((index, event));
         }
     }
-    let [(4, None), (5, Some(Event::Hosts(Coverage::Changes, hosts))), (6, Some(purge)), (7, Some(group))] =
+    let [(4, None), (5, Some(Event::Hosts(ListKind::Delta, hosts))), (6, Some(purge)), (7, Some(group))] =
         &events[..]
     else {
         panic!("{events:?}")
     };
-    let Listed { host, weight, zone, cell, role, standing, started } = &hosts[0].listed;
+    let Endpoint { host, weight, zone, cell, role, health, started } = &hosts[0].listed;
     assert_eq!((&*host.0, *weight, *zone), ("s-00c41f7a", 4.5, Some(ZoneId(0))));
-    assert_eq!((*cell, *role, *standing), (CellId(2), Role::Parent, Standing::Draining));
+    assert_eq!((*cell, *role, *health), (CellId(2), Role::Parent, Health::Draining));
     assert_eq!(*started, Some(Time::at_ms(1764576000123.0)));
     assert_eq!(hosts[0].address.to_string(), "127.1.0.9:5050");
     assert!(matches!(purge, Event::Purged { object: Some(ObjectId(0x7f3a9c21e0b4d655)), .. }));
@@ -67,7 +67,7 @@
     let value: Value = serde_json::from_str(text).unwrap();
     let (last, events) = known(&Fields::of(&value, "known").unwrap(), &names()).unwrap();
     assert_eq!(last, 43);
-    let (41, Event::Hosts(Coverage::Whole, hosts)) = &events[0] else { panic!("{events:?}") };
+    let (41, Event::Hosts(ListKind::Full, hosts)) = &events[0] else { panic!("{events:?}") };
     let same = record(&row(1), &names()).unwrap();
     assert_eq!(format!("{:?}", hosts[0]), format!("{same:?}"));
     assert!(matches!(events[1].1, Event::Purged { object: Some(ObjectId(0x7f3a9c21e0b4d655)), .. }));
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -106,7 +106,7 @@
 }
 
 impl Host {
-    fn new(line: Listed, now: Time) -> Host {
+    fn new(line: Endpoint, now: Time) -> Host {
         let hash = mix(of_name(&line.host.0, 0));
         let (reputation, next_trial, window, slow) = (1.0, now + TRIAL, WINDOW, (1.0, now));
         Host { line, hash, reputation, next_trial, window, reach: 1.0, slow, heard: now, ..Host::default() }
@@ -115,7 +115,7 @@
         self.line.role == role
     }
     fn usable(&self) -> bool {
-        self.line.standing == Standing::InService && self.reputation >= FLOOR
+        self.line.health == Health::InService && self.reputation >= FLOOR
     }
     fn praise(&mut self, now: Time, out: &Out) {
         (self.heard, self.mute, self.good) = (now, 0, Some(now));
@@ -216,9 +216,9 @@
     }
 
     /// Lines of the list of hosts; with the whole list, what it leaves out is gone.
-    pub fn list(&mut self, now: Time, coverage: Coverage, lines: Vec<Listed>) -> Decisions {
-        let left_out = self.hosts.values_mut().filter(|_| coverage == Coverage::Whole);
-        left_out.for_each(|host| host.line.standing = Standing::Gone); // unless a line says otherwise
+    pub fn list(&mut self, now: Time, list_kind: ListKind, lines: Vec<Endpoint>) -> Decisions {
+        let left_out = self.hosts.values_mut().filter(|_| list_kind == ListKind::Full);
+        left_out.for_each(|host| host.line.health = Health::Removed); // unless a line says otherwise
         for line in lines {
             let known = self.hosts.entry(line.host.clone()).or_insert_with(|| Host::new(line.clone(), now));
             if known.line.started != line.started {
@@ -338,7 +338,7 @@
         };
         let sent_by = window.min(held.request.hard_stop) - self.early;
         for id_of in ids {
-            let host = self.hosts.get_mut(id_of).filter(|host| host.line.standing == Standing::InService)?;
+            let host = self.hosts.get_mut(id_of).filter(|host| host.line.health == Health::InService)?;
             let spent =
                 host.spent.iter_mut().find(|(_, request, index_of, _)| (*request, *index_of) == (id, index));
             let counts = spent.map(|spent| spent.0 = now).is_some(); // not with a process started since
@@ -504,7 +504,7 @@
             self.seen.retain(|_, at| now.since(*at) < REMEMBER);
             self.owed.retain(|_, promised| now.since(*promised) < REMEMBER);
             self.purges.retain(|(.., made)| now.since(*made) < self.terms.purge_settles + TIDY);
-            self.hosts.retain(|_, host| host.line.standing != Standing::Gone || host.in_hand > 0.0);
+            self.hosts.retain(|_, host| host.line.health != Health::Removed || host.in_hand > 0.0);
         }
         (now >= self.next_look).then(|| self.look());
         while self.due.first().is_some_and(|(at, _)| *at <= now) {
@@ -524,7 +524,7 @@
     // Asks the cache of this location that was looked at longest ago for its load.
     fn look(&mut self) {
         self.next_look = self.now + LOOK * self.chance.random_range(0.9..1.1);
-        let mine = self.hosts.values().filter(|h| self.mine(h) && h.line.standing == Standing::InService);
+        let mine = self.hosts.values().filter(|h| self.mine(h) && h.line.health == Health::InService);
         let next = mine.min_by_key(|host| (host.looked, host.hash)).map(|host| host.line.host.clone());
         if let Some(host) = next.as_ref().and_then(|id| self.hosts.get_mut(id)) {
             host.looked = Some(self.now);
@@ -725,7 +725,7 @@
     }
 
     fn origin(&self) -> Option<&Host> {
-        self.hosts.values().find(|h| h.is(Role::Origin) && h.line.standing == Standing::InService)
+        self.hosts.values().find(|h| h.is(Role::Origin) && h.line.health == Health::InService)
     }
 
     fn mine(&self, host: &Host) -> bool {
@@ -745,7 +745,7 @@
     /// Hosts of a role in the order of the shared hash (weighted rendezvous).
     fn in_hash_order(&self, role: Role, request: &Request) -> Vec<&Host> {
         let near = |host: &Host| role != Role::Cache || self.mine(host);
-        let mine = |h: &&Host| h.is(role) && near(h) && h.line.standing == Standing::InService;
+        let mine = |h: &&Host| h.is(role) && near(h) && h.line.health == Health::InService;
         let score = |host: &Host| -draw(host, request).ln() / host.line.weight.max(0.01);
         let mut order: Vec<&Host> = self.hosts.values().filter(mine).collect();
         order.sort_by(|a, b| score(a).total_cmp(&score(b)));
@@ -756,7 +756,7 @@
     fn in_scope(&self, held: &Held, host: &Host) -> bool {
         let repeats = self.kinds[held.request.workload.0].of.repeats;
         let (Repeats::Numbered { scope, .. }, Some((_, first))) = (repeats, &held.ran) else { return true };
-        let cell = |line: &Listed| (line.zone, if scope == Scope::Cell { line.cell } else { CellId(0) });
+        let cell = |line: &Endpoint| (line.zone, if scope == Scope::Cell { line.cell } else { CellId(0) });
         let same = |first: &Host| cell(&first.line) == cell(&host.line);
         scope == Scope::All || self.hosts.get(first).is_some_and(same)
     }
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -10,7 +10,7 @@
 /// What became known.
 #[derive(Debug)]
 pub enum News {
-    Hosts(Coverage, Vec<Listed>),
+    Hosts(ListKind, Vec<Endpoint>),
     Purged {
         object: Option<ObjectId>,
         group: GroupId,
@@ -63,7 +63,7 @@
     /// Takes in what became known; gives the requests that have a step to pick.
     pub fn report(&mut self, now: Time, news: News) -> Vec<RequestId> {
         let decisions = match news {
-            News::Hosts(coverage, lines) => self.brain.list(now, coverage, lines),
+            News::Hosts(list_kind, lines) => self.brain.list(now, list_kind, lines),
             News::Purged { object, group, made } => self.brain.purge(now, object, group, made),
             News::Arrived(request) => {
                 self.lines.insert(request.id, Line::default());
--- a/src/state.rs
+++ b/src/state.rs
@@ -7,7 +7,7 @@
 /// A host with its ratings and what this dispatcher has at it.
 #[derive(Default)]
 pub(crate) struct Host {
-    pub(crate) line: Listed,
+    pub(crate) line: Endpoint,
     pub(crate) hash: u64,
     pub(crate) reputation: f64,
     pub(crate) next_trial: Time,
--- a/src/words.rs
+++ b/src/words.rs
@@ -172,31 +172,31 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum Health {
     InService,
     Draining,
     #[default]
-    Gone,
+    Removed,
 }
 
 /// One line of the list of hosts.
 #[derive(Clone, Debug, Default)]
-pub struct Listed {
+pub struct Endpoint {
     pub host: HostId,
     pub weight: f64,
     pub zone: Option<ZoneId>,
     pub cell: CellId,
     pub role: Role,
-    pub standing: Standing,
+    pub health: Health,
     /// Its latest start; none if that is long past.
     pub started: Option<Time>,
 }
 
 /// What a list event says about the hosts that it does not name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Coverage {
-    Changes,
-    Whole,
+pub enum ListKind {
+    Delta,
+    Full,
 }
 
 /// A client's request.
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -25,10 +25,10 @@
     HostId(name.into())
 }
 
-pub fn line(name: &str, role: Role) -> Listed {
+pub fn line(name: &str, role: Role) -> Endpoint {
     let zone = Some(ZoneId(if role == Role::Cache { 0 } else { 1 }));
-    let (standing, started, cell) = (Standing::InService, None, CellId(name.len() as u64));
-    Listed { host: host(name), weight: 5.0, zone, cell, role, standing, started }
+    let (health, started, cell) = (Health::InService, None, CellId(name.len() as u64));
+    Endpoint { host: host(name), weight: 5.0, zone, cell, role, health, started }
 }
 
 pub fn workload(repeats: Repeats) -> Workload {
@@ -73,13 +73,13 @@
 }
 
 /// Two caches, two parents and the origin.
-pub fn usual() -> Vec<Listed> {
+pub fn usual() -> Vec<Endpoint> {
     let roles = [Role::Cache, Role::Cache, Role::Parent, Role::Parent, Role::Origin];
     ["a", "bb", "p", "q", "o"].iter().zip(roles).map(|(name, role)| line(name, role)).collect()
 }
 
 impl Fake {
-    pub fn new(terms: Terms, hosts: Vec<Listed>) -> Fake {
+    pub fn new(terms: Terms, hosts: Vec<Endpoint>) -> Fake {
         let now = Time::at_ms(100_000.0);
         let (brain, _) = Brain::start(now, 7, terms);
         let (finals, cancels, sent, looks) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
@@ -111,8 +111,8 @@
         }
     }
 
-    pub fn list(&mut self, hosts: Vec<Listed>) {
-        let decisions = self.brain.list(self.now, Coverage::Changes, hosts);
+    pub fn list(&mut self, hosts: Vec<Endpoint>) {
+        let decisions = self.brain.list(self.now, ListKind::Delta, hosts);
         self.apply(decisions);
     }
 
--- a/tests/guided.rs
+++ b/tests/guided.rs
@@ -21,13 +21,13 @@
     Guided { hints, by_right: 1.0, link: None, vouched: true }
 }
 
-fn brain(lines: Vec<Listed>) -> Brain {
+fn brain(lines: Vec<Endpoint>) -> Brain {
     let (mut brain, _) = Brain::start(at(0), 1, terms());
-    brain.list(at(0), Coverage::Whole, lines);
+    brain.list(at(0), ListKind::Full, lines);
     brain
 }
 
-fn lines() -> Vec<Listed> {
+fn lines() -> Vec<Endpoint> {
     vec![line("a", Role::Cache), line("p", Role::Parent), line("q", Role::Parent), line("o", Role::Origin)]
 }
 
--- a/tests/same.rs
+++ b/tests/same.rs
@@ -110,7 +110,7 @@
     (terms.zone_dispatchers, terms.dispatchers) = (vec![1 + (seed % 4) as u32, 2], 3 + (seed % 4) as u32);
     let (brain, decisions) = Brain::start(start, seed, terms);
     let roles = [(Role::Cache, 6, "c"), (Role::Parent, 3, "p"), (Role::Origin, 1, "o")];
-    let mut lines: Vec<Listed> = Vec::new();
+    let mut lines: Vec<Endpoint> = Vec::new();
     for (role, count, name) in roles {
         lines.extend((0..count).map(|n| line(&format!("{name}{n}"), role)));
     }
@@ -135,7 +135,7 @@
     let mut day =
         Day { brain, chance, later, wake: None, next: 0, attempts_of, digest: 0, attempts: 0, trouble };
     day.take(start, decisions);
-    let decisions = day.brain.list(start, Coverage::Whole, lines.clone());
+    let decisions = day.brain.list(start, ListKind::Full, lines.clone());
     day.take(start, decisions);
     for ms in 0..MS {
         let now = Time::at_ms(100_000.0 + ms as f64);
@@ -172,12 +172,12 @@
         }
         if day.chance.random_bool(0.0008) {
             let at = day.chance.random_range(0..lines.len() - 1);
-            let standings = [Standing::InService, Standing::Draining, Standing::Gone, Standing::InService];
-            lines[at].standing = standings[day.chance.random_range(0..standings.len())];
-            if lines[at].standing == Standing::InService {
+            let healths = [Health::InService, Health::Draining, Health::Removed, Health::InService];
+            lines[at].health = healths[day.chance.random_range(0..healths.len())];
+            if lines[at].health == Health::InService {
                 lines[at].started = Some(now);
             }
-            let decisions = day.brain.list(now, Coverage::Changes, vec![lines[at].clone()]);
+            let decisions = day.brain.list(now, ListKind::Delta, vec![lines[at].clone()]);
             day.take(now, decisions);
         }
         if day.chance.random_bool(0.0005) {
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -210,7 +210,7 @@
 #[test]
 fn nothing_new_goes_to_a_draining_host_nor_names_it_as_source() {
     let mut fake = Fake::new(terms(), usual());
-    let draining = |name, role| Listed { standing: Standing::Draining, ..line(name, role) };
+    let draining = |name, role| Endpoint { health: Health::Draining, ..line(name, role) };
     fake.list(vec![draining("a", Role::Cache), draining("p", Role::Parent)]);
     for object in 0..40 {
         fake.fill(object, 100.0, Told::Filled, |_| 20);
@@ -222,7 +222,7 @@
 fn a_cold_cache_and_a_cold_parent_get_this_dispatchers_share_and_no_more() {
     let mut fake = Fake::new(terms(), usual());
     fake.pass(3000);
-    let cold = |name, role| Listed { started: Some(Time::at_ms(103_000.0)), ..line(name, role) };
+    let cold = |name, role| Endpoint { started: Some(Time::at_ms(103_000.0)), ..line(name, role) };
     fake.list(vec![cold("a", Role::Cache), cold("p", Role::Parent)]);
     for object in 0..400 {
         fake.fill(object, 100.0, Told::Filled, |_| 20);
@@ -236,7 +236,7 @@
 
 #[test]
 fn a_restarted_dispatcher_takes_the_cold_hosts_window_as_spent() {
-    let cold = |l: Listed| Listed { started: Some(Time::at_ms(99_000.0)), ..l };
+    let cold = |l: Endpoint| Endpoint { started: Some(Time::at_ms(99_000.0)), ..l };
     let mut fake = Fake::new(terms(), usual().into_iter().map(cold).collect());
     fake.request(0, 1);
     assert!(fake.sent.is_empty());
@@ -366,7 +366,7 @@
         fake.fill(object, 100.0, Told::Held, |_| 0);
     }
     fake.pass(3000);
-    fake.list(vec![Listed { started: Some(Time::at_ms(103_000.0)), ..line("a", Role::Cache) }]);
+    fake.list(vec![Endpoint { started: Some(Time::at_ms(103_000.0)), ..line("a", Role::Cache) }]);
     let before = fake.sent.len();
     for object in 0..400 {
         let at = fake.request_of(0, object, 10.0);
@@ -417,7 +417,7 @@
 
 #[test]
 fn fills_at_a_parent_keep_to_a_window_and_past_it_only_hits_are_asked_for() {
-    let wide = |line: Listed| Listed { weight: 500.0, ..line };
+    let wide = |line: Endpoint| Endpoint { weight: 500.0, ..line };
     let mut fake = Fake::new(terms(), usual().into_iter().map(wide).collect());
     for object in 0..200 {
         fake.request(0, object);
@@ -540,7 +540,7 @@
     assert!(fake.brain.clear(now, sent.request, index).is_some(), "it stands as long as nothing has changed");
     for id in [&sent.host, &sent.source] {
         let was = usual().into_iter().find(|line| line.host == *id).unwrap();
-        fake.list(vec![Listed { started: Some(now), ..was.clone() }]);
+        fake.list(vec![Endpoint { started: Some(now), ..was.clone() }]);
         assert_eq!(fake.brain.clear(now, sent.request, index), None, "{id:?} is another process");
         fake.list(vec![was]);
     }
@@ -605,7 +605,7 @@
     for answered in [true, false] {
         let now = Time::at_ms(100_000.0);
         let mut facade = Facade::start(now, 7, terms());
-        facade.report(now, News::Hosts(Coverage::Whole, usual()));
+        facade.report(now, News::Hosts(ListKind::Full, usual()));
         let (request, hard_stop, group) = (RequestId(1), now + Span::from_ms(900), GroupId(1));
         let (workload, object, size_kb) = (WorkloadId(0), ObjectId(1), Some(100.0));
         let asked =
@@ -672,13 +672,13 @@
 #[test]
 fn where_no_size_is_told_the_mean_is_learnt_from_hits() {
     let sent_at_once = |took: u64| {
-        let wide = |line: Listed| Listed { weight: 20.0, ..line };
+        let wide = |line: Endpoint| Endpoint { weight: 20.0, ..line };
         let mut fake = Fake::new(single(), usual().into_iter().map(wide).collect());
         for object in 0..200 {
             let at = fake.untold(object);
             fake.end_after(at, Ending::Answered, Told::Held, took);
         }
-        fake.list(vec![Listed { started: Some(fake.now), ..wide(line("a", Role::Cache)) }]);
+        fake.list(vec![Endpoint { started: Some(fake.now), ..wide(line("a", Role::Cache)) }]);
         fake.pass(2100);
         (0..80).for_each(|object| _ = fake.untold(object));
         fake.sent[200..].iter().filter(|(_, sent)| sent.host == host("a")).count()
@@ -787,7 +787,7 @@
 
 #[test]
 fn a_fill_whose_parent_has_no_room_goes_to_an_origin_that_has() {
-    let wide = |line: Listed| Listed { weight: 500.0, ..line };
+    let wide = |line: Endpoint| Endpoint { weight: 500.0, ..line };
     let hosts = usual().into_iter().filter(|line| line.host != host("q"));
     let mut fake = Fake::new(terms(), hosts.map(wide).collect());
     (0..60).for_each(|object| _ = fake.request(0, object));
