--- a/crates/flaxdeck-adapter/src/wire.rs
+++ b/crates/flaxdeck-adapter/src/wire.rs
@@ -30,7 +30,7 @@
 }
 
 /// One instance, with the names that its start gave to numbers.
-struct Seat {
+struct Instance {
     brain: Brain,
     names: Names,
 }
@@ -38,7 +38,7 @@
 /// All instances of this process and the numbered lists, which belong to none.
 #[derive(Default)]
 pub struct Desk {
-    seats: BTreeMap<String, Seat>,
+    instances: BTreeMap<String, Instance>,
     sheets: BTreeMap<u64, Rc<Vec<Value>>>,
     /// The batch's clock, while a batch is open.
     now: Option<Time>,
@@ -104,18 +104,18 @@
         }
         let who = fields.text("who")?;
         if name == "Launch" {
-            let (seat, decisions) = Seat::launch(fields, now)?;
-            self.seats.insert(who.to_owned(), seat);
+            let (instance, decisions) = Instance::launch(fields, now)?;
+            self.instances.insert(who.to_owned(), instance);
             encode(who, now, decisions, &mut self.reply);
             return Ok(());
         }
         if name == "Destroy" {
-            return match self.seats.remove(who) {
+            return match self.instances.remove(who) {
                 Some(_) => Ok(()),
                 None => Err(format!("{who} was never started")),
             };
         }
-        let seat = self.seats.get_mut(who).ok_or_else(|| format!("{who} was never started"))?;
+        let instance = self.instances.get_mut(who).ok_or_else(|| format!("{who} was never started"))?;
         let decisions = match name {
             "Endpoints" => {
                 let list_kind = match fields.text("how")? {
@@ -126,31 +126,31 @@
                 };
                 let number = fields.whole("sheet")?;
                 let rows = self.sheets.get(&number).ok_or_else(|| format!("list {number} was never sent"))?;
-                let listed = seat.listed(rows)?;
-                seat.brain.list(now, list_kind, listed)
+                let listed = instance.listed(rows)?;
+                instance.brain.list(now, list_kind, listed)
             }
             "Accept" => {
-                let request = seat.request(fields)?;
-                seat.brain.request(now, request)
+                let request = instance.request(fields)?;
+                instance.brain.request(now, request)
             }
             "Resolved" => {
-                let ended = seat.ended(fields)?;
-                seat.brain.attempt_ended(now, ended)
+                let ended = instance.ended(fields)?;
+                instance.brain.attempt_ended(now, ended)
             }
             "Outdated" => {
                 let object = fields.whole_or_none("key")?.filter(|key| *key != 0).map(ObjectId);
                 let group = GroupId(fields.whole("family_id")?);
                 let made = now - fields.span_or_zero("how_old_ms")?;
-                seat.brain.purge(now, object, group, made)
+                instance.brain.purge(now, object, group, made)
             }
             "Elapsed" => {
                 fields.whole("ctx")?;
-                seat.brain.wake(now)
+                instance.brain.wake(now)
             }
-            "Dropped" => seat.brain.client_left(now, RequestId(fields.whole("request_id")?)),
+            "Dropped" => instance.brain.client_left(now, RequestId(fields.whole("request_id")?)),
             "CheckResult" => {
-                let (host, told) = (HostId(fields.text("host")?.into()), seat.report(fields)?);
-                seat.brain.seen(now, &host, told)
+                let (host, told) = (HostId(fields.text("host")?.into()), instance.report(fields)?);
+                instance.brain.seen(now, &host, told)
             }
             // Streamed answers and messages are never asked for here: nothing follows from them.
             _ => return Ok(()),
@@ -160,12 +160,12 @@
     }
 }
 
-impl Seat {
-    fn launch(fields: &Fields, now: Time) -> Result<(Seat, Decisions), String> {
+impl Instance {
+    fn launch(fields: &Fields, now: Time) -> Result<(Instance, Decisions), String> {
         let seed = fields.whole("entropy")?;
         let (terms, names) = flaxdeck_terms::read(&fields.inner("params")?)?;
         let (brain, decisions) = Brain::start(now, seed, terms);
-        Ok((Seat { brain, names }, decisions))
+        Ok((Instance { brain, names }, decisions))
     }
 
     fn listed(&self, rows: &[Value]) -> Result<Vec<Endpoint>, String> {
--- a/crates/flaxdeck-dispatcher/src/protocol/session.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/session.rs
@@ -313,7 +313,7 @@
                 count(Count::clients_stalled);
                 Waited::Over
             }
-            () = self.outbound.stirred() => Waited::Stirred,
+            () = self.outbound.notified() => Waited::Stirred,
         }
     }
 }
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -204,7 +204,7 @@
     pub fn keep_last(&self) {
         let keeper = self.keeper.borrow().clone();
         if let Some(keeper) = keeper {
-            keeper.last(&self.sights());
+            keeper.last(&self.observations());
         }
     }
 
@@ -244,10 +244,10 @@
     }
 
     /// What was seen of hosts, with their starts as they were told.
-    fn sights(&self) -> Vec<Sight> {
-        let mut sights = self.facade.borrow().sights(self.clock.now());
-        self.guides.borrow().iter().for_each(|guides| guides.clocks.borrow().sights(&mut sights));
-        sights
+    fn observations(&self) -> Vec<Observation> {
+        let mut observations = self.facade.borrow().observations(self.clock.now());
+        self.guides.borrow().iter().for_each(|guides| guides.clocks.borrow().observations(&mut observations));
+        observations
     }
 
     /// Lines of hosts go to the brain with their starts by the own clock.
@@ -383,20 +383,25 @@
                 () = guides.report_now.notified() => {}
             }
             let now = self.clock.now();
-            let sights = self.sights();
+            let observations = self.observations();
             {
                 let mut guide = guides.guide.borrow_mut();
-                guide.stand(now, &sights);
+                guide.stand(now, &observations);
                 guide.link(self.zone, self.facade.borrow().link());
                 let mut speakers = guides.speakers.borrow_mut();
                 for (at, speaker) in speakers.iter_mut().enumerate() {
                     let (Some(speaker), planner) = (speaker, PlannerId(at as u32)) else { continue };
-                    if !guide.is_report_due(now, planner, &sights) {
+                    if !guide.is_report_due(now, planner, &observations) {
                         continue;
                     }
                     if speaker.may_speak() {
                         let last = guides.numbering.borrow().last();
-                        speaker.speak(&FromForwarder::Report(guide.report(now, planner, &sights, last)));
+                        speaker.speak(&FromForwarder::Report(guide.report(
+                            now,
+                            planner,
+                            &observations,
+                            last,
+                        )));
                     } else {
                         count(Count::reports_skipped);
                     }
@@ -413,7 +418,7 @@
             if let Some(keeper) = keeper {
                 let leave = guides.guide.borrow_mut().asks_leave(now);
                 leave.into_iter().for_each(|until| keeper.leave(until));
-                keeper.tick(&sights);
+                keeper.tick(&observations);
             }
             let back = guides.doubted.borrow_mut().run_out(now);
             if !back.is_empty() {
--- a/crates/flaxdeck-dispatcher/src/routing/keep.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/keep.rs
@@ -241,18 +241,19 @@
         self.asked.set(None);
     }
 
-    fn whole(&self, sights: &[Sight]) -> Vec<u8> {
+    fn whole(&self, observations: &[Observation]) -> Vec<u8> {
         let now = self.clock.now();
         let ago = |at: Option<Time>| at.map(|at| now.since(at).ms() as u64);
-        let seen =
-            sights.iter().filter(|sight| [sight.measured, sight.good, sight.bad].iter().any(Option::is_some));
-        let rating = |sight: &Sight| KeptRating {
-            host: sight.host.0.to_string(),
-            started: sight.started.map_or(0, |at| at.ms() as u64),
-            measures: sight.measures,
-            measured_ago: ago(sight.measured),
-            good_ago: ago(sight.good),
-            bad_ago: ago(sight.bad),
+        let seen = observations.iter().filter(|observation| {
+            [observation.measured, observation.good, observation.bad].iter().any(Option::is_some)
+        });
+        let rating = |observation: &Observation| KeptRating {
+            host: observation.host.0.to_string(),
+            started: observation.started.map_or(0, |at| at.ms() as u64),
+            measures: observation.measures,
+            measured_ago: ago(observation.measured),
+            good_ago: ago(observation.good),
+            bad_ago: ago(observation.bad),
         };
         let mut kept = self.kept.borrow_mut();
         kept.forget_settled(self.settles);
@@ -261,18 +262,18 @@
     }
 
     /// Keeps a whole state if it is time.
-    pub fn tick(&self, sights: &[Sight]) {
+    pub fn tick(&self, observations: &[Observation]) {
         let now = self.clock.now();
         if now >= self.next.get() || self.behind.replace(false) {
             self.next.set(now + EVERY);
-            self.give(Job::Snapshot(self.whole(sights)));
+            self.give(Job::Snapshot(self.whole(observations)));
         }
     }
 
     /// Keeps a last whole state, and waits for the disk a little.
-    pub fn last(&self, sights: &[Sight]) {
+    pub fn last(&self, observations: &[Observation]) {
         let (done, written) = sync_channel(1);
-        self.give(Job::Last(self.whole(sights), done));
+        self.give(Job::Last(self.whole(observations), done));
         let _ = written.recv_timeout(LAST); // what it does not take by then is as after a kill
     }
 }
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -35,10 +35,10 @@
 const SWEEP: Duration = Duration::from_secs(1);
 
 /// A request's place in the table.
-struct Seat {
+struct OpenRequest {
     object: ObjectId,
     /// There is a step to pick, or the client has left.
-    stir: Notify,
+    notify: Notify,
     left: Cell<bool>,
 }
 
@@ -57,7 +57,7 @@
 pub struct Router {
     clock: Clock,
     facade: RefCell<Facade>,
-    table: RefCell<BTreeMap<RequestId, Rc<Seat>>>,
+    table: RefCell<BTreeMap<RequestId, Rc<OpenRequest>>>,
     /// What clients call the requests whose attempts are not all over.
     ids: RefCell<BTreeSet<Bytes>>,
     names: Rc<Names>,
@@ -157,7 +157,7 @@
         if before != after {
             self.due_changed.notify_one();
         }
-        self.stir(&named);
+        self.notify(&named);
     }
 
     fn pick(&self, request: RequestId) -> Step {
@@ -178,9 +178,9 @@
         self.facade.borrow().come_back()
     }
 
-    fn stir(&self, requests: &[RequestId]) {
+    fn notify(&self, requests: &[RequestId]) {
         let table = self.table.borrow();
-        requests.iter().filter_map(|request| table.get(request)).for_each(|seat| seat.stir.notify_one());
+        requests.iter().filter_map(|request| table.get(request)).for_each(|entry| entry.notify.notify_one());
     }
 
     /// An event of the coordinator that follows what is known.
@@ -290,7 +290,7 @@
             tokio::select! {
                 () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
                     let named = self.facade.borrow_mut().tick(self.clock.now());
-                    self.stir(&named);
+                    self.notify(&named);
                 }
                 () = self.due_changed.notified() => {}
             }
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -9,7 +9,7 @@
 use tokio::task::{AbortHandle, JoinSet, spawn_local};
 use tokio::time::Instant;
 
-use super::{Router, Seat};
+use super::{OpenRequest, Router};
 use crate::protocol::session::Reply;
 use flaxdeck_net::clock::length;
 use flaxdeck_net::room::Place;
@@ -26,13 +26,13 @@
     task: AbortHandle,
 }
 
-struct Ride {
+struct RequestTask {
     router: Rc<Router>,
     id: RequestId,
     asked: Rc<Asked>,
     /// Room for the bytes of what was asked.
     _held: Place,
-    seat: Rc<Seat>,
+    entry: Rc<OpenRequest>,
     /// Until the request has its answer.
     reply: Option<Reply>,
     out: Vec<Out>,
@@ -55,23 +55,24 @@
             hard_stop: now + asked.waits,
             again: asked.again,
         };
-        let seat = Rc::new(Seat { object: asked.object, stir: Notify::new(), left: Cell::new(false) });
-        self.table.borrow_mut().insert(id, seat.clone());
+        let entry =
+            Rc::new(OpenRequest { object: asked.object, notify: Notify::new(), left: Cell::new(false) });
+        self.table.borrow_mut().insert(id, entry.clone());
         must(self.ids.borrow_mut().insert(asked.id.clone()), "open requests differ by their ids");
         self.asked_for(asked.object);
         self.report(News::Arrived(request));
         let (router, asked, reply) = (self.clone(), Rc::from(asked), Some(reply));
         let (out, tasks) = (Vec::new(), JoinSet::new());
-        let ride = Ride { router, id, asked, _held: held, seat, reply, out, tasks };
-        spawn_local(ride.run());
+        let task = RequestTask { router, id, asked, _held: held, entry, reply, out, tasks };
+        spawn_local(task.run());
         id
     }
 
     /// The client has left.
     pub(super) fn leave(&self, request: RequestId) {
-        let Some(seat) = self.table.borrow().get(&request).cloned() else { return };
-        seat.left.set(true);
-        seat.stir.notify_one();
+        let Some(entry) = self.table.borrow().get(&request).cloned() else { return };
+        entry.left.set(true);
+        entry.notify.notify_one();
     }
 
     pub(super) fn is_open(&self, request: RequestId) -> bool {
@@ -79,10 +80,10 @@
     }
 }
 
-impl Ride {
+impl RequestTask {
     async fn run(mut self) {
         loop {
-            if self.seat.left.get() && self.reply.take().is_some() {
+            if self.entry.left.get() && self.reply.take().is_some() {
                 count(Count::left);
                 log::debug!("left: request {}", self.id.0);
                 self.close();
@@ -94,7 +95,7 @@
                 break;
             }
             tokio::select! {
-                () = self.seat.stir.notified() => {}
+                () = self.entry.notify.notified() => {}
                 Some(ended) = self.tasks.join_next() => {
                     if let Ok((index, (outcome, held))) = ended {
                         self.ended(index, outcome, held);
--- a/crates/flaxdeck-dispatcher/src/routing/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/subscription.rs
@@ -296,7 +296,7 @@
             count(Count::copies_doubted);
             self.doubt_copies(now);
         }
-        let open: Vec<ObjectId> = self.table.borrow().values().map(|seat| seat.object).collect();
+        let open: Vec<ObjectId> = self.table.borrow().values().map(|entry| entry.object).collect();
         open.into_iter().for_each(|object| self.tell_purge(subscription, now, object));
     }
 
--- a/crates/flaxdeck-emulator/src/coordinator.rs
+++ b/crates/flaxdeck-emulator/src/coordinator.rs
@@ -30,9 +30,9 @@
     }
     let mut last = u64::from_be_bytes(number);
     loop {
-        let stirred = world.stir.notified();
-        tokio::pin!(stirred);
-        stirred.as_mut().enable();
+        let notified = world.changed.notified();
+        tokio::pin!(notified);
+        notified.as_mut().enable();
         let (news, mute) = {
             let state = world.lock();
             if state.coordinator_run != run {
@@ -41,14 +41,14 @@
             (news(&state, last), state.mute)
         };
         if mute {
-            stirred.await;
+            notified.await;
             continue;
         }
         for (number, bytes) in &news {
             stream.write_all(bytes).await?;
             last = *number;
         }
-        if news.is_empty() && timeout(QUIET, stirred).await.is_err() {
+        if news.is_empty() && timeout(QUIET, notified).await.is_err() {
             stream.write_all(&frame(last, 0, &[])).await?;
         }
     }
--- a/crates/flaxdeck-emulator/src/hosts.rs
+++ b/crates/flaxdeck-emulator/src/hosts.rs
@@ -62,13 +62,13 @@
 
 async fn over(world: &Inside, id: &str, run: u64) {
     loop {
-        let stirred = world.stir.notified();
-        tokio::pin!(stirred);
-        stirred.as_mut().enable();
+        let notified = world.changed.notified();
+        tokio::pin!(notified);
+        notified.as_mut().enable();
         if world.lock().hosts.get(id).is_none_or(|host| host.run != run || !host.up) {
             return;
         }
-        stirred.await;
+        notified.await;
     }
 }
 
@@ -173,7 +173,7 @@
     if pace < 1.0 && host.spent > bears {
         (host.up, host.run) = (false, host.run + 1);
         state.fell_over += 1;
-        world.stir.notify_waiters();
+        world.changed.notify_waiters();
         return Taken::Gone;
     }
     Taken::Until(until)
--- a/crates/flaxdeck-emulator/src/lib.rs
+++ b/crates/flaxdeck-emulator/src/lib.rs
@@ -216,7 +216,7 @@
 
     fn end_conversations(&self) {
         self.inside.lock().coordinator_run += 1;
-        self.inside.stir.notify_waiters();
+        self.inside.changed.notify_waiters();
     }
 
     /// The coordinator says how a host stands now, and the record knows of it from then on.
@@ -236,7 +236,7 @@
             state.lists.push((known, list));
             state.record.extend(seen.map(|seen| (now, seen)));
         }
-        self.inside.stir.notify_waiters();
+        self.inside.changed.notify_waiters();
     }
 
     fn set_state(&self, id: &str, to: u8) {
@@ -262,7 +262,7 @@
         if let Some(host) = self.inside.lock().hosts.get_mut(id) {
             (host.up, host.run) = (false, host.run + 1);
         }
-        self.inside.stir.notify_waiters();
+        self.inside.changed.notify_waiters();
     }
 
     /// A host starts anew, empty and cold, and the coordinator says so.
@@ -313,13 +313,13 @@
             state.purged.insert(object.to_owned(), now);
             state.record.push((now, Seen::Purged { object: object.to_owned() }));
         }
-        self.inside.stir.notify_waiters();
+        self.inside.changed.notify_waiters();
     }
 
     /// The coordinator says nothing more, or speaks again.
     pub fn mute(&self, mute: bool) {
         self.inside.lock().mute = mute;
-        self.inside.stir.notify_waiters();
+        self.inside.changed.notify_waiters();
     }
 
     /// What hosts have handled since the start: all, and fills at the origin.
--- a/crates/flaxdeck-emulator/src/world.rs
+++ b/crates/flaxdeck-emulator/src/world.rs
@@ -167,7 +167,7 @@
     unix: f64,
     state: Mutex<State>,
     /// Something changed that connections must see.
-    pub stir: Notify,
+    pub changed: Notify,
 }
 
 impl Inside {
@@ -193,7 +193,7 @@
             start: Instant::now(),
             unix,
             state: Mutex::new(state),
-            stir: Notify::new(),
+            changed: Notify::new(),
         })
     }
 
--- a/crates/flaxdeck-fleet/src/model/planners.rs
+++ b/crates/flaxdeck-fleet/src/model/planners.rs
@@ -60,11 +60,11 @@
         let reached: Vec<usize> = (0..self.planners.len()).filter(|at| self.reaches(n, *at)).collect();
         let forwarder = &mut self.forwarders[n];
         let Some(guide) = &mut forwarder.guide else { return Vec::new() };
-        let sights = forwarder.engine.sights(now);
-        guide.stand(now, &sights);
+        let observations = forwarder.engine.observations(now);
+        guide.stand(now, &observations);
         guide.link(ZoneId(n / self.shape.forwarders), forwarder.engine.link);
         let known = mark(forwarder.last_event);
-        let mut report = |at: usize| (at, guide.report(now, PlannerId(at as u32), &sights, known));
+        let mut report = |at: usize| (at, guide.report(now, PlannerId(at as u32), &observations, known));
         reached.into_iter().map(&mut report).collect()
     }
 
--- a/crates/flaxdeck-guidance/examples/size.rs
+++ b/crates/flaxdeck-guidance/examples/size.rs
@@ -105,9 +105,9 @@
     const TIMES: u64 = 50;
     for n in 0..TIMES {
         let now = at(200 * n);
-        let sights = brain.sights(now);
-        guide.stand(now, &sights);
-        (0..2).for_each(|to| drop(guide.report(now, PlannerId(to), &sights, Default::default())));
+        let observations = brain.observations(now);
+        guide.stand(now, &observations);
+        (0..2).for_each(|to| drop(guide.report(now, PlannerId(to), &observations, Default::default())));
         let guided = guide.hints(now);
         brain.guided(now, guided);
     }
--- a/crates/flaxdeck-guidance/src/forwarder.rs
+++ b/crates/flaxdeck-guidance/src/forwarder.rs
@@ -104,8 +104,8 @@
     pub counted: Counted,
 }
 
-fn life_of(sight: &Sight) -> Life {
-    Life { host: sight.host.0.to_string(), started: sight.started.map_or(0, |at| at.ms() as u64) }
+fn life_of(observation: &Observation) -> Life {
+    Life { host: observation.host.0.to_string(), started: observation.started.map_or(0, |at| at.ms() as u64) }
 }
 
 impl Guide {
@@ -153,11 +153,13 @@
     }
 
     /// Whether a report to that planner is due at this tick.
-    pub fn is_report_due(&self, now: Time, to: PlannerId, sights: &[Sight]) -> bool {
+    pub fn is_report_due(&self, now: Time, to: PlannerId, observations: &[Observation]) -> bool {
         let (Some(sparing), Some(side)) = (&self.sparing, self.sides.get(to.0 as usize)) else { return true };
         let Some(last) = side.reported else { return true };
-        let urgent = |sight: &Sight| sight.cold.is_some() || sight.bad.is_some_and(|bad| bad > last);
-        side.echo.is_none() || now.since(last) >= sparing.idle_every || sights.iter().any(urgent)
+        let urgent = |observation: &Observation| {
+            observation.cold.is_some() || observation.bad.is_some_and(|bad| bad > last)
+        };
+        side.echo.is_none() || now.since(last) >= sparing.idle_every || observations.iter().any(urgent)
     }
 
     /// A conversation with a planner has begun.
@@ -190,13 +192,19 @@
     }
 
     /// Takes in what the brain has seen; its wishes count until the next call.
-    pub fn stand(&mut self, now: Time, sights: &[Sight]) {
+    pub fn stand(&mut self, now: Time, observations: &[Observation]) {
         let by_right = self.by_right();
-        let cold = sights.iter().filter_map(|sight| {
-            let used = sight.cold.as_ref()?;
-            let (right, life) = (Parts::below(used.right * by_right), life_of(sight));
+        let cold = observations.iter().filter_map(|observation| {
+            let used = observation.cold.as_ref()?;
+            let (right, life) = (Parts::below(used.right * by_right), life_of(observation));
             let (spent, wished) = (Parts::above(used.spent), Parts::above(used.wished));
-            Some(Cold { life, right, spent, in_hand: sight.in_hand.clamp(0.0, 65_535.0) as u16, wished })
+            Some(Cold {
+                life,
+                right,
+                spent,
+                in_hand: observation.in_hand.clamp(0.0, 65_535.0) as u16,
+                wished,
+            })
         });
         self.shares.stand(now, cold);
     }
@@ -207,7 +215,13 @@
     }
 
     /// The report to one planner, to be sent at once: from now on what it lends is not used here.
-    pub fn report(&mut self, now: Time, to: PlannerId, sights: &[Sight], last_event: Mark) -> Report {
+    pub fn report(
+        &mut self,
+        now: Time,
+        to: PlannerId,
+        observations: &[Observation],
+        last_event: Mark,
+    ) -> Report {
         let known = &self.known[to.0 as usize];
         let side = &mut self.sides[to.0 as usize];
         side.sent += 1;
@@ -219,11 +233,13 @@
         };
         let last = side.reported.replace(now);
         let newer = |at: Option<Time>| at.is_some_and(|at| last.is_none_or(|last| at > last));
-        let news = |sight: &&Sight| [sight.measured, sight.good, sight.bad].into_iter().any(newer);
-        let mut told: Vec<&Sight> = sights.iter().filter(news).collect();
-        told.sort_by_key(|sight| std::cmp::Reverse(sight.bad.filter(|bad| newer(Some(*bad)))));
+        let news = |observation: &&Observation| {
+            [observation.measured, observation.good, observation.bad].into_iter().any(newer)
+        };
+        let mut told: Vec<&Observation> = observations.iter().filter(news).collect();
+        told.sort_by_key(|observation| std::cmp::Reverse(observation.bad.filter(|bad| newer(Some(*bad)))));
         if let Some(sparing) = &self.sparing {
-            let failed = told.iter().take_while(|sight| newer(sight.bad)).count();
+            let failed = told.iter().take_while(|observation| newer(observation.bad)).count();
             let others = if sparing.subscribed_to == Some(to) { RARE_MOST } else { 0 };
             // Which of the others are told goes round with the reports.
             let turn = side.sent as usize * RARE_MOST;
@@ -232,17 +248,17 @@
             told.truncate(failed + others);
         }
         let ago = |at: Time| ms_up(now.since(at));
-        let sample = |sight: &Sight| Sample {
-            host: sight.host.0.to_string(),
-            measures: if newer(sight.measured) {
-                sight.measures.map(|m| m.map(|m| m as f32))
+        let sample = |observation: &Observation| Sample {
+            host: observation.host.0.to_string(),
+            measures: if newer(observation.measured) {
+                observation.measures.map(|m| m.map(|m| m as f32))
             } else {
                 [None; 2]
             },
-            measured_ago_ms: sight.measured.map_or(0, ago),
-            good_ago_ms: sight.good.map(ago),
-            bad_ago_ms: sight.bad.map(ago),
-            in_hand: sight.in_hand.clamp(0.0, 65_535.0) as u16,
+            measured_ago_ms: observation.measured.map_or(0, ago),
+            good_ago_ms: observation.good.map(ago),
+            bad_ago_ms: observation.bad.map(ago),
+            in_hand: observation.in_hand.clamp(0.0, 65_535.0) as u16,
         };
         self.counted.reports += 1;
         let (from, sent) = (self.epoch, Stamp::of(now));
--- a/crates/flaxdeck-guidance/tests/sparing.rs
+++ b/crates/flaxdeck-guidance/tests/sparing.rs
@@ -35,13 +35,22 @@
     HostId(format!("s-{n:08x}").into())
 }
 
-fn sight(n: u32, measured: Option<Time>, bad: Option<Time>) -> Sight {
+fn observation(n: u32, measured: Option<Time>, bad: Option<Time>) -> Observation {
     let measures = [measured.map(|_| 10.0 + f64::from(n)), None];
-    Sight { host: host(n), started: None, measures, measured, good: measured, bad, in_hand: 0.0, cold: None }
+    Observation {
+        host: host(n),
+        started: None,
+        measures,
+        measured,
+        good: measured,
+        bad,
+        in_hand: 0.0,
+        cold: None,
+    }
 }
 
-fn measured(now: Time) -> Vec<Sight> {
-    (0..HOSTS).map(|n| sight(n, Some(now), None)).collect()
+fn measured(now: Time) -> Vec<Observation> {
+    (0..HOSTS).map(|n| observation(n, Some(now), None)).collect()
 }
 
 fn planner() -> Planner {
@@ -51,8 +60,8 @@
 }
 
 /// A report to the planner that is followed, and its answer, without delay; gives how many ratings came.
-fn trip(now: Time, guide: &mut Guide, planner: &mut Planner, sights: &[Sight]) -> usize {
-    let report = guide.report(now, FOLLOWED, sights, Mark::NONE);
+fn trip(now: Time, guide: &mut Guide, planner: &mut Planner, observations: &[Observation]) -> usize {
+    let report = guide.report(now, FOLLOWED, observations, Mark::NONE);
     let guidance = planner.report(now, &report).unwrap();
     let ratings = guidance.ratings.len();
     assert!(guidance.events.is_empty());
@@ -69,10 +78,10 @@
     assert!(!guide.is_report_due(at(200), FOLLOWED, &well));
     assert!(!guide.is_report_due(at(1_499), FOLLOWED, &well));
     assert!(guide.is_report_due(at(1_500), FOLLOWED, &well));
-    let failed = [sight(3, None, Some(at(150)))];
+    let failed = [observation(3, None, Some(at(150)))];
     assert!(guide.is_report_due(at(200), FOLLOWED, &failed));
     let used = Used { right: 0.5, spent: 0.0, wished: 0.0 };
-    let cold = [Sight { cold: Some(used), ..sight(3, None, None) }];
+    let cold = [Observation { cold: Some(used), ..observation(3, None, None) }];
     assert!(guide.is_report_due(at(200), FOLLOWED, &cold));
     trip(at(200), &mut guide, &mut planner, &failed);
     assert!(!guide.is_report_due(at(400), FOLLOWED, &failed), "it is told once");
@@ -93,9 +102,9 @@
     told.dedup();
     assert_eq!(told.len(), HOSTS as usize, "each has its turn");
     let now = at(20_000);
-    let mut sights = measured(now);
-    sights[7].bad = Some(now);
-    let report = guide.report(now, OTHER, &sights, Mark::NONE);
+    let mut observations = measured(now);
+    observations[7].bad = Some(now);
+    let report = guide.report(now, OTHER, &observations, Mark::NONE);
     assert_eq!(report.samples.iter().map(|sample| &*sample.host).collect::<Vec<_>>(), [&*host(7).0]);
 }
 
@@ -111,7 +120,7 @@
     }
     assert!(trip(at(9_100), &mut other, &mut planner, &[]) <= RARE_MOST);
     trip(at(9_100), &mut late, &mut planner, &[]);
-    let failed = [sight(0, None, Some(at(9_200))), sight(1, None, Some(at(9_200)))];
+    let failed = [observation(0, None, Some(at(9_200))), observation(1, None, Some(at(9_200)))];
     trip(at(9_200), &mut one, &mut planner, &failed);
     trip(at(9_200), &mut other, &mut planner, &failed);
     // Later changes of others don't push them out.
--- a/crates/flaxdeck-guidance/tests/two_levels.rs
+++ b/crates/flaxdeck-guidance/tests/two_levels.rs
@@ -34,8 +34,8 @@
 }
 
 /// A host as a forwarder sees it.
-fn sight(cold: Option<Used>) -> Sight {
-    Sight {
+fn observation(cold: Option<Used>) -> Observation {
+    Observation {
         host: HostId("s-1".into()),
         started: Some(at(0)),
         measures: [None; 2],
@@ -58,9 +58,9 @@
 }
 
 /// A round trip without delay.
-fn trip(now: Time, guide: &mut Guide, planner: &mut Planner, sights: &[Sight]) -> Report {
-    guide.stand(now, sights);
-    let report = guide.report(now, P, sights, mark(0));
+fn trip(now: Time, guide: &mut Guide, planner: &mut Planner, observations: &[Observation]) -> Report {
+    guide.stand(now, observations);
+    let report = guide.report(now, P, observations, mark(0));
     let guidance = planner.report(now, &report).unwrap();
     guide.guided(now, P, guidance, mark(0)).unwrap();
     report
@@ -78,7 +78,7 @@
     let mut planner = planner(at(0), 1, 0.0);
     let mut idle = Guide::start(at(0), Epoch(10), stance(), 1);
     let mut busy = Guide::start(at(0), Epoch(11), stance(), 1);
-    let (calm, pressed) = ([sight(cold(0.5, 0.0, 0.0))], [sight(cold(0.5, 0.45, 0.3))]);
+    let (calm, pressed) = ([observation(cold(0.5, 0.0, 0.0))], [observation(cold(0.5, 0.45, 0.3))]);
     for ms in [0, 200, 400, 600] {
         trip(at(OWNS + ms), &mut idle, &mut planner, &calm);
         trip(at(OWNS + ms), &mut busy, &mut planner, &pressed);
@@ -98,7 +98,7 @@
     let reserve = Stance { reserve: 0.4, ..stance() };
     let mut busy = Guide::start(at(0), Epoch(11), reserve, 1);
     let mut late = Guide::start(at(0), Epoch(12), reserve, 1);
-    let pressed = [sight(cold(0.5, 0.3, 0.6))];
+    let pressed = [observation(cold(0.5, 0.3, 0.6))];
     for ms in [0, 200, 400] {
         trip(at(OWNS + ms), &mut busy, &mut planner1, &pressed);
     }
@@ -120,7 +120,7 @@
     let mut planner = planner(at(0), 1, 0.2);
     let mut guest =
         Guide::start(at(20_000), Epoch(30), Stance { seated: false, reserve: 0.2, ..stance() }, 1);
-    let pressed = [sight(cold(0.5, 0.0, 0.1))];
+    let pressed = [observation(cold(0.5, 0.0, 0.1))];
     let now = at(20_000);
     assert_eq!(guest.hints(now).by_right, 0.0);
     trip(now, &mut guest, &mut planner, &pressed);
@@ -134,8 +134,9 @@
 fn what_nobody_else_wants_is_not_lent() {
     let mut planner = planner(at(0), 1, 0.0);
     let mut idle = Guide::start(at(0), Epoch(10), stance(), 1);
-    (0..3)
-        .for_each(|n| drop(trip(at(OWNS + n * 200), &mut idle, &mut planner, &[sight(cold(0.5, 0.0, 0.0))])));
+    (0..3).for_each(|n| {
+        drop(trip(at(OWNS + n * 200), &mut idle, &mut planner, &[observation(cold(0.5, 0.0, 0.0))]))
+    });
     assert_eq!(share(&mut idle, at(OWNS + 400)), Some(0.5));
 }
 
@@ -143,13 +144,15 @@
 fn a_host_that_starts_again_is_another_life_with_nothing_lent_of_it() {
     let mut planner = planner(at(0), 1, 0.0);
     let mut busy = Guide::start(at(0), Epoch(11), stance(), 1);
-    (0..3)
-        .for_each(|n| drop(trip(at(OWNS + n * 200), &mut busy, &mut planner, &[sight(cold(0.5, 0.4, 0.6))])));
+    (0..3).for_each(|n| {
+        drop(trip(at(OWNS + n * 200), &mut busy, &mut planner, &[observation(cold(0.5, 0.4, 0.6))]))
+    });
     let mut idle = Guide::start(at(0), Epoch(10), stance(), 1);
-    (0..3)
-        .for_each(|n| drop(trip(at(OWNS + n * 200), &mut idle, &mut planner, &[sight(cold(0.5, 0.0, 0.0))])));
+    (0..3).for_each(|n| {
+        drop(trip(at(OWNS + n * 200), &mut idle, &mut planner, &[observation(cold(0.5, 0.0, 0.0))]))
+    });
     assert!(share(&mut idle, at(OWNS + 400)).unwrap() < 0.06);
-    let again = Sight { started: Some(at(OWNS + 450)), ..sight(cold(0.5, 0.0, 0.0)) };
+    let again = Observation { started: Some(at(OWNS + 450)), ..observation(cold(0.5, 0.0, 0.0)) };
     idle.stand(at(OWNS + 500), &[again]);
     let hints = idle.hints(at(OWNS + 500)).hints;
     let new =
@@ -205,7 +208,7 @@
     for (n, guidance) in nonsense.into_iter().enumerate() {
         let mut planner = planner(at(0), 1, 0.0);
         let mut guide = Guide::start(at(0), Epoch(10), stance(), 1);
-        let pressed = [sight(cold(0.5, 0.4, 0.1))];
+        let pressed = [observation(cold(0.5, 0.4, 0.1))];
         (0..2).for_each(|n| drop(trip(at(OWNS + n * 200), &mut guide, &mut planner, &pressed)));
         for times in 1..=3 {
             let now = at(OWNS + 400 + times);
@@ -230,7 +233,8 @@
 fn a_planner_passes_over_what_cannot_be_and_hosts_that_nobody_listed() {
     let mut planner = planner(at(0), 1, 0.0);
     let mut guide = Guide::start(at(0), Epoch(10), stance(), 1);
-    let unlisted = Sight { host: HostId("s-2".into()), good: Some(at(5_900)), ..sight(cold(0.5, 0.4, 0.5)) };
+    let unlisted =
+        Observation { host: HostId("s-2".into()), good: Some(at(5_900)), ..observation(cold(0.5, 0.4, 0.5)) };
     (0..2).for_each(|n| {
         drop(trip(at(OWNS + n * 200), &mut guide, &mut planner, std::slice::from_ref(&unlisted)))
     });
@@ -389,11 +393,11 @@
             }
             if (ms + who as u64 * 37) % REPORT < STEP {
                 let own = if ms < born[who] + WINDOW { 1.0 } else { own.min(1.0) };
-                let sights = [sight(cold(right, own, f64::min(wished[who], 1.0)))];
+                let observations = [observation(cold(right, own, f64::min(wished[who], 1.0)))];
                 wished[who] = 0.0;
-                guides[who].stand(now, &sights);
+                guides[who].stand(now, &observations);
                 for to in 0..2 {
-                    let report = guides[who].report(now, PlannerId(to as u32), &sights, mark(0));
+                    let report = guides[who].report(now, PlannerId(to as u32), &observations, mark(0));
                     let copies = if !rough { 1 } else { [0, 1, 1, 1, 2][chance.random_range(0..5)] };
                     let copies = if how == Play::Alone { 0 } else { copies };
                     for _ in 0..copies {
--- a/crates/flaxdeck-net/src/link.rs
+++ b/crates/flaxdeck-net/src/link.rs
@@ -103,7 +103,7 @@
     stream: Rc<TcpStream>,
     queue: Rc<RefCell<Queue>>,
     /// Something is left to be written, or the connection is to end.
-    stir: Rc<Notify>,
+    changed: Rc<Notify>,
 }
 
 /// What lies next to be read on a connection.
@@ -127,7 +127,7 @@
         stuck_since: None,
     }));
     let inbound = Inbound { stream: stream.clone(), bytes: BytesMut::new() };
-    (inbound, Outbound { stream, queue, stir: Rc::new(Notify::new()) })
+    (inbound, Outbound { stream, queue, changed: Rc::new(Notify::new()) })
 }
 
 /// Opens a connection; how long that may take is the caller's matter.
@@ -144,7 +144,7 @@
         let pieces = pieces.into_iter().filter(|piece| !piece.is_empty()).collect();
         self.queue.borrow_mut().parcels.push_back(Parcel { pieces, _places: places });
         if self.write().is_err() || self.pending() {
-            self.stir.notify_one();
+            self.changed.notify_one();
         }
     }
 
@@ -199,7 +199,7 @@
     /// Takes nothing more to send; the connection ends at its owner's next look, which writes what is queued.
     pub fn close(&self) {
         self.queue.borrow_mut().closed = true;
-        self.stir.notify_one();
+        self.changed.notify_one();
     }
 
     fn drop_queue(&self) {
@@ -207,8 +207,8 @@
     }
 
     /// Waits until something is left to be written or the connection is to end.
-    pub async fn stirred(&self) {
-        self.stir.notified().await;
+    pub async fn notified(&self) {
+        self.changed.notified().await;
     }
 
     /// Writes what the connection takes, once it takes something.
--- a/crates/flaxdeck-recovery/src/clocks.rs
+++ b/crates/flaxdeck-recovery/src/clocks.rs
@@ -14,7 +14,7 @@
 
 use std::collections::VecDeque;
 
-use flaxdeck::words::{Endpoint, Sight, Span, Time};
+use flaxdeck::words::{Endpoint, Observation, Span, Time};
 
 /// How late a purge may come by a clock that is right: its way to the coordinator and from there.
 pub const PURGE_LATE: Span = Span::from_ms(1_000);
@@ -71,7 +71,9 @@
     }
 
     /// What was seen of hosts, with their starts as they were told: those name a host's life to others.
-    pub fn sights(&self, sights: &mut [Sight]) {
-        sights.iter_mut().for_each(|sight| sight.started = sight.started.map(|own| self.told(own)));
+    pub fn observations(&self, observations: &mut [Observation]) {
+        observations
+            .iter_mut()
+            .for_each(|observation| observation.started = observation.started.map(|own| self.told(own)));
     }
 }
--- a/crates/flaxdeck-talk/src/line.rs
+++ b/crates/flaxdeck-talk/src/line.rs
@@ -143,7 +143,7 @@
                     written.map_err(|_| Over::Broken("broken while writing"))?;
                 }
                 () = sleep_until(self.heard + STALLED) => return Err(Over::Broken("silent")),
-                () = self.outbound.stirred() => {}
+                () = self.outbound.notified() => {}
             }
         }
     }
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -308,8 +308,8 @@
     }
 
     /// What was seen of each host here, for others to hear.
-    pub fn sights(&self, now: Time) -> Vec<Sight> {
-        let sight = |host: &Host| {
+    pub fn observations(&self, now: Time) -> Vec<Observation> {
+        let observation = |host: &Host| {
             let ramp = self.ramp(host);
             let (part, spent) = self.asked(host, now);
             let whole = (ramp.whole * part * host.line.weight * ramp.window.ms()).max(1.0);
@@ -318,9 +318,9 @@
             let cold = (part < 1.0 && !host.is(Role::Origin)).then_some(Used { right, spent, wished });
             let (id, started) = (host.line.host.clone(), host.line.started);
             let (good, bad, in_hand, measured) = (host.good, host.bad, host.in_hand, host.measured[0]);
-            Sight { host: id, started, measures: host.sampled, measured, good, bad, in_hand, cold }
+            Observation { host: id, started, measures: host.sampled, measured, good, bad, in_hand, cold }
         };
-        self.hosts.values().map(sight).collect()
+        self.hosts.values().map(observation).collect()
     }
 
     /// Whether an attempt may still be sent now that its connection is up, and what it may ask for by now.
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -101,8 +101,8 @@
     }
 
     /// What was seen of each host here, for others to hear.
-    pub fn sights(&self, now: Time) -> Vec<Sight> {
-        self.brain.sights(now)
+    pub fn observations(&self, now: Time) -> Vec<Observation> {
+        self.brain.observations(now)
     }
 
     /// How full the location's link was when last heard.
--- a/src/words.rs
+++ b/src/words.rs
@@ -340,7 +340,7 @@
 
 /// What one dispatcher has seen of a host itself, for others to hear.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sight {
+pub struct Observation {
     pub host: HostId,
     pub started: Option<Time>,
     /// Latency in ms, bandwidth in KB a ms.
--- a/tests/guided.rs
+++ b/tests/guided.rs
@@ -105,7 +105,9 @@
     }
     let before = sources(&mut brain, at(40), 1..40);
     assert!(!before.contains(&host("p")) && before.contains(&host("q")), "{before:?}");
-    let own = Sight { ..brain.sights(at(41)).into_iter().find(|sight| sight.host == host("p")).unwrap() };
+    let own = Observation {
+        ..brain.observations(at(41)).into_iter().find(|observation| observation.host == host("p")).unwrap()
+    };
     assert_eq!((own.measures, own.measured), ([None; 2], None), "hearsay is not passed on as an own sample");
 }
 
@@ -138,8 +140,8 @@
     brain.guided(at(2_500), told(vec![Hint { share: Some((Some(at(0)), 0.0)), ..hint("a") }]));
     sources(&mut brain, at(2_500), 1..5);
     let used = |brain: &Brain| {
-        let sights = brain.sights(at(2_500));
-        sights.into_iter().find(|sight| sight.host == host("a")).unwrap().cold.unwrap()
+        let observations = brain.observations(at(2_500));
+        observations.into_iter().find(|observation| observation.host == host("a")).unwrap().cold.unwrap()
     };
     let first = used(&brain);
     assert!(first.wished > 0.0 && first.spent == 0.0, "{first:?}");
@@ -164,7 +166,7 @@
 fn hints_about_hosts_that_nobody_listed_change_nothing() {
     let mut brain = brain(lines());
     brain.guided(at(10), told(vec![Hint { share: Some((None, 1.0)), window: Some(1.0), ..hint("nobody") }]));
-    assert_eq!(brain.sights(at(10)).len(), 4);
+    assert_eq!(brain.observations(at(10)).len(), 4);
 }
 
 #[test]
