--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -8,8 +8,8 @@
 use flaxdeck_distribution::Cadence;
 use flaxdeck_guidance::Pledges;
 use flaxdeck_plan::{Events, Plan};
-use flaxdeck_talk::feed::{Feed, Numbered};
 use flaxdeck_talk::seal::Key;
+use flaxdeck_talk::watch::{Numbered, Watch};
 use flaxdeck_terms::fields::Fields;
 use serde_json::Value;
 
@@ -62,9 +62,9 @@
         listen().map_err(|fault: String| faulty(format!("{}: {fault}", self.file)))
     }
 
-    /// The feed from the coordinator, and what it has said already, for an instance of that name.
-    pub fn feed(&self, name: &str) -> Result<(Feed, Numbered), String> {
-        let feed = || {
+    /// The watch from the coordinator, and what it has said already, for an instance of that name.
+    pub fn watch(&self, name: &str) -> Result<(Watch, Numbered), String> {
+        let watch = || {
             let fields = Fields::of(&self.value, "the whole")?;
             let (_, names) = flaxdeck_terms::read(&fields.inner("settings")?)?;
             let address = fields.text("coordinator")?;
@@ -72,9 +72,9 @@
                 address.parse().map_err(|_| format!("coordinator: {address} is no address"))?;
             let seed = u64::from_str_radix(fields.text("seed")?, 16).map_err(|_| "seed is not in hex")?;
             let seed = name.bytes().fold(seed, |seed, byte| seed.rotate_left(8) ^ u64::from(byte));
-            Feed::start(address, &fields.inner("known")?, Rc::new(names), false, seed)
+            Watch::start(address, &fields.inner("known")?, Rc::new(names), false, seed)
         };
-        feed().map_err(|fault: String| format!("{}: {fault}", self.file))
+        watch().map_err(|fault: String| format!("{}: {fault}", self.file))
     }
 }
 
--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -318,8 +318,8 @@
     let (name, listen) = (planner.name.clone(), planner.listen);
     let (cadence, counters) = (files::cadence(&plan), files.counters.clone());
     let start = || {
-        let (feed, known) = world.feed(&name)?;
-        Ok(flaxdeck_planner::Start { name, listen, key, pledges, own, cadence, feed, known, counters })
+        let (watch, known) = world.watch(&name)?;
+        Ok(flaxdeck_planner::Start { name, listen, key, pledges, own, cadence, watch, known, counters })
     };
     Ok(flaxdeck_planner::run(start)?)
 }
--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -1,4 +1,4 @@
-//! The control side of a forwarder: the coordinator's feed, the conversations with planners, and the decision module
+//! The control side of a forwarder: the coordinator's watch, the conversations with planners, and the decision module
 //! that is told what comes. The program starts it before it listens; a hollow forwarder has nothing beside it.
 
 use std::rc::Rc;
@@ -6,7 +6,7 @@
 use flaxdeck_guidance::messages::Epoch;
 use flaxdeck_net::clock::Clock;
 use flaxdeck_recovery::Mark;
-use flaxdeck_talk::feed::{Event, Feed, Numbered};
+use flaxdeck_talk::watch::{Event, Numbered, Watch};
 use serde_json::Value;
 use tokio::task::spawn_local;
 
@@ -50,23 +50,23 @@
     instance: u32,
     watcher: Option<Watcher>,
 ) -> Rc<Router> {
-    let Start { mut feed, mut known, terms, names, carriage, bounds, seed, .. } = start;
+    let Start { mut watch, mut known, terms, names, carriage, bounds, seed, .. } = start;
     let router = Router::new(clock, seed, terms, names, carriage, bounds);
     // A guided forwarder keeps to what is its own from the first list on.
     if let Some(guidelines) = guidelines {
         let epoch = Epoch::new(clock.now(), instance);
         let (keeps, waits) = (guidelines.keeps.clone(), guidelines.stance.pledges.forwarder_waits());
-        router.guide_by(epoch, seed, guidelines, &mut feed);
+        router.guide_by(epoch, seed, guidelines, &mut watch);
         if let Some(keeps) = keeps {
-            come_back(&router, &feed, clock, &keeps, &mut known, waits);
+            come_back(&router, &watch, clock, &keeps, &mut known, waits);
         }
     }
-    let last = feed.numbering().borrow().last();
+    let last = watch.numbering().borrow().last();
     known.into_iter().for_each(|(_, event)| router.told(last, event));
     if let Some(watcher) = watcher {
         router.watch(watcher, Some(last).filter(|last| *last != Mark::NONE));
     }
-    spawn_local(router.clone().follow(feed));
+    spawn_local(router.clone().follow(watch));
     spawn_local(router.clone().keep_time());
     router
 }
@@ -74,18 +74,18 @@
 /// What an earlier run has kept, in place of or beside what the configuration tells.
 fn come_back(
     router: &Rc<Router>,
-    feed: &Feed,
+    watch: &Watch,
     clock: Clock,
     keeps: &Keeps,
     known: &mut Numbered,
     waits: Span,
 ) {
-    let mut recalled = recall(keeps, clock, feed.numbering().borrow().last(), waits);
+    let mut recalled = recall(keeps, clock, watch.numbering().borrow().last(), waits);
     if let Some(event) = recalled.event {
-        feed.numbering().borrow_mut().begin_at(clock.now(), event);
+        watch.numbering().borrow_mut().begin_at(clock.now(), event);
         known.clear();
     }
-    let last = feed.numbering().borrow().last();
+    let last = watch.numbering().borrow().last();
     known.splice(0..0, std::mem::take(&mut recalled.events).into_iter().map(|event| (last.number, event)));
     // Told before the hints about hosts, and kept as the first snapshot.
     let events: Vec<Event> = std::mem::take(known).into_iter().map(|(_, event)| event).collect();
--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -121,7 +121,7 @@
     }
     count(Count::reloads);
     log::info!("configuration read again, {:?}", later.bounds);
-    router.reload(later.bounds, later.feed, if same { later.known } else { Vec::new() });
+    router.reload(later.bounds, later.watch, if same { later.known } else { Vec::new() });
 }
 
 fn log_line(router: &Router) {
--- a/crates/flaxdeck-dispatcher/src/program/start.rs
+++ b/crates/flaxdeck-dispatcher/src/program/start.rs
@@ -10,11 +10,11 @@
 use serde_json::Value;
 
 use flaxdeck_net::room::{Bounds, SOCKETS_LEAST};
-use flaxdeck_talk::feed::{Feed, Numbered};
+use flaxdeck_talk::watch::{Numbered, Watch};
 
 pub struct Start {
     pub address: SocketAddr,
-    pub feed: Feed,
+    pub watch: Watch,
     pub known: Numbered,
     pub terms: Terms,
     pub names: Rc<Names>,
@@ -48,7 +48,7 @@
     let settings = fields.inner("settings")?;
     let (terms, names) = flaxdeck_terms::read(&settings).map_err(|fault| format!("settings: {fault}"))?;
     let names = Rc::new(names);
-    let (feed, known) = Feed::start(coordinator, &fields.inner("known")?, names.clone(), trusts, seed)?;
+    let (watch, known) = Watch::start(coordinator, &fields.inner("known")?, names.clone(), trusts, seed)?;
     let limits = fields.inner("limits")?;
     let (memory_mb, sockets) = (limits.number("memory_mb")?, limits.whole("sockets")?);
     if memory_mb <= 0.0 {
@@ -60,5 +60,5 @@
     let bounds = Bounds::of(memory_mb, sockets as usize);
     let carriage = flaxdeck_terms::carriage(&settings).map_err(|fault| format!("settings: {fault}"))?;
     let settings = Value::Object(settings.0.clone());
-    Ok(Start { address, feed, known, terms, names, carriage, bounds, seed, settings })
+    Ok(Start { address, watch, known, terms, names, carriage, bounds, seed, settings })
 }
--- a/crates/flaxdeck-dispatcher/src/protocol/session.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/session.rs
@@ -71,11 +71,11 @@
     /// The rest of a request that is read past, with its number.
     passing: Option<(u32, usize)>,
     /// What is owed to a client that takes no answers, beside what is queued for it.
-    owed: VecDeque<(u32, Word)>,
+    owed: VecDeque<(u32, ShortReply)>,
 }
 
 /// An answer that no host has a part in.
-pub enum Word {
+pub enum ShortReply {
     Alive,
     Refused(Option<Span>),
     Failed(&'static str),
@@ -141,7 +141,7 @@
 
     /// Answers what no host has to be asked for, or keeps it owed while the client takes nothing.
     // Guards against a flood whose answers lie unread: what a client says is read on all the same, for it may leave.
-    pub fn tell(&mut self, call: u32, word: Word) {
+    pub fn tell(&mut self, call: u32, word: ShortReply) {
         self.owed.push_back((call, word));
         self.pay();
     }
@@ -150,9 +150,9 @@
         while self.outbound.waiting() < UNREAD_MOST {
             let Some((call, word)) = self.owed.pop_front() else { return };
             let bytes = match word {
-                Word::Alive => rpc::alive(call),
-                Word::Refused(after) => rpc::error(call, "Backoff", after),
-                Word::Failed(why) => rpc::error(call, why, None),
+                ShortReply::Alive => rpc::alive(call),
+                ShortReply::Refused(after) => rpc::error(call, "Backoff", after),
+                ShortReply::Failed(why) => rpc::error(call, why, None),
             };
             self.outbound.send([bytes], [None, None]);
         }
@@ -260,11 +260,11 @@
         match said {
             Said::Request { call, asked } => return Heard::Request { call, asked },
             Said::Cancel { call } => return Heard::Cancel { call },
-            Said::Alive { call } => self.tell(call, Word::Alive),
+            Said::Alive { call } => self.tell(call, ShortReply::Alive),
             Said::Invalid { call, why } => {
                 count(Count::requests_invalid);
                 log::debug!("a client's request is invalid: {why}");
-                self.tell(call, Word::Failed(why));
+                self.tell(call, ShortReply::Failed(why));
             }
             Said::Nothing => {}
         }
--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::Router;
-use crate::protocol::session::{Closer, Heard, Session, Word};
+use crate::protocol::session::{Closer, Heard, Session, ShortReply};
 use flaxdeck_net::eviction::{self, Eviction};
 use flaxdeck_net::link::LINGER;
 use flaxdeck_net::listener::Listener;
@@ -192,7 +192,7 @@
             // Hosts tell requests apart by their ids alone, so a second one would meddle with the first.
             Heard::Request { call, asked } if router.has_id(&asked.id) => {
                 count(Count::requests_id_in_use);
-                session.tell(call, Word::Failed("Lost"));
+                session.tell(call, ShortReply::Failed("Lost"));
             }
             Heard::Request { call, asked } => {
                 let fits = requests.len() + self.closer.unread() < OPEN_MOST;
@@ -203,13 +203,13 @@
                     }
                     None => {
                         count(Count::requests_no_room);
-                        session.tell(call, Word::Refused(router.come_back()));
+                        session.tell(call, ShortReply::Refused(router.come_back()));
                     }
                 }
             }
             Heard::Unheld { call } => {
                 count(Count::requests_no_room);
-                session.tell(call, Word::Refused(router.come_back()));
+                session.tell(call, ShortReply::Refused(router.come_back()));
             }
             Heard::Cancel { call } => {
                 requests.remove(&call).into_iter().for_each(|request| router.leave(request))
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -20,10 +20,10 @@
 use flaxdeck_recovery::numbering::{Doubt, Numbering};
 use flaxdeck_recovery::phase::{Return, Unheard};
 use flaxdeck_recovery::{Mark, Pace, doubt};
-use flaxdeck_talk::feed::{Event, Feed, Urgency};
 use flaxdeck_talk::line::{self, Hearer, Over, Speaker};
 use flaxdeck_talk::messages::{FromForwarder, FromPlanner};
 use flaxdeck_talk::seal::Key;
+use flaxdeck_talk::watch::{Event, Urgency, Watch};
 use flaxdeck_wire::frames;
 use tokio::sync::Notify;
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -86,8 +86,8 @@
 
 impl Router {
     /// Has the router guided from now on.
-    pub fn guide_by(self: &Rc<Router>, epoch: Epoch, seed: u64, guidelines: Guidelines, feed: &mut Feed) {
-        let (numbering, urgency) = (feed.numbering(), feed.urgency(!guidelines.planners.is_empty()));
+    pub fn guide_by(self: &Rc<Router>, epoch: Epoch, seed: u64, guidelines: Guidelines, watch: &mut Watch) {
+        let (numbering, urgency) = (watch.numbering(), watch.urgency(!guidelines.planners.is_empty()));
         let (count, now) = (guidelines.planners.len(), self.clock.now());
         let mut guide = Guide::start(now, epoch, guidelines.stance, count as u32);
         let subscription = guidelines.digests.map(|digests| {
@@ -95,7 +95,7 @@
             let numbering = numbering.clone();
             EventSubscription::start(now, count as u32, seed, digests, self.settles, numbering)
         });
-        feed.pause_while(subscription.is_some());
+        watch.pause_while(subscription.is_some());
         let unheard = guidelines.stance.blind_after.map_or(Unheard::GoOn, Unheard::BounceAfter);
         let guides = Rc::new(Guides {
             guide: RefCell::new(guide),
--- a/crates/flaxdeck-dispatcher/src/routing/keep.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/keep.rs
@@ -15,7 +15,7 @@
 use flaxdeck_recovery::Mark;
 use flaxdeck_recovery::belief::{self, Believed, Kept, KeptLine, KeptPurge, KeptRating, Later, Now, Uptime};
 use flaxdeck_store::{Folder, Store, look};
-use flaxdeck_talk::feed::Event;
+use flaxdeck_talk::watch::Event;
 use flaxdeck_wire::frames::AddressedEndpoint;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -29,7 +29,7 @@
 use flaxdeck_net::clock::Clock;
 use flaxdeck_net::room::{Bounds, Room};
 use flaxdeck_recovery::Mark;
-use flaxdeck_talk::feed::{Event, Feed, Numbered, Word};
+use flaxdeck_talk::watch::{Event, Numbered, Watch, WatchEvent};
 
 /// Between looks for connections that have been idle too long.
 const SWEEP: Duration = Duration::from_secs(1);
@@ -78,8 +78,8 @@
     next: Cell<u64>,
     /// The time at which the facade wants its tick has changed.
     due_changed: Notify,
-    /// What a later configuration says of the coordinator, until the feed has taken it over.
-    later: RefCell<Option<(Feed, Numbered)>>,
+    /// What a later configuration says of the coordinator, until the watch has taken it over.
+    later: RefCell<Option<(Watch, Numbered)>>,
     reloaded: Notify,
     guides: RefCell<Option<Rc<guides::Guides>>>,
     /// How long it takes until hosts have dropped by themselves what was purged.
@@ -238,34 +238,34 @@
     }
 
     /// Follows the coordinator.
-    pub async fn follow(self: Rc<Router>, mut feed: Feed) {
+    pub async fn follow(self: Rc<Router>, mut watch: Watch) {
         self.begun();
         loop {
             tokio::select! {
                 wanted = self.coordinator_change() => {
                     // What a link was asked for may have been replaced since.
-                    feed.pause_while(true);
-                    feed.pause_while(!wanted);
+                    watch.pause_while(true);
+                    watch.pause_while(!wanted);
                 }
-                word = feed.next() => {
+                word = watch.next() => {
                     match word {
-                        Word::Alive => {}
-                        Word::Event(mark, _, event) => {
-                            if feed.is_current() {
+                        WatchEvent::Heartbeat => {}
+                        WatchEvent::Event(mark, _, event) => {
+                            if watch.is_current() {
                                 self.hear_clock(&event);
                             }
                             self.told(mark, event);
                         }
-                        Word::Anew(mark, event, doubt) => self.told_anew(mark, event, doubt),
+                        WatchEvent::Relisted(mark, event, doubt) => self.told_anew(mark, event, doubt),
                     }
-                    if feed.is_current() {
+                    if watch.is_current() {
                         self.coordinator_heard();
                     }
                 }
                 () = self.reloaded.notified() => {
                     let Some((later, known)) = self.later.take() else { continue };
-                    let news = feed.go_on_at(later, known);
-                    let mark = feed.numbering().borrow().last();
+                    let news = watch.go_on_at(later, known);
+                    let mark = watch.numbering().borrow().last();
                     news.into_iter().for_each(|event| self.told(mark, event));
                 }
             }
@@ -273,13 +273,13 @@
     }
 
     /// Takes over what a later configuration may change under load; open requests notice nothing.
-    pub fn reload(&self, bounds: Bounds, feed: Feed, known: Numbered) {
+    pub fn reload(&self, bounds: Bounds, watch: Watch, known: Numbered) {
         self.slots.resize(bounds.requests);
         self.asked.resize(bounds.asked);
         self.answered.resize(bounds.answered);
         self.clients.resize(bounds.clients);
         self.pool.resize(bounds.hosts);
-        *self.later.borrow_mut() = Some((feed, known));
+        *self.later.borrow_mut() = Some((watch, known));
         self.reloaded.notify_one();
     }
 
--- a/crates/flaxdeck-dispatcher/src/routing/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/subscription.rs
@@ -13,8 +13,8 @@
 use flaxdeck_net::tally::{Count, count};
 use flaxdeck_recovery::Mark;
 use flaxdeck_recovery::numbering::{Doubt, Numbering};
-use flaxdeck_talk::feed::Event;
 use flaxdeck_talk::messages::FromForwarder;
+use flaxdeck_talk::watch::Event;
 use flaxdeck_wire::frames;
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
@@ -107,7 +107,7 @@
         format!("followed={:?} unsettled={unsettled} {:?}", subscriber.followed(), subscriber.counted)
     }
 
-    // The coordinator's own feed moves the numbering on without a word to the subscriber.
+    // The coordinator's own watch moves the numbering on without a word to the subscriber.
     fn catch_up_with_numbering(&self, now: Time) {
         let last = self.numbering.borrow().last();
         if self.knows_unsettled.get() && last != self.subscriber.borrow().position() {
@@ -146,7 +146,7 @@
         self.subscribe(guides, subscription);
     }
 
-    /// Says to planners what is wanted of them, and to the feed whether the coordinator is needed.
+    /// Says to planners what is wanted of them, and to the watch whether the coordinator is needed.
     fn subscribe(&self, guides: &Guides, subscription: &EventSubscription) {
         let now = self.clock.now();
         subscription.catch_up_with_numbering(now);
--- a/crates/flaxdeck-distribution/tests/safe_side.rs
+++ b/crates/flaxdeck-distribution/tests/safe_side.rs
@@ -240,7 +240,7 @@
     hosts: Hosts,
     doubted: Option<u64>,
     /// The coordinator's own conversation: when it next tells something, and its run.
-    feed: Option<(u64, usize)>,
+    watch: Option<(u64, usize)>,
 }
 
 impl Forwarder {
@@ -252,7 +252,7 @@
             groups: Vec::new(),
             hosts: [false; HOSTS],
             doubted: None,
-            feed: None,
+            watch: None,
         }
     }
 
@@ -300,18 +300,18 @@
         told.max(group).max(self.doubted.filter(unsettled).unwrap_or(0))
     }
 
-    /// The coordinator's own feed, while no planner delivers.
+    /// The coordinator's own watch, while no planner delivers.
     fn follows_coordinator(&mut self, ms: u64, coordinator: &Coordinator, chance: &mut Pcg64Mcg) {
         if !self.subscriber.needs_coordinator(at(ms)) {
-            self.feed = None;
+            self.watch = None;
             return;
         }
-        let (from, run) = *self.feed.get_or_insert((ms + chance.random_range(50..500), coordinator.run));
+        let (from, run) = *self.watch.get_or_insert((ms + chance.random_range(50..500), coordinator.run));
         if ms < from {
             return;
         }
         if run != coordinator.run {
-            self.feed = None;
+            self.watch = None;
             return;
         }
         // What planners told meanwhile counts as well, unless it was of another numbering.
@@ -323,7 +323,7 @@
                 events.iter().for_each(|event| self.applies_in_full(ms, &event.told));
             }
         }
-        self.feed = Some((ms + chance.random_range(0..TRANSIT), run));
+        self.watch = Some((ms + chance.random_range(0..TRANSIT), run));
         if coordinator.last().mark != position {
             self.subscriber.moved(at(ms), coordinator.last().mark);
         }
@@ -379,7 +379,7 @@
     doubts: u64,
     refused: u64,
     duplicates: u64,
-    /// Moves by the coordinator's own feed.
+    /// Moves by the coordinator's own watch.
     fed: u64,
     /// Copies that the forwarder refused and that the oracle would have handed out, of all looked at.
     refused_more: u64,
--- a/crates/flaxdeck-distribution/tests/subscriber.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber.rs
@@ -59,7 +59,7 @@
     Delivery { update: Update::Snapshot(Box::new(snapshot)), coordinator_ago_ms: ago_ms }
 }
 
-/// With two planners, the first preferred, and a position that the coordinator's own feed has told.
+/// With two planners, the first preferred, and a position that the coordinator's own watch has told.
 fn subscriber(position: u64) -> Subscriber {
     let preference = (0..).find(|preference| prefers(*preference) == ONE).unwrap();
     let mut subscriber = Subscriber::start(at(0), 2, preference, Cadence::default(), SETTLES);
--- a/crates/flaxdeck-guidance/src/messages.rs
+++ b/crates/flaxdeck-guidance/src/messages.rs
@@ -127,7 +127,7 @@
 
 /// What others do at a cold host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Word {
+pub struct PeerSummary {
     pub life: Life,
     /// Others wish for more than is their own: worth lending.
     pub wanted: bool,
@@ -176,7 +176,7 @@
     /// Of the link of the forwarder's location: the latest that any forwarder heard.
     pub link: Option<Fullness>,
     pub grants: Vec<Grant>,
-    pub lives: Vec<Word>,
+    pub lives: Vec<PeerSummary>,
     pub ratings: Vec<Rating>,
 }
 
--- a/crates/flaxdeck-guidance/src/planner.rs
+++ b/crates/flaxdeck-guidance/src/planner.rs
@@ -216,7 +216,7 @@
         let mut guidance = self.guidance(now, from);
         guidance.grants = grants;
         guidance.owes_ms = self.seats.owes(now, report.seat).map(ms_up);
-        let word = |(life, pool): (&Life, &Pool)| Word {
+        let word = |(life, pool): (&Life, &Pool)| PeerSummary {
             life: life.clone(),
             wanted: pool.wanted_by_others(from),
             others: pool.others_have_out(from),
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -22,10 +22,10 @@
 use flaxdeck_net::room::{Place, Room};
 use flaxdeck_net::tally;
 use flaxdeck_recovery::Mark;
-use flaxdeck_talk::feed::{Event, Feed, Numbered, Word};
 use flaxdeck_talk::line::{self, Hearer, Over, Speaker};
 use flaxdeck_talk::messages::{FromForwarder, FromPlanner};
 use flaxdeck_talk::seal::Key;
+use flaxdeck_talk::watch::{Event, Numbered, Watch, WatchEvent};
 use tokio::net::TcpStream;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::Notify;
@@ -51,7 +51,7 @@
     pub own: Parts,
     /// How often forwarders are told of events that subscribe to them.
     pub cadence: Cadence,
-    pub feed: Feed,
+    pub watch: Watch,
     pub known: Numbered,
     /// Where its counters are written as they grow, if anywhere.
     pub counters: Option<PathBuf>,
@@ -87,14 +87,14 @@
     let (mut terminate, mut interrupt) =
         (signals(SignalKind::terminate())?, signals(SignalKind::interrupt())?);
     let clock = Clock::start();
-    let Start { name, listen, key, pledges, own, cadence, feed, known, counters } = start;
+    let Start { name, listen, key, pledges, own, cadence, watch, known, counters } = start;
     let epoch = Epoch::new(clock.now(), std::process::id());
     let server = Rc::new(Server {
         clock,
         planner: RefCell::new(Planner::start(clock.now(), epoch, pledges, own)),
         key,
         speakers: RefCell::default(),
-        events: RefCell::new(Events::start(clock.now(), cadence, feed.names())),
+        events: RefCell::new(Events::start(clock.now(), cadence, watch.names())),
         subscribers: RefCell::default(),
         due_changed: Notify::new(),
         next: Cell::new(0),
@@ -102,10 +102,10 @@
         refused: Cell::new(0),
     });
     known.into_iter().for_each(|(_, event)| server.listed(event));
-    server.begins_at(feed.numbering().borrow().last());
+    server.begins_at(watch.numbering().borrow().last());
     let listener = Listener::open(listen).map_err(|error| format!("cannot listen at {listen}: {error}"))?;
     let at = listener.address().map_err(|error| format!("cannot listen at {listen}: {error}"))?;
-    spawn_local(server.clone().follow(feed));
+    spawn_local(server.clone().follow(watch));
     spawn_local(server.clone().accept(listener));
     spawn_local(server.clone().publish());
     spawn_local(server.clone().log_counters());
@@ -148,16 +148,16 @@
         }
     }
 
-    async fn follow(self: Rc<Server>, mut feed: Feed) {
+    async fn follow(self: Rc<Server>, mut watch: Watch) {
         loop {
-            let event = match feed.next().await {
-                Word::Alive => None,
-                Word::Event(mark, frame, event) => {
+            let event = match watch.next().await {
+                WatchEvent::Heartbeat => None,
+                WatchEvent::Event(mark, frame, event) => {
                     self.events.borrow_mut().told(self.clock.now(), mark, &frame, &event);
                     self.told(event);
                     Some(Relayed { mark, frame: frame.to_vec() })
                 }
-                Word::Anew(mark, event, doubt) => {
+                WatchEvent::Relisted(mark, event, doubt) => {
                     tracing::warn!(
                         ?mark,
                         ?doubt,
@@ -169,7 +169,7 @@
                 }
             };
             let news = event.is_some();
-            let (now, current) = (self.clock.now(), feed.is_current());
+            let (now, current) = (self.clock.now(), watch.is_current());
             self.planner.borrow_mut().coordinator(now, event, current);
             self.events.borrow_mut().coordinator_heard(now, current);
             if news {
--- a/crates/flaxdeck-talk/src/lib.rs
+++ b/crates/flaxdeck-talk/src/lib.rs
@@ -1,8 +1,8 @@
-//! Conversations over connections: `feed` follows the coordinator, `line` joins forwarders and planners, whose bytes
+//! Conversations over connections: `watch` follows the coordinator, `line` joins forwarders and planners, whose bytes
 //! `seal` reads and writes.
 
-pub mod feed;
 pub mod kinds;
 pub mod line;
 pub mod messages;
 pub mod seal;
+pub mod watch;
--- a/crates/flaxdeck-talk/src/feed.rs
+++ b/crates/flaxdeck-talk/src/watch.rs
@@ -53,16 +53,16 @@
 }
 
 /// What the coordinator says.
-pub enum Word {
+pub enum WatchEvent {
     /// Nothing new, but it is there.
-    Alive,
+    Heartbeat,
     /// An event that follows, and the frame that it came in, for who passes it on.
     Event(Mark, Bytes, Event),
     /// A whole list in place of all that was known.
-    Anew(Mark, Event, Option<Doubt>),
+    Relisted(Mark, Event, Option<Doubt>),
 }
 
-pub struct Feed {
+pub struct Watch {
     address: SocketAddr,
     names: Rc<Names>,
     clock: Clock,
@@ -83,8 +83,8 @@
     live_edge: LiveEdge,
 }
 
-impl Feed {
-    /// The feed after the events of a configuration, and these. One that trusts keeps to the platform's page, by which
+impl Watch {
+    /// The watch after the events of a configuration, and these. One that trusts keeps to the platform's page, by which
     /// a number always means the same event; the other has it proven. The seed spreads its calls.
     pub fn start(
         address: SocketAddr,
@@ -92,7 +92,7 @@
         names: Rc<Names>,
         trusts: bool,
         seed: u64,
-    ) -> Result<(Feed, Numbered), String> {
+    ) -> Result<(Watch, Numbered), String> {
         let (number, events) = frames::known(known, &names)?;
         let hash = events.last().filter(|(last, _)| *last == number).map_or(0, |(_, event)| event.hash());
         let last = Mark { number, hash };
@@ -101,7 +101,7 @@
         let (pace, clock) = (Pace::new(seed, RETRY[0], RETRY[1]), Clock::start());
         let (urgency, waits, paused) = (Rc::default(), false, false);
         let (heard, told_current, link, live_edge) = (Instant::now(), false, None, LiveEdge::default());
-        let feed = Feed {
+        let watch = Watch {
             address,
             names,
             clock,
@@ -115,7 +115,7 @@
             told_current,
             live_edge,
         };
-        Ok((feed, events))
+        Ok((watch, events))
     }
 
     /// What is known of the numbering, to be moved on when others bring events.
@@ -150,7 +150,7 @@
 
     /// Goes on with the same numbering at the coordinator of a later configuration; gives those of its events
     /// that are new here. Asks again even at the same address.
-    pub fn go_on_at(&mut self, later: Feed, known: Numbered) -> Vec<Event> {
+    pub fn go_on_at(&mut self, later: Watch, known: Numbered) -> Vec<Event> {
         self.address = later.address;
         self.hang_up(false);
         let mut numbering = self.numbering.borrow_mut();
@@ -184,7 +184,7 @@
     }
 
     /// The coordinator's next word; connections that end are opened again.
-    pub async fn next(&mut self) -> Word {
+    pub async fn next(&mut self) -> WatchEvent {
         loop {
             if self.paused {
                 std::future::pending::<()>().await;
@@ -210,7 +210,7 @@
                     if next == Next::Skip {
                         self.pace.answered(now);
                         self.told_current = true;
-                        return Word::Alive;
+                        return WatchEvent::Heartbeat;
                     }
                     log::warn!("the coordinator has nothing where it was asked: {next:?}");
                     self.hang_up(false);
@@ -226,12 +226,12 @@
                         Next::Apply => {
                             self.pace.answered(now);
                             count(Count::feed_events);
-                            return Word::Event(mark, frame, event);
+                            return WatchEvent::Event(mark, frame, event);
                         }
                         Next::Adopt(doubt) => {
                             self.pace.answered(now);
                             count(Count::feed_anew);
-                            return Word::Anew(mark, event, doubt);
+                            return WatchEvent::Relisted(mark, event, doubt);
                         }
                         Next::AskAgain(why) => {
                             count(Count::feed_gaps);
@@ -267,7 +267,7 @@
                             self.told_current = self.numbering.borrow().current(self.clock.now());
                             if self.told_current {
                                 self.pace.answered(self.clock.now());
-                                return Word::Alive;
+                                return WatchEvent::Heartbeat;
                             }
                         }
                         Err(_) if proves.is_some() => {
