--- a/crates/flaxdeck-adapter/src/wire.rs
+++ b/crates/flaxdeck-adapter/src/wire.rs
@@ -258,14 +258,14 @@
     }
     for last in decisions.finals {
         reply.push(match last {
-            Final::Bounced { request, come_back } => {
+            Final::Rejected { request, come_back } => {
                 let mut action = json!({"event_type": "PushBack", "who": who, "request_id": request.0});
                 if let Some(come_back) = come_back {
                     action["come_back_ms"] = json!(come_back.ms());
                 }
                 action
             }
-            Final::Forfeited { request } => {
+            Final::Failed { request } => {
                 json!({"event_type": "ReportFailure", "who": who, "request_id": request.0})
             }
         });
--- a/crates/flaxdeck-cli/src/compare.rs
+++ b/crates/flaxdeck-cli/src/compare.rs
@@ -32,8 +32,8 @@
         out.gain()
     );
     println!(
-        "requests {}: finished {}, bounced {}, forfeited {}",
-        out.requests, out.finished, out.bounced, out.forfeited
+        "requests {}: served {}, rejected {}, failed {}",
+        out.requests, out.served, out.rejected, out.failed
     );
     println!(
         "attempts {}, hits {}, fills at parents {}, at the origin {}, hosts fallen over {}",
--- a/crates/flaxdeck-cli/src/demo.rs
+++ b/crates/flaxdeck-cli/src/demo.rs
@@ -45,7 +45,7 @@
     if !alone {
         script.insert(1, (KILL_AT, "a planner is killed", Fault::KillPlanner(0)));
     }
-    println!("\n     s    sent  finished  bounced  forfeited  open");
+    println!("\n     s    sent    served  rejected     failed  open");
     let mut script = script.into_iter().peekable();
     for second in 0..=(END / 1000.0) as u64 {
         let at = begins + second as f64 * 1000.0;
@@ -56,13 +56,9 @@
         }
         fleet.world.wait_until(at);
         let so_far = fleet.world.verdict();
-        let (asked, ended) =
-            (so_far.asked, so_far.finished + so_far.bounced + so_far.forfeited + so_far.left);
-        let (finished, bounced, forfeited) = (so_far.finished, so_far.bounced, so_far.forfeited);
-        println!(
-            "{second:>6}  {asked:>6}  {finished:>8}  {bounced:>7}  {forfeited:>9}  {:>4}",
-            asked - ended
-        );
+        let (asked, ended) = (so_far.asked, so_far.served + so_far.rejected + so_far.failed + so_far.left);
+        let (served, rejected, failed) = (so_far.served, so_far.rejected, so_far.failed);
+        println!("{second:>6}  {asked:>6}  {served:>8}  {rejected:>8}  {failed:>9}  {:>4}", asked - ended);
     }
     finish(&fleet, &clients)
 }
@@ -78,9 +74,9 @@
     let at = |part: f64| took.get((took.len() as f64 * part) as usize).copied().unwrap_or(0.0);
     let accounted = if verdict.all_accounted_for() { "all accounted for" } else { "SOME UNACCOUNTED FOR" };
     println!("\nrequests sent                     {:>8}", verdict.asked);
-    println!("  finished                         {:>8}", verdict.finished);
-    println!("  bounced, with a time to come back{:>8}", verdict.bounced);
-    println!("  forfeited                        {:>8}", verdict.forfeited);
+    println!("  served                           {:>8}", verdict.served);
+    println!("  rejected, with a time to come back {:>6}", verdict.rejected);
+    println!("  failed                           {:>8}", verdict.failed);
     println!("  left by clients                  {:>8}   {accounted}", verdict.left);
     println!("time of an answer, median and 99th {:>8.1} {:.1} ms", at(0.5), at(0.99));
     println!("answers with wrong bytes           {:>8}", told.wrong_bytes);
--- a/crates/flaxdeck-cli/src/levels.rs
+++ b/crates/flaxdeck-cli/src/levels.rs
@@ -22,7 +22,7 @@
 
 struct Row {
     in_time: f64,
-    bounced: u64,
+    rejected: u64,
     origin_fills: u64,
     cold_use: f64,
     cold_most: f64,
@@ -36,7 +36,7 @@
 
 pub fn run(forwarders: &[usize], rate: f64, runs: u64, seed: u64) -> Result<(), Stop> {
     println!(
-        "forwarders  planners  seed  in time  bounced  origin  cold use  cold most  at failed parent  last, ms  \
+        "forwarders  planners  seed  in time  rejected  origin  cold use  cold most  at failed parent  last, ms  \
          reports, B/s  guidance, B/s  median, ms  99th, ms  broken"
     );
     let mut broken = 0;
@@ -47,7 +47,7 @@
                 println!(
                     "{count:>10}  {planners:>8}  {seed:>4}  {:>7.4}  {:>7}  {:>6}  {:>8.3}  {:>9.3}  {:>16}  {:>8.0}  {:>12.0}  {:>13.0}  {:>10.1}  {:>8.1}  {:>6}",
                     row.in_time,
-                    row.bounced,
+                    row.rejected,
                     row.origin_fills,
                     row.cold_use,
                     row.cold_most,
@@ -137,7 +137,7 @@
     let each = |way: usize| (after[way] - before[way]) as f64 / seconds / forwarders as f64;
     Ok(Row {
         in_time: took.iter().filter(|took| **took <= IN_TIME).count() as f64 / verdict.asked.max(1) as f64,
-        bounced: verdict.bounced,
+        rejected: verdict.rejected,
         origin_fills: fleet.world.fills_at_origin(),
         cold_use,
         cold_most: verdict.most_of_bound,
--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -260,7 +260,7 @@
         .fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3));
     let seat = SeatId(if listen.ends_with(":0") { 0 } else { hash.max(1) });
     let blind_after = match plan.blind {
-        Blind::BounceAfter { ms } => Some(Span::of_ms(ms)),
+        Blind::RejectAfter { ms } => Some(Span::of_ms(ms)),
         Blind::GoOn => None,
     };
     Stance { pledges, reserve: plan.reserve, seated: plan.seated, seat, blind_after }
--- a/crates/flaxdeck-cli/src/recovery.rs
+++ b/crates/flaxdeck-cli/src/recovery.rs
@@ -157,7 +157,7 @@
         ("from_ms", whole(&|_, _, at, _| (at as f64 * SLICE) as i64)),
         ("wants", whole(&|_, _, _, slice| slice.wants as i64)),
         ("in_time", whole(&|_, _, _, slice| slice.in_time as i64)),
-        ("bounced", whole(&|_, _, _, slice| slice.bounced as i64)),
+        ("rejected", whole(&|_, _, _, slice| slice.rejected as i64)),
         ("cache_answers", whole(&|_, _, _, slice| slice.answers as i64)),
         ("cache_hits", whole(&|_, _, _, slice| slice.hits as i64)),
         ("turned_away", whole(&|_, _, _, slice| slice.turned_away as i64)),
@@ -293,12 +293,12 @@
         let share = |slice: &Slice| slice.in_time as f64 / slice.wants.max(1) as f64;
         let hits = |slice: &Slice| slice.hits as f64 / slice.answers.max(1) as f64;
         println!(
-            "    {:>5.1} s  in time {:.4} ({:.4})  bounced {} ({})  hits {:.3} ({:.3})  turned away {} ({})",
+            "    {:>5.1} s  in time {:.4} ({:.4})  rejected {} ({})  hits {:.3} ({:.3})  turned away {} ({})",
             at as f64 * SLICE / 1000.0,
             share(one),
             share(two),
-            one.bounced,
-            two.bounced,
+            one.rejected,
+            two.rejected,
             hits(one),
             hits(two),
             one.turned_away,
@@ -392,8 +392,8 @@
             continue;
         };
         slice.wants += 1;
-        slice.in_time += u64::from(matches!(fate.end, End::Finished(took) if took <= IN_TIME));
-        slice.bounced += u64::from(fate.end == End::Bounced);
+        slice.in_time += u64::from(matches!(fate.end, End::Served(took) if took <= IN_TIME));
+        slice.rejected += u64::from(fate.end == End::Rejected);
     }
     let pulses: Vec<Pulse> = fleet.world.pulses().into_iter().skip((begins / PULSE) as usize).collect();
     for (at, pulse) in pulses.iter().enumerate() {
--- a/crates/flaxdeck-cli/tests/coming_back.rs
+++ b/crates/flaxdeck-cli/tests/coming_back.rs
@@ -54,11 +54,11 @@
     verdict
 }
 
-/// The part of the wants first asked for in that time that were finished.
-fn finished(clients: &Seekers, from: f64, to: f64) -> f64 {
+/// The part of the wants first asked for in that time that were served.
+fn served(clients: &Seekers, from: f64, to: f64) -> f64 {
     let fates: Vec<_> = clients.fates().into_iter().filter(|fate| (from..to).contains(&fate.first)).collect();
-    let finished = fates.iter().filter(|fate| matches!(fate.end, End::Finished(_))).count();
-    finished as f64 / fates.len().max(1) as f64
+    let served = fates.iter().filter(|fate| matches!(fate.end, End::Served(_))).count();
+    served as f64 / fates.len().max(1) as f64
 }
 
 fn logged(fleet: &Fleet, words: &str) -> usize {
@@ -83,7 +83,7 @@
     let verdict = kept(&fleet, &clients);
     assert!(verdict.latest_arrival < 1_000.0, "{verdict:?}");
     assert!(logged(&fleet, "numbering is another") >= 4, "each of four says so: {:#?}", fleet.lines());
-    assert!(finished(&clients, begins, begins + 5_000.0) > 0.97);
+    assert!(served(&clients, begins, begins + 5_000.0) > 0.97);
 }
 
 #[test]
@@ -157,8 +157,8 @@
         script.extend(all(3, begins + 2_700.0, Fault::StartForwarder));
         fleet.play(&script).unwrap();
         kept(&fleet, &clients);
-        let after = finished(&clients, begins + 3_200.0, begins + 5_000.0);
-        assert!(after > 0.98, "{after} finished half a second after the return, {planners} planners");
+        let after = served(&clients, begins + 3_200.0, begins + 5_000.0);
+        assert!(after > 0.98, "{after} served half a second after the return, {planners} planners");
     }
 }
 
@@ -193,8 +193,8 @@
     fleet.play(&script).unwrap();
     kept(&fleet, &clients);
     // Eight callers at three a second would take two seconds and more; who hears a planner need not wait.
-    let after = finished(&clients, begins + 3_300.0, begins + 6_000.0);
-    assert!(after > 0.97, "{after} finished a second after the return");
+    let after = served(&clients, begins + 3_300.0, begins + 6_000.0);
+    assert!(after > 0.97, "{after} served a second after the return");
 }
 
 #[test]
@@ -214,8 +214,8 @@
     script.sort_by(|a, b| a.0.total_cmp(&b.0));
     fleet.play(&script).unwrap();
     kept(&fleet, &clients);
-    let after = finished(&clients, begins + 4_800.0, begins + 6_000.0);
-    assert!(after > 0.99, "{after} finished once all stay up");
+    let after = served(&clients, begins + 4_800.0, begins + 6_000.0);
+    assert!(after > 0.99, "{after} served once all stay up");
 }
 
 #[test]
@@ -235,7 +235,7 @@
     script.extend(all(3, begins + 2_200.0, Fault::StartForwarder));
     fleet.play(&script).unwrap();
     let verdict = kept(&fleet, &clients);
-    assert!(verdict.bounced > 0, "the third answers at once once it listens: {verdict:?}");
+    assert!(verdict.rejected > 0, "the third answers at once once it listens: {verdict:?}");
     let back: Vec<String> = fleet.lines().into_iter().filter(|line| line.contains("back: ")).collect();
     assert_eq!(back.iter().filter(|line| line.contains("Listed")).count(), 1, "{back:#?}");
 }
@@ -286,8 +286,8 @@
     script.extend(all(2, begins + 1_600.0, Fault::StartForwarder));
     fleet.play(&script).unwrap();
     kept(&fleet, &clients);
-    let after = finished(&clients, begins + 2_200.0, begins + 5_000.0);
-    assert!(after > 0.97, "{after} finished on the kept list alone");
+    let after = served(&clients, begins + 2_200.0, begins + 5_000.0);
+    assert!(after > 0.97, "{after} served on the kept list alone");
 }
 
 #[test]
@@ -333,7 +333,7 @@
     });
     assert_eq!(count(&lines, "can't be opened"), 1, "{lines:#?}");
     let verdict = kept(&fleet, &clients);
-    assert!(verdict.finished * 10 > verdict.asked * 8, "service went on: {verdict:?}");
+    assert!(verdict.served * 10 > verdict.asked * 8, "service went on: {verdict:?}");
 }
 
 #[test]
@@ -428,8 +428,8 @@
     );
     assert_eq!(fleet.world.fell_over(), 0, "{ms} ms apart");
     assert!(logged(&fleet, "ahead of the coordinator's") >= 3, "each says so: {:#?}", fleet.lines());
-    let after = finished(&clients, begins + 900.0, begins + 2_000.0);
-    assert!(after > 0.97, "{after} finished with clocks {ms} ms apart");
+    let after = served(&clients, begins + 900.0, begins + 2_000.0);
+    assert!(after > 0.97, "{after} served with clocks {ms} ms apart");
 }
 
 #[test]
--- a/crates/flaxdeck-cli/tests/events.rs
+++ b/crates/flaxdeck-cli/tests/events.rs
@@ -38,7 +38,7 @@
     }
 
     fn served_share(&self) -> f64 {
-        self.verdict.finished as f64 / self.verdict.asked.max(1) as f64
+        self.verdict.served as f64 / self.verdict.asked.max(1) as f64
     }
 }
 
--- a/crates/flaxdeck-cli/tests/levels.rs
+++ b/crates/flaxdeck-cli/tests/levels.rs
@@ -85,7 +85,7 @@
     fleet.play(&script).unwrap();
     let verdict = kept(&fleet, &clients);
     assert_eq!(verdict.left, 0);
-    assert!(verdict.asked > 900 && verdict.finished * 100 >= verdict.asked * 98, "{verdict:?}");
+    assert!(verdict.asked > 900 && verdict.served * 100 >= verdict.asked * 98, "{verdict:?}");
 }
 
 #[test]
@@ -96,7 +96,7 @@
     fleet.play(&planners).unwrap();
     wait_for(&fleet, "guidance is now Ageing");
     let verdict = kept(&fleet, &clients);
-    assert!(verdict.finished * 100 >= verdict.asked * 98, "{verdict:?}");
+    assert!(verdict.served * 100 >= verdict.asked * 98, "{verdict:?}");
 }
 
 #[test]
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_forwarder_that_hears_nobody_bounces_before_a_drain_is_a_second_old() {
+fn a_forwarder_that_hears_nobody_rejects_before_a_drain_is_a_second_old() {
     let mut fleet = fleet(Setup { plan_words: "(blind (after-ms 900))", ..setup(2, 2) }, Layout::default());
     let caches = fleet.world.hosts(Kind::Cache);
     let (clients, begins) = load(&fleet, &[80.0], 200.0, 6_000.0);
@@ -142,7 +142,7 @@
     script.extend((0..2).map(|planner| (heals, Fault::PlannerWire(0, planner, Wire::Whole))));
     fleet.play(&script).unwrap();
     let verdict = kept(&fleet, &clients);
-    assert!(verdict.bounced > 50, "{verdict:?}");
+    assert!(verdict.rejected > 50, "{verdict:?}");
     assert!(logged(&fleet, "guidance is now Blind") && logged(&fleet, "was Blind"), "{:?}", fleet.lines());
 }
 
@@ -204,5 +204,5 @@
     let (clients, begins) = load(&fleet, &[100.0], 200.0, 4_000.0);
     fleet.play(&[(begins + 1_000.0, Fault::HostManner(parent, Manner::Fail))]).unwrap();
     let verdict = kept(&fleet, &clients);
-    assert!(verdict.finished * 100 >= verdict.asked * 98, "{verdict:?}");
+    assert!(verdict.served * 100 >= verdict.asked * 98, "{verdict:?}");
 }
--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -66,7 +66,7 @@
     let router = control::begin(start, clock, guidelines, std::process::id(), None);
     let guided = router.is_guided();
     counters.into_iter().for_each(counters_file::spawn);
-    // A client that finds nobody listening turns to another dispatcher; a guess or a bounce would keep it here.
+    // A client that finds nobody listening turns to another dispatcher; a guess or a rejection would keep it here.
     tokio::select! {
         () = router.comes_back() => {}
         _ = asked_to_end.recv() => return Ok(()),
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -96,7 +96,7 @@
             EventSubscription::start(now, count as u32, seed, digests, self.settles, numbering)
         });
         watch.pause_while(subscription.is_some());
-        let unheard = guidelines.stance.blind_after.map_or(Unheard::GoOn, Unheard::BounceAfter);
+        let unheard = guidelines.stance.blind_after.map_or(Unheard::GoOn, Unheard::RejectAfter);
         let guides = Rc::new(Guides {
             guide: RefCell::new(guide),
             speakers: RefCell::new((0..count).map(|_| None).collect()),
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -125,10 +125,10 @@
     fn answer(&mut self, answer: Answer, held: Option<Place>) {
         let Some(reply) = self.reply.take() else { return must(false, "one answer a request") };
         count(match &answer {
-            Answer::Finished(_) => Count::finished,
+            Answer::Served(_) => Count::served,
             Answer::Unchanged => Count::unchanged,
-            Answer::Bounced(_) => Count::bounced,
-            Answer::Forfeited => Count::forfeited,
+            Answer::Rejected(_) => Count::rejected,
+            Answer::Failed => Count::failed,
         });
         reply.send(answer, held);
         self.close();
@@ -139,8 +139,8 @@
             match self.router.pick(self.id) {
                 Step::Attempt(index, attempt) => self.attempt(index, attempt),
                 Step::TakeBack(index) => self.take_back(index),
-                Step::Bounce(come_back) => self.answer(Answer::Bounced(come_back), None),
-                Step::Forfeit => self.answer(Answer::Forfeited, None),
+                Step::Reject(come_back) => self.answer(Answer::Rejected(come_back), None),
+                Step::Fail => self.answer(Answer::Failed, None),
                 Step::Wait => return,
             }
         }
@@ -202,7 +202,7 @@
         let outcome = Outcome { ending: if other { Ending::Errored } else { outcome.ending }, ..outcome };
         if outcome.ending == Ending::Answered && self.reply.is_some() {
             let body = outcome.body.clone();
-            self.answer(if outcome.unchanged { Answer::Unchanged } else { Answer::Finished(body) }, held);
+            self.answer(if outcome.unchanged { Answer::Unchanged } else { Answer::Served(body) }, held);
         }
         self.report_end(index, host, sent, outcome);
     }
--- a/crates/flaxdeck-dispatcher/tests/connects.rs
+++ b/crates/flaxdeck-dispatcher/tests/connects.rs
@@ -16,7 +16,7 @@
         world.coordinator.change(&host, state, 0, 0);
         world.logged(&["told: s-0000ca00"]);
         clogged.open();
-        assert!(finished(&client.answer().unwrap(), &key(n)));
+        assert!(served(&client.answer().unwrap(), &key(n)));
         assert_eq!(clogged.heard(), Vec::<String>::new(), "state {state}");
     }
 }
@@ -29,7 +29,7 @@
     world.coordinator.change(&parent, 1, 1, 1);
     world.logged(&["told: s-00009a01"]);
     clogged.open();
-    assert!(finished(&client.answer().unwrap(), &key(n)));
+    assert!(served(&client.answer().unwrap(), &key(n)));
     let heard = clogged.heard();
     assert!(heard.iter().all(|line| !line.contains("fetch=s-00009a01")), "{heard:?}");
 }
@@ -43,7 +43,7 @@
     world.coordinator.purge_object(u64::from_str_radix(&key(n), 16).unwrap(), now);
     world.logged(&["told: a purge"]);
     clogged.open();
-    assert!(finished(&client.answer().unwrap(), &key(n)));
+    assert!(served(&client.answer().unwrap(), &key(n)));
     let heard = clogged.heard();
     assert!(!heard.is_empty() && heard.iter().all(|line| line.contains(",newer=")), "{heard:?}");
 }
@@ -54,7 +54,7 @@
     let (world, clogged, _) = clogged_cache(|_| {});
     let (mut client, n) = on_its_way(&world, 0);
     clogged.open();
-    assert!(finished(&client.answer().unwrap(), &key(n)));
+    assert!(served(&client.answer().unwrap(), &key(n)));
     let heard = clogged.heard();
     let wait = |line: &String| line.split(",wait=").nth(1)?.split([',', ' ']).next()?.parse::<u64>().ok();
     assert!(heard.iter().all(|line| wait(line).is_some_and(|ms| ms < 6500)), "of 7000: {heard:?}");
@@ -76,7 +76,7 @@
         // Its connection is tried again later than the other's was.
         let (mut next, after) = on_its_way(&world, n + 1);
         clogged.open();
-        assert!(finished(&next.answer().unwrap(), &key(after)));
+        assert!(served(&next.answer().unwrap(), &key(after)));
         let heard = clogged.heard();
         assert!(
             !heard.is_empty() && !heard.iter().any(|line| line.contains(&key(n))),
--- a/crates/flaxdeck-dispatcher/tests/departures.rs
+++ b/crates/flaxdeck-dispatcher/tests/departures.rs
@@ -154,7 +154,7 @@
     let keys: Vec<String> = leavers.iter().map(|leaver| leaver.key.clone()).collect();
     leave_and_are_gone(&world, leavers, Duration::ZERO);
     clogged.open();
-    assert!(finished(&stays.client.answer().unwrap(), &stays.key));
+    assert!(served(&stays.client.answer().unwrap(), &stays.key));
     // The system tries each connection that is still wanted again within this time.
     thread::sleep(Duration::from_millis(1200));
     let heard = clogged.heard();
@@ -229,7 +229,7 @@
     let mut stays = Leaver::asks(Leaving::Close, world.client(), "page", 2);
     thread::sleep(GONE * 2);
     world.signal("CONT");
-    assert!(finished(&stays.client.answer().unwrap(), &stays.key));
+    assert!(served(&stays.client.answer().unwrap(), &stays.key));
     thread::sleep(GONE * 2);
     let begun: Vec<usize> = keys.iter().map(|key| attempts(&world, key)).collect();
     assert_eq!(begun, vec![0; keys.len()], "attempts, in the order of {EVERY_WAY:?}, twice");
--- a/crates/flaxdeck-dispatcher/tests/descriptors.rs
+++ b/crates/flaxdeck-dispatcher/tests/descriptors.rs
@@ -99,7 +99,7 @@
         thread::sleep(Duration::from_millis(1600));
         let asked = Instant::now();
         let answer = world.request("page", &key(n as u32), 2000, b"");
-        assert!(finished(&answer, &key(n as u32)), "{answer:?} after {:?}", asked.elapsed());
+        assert!(served(&answer, &key(n as u32)), "{answer:?} after {:?}", asked.elapsed());
 
         away.listen(64).unwrap();
         let (returned, stalls) = (Instant::now(), Stalls::watch(&world));
--- a/crates/flaxdeck-dispatcher/tests/endings.rs
+++ b/crates/flaxdeck-dispatcher/tests/endings.rs
@@ -67,7 +67,7 @@
     unread_answers(&world, &mut client, 20);
     client.send(&[0xc1; 400_000]).unwrap();
     takes_them_all(&mut client, 20);
-    assert!(finished(&world.request("page", KEY, 2000, b""), KEY), "others notice nothing");
+    assert!(served(&world.request("page", KEY, 2000, b""), KEY), "others notice nothing");
 }
 
 // The same at the end of the process, while a client goes on sending until the last moment.
@@ -96,7 +96,7 @@
     let mut clients: Vec<Client> = (0..5).map(|_| world.client()).collect();
     for client in &mut clients {
         client.request("page", KEY, 2000, b"").unwrap();
-        assert!(finished(&client.answer().unwrap(), KEY));
+        assert!(served(&client.answer().unwrap(), KEY));
     }
     world.terminate();
     for mut client in clients {
@@ -119,7 +119,7 @@
     client.send(&message[..40]).unwrap();
     thread::sleep(Duration::from_millis(1200)); // well past the time for which every planned end stays
     client.send(&message[40..]).unwrap();
-    assert!(finished(&client.answer().unwrap(), KEY));
+    assert!(served(&client.answer().unwrap(), KEY));
     assert!(client.ended());
     assert!(world.process.wait().unwrap().success());
 }
@@ -132,7 +132,7 @@
     client.request("page", KEY, 2400, b"").unwrap();
     wait_for("sent on", || !world.caches[0].heard("want").is_empty());
     ["HUP", "TERM", "HUP", "TERM"].into_iter().for_each(|name| world.signal(name));
-    assert!(finished(&client.answer().unwrap(), KEY));
+    assert!(served(&client.answer().unwrap(), KEY));
     world.signal("TERM");
     assert!(world.process.wait().unwrap().success());
 }
@@ -146,7 +146,7 @@
     client.request("page", KEY, 2400, b"").unwrap();
     wait_for("sent on", || !world.caches[0].heard("want").is_empty());
     world.terminate();
-    assert!(finished(&client.answer().unwrap(), KEY));
+    assert!(served(&client.answer().unwrap(), KEY));
     assert!(world.process.wait().unwrap().success());
 }
 
@@ -201,7 +201,7 @@
     assert!(asked.elapsed() < Duration::from_millis(500), "{:?}", asked.elapsed());
     client.request("page", &key(n + 100), 2000, b"").unwrap();
     clogged.open();
-    assert!(finished(&client.answer().unwrap(), &key(n + 100)), "its connection goes on");
+    assert!(served(&client.answer().unwrap(), &key(n + 100)), "its connection goes on");
     assert!(clogged.heard().iter().all(|line| !line.contains(&key(n))));
 }
 
@@ -242,7 +242,7 @@
         world.logged(&["left: "]);
         wait_for("given up", || !world.caches[0].heard("never_mind").is_empty());
         world.caches[0].set(Manner::Serve);
-        assert!(finished(&world.request("page", &key(1), 2000, b""), &key(1)), "others notice nothing");
+        assert!(served(&world.request("page", &key(1), 2000, b""), &key(1)), "others notice nothing");
     }
 }
 
@@ -259,7 +259,7 @@
     let mut slowest = Duration::ZERO;
     for n in 0..40 {
         let asked = Instant::now();
-        assert!(finished(&world.request("page", &key(n), 2000, b""), &key(n)));
+        assert!(served(&world.request("page", &key(n), 2000, b""), &key(n)));
         slowest = slowest.max(asked.elapsed());
     }
     assert!(slowest < Duration::from_millis(1500), "{slowest:?}");
@@ -277,7 +277,7 @@
     let asked = (0..700).take_while(|_| flood.request("submit", KEY, 2400, &[7; 40_000]).is_ok()).count();
     let _ = flood.send(&ALIVE.repeat(4000)); // it may be ended in the middle of this
     assert_eq!(asked, 700, "what is owed until then is within the bound");
-    assert!(finished(&world.request("page", KEY, 2000, b""), KEY));
+    assert!(served(&world.request("page", KEY, 2000, b""), KEY));
     world.terminate();
     world.logged(&["counted: ", "clients_flooding=1"]);
     assert!(world.process.wait().unwrap().success());
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -143,7 +143,7 @@
                                 facade.report(now, News::Ended(end(id, index, host, Ending::Cancelled)));
                             }
                         }
-                        Step::Bounce(_) | Step::Forfeit => {
+                        Step::Reject(_) | Step::Fail => {
                             let (hard_stop, _) =
                                 open.remove(&id).unwrap_or_else(|| panic!("seed {seed}: two ends"));
                             assert!(now <= hard_stop + tick * 2.0, "seed {seed}: {id:?} too late");
--- a/crates/flaxdeck-dispatcher/tests/sockets.rs
+++ b/crates/flaxdeck-dispatcher/tests/sockets.rs
@@ -13,13 +13,13 @@
 use world::*;
 
 #[test]
-fn a_request_is_finished_with_the_bytes_of_the_host_and_its_fields_go_on_unchanged() {
+fn a_request_is_served_with_the_bytes_of_the_host_and_its_fields_go_on_unchanged() {
     let world = World::start(1);
     let mut client = world.client();
     let alive = client.alive().unwrap();
     assert_eq!(client.answer().unwrap(), Answer::Alive { call: alive });
     let call = client.request("page", KEY, 2000, b"").unwrap();
-    assert!(finished(&client.answer().unwrap(), KEY));
+    assert!(served(&client.answer().unwrap(), KEY));
     let line = &world.caches[0].heard("want")[0].0;
     for part in [
         &*format!("want {} ", client.id(call)),
@@ -39,10 +39,10 @@
     let fields = [("id", "9b1f03aa5c7e2d41"), ("wait", "2500"), ("key", KEY), ("slice", "0"), ("set", "17")];
     let message = request_message(300, "page", &fields, b"");
     message.iter().for_each(|byte| client.send(&[*byte]).unwrap());
-    assert!(finished(&client.answer().unwrap(), KEY));
+    assert!(served(&client.answer().unwrap(), KEY));
     let other = [("id", "9b1f03aa5c7e2d42"), fields[1], fields[2], fields[3]];
     client.send(&[message.clone(), request_message(70_000, "page", &other, b"")].concat()).unwrap();
-    assert!(finished(&client.answer().unwrap(), KEY) && finished(&client.answer().unwrap(), KEY));
+    assert!(served(&client.answer().unwrap(), KEY) && served(&client.answer().unwrap(), KEY));
 }
 
 #[test]
@@ -67,7 +67,7 @@
             [("id", "9b1f03aa5c7e2d41"), ("wait", "2500"), ("key", KEY), ("seen", "4be0c1927d55a6f3")];
         let mut client = world.client();
         client.send(&request_message(1, "page", &fields, b"")).unwrap();
-        assert!(finished(&client.answer().unwrap(), KEY), "{named}");
+        assert!(served(&client.answer().unwrap(), KEY), "{named}");
         let heard: Vec<String> =
             world.caches.iter().flat_map(|cache| cache.heard("want")).map(|(line, _)| line).collect();
         assert!(
@@ -77,9 +77,9 @@
     }
 }
 
-// What is known of how an attempt ended decides whether an at-most-once request may be sent again or bounced.
+// What is known of how an attempt ended decides whether an at-most-once request may be sent again or rejected.
 #[test]
-fn an_at_most_once_request_is_sent_again_or_bounced_only_if_nothing_ran() {
+fn an_at_most_once_request_is_sent_again_or_rejected_only_if_nothing_ran() {
     let rows = [
         (Manner::Say("full"), true),
         (Manner::Say("absent"), true),
@@ -110,14 +110,13 @@
 fn requests_move_past_a_host_that_dies_and_one_that_fails() {
     for manner in [None, Some(Manner::Say("failed")), Some(Manner::Break), Some(Manner::Garble)] {
         let world = World::start(2);
-        (0..8).for_each(|n| assert!(finished(&world.request("page", &key(n), 2000, b""), &key(n))));
+        (0..8).for_each(|n| assert!(served(&world.request("page", &key(n), 2000, b""), &key(n))));
         match manner {
             Some(manner) => world.caches[0].set(manner),
             None => world.caches[0].kill(),
         }
-        (0..8).for_each(|n| {
-            assert!(finished(&world.request("page", &key(n), 2000, b""), &key(n)), "{manner:?}")
-        });
+        (0..8)
+            .for_each(|n| assert!(served(&world.request("page", &key(n), 2000, b""), &key(n)), "{manner:?}"));
     }
 }
 
@@ -130,19 +129,19 @@
     let silent: Vec<String> = world.caches[0].heard("want").into_iter().map(|(line, _)| line).collect();
     assert!(!silent.is_empty(), "some belong to the silent host");
     for n in (0..16).filter(|n| !silent.iter().any(|line| line.contains(&key(*n)))) {
-        assert!(answers.iter().any(|answer| finished(answer, &key(n))), "{n} does not belong to it");
+        assert!(answers.iter().any(|answer| served(answer, &key(n))), "{n} does not belong to it");
     }
     wait_for("given up at the silent host", || !world.caches[0].heard("never_mind").is_empty());
 }
 
 #[test]
-fn without_second_copies_a_request_is_taken_back_from_a_silent_host_and_finished_elsewhere() {
+fn without_second_copies_a_request_is_taken_back_from_a_silent_host_and_served_elsewhere() {
     let world = World::with(2, |config| config["settings"]["allowed"]["may_duplicate"] = false.into());
     world.caches[0].set(Manner::Silent);
     let mut client = world.client();
     let answers = request_together(&mut client, 16, 2400);
     for n in 0..16 {
-        assert!(answers.iter().any(|answer| finished(answer, &key(n))), "{n}");
+        assert!(answers.iter().any(|answer| served(answer, &key(n))), "{n}");
     }
     assert!(!world.caches[0].heard("want").is_empty(), "some belong to the silent host");
     wait_for("given up there", || !world.caches[0].heard("never_mind").is_empty());
@@ -161,7 +160,7 @@
     world.caches[0].set(Manner::Serve);
     for n in 0..4 {
         client.request("page", &key(n), 2000, b"").unwrap();
-        assert!(finished(&client.answer().unwrap(), &key(n)));
+        assert!(served(&client.answer().unwrap(), &key(n)));
     }
 }
 
@@ -179,7 +178,7 @@
     assert!(client.quiet_for(Duration::from_millis(200)));
     assert!(world.caches[0].heard("want").is_empty());
     client.request("page", KEY, 2000, b"").unwrap();
-    assert!(finished(&client.answer().unwrap(), KEY));
+    assert!(served(&client.answer().unwrap(), KEY));
 }
 
 #[test]
@@ -201,7 +200,7 @@
     world.coordinator.change(&draining, 1, 0, 0);
     wait_for("the drain is heeded", || world.spares(&draining));
     let before = draining.heard("want").len();
-    (0..32).for_each(|n| assert!(finished(&world.request("page", &key(n), 2000, b""), &key(n))));
+    (0..32).for_each(|n| assert!(served(&world.request("page", &key(n), 2000, b""), &key(n))));
     assert_eq!(draining.heard("want").len(), before);
 }
 
@@ -254,7 +253,7 @@
     std::fs::write(&world.path, config.to_string()).unwrap();
     world.signal("HUP");
     later.change(&draining, 0, 0, 0);
-    assert!(finished(&client.answer().unwrap(), KEY), "an open request notices nothing");
+    assert!(served(&client.answer().unwrap(), KEY), "an open request notices nothing");
     wait_for("event 3 comes from the later coordinator", || !world.spares(&draining));
     later.change(&draining, 1, 0, 0);
     wait_for("and event 4", || world.spares(&draining));
@@ -264,7 +263,7 @@
 #[test]
 fn after_a_purge_only_younger_copies_are_asked_for() {
     let mut world = World::start(1);
-    assert!(finished(&world.request("page", KEY, 2000, b""), KEY));
+    assert!(served(&world.request("page", KEY, 2000, b""), KEY));
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64 - 100;
     world.coordinator.purge_object(u64::from_str_radix(KEY, 16).unwrap(), unix);
     let newer = |world: &World| {
@@ -318,7 +317,7 @@
     }
     assert!(world.hosts().all(|host| host.heard("want").is_empty()));
     good.request("page", KEY, 2000, b"").unwrap();
-    assert!(finished(&good.answer().unwrap(), KEY));
+    assert!(served(&good.answer().unwrap(), KEY));
 }
 
 #[test]
@@ -328,11 +327,11 @@
     let start = Instant::now();
     half.send(&request_message(1, "submit", &[("id", "9b1f03aa5c7e2d41")], &[7; 400])[..200]).unwrap();
     idle.request("page", KEY, 2000, b"").unwrap();
-    assert!(finished(&idle.answer().unwrap(), KEY));
+    assert!(served(&idle.answer().unwrap(), KEY));
     assert!(silent.ended() && half.ended());
     assert!(start.elapsed() < Duration::from_millis(2900), "{:?}", start.elapsed());
     idle.request("page", KEY, 2000, b"").unwrap();
-    assert!(finished(&idle.answer().unwrap(), KEY), "an idle one may stay");
+    assert!(served(&idle.answer().unwrap(), KEY), "an idle one may stay");
 }
 
 #[test]
@@ -340,18 +339,18 @@
     let world = World::with(1, |config| config["limits"]["sockets"] = 60.into()); // 20 for clients
     let mut usual = world.client();
     usual.request("page", KEY, 2400, b"").unwrap();
-    assert!(finished(&usual.answer().unwrap(), KEY));
+    assert!(served(&usual.answer().unwrap(), KEY));
     let silent: Vec<Client> = (0..17).map(|_| world.client()).collect();
     thread::sleep(Duration::from_millis(300));
     let later: Vec<Client> = (0..10).map(|_| world.client()).collect();
     let ask = |(n, mut client): (u32, Client)| {
         client.request("page", &key(n), 2400, b"").unwrap();
-        assert!(finished(&client.answer().unwrap(), &key(n)));
+        assert!(served(&client.answer().unwrap(), &key(n)));
         client
     };
     let later: Vec<Client> = (0..).zip(later).map(ask).collect();
     usual.request("page", KEY, 2400, b"").unwrap();
-    assert!(finished(&usual.answer().unwrap(), KEY));
+    assert!(served(&usual.answer().unwrap(), KEY));
     drop((silent, later));
 }
 
@@ -370,7 +369,7 @@
     thread::sleep(Duration::from_millis(400));
     world.signal("CONT");
     for (n, client) in (0..).zip(&mut clients) {
-        assert!(finished(&client.answer().unwrap(), &key(n)), "request {n}");
+        assert!(served(&client.answer().unwrap(), &key(n)), "request {n}");
     }
     drop(waiting);
 }
@@ -426,7 +425,7 @@
     let world = World::start(1);
     world.hosts().for_each(|host| host.set(Manner::Extra));
     for n in 0..6 {
-        assert!(finished(&world.request("page", &key(n), 900, b""), &key(n)));
+        assert!(served(&world.request("page", &key(n), 900, b""), &key(n)));
         assert!(
             matches!(world.request("submit", &key(n), 900, b"a form"), Answer::Served { body, .. } if body == b"a form")
         );
@@ -440,7 +439,7 @@
     world.hosts().for_each(|host| host.set(Manner::Once));
     for _ in 0..8 {
         assert!(matches!(world.request("submit", KEY, 900, b"a form"), Answer::Served { .. }));
-        assert!(finished(&world.request("page", KEY, 2000, b""), KEY));
+        assert!(served(&world.request("page", KEY, 2000, b""), KEY));
     }
     assert_eq!(world.origin.heard("want").len(), 8);
     let mut at: Vec<usize> = world.caches.iter().map(|cache| cache.heard("want").len()).collect();
@@ -458,8 +457,8 @@
     world.terminate();
     let mut late = world.client();
     late.request("page", &key(1), 2400, b"").unwrap();
-    assert!(finished(&early.answer().unwrap(), KEY));
-    assert!(finished(&late.answer().unwrap(), &key(1)));
+    assert!(served(&early.answer().unwrap(), KEY));
+    assert!(served(&late.answer().unwrap(), &key(1)));
     assert!(world.process.wait().unwrap().success());
 }
 
@@ -517,7 +516,7 @@
     for n in 0..50 {
         let mut client = world.client();
         client.request("page", &key(n), 2400, b"").unwrap();
-        assert!(finished(&client.answer().unwrap(), &key(n)));
+        assert!(served(&client.answer().unwrap(), &key(n)));
         clients.push(client);
     }
     assert!(clients[0].ended());
@@ -530,7 +529,7 @@
     let world = World::start(1);
     let mut clients: Vec<Client> = (0..10).map(|_| world.client()).collect();
     clients.iter_mut().for_each(|client| assert!(client.request("page", KEY, 2400, b"").is_ok()));
-    clients.iter_mut().for_each(|client| assert!(finished(&client.answer().unwrap(), KEY)));
+    clients.iter_mut().for_each(|client| assert!(served(&client.answer().unwrap(), KEY)));
     thread::sleep(Duration::from_millis(3200));
     // The origin gives a write back: in all more than the system takes for a client that does not read. As more writes
     // come all the time, there is something to be read at the moment when something begins to wait.
@@ -557,7 +556,7 @@
     let world = World::with(1, |config| config["limits"]["sockets"] = 60.into());
     let mut writes = world.client();
     writes.request("page", KEY, 2400, b"").unwrap();
-    assert!(finished(&writes.answer().unwrap(), KEY));
+    assert!(served(&writes.answer().unwrap(), KEY));
     let fields = [("id", "9b1f03aa5c7e2d41"), ("wait", "2500"), ("key", KEY), ("slice", "0")];
     let message = request_message(9, "submit", &fields, &[7; 4000]);
     writes.send(&message[..1000]).unwrap();
@@ -566,7 +565,7 @@
         .map(|n| {
             let mut client = world.client();
             client.request("page", &key(n), 2400, b"").unwrap();
-            assert!(finished(&client.answer().unwrap(), &key(n)));
+            assert!(served(&client.answer().unwrap(), &key(n)));
             client
         })
         .collect();
@@ -591,7 +590,7 @@
     });
     for n in 0..4 {
         well.request("page", &key(n), 2400, b"").unwrap();
-        assert!(finished(&well.answer().unwrap(), &key(n)));
+        assert!(served(&well.answer().unwrap(), &key(n)));
     }
 }
 
@@ -601,8 +600,8 @@
     world.hosts().for_each(|host| host.set(Manner::Late(50)));
     let mut client = world.client();
     let answers = request_together(&mut client, 24, 1500);
-    let served = |n: &u32| answers.iter().any(|answer| finished(answer, &key(*n)));
-    assert!((0..24).filter(served).count() >= 4, "what had a descriptor is finished");
+    let served = |n: &u32| answers.iter().any(|answer| served(answer, &key(*n)));
+    assert!((0..24).filter(served).count() >= 4, "what had a descriptor is served");
 }
 
 // Counted at their largest, ten requests would fill this memory; at what they hold it takes all of these.
@@ -612,18 +611,18 @@
     world.hosts().for_each(|host| host.set(Manner::Late(300)));
     let mut client = world.client();
     let answers = request_together(&mut client, 30, 2400);
-    assert!((0..30).all(|n| answers.iter().any(|answer| finished(answer, &key(n)))));
+    assert!((0..30).all(|n| answers.iter().any(|answer| served(answer, &key(n)))));
 }
 
 #[test]
-fn requests_past_what_memory_holds_are_bounced() {
+fn requests_past_what_memory_holds_are_rejected() {
     let world = World::with(1, |config| config["limits"]["memory_mb"] = 0.5.into());
     world.hosts().for_each(|host| host.set(Manner::Late(300)));
     let mut client = world.client();
     let answers = request_together(&mut client, 20, 2400);
-    let bounced =
+    let rejected =
         answers.iter().filter(|answer| matches!(answer, Answer::Error { word, .. } if word == "Backoff"));
-    assert!((10..20).contains(&bounced.count()));
+    assert!((10..20).contains(&rejected.count()));
 }
 
 #[test]
@@ -640,7 +639,7 @@
     let mut client = world.client();
     for _ in 0..1000 {
         client.request("page", KEY, 2400, b"").unwrap();
-        assert!(finished(&client.answer().unwrap(), KEY), "each writes two lines to a pipe that holds few");
+        assert!(served(&client.answer().unwrap(), KEY), "each writes two lines to a pipe that holds few");
     }
 }
 
--- a/crates/flaxdeck-dispatcher/tests/world/mod.rs
+++ b/crates/flaxdeck-dispatcher/tests/world/mod.rs
@@ -275,7 +275,7 @@
     (0..count).map(|_| client.answer().unwrap()).collect()
 }
 
-pub fn finished(answer: &Answer, key: &str) -> bool {
+pub fn served(answer: &Answer, key: &str) -> bool {
     matches!(answer, Answer::Served { body, .. } if *body == body_of(&format!("{key}.0")))
 }
 
--- a/crates/flaxdeck-emulator/src/clients.rs
+++ b/crates/flaxdeck-emulator/src/clients.rs
@@ -262,12 +262,12 @@
     if parts[2].is_nil() {
         let body = parts[3].as_array().and_then(|result| result.first()).and_then(Value::as_slice);
         let body = body.unwrap_or(&[]).to_vec();
-        return Some(Spoken { call, how: Answer::Finished, after: None, body });
+        return Some(Spoken { call, how: Answer::Served, after: None, body });
     }
     let error = parts[2].as_array()?;
     let how = match error.first().and_then(Value::as_str)? {
-        "Backoff" => Answer::Bounced,
-        "Lost" => Answer::Forfeited,
+        "Backoff" => Answer::Rejected,
+        "Lost" => Answer::Failed,
         _ => return None,
     };
     let told = error.get(1).and_then(Value::as_map).into_iter().flatten();
@@ -284,7 +284,7 @@
 ) {
     let now = world.now();
     let asked = open.lock().expect("no holder panics").remove(&spoken.call);
-    if let Some(asked) = asked.filter(|_| spoken.how == Answer::Finished) {
+    if let Some(asked) = asked.filter(|_| spoken.how == Answer::Served) {
         match made_of(&asked.object, &spoken.body) {
             Some(_) if asked.write => {}
             Some(made) => world.see(Seen::Copy { object: asked.object.clone(), sent: asked.sent, made }),
--- a/crates/flaxdeck-emulator/src/seekers.rs
+++ b/crates/flaxdeck-emulator/src/seekers.rs
@@ -19,7 +19,7 @@
 use crate::clients::{Load, Planned, Spoken, draw, message, read};
 use crate::world::{Inside, made_of};
 
-/// How a client takes a bounce or a break.
+/// How a client takes a rejection or a break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Patience {
     /// Comes back when it is told to, or after a pause where nothing was told.
@@ -33,10 +33,10 @@
 /// What became of a want.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum End {
-    /// Finished so many milliseconds after its first try.
-    Finished(f64),
-    Bounced,
-    Forfeited,
+    /// Served so many milliseconds after its first try.
+    Served(f64),
+    Rejected,
+    Failed,
     /// Its connection broke with it, or nobody took it.
     Lost,
 }
@@ -293,7 +293,7 @@
         };
         self.world.see(Seen::Answered { request: self.request(spoken.call), how: spoken.how });
         match spoken.how {
-            Answer::Finished => {
+            Answer::Served => {
                 match made_of(&want.object, &spoken.body) {
                     Some(_) if want.write => {}
                     Some(made) => {
@@ -303,24 +303,24 @@
                     None => self.tally.lock().expect("no holder panics").wrong_bytes += 1,
                 }
                 let took = self.world.now() - want.first.unwrap_or(want.sent);
-                self.over(&want, End::Finished(took));
+                self.over(&want, End::Served(took));
             }
-            Answer::Bounced => self.again(want, Some(spoken.after)),
-            Answer::Forfeited => self.over(&want, End::Forfeited),
+            Answer::Rejected => self.again(want, Some(spoken.after)),
+            Answer::Failed => self.over(&want, End::Failed),
         }
     }
 
-    /// After a bounce (with the time to come back, if one was told), or with nobody to ask.
-    fn again(&mut self, want: Want, bounced: Option<Option<f64>>) {
+    /// After a rejection (with the time to come back, if one was told), or with nobody to ask.
+    fn again(&mut self, want: Want, rejected: Option<Option<f64>>) {
         let now = self.world.now();
-        let pause = match (self.patience, bounced) {
+        let pause = match (self.patience, rejected) {
             (Patience::AtOnce, _) => TRIP,
             (_, Some(Some(told))) => told,
             _ => PAUSE * self.chance.random_range(0.8..1.2),
         };
         let last = want.first.unwrap_or(now) + self.wait as f64;
         if self.patience == Patience::GivesUp || want.tries >= TRIES || now + pause > last {
-            return self.over(&want, if bounced.is_some() { End::Bounced } else { End::Lost });
+            return self.over(&want, if rejected.is_some() { End::Rejected } else { End::Lost });
         }
         self.call += 1;
         self.due.insert((((now + pause) * 1000.0) as u64, self.call), want);
--- a/crates/flaxdeck-fleet/src/model/attempts.rs
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -101,7 +101,7 @@
             let object = want.object.to_string();
             self.see(Seen::Copy { object, sent: attempt.sent, made: attempt.made });
         }
-        self.answered(attempt.forwarder, attempt.request, Answer::Finished, None);
+        self.answered(attempt.forwarder, attempt.request, Answer::Served, None);
     }
 
     /// An attempt's end as its forwarder's decision engine learns of it.
--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -179,13 +179,13 @@
         self.see(Seen::Answered { request: request.0.to_string(), how });
         self.note([request.0, how as u64, (self.now * 1000.0) as u64]);
         match how {
-            Answer::Finished => self.want_served(want),
-            Answer::Bounced => {
-                self.outcome.bounced += 1;
+            Answer::Served => self.want_served(want),
+            Answer::Rejected => {
+                self.outcome.rejected += 1;
                 self.retry(want, retry_after.map_or(RETRY_AFTER_FAILURE_MS, Span::ms));
             }
-            Answer::Forfeited => {
-                self.outcome.forfeited += 1;
+            Answer::Failed => {
+                self.outcome.failed += 1;
                 self.retry_unless_write(want, RETRY_AFTER_FAILURE_MS);
             }
         }
@@ -194,7 +194,7 @@
     fn want_served(&mut self, id: u64) {
         let want = &mut self.wants[id as usize];
         (want.over, want.served) = (true, true);
-        self.outcome.finished += 1;
+        self.outcome.served += 1;
         if self.now <= want.objective {
             self.outcome.in_time += 1;
         } else {
--- a/crates/flaxdeck-fleet/src/model/decisions.rs
+++ b/crates/flaxdeck-fleet/src/model/decisions.rs
@@ -14,10 +14,10 @@
         decisions.attempts.into_iter().for_each(|attempt| self.begin_attempt(n, &attempt));
         for last in decisions.finals {
             match last {
-                Final::Bounced { request, come_back: retry_after } => {
-                    self.answered(n, request, Answer::Bounced, retry_after);
+                Final::Rejected { request, come_back: retry_after } => {
+                    self.answered(n, request, Answer::Rejected, retry_after);
                 }
-                Final::Forfeited { request } => self.answered(n, request, Answer::Forfeited, None),
+                Final::Failed { request } => self.answered(n, request, Answer::Failed, None),
             }
         }
         // Every wish stands beside the earlier ones.
--- a/crates/flaxdeck-fleet/src/outcome.rs
+++ b/crates/flaxdeck-fleet/src/outcome.rs
@@ -16,11 +16,11 @@
     /// Requests: tries of all wants.
     pub requests: u64,
     /// Requests that were served.
-    pub finished: u64,
+    pub served: u64,
     /// Requests that were rejected.
-    pub bounced: u64,
+    pub rejected: u64,
     /// Requests that failed.
-    pub forfeited: u64,
+    pub failed: u64,
     /// Attempts at hosts.
     pub attempts: u64,
     /// Attempts answered from a host's own copy.
--- a/crates/flaxdeck-fleet/tests/days.rs
+++ b/crates/flaxdeck-fleet/tests/days.rs
@@ -12,7 +12,7 @@
 fn kept(out: &Outcome, what: &str) {
     let verdict = out.verdict.as_ref().unwrap();
     assert!(verdict.breaches.is_empty(), "{what}: {:?}", &verdict.breaches[..verdict.breaches.len().min(3)]);
-    assert_eq!(out.requests, verdict.finished + verdict.bounced + verdict.forfeited + verdict.left, "{what}");
+    assert_eq!(out.requests, verdict.served + verdict.rejected + verdict.failed + verdict.left, "{what}");
     assert_eq!(out.wants, out.in_time + out.late + out.lost, "{what}: every want has its end");
 }
 
--- a/crates/flaxdeck-lab/src/service.rs
+++ b/crates/flaxdeck-lab/src/service.rs
@@ -9,7 +9,7 @@
     /// Served within the latency objective of their first try.
     pub in_time: u64,
     /// Requests that were rejected.
-    pub bounced: u64,
+    pub rejected: u64,
     /// Answers of caches.
     pub answers: u64,
     /// Answers from what caches held.
@@ -33,7 +33,7 @@
 
     fn like(self, twin: Slice) -> bool {
         let in_time = twin.share(twin.in_time) - self.share(self.in_time);
-        let rejected = self.share(self.bounced) - twin.share(twin.bounced);
+        let rejected = self.share(self.rejected) - twin.share(twin.rejected);
         let hits = |slice: Slice| slice.hits as f64 / slice.answers.max(1) as f64;
         in_time <= WITHIN
             && rejected <= WITHIN
--- a/crates/flaxdeck-plan/src/lib.rs
+++ b/crates/flaxdeck-plan/src/lib.rs
@@ -18,8 +18,8 @@
 /// What a forwarder does once it can't vouch for any host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Blind {
-    /// Every request that is not out is bounced, with a time to come back.
-    BounceAfter { ms: f64 },
+    /// Every request that is not out is rejected, with a time to come back.
+    RejectAfter { ms: f64 },
     /// It goes on with what it knew last.
     GoOn,
 }
@@ -92,7 +92,7 @@
         report_every_ms: 200,
         report_idle_ms: 200,
         events: Events::EachEvent,
-        blind: Blind::BounceAfter { ms: 2_500.0 },
+        blind: Blind::RejectAfter { ms: 2_500.0 },
         state_folder: None,
         log_form: LogForm::Text,
         log_levels: "info".into(),
@@ -225,7 +225,7 @@
     }
     // Below the coordinator's second, planners' words alone keep a forwarder from being blind on a calm day.
     if let Some(ms) = after.and_then(|form| form.number(300.0, 60_000.0, faults)) {
-        plan.blind = Blind::BounceAfter { ms };
+        plan.blind = Blind::RejectAfter { ms };
     }
 }
 
--- a/crates/flaxdeck-recovery/src/phase.rs
+++ b/crates/flaxdeck-recovery/src/phase.rs
@@ -1,5 +1,5 @@
 //! How far an instance has come back, by what it knows, and whether it takes clients. One that can't yet tell whether
-//! its list is true would give each client a bounce or a guess; a client that finds nobody listening turns to another
+//! its list is true would give each client a rejection or a guess; a client that finds nobody listening turns to another
 //! dispatcher at once.
 
 use flaxdeck::words::{Span, Time};
@@ -18,8 +18,8 @@
 /// What an instance does once nobody vouches for its list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unheard {
-    /// It listens after so long, and bounces with a time to come back.
-    BounceAfter(Span),
+    /// It listens after so long, and rejects with a time to come back.
+    RejectAfter(Span),
     /// It trusts the list after the shortest wait.
     GoOn,
 }
@@ -72,7 +72,7 @@
         match (self.vouched, self.unheard) {
             (Some(at), _) => at,
             (None, Unheard::GoOn) => self.began + TRIES,
-            (None, Unheard::BounceAfter(after)) => self.began + after,
+            (None, Unheard::RejectAfter(after)) => self.began + after,
         }
     }
 
--- a/crates/flaxdeck-recovery/tests/phase.rs
+++ b/crates/flaxdeck-recovery/tests/phase.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn clients_are_taken_once_the_list_is_vouched_for() {
-    let mut back = Return::begin(at(0), Unheard::BounceAfter(Span::from_ms(2_500)));
+    let mut back = Return::begin(at(0), Unheard::RejectAfter(Span::from_ms(2_500)));
     assert_eq!((back.phase(at(9), at(0)), back.listens_at()), (Phase::Listed, at(2_500)));
     back.vouched(at(12));
     back.vouched(at(700));
@@ -27,5 +27,5 @@
 fn one_that_nobody_answers_does_as_its_file_says() {
     let back = |unheard| Return::begin(at(0), unheard).listens_at();
     assert_eq!(back(Unheard::GoOn), at(100));
-    assert_eq!(back(Unheard::BounceAfter(Span::from_ms(900))), at(900));
+    assert_eq!(back(Unheard::RejectAfter(Span::from_ms(900))), at(900));
 }
--- a/crates/flaxdeck-rules/src/lib.rs
+++ b/crates/flaxdeck-rules/src/lib.rs
@@ -6,9 +6,9 @@
 /// How a request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Answer {
-    Finished,
-    Bounced,
-    Forfeited,
+    Served,
+    Rejected,
+    Failed,
 }
 
 /// One thing that somebody saw.
@@ -109,9 +109,9 @@
 pub struct Verdict {
     pub breaches: Vec<Breach>,
     pub asked: u64,
-    pub finished: u64,
-    pub bounced: u64,
-    pub forfeited: u64,
+    pub served: u64,
+    pub rejected: u64,
+    pub failed: u64,
     pub left: u64,
     /// The latest arrival at a withdrawn host after its announcement.
     pub latest_arrival: f64,
@@ -122,7 +122,7 @@
 impl Verdict {
     /// Every request has its end: the account is even.
     pub fn all_accounted_for(&self) -> bool {
-        self.asked == self.finished + self.bounced + self.forfeited + self.left
+        self.asked == self.served + self.rejected + self.failed + self.left
     }
 }
 
@@ -163,9 +163,9 @@
                         }
                         over.insert(request, at);
                         *match how {
-                            Answer::Finished => &mut verdict.finished,
-                            Answer::Bounced => &mut verdict.bounced,
-                            Answer::Forfeited => &mut verdict.forfeited,
+                            Answer::Served => &mut verdict.served,
+                            Answer::Rejected => &mut verdict.rejected,
+                            Answer::Failed => &mut verdict.failed,
                         } += 1;
                     }
                 };
--- a/crates/flaxdeck-rules/tests/rules.rs
+++ b/crates/flaxdeck-rules/tests/rules.rs
@@ -21,7 +21,7 @@
 #[test]
 fn each_rule_is_found_broken_and_found_kept() {
     let asked = |by| Seen::Asked { request: s("p"), by };
-    let answered = Seen::Answered { request: s("p"), how: Answer::Finished };
+    let answered = Seen::Answered { request: s("p"), how: Answer::Served };
     assert_eq!(rules(&[(0.0, asked(100.0)), (50.0, answered.clone())]), []);
     assert_eq!(rules(&[(0.0, asked(100.0)), (150.0, answered.clone())]), [1]);
     assert_eq!(rules(&[(0.0, asked(100.0)), (5.0, answered.clone()), (6.0, answered)]), [1]);
--- a/crates/flaxdeck-scale/src/capacity/page/fields.rs
+++ b/crates/flaxdeck-scale/src/capacity/page/fields.rs
@@ -124,10 +124,10 @@
     }
 }
 
-/// After how long a dispatcher that hears nobody bounces, by the plan file's default.
+/// After how long a dispatcher that hears nobody rejects requests, by the plan file's default.
 fn blind() -> String {
     match default_plan().map(|plan| plan.blind) {
-        Some(Blind::BounceAfter { ms }) => span(ms / 1e3),
+        Some(Blind::RejectAfter { ms }) => span(ms / 1e3),
         Some(Blind::GoOn) | None => NOT_SHOWN.to_owned(),
     }
 }
--- a/crates/flaxdeck-scale/src/service.rs
+++ b/crates/flaxdeck-scale/src/service.rs
@@ -125,7 +125,7 @@
         let p99_ms = took.get(took.len() * 99 / 100).copied().unwrap_or(f64::NAN);
         let mut broken = BTreeMap::new();
         verdict.breaches.iter().for_each(|breach| *broken.entry(breach.rule).or_default() += 1);
-        let share = verdict.finished as f64 / verdict.asked.max(1) as f64;
+        let share = verdict.served as f64 / verdict.asked.max(1) as f64;
         Served { asked: verdict.asked, share, p99_ms, broken }
     }
 }
--- a/crates/flaxdeck-wire/src/lib.rs
+++ b/crates/flaxdeck-wire/src/lib.rs
@@ -51,11 +51,11 @@
 /// The final answer to a client's request.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
-    Finished(Bytes),
+    Served(Bytes),
     /// The client's own copy is the one.
     Unchanged,
-    Bounced(Option<Span>),
-    Forfeited,
+    Rejected(Option<Span>),
+    Failed,
 }
 
 /// How an attempt ended, with all that its answer tells.
--- a/crates/flaxdeck-wire/src/rpc.rs
+++ b/crates/flaxdeck-wire/src/rpc.rs
@@ -237,14 +237,14 @@
         out
     };
     match answer {
-        Answer::Finished(body) => [result(body.len()).freeze(), body, Bytes::from_static(&[NO_FIELDS])],
+        Answer::Served(body) => [result(body.len()).freeze(), body, Bytes::from_static(&[NO_FIELDS])],
         Answer::Unchanged => {
             let mut out = result(0);
             field(&mut out, "current", "1");
             [out.freeze(), Bytes::new(), Bytes::new()]
         }
-        Answer::Bounced(after) => [error(call, "Backoff", after), Bytes::new(), Bytes::new()],
-        Answer::Forfeited => [error(call, "Lost", None), Bytes::new(), Bytes::new()],
+        Answer::Rejected(after) => [error(call, "Backoff", after), Bytes::new(), Bytes::new()],
+        Answer::Failed => [error(call, "Lost", None), Bytes::new(), Bytes::new()],
     }
 }
 
--- a/crates/flaxdeck-wire/tests/rpc.rs
+++ b/crates/flaxdeck-wire/tests/rpc.rs
@@ -85,10 +85,10 @@
 #[test]
 fn answers_are_written_as_the_page_shows_them() {
     let bytes = |answered| answer(7, answered).concat();
-    assert_eq!(bytes(Answer::Finished("ab".into())), b"\x94\x01\x07\xc0\x92\xc4\x02ab\x80");
+    assert_eq!(bytes(Answer::Served("ab".into())), b"\x94\x01\x07\xc0\x92\xc4\x02ab\x80");
     assert_eq!(bytes(Answer::Unchanged), b"\x94\x01\x07\xc0\x92\xc4\x00\x81\xa7current\xa11");
     let after = Some(Span::of_ms(299.5));
-    assert_eq!(bytes(Answer::Bounced(after)), b"\x94\x01\x07\x92\xa7Backoff\x81\xa5after\xa3300\xc0");
-    assert_eq!(bytes(Answer::Forfeited), b"\x94\x01\x07\x92\xa4Lost\x80\xc0");
+    assert_eq!(bytes(Answer::Rejected(after)), b"\x94\x01\x07\x92\xa7Backoff\x81\xa5after\xa3300\xc0");
+    assert_eq!(bytes(Answer::Failed), b"\x94\x01\x07\x92\xa4Lost\x80\xc0");
     assert_eq!(&alive(8)[..], b"\x94\x01\x08\xc0\x92\xc3\x80");
 }
--- a/examples/toy/src/main.rs
+++ b/examples/toy/src/main.rs
@@ -54,9 +54,9 @@
     client.request(class, key, WAIT, body).map_err(|error| error.to_string())?;
     match client.answer().map_err(|error| error.to_string())? {
         Answer::Served { body, .. } => {
-            println!("finished, {} bytes: {}", body.len(), String::from_utf8_lossy(&body))
+            println!("served, {} bytes: {}", body.len(), String::from_utf8_lossy(&body))
         }
-        Answer::Error { word, fields, .. } => println!("not finished: {word} {fields:?}"),
+        Answer::Error { word, fields, .. } => println!("not served: {word} {fields:?}"),
         Answer::Alive { .. } => return Err("an answer to another question".into()),
     }
     Ok(())
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -47,7 +47,7 @@
 const LATELY: f64 = 0.5; // of the time since an overdue attempt: a host quiet for the rest is silent
 const AGAIN: Span = Span::from_ms(60); // first pause after a refusal: lets short queues drain
 const MOST_DOUBLED: u32 = 4; // doublings of that pause: then it is near a second
-const COME_BACK: Span = Span::from_ms(300); // named to bounced clients: a few of the transfers in hand
+const COME_BACK: Span = Span::from_ms(300); // named to rejected clients: a few of the transfers in hand
 const LOOK: Span = Span::from_ms(400); // between looks at hosts that tell their load only so: a report's age
 const TIDY: Span = Span::from_ms(1000); // the periodic timer: memory only, so a second will do
 const REMEMBER: Span = Span::from_ms(60_000); // how long an object counts as seen: several cache lifetimes
@@ -596,7 +596,7 @@
         }
     }
 
-    // A bounce promises that a retry is harmless; where that can't be known it is a forfeit.
+    // A rejection promises that a retry is harmless; where that can't be known it is a failure.
     fn give_up(&mut self, id: RequestId) -> bool {
         self.pardon(id);
         let held = &self.requests[&id];
@@ -605,8 +605,8 @@
             _ => held.ran.is_none() && held.out.is_empty(),
         };
         self.owed.insert((held.request.object, held.request.part), held.promised);
-        let bounced = Final::Bounced { request: id, come_back: self.come_back };
-        self.out.finals.push(if harmless { bounced } else { Final::Forfeited { request: id } });
+        let rejected = Final::Rejected { request: id, come_back: self.come_back };
+        self.out.finals.push(if harmless { rejected } else { Final::Failed { request: id } });
         self.requests.get_mut(&id).into_iter().for_each(|held| held.done = true);
         self.agenda.insert(id);
         true
@@ -733,7 +733,7 @@
     }
 
     // Guards against a full link, where fills outlive their requests and every miss comes late: while it is
-    // full only hits are asked for, and known misses bounce, the large ones first.
+    // full only hits are asked for, and known misses are rejected, large ones first.
     fn link_open(&self, held: &Held, mean: f64) -> bool {
         let late = held.promised.since(self.now).ms() < held.work;
         // Of what tells no size most bytes are in few large ones, so it stops sooner, by its workload's mean.
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -31,8 +31,8 @@
 pub enum Step {
     Attempt(AttemptIndex, Attempt),
     TakeBack(AttemptIndex),
-    Bounce(Option<Span>),
-    Forfeit,
+    Reject(Option<Span>),
+    Fail,
     /// Nothing now; ask again when the request is named by `report` or `tick`.
     Wait,
 }
@@ -122,7 +122,7 @@
     pub fn pick(&mut self, request: RequestId) -> Step {
         let Some(line) = self.lines.get_mut(&request) else { return Step::Wait };
         let step = line.steps.pop_front().unwrap_or(Step::Wait);
-        line.over |= matches!(step, Step::Bounce(_) | Step::Forfeit);
+        line.over |= matches!(step, Step::Reject(_) | Step::Fail);
         if line.over && step == Step::Wait {
             self.lines.remove(&request);
         }
@@ -153,8 +153,8 @@
         }
         for last in finals {
             named.extend(match last {
-                Final::Bounced { request, come_back } => self.add(request, |_| Step::Bounce(come_back)),
-                Final::Forfeited { request } => self.add(request, |_| Step::Forfeit),
+                Final::Rejected { request, come_back } => self.add(request, |_| Step::Reject(come_back)),
+                Final::Failed { request } => self.add(request, |_| Step::Fail),
             });
         }
         self.due.extend(wake);
--- a/src/words.rs
+++ b/src/words.rs
@@ -322,8 +322,8 @@
 /// A final answer that the dispatcher gives itself.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Final {
-    Bounced { request: RequestId, come_back: Option<Span> },
-    Forfeited { request: RequestId },
+    Rejected { request: RequestId, come_back: Option<Span> },
+    Failed { request: RequestId },
 }
 
 /// All that one call asks of the caller, applied in the order of the fields.
--- a/tests/guided.rs
+++ b/tests/guided.rs
@@ -149,13 +149,13 @@
 }
 
 #[test]
-fn with_nobody_to_vouch_for_the_hosts_new_requests_bounce_at_once_and_what_is_out_goes_on() {
+fn with_nobody_to_vouch_for_the_hosts_new_requests_are_rejected_at_once_and_what_is_out_goes_on() {
     let mut brain = brain(lines());
     let out = brain.request(at(10), request(1, at(10), 0)).attempts.remove(0);
     brain.guided(at(20), Guided { vouched: false, ..told(vec![]) });
     let decisions = brain.request(at(30), request(2, at(30), 0));
     assert!(decisions.attempts.is_empty());
-    assert!(matches!(decisions.finals[..], [Final::Bounced { request: RequestId(2), come_back: Some(_) }]));
+    assert!(matches!(decisions.finals[..], [Final::Rejected { request: RequestId(2), come_back: Some(_) }]));
     let decisions = brain.attempt_ended(at(40), ended(&out, Ending::Answered, Told::Held, 1.0));
     assert!(decisions.finals.is_empty(), "answered by its host");
     brain.guided(at(50), told(vec![]));
--- a/tests/same.rs
+++ b/tests/same.rs
@@ -45,13 +45,15 @@
 }
 
 /// Names that types and fields had when the decisions were recorded, by those that they have now.
-const RECORDED_NAMES: [(&str, &str); 6] = [
+const RECORDED_NAMES: [(&str, &str); 8] = [
     ("RequestId(", "PullId("),
     ("AttemptIndex(", "Leg("),
     ("Attempt {", "HandOff {"),
     ("attempts:", "hand_offs:"),
     ("request:", "pull:"),
     ("index:", "leg:"),
+    ("Rejected {", "Bounced {"),
+    ("Failed {", "Forfeited {"),
 ];
 
 /// What was printed, as it was at the time of the record.
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -107,7 +107,7 @@
     let at = fake.request(1, 1);
     assert!(fake.sent[at].1.fresh);
     fake.end(at, Ending::Stale, Told::Nothing, 0);
-    assert_eq!(fake.finals, vec![Final::Forfeited { request: RequestId(7) }], "it may have run all the same");
+    assert_eq!(fake.finals, vec![Final::Failed { request: RequestId(7) }], "it may have run all the same");
 }
 
 #[test]
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn an_at_most_once_request_that_may_have_run_is_never_sent_again_nor_bounced() {
+fn an_at_most_once_request_that_may_have_run_is_never_sent_again_nor_rejected() {
     for ending in [Ending::TimedOut, Ending::Errored, Ending::Broken] {
         let mut fake = Fake::new(terms(), usual());
         let at = fake.request(1, 1);
@@ -179,7 +179,7 @@
         fake.end(at, ending, Told::Nothing, 0);
         fake.pass(3000);
         assert_eq!(fake.sent.len(), 1);
-        assert_eq!(fake.finals, vec![Final::Forfeited { request: RequestId(1) }]);
+        assert_eq!(fake.finals, vec![Final::Failed { request: RequestId(1) }]);
     }
     let mut fake = Fake::new(terms(), usual());
     let at = fake.request(1, 1);
@@ -203,7 +203,7 @@
         }
         fake.pass(4000);
     }
-    assert!(fake.finals.iter().all(|last| matches!(last, Final::Forfeited { .. })));
+    assert!(fake.finals.iter().all(|last| matches!(last, Final::Failed { .. })));
     assert!(fake.sent.len() > 20, "some went to a second host of the cell");
 }
 
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn while_the_link_is_full_only_hits_are_asked_for_and_known_misses_bounce() {
+fn while_the_link_is_full_only_hits_are_asked_for_and_known_misses_are_rejected() {
     let mut fake = Fake::new(terms(), usual());
     let at = fake.request(0, 1);
     fake.end_with(at, Ending::Answered, Told::Held, 0, Some(20.0));
@@ -293,7 +293,7 @@
     fake.pass(150);
     assert_eq!(fake.sent.len(), at + 1, "the known miss goes nowhere");
     assert!(
-        matches!(fake.finals[..], [Final::Bounced { come_back: Some(_), .. }]),
+        matches!(fake.finals[..], [Final::Rejected { come_back: Some(_), .. }]),
         "its client is told at once"
     );
     let hit = fake.request(0, 3);
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn behind_a_stopped_origin_parents_give_only_what_they_hold_and_the_rest_bounces() {
+fn behind_a_stopped_origin_parents_give_only_what_they_hold_and_the_rest_is_rejected() {
     let mut fake = Fake::new(terms(), usual());
     for object in 0..3 {
         let at = fake.request(0, object);
@@ -316,12 +316,12 @@
     fake.pass(150);
     assert!(fake.sent[at + 1..].iter().all(|(_, sent)| sent.request != request), "no other parent is asked");
     assert!(
-        fake.finals.iter().any(|last| matches!(last, Final::Bounced { request: id, .. } if *id == request))
+        fake.finals.iter().any(|last| matches!(last, Final::Rejected { request: id, .. } if *id == request))
     );
 }
 
 #[test]
-fn under_overload_what_cannot_come_in_time_bounces_and_small_requests_go_on() {
+fn under_overload_what_cannot_come_in_time_is_rejected_and_small_requests_go_on() {
     let mut fake = Fake::new(terms(), usual());
     for object in 0..30 {
         fake.request_of(0, object, 3000.0);
@@ -330,7 +330,7 @@
     let small = fake.request_of(0, 99, 10.0);
     assert_eq!(fake.sent.len(), small + 1, "a small one finds room");
     fake.pass(3500);
-    assert!(fake.finals.iter().any(|last| matches!(last, Final::Bounced { come_back: Some(_), .. })));
+    assert!(fake.finals.iter().any(|last| matches!(last, Final::Rejected { come_back: Some(_), .. })));
 }
 
 #[test]
@@ -547,7 +547,7 @@
 }
 
 #[test]
-fn a_request_without_room_bounces_once_a_full_cache_could_not_answer_it_in_time() {
+fn a_request_without_room_is_rejected_once_a_full_cache_could_not_answer_it_in_time() {
     let mut fake = Fake::new(terms(), Vec::new());
     fake.request(0, 1);
     fake.pass(450);
