--- a/crates/flaxdeck-adapter/src/wire.rs
+++ b/crates/flaxdeck-adapter/src/wire.rs
@@ -195,10 +195,10 @@
 
     fn request(&self, fields: &Fields) -> Result<Request, String> {
         let name = fields.text("qos")?;
-        let workload = self.names.workload(name).ok_or_else(|| format!("unknown class {name}"))?;
+        let class = self.names.class(name).ok_or_else(|| format!("unknown class {name}"))?;
         Ok(Request {
             id: RequestId(fields.whole("request_id")?),
-            workload,
+            class,
             object: ObjectId(fields.whole_or_none("key")?.unwrap_or(0)),
             part: fields.whole_or_none("slice")?.unwrap_or(0),
             group: GroupId(fields.whole_or_none("set_no")?.unwrap_or(0)),
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -47,7 +47,7 @@
         count(Count::requests);
         let request = Request {
             id,
-            workload: asked.workload,
+            class: asked.class,
             object: asked.object,
             part: asked.part,
             group: asked.group,
@@ -160,7 +160,7 @@
                 let Clearance { oldest, sent_by } = router.clear(id, index)?;
                 let waits = until.checked_duration_since(Instant::now())?;
                 let wish = Wish {
-                    class: &router.names.workloads[asked.workload.0],
+                    class: &router.names.classes[asked.class.0],
                     waits: Span::of_ms(waits.as_secs_f64() * 1000.0),
                     source: Some(&attempt.source).filter(|source| **source != attempt.host),
                     keep: attempt.keep,
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -90,7 +90,7 @@
     for seed in 0..400 {
         let settings = draw(seed);
         let (terms, names) = flaxdeck_terms::read(&Fields::of(&settings, "settings").unwrap()).unwrap();
-        let (tick, classes, cancels) = (terms.tick, names.workloads.len(), terms.may_cancel);
+        let (tick, classes, cancels) = (terms.tick, names.classes.len(), terms.may_cancel);
         let start = Time::at_ms(1e9);
         let mut facade = Facade::start(start, seed, terms);
         let parents = seed % 3; // none at every third
@@ -113,10 +113,9 @@
                 let class = next as usize % classes;
                 let hard_stop = now + Span::of_ms(deadlines[class].min(last));
                 let (object, id) = (ObjectId(chance.random_range(0..10)), RequestId(next));
-                let (workload, group) = (WorkloadId(class), GroupId(3));
+                let (class, group) = (ClassId(class), GroupId(3));
                 let size_kb = Some(chance.random_range(1.0..3000.0)).filter(|_| seed % 2 == 0);
-                let request =
-                    Request { id, workload, object, part: 0, group, size_kb, hard_stop, again: false };
+                let request = Request { id, class, object, part: 0, group, size_kb, hard_stop, again: false };
                 open.insert(id, (hard_stop, 0));
                 facade.report(now, News::Arrived(request));
                 next += 1;
--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -121,7 +121,7 @@
         let want = &self.wants[want as usize];
         Request {
             id,
-            workload: WorkloadId(usize::from(want.write)),
+            class: ClassId(usize::from(want.write)),
             object: ObjectId(want.object),
             part: 0,
             group: GroupId(want.object % GROUPS),
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -33,9 +33,9 @@
     pub(super) open: BTreeMap<RequestId, OpenRequest>,
 }
 
-/// The terms of a location's forwarders: reads are the first workload, writes the second.
+/// The terms of a location's forwarders: reads are the first class, writes the second.
 fn terms(shape: &Shape, zone: usize) -> Terms {
-    let workload = |repeats, goes_through| Workload {
+    let class = |repeats, goes_through| RequestClass {
         promised: Span::from_ms(OBJECTIVE_MS),
         stretch: STRETCH,
         repeats,
@@ -45,7 +45,7 @@
         older: Span::ZERO,
     };
     Terms {
-        workloads: vec![workload(Repeats::Reissuable, false), workload(Repeats::AtMostOnce, true)],
+        classes: vec![class(Repeats::Reissuable, false), class(Repeats::AtMostOnce, true)],
         zone: ZoneId(zone),
         zone_dispatchers: vec![shape.forwarders as u32; shape.zones],
         dispatchers: (shape.forwarders * shape.zones) as u32,
--- a/crates/flaxdeck-guidance/examples/size.rs
+++ b/crates/flaxdeck-guidance/examples/size.rs
@@ -118,7 +118,7 @@
 }
 
 fn terms() -> Terms {
-    let workload = Workload {
+    let class = RequestClass {
         promised: Span::from_ms(500),
         stretch: 2.0,
         repeats: Repeats::Reissuable,
@@ -128,7 +128,7 @@
         older: Span::ZERO,
     };
     Terms {
-        workloads: vec![workload],
+        classes: vec![class],
         zone: ZoneId(0),
         zone_dispatchers: vec![8, 0],
         dispatchers: 8,
@@ -199,7 +199,7 @@
         }
         let request = Request {
             id: RequestId(n),
-            workload: WorkloadId(0),
+            class: ClassId(0),
             object: ObjectId(n % 1_000),
             part: 0,
             group: GroupId(0),
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -118,7 +118,7 @@
 fn timed_request(engine: &mut Brain, now: Time, number: u64) -> f64 {
     let request = Request {
         id: RequestId(number),
-        workload: WorkloadId(0),
+        class: ClassId(0),
         object: ObjectId(number % OBJECTS),
         part: 0,
         group: GroupId(0),
@@ -171,7 +171,7 @@
 
 /// Those of `flaxdeck-guidance`'s example `size`, but for the time in which a purge settles.
 fn terms(settles_ms: f64) -> Terms {
-    let class = Workload {
+    let class = RequestClass {
         promised: Span::from_ms(500),
         stretch: 2.0,
         repeats: Repeats::Reissuable,
@@ -181,7 +181,7 @@
         older: Span::ZERO,
     };
     Terms {
-        workloads: vec![class],
+        classes: vec![class],
         zone: ZoneId(0),
         zone_dispatchers: vec![8, 0],
         dispatchers: 8,
--- a/crates/flaxdeck-terms/src/lib.rs
+++ b/crates/flaxdeck-terms/src/lib.rs
@@ -13,7 +13,7 @@
 /// The names that the settings give to numbers.
 #[derive(Clone, Debug)]
 pub struct Names {
-    pub workloads: Vec<String>,
+    pub classes: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     /// The values of a load report, in their order; empty where there is none.
@@ -45,8 +45,8 @@
 }
 
 impl Names {
-    pub fn workload(&self, name: &str) -> Option<WorkloadId> {
-        place(&self.workloads, name).map(WorkloadId)
+    pub fn class(&self, name: &str) -> Option<ClassId> {
+        place(&self.classes, name).map(ClassId)
     }
 
     /// A machine kind of that role, by its place in the list of kinds; none where the list has no such kind.
@@ -108,11 +108,11 @@
     let (parted, through) = (family.flags("class_parts")?, family.flags("goes_through")?);
     let fresh = family.numbers("max_age_ms")?;
     let older = family.numbers("older_by_ms")?;
-    let (mut names, mut workloads) = (Vec::new(), Vec::new());
+    let (mut names, mut classes) = (Vec::new(), Vec::new());
     for (at, class) in settings.rows("request_classes")?.iter().enumerate() {
         let class = Fields::of(class, "a request class")?;
         names.push(class_name(class.text("name")?, &names)?);
-        workloads.push(Workload {
+        classes.push(RequestClass {
             promised: class.span("objective_ms")?,
             stretch: class.number_or("aim_stretch", 0.0)?,
             repeats: repeats(&class)?,
@@ -126,7 +126,7 @@
         return Err("field request_classes names no class".to_owned());
     }
     let terms = Terms {
-        workloads,
+        classes,
         zone: ZoneId(zone),
         zone_dispatchers: family.numbers("count_by_zone")?.iter().map(|n| *n as u32).collect(),
         dispatchers: settings.number_or("group_size", 1.0)? as u32,
@@ -151,7 +151,7 @@
         may_look,
     };
     let names = Names {
-        workloads: names,
+        classes: names,
         zones,
         kinds: settings.texts("kinds")?,
         link_at: place(&report, "x1"),
--- a/crates/flaxdeck-wire/src/lib.rs
+++ b/crates/flaxdeck-wire/src/lib.rs
@@ -31,7 +31,7 @@
 /// A client's request, as it was asked. Texts are slices of the bytes that came in.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Asked {
-    pub workload: WorkloadId,
+    pub class: ClassId,
     pub id: Bytes,
     pub key: Bytes,
     pub object: ObjectId,
--- a/crates/flaxdeck-wire/src/rpc.rs
+++ b/crates/flaxdeck-wire/src/rpc.rs
@@ -48,7 +48,7 @@
 
 #[derive(Default)]
 struct RequestDraft {
-    workload: usize,
+    class: usize,
     id: Option<Range<usize>>,
     key: Option<Range<usize>>,
     object: u64,
@@ -109,8 +109,8 @@
         (4, 0) => {
             let call = call_number(reader)?;
             let method = reader.text(FIELD_MOST)?;
-            match names.workload(method) {
-                Some(WorkloadId(workload)) => request(reader, call, workload),
+            match names.class(method) {
+                Some(ClassId(class)) => request(reader, call, class),
                 None => {
                     reader.skip(MESSAGE_MOST)?;
                     let why = "no such method";
@@ -133,10 +133,10 @@
 }
 
 // What can be read as MessagePack but is no request gets an answer, so the reader must stand behind it.
-fn request(reader: &mut Reader, call: u32, workload: usize) -> Result<Draft, Stop> {
+fn request(reader: &mut Reader, call: u32, class: usize) -> Result<Draft, Stop> {
     let mut parameters = reader.value(MESSAGE_MOST)?;
     let invalid = |why| Ok(Draft::Done(Said::Invalid { call, why }));
-    match fields(&mut parameters, workload) {
+    match fields(&mut parameters, class) {
         Ok(draft) if parameters.at == reader.at => Ok(Draft::Request(call, draft)),
         Ok(_) => invalid("parameters left over"),
         Err(Stop::Bad(why)) => invalid(why),
@@ -144,12 +144,12 @@
     }
 }
 
-fn fields(reader: &mut Reader, workload: usize) -> Result<RequestDraft, Stop> {
+fn fields(reader: &mut Reader, class: usize) -> Result<RequestDraft, Stop> {
     let parameters = reader.array()?;
     if parameters != 2 {
         return Err(Stop::Bad("not two parameters"));
     }
-    let mut draft = RequestDraft { workload, ..RequestDraft::default() };
+    let mut draft = RequestDraft { class, ..RequestDraft::default() };
     let count = reader.map()?;
     if count > FIELDS_MOST {
         return Err(Stop::Bad("too many fields"));
@@ -184,7 +184,7 @@
 fn asked(message: &Bytes, draft: RequestDraft) -> Result<Asked, &'static str> {
     let slice = |place: Range<usize>| message.slice(place);
     Ok(Asked {
-        workload: WorkloadId(draft.workload),
+        class: ClassId(draft.class),
         id: slice(draft.id.ok_or("id is not 16 hex digits")?),
         key: slice(draft.key.ok_or("key is missing")?),
         object: ObjectId(draft.object),
--- a/crates/flaxdeck-wire/tests/lines.rs
+++ b/crates/flaxdeck-wire/tests/lines.rs
@@ -10,7 +10,7 @@
 
 fn asked() -> Asked {
     Asked {
-        workload: WorkloadId(1),
+        class: ClassId(1),
         id: "9b1f03aa5c7e2d41".into(),
         key: "7f3a9c21e0b4d655".into(),
         object: ObjectId(1),
--- a/crates/flaxdeck-wire/tests/rpc.rs
+++ b/crates/flaxdeck-wire/tests/rpc.rs
@@ -35,7 +35,7 @@
     }
     buffer.put_slice(&message);
     let asked = Asked {
-        workload: WorkloadId(2),
+        class: ClassId(2),
         id: "9b1f03aa5c7e2d41".into(),
         key: "7f3a9c21e0b4d655".into(),
         object: ObjectId(0x7f3a9c21e0b4d655),
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -81,15 +81,15 @@
     }
 }
 
-/// The figures of a workload that decisions use, with the mean sending time seen.
+/// The figures of a class that decisions use, with the mean sending time seen.
 struct Kind {
-    of: Workload,
+    of: RequestClass,
     mean_work: f64,
     samples: f64,
 }
 
 impl Kind {
-    fn new(of: Workload) -> Kind {
+    fn new(of: RequestClass) -> Kind {
         Kind { mean_work: of.promised.ms() / (1.0 + of.stretch), samples: 0.0, of }
     }
     fn learn(&mut self, work: f64) {
@@ -198,7 +198,7 @@
         let (all, factor) = (f64::from(terms.dispatchers), terms.parent_overload_factor);
         let caches = ramp(terms.cold_from, terms.warm_within, terms.overload_factor, mates);
         let ramps = [caches, ramp(terms.parent_cold_from, terms.parent_warm_within, factor, all)];
-        let kinds = std::mem::take(&mut terms.workloads).into_iter().map(Kind::new).collect();
+        let kinds = std::mem::take(&mut terms.classes).into_iter().map(Kind::new).collect();
         let come_back = terms.may_name_return.then(|| COME_BACK.min(terms.longest_return));
         let (early, chance, ends) = (terms.tick * TICKS_EARLY, Pcg64Mcg::seed_from_u64(seed), Time::NEVER);
         let next_look = if terms.may_look { now + LOOK } else { Time::NEVER };
@@ -237,7 +237,7 @@
     /// A client's request, to be given exactly one final answer.
     pub fn request(&mut self, now: Time, mut request: Request) -> Decisions {
         request.hard_stop = request.hard_stop.min(self.ends);
-        let kind = &mut self.kinds[request.workload.0];
+        let kind = &mut self.kinds[request.class.0];
         let pace = self.terms.client_kb_per_s / 1000.0;
         let told = request.size_kb.filter(|_| pace > 0.0).map(|kb| kb / pace);
         told.into_iter().for_each(|work| kind.learn(work));
@@ -329,7 +329,7 @@
         self.now = now;
         let held = self.requests.get(&id).filter(|held| !held.done && self.vouched)?;
         let out = held.out.iter().find(|out| out.index == index)?;
-        let (kind, ids) = (&self.kinds[held.request.workload.0], BTreeSet::from([&out.host, &out.source]));
+        let (kind, ids) = (&self.kinds[held.request.class.0], BTreeSet::from([&out.host, &out.source]));
         let older = if out.source == out.host { kind.of.older } else { Span::ZERO };
         let oldest = self.oldest(&held.request, kind.of.fresh, older);
         let window = match (kind.of.repeats, &held.ran) {
@@ -382,13 +382,13 @@
             held.not_before = now + AGAIN * f64::from(1 << held.pauses.min(MOST_DOUBLED));
             self.due.insert((held.not_before, ended.request));
         }
-        let kind = &self.kinds[held.request.workload.0];
+        let kind = &self.kinds[held.request.class.0];
         let large = held.request.size_kb.filter(|_| kind.large(&held.request));
         let prompt = ended.waited.is_none_or(|waited| waited <= kind.of.promised);
         self.agenda.insert(ended.request);
         if cached && ended.ending == Answered {
-            let (work, workload, sized) = (held.work, held.request.workload, held.request.size_kb.is_some());
-            self.time(&out, &ended, work.max(1.0), (!sized).then_some(workload));
+            let (work, class, sized) = (held.work, held.request.class, held.request.size_kb.is_some());
+            self.time(&out, &ended, work.max(1.0), (!sized).then_some(class));
         }
         self.release(&out, &ended, cached);
         self.hosts.get_mut(&out.source).filter(|_| full).into_iter().for_each(|parent| parent.widen(false));
@@ -401,7 +401,7 @@
     }
 
     // How much longer than its sending time an answer of a cache took, and what that tells of whom.
-    fn time(&mut self, out: &Out, ended: &Ended, work: f64, untold: Option<WorkloadId>) {
+    fn time(&mut self, out: &Out, ended: &Ended, work: f64, untold: Option<ClassId>) {
         let (now, through) = (self.now, self.origin().filter(|_| ended.told == FilledThroughOrigin));
         let filled = Some(&out.source).filter(|_| ended.told == Filled);
         let source = through.map(|origin| &origin.line.host).or(filled).cloned();
@@ -410,7 +410,7 @@
         if ended.told == Told::Held {
             cache.time(now, ended.took.ms() / work);
             let learnt = untold.filter(|_| cache.in_hand <= cache.line.weight);
-            learnt.into_iter().for_each(|workload| self.kinds[workload.0].learn(ended.took.ms()));
+            learnt.into_iter().for_each(|class| self.kinds[class.0].learn(ended.took.ms()));
         }
         let slow = ended.waited.map(|waited| ended.took.less(waited).ms() / work / pace);
         if let (Some(source), Some(slow)) = (source.and_then(|id| self.hosts.get_mut(&id)), slow) {
@@ -600,7 +600,7 @@
     fn give_up(&mut self, id: RequestId) -> bool {
         self.pardon(id);
         let held = &self.requests[&id];
-        let harmless = match self.kinds[held.request.workload.0].of.repeats {
+        let harmless = match self.kinds[held.request.class.0].of.repeats {
             Repeats::Reissuable | Repeats::Numbered { scope: Scope::All, .. } => true,
             _ => held.ran.is_none() && held.out.is_empty(),
         };
@@ -615,7 +615,7 @@
     // Guards against an effect that happens twice.
     fn may_follow(&self, held: &Held) -> bool {
         let ran = held.ran.as_ref().map(|(sent, _)| *sent).or(held.out.first().map(|out| out.sent));
-        let allowed = match (self.kinds[held.request.workload.0].of.repeats, ran) {
+        let allowed = match (self.kinds[held.request.class.0].of.repeats, ran) {
             (Repeats::Reissuable, _) | (_, None) => true,
             (Repeats::AtMostOnce, Some(_)) => false,
             (Repeats::Numbered { remembered, .. }, Some(sent)) => self.now + self.early < sent + remembered,
@@ -668,7 +668,7 @@
         let culprit = muted.into_iter().max().map(|(.., id)| id);
         out.silent = Some(culprit.is_some());
         let again =
-            self.kinds[held.request.workload.0].of.repeats == Repeats::Reissuable && self.terms.may_cancel;
+            self.kinds[held.request.class.0].of.repeats == Repeats::Reissuable && self.terms.may_cancel;
         let taken_back = culprit.iter().filter(|_| again && !self.terms.may_duplicate);
         self.out.cancels.extend(taken_back.map(|_| Cancel { request: id, index: out.index }));
         held.tried.extend(culprit.clone());
@@ -678,7 +678,7 @@
 
     fn attempt_beside_the_silent(&mut self, id: RequestId) -> bool {
         let Some(held) = self.requests.get(&id) else { return false };
-        let reissuable = self.kinds[held.request.workload.0].of.repeats == Repeats::Reissuable;
+        let reissuable = self.kinds[held.request.class.0].of.repeats == Repeats::Reissuable;
         let silent = !held.out.is_empty() && held.out.iter().all(|out| out.silent == Some(true));
         let allowed = self.terms.may_duplicate && reissuable && silent && self.may_follow(held);
         allowed && held.request.hard_stop.since(self.now).ms() > held.work + SLACK.ms() && self.attempt(id)
@@ -736,7 +736,7 @@
     // full only hits are asked for, and known misses are rejected, large ones first.
     fn link_open(&self, held: &Held, mean: f64) -> bool {
         let late = held.promised.since(self.now).ms() < held.work;
-        // Of what tells no size most bytes are in few large ones, so it stops sooner, by its workload's mean.
+        // Of what tells no size most bytes are in few large ones, so it stops sooner, by its class's mean.
         let mean = if held.request.size_kb.is_some() { mean } else { self.mean_work / LINK_BIAS };
         let bias = if late { 0.0 } else { mean / held.work.max(1.0) }.clamp(1.0 / LINK_BIAS, LINK_BIAS);
         self.link.is_none_or(|(full, at)| full < LINK_FULL * bias || self.now.since(at) >= OLD)
@@ -754,7 +754,7 @@
 
     // A numbered request that may have run stays among the hosts that drop its repeats.
     fn in_scope(&self, held: &Held, host: &Host) -> bool {
-        let repeats = self.kinds[held.request.workload.0].of.repeats;
+        let repeats = self.kinds[held.request.class.0].of.repeats;
         let (Repeats::Numbered { scope, .. }, Some((_, first))) = (repeats, &held.ran) else { return true };
         let cell = |line: &Endpoint| (line.zone, if scope == Scope::Cell { line.cell } else { CellId(0) });
         let same = |first: &Host| cell(&first.line) == cell(&host.line);
@@ -762,7 +762,7 @@
     }
 
     fn pick_cache(&self, held: &Held, open: bool) -> Option<HostId> {
-        let kind = &self.kinds[held.request.workload.0];
+        let kind = &self.kinds[held.request.class.0];
         let trials = kind.of.repeats == Repeats::Reissuable && held.attempts == 0;
         let fits = |host: &Host| self.in_scope(held, host) && self.cold_room(host, kind.cost(held.work));
         let up = |host: &Host| host.reputation >= FLOOR || (trials && host.next_trial <= self.now);
@@ -773,7 +773,7 @@
         // Guards against the hash being lost where all caches are loaded alike: then no object moves. On a
         // full link only the cache that may hold it helps, so the hash is kept to for longer.
         // Guards against small requests taking each place that comes free before a large one looks: the
-        // larger it is within its workload, the higher the load at which it is taken, if it comes in time.
+        // larger it is within its class, the higher the load at which it is taken, if it comes in time.
         let admit = ADMIT * (held.work / kind.mean_work.max(1.0)).clamp(1.0, ADMIT_LARGE);
         let most = if open { (least * BOUND).min(admit) } else { admit };
         let left = held.promised.since(self.now).ms();
@@ -790,7 +790,7 @@
     // The adaptive set: parents stay unless the origin clearly beats them on the measure that the size picks
     // or their reputation has sunk; the shared hash picks within it, moving down on failure.
     fn pick_source(&self, held: &Held) -> Option<HostId> {
-        let kind = &self.kinds[held.request.workload.0];
+        let kind = &self.kinds[held.request.class.0];
         let measure = usize::from(kind.large(&held.request));
         let new = |host: &&Host| !held.tried.contains(&host.line.host) && self.cold_room(host, held.work);
         let trial = |host: &&&Host| held.attempts == 0 && host.next_trial <= self.now;
@@ -821,7 +821,7 @@
     /// Sends a request to the next cache in its order, or past the caches where none is up.
     fn attempt(&mut self, id: RequestId) -> bool {
         let (now, held) = (self.now, &self.requests[&id]);
-        let kind = &self.kinds[held.request.workload.0];
+        let kind = &self.kinds[held.request.class.0];
         let (through, work) = (kind.of.goes_through, held.work);
         let open = through || self.link_open(held, kind.mean_work);
         // With no cache up, or none with room while the link has some, a request goes past the caches.
--- a/src/words.rs
+++ b/src/words.rs
@@ -82,9 +82,9 @@
     pub const ALL: GroupId = GroupId(u64::MAX);
 }
 
-/// A place in [`Terms::workloads`].
+/// A place in [`Terms::classes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct WorkloadId(pub usize);
+pub struct ClassId(pub usize);
 /// A place in [`Terms::zone_dispatchers`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub usize);
@@ -116,9 +116,9 @@
     Cell,
 }
 
-/// What is known of a workload before its first request.
+/// What is known of a class before its first request.
 #[derive(Clone, Debug)]
-pub struct Workload {
+pub struct RequestClass {
     pub promised: Span,
     /// The promised time grows by this multiple of the request's sending time.
     pub stretch: f64,
@@ -135,7 +135,7 @@
 /// What an instance is handed at start.
 #[derive(Clone, Debug)]
 pub struct Terms {
-    pub workloads: Vec<Workload>,
+    pub classes: Vec<RequestClass>,
     pub zone: ZoneId,
     /// Dispatchers in each zone, and in all.
     pub zone_dispatchers: Vec<u32>,
@@ -203,7 +203,7 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     pub id: RequestId,
-    pub workload: WorkloadId,
+    pub class: ClassId,
     pub object: ObjectId,
     pub part: u64,
     pub group: GroupId,
@@ -302,7 +302,7 @@
     pub renew: bool,
     /// The source gives only what it holds.
     pub only_held: bool,
-    /// The oldest copy that will do; none for the workload's fresh time.
+    /// The oldest copy that will do; none for the class's fresh time.
     pub oldest: Option<Span>,
     /// Not on a connection that has been idle, which may be dead without a sign.
     pub fresh: bool,
@@ -313,7 +313,7 @@
 /// What an attempt that still stands may ask for by now, its connection having taken a while to come up.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Clearance {
-    /// The oldest copy that will do; none for the workload's fresh time.
+    /// The oldest copy that will do; none for the class's fresh time.
     pub oldest: Option<Span>,
     /// When its last byte has to be written: past that it may not run any more.
     pub sent_by: Time,
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -31,8 +31,8 @@
     Endpoint { host: host(name), weight: 5.0, zone, cell, role, health, started }
 }
 
-pub fn workload(repeats: Repeats) -> Workload {
-    Workload {
+pub fn class(repeats: Repeats) -> RequestClass {
+    RequestClass {
         promised: Span::from_ms(500),
         stretch: 2.0,
         repeats,
@@ -46,7 +46,7 @@
 pub fn terms() -> Terms {
     let numbered = Repeats::Numbered { scope: Scope::Cell, remembered: Span::from_ms(2000) };
     Terms {
-        workloads: [Repeats::Reissuable, Repeats::AtMostOnce, numbered].map(workload).to_vec(),
+        classes: [Repeats::Reissuable, Repeats::AtMostOnce, numbered].map(class).to_vec(),
         zone: ZoneId(0),
         zone_dispatchers: vec![1, 0],
         dispatchers: 2,
@@ -126,12 +126,12 @@
     }
 
     /// A request of 100 KB, so 100 ms; gives the place of its first attempt, should there be one.
-    pub fn request(&mut self, workload: usize, object: u64) -> usize {
-        self.request_of(workload, object, 100.0)
+    pub fn request(&mut self, class: usize, object: u64) -> usize {
+        self.request_of(class, object, 100.0)
     }
 
-    pub fn request_of(&mut self, workload: usize, object: u64, kb: f64) -> usize {
-        self.ask(workload, object, 0, Some(kb))
+    pub fn request_of(&mut self, class: usize, object: u64, kb: f64) -> usize {
+        self.ask(class, object, 0, Some(kb))
     }
 
     /// A request that does not tell its size.
@@ -143,11 +143,11 @@
         self.ask(0, object, part, Some(20.0))
     }
 
-    fn ask(&mut self, workload: usize, object: u64, part: u64, size_kb: Option<f64>) -> usize {
+    fn ask(&mut self, class: usize, object: u64, part: u64, size_kb: Option<f64>) -> usize {
         self.next += 1;
         let (at, id, hard_stop) = (self.sent.len(), RequestId(self.next), self.now + Span::from_ms(4000));
-        let (workload, object, group) = (WorkloadId(workload), ObjectId(object), GroupId(object % 4));
-        let request = Request { id, workload, object, part, group, size_kb, hard_stop, again: self.again };
+        let (class, object, group) = (ClassId(class), ObjectId(object), GroupId(object % 4));
+        let request = Request { id, class, object, part, group, size_kb, hard_stop, again: self.again };
         let decisions = self.brain.request(self.now, request);
         self.apply(decisions);
         at
--- a/tests/guided.rs
+++ b/tests/guided.rs
@@ -31,10 +31,10 @@
     vec![line("a", Role::Cache), line("p", Role::Parent), line("q", Role::Parent), line("o", Role::Origin)]
 }
 
-fn request(id: u64, now: Time, workload: usize) -> Request {
+fn request(id: u64, now: Time, class: usize) -> Request {
     Request {
         id: RequestId(id),
-        workload: WorkloadId(workload),
+        class: ClassId(class),
         object: ObjectId(id),
         part: 0,
         group: GroupId(1),
--- a/tests/same.rs
+++ b/tests/same.rs
@@ -158,7 +158,7 @@
             let object = (1.0 / day.chance.random_range(0.002..1.0f64)) as u64;
             let request = Request {
                 id,
-                workload: WorkloadId([0, 0, 0, 0, 1, 2][day.chance.random_range(0..6)]),
+                class: ClassId([0, 0, 0, 0, 1, 2][day.chance.random_range(0..6)]),
                 object: ObjectId(object),
                 part: 0,
                 group: GroupId(object % 5),
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -271,8 +271,8 @@
     let only_caches = usual().into_iter().filter(|line| line.role == Role::Cache).collect();
     for hosts in [nothing, only_caches, usual()] {
         let mut fake = Fake::new(terms(), hosts);
-        for workload in [0, 1, 2] {
-            fake.request(workload, 9);
+        for class in [0, 1, 2] {
+            fake.request(class, 9);
         }
         fake.pass(3995);
         assert_eq!(fake.finals.len(), 3);
@@ -607,9 +607,8 @@
         let mut facade = Facade::start(now, 7, terms());
         facade.report(now, News::Hosts(ListKind::Full, usual()));
         let (request, hard_stop, group) = (RequestId(1), now + Span::from_ms(900), GroupId(1));
-        let (workload, object, size_kb) = (WorkloadId(0), ObjectId(1), Some(100.0));
-        let asked =
-            Request { id: request, workload, object, part: 0, group, size_kb, hard_stop, again: false };
+        let (class, object, size_kb) = (ClassId(0), ObjectId(1), Some(100.0));
+        let asked = Request { id: request, class, object, part: 0, group, size_kb, hard_stop, again: false };
         assert_eq!(facade.report(now, News::Arrived(asked)), [request]);
         let Step::Attempt(index, sent) = facade.pick(request) else { panic!("it is handed off") };
         let late = now + Span::from_ms(899);
@@ -770,11 +769,11 @@
 #[test]
 fn where_only_a_hit_will_do_an_ageing_copy_is_taken_but_none_from_before_a_purge() {
     let (fresh, older) = (Span::from_ms(8000), Span::from_ms(20_000));
-    let ageing = |of: &Workload| Workload { fresh: Some(fresh), older, ..of.clone() };
+    let ageing = |of: &RequestClass| RequestClass { fresh: Some(fresh), older, ..of.clone() };
     let mut fake =
-        Fake::new(Terms { workloads: terms().workloads.iter().map(ageing).collect(), ..terms() }, usual());
+        Fake::new(Terms { classes: terms().classes.iter().map(ageing).collect(), ..terms() }, usual());
     let at = fake.request(0, 1);
-    assert_eq!(fake.sent[at].1.oldest, None, "a miss would be filled: the workload's fresh time");
+    assert_eq!(fake.sent[at].1.oldest, None, "a miss would be filled: the class's fresh time");
     fake.end_with(at, Ending::Answered, Told::Held, 0, Some(30.0));
     let at = fake.request(0, 2);
     assert_eq!(fake.sent[at].1.source, fake.sent[at].1.host, "the link is full");
