--- a/crates/flaxdeck-adapter/src/wire.rs
+++ b/crates/flaxdeck-adapter/src/wire.rs
@@ -203,7 +203,7 @@
             part: fields.whole_or_none("slice")?.unwrap_or(0),
             group: GroupId(fields.whole_or_none("set_no")?.unwrap_or(0)),
             size_kb: fields.number_or_none("bytes_k")?.filter(|kb| *kb > 0.0),
-            hard_stop: fields.time("expires_ms")?,
+            deadline: fields.time("expires_ms")?,
             again: fields.flag_or_false("again_by_client")?,
         })
     }
@@ -258,10 +258,10 @@
     }
     for last in decisions.finals {
         reply.push(match last {
-            Final::Rejected { request, come_back } => {
+            Final::Rejected { request, retry_after } => {
                 let mut action = json!({"event_type": "PushBack", "who": who, "request_id": request.0});
-                if let Some(come_back) = come_back {
-                    action["come_back_ms"] = json!(come_back.ms());
+                if let Some(retry_after) = retry_after {
+                    action["come_back_ms"] = json!(retry_after.ms());
                 }
                 action
             }
--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -58,7 +58,7 @@
         let (keeps, waits) = (guidelines.keeps.clone(), guidelines.stance.pledges.forwarder_waits());
         router.guide_by(epoch, seed, guidelines, &mut watch);
         if let Some(keeps) = keeps {
-            come_back(&router, &watch, clock, &keeps, &mut known, waits);
+            retry_after(&router, &watch, clock, &keeps, &mut known, waits);
         }
     }
     let last = watch.numbering().borrow().last();
@@ -72,7 +72,7 @@
 }
 
 /// What an earlier run has kept, in place of or beside what the configuration tells.
-fn come_back(
+fn retry_after(
     router: &Rc<Router>,
     watch: &Watch,
     clock: Clock,
--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -203,13 +203,13 @@
                     }
                     None => {
                         count(Count::requests_no_room);
-                        session.tell(call, ShortReply::Refused(router.come_back()));
+                        session.tell(call, ShortReply::Refused(router.retry_after()));
                     }
                 }
             }
             Heard::Unheld { call } => {
                 count(Count::requests_no_room);
-                session.tell(call, ShortReply::Refused(router.come_back()));
+                session.tell(call, ShortReply::Refused(router.retry_after()));
             }
             Heard::Cancel { call } => {
                 requests.remove(&call).into_iter().for_each(|request| router.leave(request))
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -174,8 +174,8 @@
     }
 
     /// When a client that finds no room may come back.
-    fn come_back(&self) -> Option<Span> {
-        self.facade.borrow().come_back()
+    fn retry_after(&self) -> Option<Span> {
+        self.facade.borrow().retry_after()
     }
 
     fn notify(&self, requests: &[RequestId]) {
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -52,7 +52,7 @@
             part: asked.part,
             group: asked.group,
             size_kb: asked.size_kb,
-            hard_stop: now + asked.waits,
+            deadline: now + asked.waits,
             again: asked.again,
         };
         let entry =
@@ -139,7 +139,7 @@
             match self.router.pick(self.id) {
                 Step::Attempt(index, attempt) => self.attempt(index, attempt),
                 Step::TakeBack(index) => self.take_back(index),
-                Step::Reject(come_back) => self.answer(Answer::Rejected(come_back), None),
+                Step::Reject(retry_after) => self.answer(Answer::Rejected(retry_after), None),
                 Step::Fail => self.answer(Answer::Failed, None),
                 Step::Wait => return,
             }
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -111,12 +111,12 @@
         while now.since(start).ms() < last + 500.0 {
             if next < 40 {
                 let class = next as usize % classes;
-                let hard_stop = now + Span::of_ms(deadlines[class].min(last));
+                let deadline = now + Span::of_ms(deadlines[class].min(last));
                 let (object, id) = (ObjectId(chance.random_range(0..10)), RequestId(next));
                 let (class, group) = (ClassId(class), GroupId(3));
                 let size_kb = Some(chance.random_range(1.0..3000.0)).filter(|_| seed % 2 == 0);
-                let request = Request { id, class, object, part: 0, group, size_kb, hard_stop, again: false };
-                open.insert(id, (hard_stop, 0));
+                let request = Request { id, class, object, part: 0, group, size_kb, deadline, again: false };
+                open.insert(id, (deadline, 0));
                 facade.report(now, News::Arrived(request));
                 next += 1;
             }
@@ -143,9 +143,9 @@
                             }
                         }
                         Step::Reject(_) | Step::Fail => {
-                            let (hard_stop, _) =
+                            let (deadline, _) =
                                 open.remove(&id).unwrap_or_else(|| panic!("seed {seed}: two ends"));
-                            assert!(now <= hard_stop + tick * 2.0, "seed {seed}: {id:?} too late");
+                            assert!(now <= deadline + tick * 2.0, "seed {seed}: {id:?} too late");
                         }
                     }
                 }
--- a/crates/flaxdeck-emulator/src/seekers.rs
+++ b/crates/flaxdeck-emulator/src/seekers.rs
@@ -1,5 +1,5 @@
 //! Clients that look for a dispatcher: one that finds its own gone turns to another, asks again as its kind does, and
-//! keeps the promised time of its first try. What becomes of each want is kept with the time of that first try.
+//! keeps the latency objective of its first try. What becomes of each want is kept with the time of that first try.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -126,7 +126,7 @@
             part: 0,
             group: GroupId(want.object % GROUPS),
             size_kb: Some(want.kb),
-            hard_stop: time(self.now + self.shape.wait_ms),
+            deadline: time(self.now + self.shape.wait_ms),
             again: want.tries > 1,
         }
     }
--- a/crates/flaxdeck-fleet/src/model/decisions.rs
+++ b/crates/flaxdeck-fleet/src/model/decisions.rs
@@ -14,7 +14,7 @@
         decisions.attempts.into_iter().for_each(|attempt| self.begin_attempt(n, &attempt));
         for last in decisions.finals {
             match last {
-                Final::Rejected { request, come_back: retry_after } => {
+                Final::Rejected { request, retry_after } => {
                     self.answered(n, request, Answer::Rejected, retry_after);
                 }
                 Final::Failed { request } => self.answered(n, request, Answer::Failed, None),
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -36,7 +36,7 @@
 /// The terms of a location's forwarders: reads are the first class, writes the second.
 fn terms(shape: &Shape, zone: usize) -> Terms {
     let class = |repeats, goes_through| RequestClass {
-        promised: Span::from_ms(OBJECTIVE_MS),
+        objective: Span::from_ms(OBJECTIVE_MS),
         stretch: STRETCH,
         repeats,
         goes_through,
@@ -45,7 +45,7 @@
         older: Span::ZERO,
     };
     Terms {
-        classes: vec![class(Repeats::Reissuable, false), class(Repeats::AtMostOnce, true)],
+        classes: vec![class(Repeats::Idempotent, false), class(Repeats::AtMostOnce, true)],
         zone: ZoneId(zone),
         zone_dispatchers: vec![shape.forwarders as u32; shape.zones],
         dispatchers: (shape.forwarders * shape.zones) as u32,
--- a/crates/flaxdeck-guidance/examples/size.rs
+++ b/crates/flaxdeck-guidance/examples/size.rs
@@ -119,9 +119,9 @@
 
 fn terms() -> Terms {
     let class = RequestClass {
-        promised: Span::from_ms(500),
+        objective: Span::from_ms(500),
         stretch: 2.0,
-        repeats: Repeats::Reissuable,
+        repeats: Repeats::Idempotent,
         goes_through: false,
         parted: false,
         fresh: None,
@@ -204,7 +204,7 @@
             part: 0,
             group: GroupId(0),
             size_kb: Some(50.0),
-            hard_stop: now + Span::from_ms(2_500),
+            deadline: now + Span::from_ms(2_500),
             again: false,
         };
         let begun = Instant::now();
--- a/crates/flaxdeck-guidance/src/forwarder.rs
+++ b/crates/flaxdeck-guidance/src/forwarder.rs
@@ -1,5 +1,5 @@
 //! The forwarder's side: what is reported to each planner, what of their guidance is believed, and what the brain
-//! is told. Falls back by steps as guidance ages: grants run off within about a second, hearsay counts by its age,
+//! is told. Falls back by steps as guidance ages: grants run off within about a second, peer observations count by their age,
 //! and with all planners silent for long the forwarder is a lone dispatcher.
 
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 use crate::shares::{Cold, Shares};
 use crate::{Parts, Pledges};
 
-/// Hearsay older than this is not passed to the brain: by then its own trials know better.
+/// Peer observations older than this are not passed to the brain: by then its own trials know better.
 const STALE: Span = Span::from_ms(10_000);
 
 /// The coordinator speaks each second: past two of its words a connection to it counts as lost.
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -123,7 +123,7 @@
         part: 0,
         group: GroupId(0),
         size_kb: Some(50.0),
-        hard_stop: now + Span::from_ms(2_500),
+        deadline: now + Span::from_ms(2_500),
         again: false,
     };
     let begun = Instant::now();
@@ -172,9 +172,9 @@
 /// Those of `flaxdeck-guidance`'s example `size`, but for the time in which a purge settles.
 fn terms(settles_ms: f64) -> Terms {
     let class = RequestClass {
-        promised: Span::from_ms(500),
+        objective: Span::from_ms(500),
         stretch: 2.0,
-        repeats: Repeats::Reissuable,
+        repeats: Repeats::Idempotent,
         goes_through: false,
         parted: false,
         fresh: None,
--- a/crates/flaxdeck-terms/src/lib.rs
+++ b/crates/flaxdeck-terms/src/lib.rs
@@ -113,7 +113,7 @@
         let class = Fields::of(class, "a request class")?;
         names.push(class_name(class.text("name")?, &names)?);
         classes.push(RequestClass {
-            promised: class.span("objective_ms")?,
+            objective: class.span("objective_ms")?,
             stretch: class.number_or("aim_stretch", 0.0)?,
             repeats: repeats(&class)?,
             goes_through: through.get(at).copied().unwrap_or(false),
@@ -184,9 +184,9 @@
 
 fn repeats(class: &Fields) -> Result<Repeats, String> {
     Ok(match class.text("effect")? {
-        "idempotent" => Repeats::Reissuable,
+        "idempotent" => Repeats::Idempotent,
         "at_most_once" => Repeats::AtMostOnce,
-        "deduplicated" => Repeats::Numbered {
+        "deduplicated" => Repeats::Deduplicated {
             scope: match class.text_or_none("key_scope")? {
                 Some("all") => Scope::All,
                 Some("zone") => Scope::Zone,
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -47,17 +47,17 @@
 const LATELY: f64 = 0.5; // of the time since an overdue attempt: a host quiet for the rest is silent
 const AGAIN: Span = Span::from_ms(60); // first pause after a refusal: lets short queues drain
 const MOST_DOUBLED: u32 = 4; // doublings of that pause: then it is near a second
-const COME_BACK: Span = Span::from_ms(300); // named to rejected clients: a few of the transfers in hand
+const RETRY_AFTER: Span = Span::from_ms(300); // named to rejected clients: a few of the transfers in hand
 const LOOK: Span = Span::from_ms(400); // between looks at hosts that tell their load only so: a report's age
 const TIDY: Span = Span::from_ms(1000); // the periodic timer: memory only, so a second will do
 const REMEMBER: Span = Span::from_ms(60_000); // how long an object counts as seen: several cache lifetimes
-const TICKS_EARLY: f64 = 3.0; // ticks before the hard stop at which a request gets its answer: one may slip
+const TICKS_EARLY: f64 = 3.0; // ticks before the deadline at which a request gets its answer: one may slip
 const HAIR: Span = Span::from_ms(1); // taken off an age limit, and its least: the wire rounds
 
 /// The rules for a request, in order; each tells whether it fired.
 const RULES: [fn(&mut Brain, RequestId) -> bool; 6] = [
     Brain::drop_what_is_done,
-    Brain::answer_before_the_hard_stop,
+    Brain::answer_before_the_deadline,
     Brain::give_up_when_nothing_may_follow,
     Brain::attempt_what_waits,
     Brain::note_what_is_overdue,
@@ -90,7 +90,7 @@
 
 impl Kind {
     fn new(of: RequestClass) -> Kind {
-        Kind { mean_work: of.promised.ms() / (1.0 + of.stretch), samples: 0.0, of }
+        Kind { mean_work: of.objective.ms() / (1.0 + of.stretch), samples: 0.0, of }
     }
     fn learn(&mut self, work: f64) {
         self.samples = (self.samples + 1.0).min(SETTLED);
@@ -158,7 +158,7 @@
     ramps: [Ramp; 2],              // of caches and of parents
     early: Span,
     ends: Time,
-    pub come_back: Option<Span>, // also for clients that the caller has no room for
+    pub retry_after: Option<Span>, // also for clients that the caller has no room for
     terms: Terms,
     vouched: bool,  // the list of hosts can be trusted
     by_right: f64,  // the part of the equal share that holds where none was told
@@ -199,7 +199,7 @@
         let caches = ramp(terms.cold_from, terms.warm_within, terms.overload_factor, mates);
         let ramps = [caches, ramp(terms.parent_cold_from, terms.parent_warm_within, factor, all)];
         let kinds = std::mem::take(&mut terms.classes).into_iter().map(Kind::new).collect();
-        let come_back = terms.may_name_return.then(|| COME_BACK.min(terms.longest_return));
+        let retry_after = terms.may_name_return.then(|| RETRY_AFTER.min(terms.longest_return));
         let (early, chance, ends) = (terms.tick * TICKS_EARLY, Pcg64Mcg::seed_from_u64(seed), Time::NEVER);
         let next_look = if terms.may_look { now + LOOK } else { Time::NEVER };
         let (link, vouched, by_right, mean_work) = (None, true, 1.0, 0.0);
@@ -207,7 +207,7 @@
         let (owed, due, agenda, wake_at) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new(), None);
         #[rustfmt::skip]
         let mut brain = Brain {
-            now, born: now, chance, kinds, zone_mates: mates, link, ramps, early, ends, come_back, terms,
+            now, born: now, chance, kinds, zone_mates: mates, link, ramps, early, ends, retry_after, terms,
             vouched, by_right, mean_work, next_look, hosts, requests, purges, seen, owed, due, agenda,
             next_tidy: now + TIDY, wake_at, out: Decisions::default(),
         };
@@ -236,7 +236,7 @@
 
     /// A client's request, to be given exactly one final answer.
     pub fn request(&mut self, now: Time, mut request: Request) -> Decisions {
-        request.hard_stop = request.hard_stop.min(self.ends);
+        request.deadline = request.deadline.min(self.ends);
         let kind = &mut self.kinds[request.class.0];
         let pace = self.terms.client_kb_per_s / 1000.0;
         let told = request.size_kb.filter(|_| pace > 0.0).map(|kb| kb / pace);
@@ -245,13 +245,13 @@
         self.mean_work += (work - self.mean_work) / kind.samples.max(1.0);
         // A client that asks again waits since its first try, so an old promise holds for its new request.
         let owed = self.owed.remove(&(request.object, request.part)).filter(|_| request.again);
-        let promised = owed.unwrap_or(now + kind.of.promised + Span::of_ms(work * kind.of.stretch));
-        let (id, stop) = (request.id, request.hard_stop - self.early);
+        let objective = owed.unwrap_or(now + kind.of.objective + Span::of_ms(work * kind.of.stretch));
+        let (id, stop) = (request.id, request.deadline - self.early);
         let (out, tried, failed_by, attempts, pauses, ran) = (Vec::new(), Vec::new(), Vec::new(), 0, 0, None);
         let (not_before, missed, done) = (now, false, false);
         #[rustfmt::skip]
         let held = Held {
-            request, work, promised, out, attempts, ran, not_before, pauses, missed, tried, failed_by, done,
+            request, work, objective, out, attempts, ran, not_before, pauses, missed, tried, failed_by, done,
         };
         self.requests.insert(id, held);
         self.due.insert((stop, id));
@@ -276,13 +276,13 @@
     pub fn ends_at(&mut self, now: Time, ends: Time) -> Decisions {
         self.ends = ends;
         for (id, held) in &mut self.requests {
-            held.request.hard_stop = held.request.hard_stop.min(ends);
-            self.due.insert((held.request.hard_stop - self.early, *id));
+            held.request.deadline = held.request.deadline.min(ends);
+            self.due.insert((held.request.deadline - self.early, *id));
         }
         self.wake(now)
     }
 
-    /// What other dispatchers tell, each time all of it that holds. Own word outweighs hearsay of its age.
+    /// What other dispatchers tell, each time all of it that holds. Own samples outweigh theirs of that age.
     pub fn guided(&mut self, now: Time, guided: Guided) -> Decisions {
         (self.now, self.vouched, self.by_right) = (now, guided.vouched, guided.by_right.clamp(0.0, 1.0));
         self.link = [self.link, guided.link].into_iter().flatten().max_by_key(|(_, at)| *at);
@@ -333,10 +333,10 @@
         let older = if out.source == out.host { kind.of.older } else { Span::ZERO };
         let oldest = self.oldest(&held.request, kind.of.fresh, older);
         let window = match (kind.of.repeats, &held.ran) {
-            (Repeats::Numbered { remembered, .. }, Some((sent, _))) => *sent + remembered,
+            (Repeats::Deduplicated { remembered, .. }, Some((sent, _))) => *sent + remembered,
             _ => Time::NEVER,
         };
-        let sent_by = window.min(held.request.hard_stop) - self.early;
+        let sent_by = window.min(held.request.deadline) - self.early;
         for id_of in ids {
             let host = self.hosts.get_mut(id_of).filter(|host| host.line.health == Health::InService)?;
             let spent =
@@ -384,7 +384,7 @@
         }
         let kind = &self.kinds[held.request.class.0];
         let large = held.request.size_kb.filter(|_| kind.large(&held.request));
-        let prompt = ended.waited.is_none_or(|waited| waited <= kind.of.promised);
+        let prompt = ended.waited.is_none_or(|waited| waited <= kind.of.objective);
         self.agenda.insert(ended.request);
         if cached && ended.ending == Answered {
             let (work, class, sized) = (held.work, held.request.class, held.request.size_kb.is_some());
@@ -502,7 +502,7 @@
         if now >= self.next_tidy {
             self.next_tidy = now + TIDY;
             self.seen.retain(|_, at| now.since(*at) < REMEMBER);
-            self.owed.retain(|_, promised| now.since(*promised) < REMEMBER);
+            self.owed.retain(|_, objective| now.since(*objective) < REMEMBER);
             self.purges.retain(|(.., made)| now.since(*made) < self.terms.purge_settles + TIDY);
             self.hosts.retain(|_, host| host.line.health != Health::Removed || host.in_hand > 0.0);
         }
@@ -555,7 +555,7 @@
     fn drop_what_is_done(&mut self, id: RequestId) -> bool {
         let Some(_) = self.requests.get(&id).filter(|held| held.done) else { return false };
         let held = self.requests.remove(&id).expect("just seen");
-        self.due.remove(&(held.request.hard_stop - self.early, id));
+        self.due.remove(&(held.request.deadline - self.early, id));
         let cancelled = held.out.iter().filter(|_| self.terms.may_cancel);
         let cancels = cancelled.map(|out| Cancel { request: id, index: out.index });
         self.out.cancels.extend(cancels);
@@ -569,14 +569,14 @@
     }
 
     // Guards against a lost request: whatever else goes on, the client gets its answer while it listens.
-    fn answer_before_the_hard_stop(&mut self, id: RequestId) -> bool {
-        self.requests.get(&id).is_some_and(|held| self.now + self.early >= held.request.hard_stop)
+    fn answer_before_the_deadline(&mut self, id: RequestId) -> bool {
+        self.requests.get(&id).is_some_and(|held| self.now + self.early >= held.request.deadline)
             && self.give_up(id)
     }
 
     fn give_up_when_nothing_may_follow(&mut self, id: RequestId) -> bool {
         let Some(held) = self.requests.get(&id) else { return false };
-        let in_time = held.work < held.request.hard_stop.since(self.now).ms();
+        let in_time = held.work < held.request.deadline.since(self.now).ms();
         held.out.is_empty() && !(in_time && self.may_follow(held)) && self.give_up(id)
     }
 
@@ -601,11 +601,11 @@
         self.pardon(id);
         let held = &self.requests[&id];
         let harmless = match self.kinds[held.request.class.0].of.repeats {
-            Repeats::Reissuable | Repeats::Numbered { scope: Scope::All, .. } => true,
+            Repeats::Idempotent | Repeats::Deduplicated { scope: Scope::All, .. } => true,
             _ => held.ran.is_none() && held.out.is_empty(),
         };
-        self.owed.insert((held.request.object, held.request.part), held.promised);
-        let rejected = Final::Rejected { request: id, come_back: self.come_back };
+        self.owed.insert((held.request.object, held.request.part), held.objective);
+        let rejected = Final::Rejected { request: id, retry_after: self.retry_after };
         self.out.finals.push(if harmless { rejected } else { Final::Failed { request: id } });
         self.requests.get_mut(&id).into_iter().for_each(|held| held.done = true);
         self.agenda.insert(id);
@@ -616,9 +616,9 @@
     fn may_follow(&self, held: &Held) -> bool {
         let ran = held.ran.as_ref().map(|(sent, _)| *sent).or(held.out.first().map(|out| out.sent));
         let allowed = match (self.kinds[held.request.class.0].of.repeats, ran) {
-            (Repeats::Reissuable, _) | (_, None) => true,
+            (Repeats::Idempotent, _) | (_, None) => true,
             (Repeats::AtMostOnce, Some(_)) => false,
-            (Repeats::Numbered { remembered, .. }, Some(sent)) => self.now + self.early < sent + remembered,
+            (Repeats::Deduplicated { remembered, .. }, Some(at)) => self.now + self.early < at + remembered,
         };
         self.vouched && held.attempts < self.terms.most_attempts.max(1) && allowed
     }
@@ -632,7 +632,7 @@
             let held = self.requests.get_mut(&id).expect("just seen");
             held.not_before = self.now + AGAIN;
             held.tried.clear();
-            if held.missed || held.promised.since(self.now).ms() < held.work * FULL {
+            if held.missed || held.objective.since(self.now).ms() < held.work * FULL {
                 return self.give_up(id);
             }
             self.due.insert((held.not_before, id));
@@ -668,7 +668,7 @@
         let culprit = muted.into_iter().max().map(|(.., id)| id);
         out.silent = Some(culprit.is_some());
         let again =
-            self.kinds[held.request.class.0].of.repeats == Repeats::Reissuable && self.terms.may_cancel;
+            self.kinds[held.request.class.0].of.repeats == Repeats::Idempotent && self.terms.may_cancel;
         let taken_back = culprit.iter().filter(|_| again && !self.terms.may_duplicate);
         self.out.cancels.extend(taken_back.map(|_| Cancel { request: id, index: out.index }));
         held.tried.extend(culprit.clone());
@@ -678,10 +678,10 @@
 
     fn attempt_beside_the_silent(&mut self, id: RequestId) -> bool {
         let Some(held) = self.requests.get(&id) else { return false };
-        let reissuable = self.kinds[held.request.class.0].of.repeats == Repeats::Reissuable;
+        let idempotent = self.kinds[held.request.class.0].of.repeats == Repeats::Idempotent;
         let silent = !held.out.is_empty() && held.out.iter().all(|out| out.silent == Some(true));
-        let allowed = self.terms.may_duplicate && reissuable && silent && self.may_follow(held);
-        allowed && held.request.hard_stop.since(self.now).ms() > held.work + SLACK.ms() && self.attempt(id)
+        let allowed = self.terms.may_duplicate && idempotent && silent && self.may_follow(held);
+        allowed && held.request.deadline.since(self.now).ms() > held.work + SLACK.ms() && self.attempt(id)
     }
 
     fn ramp(&self, host: &Host) -> &Ramp {
@@ -735,7 +735,7 @@
     // Guards against a full link, where fills outlive their requests and every miss comes late: while it is
     // full only hits are asked for, and known misses are rejected, large ones first.
     fn link_open(&self, held: &Held, mean: f64) -> bool {
-        let late = held.promised.since(self.now).ms() < held.work;
+        let late = held.objective.since(self.now).ms() < held.work;
         // Of what tells no size most bytes are in few large ones, so it stops sooner, by its class's mean.
         let mean = if held.request.size_kb.is_some() { mean } else { self.mean_work / LINK_BIAS };
         let bias = if late { 0.0 } else { mean / held.work.max(1.0) }.clamp(1.0 / LINK_BIAS, LINK_BIAS);
@@ -752,10 +752,11 @@
         order
     }
 
-    // A numbered request that may have run stays among the hosts that drop its repeats.
+    // A deduplicated request that may have run stays among the hosts that drop its repeats.
     fn in_scope(&self, held: &Held, host: &Host) -> bool {
         let repeats = self.kinds[held.request.class.0].of.repeats;
-        let (Repeats::Numbered { scope, .. }, Some((_, first))) = (repeats, &held.ran) else { return true };
+        let Repeats::Deduplicated { scope, .. } = repeats else { return true };
+        let Some((_, first)) = &held.ran else { return true };
         let cell = |line: &Endpoint| (line.zone, if scope == Scope::Cell { line.cell } else { CellId(0) });
         let same = |first: &Host| cell(&first.line) == cell(&host.line);
         scope == Scope::All || self.hosts.get(first).is_some_and(same)
@@ -763,7 +764,7 @@
 
     fn pick_cache(&self, held: &Held, open: bool) -> Option<HostId> {
         let kind = &self.kinds[held.request.class.0];
-        let trials = kind.of.repeats == Repeats::Reissuable && held.attempts == 0;
+        let trials = kind.of.repeats == Repeats::Idempotent && held.attempts == 0;
         let fits = |host: &Host| self.in_scope(held, host) && self.cold_room(host, kind.cost(held.work));
         let up = |host: &Host| host.reputation >= FLOOR || (trials && host.next_trial <= self.now);
         let mut order = self.in_hash_order(Role::Cache, &held.request);
@@ -776,7 +777,7 @@
         // larger it is within its class, the higher the load at which it is taken, if it comes in time.
         let admit = ADMIT * (held.work / kind.mean_work.max(1.0)).clamp(1.0, ADMIT_LARGE);
         let most = if open { (least * BOUND).min(admit) } else { admit };
-        let left = held.promised.since(self.now).ms();
+        let left = held.objective.since(self.now).ms();
         // Guards against a loaded cache losing all its objects at once, and with them its hits: they go one
         // after another by what the hash draws, the same ones at every dispatcher.
         let in_time = |host: &&&Host| {
@@ -854,9 +855,9 @@
         let oldest = self.oldest(&held.request, kind.of.fresh, older);
         let slow = self.load(&self.hosts[&host]).max(1.0);
         let patience = Span::of_ms(work * slow + behind.measures[0].unwrap_or(SLACK.ms())) * OVERDUE + SLACK;
-        let left = held.request.hard_stop.since(now);
+        let left = held.request.deadline.since(now);
         let cut =
-            kind.of.repeats == Repeats::Reissuable && !self.terms.may_duplicate && !self.terms.may_cancel;
+            kind.of.repeats == Repeats::Idempotent && !self.terms.may_duplicate && !self.terms.may_cancel;
         self.out.attempts.push(Attempt {
             request: id,
             host: host.clone(),
@@ -866,7 +867,7 @@
             renew: kind.of.fresh.is_some() && oldest.is_none(),
             only_held,
             oldest,
-            fresh: kind.of.repeats != Repeats::Reissuable, // a reset there could not be made good
+            fresh: kind.of.repeats != Repeats::Idempotent, // a reset there could not be made good
             keep: if self.seen.contains_key(&held.request.object) { 2 } else { 1 },
         });
         let (index, cost) = (AttemptIndex(held.attempts), if past { work } else { kind.cost(work) });
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -111,8 +111,8 @@
     }
 
     /// When a client may come back whose request was not even reported.
-    pub fn come_back(&self) -> Option<Span> {
-        self.brain.come_back
+    pub fn retry_after(&self) -> Option<Span> {
+        self.brain.retry_after
     }
 
     pub fn due(&self) -> Option<Time> {
@@ -153,7 +153,7 @@
         }
         for last in finals {
             named.extend(match last {
-                Final::Rejected { request, come_back } => self.add(request, |_| Step::Reject(come_back)),
+                Final::Rejected { request, retry_after } => self.add(request, |_| Step::Reject(retry_after)),
                 Final::Failed { request } => self.add(request, |_| Step::Fail),
             });
         }
--- a/src/state.rs
+++ b/src/state.rs
@@ -24,7 +24,7 @@
     pub(crate) elsewhere: Option<(f64, Time)>, // what others have out there, by their own word
     pub(crate) share: Option<f64>, // of a cold host's whole, by what others left to this dispatcher
     pub(crate) wished: Cell<f64>,  // what it turned away for want of that since the last look
-    pub(crate) sampled: [Option<f64>; 2], // the last own samples, and when they and the last hearsay were taken
+    pub(crate) sampled: [Option<f64>; 2], // the last own samples, and when they and the last of others were taken
     pub(crate) measured: [Option<Time>; 2],
     pub(crate) looked: Option<Time>, // when it was last asked for its load
     pub(crate) slow: (f64, Time),    // times the sending time that its hits take, and when one last did
@@ -47,7 +47,7 @@
 pub(crate) struct Held {
     pub(crate) request: Request,
     pub(crate) work: f64,
-    pub(crate) promised: Time,
+    pub(crate) objective: Time,
     pub(crate) out: Vec<Out>,
     pub(crate) attempts: u32,
     pub(crate) ran: Option<(Time, HostId)>, // the first attempt that may have run, with its host
--- a/src/words.rs
+++ b/src/words.rs
@@ -100,9 +100,9 @@
 /// Whether a request may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeats {
-    Reissuable,
+    Idempotent,
     /// Repeats are dropped by the hosts of the scope, for so long after the first attempt.
-    Numbered {
+    Deduplicated {
         scope: Scope,
         remembered: Span,
     },
@@ -119,8 +119,8 @@
 /// What is known of a class before its first request.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    pub promised: Span,
-    /// The promised time grows by this multiple of the request's sending time.
+    pub objective: Span,
+    /// The objective grows by this multiple of the request's sending time.
     pub stretch: f64,
     pub repeats: Repeats,
     /// Runs at the origin and is never kept.
@@ -209,7 +209,7 @@
     pub group: GroupId,
     pub size_kb: Option<f64>,
     /// When the client gives this try up.
-    pub hard_stop: Time,
+    pub deadline: Time,
     /// The client says that it asks again.
     pub again: bool,
 }
@@ -322,7 +322,7 @@
 /// A final answer that the dispatcher gives itself.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Final {
-    Rejected { request: RequestId, come_back: Option<Span> },
+    Rejected { request: RequestId, retry_after: Option<Span> },
     Failed { request: RequestId },
 }
 
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -33,7 +33,7 @@
 
 pub fn class(repeats: Repeats) -> RequestClass {
     RequestClass {
-        promised: Span::from_ms(500),
+        objective: Span::from_ms(500),
         stretch: 2.0,
         repeats,
         goes_through: repeats == Repeats::AtMostOnce,
@@ -44,9 +44,9 @@
 }
 
 pub fn terms() -> Terms {
-    let numbered = Repeats::Numbered { scope: Scope::Cell, remembered: Span::from_ms(2000) };
+    let deduplicated = Repeats::Deduplicated { scope: Scope::Cell, remembered: Span::from_ms(2000) };
     Terms {
-        classes: [Repeats::Reissuable, Repeats::AtMostOnce, numbered].map(class).to_vec(),
+        classes: [Repeats::Idempotent, Repeats::AtMostOnce, deduplicated].map(class).to_vec(),
         zone: ZoneId(0),
         zone_dispatchers: vec![1, 0],
         dispatchers: 2,
@@ -145,9 +145,9 @@
 
     fn ask(&mut self, class: usize, object: u64, part: u64, size_kb: Option<f64>) -> usize {
         self.next += 1;
-        let (at, id, hard_stop) = (self.sent.len(), RequestId(self.next), self.now + Span::from_ms(4000));
+        let (at, id, deadline) = (self.sent.len(), RequestId(self.next), self.now + Span::from_ms(4000));
         let (class, object, group) = (ClassId(class), ObjectId(object), GroupId(object % 4));
-        let request = Request { id, class, object, part, group, size_kb, hard_stop, again: self.again };
+        let request = Request { id, class, object, part, group, size_kb, deadline, again: self.again };
         let decisions = self.brain.request(self.now, request);
         self.apply(decisions);
         at
--- a/tests/guided.rs
+++ b/tests/guided.rs
@@ -39,7 +39,7 @@
         part: 0,
         group: GroupId(1),
         size_kb: Some(50.0),
-        hard_stop: now + Span::from_ms(2_000),
+        deadline: now + Span::from_ms(2_000),
         again: false,
     }
 }
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn hearsay_about_latency_moves_the_choice_only_until_own_samples_speak() {
+fn peer_observations_of_latency_move_the_choice_only_until_own_samples_speak() {
     let mut brain = brain(lines());
     let slow = |now| Hint { measures: [Some(900.0), None], measured: Some(now), ..hint("p") };
     let quick = |now| Hint { measures: [Some(5.0), None], measured: Some(now), ..hint("o") };
@@ -108,7 +108,11 @@
     let own = Observation {
         ..brain.observations(at(41)).into_iter().find(|observation| observation.host == host("p")).unwrap()
     };
-    assert_eq!((own.measures, own.measured), ([None; 2], None), "hearsay is not passed on as an own sample");
+    assert_eq!(
+        (own.measures, own.measured),
+        ([None; 2], None),
+        "what others saw is not passed on as an own sample"
+    );
 }
 
 #[test]
@@ -155,7 +159,10 @@
     brain.guided(at(20), Guided { vouched: false, ..told(vec![]) });
     let decisions = brain.request(at(30), request(2, at(30), 0));
     assert!(decisions.attempts.is_empty());
-    assert!(matches!(decisions.finals[..], [Final::Rejected { request: RequestId(2), come_back: Some(_) }]));
+    assert!(matches!(
+        decisions.finals[..],
+        [Final::Rejected { request: RequestId(2), retry_after: Some(_) }]
+    ));
     let decisions = brain.attempt_ended(at(40), ended(&out, Ending::Answered, Told::Held, 1.0));
     assert!(decisions.finals.is_empty(), "answered by its host");
     brain.guided(at(50), told(vec![]));
--- a/tests/same.rs
+++ b/tests/same.rs
@@ -45,7 +45,7 @@
 }
 
 /// Names that types and fields had when the decisions were recorded, by those that they have now.
-const RECORDED_NAMES: [(&str, &str); 8] = [
+const RECORDED_NAMES: [(&str, &str); 9] = [
     ("RequestId(", "PullId("),
     ("AttemptIndex(", "Leg("),
     ("Attempt {", "HandOff {"),
@@ -54,6 +54,7 @@
     ("index:", "leg:"),
     ("Rejected {", "Bounced {"),
     ("Failed {", "Forfeited {"),
+    ("retry_after:", "come_back:"),
 ];
 
 /// What was printed, as it was at the time of the record.
@@ -163,7 +164,7 @@
                 part: 0,
                 group: GroupId(object % 5),
                 size_kb: day.chance.random_bool(0.8).then(|| day.chance.random_range(1.0..2_000.0)),
-                hard_stop: now + Span::from_ms(2_500),
+                deadline: now + Span::from_ms(2_500),
                 again: day.chance.random_bool(0.1),
             };
             let decisions = day.brain.request(now, request);
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_numbered_request_that_may_have_run_stays_in_its_cell_while_that_remembers() {
+fn a_deduplicated_request_that_may_have_run_stays_in_its_cell_while_that_remembers() {
     let mut hosts = usual();
     hosts.extend([line("cc", Role::Cache), line("dd", Role::Cache)]);
     let mut fake = Fake::new(terms(), hosts);
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn every_request_gets_one_answer_before_its_hard_stop_whatever_is_up() {
+fn every_request_gets_one_answer_before_its_deadline_whatever_is_up() {
     let nothing = Vec::new();
     let only_caches = usual().into_iter().filter(|line| line.role == Role::Cache).collect();
     for hosts in [nothing, only_caches, usual()] {
@@ -293,7 +293,7 @@
     fake.pass(150);
     assert_eq!(fake.sent.len(), at + 1, "the known miss goes nowhere");
     assert!(
-        matches!(fake.finals[..], [Final::Rejected { come_back: Some(_), .. }]),
+        matches!(fake.finals[..], [Final::Rejected { retry_after: Some(_), .. }]),
         "its client is told at once"
     );
     let hit = fake.request(0, 3);
@@ -330,7 +330,7 @@
     let small = fake.request_of(0, 99, 10.0);
     assert_eq!(fake.sent.len(), small + 1, "a small one finds room");
     fake.pass(3500);
-    assert!(fake.finals.iter().any(|last| matches!(last, Final::Rejected { come_back: Some(_), .. })));
+    assert!(fake.finals.iter().any(|last| matches!(last, Final::Rejected { retry_after: Some(_), .. })));
 }
 
 #[test]
@@ -606,9 +606,9 @@
         let now = Time::at_ms(100_000.0);
         let mut facade = Facade::start(now, 7, terms());
         facade.report(now, News::Hosts(ListKind::Full, usual()));
-        let (request, hard_stop, group) = (RequestId(1), now + Span::from_ms(900), GroupId(1));
+        let (request, deadline, group) = (RequestId(1), now + Span::from_ms(900), GroupId(1));
         let (class, object, size_kb) = (ClassId(0), ObjectId(1), Some(100.0));
-        let asked = Request { id: request, class, object, part: 0, group, size_kb, hard_stop, again: false };
+        let asked = Request { id: request, class, object, part: 0, group, size_kb, deadline, again: false };
         assert_eq!(facade.report(now, News::Arrived(asked)), [request]);
         let Step::Attempt(index, sent) = facade.pick(request) else { panic!("it is handed off") };
         let late = now + Span::from_ms(899);
