--- a/crates/flaxdeck-fleet/src/model/record.rs
+++ b/crates/flaxdeck-fleet/src/model/record.rs
@@ -41,8 +41,8 @@
     fn verdict(&self) -> Verdict {
         // The coordinator's own lateness is no dispatcher's fault.
         let terms = Terms {
-            grace: GRACE_MS + self.shape.register_ms,
-            purge_grace: PURGE_GRACE_MS + self.shape.register_ms,
+            grace: GRACE_MS + self.shape.coordinator_delay_ms,
+            purge_grace: PURGE_GRACE_MS + self.shape.coordinator_delay_ms,
             slack: SLACK_MS,
             window: self.shape.window_ms,
             ramps: self.ramps(),
--- a/crates/flaxdeck-fleet/src/model/troubles.rs
+++ b/crates/flaxdeck-fleet/src/model/troubles.rs
@@ -46,7 +46,7 @@
             scanned: 0,
             hot: 0.0,
             load: 1.0,
-            coordinator_ms: shape.register_ms,
+            coordinator_ms: shape.coordinator_delay_ms,
             origin_times: 1.0,
             planners_silent: false,
             planners_split: false,
@@ -101,7 +101,7 @@
             }
             Trouble::LateRegister { ms } => {
                 let before = self.conditions.coordinator_ms - ms;
-                self.conditions.coordinator_ms = before.max(self.shape.register_ms);
+                self.conditions.coordinator_ms = before.max(self.shape.coordinator_delay_ms);
             }
             Trouble::SlowOrigin { .. } => self.conditions.origin_times = 1.0,
             Trouble::OriginRefuses => self.set_manner(&[self.hosts.len() - 1], Manner::Serve),
--- a/crates/flaxdeck-fleet/src/shape.rs
+++ b/crates/flaxdeck-fleet/src/shape.rs
@@ -39,7 +39,7 @@
     /// A host falls over during slow start when it is asked for more than so many times its capacity within the window.
     pub factor: f64,
     /// Milliseconds until the coordinator's events reach anybody.
-    pub register_ms: f64,
+    pub coordinator_delay_ms: f64,
     /// The law of the traffic.
     pub law: Law,
     /// Milliseconds during which clients come.
@@ -75,7 +75,7 @@
             warm_within_ms: 12_000.0,
             window_ms: 2_000.0,
             factor: 2.0,
-            register_ms: 300.0,
+            coordinator_delay_ms: 300.0,
             law,
             day_ms: 30_000.0,
             tries: 3,
--- a/crates/flaxdeck-lab/src/pairs.rs
+++ b/crates/flaxdeck-lab/src/pairs.rs
@@ -1,5 +1,6 @@
 //! Pairs of runs: A and B on the same seed and the same drawn faults, so that what both share cancels out.
 
+use std::iter;
 use std::time::{Duration, Instant};
 
 use flaxdeck_fleet::faults;
@@ -57,6 +58,9 @@
 
 type Read = fn(&Outcome) -> f64;
 
+/// Pairs that are played at once, at least; the verdict is looked at after each such batch.
+const PAIRS_AT_ONCE: u64 = 4;
+
 const OTHERS: &[(&str, Read)] = &[
     ("in time", |out| out.in_time as f64 / out.wants.max(1) as f64),
     ("not lost", |out| 1.0 - out.lost as f64 / out.wants.max(1) as f64),
@@ -64,61 +68,83 @@
     ("spared origin", |out| -(out.origin_fills as f64) / out.wants.max(1) as f64),
 ];
 
+impl Figure {
+    fn new(name: String, level: f64) -> Figure {
+        Figure { name, sequence: Sequence::new(level), means: [0.0; 2] }
+    }
+
+    /// Adds what A and B had on one pair of days.
+    fn add(&mut self, pair: [f64; 2]) {
+        self.sequence.add(pair[1] - pair[0]);
+        let count = self.sequence.count() as f64;
+        for (mean, value) in self.means.iter_mut().zip(pair) {
+            *mean += (value - *mean) / count;
+        }
+    }
+}
+
 impl Comparison {
+    /// Before any pair: the gain over all, the gain of each kind of day, and the other figures. All of them together
+    /// hold at the level, so each has its part of it.
+    fn begin(limits: &Limits) -> Comparison {
+        let kinds = limits.kinds.iter().map(|kind| format!("gain, {kind}"));
+        let others = OTHERS.iter().map(|(name, _)| (*name).to_owned());
+        let names: Vec<String> = iter::once("gain".to_owned()).chain(kinds).chain(others).collect();
+        let level = limits.level / names.len() as f64;
+        let figures = names.into_iter().map(|name| Figure::new(name, level)).collect();
+        Comparison { figures, pairs: 0, took: Duration::ZERO, breaches: [0; 2], first_breach: None }
+    }
+
     /// The verdict over all by the gain.
     pub fn verdict(&self, matters: f64) -> Verdict {
         self.figures[0].sequence.verdict(matters)
     }
+
+    fn add(&mut self, pair: u64, outcomes: &[Outcome; 2], kinds: &[String]) {
+        let kind = kind_of(pair, kinds);
+        let both = |read: &dyn Fn(&Outcome) -> f64| [read(&outcomes[0]), read(&outcomes[1])];
+        let gains = both(&Outcome::gain);
+        self.figures[0].add(gains);
+        if let Some(kind) = kind {
+            self.figures[1 + kind].add(gains);
+        }
+        let others = &mut self.figures[1 + kinds.len()..];
+        for (figure, (_, read)) in others.iter_mut().zip(OTHERS) {
+            figure.add(both(read));
+        }
+        let kind = kind.map_or("", |kind| &kinds[kind]);
+        for (way, outcome) in outcomes.iter().enumerate() {
+            self.add_breaches(way, outcome, &format!("{} pair {pair} {kind}", ["A", "B"][way]));
+        }
+        self.pairs += 1;
+    }
+
+    fn add_breaches(&mut self, way: usize, outcome: &Outcome, day: &str) {
+        let Some(verdict) = &outcome.verdict else { return };
+        self.breaches[way] += verdict.breaches.len() as u64;
+        if let Some(breach) = verdict.breaches.first() {
+            let told = || format!("{day}: rule {}: {}", breach.rule, breach.what);
+            self.first_breach.get_or_insert_with(told);
+        }
+    }
+}
+
+/// The kind of day of a pair, by its place; none if days are not of kinds.
+fn kind_of(pair: u64, kinds: &[String]) -> Option<usize> {
+    (!kinds.is_empty()).then(|| pair as usize % kinds.len())
 }
 
 /// Plays pairs until the gain's answer is clear, or the budget is out.
 pub fn compare(a: &Shape, b: &Shape, limits: &Limits, mut told: impl FnMut(&Comparison)) -> Comparison {
     let begun = Instant::now();
-    let kinds: Vec<&str> = limits.kinds.iter().map(String::as_str).collect();
-    let count = 1 + kinds.len() + OTHERS.len();
-    let level = limits.level / count as f64;
-    let figure = |name: &str| Figure { name: name.into(), sequence: Sequence::new(level), means: [0.0; 2] };
-    let mut figures = vec![figure("gain")];
-    figures.extend(kinds.iter().map(|kind| figure(&format!("gain, {kind}"))));
-    figures.extend(OTHERS.iter().map(|(name, _)| figure(name)));
-    let mut comparison =
-        Comparison { figures, pairs: 0, took: Duration::ZERO, breaches: [0; 2], first_breach: None };
-    let batch = (rayon::current_num_threads() as u64).max(4);
+    let mut comparison = Comparison::begin(limits);
+    let batch = (rayon::current_num_threads() as u64).max(PAIRS_AT_ONCE);
     while comparison.pairs < limits.pairs && begun.elapsed() < limits.budget {
         let first = comparison.pairs;
-        let played: Vec<(u64, [Outcome; 2])> = (first..(first + batch).min(limits.pairs))
-            .into_par_iter()
-            .map(|pair| (pair, play(a, b, limits, &kinds, pair)))
-            .collect();
-        for (pair, outs) in played {
-            let kind = (!kinds.is_empty()).then(|| pair as usize % kinds.len());
-            let mut add = |at: usize, figures: [f64; 2]| {
-                let figure = &mut comparison.figures[at];
-                figure.sequence.add(figures[1] - figures[0]);
-                let count = figure.sequence.count() as f64;
-                (0..2).for_each(|way| figure.means[way] += (figures[way] - figure.means[way]) / count);
-            };
-            let gains = [outs[0].gain(), outs[1].gain()];
-            add(0, gains);
-            kind.into_iter().for_each(|kind| add(1 + kind, gains));
-            for (at, (_, read)) in OTHERS.iter().enumerate() {
-                add(1 + kinds.len() + at, [read(&outs[0]), read(&outs[1])]);
-            }
-            for (way, out) in outs.iter().enumerate() {
-                let Some(verdict) = &out.verdict else { continue };
-                comparison.breaches[way] += verdict.breaches.len() as u64;
-                if let Some(breach) = verdict.breaches.first() {
-                    let kind = kind.map_or("", |kind| kinds[kind]);
-                    let what = format!(
-                        "{} pair {pair} {kind}: rule {}: {}",
-                        ["A", "B"][way],
-                        breach.rule,
-                        breach.what
-                    );
-                    comparison.first_breach.get_or_insert(what);
-                }
-            }
-            comparison.pairs += 1;
+        let pairs = (first..(first + batch).min(limits.pairs)).into_par_iter();
+        let played: Vec<(u64, [Outcome; 2])> = pairs.map(|pair| (pair, play(a, b, limits, pair))).collect();
+        for (pair, outcomes) in &played {
+            comparison.add(*pair, outcomes, &limits.kinds);
         }
         comparison.took = begun.elapsed();
         told(&comparison);
@@ -129,12 +155,13 @@
     comparison
 }
 
-fn play(a: &Shape, b: &Shape, limits: &Limits, kinds: &[&str], pair: u64) -> [Outcome; 2] {
+/// The day of that pair under A and under B.
+fn play(a: &Shape, b: &Shape, limits: &Limits, pair: u64) -> [Outcome; 2] {
     let one = |shape: &Shape, seed: u64| {
         let mut shape = shape.clone();
-        if !kinds.is_empty() {
+        if let Some(kind) = kind_of(pair, &limits.kinds) {
             let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0xfau64);
-            let kind = kinds[pair as usize % kinds.len()];
+            let kind = &limits.kinds[kind];
             shape.faults.extend(faults::draw(kind, shape.zones, shape.day_ms, &mut chance));
         }
         run(&shape, seed)
