--- a/crates/flaxdeck-scale/src/coordinator.rs
+++ b/crates/flaxdeck-scale/src/coordinator.rs
@@ -26,7 +26,7 @@
 
 use crate::delays::{Held, write_events};
 use crate::hosts::Host;
-use crate::messages::{CoordinatorOrder, CoordinatorOrders, CoordinatorWord};
+use crate::messages::{CoordinatorOrder, CoordinatorOrders, CoordinatorReply};
 use crate::monotonic;
 use crate::processes::{Input, say};
 
@@ -95,7 +95,7 @@
     state.borrow_mut().begin();
     counters_file::spawn(orders.counters);
     spawn_local(accept(state.clone(), listener));
-    say(&CoordinatorWord::Listening(address));
+    say(&CoordinatorReply::Listening(address));
     let mut schedule = Schedule::new(orders.seed, orders.purges_per_s, orders.host_changes_per_s);
     loop {
         let due = schedule.due();
@@ -120,7 +120,7 @@
         CoordinatorOrder::Stop => {
             schedule.stop();
             let last = state.last();
-            say(&CoordinatorWord::Stopped { last });
+            say(&CoordinatorReply::Stopped { last });
         }
         CoordinatorOrder::PurgeRateTimes(factor) => schedule.purges.speed_up(factor),
         CoordinatorOrder::Silent(silent) => state.turn.send_modify(|turn| turn.silent = silent),
@@ -129,7 +129,7 @@
         CoordinatorOrder::WriteKnown(path) => {
             let known = state.known().to_string();
             std::fs::write(&path, known).map_err(|error| format!("{}: {error}", path.display()))?;
-            say(&CoordinatorWord::Written);
+            say(&CoordinatorReply::Written);
         }
     }
     Ok(())
--- a/crates/flaxdeck-scale/src/hollow.rs
+++ b/crates/flaxdeck-scale/src/hollow.rs
@@ -12,7 +12,7 @@
 use tokio::time::{interval, sleep};
 
 use crate::in_force::Notes;
-use crate::messages::{HollowOrders, HollowWord};
+use crate::messages::{HollowOrders, HollowReply};
 use crate::processes::{self, Input};
 
 /// Between the starts of two forwarders of one process, so that their connections don't come all at once.
@@ -58,7 +58,7 @@
                 };
                 let current = forwarders.iter().filter(connected).count().min(begun.get()) as u32;
                 if current != told {
-                    processes::say(&HollowWord::Current(current));
+                    processes::say(&HollowReply::Current(current));
                     told = current;
                 }
             }
--- a/crates/flaxdeck-scale/src/messages.rs
+++ b/crates/flaxdeck-scale/src/messages.rs
@@ -25,7 +25,7 @@
 
 /// What a process of hollow forwarders tells. It ends when its standard input closes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum HollowWord {
+pub enum HollowReply {
     /// So many forwarders know a list and converse with all planners.
     Current(u32),
 }
@@ -67,7 +67,7 @@
 
 /// What the stand-in coordinator tells.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum CoordinatorWord {
+pub enum CoordinatorReply {
     Listening(SocketAddr),
     /// The file of [`CoordinatorOrder::WriteKnown`] is written.
     Written,
--- a/crates/flaxdeck-scale/src/processes.rs
+++ b/crates/flaxdeck-scale/src/processes.rs
@@ -121,7 +121,7 @@
     }
 
     /// The next thing that it says; a failure if it has ended. May be dropped and called again without loss.
-    pub async fn word<T: DeserializeOwned>(&mut self) -> Result<T, String> {
+    pub async fn reply<T: DeserializeOwned>(&mut self) -> Result<T, String> {
         let output = self.output.as_mut().ok_or("a process without output")?;
         let line = output.next_line().await.map_err(|error| error.to_string())?;
         let Some(line) = line else {
--- a/crates/flaxdeck-scale/src/stage/faults.rs
+++ b/crates/flaxdeck-scale/src/stage/faults.rs
@@ -9,7 +9,7 @@
 
 use super::start::platform_settings;
 use super::{Killed, Stage, write};
-use crate::messages::{CoordinatorOrder, CoordinatorWord};
+use crate::messages::{CoordinatorOrder, CoordinatorReply};
 use crate::scenario::{Fault, FaultKind};
 
 /// Slow readers run for the first part of each such span and stand still for the rest.
@@ -69,7 +69,7 @@
     async fn restart_region(&mut self) -> Result<(), String> {
         let known = self.folder.join("known.json");
         self.coordinator.order(&CoordinatorOrder::WriteKnown(known.clone())).await?;
-        let CoordinatorWord::Written = self.coordinator.word().await? else {
+        let CoordinatorReply::Written = self.coordinator.reply().await? else {
             return Err("the coordinator said something else than that its file is written".into());
         };
         let text = fs::read_to_string(&known).map_err(|error| format!("{}: {error}", known.display()))?;
--- a/crates/flaxdeck-scale/src/stage/start.rs
+++ b/crates/flaxdeck-scale/src/stage/start.rs
@@ -13,7 +13,7 @@
 use super::{Region, Stage, write};
 use crate::hosts::{self, Host};
 use crate::measurement::Distribution;
-use crate::messages::{CoordinatorOrders, CoordinatorWord, HollowOrders, HollowWord};
+use crate::messages::{CoordinatorOrders, CoordinatorReply, HollowOrders, HollowReply};
 use crate::processes::{Part, Process, tail};
 use crate::run::Asked;
 use crate::scenario::{FaultKind, Point};
@@ -191,7 +191,7 @@
             let mut current = 0;
             for region in &mut self.regions {
                 while region.current < region.count {
-                    let HollowWord::Current(now) = region.process.word().await?;
+                    let HollowReply::Current(now) = region.process.reply().await?;
                     region.current = now;
                     progress(&format!("{} forwarders current", current + now));
                 }
@@ -235,9 +235,9 @@
     command.arg("scale-coordinator").arg(file);
     let log = folder.join("coordinator.log");
     let mut process = Process::start(Part::Coordinator, command, orders.counters, log)?;
-    let said = timeout(LISTENS_WITHIN, process.word()).await;
+    let said = timeout(LISTENS_WITHIN, process.reply()).await;
     match said.map_err(|_| "the coordinator did not listen in time")?? {
-        CoordinatorWord::Listening(address) => Ok((process, address)),
+        CoordinatorReply::Listening(address) => Ok((process, address)),
         other => Err(format!("the coordinator said {other:?} before it listened")),
     }
 }
--- a/crates/flaxdeck-scale/src/stage/window.rs
+++ b/crates/flaxdeck-scale/src/stage/window.rs
@@ -6,7 +6,7 @@
 
 use super::Stage;
 use crate::measurement::Role;
-use crate::messages::{CoordinatorOrder, CoordinatorWord};
+use crate::messages::{CoordinatorOrder, CoordinatorReply};
 use crate::monotonic;
 use crate::processes::{Part, Process};
 use crate::report::{KINDS, Looks};
@@ -69,7 +69,7 @@
         let (seconds, until_us) = (begun.elapsed().as_secs_f64(), monotonic::now_us());
         let (second, idle) = (self.look(), machine.zip(usage::machine()).map(idle_share));
         self.coordinator.order(&CoordinatorOrder::Stop).await?;
-        let CoordinatorWord::Stopped { .. } = self.coordinator.word().await? else {
+        let CoordinatorReply::Stopped { .. } = self.coordinator.reply().await? else {
             return Err("the coordinator said something else than that it has stopped".into());
         };
         progress("draining");
