--- a/crates/flaxdeck-recovery/src/numbering.rs
+++ b/crates/flaxdeck-recovery/src/numbering.rs
@@ -99,6 +99,8 @@
     sure: Option<Time>,
     /// The last proven link ended by its end, not by silence.
     ended_whole: bool,
+    /// The last link ended by silence: until something comes, the coordinator may only be hanging.
+    silent: bool,
     /// A number always means the same event, as the platform's page has it: nothing needs to be proven.
     trusts: bool,
     /// The last events as applied, whoever brought them.
@@ -114,13 +116,14 @@
         let (link, from_the_start, sure, ended_whole) = (None, false, None, false);
         let applied = Applied { hash: last.hash, at: Time::default() };
         let (applied, distrusts_until) = (BTreeMap::from([(last.number, applied)]), Time::default());
-        let (trusts, unechoed) = (false, None);
+        let (trusts, unechoed, silent) = (false, None, false);
         Numbering {
             last,
             link,
             from_the_start,
             sure,
             ended_whole,
+            silent,
             trusts,
             applied,
             distrusts_until,
@@ -161,6 +164,7 @@
 
     /// The link has ended, by the other side's end or by a silence.
     pub fn ended(&mut self, by_silence: bool) {
+        self.silent = by_silence;
         if self.link.take().is_some_and(|link| link.proven) {
             self.ended_whole = !by_silence;
         }
@@ -170,6 +174,7 @@
     pub fn heard(&mut self, now: Time, mark: Mark, whole: bool) -> Next {
         let Some(link) = &mut self.link else { return Next::Skip };
         link.heard = now;
+        self.silent = false;
         let next = if link.proven { self.on_proven(now, mark) } else { self.on_first(now, mark, whole) };
         match next {
             Next::Apply => self.applies(now, mark),
@@ -267,10 +272,13 @@
         Next::AskAgain(why)
     }
 
-    /// When a link that has brought nothing by then lacks what was asked for, or what others have brought.
+    /// When a link that has brought nothing by then lacks what was asked for, or what others have brought. After a link
+    /// that fell silent no such time is known: a coordinator that hangs takes connections too, and brings nothing on
+    /// any. There its empty frame has to say so.
     pub fn proves_by(&self) -> Option<Time> {
         let link = self.link.as_ref()?;
-        let since = if link.proven { self.unechoed.map(|(_, since)| since) } else { Some(link.heard) };
+        let unproven = || Some(link.heard).filter(|_| !self.silent);
+        let since = if link.proven { self.unechoed.map(|(_, since)| since) } else { unproven() };
         since.map(|since| since + PROVES)
     }
 
@@ -289,6 +297,7 @@
     pub fn alive(&mut self, now: Time) -> Next {
         let Some(link) = &mut self.link else { return Next::Skip };
         link.heard = now;
+        self.silent = false;
         if link.proven {
             self.sure = Some(now);
             return Next::Skip;
--- a/crates/flaxdeck-recovery/tests/numbering.rs
+++ b/crates/flaxdeck-recovery/tests/numbering.rs
@@ -162,3 +162,41 @@
     }
     assert_eq!(numbering.heard(at(1), mark(20 + 2 * most - 100, 6), false), Next::AskAgain(Why::OtherEvent));
 }
+
+#[test]
+fn a_coordinator_that_hangs_is_not_taken_for_one_with_another_numbering() {
+    let mut numbering = known();
+    numbering.ended(true);
+    // It takes connections and says nothing, on one after the other.
+    for ms in [2_300, 4_600] {
+        assert_eq!(numbering.ask(at(ms)), 19);
+        assert_eq!(numbering.proves_by(), None);
+        numbering.ended(true);
+    }
+    assert_eq!(numbering.ask(at(7_000)), 19);
+    assert_eq!(numbering.heard(at(7_100), mark(20, 7), false), Next::Skip);
+    assert!(numbering.is_proven());
+    assert_eq!(numbering.heard(at(7_100), mark(21, 8), false), Next::Apply);
+}
+
+#[test]
+fn one_that_hung_and_has_lost_its_numbering_says_so_by_its_empty_frame() {
+    let mut numbering = known();
+    numbering.ended(true);
+    numbering.ask(at(2_300));
+    assert_eq!(numbering.alive(at(3_000)), Next::AskAgain(Why::Nothing));
+    assert_eq!(numbering.ask(at(3_010)), 0);
+    assert!(matches!(numbering.heard(at(3_020), mark(1, 9), true), Next::Adopt(Some(_))));
+}
+
+#[test]
+fn after_a_link_that_was_closed_a_silent_one_is_soon_taken_for_another_numbering() {
+    let mut numbering = known();
+    numbering.ended(true);
+    numbering.ask(at(2_300));
+    numbering.ended(false);
+    assert_eq!(numbering.ask(at(2_400)), 19);
+    assert_eq!(numbering.proves_by(), Some(at(2_900)));
+    assert_eq!(numbering.overdue(at(2_900)), Next::AskAgain(Why::Nothing));
+    assert_eq!(numbering.ask(at(2_910)), 0);
+}
