--- a/crates/flaxdeck-dispatcher/src/routing/keep.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/keep.rs
@@ -187,7 +187,7 @@
         for told in events {
             kept.add(later(event, told));
         }
-        kept.forget_settled(settles);
+        kept.forget_settled(clock.now(), settles);
         let (jobs, work) = sync_channel(WAITING);
         let (tells, wrote) = unbounded_channel();
         let (folder, name, first) = (keeps.folder.clone(), keeps.name.clone(), belief::bytes(&kept));
@@ -256,7 +256,7 @@
             bad_ago: ago(observation.bad),
         };
         let mut kept = self.kept.borrow_mut();
-        kept.forget_settled(self.settles);
+        kept.forget_settled(now, self.settles);
         (kept.written, kept.ratings) = (uptime(), seen.map(rating).collect());
         belief::bytes(&*kept)
     }
--- a/crates/flaxdeck-recovery/src/belief.rs
+++ b/crates/flaxdeck-recovery/src/belief.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck::words::Span;
+use flaxdeck::words::{Span, Time};
 use serde::{Deserialize, Serialize};
 
 use crate::numbering::Mark;
@@ -143,11 +143,13 @@
         }
     }
 
-    /// Forgets purges that had settled when the latest was made: hosts have dropped what they concern.
-    pub fn forget_settled(&mut self, settles: Span) {
+    /// Forgets purges that have settled: hosts have dropped what they concern. `now` is this machine's wall clock; the time
+    /// counts from the earlier of that and the latest purge, as either clock may be ahead.
+    pub fn forget_settled(&mut self, now: Time, settles: Span) {
         let latest = self.purges.iter().map(|purge| purge.made).max().unwrap_or(0);
+        let from = latest.min(now.ms() as u64);
         let kept_for = (settles + SETTLE_MARGIN).ms().ceil() as u64;
-        self.purges.retain(|purge| purge.made.saturating_add(kept_for) >= latest);
+        self.purges.retain(|purge| purge.made.saturating_add(kept_for) >= from);
     }
 
     /// The oldest purges become one of all copies from before the latest of them, which asks for no less.
--- a/crates/flaxdeck-recovery/tests/belief.rs
+++ b/crates/flaxdeck-recovery/tests/belief.rs
@@ -1,6 +1,6 @@
 //! What of stored state may be believed, item by item.
 
-use flaxdeck::words::Span;
+use flaxdeck::words::{Span, Time};
 use flaxdeck_recovery::Mark;
 use flaxdeck_recovery::belief::{
     Believed, Kept, KeptLine, KeptPurge, KeptRating, Later, Now, Uptime, bytes, judge,
@@ -123,10 +123,10 @@
         for number in 0..=last {
             kept.add(purged(number, 1_000 + number * 1_000 / per_s));
             if number % 500 == 0 {
-                kept.forget_settled(SETTLES);
+                kept.forget_settled(Time::at_ms(1e9), SETTLES);
             }
         }
-        kept.forget_settled(SETTLES);
+        kept.forget_settled(Time::at_ms(1e9), SETTLES);
         let latest = 1_000 + last * 1_000 / per_s;
         for number in 0..=last {
             let made = 1_000 + number * 1_000 / per_s;
@@ -155,3 +155,19 @@
     let read = Kept::read(&snapshot, &records).unwrap();
     assert_eq!((read.purges.len(), copies_from(&read, count)), (kept.purges.len() + 1, 1_000 + count));
 }
+
+#[test]
+fn a_purge_made_by_a_clock_that_is_ahead_has_no_other_forgotten() {
+    let hour = 3_600_000;
+    let mut kept = Kept::default();
+    [purged(1, 1_000_000), purged(2, 1_000_000 + hour)].into_iter().for_each(|purge| kept.add(purge));
+    kept.forget_settled(Time::at_ms(1_002_000.0), SETTLES);
+    assert_eq!(kept.purges.len(), 2, "made 2 s ago by this machine's clock");
+    kept.forget_settled(Time::at_ms(1_010_000.0), SETTLES);
+    assert_eq!((kept.purges.len(), copies_from(&kept, 1)), (1, 0));
+    // This machine's own clock may be ahead as well: then the latest purge counts.
+    let mut kept = Kept::default();
+    [purged(1, 1_000_000), purged(2, 1_002_000)].into_iter().for_each(|purge| kept.add(purge));
+    kept.forget_settled(Time::at_ms(9e9), SETTLES);
+    assert_eq!(kept.purges.len(), 2);
+}
