--- a/crates/flaxdeck-recovery/src/belief.rs
+++ b/crates/flaxdeck-recovery/src/belief.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::words::{GroupId, Span, Time};
 use serde::{Deserialize, Serialize};
 
 use crate::numbering::Mark;
@@ -91,8 +91,6 @@
 pub const PURGES_MOST: usize = 32_768;
 /// How many are folded at once.
 const FOLDED: usize = PURGES_MOST / 16;
-/// The group that stands for all copies.
-const ALL_GROUPS: u64 = u64::MAX;
 /// Beyond the time to settle purges are kept for so long: for clocks of hosts that run apart.
 const SETTLE_MARGIN: Span = Span::from_ms(500);
 
@@ -157,7 +155,7 @@
         self.purges.sort_by_key(|purge| purge.made);
         let oldest = self.purges.drain(..=FOLDED);
         let Some(made) = oldest.map(|purge| purge.made).max() else { return };
-        self.purges.insert(0, KeptPurge { object: None, group: ALL_GROUPS, made });
+        self.purges.insert(0, KeptPurge { object: None, group: GroupId::ALL.0, made });
     }
 }
 
