--- a/crates/flaxdeck-adapter/src/wire.rs
+++ b/crates/flaxdeck-adapter/src/wire.rs
@@ -49,14 +49,17 @@
 impl Desk {
     /// Takes one line; writes and flushes a reply when the line ends a batch.
     pub fn take(&mut self, line: &[u8], output: &mut impl Write) -> Result<(), Fault> {
-        let value: Value = serde_json::from_slice(line).map_err(|error| format!("not JSON: {error}"))?;
+        let value: Value =
+            serde_json::from_slice(line).map_err(|error| format!("not JSON: {error}"))?;
         let fields = Fields::of(&value, "the message")?;
         let name = fields.text("event_type")?;
         match name {
             "Mark" => {
                 let now = fields.time("sim_time_ms")?;
                 if self.now.replace(now).is_some() {
-                    return Err(Fault::Input("Mark inside a batch: the clock is set anew".into()));
+                    return Err(Fault::Input(
+                        "Mark inside a batch: the clock is set anew".into(),
+                    ));
                 }
             }
             "EofBatch" => {
@@ -74,7 +77,8 @@
             }
             _ => {
                 let now = self.now.ok_or_else(|| format!("{name} outside a batch"))?;
-                self.event(name, &fields, now).map_err(|fault| format!("{name}: {fault}"))?;
+                self.event(name, &fields, now)
+                    .map_err(|fault| format!("{name}: {fault}"))?;
             }
         }
         Ok(())
@@ -83,7 +87,8 @@
     fn event(&mut self, name: &str, fields: &Fields, now: Time) -> Result<(), String> {
         if name == "Directory" {
             let rows = fields.rows("elements")?;
-            self.sheets.insert(fields.whole("sheet")?, Rc::new(rows.clone()));
+            self.sheets
+                .insert(fields.whole("sheet")?, Rc::new(rows.clone()));
             return Ok(());
         }
         const KNOWN: [&str; 11] = [
@@ -115,7 +120,10 @@
                 None => Err(format!("{who} was never started")),
             };
         }
-        let instance = self.instances.get_mut(who).ok_or_else(|| format!("{who} was never started"))?;
+        let instance = self
+            .instances
+            .get_mut(who)
+            .ok_or_else(|| format!("{who} was never started"))?;
         let decisions = match name {
             "Endpoints" => {
                 let list_kind = match fields.text("how")? {
@@ -125,7 +133,10 @@
                     other => return Err(format!("unknown kind of list {other}")),
                 };
                 let number = fields.whole("sheet")?;
-                let rows = self.sheets.get(&number).ok_or_else(|| format!("list {number} was never sent"))?;
+                let rows = self
+                    .sheets
+                    .get(&number)
+                    .ok_or_else(|| format!("list {number} was never sent"))?;
                 let listed = instance.listed(rows)?;
                 instance.brain.list(now, list_kind, listed)
             }
@@ -138,7 +149,10 @@
                 instance.brain.attempt_ended(now, ended)
             }
             "Outdated" => {
-                let object = fields.whole_or_none("key")?.filter(|key| *key != 0).map(ObjectId);
+                let object = fields
+                    .whole_or_none("key")?
+                    .filter(|key| *key != 0)
+                    .map(ObjectId);
                 let group = GroupId(fields.whole("family_id")?);
                 let made = now - fields.span_or_zero("how_old_ms")?;
                 instance.brain.purge(now, object, group, made)
@@ -147,9 +161,14 @@
                 fields.whole("ctx")?;
                 instance.brain.wake(now)
             }
-            "Dropped" => instance.brain.client_left(now, RequestId(fields.whole("request_id")?)),
+            "Dropped" => instance
+                .brain
+                .client_left(now, RequestId(fields.whole("request_id")?)),
             "CheckResult" => {
-                let (host, told) = (HostId(fields.text("host")?.into()), instance.report(fields)?);
+                let (host, told) = (
+                    HostId(fields.text("host")?.into()),
+                    instance.report(fields)?,
+                );
                 instance.brain.seen(now, &host, told)
             }
             // Streamed answers and messages are never asked for here: nothing follows from them.
@@ -169,11 +188,15 @@
     }
 
     fn listed(&self, rows: &[Value]) -> Result<Vec<Endpoint>, String> {
-        rows.iter().map(|row| self.listed_one(&Fields::of(row, "a list entry")?)).collect()
+        rows.iter()
+            .map(|row| self.listed_one(&Fields::of(row, "a list entry")?))
+            .collect()
     }
 
     fn listed_one(&self, row: &Fields) -> Result<Endpoint, String> {
-        let kind = row.text_or_none("shape")?.and_then(|shape| place(&self.names.kinds, shape));
+        let kind = row
+            .text_or_none("shape")?
+            .and_then(|shape| place(&self.names.kinds, shape));
         let role = self.names.role(kind);
         let health = match row.text("mode")? {
             "in_service" => Health::InService,
@@ -181,7 +204,9 @@
             "terminated" => Health::Removed,
             other => return Err(format!("unknown mode {other}")),
         };
-        let zone = row.text_or_none("region_part")?.and_then(|zone| place(&self.names.zones, zone));
+        let zone = row
+            .text_or_none("region_part")?
+            .and_then(|zone| place(&self.names.zones, zone));
         Ok(Endpoint {
             host: HostId(row.text("host")?.into()),
             weight: row.number_or("heft", 1.0)?,
@@ -189,13 +214,19 @@
             cell: CellId(row.whole_or_none("cluster")?.unwrap_or(0)),
             role,
             health,
-            started: row.number_or_none("boot_time_ms")?.filter(|ms| *ms > 0.0).map(Time::at_ms),
+            started: row
+                .number_or_none("boot_time_ms")?
+                .filter(|ms| *ms > 0.0)
+                .map(Time::at_ms),
         })
     }
 
     fn request(&self, fields: &Fields) -> Result<Request, String> {
         let name = fields.text("qos")?;
-        let class = self.names.class(name).ok_or_else(|| format!("unknown class {name}"))?;
+        let class = self
+            .names
+            .class(name)
+            .ok_or_else(|| format!("unknown class {name}"))?;
         Ok(Request {
             id: RequestId(fields.whole("request_id")?),
             class,
@@ -211,8 +242,17 @@
     fn report(&self, fields: &Fields) -> Result<LoadReport, String> {
         let values = fields.numbers("stats")?;
         let value = |at: Option<usize>| at.and_then(|at| values.get(at)).copied();
-        let Names { link_at, in_hand_at, busy_at, .. } = self.names;
-        Ok(LoadReport { link: value(link_at), in_hand: value(in_hand_at), busy: value(busy_at) })
+        let Names {
+            link_at,
+            in_hand_at,
+            busy_at,
+            ..
+        } = self.names;
+        Ok(LoadReport {
+            link: value(link_at),
+            in_hand: value(in_hand_at),
+            busy: value(busy_at),
+        })
     }
 
     fn ended(&self, fields: &Fields) -> Result<Ended, String> {
@@ -243,8 +283,10 @@
 
 fn encode(who: &str, now: Time, decisions: Decisions, reply: &mut Vec<Value>) {
     for cancel in decisions.cancels {
-        reply.push(json!({"event_type": "UndoSend", "who": who, "request_id": cancel.request.0,
-            "leg": cancel.index.0}));
+        reply.push(
+            json!({"event_type": "UndoSend", "who": who, "request_id": cancel.request.0,
+            "leg": cancel.index.0}),
+        );
     }
     for sent in decisions.attempts {
         let bits = u8::from(sent.join) + 2 * u8::from(sent.only_held) + 8 * u8::from(sent.renew);
@@ -258,8 +300,12 @@
     }
     for last in decisions.finals {
         reply.push(match last {
-            Final::Rejected { request, retry_after } => {
-                let mut action = json!({"event_type": "PushBack", "who": who, "request_id": request.0});
+            Final::Rejected {
+                request,
+                retry_after,
+            } => {
+                let mut action =
+                    json!({"event_type": "PushBack", "who": who, "request_id": request.0});
                 if let Some(retry_after) = retry_after {
                     action["come_back_ms"] = json!(retry_after.ms());
                 }
@@ -274,6 +320,8 @@
         reply.push(json!({"event_type": "Inspect", "who": who, "host": &*host.0}));
     }
     if let Some(at) = decisions.wake {
-        reply.push(json!({"event_type": "WakeMe", "who": who, "after_ms": at.since(now).ms(), "ctx": 0}));
+        reply.push(
+            json!({"event_type": "WakeMe", "who": who, "after_ms": at.since(now).ms(), "ctx": 0}),
+        );
     }
 }
--- a/crates/flaxdeck-adapter/tests/looks.rs
+++ b/crates/flaxdeck-adapter/tests/looks.rs
@@ -34,8 +34,15 @@
         .unwrap();
     let mut input = child.stdin.take().unwrap();
     for (at, events) in batches {
-        writeln!(input, "{}", json!({"event_type": "Mark", "sim_time_ms": at})).unwrap();
-        events.iter().for_each(|event| writeln!(input, "{event}").unwrap());
+        writeln!(
+            input,
+            "{}",
+            json!({"event_type": "Mark", "sim_time_ms": at})
+        )
+        .unwrap();
+        events
+            .iter()
+            .for_each(|event| writeln!(input, "{event}").unwrap());
         writeln!(input, "{}", json!({"event_type": "EofBatch"})).unwrap();
     }
     drop(input);
@@ -56,8 +63,11 @@
         json!({"host": name, "heft": 20.0, "region_part": zone, "cluster": 0, "shape": shape, "mode": "in_service",
             "boot_time_ms": null})
     };
-    let hosts =
-        [host("c:1", "cache", "edge-1"), host("p:1", "parent", "north"), host("o:1", "origin", "north")];
+    let hosts = [
+        host("c:1", "cache", "edge-1"),
+        host("p:1", "parent", "north"),
+        host("o:1", "origin", "north"),
+    ];
     vec![
         json!({"event_type": "Launch", "who": "d-0", "entropy": 7, "params": settings(via, probes)}),
         json!({"event_type": "Directory", "sheet": 0, "elements": hosts}),
@@ -71,7 +81,10 @@
 }
 
 fn of<'a>(batch: &'a [Value], name: &str) -> Vec<&'a Value> {
-    batch.iter().filter(|action| action["event_type"] == name).collect()
+    batch
+        .iter()
+        .filter(|action| action["event_type"] == name)
+        .collect()
 }
 
 #[test]
@@ -90,7 +103,10 @@
     assert_eq!(looks[0]["host"], "c:1");
     assert_eq!(of(&batches[2], "Obtain")[0]["miss_from"], "p:1");
     let after = of(&batches[3], "Obtain")[0];
-    assert_eq!(after["miss_from"], "c:1", "the link is full: only a hit is asked for");
+    assert_eq!(
+        after["miss_from"], "c:1",
+        "the link is full: only a hit is asked for"
+    );
     assert_eq!(after["how_old_ms"], 28_000.0, "and an ageing one will do");
 }
 
@@ -99,6 +115,9 @@
     for (via, probes) in [("inline", true), ("on_probe", false), ("off", true)] {
         let wake = json!({"event_type": "Elapsed", "who": "d-0", "ctx": 0});
         let batches = replies(&[(1000.0, started(via, probes)), (2500.0, vec![wake])]);
-        assert!(batches.iter().all(|batch| of(batch, "Inspect").is_empty()), "{via} {probes}");
+        assert!(
+            batches.iter().all(|batch| of(batch, "Inspect").is_empty()),
+            "{via} {probes}"
+        );
     }
 }
--- a/crates/flaxdeck-cli/src/capacity.rs
+++ b/crates/flaxdeck-cli/src/capacity.rs
@@ -61,8 +61,15 @@
     let lines = fit::fit(&measurements);
     let rows: Vec<SlopeRow> = lines.iter().flat_map(line::rows).collect();
     files::write_table(slopes, &rows)?;
-    let with_slope = lines.iter().filter(|line| line.evidence == line::Evidence::Slope).count();
-    println!("{} rows of runs: {} lines, {with_slope} of them slopes", measurements.len(), lines.len());
+    let with_slope = lines
+        .iter()
+        .filter(|line| line.evidence == line::Evidence::Slope)
+        .count();
+    println!(
+        "{} rows of runs: {} lines, {with_slope} of them slopes",
+        measurements.len(),
+        lines.len()
+    );
     Ok(())
 }
 
--- a/crates/flaxdeck-cli/src/compare.rs
+++ b/crates/flaxdeck-cli/src/compare.rs
@@ -48,9 +48,16 @@
     let breaches = out.verdict.map_or(Vec::new(), |verdict| verdict.breaches);
     println!("rules broken: {}", breaches.len());
     for breach in breaches.iter().take(10) {
-        println!("  rule {} at {:.0} ms: {}", breach.rule, breach.at, breach.what);
+        println!(
+            "  rule {} at {:.0} ms: {}",
+            breach.rule, breach.at, breach.what
+        );
+    }
+    if breaches.is_empty() {
+        Ok(())
+    } else {
+        Err(Stop(1, "a rule was broken".into()))
     }
-    if breaches.is_empty() { Ok(()) } else { Err(Stop(1, "a rule was broken".into())) }
 }
 
 pub struct Asked {
@@ -65,18 +72,26 @@
     for kind in &asked.limits.kinds {
         if !flaxdeck_fleet::faults::KINDS.contains(&kind.as_str()) {
             let known = flaxdeck_fleet::faults::KINDS.join(" ");
-            return Err(faulty(format!("--kinds: {kind} is no kind of fault, it is one of: {known}")));
+            return Err(faulty(format!(
+                "--kinds: {kind} is no kind of fault, it is one of: {known}"
+            )));
         }
     }
     if !(asked.limits.level > 0.0 && asked.limits.level < 1.0) {
-        return Err(faulty(format!("--level: {} is not between 0 and 1", asked.limits.level)));
+        return Err(faulty(format!(
+            "--level: {} is not between 0 and 1",
+            asked.limits.level
+        )));
     }
     let (mut a, mut b) = (shapes::read(&asked.a)?, shapes::read(&asked.b)?);
     (a.judged, b.judged) = (asked.judged, asked.judged);
     let shown = std::io::stderr().is_terminal() && !asked.json;
     let comparison = flaxdeck_lab::compare(&a, &b, &asked.limits, |so_far| {
         if shown {
-            let (low, high) = so_far.figures[0].sequence.interval().unwrap_or((f64::NAN, f64::NAN));
+            let (low, high) = so_far.figures[0]
+                .sequence
+                .interval()
+                .unwrap_or((f64::NAN, f64::NAN));
             eprint!(
                 "\r{} pairs, {:.0} s, gain {low:+.4} to {high:+.4}   ",
                 so_far.pairs,
@@ -92,7 +107,11 @@
     } else {
         print_table(&comparison, asked)
     }
-    if comparison.breaches == [0, 0] { Ok(()) } else { Err(Stop(1, "a rule was broken".into())) }
+    if comparison.breaches == [0, 0] {
+        Ok(())
+    } else {
+        Err(Stop(1, "a rule was broken".into()))
+    }
 }
 
 fn print_table(comparison: &Comparison, asked: &Asked) {
@@ -116,10 +135,16 @@
         let sequence = &figure.sequence;
         let interval = sequence
             .interval()
-            .map_or("too few pairs".into(), |(low, high)| format!("{low:+.4} to {high:+.4}"));
+            .map_or("too few pairs".into(), |(low, high)| {
+                format!("{low:+.4} to {high:+.4}")
+            });
         let [a, b] = figure.means;
         let verdict = word(sequence.verdict(asked.limits.matters));
-        println!("{:<24} {a:>9.4} {b:>9.4} {:>+9.4}  {interval:<22} {verdict}", figure.name, sequence.mean());
+        println!(
+            "{:<24} {a:>9.4} {b:>9.4} {:>+9.4}  {interval:<22} {verdict}",
+            figure.name,
+            sequence.mean()
+        );
     }
 }
 
--- a/crates/flaxdeck-cli/src/demo.rs
+++ b/crates/flaxdeck-cli/src/demo.rs
@@ -16,14 +16,27 @@
 const FORWARDERS: usize = 3;
 
 pub fn run(rate: f64, alone: bool, shown: bool) -> Result<(), Stop> {
-    let binary = std::env::current_exe().map_err(|error| format!("no path of this program: {error}"))?;
-    let world = World::start(Layout { forwarders: FORWARDERS, ..Layout::default() })?;
+    let binary =
+        std::env::current_exe().map_err(|error| format!("no path of this program: {error}"))?;
+    let world = World::start(Layout {
+        forwarders: FORWARDERS,
+        ..Layout::default()
+    })?;
     let caches = world.hosts(Kind::Cache);
     let planners = if alone { 0 } else { 2 };
-    let setup = Setup { shown, ..Setup::of(binary, planners, FORWARDERS) };
+    let setup = Setup {
+        shown,
+        ..Setup::of(binary, planners, FORWARDERS)
+    };
     let mut fleet = Fleet::start(world, setup)?;
-    println!("a world of {} caches, 2 parents, an origin and a coordinator, on loopback", caches.len());
-    println!("{FORWARDERS} forwarders, {}", if alone { "no planner" } else { "2 planners" });
+    println!(
+        "a world of {} caches, 2 parents, an origin and a coordinator, on loopback",
+        caches.len()
+    );
+    println!(
+        "{FORWARDERS} forwarders, {}",
+        if alone { "no planner" } else { "2 planners" }
+    );
     // Forwarders that have just started leave cold hosts alone for some seconds: they might have lent their shares.
     let begins = fleet.world.now() + 4_500.0;
     let load = Load {
@@ -39,8 +52,16 @@
     };
     let clients = fleet.world.clients(&fleet.addresses(), &load);
     let mut script = vec![
-        (COLD_AT, "a cache starts anew, cold and empty", Fault::RestartHost(caches[0].clone())),
-        (DRAIN_AT, "another cache drains", Fault::Drain(caches[1].clone())),
+        (
+            COLD_AT,
+            "a cache starts anew, cold and empty",
+            Fault::RestartHost(caches[0].clone()),
+        ),
+        (
+            DRAIN_AT,
+            "another cache drains",
+            Fault::Drain(caches[1].clone()),
+        ),
     ];
     if !alone {
         script.insert(1, (KILL_AT, "a planner is killed", Fault::KillPlanner(0)));
@@ -56,9 +77,15 @@
         }
         fleet.world.wait_until(at);
         let so_far = fleet.world.verdict();
-        let (asked, ended) = (so_far.asked, so_far.served + so_far.rejected + so_far.failed + so_far.left);
+        let (asked, ended) = (
+            so_far.asked,
+            so_far.served + so_far.rejected + so_far.failed + so_far.left,
+        );
         let (served, rejected, failed) = (so_far.served, so_far.rejected, so_far.failed);
-        println!("{second:>6}  {asked:>6}  {served:>8}  {rejected:>8}  {failed:>9}  {:>4}", asked - ended);
+        println!(
+            "{second:>6}  {asked:>6}  {served:>8}  {rejected:>8}  {failed:>9}  {:>4}",
+            asked - ended
+        );
     }
     finish(&fleet, &clients)
 }
@@ -71,21 +98,54 @@
     let (verdict, told) = (fleet.world.verdict(), clients.told());
     let mut took = told.took;
     took.sort_by(f64::total_cmp);
-    let at = |part: f64| took.get((took.len() as f64 * part) as usize).copied().unwrap_or(0.0);
-    let accounted = if verdict.all_accounted_for() { "all accounted for" } else { "SOME UNACCOUNTED FOR" };
+    let at = |part: f64| {
+        took.get((took.len() as f64 * part) as usize)
+            .copied()
+            .unwrap_or(0.0)
+    };
+    let accounted = if verdict.all_accounted_for() {
+        "all accounted for"
+    } else {
+        "SOME UNACCOUNTED FOR"
+    };
     println!("\nrequests sent                     {:>8}", verdict.asked);
     println!("  served                           {:>8}", verdict.served);
-    println!("  rejected, with a time to come back {:>6}", verdict.rejected);
+    println!(
+        "  rejected, with a time to come back {:>6}",
+        verdict.rejected
+    );
     println!("  failed                           {:>8}", verdict.failed);
-    println!("  left by clients                  {:>8}   {accounted}", verdict.left);
-    println!("time of an answer, median and 99th {:>8.1} {:.1} ms", at(0.5), at(0.99));
+    println!(
+        "  left by clients                  {:>8}   {accounted}",
+        verdict.left
+    );
+    println!(
+        "time of an answer, median and 99th {:>8.1} {:.1} ms",
+        at(0.5),
+        at(0.99)
+    );
     println!("answers with wrong bytes           {:>8}", told.wrong_bytes);
-    println!("fills at the origin                {:>8}", fleet.world.fills_at_origin());
-    println!("latest work after a drain          {:>8.0} ms, 1000 allowed", verdict.latest_arrival);
-    println!("most asked of a cold host          {:>8.2} of what it bears", verdict.most_of_bound);
-    println!("rules broken                       {:>8}", verdict.breaches.len());
+    println!(
+        "fills at the origin                {:>8}",
+        fleet.world.fills_at_origin()
+    );
+    println!(
+        "latest work after a drain          {:>8.0} ms, 1000 allowed",
+        verdict.latest_arrival
+    );
+    println!(
+        "most asked of a cold host          {:>8.2} of what it bears",
+        verdict.most_of_bound
+    );
+    println!(
+        "rules broken                       {:>8}",
+        verdict.breaches.len()
+    );
     for breach in verdict.breaches.iter().take(10) {
-        println!("  rule {} at {:.0} ms: {}", breach.rule, breach.at, breach.what);
+        println!(
+            "  rule {} at {:.0} ms: {}",
+            breach.rule, breach.at, breach.what
+        );
     }
     if verdict.breaches.is_empty() && verdict.all_accounted_for() && told.wrong_bytes == 0 {
         Ok(())
--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -16,7 +16,8 @@
 use crate::{Stop, faulty};
 
 pub fn text(file: &str) -> Result<String, Stop> {
-    std::fs::read_to_string(file).map_err(|error| faulty(format!("{file}: cannot be read: {error}")))
+    std::fs::read_to_string(file)
+        .map_err(|error| faulty(format!("{file}: cannot be read: {error}")))
 }
 
 /// A path that stands in a file, relative to that file's own place.
@@ -27,7 +28,13 @@
 /// The plan with its shared key; the key's file is looked for beside the plan.
 pub fn plan(file: &str) -> Result<(Plan, Key), Stop> {
     let lines = |faults: Vec<flaxdeck_plan::Fault>| {
-        faulty(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
+        faulty(
+            faults
+                .iter()
+                .map(ToString::to_string)
+                .collect::<Vec<_>>()
+                .join("\n"),
+        )
     };
     let plan = flaxdeck_plan::read(file, &text(file)?).map_err(lines)?;
     let path = beside(file, &plan.key_file);
@@ -45,20 +52,33 @@
 }
 
 pub fn world(file: &str) -> Result<World, Stop> {
-    let value: Value = serde_json::from_str(&text(file)?)
-        .map_err(|error| faulty(format!("{file}:{}:{}: not JSON: {error}", error.line(), error.column())))?;
+    let value: Value = serde_json::from_str(&text(file)?).map_err(|error| {
+        faulty(format!(
+            "{file}:{}:{}: not JSON: {error}",
+            error.line(),
+            error.column()
+        ))
+    })?;
     let window = || {
         let settings = Fields::of(&value, "the whole")?.inner("settings")?;
         flaxdeck_terms::read(&settings).map(|(terms, _)| terms.fall_window)
     };
     let window = window().map_err(|fault| faulty(format!("{file}: settings: {fault}")))?;
-    Ok(World { file: file.to_owned(), value, window })
+    Ok(World {
+        file: file.to_owned(),
+        value,
+        window,
+    })
 }
 
 impl World {
     /// Where the instance listens: the name that its state bears.
     pub fn listen(&self) -> Result<String, Stop> {
-        let listen = || Fields::of(&self.value, "the whole")?.text("listen").map(str::to_owned);
+        let listen = || {
+            Fields::of(&self.value, "the whole")?
+                .text("listen")
+                .map(str::to_owned)
+        };
         listen().map_err(|fault: String| faulty(format!("{}: {fault}", self.file)))
     }
 
@@ -68,11 +88,21 @@
             let fields = Fields::of(&self.value, "the whole")?;
             let (_, names) = flaxdeck_terms::read(&fields.inner("settings")?)?;
             let address = fields.text("coordinator")?;
-            let address: SocketAddr =
-                address.parse().map_err(|_| format!("coordinator: {address} is no address"))?;
-            let seed = u64::from_str_radix(fields.text("seed")?, 16).map_err(|_| "seed is not in hex")?;
-            let seed = name.bytes().fold(seed, |seed, byte| seed.rotate_left(8) ^ u64::from(byte));
-            Watch::start(address, &fields.inner("known")?, Rc::new(names), false, seed)
+            let address: SocketAddr = address
+                .parse()
+                .map_err(|_| format!("coordinator: {address} is no address"))?;
+            let seed =
+                u64::from_str_radix(fields.text("seed")?, 16).map_err(|_| "seed is not in hex")?;
+            let seed = name
+                .bytes()
+                .fold(seed, |seed, byte| seed.rotate_left(8) ^ u64::from(byte));
+            Watch::start(
+                address,
+                &fields.inner("known")?,
+                Rc::new(names),
+                false,
+                seed,
+            )
         };
         watch().map_err(|fault: String| format!("{}: {fault}", self.file))
     }
--- a/crates/flaxdeck-cli/src/levels.rs
+++ b/crates/flaxdeck-cli/src/levels.rs
@@ -63,11 +63,16 @@
             }
         }
     }
-    if broken == 0 { Ok(()) } else { Err(Stop(1, format!("{broken} times a rule was broken"))) }
+    if broken == 0 {
+        Ok(())
+    } else {
+        Err(Stop(1, format!("{broken} times a rule was broken")))
+    }
 }
 
 fn play(forwarders: usize, planners: usize, rate: f64, seed: u64) -> Result<Row, Stop> {
-    let binary = std::env::current_exe().map_err(|error| format!("no path of this program: {error}"))?;
+    let binary =
+        std::env::current_exe().map_err(|error| format!("no path of this program: {error}"))?;
     let layout = Layout {
         factor: FACTOR,
         caches: 3,
@@ -79,12 +84,17 @@
         ..Layout::default()
     };
     let world = World::start(layout)?;
-    let (cache, parent) = (world.hosts(Kind::Cache)[0].clone(), world.hosts(Kind::Parent)[0].clone());
+    let (cache, parent) = (
+        world.hosts(Kind::Cache)[0].clone(),
+        world.hosts(Kind::Parent)[0].clone(),
+    );
     let mut fleet = Fleet::start(world, Setup::of(binary, planners, forwarders))?;
     let begins = fleet.world.now() + 4_800.0;
     // Nine tenths of the load come to one forwarder.
     let others = rate * 0.1 / (forwarders.max(2) - 1) as f64;
-    let rates: Vec<f64> = (0..forwarders).map(|n| if n == 0 { rate * 0.9 } else { others }).collect();
+    let rates: Vec<f64> = (0..forwarders)
+        .map(|n| if n == 0 { rate * 0.9 } else { others })
+        .collect();
     let load = Load {
         seed,
         rates,
@@ -112,8 +122,14 @@
     let before = fleet.spoken();
     let script = [
         (begins + COLD_AT, Fault::RestartHost(cache.clone())),
-        (begins + FAILS_AT, Fault::HostManner(parent.clone(), Manner::Fail)),
-        (begins + MENDED_AT, Fault::HostManner(parent.clone(), Manner::Serve)),
+        (
+            begins + FAILS_AT,
+            Fault::HostManner(parent.clone(), Manner::Fail),
+        ),
+        (
+            begins + MENDED_AT,
+            Fault::HostManner(parent.clone(), Manner::Serve),
+        ),
     ];
     fleet.play(&script)?;
     let limit = fleet.world.now() + 10_000.0;
@@ -125,24 +141,38 @@
     let (verdict, record) = (fleet.world.verdict(), fleet.world.record());
     let mut took = [clients.told().took, rare.told().took].concat();
     took.sort_by(f64::total_cmp);
-    let at = |part: f64| took.get((took.len() as f64 * part) as usize).copied().unwrap_or(0.0);
+    let at = |part: f64| {
+        took.get((took.len() as f64 * part) as usize)
+            .copied()
+            .unwrap_or(0.0)
+    };
     let failing = (begins + FAILS_AT)..(begins + MENDED_AT);
     let arrived = |(at, seen): &&(f64, Seen)| {
         failing.contains(at) && matches!(seen, Seen::Arrived { host } if *host == parent)
     };
-    let offs: Vec<f64> = record.iter().filter(arrived).map(|(at, _)| at - failing.start).collect();
+    let offs: Vec<f64> = record
+        .iter()
+        .filter(arrived)
+        .map(|(at, _)| at - failing.start)
+        .collect();
     let terms = fleet.world.terms();
     let until = begins + FAILS_AT;
-    let cold_use = flaxdeck_rules::use_while_cold(&terms, &record, &cache, 3_000.0, until, 50.0) * FACTOR;
+    let cold_use =
+        flaxdeck_rules::use_while_cold(&terms, &record, &cache, 3_000.0, until, 50.0) * FACTOR;
     let each = |way: usize| (after[way] - before[way]) as f64 / seconds / forwarders as f64;
     Ok(Row {
-        in_time: took.iter().filter(|took| **took <= IN_TIME).count() as f64 / verdict.asked.max(1) as f64,
+        in_time: took.iter().filter(|took| **took <= IN_TIME).count() as f64
+            / verdict.asked.max(1) as f64,
         rejected: verdict.rejected,
         origin_fills: fleet.world.fills_at_origin(),
         cold_use,
         cold_most: verdict.most_of_bound,
         failed_offs: offs.len(),
-        last_off: offs.iter().copied().filter(|at| *at < 3_500.0).fold(0.0, f64::max),
+        last_off: offs
+            .iter()
+            .copied()
+            .filter(|at| *at < 3_500.0)
+            .fold(0.0, f64::max),
         bytes: [each(0), each(1)],
         breaches: verdict.breaches.len(),
         median: at(0.5),
--- a/crates/flaxdeck-cli/src/log.rs
+++ b/crates/flaxdeck-cli/src/log.rs
@@ -19,26 +19,35 @@
 impl Drop for Log {
     fn drop(&mut self) {
         if self.lost.dropped_lines() > 0 {
-            tracing::warn!(lines = self.lost.dropped_lines(), "lines of the log were lost");
+            tracing::warn!(
+                lines = self.lost.dropped_lines(),
+                "lines of the log were lost"
+            );
         }
     }
 }
 
 pub fn start(levels: &str, form: LogForm) -> Result<Log, Stop> {
-    let filter =
-        EnvFilter::try_new(levels).map_err(|error| faulty(format!("log levels {levels:?}: {error}")))?;
+    let filter = EnvFilter::try_new(levels)
+        .map_err(|error| faulty(format!("log levels {levels:?}: {error}")))?;
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
         .buffered_lines_limit(LINES)
         .thread_name("log")
         .finish(std::io::stderr());
     let lost = writer.error_counter();
-    let builder = tracing_subscriber::fmt().with_env_filter(filter).with_writer(writer).with_ansi(false);
+    let builder = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(writer)
+        .with_ansi(false);
     // Records of the libraries that log by `log` come in by the subscriber's own bridge.
     let set = match form {
         LogForm::Text => builder.try_init(),
         LogForm::Json => builder.json().flatten_event(true).try_init(),
     };
     set.map_err(|error| Stop(1, format!("no log: {error}")))?;
-    Ok(Log { lost, _writer: guard })
+    Ok(Log {
+        lost,
+        _writer: guard,
+    })
 }
--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -228,21 +228,57 @@
         Command::Forward(files) => forward(&files),
         Command::Plan { files, name } => plan(&files, &name),
         Command::Demo { rate, alone, log } => demo::run(rate, alone, log),
-        Command::Levels { forwarders, rate, runs, seed } => levels::run(&forwarders, rate, runs, seed),
+        Command::Levels {
+            forwarders,
+            rate,
+            runs,
+            seed,
+        } => levels::run(&forwarders, rate, runs, seed),
         Command::Recovery(asked) => recovery::run(&asked),
         Command::Scale(asked) => scale::run(&asked),
         Command::ScaleHollow { orders } => scale::hollow(&orders),
         Command::ScaleCoordinator { orders } => scale::coordinator(&orders),
         Command::Model { file, seed } => compare::model(&file, seed),
-        Command::Compare { a, b, budget_s, pairs, level, matters, kinds, seed, apart, judged, json } => {
+        Command::Compare {
+            a,
+            b,
+            budget_s,
+            pairs,
+            level,
+            matters,
+            kinds,
+            seed,
+            apart,
+            judged,
+            json,
+        } => {
             let budget = Duration::from_secs(budget_s);
-            let limits = Limits { budget, pairs, level, matters, kinds, seed, apart };
-            let asked = compare::Asked { a, b, limits, judged, json };
+            let limits = Limits {
+                budget,
+                pairs,
+                level,
+                matters,
+                kinds,
+                seed,
+                apart,
+            };
+            let asked = compare::Asked {
+                a,
+                b,
+                limits,
+                judged,
+                json,
+            };
             compare::compare(&asked)
         }
         Command::Capacity(asked) => capacity::run(&asked),
         Command::State { folder, json } => state::show(&folder, json),
-        Command::Check { file, explain, json, window_ms } => check(&file, explain, json, window_ms),
+        Command::Check {
+            file,
+            explain,
+            json,
+            window_ms,
+        } => check(&file, explain, json, window_ms),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
@@ -255,15 +291,25 @@
 
 fn stance(plan: &Plan, pledges: flaxdeck_guidance::Pledges, listen: &str) -> Stance {
     // Where the system chooses the port it is another at each start.
-    let hash = listen
-        .bytes()
-        .fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3));
-    let seat = SeatId(if listen.ends_with(":0") { 0 } else { hash.max(1) });
+    let hash = listen.bytes().fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3)
+    });
+    let seat = SeatId(if listen.ends_with(":0") {
+        0
+    } else {
+        hash.max(1)
+    });
     let blind_after = match plan.blind {
         Blind::RejectAfter { ms } => Some(Span::of_ms(ms)),
         Blind::GoOn => None,
     };
-    Stance { pledges, reserve: plan.reserve, seated: plan.seated, seat, blind_after }
+    Stance {
+        pledges,
+        reserve: plan.reserve,
+        seated: plan.seated,
+        seat,
+        blind_after,
+    }
 }
 
 /// What a plan tells a forwarder that listens there.
@@ -292,24 +338,39 @@
     let world = files::world(&files.config)?;
     let _log = log::start(&plan.log_levels, plan.log_form)?;
     let file = files.plan.as_deref().unwrap_or_default();
-    let folder = plan.state_folder.as_ref().map(|folder| files::beside(file, folder));
+    let folder = plan
+        .state_folder
+        .as_ref()
+        .map(|folder| files::beside(file, folder));
     let keeps = match folder {
-        Some(folder) => Some(Keeps { folder, name: world.listen()? }),
+        Some(folder) => Some(Keeps {
+            folder,
+            name: world.listen()?,
+        }),
         None => None,
     };
     let mut guidelines = guidelines(&plan, key, world.window, &world.listen()?);
     (guidelines.keeps, guidelines.counters) = (keeps, files.counters.clone());
-    Ok(flaxdeck_dispatcher::run_guided(Some(&files.config), Some(guidelines))?)
+    Ok(flaxdeck_dispatcher::run_guided(
+        Some(&files.config),
+        Some(guidelines),
+    )?)
 }
 
 fn plan(files: &Files, name: &str) -> Result<(), Stop> {
     files.begin_process();
-    let file = files.plan.as_ref().ok_or_else(|| faulty("a planner needs --plan FILE"))?;
+    let file = files
+        .plan
+        .as_ref()
+        .ok_or_else(|| faulty("a planner needs --plan FILE"))?;
     let (plan, key) = files::plan(file)?;
     let names: Vec<&str> = plan.planners.iter().map(|planner| &*planner.name).collect();
     let planner = plan.planners.iter().find(|planner| planner.name == name);
     let planner = planner.ok_or_else(|| {
-        faulty(format!("{file}: there is no planner {name}, there are: {}", names.join(" ")))
+        faulty(format!(
+            "{file}: there is no planner {name}, there are: {}",
+            names.join(" ")
+        ))
     })?;
     let world = files::world(&files.config)?;
     let _log = log::start(&plan.log_levels, plan.log_form)?;
@@ -319,7 +380,17 @@
     let (cadence, counters) = (files::cadence(&plan), files.counters.clone());
     let start = || {
         let (watch, known) = world.watch(&name)?;
-        Ok(flaxdeck_planner::Start { name, listen, key, pledges, own, cadence, watch, known, counters })
+        Ok(flaxdeck_planner::Start {
+            name,
+            listen,
+            key,
+            pledges,
+            own,
+            cadence,
+            watch,
+            known,
+            counters,
+        })
     };
     Ok(flaxdeck_planner::run(start)?)
 }
@@ -334,13 +405,22 @@
                 "why": fault.why, "mend": fault.mend})
         };
         let rows: Vec<_> = read.as_ref().err().into_iter().flatten().map(row).collect();
-        println!("{}", serde_json::json!({"good": read.is_ok(), "faults": rows}));
+        println!(
+            "{}",
+            serde_json::json!({"good": read.is_ok(), "faults": rows})
+        );
     }
     let plan = match read {
         Ok(plan) => plan,
         Err(_) if json => return Err(Stop(FAULTY, String::new())),
         Err(faults) => {
-            return Err(faulty(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")));
+            return Err(faulty(
+                faults
+                    .iter()
+                    .map(ToString::to_string)
+                    .collect::<Vec<_>>()
+                    .join("\n"),
+            ));
         }
     };
     if !json {
@@ -350,12 +430,30 @@
         let pledges = files::pledges(&plan, Span::from_ms(window_ms));
         let ms = |span: Span| format!("{:.0} ms", span.ms());
         println!("with a window of {window_ms} ms:");
-        println!("  a forwarder keeps to what it lent for          {}", ms(pledges.lent));
-        println!("  a planner counts on a deposit for              {}", ms(pledges.counted_on()));
-        println!("  a grant may be used for                        {}", ms(pledges.granted));
-        println!("  a planner holds a grant as out for             {}", ms(pledges.held_as_out()));
-        println!("  a forwarder that starts leaves its share for   {}", ms(pledges.forwarder_waits()));
-        println!("  a planner that starts leaves its own part for  {}", ms(pledges.planner_waits()));
+        println!(
+            "  a forwarder keeps to what it lent for          {}",
+            ms(pledges.lent)
+        );
+        println!(
+            "  a planner counts on a deposit for              {}",
+            ms(pledges.counted_on())
+        );
+        println!(
+            "  a grant may be used for                        {}",
+            ms(pledges.granted)
+        );
+        println!(
+            "  a planner holds a grant as out for             {}",
+            ms(pledges.held_as_out())
+        );
+        println!(
+            "  a forwarder that starts leaves its share for   {}",
+            ms(pledges.forwarder_waits())
+        );
+        println!(
+            "  a planner that starts leaves its own part for  {}",
+            ms(pledges.planner_waits())
+        );
         println!(
             "  of a cold host the seats divide {:.2}, planners grant {:.2}",
             1.0 - plan.reserve,
--- a/crates/flaxdeck-cli/src/recovery.rs
+++ b/crates/flaxdeck-cli/src/recovery.rs
@@ -51,7 +51,12 @@
 #[derive(Args)]
 pub struct Asked {
     /// Worlds to play
-    #[arg(long = "world", value_enum, value_delimiter = ',', default_value = "plain,connections,lists,cold")]
+    #[arg(
+        long = "world",
+        value_enum,
+        value_delimiter = ',',
+        default_value = "plain,connections,lists,cold"
+    )]
     worlds: Vec<Where>,
     /// Numbers of forwarders
     #[arg(long, value_delimiter = ',', default_value = "12")]
@@ -128,8 +133,14 @@
 
 /// Cells under their names.
 fn spaced(cells: &[String]) -> String {
-    let cell = |(cell, name): (&String, &&str)| format!("{cell:>width$}", width = name.len().max(9));
-    cells.iter().zip(&HEAD).map(cell).collect::<Vec<_>>().join("  ")
+    let cell =
+        |(cell, name): (&String, &&str)| format!("{cell:>width$}", width = name.len().max(9));
+    cells
+        .iter()
+        .zip(&HEAD)
+        .map(cell)
+        .collect::<Vec<_>>()
+        .join("  ")
 }
 
 /// Raw results as tables.
@@ -137,30 +148,54 @@
     std::fs::create_dir_all(folder).map_err(|error| format!("{}: {error}", folder.display()))?;
     let words = |of: &dyn Fn(&Shape) -> String| -> Column {
         Column::Text(
-            kept.runs.iter().flat_map(|(shape, _, slices)| slices.iter().map(|_| of(shape))).collect(),
+            kept.runs
+                .iter()
+                .flat_map(|(shape, _, slices)| slices.iter().map(|_| of(shape)))
+                .collect(),
         )
     };
     let whole = |of: &dyn Fn(&Shape, bool, usize, &Slice) -> i64| -> Column {
         let rows = kept.runs.iter().flat_map(|(shape, twin, slices)| {
-            slices.iter().enumerate().map(|(at, slice)| of(shape, *twin, at, slice))
+            slices
+                .iter()
+                .enumerate()
+                .map(|(at, slice)| of(shape, *twin, at, slice))
         });
         Column::Whole(rows.collect())
     };
     let columns = [
-        ("world", words(&|shape| format!("{:?}", shape.place).to_lowercase())),
-        ("state", words(&|shape| format!("{:?}", shape.state).to_lowercase())),
-        ("forwarders", whole(&|shape, _, _, _| shape.forwarders as i64)),
+        (
+            "world",
+            words(&|shape| format!("{:?}", shape.place).to_lowercase()),
+        ),
+        (
+            "state",
+            words(&|shape| format!("{:?}", shape.state).to_lowercase()),
+        ),
+        (
+            "forwarders",
+            whole(&|shape, _, _, _| shape.forwarders as i64),
+        ),
         ("planners", whole(&|shape, _, _, _| shape.planners as i64)),
-        ("killed_percent", whole(&|shape, _, _, _| (shape.killed * 100.0).round() as i64)),
+        (
+            "killed_percent",
+            whole(&|shape, _, _, _| (shape.killed * 100.0).round() as i64),
+        ),
         ("seed", whole(&|shape, _, _, _| shape.seed as i64)),
         ("is_twin", whole(&|_, twin, _, _| i64::from(twin))),
         ("from_ms", whole(&|_, _, at, _| (at as f64 * SLICE) as i64)),
         ("wants", whole(&|_, _, _, slice| slice.wants as i64)),
         ("in_time", whole(&|_, _, _, slice| slice.in_time as i64)),
         ("rejected", whole(&|_, _, _, slice| slice.rejected as i64)),
-        ("cache_answers", whole(&|_, _, _, slice| slice.answers as i64)),
+        (
+            "cache_answers",
+            whole(&|_, _, _, slice| slice.answers as i64),
+        ),
         ("cache_hits", whole(&|_, _, _, slice| slice.hits as i64)),
-        ("turned_away", whole(&|_, _, _, slice| slice.turned_away as i64)),
+        (
+            "turned_away",
+            whole(&|_, _, _, slice| slice.turned_away as i64),
+        ),
     ];
     flaxdeck_lab::keep::write(&folder.join("slices.parquet"), &columns)?;
     let number = |of: &dyn Fn(&Time) -> f64| Column::Number(kept.times.iter().map(of).collect());
@@ -168,8 +203,14 @@
         Column::Text(kept.times.iter().map(|(shape, ..)| of(shape)).collect())
     };
     let columns = [
-        ("world", text(&|shape| format!("{:?}", shape.place).to_lowercase())),
-        ("state", text(&|shape| format!("{:?}", shape.state).to_lowercase())),
+        (
+            "world",
+            text(&|shape| format!("{:?}", shape.place).to_lowercase()),
+        ),
+        (
+            "state",
+            text(&|shape| format!("{:?}", shape.state).to_lowercase()),
+        ),
         ("forwarders", number(&|(shape, ..)| shape.forwarders as f64)),
         ("planners", number(&|(shape, ..)| shape.planners as f64)),
         ("killed", number(&|(shape, ..)| shape.killed)),
@@ -216,7 +257,14 @@
                     .flat_map(|killed| asked.state.iter().map(move |state| (*killed, *state)))
                 {
                     let (place, forwarders, planners, seed) = (*place, *forwarders, *planners, 0);
-                    let shape = Shape { place, forwarders, planners, killed, state, seed };
+                    let shape = Shape {
+                        place,
+                        forwarders,
+                        planners,
+                        killed,
+                        state,
+                        seed,
+                    };
                     broken += row(asked, shape, &mut kept)?;
                 }
             }
@@ -225,7 +273,11 @@
     if let Some(folder) = &asked.keep {
         keep(folder, &kept)?;
     }
-    if broken == 0 { Ok(()) } else { Err(Stop(1, format!("{broken} times a rule was broken"))) }
+    if broken == 0 {
+        Ok(())
+    } else {
+        Err(Stop(1, format!("{broken} times a rule was broken")))
+    }
 }
 
 /// Plays the runs of one row and prints it; gives how often a rule was broken.
@@ -234,13 +286,30 @@
     let (mut most, mut peaks, mut refused) = (0.0f64, [0u32; 3], 0);
     for seed in asked.seed..asked.seed + asked.runs {
         let shape = Shape { seed, ..shape };
-        let twin = play(asked, Shape { killed: 0.0, ..shape })?;
-        let played = play(asked, if asked.noise { Shape { killed: 0.0, ..shape } } else { shape })?;
+        let twin = play(
+            asked,
+            Shape {
+                killed: 0.0,
+                ..shape
+            },
+        )?;
+        let played = play(
+            asked,
+            if asked.noise {
+                Shape {
+                    killed: 0.0,
+                    ..shape
+                }
+            } else {
+                shape
+            },
+        )?;
         times.push(service::full_service(&played.slices, &twin.slices, UP));
         losses.push(service::lost(&played.slices, &twin.slices, KILLED, UP));
         kept.runs.push((shape, true, twin.slices.clone()));
         kept.runs.push((shape, false, played.slices.clone()));
-        kept.times.push((shape, times[times.len() - 1], losses[losses.len() - 1]));
+        kept.times
+            .push((shape, times[times.len() - 1], losses[losses.len() - 1]));
         if asked.slices {
             show(&played, &twin);
         }
@@ -255,15 +324,28 @@
             let (from, to) = ((from / PULSE) as usize, (to / PULSE) as usize);
             played.pulses.iter().take(to).skip(from).map(pick).sum()
         };
-        peaks[0] = peaks[0].max(played.pulses.iter().map(|pulse| pulse.held_most).max().unwrap_or(0));
+        peaks[0] = peaks[0].max(
+            played
+                .pulses
+                .iter()
+                .map(|pulse| pulse.held_most)
+                .max()
+                .unwrap_or(0),
+        );
         peaks[1] = peaks[1].max(sum(|pulse| pulse.turned_away, KILLED, END));
         let seconds = (KILLED as u32 / 1000..END as u32 / 1000).map(|s| f64::from(s) * 1000.0);
-        peaks[2] = peaks[2].max(seconds.map(|s| sum(|p| p.list_calls, s, s + 1000.0)).max().unwrap_or(0));
+        peaks[2] = peaks[2].max(
+            seconds
+                .map(|s| sum(|p| p.list_calls, s, s + 1000.0))
+                .max()
+                .unwrap_or(0),
+        );
         refused += sum(|pulse| pulse.origin_refused, KILLED, END);
     }
     let mean = |pick: fn(&Lost) -> f64| losses.iter().map(pick).sum::<f64>() / losses.len() as f64;
     let [median, worst] = service::median_and_worst(&times);
-    let told = |time: Option<f64>| time.map_or("never".to_owned(), |ms| format!("{:.1}", ms / 1000.0));
+    let told =
+        |time: Option<f64>| time.map_or("never".to_owned(), |ms| format!("{:.1}", ms / 1000.0));
     let whole = |figure: f64| format!("{figure:.0}");
     let cells = vec![
         format!("{:?}", shape.place).to_lowercase(),
@@ -284,7 +366,10 @@
         broken.len().to_string(),
     ];
     println!("{}", spaced(&cells));
-    broken.iter().take(3).for_each(|breach| println!("    {breach}"));
+    broken
+        .iter()
+        .take(3)
+        .for_each(|breach| println!("    {breach}"));
     Ok(broken.len())
 }
 
@@ -318,16 +403,27 @@
     };
     match shape.place {
         Where::Plain => base,
-        Where::Connections => Layout { host_connections: asked.connections, ..base },
-        Where::Lists => Layout { lists_per_s: 3.0, ..base },
-        Where::Cold => Layout { origin_places: 8.0, ..base },
+        Where::Connections => Layout {
+            host_connections: asked.connections,
+            ..base
+        },
+        Where::Lists => Layout {
+            lists_per_s: 3.0,
+            ..base
+        },
+        Where::Cold => Layout {
+            origin_places: 8.0,
+            ..base
+        },
     }
 }
 
 fn play(asked: &Asked, shape: Shape) -> Result<Played, Stop> {
     let binary = match &asked.program {
         Some(program) => program.clone(),
-        None => std::env::current_exe().map_err(|error| format!("no path of this program: {error}"))?,
+        None => {
+            std::env::current_exe().map_err(|error| format!("no path of this program: {error}"))?
+        }
     };
     let world = World::start(layout(asked, shape))?;
     let (caches, parents) = (world.hosts(Kind::Cache), world.hosts(Kind::Parent));
@@ -335,7 +431,10 @@
         first_file: shape.place == Where::Lists,
         ..Setup::of(binary, shape.planners, shape.forwarders)
     };
-    let setup = Setup { state: shape.state != State::None, ..setup };
+    let setup = Setup {
+        state: shape.state != State::None,
+        ..setup
+    };
     let mut fleet = Fleet::start(world, setup)?;
     if shape.state != State::None {
         // State is kept from the second start on.
@@ -371,7 +470,11 @@
         script.push((begins + KILLED + 300.0, Fault::Drain(caches[0].clone())));
     }
     let count = (shape.killed * shape.forwarders as f64).round() as usize;
-    let planners = if shape.killed >= 1.0 || shape.killed > 0.0 { shape.planners } else { 0 };
+    let planners = if shape.killed >= 1.0 || shape.killed > 0.0 {
+        shape.planners
+    } else {
+        0
+    };
     script.extend((0..count).map(|at| (begins + KILLED, Fault::KillForwarder(at))));
     if shape.state == State::Lost {
         script.extend((0..count).map(|at| (begins + KILLED + 1.0, Fault::LoseState(at))));
@@ -388,25 +491,41 @@
     let mut slices = vec![Slice::default(); (END / SLICE) as usize];
     for fate in clients.fates() {
         let at = (fate.first - begins) / SLICE;
-        let Some(slice) = Some(at).filter(|at| *at >= 0.0).and_then(|at| slices.get_mut(at as usize)) else {
+        let Some(slice) = Some(at)
+            .filter(|at| *at >= 0.0)
+            .and_then(|at| slices.get_mut(at as usize))
+        else {
             continue;
         };
         slice.wants += 1;
         slice.in_time += u64::from(matches!(fate.end, End::Served(took) if took <= IN_TIME));
         slice.rejected += u64::from(fate.end == End::Rejected);
     }
-    let pulses: Vec<Pulse> = fleet.world.pulses().into_iter().skip((begins / PULSE) as usize).collect();
+    let pulses: Vec<Pulse> = fleet
+        .world
+        .pulses()
+        .into_iter()
+        .skip((begins / PULSE) as usize)
+        .collect();
     for (at, pulse) in pulses.iter().enumerate() {
-        let Some(slice) = slices.get_mut((at as f64 * PULSE / SLICE) as usize) else { break };
+        let Some(slice) = slices.get_mut((at as f64 * PULSE / SLICE) as usize) else {
+            break;
+        };
         slice.answers += u64::from(pulse.cache_answers);
         slice.hits += u64::from(pulse.cache_hits);
         slice.turned_away += u64::from(pulse.turned_away);
     }
     let verdict = fleet.world.verdict();
-    let mut breaches: Vec<String> =
-        verdict.breaches.iter().map(|breach| format!("rule {}: {}", breach.rule, breach.what)).collect();
+    let mut breaches: Vec<String> = verdict
+        .breaches
+        .iter()
+        .map(|breach| format!("rule {}: {}", breach.rule, breach.what))
+        .collect();
     if clients.wrong_bytes() > 0 {
-        breaches.push(format!("{} answers held wrong bytes", clients.wrong_bytes()));
+        breaches.push(format!(
+            "{} answers held wrong bytes",
+            clients.wrong_bytes()
+        ));
     }
     Ok(Played {
         slices,
--- a/crates/flaxdeck-cli/src/scale.rs
+++ b/crates/flaxdeck-cli/src/scale.rs
@@ -64,18 +64,27 @@
 
 pub fn run(asked: &Asked) -> Result<(), Stop> {
     let lines = |faults: Vec<flaxdeck_plan::Fault>| {
-        faulty(faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
+        faulty(
+            faults
+                .iter()
+                .map(ToString::to_string)
+                .collect::<Vec<_>>()
+                .join("\n"),
+        )
     };
     let scenario = scenario::read(&asked.file, &files::text(&asked.file)?).map_err(lines)?;
     let planned = planned(&scenario, asked)?;
     for Planned { point, .. } in &planned {
-        bounds::check(point).map_err(|over| faulty(format!("{}: {point:?} takes {over}", asked.file)))?;
+        bounds::check(point)
+            .map_err(|over| faulty(format!("{}: {point:?} takes {over}", asked.file)))?;
     }
     println!("{HEAD}");
     if asked.check {
         return Ok(());
     }
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|error| format!("no runtime: {error}"))?;
     runtime.block_on(until_ended(play_all(asked, &scenario, &planned)))
 }
@@ -83,8 +92,10 @@
 /// Plays on unless somebody ends the program; what was started is ended either way.
 async fn until_ended(playing: impl Future<Output = Result<(), Stop>>) -> Result<(), Stop> {
     let signals = |kind| signal(kind).map_err(|error| format!("no signals: {error}"));
-    let (mut interrupt, mut terminate) =
-        (signals(SignalKind::interrupt())?, signals(SignalKind::terminate())?);
+    let (mut interrupt, mut terminate) = (
+        signals(SignalKind::interrupt())?,
+        signals(SignalKind::terminate())?,
+    );
     tokio::select! {
         played = playing => played,
         _ = interrupt.recv() => Err(Stop(1, "ended by ctrl-c, and all that was started with it".into())),
@@ -94,8 +105,11 @@
 
 /// All runs of a file: each with a fault beside a twin that has none, and the ways of distribution beside each other.
 fn planned(scenario: &Scenario, asked: &Asked) -> Result<Vec<Planned>, Stop> {
-    let mut distributions: Vec<Distribution> =
-        asked.distribution.iter().map(|name| name.distribution()).collect();
+    let mut distributions: Vec<Distribution> = asked
+        .distribution
+        .iter()
+        .map(|name| name.distribution())
+        .collect();
     if distributions.is_empty() {
         distributions.push(scenario.distribution);
     }
@@ -103,7 +117,10 @@
         None => scenario.points.clone(),
         Some(at) => {
             let point = at.checked_sub(1).and_then(|at| scenario.points.get(at));
-            vec![*point.ok_or_else(|| faulty(format!("there are {} points", scenario.points.len())))?]
+            vec![
+                *point
+                    .ok_or_else(|| faulty(format!("there are {} points", scenario.points.len())))?,
+            ]
         }
     };
     let mut planned = Vec::new();
@@ -111,7 +128,12 @@
         for run in 0..scenario.runs {
             let seed = scenario.seed + u64::from(run);
             for distribution in &distributions {
-                let planned_with = |fault| Planned { distribution: *distribution, point, seed, fault };
+                let planned_with = |fault| Planned {
+                    distribution: *distribution,
+                    point,
+                    seed,
+                    fault,
+                };
                 planned.push(planned_with(None));
                 planned.extend(scenario.fault.map(|fault| planned_with(Some(fault))));
             }
@@ -121,14 +143,24 @@
 }
 
 async fn play_all(asked: &Asked, scenario: &Scenario, planned: &[Planned]) -> Result<(), Stop> {
-    let binary = std::env::current_exe().map_err(|error| format!("no path of this program: {error}"))?;
+    let binary =
+        std::env::current_exe().map_err(|error| format!("no path of this program: {error}"))?;
     let bar = ProgressBar::new(planned.len() as u64);
     let style = ProgressStyle::with_template("{elapsed_precise} {bar:30} {pos}/{len} {msg}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     bar.enable_steady_tick(Duration::from_millis(200));
     let mut rows: Vec<Measurement> = Vec::new();
-    for Planned { distribution, point, seed, fault } in planned {
-        let scenario = Scenario { distribution: *distribution, ..scenario.clone() };
+    for Planned {
+        distribution,
+        point,
+        seed,
+        fault,
+    } in planned
+    {
+        let scenario = Scenario {
+            distribution: *distribution,
+            ..scenario.clone()
+        };
         let one = run::Asked {
             scenario: &scenario,
             point: *point,
@@ -155,7 +187,10 @@
 /// A run in a line: bytes, messages and cores of one hollow forwarder, cores of a planner and the coordinator.
 fn line(asked: &run::Asked, rows: &Rows) -> String {
     let hollow = |metrics: &[Metric]| -> f64 {
-        metrics.iter().filter_map(|metric| rows.sum(Role::HollowForwarder, *metric)).sum()
+        metrics
+            .iter()
+            .filter_map(|metric| rows.sum(Role::HollowForwarder, *metric))
+            .sum()
     };
     let one = |metric: Metric| hollow(&[metric]);
     let cores = |role: Role| rows.sum(role, Metric::Cores).unwrap_or(f64::NAN);
@@ -184,7 +219,8 @@
         one(Metric::EventsReplaced),
         one(Metric::EventsDoubled),
         one(Metric::EventsOutOfOrder),
-        rows.sum(Role::Coordinator, Metric::MachineIdleShare).unwrap_or(f64::NAN),
+        rows.sum(Role::Coordinator, Metric::MachineIdleShare)
+            .unwrap_or(f64::NAN),
     )
 }
 
--- a/crates/flaxdeck-cli/src/shapes.rs
+++ b/crates/flaxdeck-cli/src/shapes.rs
@@ -11,25 +11,35 @@
 /// Each word with its bounds.
 const FIELDS: &[Field] = &[
     ("zones", 1.0, 64.0, |shape, n| shape.zones = n as usize),
-    ("forwarders", 1.0, 64.0, |shape, n| shape.forwarders = n as usize),
+    ("forwarders", 1.0, 64.0, |shape, n| {
+        shape.forwarders = n as usize
+    }),
     ("planners", 0.0, 8.0, |shape, n| shape.planners = n as usize),
     ("caches", 1.0, 256.0, |shape, n| shape.caches = n as usize),
     ("parents", 1.0, 256.0, |shape, n| shape.parents = n as usize),
     ("cache-places", 1.0, 1e4, |shape, n| shape.places[0] = n),
     ("parent-places", 1.0, 1e4, |shape, n| shape.places[1] = n),
     ("origin-places", 1.0, 1e4, |shape, n| shape.places[2] = n),
-    ("cache-keeps-kb", 0.0, 1e12, |shape, n| shape.keeps_kb[0] = n),
-    ("parent-keeps-kb", 0.0, 1e12, |shape, n| shape.keeps_kb[1] = n),
+    ("cache-keeps-kb", 0.0, 1e12, |shape, n| {
+        shape.keeps_kb[0] = n
+    }),
+    ("parent-keeps-kb", 0.0, 1e12, |shape, n| {
+        shape.keeps_kb[1] = n
+    }),
     ("place-kb-per-ms", 0.1, 1e5, |shape, n| shape.place_pace = n),
     ("link-kb-per-ms", 0.1, 1e6, |shape, n| shape.link_pace = n),
     ("near-ms", 0.0, 1e3, |shape, n| shape.near_ms = n),
     ("far-ms", 0.0, 1e3, |shape, n| shape.far_ms = n),
     ("origin-ms", 0.0, 1e4, |shape, n| shape.origin_ms = n),
     ("cold-from", 0.01, 1.0, |shape, n| shape.cold_from = n),
-    ("warm-within-ms", 1.0, 1e7, |shape, n| shape.warm_within_ms = n),
+    ("warm-within-ms", 1.0, 1e7, |shape, n| {
+        shape.warm_within_ms = n
+    }),
     ("window-ms", 100.0, 6e4, |shape, n| shape.window_ms = n),
     ("fall-multiple", 1.0, 100.0, |shape, n| shape.factor = n),
-    ("register-ms", 0.0, 6e4, |shape, n| shape.coordinator_delay_ms = n),
+    ("register-ms", 0.0, 6e4, |shape, n| {
+        shape.coordinator_delay_ms = n
+    }),
     ("rate", 0.1, 1e6, |shape, n| shape.law.rate = n),
     ("objects", 1.0, 1e8, |shape, n| shape.law.objects = n as u64),
     ("power", 0.0, 4.0, |shape, n| shape.law.power = n),
@@ -47,7 +57,13 @@
     let mut faults = Faults::of(file);
     let shape = root(&text, "model", &mut faults, shape).unwrap_or_default();
     let lines = |found: Vec<flaxdeck_plan::Fault>| {
-        faulty(found.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
+        faulty(
+            found
+                .iter()
+                .map(ToString::to_string)
+                .collect::<Vec<_>>()
+                .join("\n"),
+        )
     };
     faults.or(shape).map_err(lines)
 }
@@ -58,30 +74,56 @@
     known.push("faults");
     let mut forms = form.forms(&known, faults);
     for (word, least, most, set) in FIELDS {
-        let value = only(&mut forms, word, faults).and_then(|form| form.number(*least, *most, faults));
+        let value =
+            only(&mut forms, word, faults).and_then(|form| form.number(*least, *most, faults));
         value.into_iter().for_each(|value| set(&mut shape, value));
     }
     if let Some(list) = only(&mut forms, "faults", faults) {
-        shape.faults = list.forms(&["fault"], faults).iter().filter_map(|form| fault(form, faults)).collect();
+        shape.faults = list
+            .forms(&["fault"], faults)
+            .iter()
+            .filter_map(|form| fault(form, faults))
+            .collect();
     }
     shape
 }
 
 fn fault(form: &Form, faults: &mut Faults) -> Option<Fault> {
-    let words = ["kind", "at-ms", "lasts-ms", "part", "times", "zone", "at-once", "rate", "ms"];
+    let words = [
+        "kind", "at-ms", "lasts-ms", "part", "times", "zone", "at-once", "rate", "ms",
+    ];
     let mut forms = form.forms(&words, faults);
-    let kind =
-        only(&mut forms, "kind", faults).and_then(|form| form.choice(flaxdeck_fleet::faults::KINDS, faults));
+    let kind = only(&mut forms, "kind", faults)
+        .and_then(|form| form.choice(flaxdeck_fleet::faults::KINDS, faults));
     let mut number = |word: &str, least: f64, most: f64, default: f64| {
-        only(&mut forms, word, faults).and_then(|form| form.number(least, most, faults)).unwrap_or(default)
+        only(&mut forms, word, faults)
+            .and_then(|form| form.number(least, most, faults))
+            .unwrap_or(default)
     };
-    let (at_ms, lasts_ms) = (number("at-ms", 0.0, 1e9, 8_000.0), number("lasts-ms", 0.0, 1e9, 8_000.0));
-    let (part, times) = (number("part", 0.0, 1.0, 0.2), number("times", 0.01, 1e3, 3.0));
-    let (zone, at_once) = (number("zone", 0.0, 63.0, 0.0), number("at-once", 1.0, 256.0, 1.0));
-    let (rate, ms) = (number("rate", 0.0, 1e6, 50.0), number("ms", 0.0, 1e6, 3_000.0));
+    let (at_ms, lasts_ms) = (
+        number("at-ms", 0.0, 1e9, 8_000.0),
+        number("lasts-ms", 0.0, 1e9, 8_000.0),
+    );
+    let (part, times) = (
+        number("part", 0.0, 1.0, 0.2),
+        number("times", 0.01, 1e3, 3.0),
+    );
+    let (zone, at_once) = (
+        number("zone", 0.0, 63.0, 0.0),
+        number("at-once", 1.0, 256.0, 1.0),
+    );
+    let (rate, ms) = (
+        number("rate", 0.0, 1e6, 50.0),
+        number("ms", 0.0, 1e6, 3_000.0),
+    );
     let Some(kind) = kind else {
         let why = "a fault needs its kind";
-        faults.add(form.place, "kind is missing or unknown".into(), why, "write (kind die) or the like");
+        faults.add(
+            form.place,
+            "kind is missing or unknown".into(),
+            why,
+            "write (kind die) or the like",
+        );
         return None;
     };
     let trouble = Trouble::of(kind, |what| match what {
@@ -92,5 +134,9 @@
         "ms" => ms,
         _ => rate,
     })?;
-    Some(Fault { at_ms, lasts_ms, trouble })
+    Some(Fault {
+        at_ms,
+        lasts_ms,
+        trouble,
+    })
 }
--- a/crates/flaxdeck-cli/src/state.rs
+++ b/crates/flaxdeck-cli/src/state.rs
@@ -14,15 +14,28 @@
     if !Path::new(folder).is_dir() {
         return Err(faulty(format!("{folder}: there is no such folder")));
     }
-    let mut disk = Folder::open(Path::new(folder)).map_err(|error| faulty(format!("{folder}: {error}")))?;
+    let mut disk =
+        Folder::open(Path::new(folder)).map_err(|error| faulty(format!("{folder}: {error}")))?;
     let found = look(&mut disk);
     let damage = found.damage.as_ref().map(ToString::to_string);
-    let kept = found.snapshot.as_ref().map(|snapshot| Kept::read(snapshot, &found.records));
+    let kept = found
+        .snapshot
+        .as_ref()
+        .map(|snapshot| Kept::read(snapshot, &found.records));
     let (boot, ms) = since_boot();
-    let now = Now { uptime: Uptime { boot, ms }, file: Mark::NONE, waits: Span::ZERO };
+    let now = Now {
+        uptime: Uptime { boot, ms },
+        file: Mark::NONE,
+        waits: Span::ZERO,
+    };
     let read = kept.as_ref().and_then(|kept| kept.as_ref().ok()).cloned();
-    let verdicts = read.clone().map(|kept| belief::judge(kept, now).verdicts).unwrap_or_default();
-    let (event, hosts) = read.as_ref().map_or((0, 0), |kept| (kept.event.number, kept.lines.len()));
+    let verdicts = read
+        .clone()
+        .map(|kept| belief::judge(kept, now).verdicts)
+        .unwrap_or_default();
+    let (event, hosts) = read
+        .as_ref()
+        .map_or((0, 0), |kept| (kept.event.number, kept.lines.len()));
     if json {
         let rows: Vec<_> = verdicts
             .iter()
@@ -52,7 +65,10 @@
     match (damage, kept) {
         (Some(damage), _) => Err(Stop(1, format!("{folder}: damaged: {damage}"))),
         (None, None) => Err(Stop(1, format!("{folder}: no state is kept here"))),
-        (None, Some(Err(_))) => Err(Stop(1, format!("{folder}: the state is of another version"))),
+        (None, Some(Err(_))) => Err(Stop(
+            1,
+            format!("{folder}: the state is of another version"),
+        )),
         (None, Some(Ok(_))) => Ok(()),
     }
 }
--- a/crates/flaxdeck-cli/tests/capacity.rs
+++ b/crates/flaxdeck-cli/tests/capacity.rs
@@ -3,11 +3,18 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-const TARGET: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/capacity/target.plan");
+const TARGET: &str = concat!(
+    env!("CARGO_MANIFEST_DIR"),
+    "/../../docs/capacity/target.plan"
+);
 
 fn flaxdeck(arguments: &[&Path]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_flaxdeck"));
-    command.arg("capacity").args(arguments).output().expect("it can be started")
+    command
+        .arg("capacity")
+        .args(arguments)
+        .output()
+        .expect("it can be started")
 }
 
 /// A folder that goes with the test.
@@ -15,7 +22,8 @@
 
 impl Folder {
     fn create(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("flaxdeck-capacity-{name}-{}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("flaxdeck-capacity-{name}-{}", std::process::id()));
         std::fs::create_dir_all(path.join("runs")).expect("a folder can be made");
         Folder(path)
     }
@@ -32,16 +40,19 @@
 
 /// Rows of a forwarder that hears 80 bytes a purge.
 fn rows() -> String {
-    let head =
-        "run,seed,distribution,hollow_forwarders,hosts,purges_per_s,planners,fault,role,metric,kind,value";
+    let head = "run,seed,distribution,hollow_forwarders,hosts,purges_per_s,planners,fault,role,metric,kind,value";
     let row = |(seed, purges): (u32, f64)| {
         let value = 80.0 * purges;
         format!(
             "made-{seed},{seed},each_event,100,3500,{purges},2,none,hollow_forwarder,bytes_in_per_s,feed,{value}"
         )
     };
-    let points = [33.0, 100.0, 330.0].into_iter().flat_map(|purges| [(1, purges), (2, purges)]);
-    let lines: Vec<String> = std::iter::once(head.to_owned()).chain(points.map(row)).collect();
+    let points = [33.0, 100.0, 330.0]
+        .into_iter()
+        .flat_map(|purges| [(1, purges), (2, purges)]);
+    let lines: Vec<String> = std::iter::once(head.to_owned())
+        .chain(points.map(row))
+        .collect();
     lines.join("\n") + "\n"
 }
 
@@ -51,15 +62,33 @@
     let (runs, slopes) = (folder.path("runs"), folder.path("slopes.csv"));
     std::fs::write(runs.join("made.csv"), rows()).expect("it can be written");
     let fitted = flaxdeck(&[Path::new("fit"), &runs, &slopes]);
-    assert!(fitted.status.success(), "{}", String::from_utf8_lossy(&fitted.stderr));
-    assert_eq!(String::from_utf8_lossy(&fitted.stdout), "6 rows of runs: 1 lines, 1 of them slopes\n");
+    assert!(
+        fitted.status.success(),
+        "{}",
+        String::from_utf8_lossy(&fitted.stderr)
+    );
+    assert_eq!(
+        String::from_utf8_lossy(&fitted.stdout),
+        "6 rows of runs: 1 lines, 1 of them slopes\n"
+    );
     let drawn = flaxdeck(&[Path::new("charts"), &runs, &folder.0]);
-    assert!(drawn.status.success(), "{}", String::from_utf8_lossy(&drawn.stderr));
+    assert!(
+        drawn.status.success(),
+        "{}",
+        String::from_utf8_lossy(&drawn.stderr)
+    );
     assert!(folder.path("dispatcher-bytes.svg").exists());
     let printed = flaxdeck(&[&slopes, Path::new(TARGET)]);
-    assert!(printed.status.success(), "{}", String::from_utf8_lossy(&printed.stderr));
+    assert!(
+        printed.status.success(),
+        "{}",
+        String::from_utf8_lossy(&printed.stderr)
+    );
     let page = String::from_utf8_lossy(&printed.stdout).into_owned();
-    assert!(page.contains("| 26,400 bytes/s | **13.2 over** | slope x 1 |"), "{page}");
+    assert!(
+        page.contains("| 26,400 bytes/s | **13.2 over** | slope x 1 |"),
+        "{page}"
+    );
     assert!(page.contains("| made | 1, 2 |"), "{page}");
 }
 
@@ -72,12 +101,26 @@
     let printed = flaxdeck(&[&slopes, &target]);
     assert_eq!(printed.status.code(), Some(2));
     let told = String::from_utf8_lossy(&printed.stderr).into_owned();
-    assert!(told.contains("bad.plan:1:9: dispatchers is missing in (fleet ...)"), "{told}");
+    assert!(
+        told.contains("bad.plan:1:9: dispatchers is missing in (fleet ...)"),
+        "{told}"
+    );
     assert!(printed.stdout.is_empty(), "no half of a page");
     std::fs::write(&slopes, "a,b\n1,2\n").expect("it can be written");
     let printed = flaxdeck(&[&slopes, Path::new(TARGET)]);
     assert_eq!(printed.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&printed.stderr).contains("slopes.csv: not a table of this form"));
-    assert_eq!(flaxdeck(&[Path::new("fit"), &folder.path("nothing"), &slopes]).status.code(), Some(2));
-    assert_eq!(flaxdeck(&[&slopes]).status.code(), Some(2), "the target is not named");
+    assert!(
+        String::from_utf8_lossy(&printed.stderr).contains("slopes.csv: not a table of this form")
+    );
+    assert_eq!(
+        flaxdeck(&[Path::new("fit"), &folder.path("nothing"), &slopes])
+            .status
+            .code(),
+        Some(2)
+    );
+    assert_eq!(
+        flaxdeck(&[&slopes]).status.code(),
+        Some(2),
+        "the target is not named"
+    );
 }
--- a/crates/flaxdeck-cli/tests/coming_back.rs
+++ b/crates/flaxdeck-cli/tests/coming_back.rs
@@ -15,11 +15,19 @@
 
 fn setup(planners: usize, forwarders: usize) -> Setup {
     let binary = PathBuf::from(env!("CARGO_BIN_EXE_flaxdeck"));
-    Setup { guided: true, plan_words: "(blind (after-ms 900))", ..Setup::of(binary, planners, forwarders) }
+    Setup {
+        guided: true,
+        plan_words: "(blind (after-ms 900))",
+        ..Setup::of(binary, planners, forwarders)
+    }
 }
 
 fn fleet(setup: Setup, layout: Layout) -> Fleet {
-    let world = World::start(Layout { forwarders: setup.forwarders, ..layout }).unwrap();
+    let world = World::start(Layout {
+        forwarders: setup.forwarders,
+        ..layout
+    })
+    .unwrap();
     Fleet::start(world, setup).unwrap()
 }
 
@@ -56,13 +64,24 @@
 
 /// The part of the wants first asked for in that time that were served.
 fn served(clients: &Seekers, from: f64, to: f64) -> f64 {
-    let fates: Vec<_> = clients.fates().into_iter().filter(|fate| (from..to).contains(&fate.first)).collect();
-    let served = fates.iter().filter(|fate| matches!(fate.end, End::Served(_))).count();
+    let fates: Vec<_> = clients
+        .fates()
+        .into_iter()
+        .filter(|fate| (from..to).contains(&fate.first))
+        .collect();
+    let served = fates
+        .iter()
+        .filter(|fate| matches!(fate.end, End::Served(_)))
+        .count();
     served as f64 / fates.len().max(1) as f64
 }
 
 fn logged(fleet: &Fleet, words: &str) -> usize {
-    fleet.lines().iter().filter(|line| line.contains(words)).count()
+    fleet
+        .lines()
+        .iter()
+        .filter(|line| line.contains(words))
+        .count()
 }
 
 fn all(count: usize, at: f64, fault: fn(usize) -> Fault) -> impl Iterator<Item = (f64, Fault)> {
@@ -75,14 +94,19 @@
     let caches = fleet.world.hosts(Kind::Cache);
     let (clients, begins) = clients(&fleet, 60.0, 5_000.0);
     let object = format!("{:016x}", 77);
-    let mut script: Vec<(f64, Fault)> =
-        (0..20).map(|n| (begins + 10.0 * f64::from(n), Fault::Purge(object.clone()))).collect();
+    let mut script: Vec<(f64, Fault)> = (0..20)
+        .map(|n| (begins + 10.0 * f64::from(n), Fault::Purge(object.clone())))
+        .collect();
     script.push((begins + 1_000.0, Fault::LoseNumbering));
     script.push((begins + 2_500.0, Fault::Drain(caches[0].clone())));
     fleet.play(&script).unwrap();
     let verdict = kept(&fleet, &clients);
     assert!(verdict.latest_arrival < 1_000.0, "{verdict:?}");
-    assert!(logged(&fleet, "numbering is another") >= 4, "each of four says so: {:#?}", fleet.lines());
+    assert!(
+        logged(&fleet, "numbering is another") >= 4,
+        "each of four says so: {:#?}",
+        fleet.lines()
+    );
     assert!(served(&clients, begins, begins + 5_000.0) > 0.97);
 }
 
@@ -101,7 +125,11 @@
     fleet.play(&script).unwrap();
     let verdict = kept(&fleet, &clients);
     assert!(verdict.latest_arrival < 1_000.0, "{verdict:?}");
-    assert!(logged(&fleet, "1 hosts stay withdrawn in doubt") >= 2, "{:#?}", fleet.lines());
+    assert!(
+        logged(&fleet, "1 hosts stay withdrawn in doubt") >= 2,
+        "{:#?}",
+        fleet.lines()
+    );
 }
 
 #[test]
@@ -130,8 +158,10 @@
     let mut fleet = fleet(setup(1, 2), Layout::default());
     let caches = fleet.world.hosts(Kind::Cache);
     let (clients, begins) = clients(&fleet, 60.0, 4_000.0);
-    let script =
-        [(begins + 500.0, Fault::JumpAhead(1_000_000)), (begins + 2_000.0, Fault::Drain(caches[0].clone()))];
+    let script = [
+        (begins + 500.0, Fault::JumpAhead(1_000_000)),
+        (begins + 2_000.0, Fault::Drain(caches[0].clone())),
+    ];
     fleet.play(&script).unwrap();
     let verdict = kept(&fleet, &clients);
     assert!(verdict.latest_arrival < 1_000.0, "{verdict:?}");
@@ -141,14 +171,25 @@
 fn what_was_told_while_all_were_down_is_obeyed_from_the_first_request_on() {
     for planners in [0, 2] {
         // Without planners nobody vouches between two words of the coordinator, a second apart.
-        let blind = if planners > 0 { "(blind (after-ms 900))" } else { "" };
-        let mut fleet =
-            fleet(Setup { first_file: true, plan_words: blind, ..setup(planners, 3) }, Layout::default());
+        let blind = if planners > 0 {
+            "(blind (after-ms 900))"
+        } else {
+            ""
+        };
+        let mut fleet = fleet(
+            Setup {
+                first_file: true,
+                plan_words: blind,
+                ..setup(planners, 3)
+            },
+            Layout::default(),
+        );
         let caches = fleet.world.hosts(Kind::Cache);
         let (clients, begins) = clients(&fleet, 50.0, 5_000.0);
         // The most asked for, purged when every cache holds it.
         let hot = format!("{:016x}", 0x9e37_79b9_7f4a_7c15u64);
-        let mut script: Vec<(f64, Fault)> = all(3, begins + 1_500.0, Fault::KillForwarder).collect();
+        let mut script: Vec<(f64, Fault)> =
+            all(3, begins + 1_500.0, Fault::KillForwarder).collect();
         script.extend(all(planners, begins + 1_500.0, Fault::KillPlanner));
         script.push((begins + 1_550.0, Fault::Drain(caches[0].clone())));
         script.push((begins + 1_560.0, Fault::Purge(hot)));
@@ -158,7 +199,10 @@
         fleet.play(&script).unwrap();
         kept(&fleet, &clients);
         let after = served(&clients, begins + 3_200.0, begins + 5_000.0);
-        assert!(after > 0.98, "{after} served half a second after the return, {planners} planners");
+        assert!(
+            after > 0.98,
+            "{after} served half a second after the return, {planners} planners"
+        );
     }
 }
 
@@ -174,14 +218,31 @@
     fleet.play(&script).unwrap();
     kept(&fleet, &clients);
     assert_eq!(logged(&fleet, "OldEpoch"), 0, "{:#?}", fleet.lines());
-    let guided = fleet.lines().iter().rfind(|line| line.contains("guidance is now")).cloned();
-    assert!(guided.is_some_and(|line| line.contains("now Guided")), "{:#?}", fleet.lines());
+    let guided = fleet
+        .lines()
+        .iter()
+        .rfind(|line| line.contains("guidance is now"))
+        .cloned();
+    assert!(
+        guided.is_some_and(|line| line.contains("now Guided")),
+        "{:#?}",
+        fleet.lines()
+    );
 }
 
 #[test]
 fn with_a_coordinator_of_few_lists_all_are_back_by_way_of_the_planners() {
-    let layout = Layout { lists_per_s: 3.0, ..Layout::default() };
-    let mut fleet = fleet(Setup { first_file: true, ..setup(2, 6) }, layout);
+    let layout = Layout {
+        lists_per_s: 3.0,
+        ..Layout::default()
+    };
+    let mut fleet = fleet(
+        Setup {
+            first_file: true,
+            ..setup(2, 6)
+        },
+        layout,
+    );
     let caches = fleet.world.hosts(Kind::Cache);
     sleep(Duration::from_millis(3_000)); // until the coordinator has answered all of them once
     let (clients, begins) = clients(&fleet, 30.0, 6_000.0);
@@ -203,8 +264,14 @@
     let (clients, begins) = clients(&fleet, 40.0, 6_000.0);
     let mut script = Vec::new();
     for n in 0..10 {
-        script.push((begins + 500.0 + 400.0 * f64::from(n), Fault::KillForwarder(0)));
-        script.push((begins + 600.0 + 400.0 * f64::from(n), Fault::StartForwarder(0)));
+        script.push((
+            begins + 500.0 + 400.0 * f64::from(n),
+            Fault::KillForwarder(0),
+        ));
+        script.push((
+            begins + 600.0 + 400.0 * f64::from(n),
+            Fault::StartForwarder(0),
+        ));
     }
     // Two of the others die while the first is at it, and again while they come back.
     for at in [1_050.0, 1_350.0] {
@@ -220,29 +287,55 @@
 
 #[test]
 fn one_that_comes_back_into_a_partition_serves_by_whom_it_reaches_or_not_at_all() {
-    let mut fleet = fleet(Setup { first_file: true, ..setup(1, 3) }, Layout::default());
+    let mut fleet = fleet(
+        Setup {
+            first_file: true,
+            ..setup(1, 3)
+        },
+        Layout::default(),
+    );
     let caches = fleet.world.hosts(Kind::Cache);
     let (clients, begins) = clients(&fleet, 40.0, 6_000.0);
     let mut script: Vec<(f64, Fault)> = all(3, begins + 1_000.0, Fault::KillForwarder).collect();
     script.push((begins + 1_010.0, Fault::Drain(caches[0].clone())));
     // The first reaches the planner alone, the second the coordinator alone, the third has both open and dead.
-    for (forwarder, wires) in
-        [(0, [Wire::Cut, Wire::Whole]), (1, [Wire::Whole, Wire::Held]), (2, [Wire::Held; 2])]
-    {
-        script.push((begins + 1_100.0, Fault::CoordinatorWire(forwarder, wires[0])));
+    for (forwarder, wires) in [
+        (0, [Wire::Cut, Wire::Whole]),
+        (1, [Wire::Whole, Wire::Held]),
+        (2, [Wire::Held; 2]),
+    ] {
+        script.push((
+            begins + 1_100.0,
+            Fault::CoordinatorWire(forwarder, wires[0]),
+        ));
         script.push((begins + 1_100.0, Fault::PlannerWire(forwarder, 0, wires[1])));
     }
     script.extend(all(3, begins + 2_200.0, Fault::StartForwarder));
     fleet.play(&script).unwrap();
     let verdict = kept(&fleet, &clients);
-    assert!(verdict.rejected > 0, "the third answers at once once it listens: {verdict:?}");
-    let back: Vec<String> = fleet.lines().into_iter().filter(|line| line.contains("back: ")).collect();
-    assert_eq!(back.iter().filter(|line| line.contains("Listed")).count(), 1, "{back:#?}");
+    assert!(
+        verdict.rejected > 0,
+        "the third answers at once once it listens: {verdict:?}"
+    );
+    let back: Vec<String> = fleet
+        .lines()
+        .into_iter()
+        .filter(|line| line.contains("back: "))
+        .collect();
+    assert_eq!(
+        back.iter().filter(|line| line.contains("Listed")).count(),
+        1,
+        "{back:#?}"
+    );
 }
 
 /// State is kept from the second start on.
 fn with_state(planners: usize, forwarders: usize) -> Setup {
-    Setup { state: true, first_file: true, ..setup(planners, forwarders) }
+    Setup {
+        state: true,
+        first_file: true,
+        ..setup(planners, forwarders)
+    }
 }
 
 fn copy(from: &Path, to: &Path) {
@@ -274,8 +367,13 @@
 
 #[test]
 fn a_drain_known_before_the_kill_is_obeyed_though_nobody_can_be_reached_after_it() {
-    let mut fleet =
-        fleet(Setup { plan_words: "(blind (then go-on))", ..with_state(1, 2) }, Layout::default());
+    let mut fleet = fleet(
+        Setup {
+            plan_words: "(blind (then go-on))",
+            ..with_state(1, 2)
+        },
+        Layout::default(),
+    );
     let caches = fleet.world.hosts(Kind::Cache);
     restart_all(&mut fleet, 2, |_| {});
     let (clients, begins) = clients(&fleet, 40.0, 5_000.0);
@@ -294,11 +392,19 @@
 fn kept_state_gives_shares_back_at_once_and_any_spoilt_one_is_as_none() {
     let mut fleet = fleet(with_state(1, 2), Layout::default());
     let lines = restart_all(&mut fleet, 2, |_| {});
-    assert_eq!(count(&lines, "back: Vouched"), 2, "none is kept yet: {lines:#?}");
+    assert_eq!(
+        count(&lines, "back: Vouched"),
+        2,
+        "none is kept yet: {lines:#?}"
+    );
     let (clients, _) = clients(&fleet, 30.0, 9_000.0);
     sleep(Duration::from_millis(2_500)); // until what was seen of hosts is kept
     let lines = restart_all(&mut fleet, 2, |_| {});
-    assert_eq!(count(&lines, "back: Full"), 2, "nothing was lent: {lines:#?}");
+    assert_eq!(
+        count(&lines, "back: Full"),
+        2,
+        "nothing was lent: {lines:#?}"
+    );
     assert_eq!(count(&lines, "kept ratings: believed"), 2, "{lines:#?}");
     let old = fleet.state(0).with_extension("old");
     copy(&fleet.state(0), &old);
@@ -321,7 +427,11 @@
         copy(&fleet.state(0), &fleet.state(1));
     });
     assert_eq!(count(&lines, "none is used"), 1, "{lines:#?}");
-    assert_eq!(count(&lines, "nothing is lent: it is the store of"), 1, "{lines:#?}");
+    assert_eq!(
+        count(&lines, "nothing is lent: it is the store of"),
+        1,
+        "{lines:#?}"
+    );
     // One from earlier, one whose folder is a file.
     let caches = fleet.world.hosts(Kind::Cache);
     fleet.cause(&Fault::Drain(caches[0].clone())).unwrap();
@@ -333,12 +443,20 @@
     });
     assert_eq!(count(&lines, "can't be opened"), 1, "{lines:#?}");
     let verdict = kept(&fleet, &clients);
-    assert!(verdict.served * 10 > verdict.asked * 8, "service went on: {verdict:?}");
+    assert!(
+        verdict.served * 10 > verdict.asked * 8,
+        "service went on: {verdict:?}"
+    );
 }
 
 #[test]
 fn what_was_lent_is_known_to_the_next_run() {
-    let layout = Layout { caches: 1, cache_places: 32.0, cold_from: 0.1, ..Layout::default() };
+    let layout = Layout {
+        caches: 1,
+        cache_places: 32.0,
+        cold_from: 0.1,
+        ..Layout::default()
+    };
     let mut fleet = fleet(with_state(1, 2), layout);
     restart_all(&mut fleet, 2, |_| {});
     let cache = fleet.world.hosts(Kind::Cache)[0].clone();
@@ -367,7 +485,10 @@
     kept(&fleet, &clients);
     assert_eq!(fleet.world.fell_over(), 0);
     assert!(
-        logged(&fleet, "kept shares: believed: nothing that was lent is out after") >= 1,
+        logged(
+            &fleet,
+            "kept shares: believed: nothing that was lent is out after"
+        ) >= 1,
         "{:#?}",
         fleet.lines()
     );
@@ -381,12 +502,16 @@
     sleep(Duration::from_millis(4_500));
     let (clients, _) = clients(&fleet, 30.0, 2_500.0);
     let full = |lines: &[String]| -> Vec<f64> {
-        let told =
-            lines.iter().filter_map(|line| line.split("back in full after ").nth(1)?.split(' ').next());
+        let told = lines
+            .iter()
+            .filter_map(|line| line.split("back in full after ").nth(1)?.split(' ').next());
         told.map(|ms| ms.parse().unwrap()).collect()
     };
     let took = full(&restart_all(&mut fleet, 3, |_| {}));
-    assert!(took.len() == 3 && took.iter().all(|ms| *ms < 500.0), "{took:?}");
+    assert!(
+        took.len() == 3 && took.iter().all(|ms| *ms < 500.0),
+        "{took:?}"
+    );
     // With planners that have just started nobody can tell.
     let lines = restart_all(&mut fleet, 3, |fleet| {
         for planner in 0..2 {
@@ -403,16 +528,35 @@
 fn with_clocks_apart(ms: i64, planners: usize) -> (Fleet, Seekers, f64) {
     // So cold, and for so long, that a cache taken for warm falls over. Without planners nobody vouches between two words
     // of the coordinator, a second apart.
-    let layout = Layout { cold_from: 0.01, warm_within_ms: 600_000.0, ..Layout::default() };
-    let blind = if planners > 0 { "(blind (after-ms 900))" } else { "" };
-    let mut fleet = fleet(Setup { plan_words: blind, ..setup(planners, 3) }, layout);
+    let layout = Layout {
+        cold_from: 0.01,
+        warm_within_ms: 600_000.0,
+        ..Layout::default()
+    };
+    let blind = if planners > 0 {
+        "(blind (after-ms 900))"
+    } else {
+        ""
+    };
+    let mut fleet = fleet(
+        Setup {
+            plan_words: blind,
+            ..setup(planners, 3)
+        },
+        layout,
+    );
     let caches = fleet.world.hosts(Kind::Cache);
     let (clients, begins) = clients(&fleet, 450.0, 9_500.0);
     let mut script = vec![(begins + 200.0, Fault::ClocksApart(ms))];
     script.extend(all(3, begins + 200.0, Fault::KillForwarder));
     script.extend(all(3, begins + 300.0, Fault::StartForwarder));
     let hot = |n: u64| format!("{:016x}", n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    script.extend((0..20).map(|n| (begins + 1_000.0 + 50.0 * n as f64, Fault::Purge(hot(1 + n % 5)))));
+    script.extend((0..20).map(|n| {
+        (
+            begins + 1_000.0 + 50.0 * n as f64,
+            Fault::Purge(hot(1 + n % 5)),
+        )
+    }));
     script.extend([0, 1].map(|at| (begins + 2_100.0, Fault::RestartHost(caches[at].clone()))));
     fleet.play(&script).unwrap();
     (fleet, clients, begins)
@@ -427,7 +571,11 @@
         "cold hosts got {used} of what they bear: a part, and no more than theirs"
     );
     assert_eq!(fleet.world.fell_over(), 0, "{ms} ms apart");
-    assert!(logged(&fleet, "ahead of the coordinator's") >= 3, "each says so: {:#?}", fleet.lines());
+    assert!(
+        logged(&fleet, "ahead of the coordinator's") >= 3,
+        "each says so: {:#?}",
+        fleet.lines()
+    );
     let after = served(&clients, begins + 900.0, begins + 2_000.0);
     assert!(after > 0.97, "{after} served with clocks {ms} ms apart");
 }
--- a/crates/flaxdeck-cli/tests/events.rs
+++ b/crates/flaxdeck-cli/tests/events.rs
@@ -24,7 +24,14 @@
 /// Purges of the objects most asked for, so many a second over that time.
 fn purges(from: f64, to: f64, per_s: f64) -> Vec<(f64, Fault)> {
     let count = ((to - from) / 1_000.0 * per_s) as u64;
-    (0..count).map(|n| (from + n as f64 * 1_000.0 / per_s, Fault::Purge(object(1 + n % 40)))).collect()
+    (0..count)
+        .map(|n| {
+            (
+                from + n as f64 * 1_000.0 / per_s,
+                Fault::Purge(object(1 + n % 40)),
+            )
+        })
+        .collect()
 }
 
 struct Day {
@@ -43,9 +50,19 @@
 }
 
 /// Plays a day with purges all along; `faults` gives what happens beside them, from the day's begin.
-fn day(setup: Setup, layout: Layout, purges_per_s: f64, faults: impl Fn(f64) -> Vec<(f64, Fault)>) -> Day {
+fn day(
+    setup: Setup,
+    layout: Layout,
+    purges_per_s: f64,
+    faults: impl Fn(f64) -> Vec<(f64, Fault)>,
+) -> Day {
     let forwarders = setup.forwarders;
-    let world = World::start(Layout { forwarders, purge_grace_ms: PURGE_GRACE_MS, ..layout }).unwrap();
+    let world = World::start(Layout {
+        forwarders,
+        purge_grace_ms: PURGE_GRACE_MS,
+        ..layout
+    })
+    .unwrap();
     let mut fleet = Fleet::start(world, setup).unwrap();
     let begins = fleet.world.now() + 1_000.0;
     let load = Load {
@@ -65,7 +82,10 @@
     script.sort_by(|(one, _), (other, _)| one.total_cmp(other));
     fleet.play(&script).unwrap();
     let verdict = judged(&fleet, &clients);
-    Day { verdict, lines: fleet.lines() }
+    Day {
+        verdict,
+        lines: fleet.lines(),
+    }
 }
 
 fn judged(fleet: &Fleet, clients: &Clients) -> Verdict {
@@ -82,19 +102,37 @@
 
 fn setup(planners: usize, forwarders: usize) -> Setup {
     let binary = PathBuf::from(env!("CARGO_BIN_EXE_flaxdeck"));
-    Setup { plan_words: DIGESTS, ..Setup::of(binary, planners, forwarders) }
+    Setup {
+        plan_words: DIGESTS,
+        ..Setup::of(binary, planners, forwarders)
+    }
 }
 
 /// The day with its faults and its twin without: no rule is broken in either, and the faults cost little.
-fn beside_its_twin(setup: Setup, purges_per_s: f64, faults: impl Fn(f64) -> Vec<(f64, Fault)>) -> Day {
-    let twin = day(setup.clone(), Layout::default(), purges_per_s, |_| Vec::new());
+fn beside_its_twin(
+    setup: Setup,
+    purges_per_s: f64,
+    faults: impl Fn(f64) -> Vec<(f64, Fault)>,
+) -> Day {
+    let twin = day(setup.clone(), Layout::default(), purges_per_s, |_| {
+        Vec::new()
+    });
     let faulty = day(setup, Layout::default(), purges_per_s, faults);
     for (what, day) in [("the twin", &twin), ("the day", &faulty)] {
         assert_eq!(day.verdict.breaches, [], "{what}: {:#?}", day.lines);
-        println!("{what}: {:.4} of {} served", day.served_share(), day.verdict.asked);
+        println!(
+            "{what}: {:.4} of {} served",
+            day.served_share(),
+            day.verdict.asked
+        );
     }
     let least = twin.served_share() * OF_THE_TWIN;
-    assert!(faulty.served_share() >= least, "{} of {}", faulty.served_share(), twin.served_share());
+    assert!(
+        faulty.served_share() >= least,
+        "{} of {}",
+        faulty.served_share(),
+        twin.served_share()
+    );
     faulty
 }
 
@@ -102,7 +140,10 @@
 fn a_planner_killed_at_a_batch_costs_no_event() {
     let script = |begins: f64| {
         let kill = |at: f64, planner| {
-            [(at, Fault::KillPlanner(planner)), (at + 900.0, Fault::StartPlanner(planner))]
+            [
+                (at, Fault::KillPlanner(planner)),
+                (at + 900.0, Fault::StartPlanner(planner)),
+            ]
         };
         [kill(begins + 1_410.0, 0), kill(begins + 3_475.0, 1)].concat()
     };
@@ -114,7 +155,10 @@
 fn a_planner_that_hangs_is_left_for_the_other() {
     let script = |begins: f64| {
         let hang = |at: f64, planner| {
-            [(at, Fault::FreezePlanner(planner)), (at + 1_500.0, Fault::ThawPlanner(planner))]
+            [
+                (at, Fault::FreezePlanner(planner)),
+                (at + 1_500.0, Fault::ThawPlanner(planner)),
+            ]
         };
         [hang(begins + 1_000.0, 0), hang(begins + 3_000.0, 1)].concat()
     };
@@ -124,7 +168,10 @@
 #[test]
 fn another_numbering_of_the_coordinator_loses_no_purge() {
     let day = beside_its_twin(setup(2, 2), 20.0, |begins| {
-        vec![(begins + 1_500.0, Fault::LoseNumbering), (begins + 3_000.0, Fault::JumpAhead(500))]
+        vec![
+            (begins + 1_500.0, Fault::LoseNumbering),
+            (begins + 3_000.0, Fault::JumpAhead(500)),
+        ]
     });
     assert!(day.logged("its list is taken anew"));
 }
@@ -132,15 +179,27 @@
 #[test]
 fn a_forwarder_that_reads_late_catches_up_in_order() {
     beside_its_twin(setup(2, 2), 20.0, |begins| {
-        let late = |planner| (begins + 1_000.0, Fault::PlannerWire(0, planner, Wire::Late(150)));
-        let whole = |planner| (begins + 3_500.0, Fault::PlannerWire(0, planner, Wire::Whole));
+        let late = |planner| {
+            (
+                begins + 1_000.0,
+                Fault::PlannerWire(0, planner, Wire::Late(150)),
+            )
+        };
+        let whole = |planner| {
+            (
+                begins + 3_500.0,
+                Fault::PlannerWire(0, planner, Wire::Whole),
+            )
+        };
         vec![late(0), late(1), whole(0), whole(1)]
     });
 }
 
 #[test]
 fn a_storm_of_ten_times_the_purges_is_passed_on() {
-    beside_its_twin(setup(2, 2), 20.0, |begins| purges(begins + 1_500.0, begins + 3_000.0, 200.0));
+    beside_its_twin(setup(2, 2), 20.0, |begins| {
+        purges(begins + 1_500.0, begins + 3_000.0, 200.0)
+    });
 }
 
 #[test]
@@ -155,9 +214,17 @@
 
 #[test]
 fn a_forwarder_killed_and_back_hands_out_nothing_older_than_a_purge() {
-    let state = Setup { state: true, ..setup(2, 2) };
+    let state = Setup {
+        state: true,
+        ..setup(2, 2)
+    };
     let day = day(state, Layout::default(), 20.0, |begins| {
-        let kill = |at: f64| [(at, Fault::KillForwarder(0)), (at + 300.0, Fault::StartForwarder(0))];
+        let kill = |at: f64| {
+            [
+                (at, Fault::KillForwarder(0)),
+                (at + 300.0, Fault::StartForwarder(0)),
+            ]
+        };
         [kill(begins + 1_200.0), kill(begins + 3_400.0)].concat()
     });
     assert_eq!(day.verdict.breaches, [], "{:#?}", day.lines);
--- a/crates/flaxdeck-cli/tests/levels.rs
+++ b/crates/flaxdeck-cli/tests/levels.rs
@@ -13,11 +13,19 @@
 const WAITS: f64 = 4_600.0;
 
 fn setup(planners: usize, forwarders: usize) -> Setup {
-    Setup::of(PathBuf::from(env!("CARGO_BIN_EXE_flaxdeck")), planners, forwarders)
+    Setup::of(
+        PathBuf::from(env!("CARGO_BIN_EXE_flaxdeck")),
+        planners,
+        forwarders,
+    )
 }
 
 fn fleet(setup: Setup, layout: Layout) -> Fleet {
-    let world = World::start(Layout { forwarders: setup.forwarders, ..layout }).unwrap();
+    let world = World::start(Layout {
+        forwarders: setup.forwarders,
+        ..layout
+    })
+    .unwrap();
     Fleet::start(world, setup).unwrap()
 }
 
@@ -64,7 +72,11 @@
 fn wait_for(fleet: &Fleet, words: &str) {
     let limit = fleet.world.now() + 15_000.0;
     while !logged(fleet, words) {
-        assert!(fleet.world.now() < limit, "no line with {words:?}: {:?}", fleet.lines());
+        assert!(
+            fleet.world.now() < limit,
+            "no line with {words:?}: {:?}",
+            fleet.lines()
+        );
         sleep(Duration::from_millis(20));
     }
 }
@@ -85,14 +97,20 @@
     fleet.play(&script).unwrap();
     let verdict = kept(&fleet, &clients);
     assert_eq!(verdict.left, 0);
-    assert!(verdict.asked > 900 && verdict.served * 100 >= verdict.asked * 98, "{verdict:?}");
+    assert!(
+        verdict.asked > 900 && verdict.served * 100 >= verdict.asked * 98,
+        "{verdict:?}"
+    );
 }
 
 #[test]
 fn with_all_planners_gone_a_forwarder_is_a_lone_dispatcher() {
     let mut fleet = fleet(setup(2, 2), Layout::default());
     let (clients, begins) = load(&fleet, &[60.0], 200.0, 5_000.0);
-    let planners = [(begins + 1_000.0, Fault::KillPlanner(0)), (begins + 1_000.0, Fault::KillPlanner(1))];
+    let planners = [
+        (begins + 1_000.0, Fault::KillPlanner(0)),
+        (begins + 1_000.0, Fault::KillPlanner(1)),
+    ];
     fleet.play(&planners).unwrap();
     wait_for(&fleet, "guidance is now Ageing");
     let verdict = kept(&fleet, &clients);
@@ -130,7 +148,13 @@
 
 #[test]
 fn a_forwarder_that_hears_nobody_rejects_before_a_drain_is_a_second_old() {
-    let mut fleet = fleet(Setup { plan_words: "(blind (after-ms 900))", ..setup(2, 2) }, Layout::default());
+    let mut fleet = fleet(
+        Setup {
+            plan_words: "(blind (after-ms 900))",
+            ..setup(2, 2)
+        },
+        Layout::default(),
+    );
     let caches = fleet.world.hosts(Kind::Cache);
     let (clients, begins) = load(&fleet, &[80.0], 200.0, 6_000.0);
     let cut = begins + 1_500.0;
@@ -143,18 +167,38 @@
     fleet.play(&script).unwrap();
     let verdict = kept(&fleet, &clients);
     assert!(verdict.rejected > 50, "{verdict:?}");
-    assert!(logged(&fleet, "guidance is now Blind") && logged(&fleet, "was Blind"), "{:?}", fleet.lines());
+    assert!(
+        logged(&fleet, "guidance is now Blind") && logged(&fleet, "was Blind"),
+        "{:?}",
+        fleet.lines()
+    );
 }
 
 #[test]
 fn two_planners_that_both_believe_to_be_in_charge_never_push_a_cold_cache_over() {
-    let layout = Layout { caches: 1, cache_places: 32.0, cold_from: 0.1, ..Layout::default() };
-    let mut fleet = fleet(Setup { reserve: 0.3, ..setup(2, 3) }, layout);
+    let layout = Layout {
+        caches: 1,
+        cache_places: 32.0,
+        cold_from: 0.1,
+        ..Layout::default()
+    };
+    let mut fleet = fleet(
+        Setup {
+            reserve: 0.3,
+            ..setup(2, 3)
+        },
+        layout,
+    );
     let cache = fleet.world.hosts(Kind::Cache)[0].clone();
     let (clients, begins) = load(&fleet, &[200.0, 120.0, 5.0], WAITS, 9_000.0);
     let mut script = vec![(begins + 500.0, Fault::RestartHost(cache))];
-    let apart =
-        |at: f64, wire| [Fault::PlannerWire(0, 0, wire), Fault::PlannerWire(1, 1, wire)].map(|f| (at, f));
+    let apart = |at: f64, wire| {
+        [
+            Fault::PlannerWire(0, 0, wire),
+            Fault::PlannerWire(1, 1, wire),
+        ]
+        .map(|f| (at, f))
+    };
     script.extend(apart(begins + 1_500.0, Wire::Held));
     script.extend(apart(begins + 4_500.0, Wire::Whole));
     script.push((begins + 5_500.0, Fault::KillPlanner(0)));
@@ -162,12 +206,20 @@
     fleet.play(&script).unwrap();
     let verdict = kept(&fleet, &clients);
     assert_eq!(fleet.world.fell_over(), 0);
-    assert!(verdict.most_of_bound > 0.15, "the cold cache is asked for something: {verdict:?}");
+    assert!(
+        verdict.most_of_bound > 0.15,
+        "the cold cache is asked for something: {verdict:?}"
+    );
 }
 
 #[test]
 fn a_forwarder_killed_and_started_again_does_not_use_what_it_lent() {
-    let layout = Layout { caches: 1, cache_places: 32.0, cold_from: 0.1, ..Layout::default() };
+    let layout = Layout {
+        caches: 1,
+        cache_places: 32.0,
+        cold_from: 0.1,
+        ..Layout::default()
+    };
     let mut fleet = fleet(setup(1, 2), layout);
     let cache = fleet.world.hosts(Kind::Cache)[0].clone();
     let (clients, begins) = load(&fleet, &[200.0, 60.0], WAITS, 7_000.0);
@@ -178,7 +230,10 @@
     ];
     fleet.play(&script).unwrap();
     let verdict = kept(&fleet, &clients);
-    assert!(verdict.left > 0, "its clients lost their connections: {verdict:?}");
+    assert!(
+        verdict.left > 0,
+        "its clients lost their connections: {verdict:?}"
+    );
     assert_eq!(fleet.world.fell_over(), 0);
 }
 
@@ -199,10 +254,18 @@
 
 #[test]
 fn a_parent_that_fails_is_left_by_all_once_some_have_found_out() {
-    let mut fleet = fleet(setup(1, 3), Layout { parents: 3, ..Layout::default() });
+    let mut fleet = fleet(
+        setup(1, 3),
+        Layout {
+            parents: 3,
+            ..Layout::default()
+        },
+    );
     let parent = fleet.world.hosts(Kind::Parent)[0].clone();
     let (clients, begins) = load(&fleet, &[100.0], 200.0, 4_000.0);
-    fleet.play(&[(begins + 1_000.0, Fault::HostManner(parent, Manner::Fail))]).unwrap();
+    fleet
+        .play(&[(begins + 1_000.0, Fault::HostManner(parent, Manner::Fail))])
+        .unwrap();
     let verdict = kept(&fleet, &clients);
     assert!(verdict.served * 100 >= verdict.asked * 98, "{verdict:?}");
 }
--- a/crates/flaxdeck-cli/tests/scale.rs
+++ b/crates/flaxdeck-cli/tests/scale.rs
@@ -23,8 +23,18 @@
 fn played(text: &str) -> Played {
     let scenario = scenario::read("small.scale", text).unwrap();
     let (point, seed, fault) = (scenario.points[0], scenario.seed, scenario.fault);
-    let asked = Asked { scenario: &scenario, point, seed, fault, keeps_files: false, binary: binary() };
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let asked = Asked {
+        scenario: &scenario,
+        point,
+        seed,
+        fault,
+        keeps_files: false,
+        binary: binary(),
+    };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(play(&asked, &|_| ())).unwrap()
 }
 
@@ -35,13 +45,26 @@
 #[test]
 fn fifty_hollow_forwarders_miss_nothing_and_both_sides_count_the_same() {
     let begun = Instant::now();
-    let Played { rows, both_sides, processes } = played(SMALL);
+    let Played {
+        rows,
+        both_sides,
+        processes,
+    } = played(SMALL);
     let of = |role, metric| rows.sum(role, metric).unwrap();
     let hollow = |metric| of(Role::HollowForwarder, metric);
     let expected = hollow(Metric::EventsExpected);
     assert!(expected > 50.0 * 35.0 * 4.0, "{expected} events expected");
-    let bad = [Metric::EventsLost, Metric::EventsReplaced, Metric::EventsDoubled, Metric::EventsOutOfOrder];
-    assert_eq!(bad.map(hollow), [0.0; 4], "lost, replaced, doubled, out of order");
+    let bad = [
+        Metric::EventsLost,
+        Metric::EventsReplaced,
+        Metric::EventsDoubled,
+        Metric::EventsOutOfOrder,
+    ];
+    assert_eq!(
+        bad.map(hollow),
+        [0.0; 4],
+        "lost, replaced, doubled, out of order"
+    );
     assert!(hollow(Metric::DelayWorstMs) >= hollow(Metric::DelayMedianMs));
     for side in &both_sides {
         let [sent, received] = [side.sent, side.received].map(|[messages, _]| messages as f64);
@@ -53,31 +76,65 @@
         assert!((sent - received).abs() <= per_s * ON_THEIR_WAY, "{side:?}");
         let [sent, received] =
             [side.sent, side.received].map(|[messages, bytes]| bytes as f64 / messages as f64);
-        assert!(sent.is_nan() || (sent - received).abs() < 0.02 * sent, "bytes a message: {side:?}");
+        assert!(
+            sent.is_nan() || (sent - received).abs() < 0.02 * sent,
+            "bytes a message: {side:?}"
+        );
     }
     let feed = both_sides.iter().find(|side| side.kind == "feed").unwrap();
     assert!(feed.received[0] > 52 * 35 * 5, "{feed:?}");
-    assert!(processes.len() == 5 && !processes.iter().any(|process| is_alive(*process)), "{processes:?}");
-    assert!(begun.elapsed() < Duration::from_secs(20), "{:?}", begun.elapsed());
+    assert!(
+        processes.len() == 5 && !processes.iter().any(|process| is_alive(*process)),
+        "{processes:?}"
+    );
+    assert!(
+        begun.elapsed() < Duration::from_secs(20),
+        "{:?}",
+        begun.elapsed()
+    );
 }
 
 #[test]
-fn forwarders_restarted_together_follow_on_from_their_file_while_planners_are_faster_than_the_coordinator() {
-    let text = "(scale (name \"small\") (seed 4) (sizes (hollow 40) (processes 2) (hosts 50) (planners 2))
+fn forwarders_restarted_together_follow_on_from_their_file_while_planners_are_faster_than_the_coordinator()
+ {
+    let text =
+        "(scale (name \"small\") (seed 4) (sizes (hollow 40) (processes 2) (hosts 50) (planners 2))
         (rates (purges 60) (host-changes 2)) (times (settle-s 1) (window-s 6) (drain-s 3))
         (fault (kind region-restarted) (at-s 2) (lasts-s 0)))";
-    let Played { rows, processes, .. } = played(text);
+    let Played {
+        rows, processes, ..
+    } = played(text);
     let hollow = |metric| rows.sum(Role::HollowForwarder, metric).unwrap();
-    assert!(hollow(Metric::EventsExpected) > 30.0 * 60.0 * 4.0, "{}", hollow(Metric::EventsExpected));
-    let bad = [Metric::EventsLost, Metric::EventsReplaced, Metric::EventsDoubled, Metric::EventsOutOfOrder];
-    assert_eq!(bad.map(hollow), [0.0; 4], "lost, replaced, doubled, out of order");
-    assert!(!processes.iter().any(|process| is_alive(*process)), "{processes:?}");
+    assert!(
+        hollow(Metric::EventsExpected) > 30.0 * 60.0 * 4.0,
+        "{}",
+        hollow(Metric::EventsExpected)
+    );
+    let bad = [
+        Metric::EventsLost,
+        Metric::EventsReplaced,
+        Metric::EventsDoubled,
+        Metric::EventsOutOfOrder,
+    ];
+    assert_eq!(
+        bad.map(hollow),
+        [0.0; 4],
+        "lost, replaced, doubled, out of order"
+    );
+    assert!(
+        !processes.iter().any(|process| is_alive(*process)),
+        "{processes:?}"
+    );
 }
 
 /// Ids of processes that have this one as their parent.
 fn children(of: u32) -> Vec<u32> {
-    let children = std::fs::read_to_string(format!("/proc/{of}/task/{of}/children")).unwrap_or_default();
-    children.split_whitespace().map(|id| id.parse().unwrap()).collect()
+    let children =
+        std::fs::read_to_string(format!("/proc/{of}/task/{of}/children")).unwrap_or_default();
+    children
+        .split_whitespace()
+        .map(|id| id.parse().unwrap())
+        .collect()
 }
 
 fn ended_within(limit: Duration, mut ended: impl FnMut() -> bool) -> bool {
@@ -93,33 +150,58 @@
 
 #[test]
 fn what_a_run_started_is_gone_after_an_interrupt_and_after_a_kill() {
-    let file = std::env::temp_dir().join(format!("flaxdeck-scale-test-{}.scale", std::process::id()));
+    let file =
+        std::env::temp_dir().join(format!("flaxdeck-scale-test-{}.scale", std::process::id()));
     std::fs::write(&file, SMALL).unwrap();
     for signal in ["INT", "KILL"] {
         let mut run = Command::new(binary());
-        let mut run =
-            run.arg("scale").arg(&file).stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
+        let mut run = run
+            .arg("scale")
+            .arg(&file)
+            .stdout(Stdio::null())
+            .stderr(Stdio::null())
+            .spawn()
+            .unwrap();
         assert!(
             ended_within(Duration::from_secs(15), || children(run.id()).len() == 5),
             "all five are started"
         );
         let started = children(run.id());
-        let sent = Command::new("kill").arg(format!("-{signal}")).arg(run.id().to_string()).status().unwrap();
+        let sent = Command::new("kill")
+            .arg(format!("-{signal}"))
+            .arg(run.id().to_string())
+            .status()
+            .unwrap();
         assert!(sent.success());
         run.wait().unwrap();
         let gone = || !started.iter().any(|process| is_alive(*process));
-        assert!(ended_within(Duration::from_secs(5), gone), "{signal}: {started:?}");
+        assert!(
+            ended_within(Duration::from_secs(5), gone),
+            "{signal}: {started:?}"
+        );
     }
     std::fs::remove_file(file).unwrap();
 }
 
 #[test]
 fn a_size_over_a_bound_is_refused_before_anything_starts() {
-    let file = std::env::temp_dir().join(format!("flaxdeck-scale-bound-{}.scale", std::process::id()));
-    std::fs::write(&file, "(scale (name \"huge\") (sizes (hollow 5000) (hosts 3500)))").unwrap();
-    let told = Command::new(binary()).arg("scale").arg(&file).output().unwrap();
+    let file =
+        std::env::temp_dir().join(format!("flaxdeck-scale-bound-{}.scale", std::process::id()));
+    std::fs::write(
+        &file,
+        "(scale (name \"huge\") (sizes (hollow 5000) (hosts 3500)))",
+    )
+    .unwrap();
+    let told = Command::new(binary())
+        .arg("scale")
+        .arg(&file)
+        .output()
+        .unwrap();
     std::fs::remove_file(file).unwrap();
     let said = String::from_utf8_lossy(&told.stderr).into_owned();
     assert_eq!(told.status.code(), Some(2), "{said}");
-    assert!(said.contains("the bound is 10000000000 over all processes"), "{said}");
+    assert!(
+        said.contains("the bound is 10000000000 over all processes"),
+        "{said}"
+    );
 }
--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -32,7 +32,13 @@
     ) -> Result<HollowForwarder, String> {
         let start = start::parse(configuration, None, false)?;
         Ok(HollowForwarder {
-            router: begin(start, Clock::start(), Some(guidelines), instance, Some(watcher)),
+            router: begin(
+                start,
+                Clock::start(),
+                Some(guidelines),
+                instance,
+                Some(watcher),
+            ),
         })
     }
 
@@ -50,19 +56,33 @@
     instance: u32,
     watcher: Option<Watcher>,
 ) -> Rc<Router> {
-    let Start { mut watch, mut known, terms, names, carriage, bounds, seed, .. } = start;
+    let Start {
+        mut watch,
+        mut known,
+        terms,
+        names,
+        carriage,
+        bounds,
+        seed,
+        ..
+    } = start;
     let router = Router::new(clock, seed, terms, names, carriage, bounds);
     // A guided forwarder keeps to what is its own from the first list on.
     if let Some(guidelines) = guidelines {
         let epoch = Epoch::new(clock.now(), instance);
-        let (keeps, waits) = (guidelines.keeps.clone(), guidelines.stance.pledges.forwarder_waits());
+        let (keeps, waits) = (
+            guidelines.keeps.clone(),
+            guidelines.stance.pledges.forwarder_waits(),
+        );
         router.guide_by(epoch, seed, guidelines, &mut watch);
         if let Some(keeps) = keeps {
             retry_after(&router, &watch, clock, &keeps, &mut known, waits);
         }
     }
     let last = watch.numbering().borrow().last();
-    known.into_iter().for_each(|(_, event)| router.told(last, event));
+    known
+        .into_iter()
+        .for_each(|(_, event)| router.told(last, event));
     if let Some(watcher) = watcher {
         router.watch(watcher, Some(last).filter(|last| *last != Mark::NONE));
     }
@@ -86,9 +106,19 @@
         known.clear();
     }
     let last = watch.numbering().borrow().last();
-    known.splice(0..0, std::mem::take(&mut recalled.events).into_iter().map(|event| (last.number, event)));
+    known.splice(
+        0..0,
+        std::mem::take(&mut recalled.events)
+            .into_iter()
+            .map(|event| (last.number, event)),
+    );
     // Told before the hints about hosts, and kept as the first snapshot.
-    let events: Vec<Event> = std::mem::take(known).into_iter().map(|(_, event)| event).collect();
-    events.iter().for_each(|event| router.told(last, event.clone()));
+    let events: Vec<Event> = std::mem::take(known)
+        .into_iter()
+        .map(|(_, event)| event)
+        .collect();
+    events
+        .iter()
+        .for_each(|event| router.told(last, event.clone()));
     router.take_up(recalled, keeps, &events, last);
 }
--- a/crates/flaxdeck-dispatcher/src/program/logger.rs
+++ b/crates/flaxdeck-dispatcher/src/program/logger.rs
@@ -11,7 +11,11 @@
 use flaxdeck_net::tally::{Count, count};
 
 /// Enough for operators; details of single requests are `debug`, which debug builds show.
-const LEVEL: LevelFilter = if cfg!(debug_assertions) { LevelFilter::Debug } else { LevelFilter::Info };
+const LEVEL: LevelFilter = if cfg!(debug_assertions) {
+    LevelFilter::Debug
+} else {
+    LevelFilter::Info
+};
 /// Lines that may wait to be written: some seconds of a debug build's.
 const LINES: usize = 4096;
 /// How long the end waits for the last lines; a log that takes longer is not being read.
@@ -32,9 +36,18 @@
 
     fn log(&self, record: &Record) {
         if self.enabled(record.metadata()) {
-            let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
+            let unix = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default()
+                .as_secs_f64();
             let (level, from) = (record.level(), record.target());
-            if self.0.try_send(Entry::Line(format!("{unix:.3} {level} {from}: {}\n", record.args()))).is_err()
+            if self
+                .0
+                .try_send(Entry::Line(format!(
+                    "{unix:.3} {level} {from}: {}\n",
+                    record.args()
+                )))
+                .is_err()
             {
                 count(Count::log_lines_lost);
             }
--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -46,7 +46,9 @@
 /// A dispatcher that planners guide, if guidelines say so; the caller has set up the log. Without a path the
 /// configuration is the one that `GW_CONFIG` names.
 pub fn run_guided(path: Option<&str>, guidelines: Option<Guidelines>) -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|error| format!("no runtime: {error}"))?;
     LocalSet::new().block_on(&runtime, serve(path, guidelines))
 }
@@ -54,15 +56,23 @@
 async fn serve(path: Option<&str>, guidelines: Option<Guidelines>) -> Result<(), String> {
     let clock = Clock::start();
     let signals = |kind| signal(kind).map_err(|error| format!("no signals: {error}"));
-    let (mut asked_to_end, mut asked_to_reload) =
-        (signals(SignalKind::terminate())?, signals(SignalKind::hangup())?);
+    let (mut asked_to_end, mut asked_to_reload) = (
+        signals(SignalKind::terminate())?,
+        signals(SignalKind::hangup())?,
+    );
     let start = start::read(path, guidelines.is_none())?;
-    let (address, carriage, bounds, settings) =
-        (start.address, start.carriage, start.bounds, start.settings.clone());
+    let (address, carriage, bounds, settings) = (
+        start.address,
+        start.carriage,
+        start.bounds,
+        start.settings.clone(),
+    );
     let refused = |error| format!("cannot listen at {address}: {error}");
     // Taken before anything is said in its name: while an earlier run still listens there, this one is none.
     let claim = Claim::take(address).map_err(refused)?;
-    let counters = guidelines.as_ref().and_then(|guidelines| guidelines.counters.clone());
+    let counters = guidelines
+        .as_ref()
+        .and_then(|guidelines| guidelines.counters.clone());
     let router = control::begin(start, clock, guidelines, std::process::id(), None);
     let guided = router.is_guided();
     counters.into_iter().for_each(counters_file::spawn);
@@ -103,7 +113,13 @@
 
 /// Reads the configuration again. The coordinator, its events and the limits change in place; what can't is
 /// said, and one that can't be used changes nothing.
-fn reload(path: Option<&str>, router: &Router, address: SocketAddr, settings: &Value, guided: bool) {
+fn reload(
+    path: Option<&str>,
+    router: &Router,
+    address: SocketAddr,
+    settings: &Value,
+    guided: bool,
+) {
     let later = match start::read(path, !guided) {
         Ok(later) => later,
         Err(why) => {
@@ -121,13 +137,23 @@
     }
     count(Count::reloads);
     log::info!("configuration read again, {:?}", later.bounds);
-    router.reload(later.bounds, later.watch, if same { later.known } else { Vec::new() });
+    router.reload(
+        later.bounds,
+        later.watch,
+        if same { later.known } else { Vec::new() },
+    );
 }
 
 fn log_line(router: &Router) {
     let [requests, clients, hosts] = router.load();
-    log::info!("open: requests={requests} clients={clients} hosts={hosts}; counted: {}", tally::line());
-    router.guidance_line().into_iter().for_each(|line| log::info!("{line}"));
+    log::info!(
+        "open: requests={requests} clients={clients} hosts={hosts}; counted: {}",
+        tally::line()
+    );
+    router
+        .guidance_line()
+        .into_iter()
+        .for_each(|line| log::info!("{line}"));
 }
 
 async fn log_counters(router: Rc<Router>) {
--- a/crates/flaxdeck-dispatcher/src/program/start.rs
+++ b/crates/flaxdeck-dispatcher/src/program/start.rs
@@ -40,25 +40,51 @@
 pub fn parse(value: &Value, listen: Option<String>, trusts: bool) -> Result<Start, String> {
     let fields = Fields::of(value, "the whole")?;
     let listen = listen.map_or_else(|| fields.text("listen").map(str::to_owned), Ok)?;
-    let address = listen.parse().map_err(|_| format!("listen: {listen} is no address"))?;
+    let address = listen
+        .parse()
+        .map_err(|_| format!("listen: {listen} is no address"))?;
     let coordinator = fields.text("coordinator")?;
-    let coordinator = coordinator.parse().map_err(|_| format!("coordinator: {coordinator} is no address"))?;
+    let coordinator = coordinator
+        .parse()
+        .map_err(|_| format!("coordinator: {coordinator} is no address"))?;
     let seed = fields.text("seed")?;
     let seed = u64::from_str_radix(seed, 16).map_err(|_| format!("seed: {seed} is not in hex"))?;
     let settings = fields.inner("settings")?;
-    let (terms, names) = flaxdeck_terms::read(&settings).map_err(|fault| format!("settings: {fault}"))?;
+    let (terms, names) =
+        flaxdeck_terms::read(&settings).map_err(|fault| format!("settings: {fault}"))?;
     let names = Rc::new(names);
-    let (watch, known) = Watch::start(coordinator, &fields.inner("known")?, names.clone(), trusts, seed)?;
+    let (watch, known) = Watch::start(
+        coordinator,
+        &fields.inner("known")?,
+        names.clone(),
+        trusts,
+        seed,
+    )?;
     let limits = fields.inner("limits")?;
     let (memory_mb, sockets) = (limits.number("memory_mb")?, limits.whole("sockets")?);
     if memory_mb <= 0.0 {
-        return Err(format!("limits: field memory_mb is {memory_mb}, nothing fits in that"));
+        return Err(format!(
+            "limits: field memory_mb is {memory_mb}, nothing fits in that"
+        ));
     }
     if sockets < SOCKETS_LEAST {
-        return Err(format!("limits: field sockets is {sockets}, {SOCKETS_LEAST} are needed at least"));
+        return Err(format!(
+            "limits: field sockets is {sockets}, {SOCKETS_LEAST} are needed at least"
+        ));
     }
     let bounds = Bounds::of(memory_mb, sockets as usize);
-    let carriage = flaxdeck_terms::carriage(&settings).map_err(|fault| format!("settings: {fault}"))?;
+    let carriage =
+        flaxdeck_terms::carriage(&settings).map_err(|fault| format!("settings: {fault}"))?;
     let settings = Value::Object(settings.0.clone());
-    Ok(Start { address, watch, known, terms, names, carriage, bounds, seed, settings })
+    Ok(Start {
+        address,
+        watch,
+        known,
+        terms,
+        names,
+        carriage,
+        bounds,
+        seed,
+        settings,
+    })
 }
--- a/crates/flaxdeck-dispatcher/src/protocol/pool.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/pool.rs
@@ -42,7 +42,13 @@
     async fn answer(&mut self, id: &Bytes, pool: &Pool) -> Option<(Outcome, Option<Place>)> {
         loop {
             match self.line(pool).await? {
-                (Line { id: Some(answered), outcome }, held) if answered == id => {
+                (
+                    Line {
+                        id: Some(answered),
+                        outcome,
+                    },
+                    held,
+                ) if answered == id => {
                     return Some((outcome, held));
                 }
                 _ => count(Count::hosts_strays),
@@ -119,7 +125,11 @@
     /// Takes in lines of the list; with the whole list, what it leaves out is gone.
     pub fn list(&self, list_kind: ListKind, endpoints: &[AddressedEndpoint]) {
         let mut kept = self.kept.borrow_mut();
-        let named = |host: &HostId| endpoints.iter().any(|endpoint| endpoint.listed.host == *host);
+        let named = |host: &HostId| {
+            endpoints
+                .iter()
+                .any(|endpoint| endpoint.listed.host == *host)
+        };
         kept.retain(|host, _| list_kind == ListKind::Delta || named(host));
         for AddressedEndpoint { listed, address } in endpoints {
             if listed.health == Health::Removed {
@@ -127,9 +137,15 @@
                 continue;
             }
             let known = kept.entry(listed.host.clone());
-            let known = known.or_insert_with(|| Kept { address: *address, idle: Vec::new() });
+            let known = known.or_insert_with(|| Kept {
+                address: *address,
+                idle: Vec::new(),
+            });
             if known.address != *address {
-                *known = Kept { address: *address, idle: Vec::new() };
+                *known = Kept {
+                    address: *address,
+                    idle: Vec::new(),
+                };
             }
         }
     }
@@ -163,8 +179,14 @@
         begun: &Cell<bool>,
     ) -> (Outcome, Option<Place>) {
         let bare = |ending| (Outcome::bare(ending), None);
-        let Some((wish, sent_by)) = clear() else { return bare(Ending::Superseded) };
-        let kept = if wish.fresh { None } else { self.kept_idle(host) };
+        let Some((wish, sent_by)) = clear() else {
+            return bare(Ending::Superseded);
+        };
+        let kept = if wish.fresh {
+            None
+        } else {
+            self.kept_idle(host)
+        };
         let conn = match kept {
             Some(conn) => conn,
             None => match self.connect(host, sent_by).await {
@@ -174,12 +196,22 @@
         };
         let Some((wish, sent_by)) = clear() else {
             count(Count::superseded);
-            log::debug!("{} no longer to be sent to {}", String::from_utf8_lossy(&asked.id), host.0);
+            log::debug!(
+                "{} no longer to be sent to {}",
+                String::from_utf8_lossy(&asked.id),
+                host.0
+            );
             self.keep(host, conn);
             return bare(Ending::Superseded);
         };
-        let mut open =
-            Open { pool: self, host, id: &asked.id, alone: wish.fresh, conn: Some(conn), written: false };
+        let mut open = Open {
+            pool: self,
+            host,
+            id: &asked.id,
+            alone: wish.fresh,
+            conn: Some(conn),
+            written: false,
+        };
         let conn = open.conn.as_mut().expect("just put");
         begun.set(true);
         conn.outbound.send(lines::want(asked, &wish), [None, None]);
@@ -206,7 +238,11 @@
                 answered
             }
             Ok(None) => {
-                if open.conn.take().is_some_and(|conn| conn.reused && conn.inbound.bytes.is_empty()) {
+                if open
+                    .conn
+                    .take()
+                    .is_some_and(|conn| conn.reused && conn.inbound.bytes.is_empty())
+                {
                     self.forget_idle(host);
                     return bare(Ending::Stale);
                 }
@@ -238,11 +274,20 @@
     /// One connection had died while it was idle, so the others of the host may have: the next is a new one.
     fn forget_idle(&self, host: &HostId) {
         count(Count::hosts_stale);
-        self.kept.borrow_mut().get_mut(host).into_iter().for_each(|kept| kept.idle.clear());
+        self.kept
+            .borrow_mut()
+            .get_mut(host)
+            .into_iter()
+            .for_each(|kept| kept.idle.clear());
     }
 
     async fn connect(&self, host: &HostId, sent_by: Instant) -> Result<Conn, Ending> {
-        let address = self.kept.borrow().get(host).map(|kept| kept.address).ok_or(Ending::NotSent)?;
+        let address = self
+            .kept
+            .borrow()
+            .get(host)
+            .map(|kept| kept.address)
+            .ok_or(Ending::NotSent)?;
         let place = self.place().ok_or_else(|| {
             count(Count::hosts_no_room);
             Ending::NotSent
@@ -252,7 +297,14 @@
             Ok(Ok((inbound, outbound))) => {
                 count(Count::hosts_connected);
                 let (used, reused) = (Instant::now(), false);
-                Ok(Conn { address, inbound, outbound, used, reused, _place: place })
+                Ok(Conn {
+                    address,
+                    inbound,
+                    outbound,
+                    used,
+                    reused,
+                    _place: place,
+                })
             }
             Ok(Err(error)) => {
                 count(Count::hosts_refused);
@@ -288,7 +340,10 @@
         conn.inbound.rest();
         let mut kept = self.kept.borrow_mut();
         // The host may have moved while the connection was out.
-        if let Some(kept) = kept.get_mut(host).filter(|kept| kept.address == conn.address) {
+        if let Some(kept) = kept
+            .get_mut(host)
+            .filter(|kept| kept.address == conn.address)
+        {
             kept.idle.push(conn);
         }
     }
@@ -311,9 +366,15 @@
 impl Drop for Open<'_> {
     fn drop(&mut self) {
         // Closing a connection gives up what is open on it.
-        let Some(conn) = self.conn.take().filter(|_| !self.alone) else { return };
+        let Some(conn) = self.conn.take().filter(|_| !self.alone) else {
+            return;
+        };
         if self.written {
-            spawn_local(self.pool.clone().fence(self.host.clone(), self.id.clone(), conn));
+            spawn_local(
+                self.pool
+                    .clone()
+                    .fence(self.host.clone(), self.id.clone(), conn),
+            );
         } else if !conn.outbound.pending() && !conn.outbound.is_closed() {
             self.pool.keep(self.host, conn);
         }
--- a/crates/flaxdeck-dispatcher/src/protocol/session.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/session.rs
@@ -99,7 +99,8 @@
 impl Reply {
     /// Sends the answer, with the place that its bytes hold until it is written.
     pub fn send(self, answer: Answer, held: Option<Place>) {
-        self.outbound.send(rpc::answer(self.call, answer), [self.place, held]);
+        self.outbound
+            .send(rpc::answer(self.call, answer), [self.place, held]);
     }
 }
 
@@ -136,7 +137,19 @@
         let (inbound, outbound) = link::split(stream);
         let (held, begun, midway) = (None, Some(Instant::now()), Rc::default());
         let (wants_memory, open, passing, owed) = (None, Rc::new(()), None, VecDeque::new());
-        Session { inbound, outbound, names, bytes, held, begun, midway, wants_memory, open, passing, owed }
+        Session {
+            inbound,
+            outbound,
+            names,
+            bytes,
+            held,
+            begun,
+            midway,
+            wants_memory,
+            open,
+            passing,
+            owed,
+        }
     }
 
     /// Answers what no host has to be asked for, or keeps it owed while the client takes nothing.
@@ -148,7 +161,9 @@
 
     fn pay(&mut self) {
         while self.outbound.waiting() < UNREAD_MOST {
-            let Some((call, word)) = self.owed.pop_front() else { return };
+            let Some((call, word)) = self.owed.pop_front() else {
+                return;
+            };
             let bytes = match word {
                 ShortReply::Alive => rpc::alive(call),
                 ShortReply::Refused(after) => rpc::error(call, "Backoff", after),
@@ -166,11 +181,19 @@
 
     /// What answers the request of that number, with the place that it holds until the answer is written.
     pub fn reply(&self, call: u32, place: Option<Place>) -> Reply {
-        Reply { outbound: self.outbound.clone(), call, place, _open: self.open.clone() }
+        Reply {
+            outbound: self.outbound.clone(),
+            call,
+            place,
+            _open: self.open.clone(),
+        }
     }
 
     pub fn closer(&self) -> Closer {
-        Closer { outbound: self.outbound.clone(), midway: self.midway.clone() }
+        Closer {
+            outbound: self.outbound.clone(),
+            midway: self.midway.clone(),
+        }
     }
 
     /// Something has come that is not heard yet: bytes that are read, or the end of the connection; behind a message that
@@ -247,7 +270,9 @@
                     self.passing = rpc::lacks_body(&self.inbound.bytes);
                     if self.passing.is_none() {
                         count(Count::clients_malformed);
-                        log::debug!("a client's connection is closed: no memory for what is no request");
+                        log::debug!(
+                            "a client's connection is closed: no memory for what is no request"
+                        );
                         return Heard::Over;
                     }
                     self.inbound.bytes.clear();
@@ -273,14 +298,23 @@
 
     async fn wait(&mut self, more: usize) -> Waited {
         let pending = self.outbound.pending();
-        let enough = if self.passing.is_some() { more } else { self.inbound.bytes.len() + more };
+        let enough = if self.passing.is_some() {
+            more
+        } else {
+            self.inbound.bytes.len() + more
+        };
         if enough > SMALL && self.held.is_none() {
             self.held = self.bytes.take_some(enough);
         }
         let waits = enough > SMALL && self.held.is_none();
         let has_open = Rc::strong_count(&self.open) > 1;
-        let patience = if has_open { FOR_MEMORY_BESIDE_OPEN } else { FOR_MEMORY };
-        let memory_by = waits.then(|| *self.wants_memory.get_or_insert_with(Instant::now) + patience);
+        let patience = if has_open {
+            FOR_MEMORY_BESIDE_OPEN
+        } else {
+            FOR_MEMORY
+        };
+        let memory_by =
+            waits.then(|| *self.wants_memory.get_or_insert_with(Instant::now) + patience);
         let (inbound, held) = (&mut self.inbound, &mut self.held);
         let read = async {
             if let Some(by) = memory_by {
--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -41,13 +41,18 @@
 /// Takes in clients for ever.
 pub async fn accept(router: Rc<Router>, listener: Listener) {
     loop {
-        router.open.borrow_mut().retain(|client| client.strong_count() > 0);
+        router
+            .open
+            .borrow_mut()
+            .retain(|client| client.strong_count() > 0);
         let place = match router.clients.take() {
             Some(place) => place,
             None => {
                 router.make_room();
                 // Whoever makes room is gone at its next turn, so connections wait for no timer.
-                let Ok(place) = timeout(PAUSE, router.clients.wait_for(1)).await else { continue };
+                let Ok(place) = timeout(PAUSE, router.clients.wait_for(1)).await else {
+                    continue;
+                };
                 place
             }
         };
@@ -74,24 +79,38 @@
 
 impl Router {
     fn open_clients(&self) -> Vec<Rc<Client>> {
-        self.open.borrow().iter().filter_map(Weak::upgrade).collect()
+        self.open
+            .borrow()
+            .iter()
+            .filter_map(Weak::upgrade)
+            .collect()
     }
 
     /// Whether a client has said something that was not read to its end.
     pub(super) fn is_told_more(&self) -> bool {
-        self.open_clients().iter().any(|client| client.closer.is_midway() || client.closer.has_unread())
+        self.open_clients()
+            .iter()
+            .any(|client| client.closer.is_midway() || client.closer.has_unread())
     }
 
     /// Ends all connections of clients, those too that are accepted from now on; what comes on them is not taken any more.
     pub fn end_clients(&self) {
         self.ends.set(true);
-        self.open_clients().iter().for_each(|client| client.closer.close());
+        self.open_clients()
+            .iter()
+            .for_each(|client| client.closer.close());
     }
 
     /// Closes resting connections of clients, so that others find a place.
     fn make_room(&self) {
-        let clients: Vec<Candidate> =
-            self.open_clients().into_iter().map(|client| Candidate { router: self, client }).collect();
+        let clients: Vec<Candidate> = self
+            .open_clients()
+            .into_iter()
+            .map(|client| Candidate {
+                router: self,
+                client,
+            })
+            .collect();
         match eviction::choose(&clients, Instant::now()) {
             Eviction::Silent(silent) => silent.into_iter().for_each(|candidate| {
                 count(Count::clients_closed_silent);
@@ -123,7 +142,13 @@
 
     fn is_busy(&self) -> bool {
         let closer = &self.client.closer;
-        let has_open = || self.client.requests.borrow().values().any(|request| self.router.is_open(*request));
+        let has_open = || {
+            self.client
+                .requests
+                .borrow()
+                .values()
+                .any(|request| self.router.is_open(*request))
+        };
         closer.is_midway() || closer.unread() > 0 || has_open()
     }
 
@@ -135,8 +160,17 @@
 
 fn serve(router: &Rc<Router>, stream: TcpStream, place: Place) -> Weak<Client> {
     let session = Session::new(stream, router.names.clone(), router.asked.clone());
-    let (requests, quiet_since, spoke) = (RefCell::default(), Cell::new(Instant::now()), Cell::new(false));
-    let client = Rc::new(Client { requests, quiet_since, spoke, closer: session.closer() });
+    let (requests, quiet_since, spoke) = (
+        RefCell::default(),
+        Cell::new(Instant::now()),
+        Cell::new(false),
+    );
+    let client = Rc::new(Client {
+        requests,
+        quiet_since,
+        spoke,
+        closer: session.closer(),
+    });
     if router.ends.get() {
         client.closer.close();
     }
@@ -160,7 +194,11 @@
             yield_now().await;
         }
     }
-    client.requests.take().into_values().for_each(|request| router.leave(request));
+    client
+        .requests
+        .take()
+        .into_values()
+        .for_each(|request| router.leave(request));
     drop(client);
     if router.ends.get() {
         session.end(LINGER).await;
@@ -172,7 +210,10 @@
     let mut ending = router.ending.borrow_mut();
     ending.push_back(end);
     if ending.len() > ENDING_MOST {
-        ending.pop_front().into_iter().for_each(|longest| longest.abort());
+        ending
+            .pop_front()
+            .into_iter()
+            .for_each(|longest| longest.abort());
     }
 }
 
@@ -196,7 +237,10 @@
             }
             Heard::Request { call, asked } => {
                 let fits = requests.len() + self.closer.unread() < OPEN_MOST;
-                let (slot, held) = (router.slots.take(), router.asked.take_some(asked.body.len()));
+                let (slot, held) = (
+                    router.slots.take(),
+                    router.asked.take_some(asked.body.len()),
+                );
                 match held.filter(|_| fits && slot.is_some()) {
                     Some(held) => {
                         requests.insert(call, router.take(asked, session.reply(call, slot), held));
@@ -211,9 +255,10 @@
                 count(Count::requests_no_room);
                 session.tell(call, ShortReply::Refused(router.retry_after()));
             }
-            Heard::Cancel { call } => {
-                requests.remove(&call).into_iter().for_each(|request| router.leave(request))
-            }
+            Heard::Cancel { call } => requests
+                .remove(&call)
+                .into_iter()
+                .for_each(|request| router.leave(request)),
             Heard::Other => {}
             Heard::Over => return false,
         }
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -80,14 +80,25 @@
 impl Guides {
     /// The planner whose events are followed is told samples of hosts too.
     pub(super) fn follows(&self, planner: Option<PlannerNumber>) {
-        self.guide.borrow_mut().subscribed_to(planner.map(|planner| PlannerId(planner.0)));
+        self.guide
+            .borrow_mut()
+            .subscribed_to(planner.map(|planner| PlannerId(planner.0)));
     }
 }
 
 impl Router {
     /// Has the router guided from now on.
-    pub fn guide_by(self: &Rc<Router>, epoch: Epoch, seed: u64, guidelines: Guidelines, watch: &mut Watch) {
-        let (numbering, urgency) = (watch.numbering(), watch.urgency(!guidelines.planners.is_empty()));
+    pub fn guide_by(
+        self: &Rc<Router>,
+        epoch: Epoch,
+        seed: u64,
+        guidelines: Guidelines,
+        watch: &mut Watch,
+    ) {
+        let (numbering, urgency) = (
+            watch.numbering(),
+            watch.urgency(!guidelines.planners.is_empty()),
+        );
         let (count, now) = (guidelines.planners.len(), self.clock.now());
         let mut guide = Guide::start(now, epoch, guidelines.stance, count as u32);
         let subscription = guidelines.digests.map(|digests| {
@@ -96,7 +107,10 @@
             EventSubscription::start(now, count as u32, seed, digests, self.settles, numbering)
         });
         watch.pause_while(subscription.is_some());
-        let unheard = guidelines.stance.blind_after.map_or(Unheard::GoOn, Unheard::RejectAfter);
+        let unheard = guidelines
+            .stance
+            .blind_after
+            .map_or(Unheard::GoOn, Unheard::RejectAfter);
         let guides = Rc::new(Guides {
             guide: RefCell::new(guide),
             speakers: RefCell::new((0..count).map(|_| None).collect()),
@@ -132,7 +146,9 @@
 
     /// Waits until clients are to be taken: once somebody vouches for the list, or as the operator's file says.
     pub async fn comes_back(&self) {
-        let Some(guides) = self.guides.borrow().clone() else { return };
+        let Some(guides) = self.guides.borrow().clone() else {
+            return;
+        };
         loop {
             let at = guides.back.borrow().listens_at();
             if self.clock.now() >= at {
@@ -154,18 +170,32 @@
     }
 
     fn keep_lines(guides: &Guides, lines: &[Endpoint]) {
-        guides.doubted.borrow_mut().named(lines.iter().map(|line| &line.host));
+        guides
+            .doubted
+            .borrow_mut()
+            .named(lines.iter().map(|line| &line.host));
         let told = lines.iter().map(|line| (line.host.clone(), line.clone()));
         guides.lines.borrow_mut().extend(told);
     }
 
     /// Takes up what an earlier run left; from then on all that is told is kept. Gives what is to be kept at first.
-    pub fn take_up(self: &Rc<Router>, recalled: Recalled, keeps: &Keeps, first: &[Event], last: Mark) {
-        let Some(guides) = self.guides.borrow().clone() else { return };
+    pub fn take_up(
+        self: &Rc<Router>,
+        recalled: Recalled,
+        keeps: &Keeps,
+        first: &[Event],
+        last: Mark,
+    ) {
+        let Some(guides) = self.guides.borrow().clone() else {
+            return;
+        };
         let now = self.clock.now();
         {
             let mut guide = guides.guide.borrow_mut();
-            recalled.waits.into_iter().for_each(|waits| guide.owns_after(now, waits));
+            recalled
+                .waits
+                .into_iter()
+                .for_each(|waits| guide.owns_after(now, waits));
             guide.needs_leave(now);
             let mut guided = guide.hints(now);
             guided.hints.extend(recalled.hints);
@@ -210,16 +240,23 @@
 
     /// Lines of hosts that an event tells are kept, to be held against a list that comes in place of what follows.
     pub(super) fn keep_told(&self, event: &Event) {
-        let Some(guides) = self.guides.borrow().clone() else { return };
+        let Some(guides) = self.guides.borrow().clone() else {
+            return;
+        };
         if let Event::Hosts(_, endpoints) = event {
-            let lines: Vec<Endpoint> = endpoints.iter().map(|endpoint| endpoint.listed.clone()).collect();
+            let lines: Vec<Endpoint> = endpoints
+                .iter()
+                .map(|endpoint| endpoint.listed.clone())
+                .collect();
             Router::keep_lines(&guides, &lines);
         }
     }
 
     /// An event that has just happened tells how far apart the clocks are.
     pub(super) fn hear_clock(&self, event: &Event) {
-        let Some(guides) = self.guides.borrow().clone() else { return };
+        let Some(guides) = self.guides.borrow().clone() else {
+            return;
+        };
         let now = self.clock.now();
         let mut told: Vec<(Time, Span)> = Vec::new();
         match event {
@@ -227,14 +264,25 @@
             Event::Hosts(ListKind::Delta, endpoints) => {
                 let lines = guides.lines.borrow();
                 for line in endpoints.iter().map(|endpoint| &endpoint.listed) {
-                    let anew = lines.get(&line.host).is_some_and(|before| before.started != line.started);
-                    told.extend(line.started.filter(|_| anew).map(|started| (started, clocks::START_LATE)));
+                    let anew = lines
+                        .get(&line.host)
+                        .is_some_and(|before| before.started != line.started);
+                    told.extend(
+                        line.started
+                            .filter(|_| anew)
+                            .map(|started| (started, clocks::START_LATE)),
+                    );
                 }
             }
             Event::Hosts(ListKind::Full, _) => {}
         }
-        let changed = |(told, late): (Time, Span)| guides.clocks.borrow_mut().heard(now, told, late);
-        if told.into_iter().map(changed).fold(false, |any, changed| any | changed) {
+        let changed =
+            |(told, late): (Time, Span)| guides.clocks.borrow_mut().heard(now, told, late);
+        if told
+            .into_iter()
+            .map(changed)
+            .fold(false, |any, changed| any | changed)
+        {
             count(Count::clocks_apart);
             let ahead = guides.clocks.borrow().ahead_ms();
             log::error!("the wall clock is {ahead:.0} ms ahead of the coordinator's");
@@ -246,43 +294,69 @@
     /// What was seen of hosts, with their starts as they were told.
     fn observations(&self) -> Vec<Observation> {
         let mut observations = self.facade.borrow().observations(self.clock.now());
-        self.guides.borrow().iter().for_each(|guides| guides.clocks.borrow().observations(&mut observations));
+        self.guides
+            .borrow()
+            .iter()
+            .for_each(|guides| guides.clocks.borrow().observations(&mut observations));
         observations
     }
 
     /// Lines of hosts go to the brain with their starts by the own clock.
     pub(super) fn report_lines(&self, list_kind: ListKind, mut lines: Vec<Endpoint>) {
-        self.guides.borrow().iter().for_each(|guides| guides.clocks.borrow().lines(&mut lines));
+        self.guides
+            .borrow()
+            .iter()
+            .for_each(|guides| guides.clocks.borrow().lines(&mut lines));
         self.report(News::Hosts(list_kind, lines));
     }
 
     /// When a purge counts as made. Guards against a clock that makes it older than it is: beside others it counts from
     /// when it was told, which asks for younger copies than need be and never for older ones.
     pub(super) fn purged_at(&self, made: Time) -> Time {
-        let begun = self.guides.borrow().as_ref().is_some_and(|guides| guides.begun.get());
+        let begun = self
+            .guides
+            .borrow()
+            .as_ref()
+            .is_some_and(|guides| guides.begun.get());
         if begun { self.clock.now() } else { made }
     }
 
     /// What the configuration tells has been told.
     pub(super) fn begun(&self) {
-        self.guides.borrow().iter().for_each(|guides| guides.begun.set(true));
+        self.guides
+            .borrow()
+            .iter()
+            .for_each(|guides| guides.begun.set(true));
     }
 
     /// A whole list came in place of what should have followed: what can't be vouched for counts as in doubt.
     pub(super) fn told_anew(&self, mark: Mark, event: Event, doubt: Option<Doubt>) {
-        let (Some(guides), Event::Hosts(list_kind, mut endpoints)) = (self.guides.borrow().clone(), event)
+        let (Some(guides), Event::Hosts(list_kind, mut endpoints)) =
+            (self.guides.borrow().clone(), event)
         else {
             return;
         };
         let now = self.clock.now();
-        let lines: Vec<Endpoint> = endpoints.iter().map(|endpoint| endpoint.listed.clone()).collect();
+        let lines: Vec<Endpoint> = endpoints
+            .iter()
+            .map(|endpoint| endpoint.listed.clone())
+            .collect();
         let mut withheld = 0;
         if doubt.is_some() {
-            let (lines, count) = guides.doubted.borrow_mut().adopt(now, &guides.lines.borrow(), lines);
+            let (lines, count) =
+                guides
+                    .doubted
+                    .borrow_mut()
+                    .adopt(now, &guides.lines.borrow(), lines);
             withheld = count;
-            endpoints.iter_mut().zip(lines).for_each(|(endpoint, line)| endpoint.listed = line);
+            endpoints
+                .iter_mut()
+                .zip(lines)
+                .for_each(|(endpoint, line)| endpoint.listed = line);
         }
-        let lines = endpoints.iter().map(|endpoint| (endpoint.listed.host.clone(), endpoint.listed.clone()));
+        let lines = endpoints
+            .iter()
+            .map(|endpoint| (endpoint.listed.host.clone(), endpoint.listed.clone()));
         *guides.lines.borrow_mut() = lines.collect();
         let copies = doubt.and_then(|doubt| doubt::copies_from(now, doubt, self.settles));
         if doubt.is_some() {
@@ -303,7 +377,11 @@
         }
         self.apply(event);
         if let Some(made) = copies {
-            self.report(News::Purged { object: None, group: GroupId::ALL, made });
+            self.report(News::Purged {
+                object: None,
+                group: GroupId::ALL,
+                made,
+            });
         }
         self.in_force(InForce::Anew { upto: mark });
     }
@@ -311,12 +389,17 @@
     /// Planners with a conversation that is up.
     pub fn connected_planners(&self) -> usize {
         let guides = self.guides.borrow();
-        guides.iter().map(|guides| guides.speakers.borrow().iter().flatten().count()).sum()
+        guides
+            .iter()
+            .map(|guides| guides.speakers.borrow().iter().flatten().count())
+            .sum()
     }
 
     /// The coordinator itself has spoken.
     pub(super) fn coordinator_heard(&self) {
-        let Some(guides) = self.guides.borrow().clone() else { return };
+        let Some(guides) = self.guides.borrow().clone() else {
+            return;
+        };
         self.current_by_coordinator();
         self.events_known_at(&guides, self.clock.now());
     }
@@ -332,7 +415,9 @@
 
     /// A coordinator that has little room is left to planners while they tell the same.
     fn note_urgency(&self, guides: &Guides) {
-        guides.urgency.set_calm(guides.guide.borrow().planners_vouch(self.clock.now()));
+        guides
+            .urgency
+            .set_calm(guides.guide.borrow().planners_vouch(self.clock.now()));
     }
 
     fn note_vouched(&self, guides: &Guides) {
@@ -348,10 +433,14 @@
         let (guide, now) = (guides.guide.borrow(), self.clock.now());
         let [lent, granted] = guide.totals(now);
         let (informed, counted) = (guide.informed(now), guide.counted);
-        let events =
-            guides.subscription.as_ref().map(|subscription| format!(" events: {}", subscription.line()));
+        let events = guides
+            .subscription
+            .as_ref()
+            .map(|subscription| format!(" events: {}", subscription.line()));
         let events = events.unwrap_or_default();
-        Some(format!("guidance: {informed:?} lent={lent:.3} granted={granted:.3} {counted:?}{events}"))
+        Some(format!(
+            "guidance: {informed:?} lent={lent:.3} granted={granted:.3} {counted:?}{events}"
+        ))
     }
 
     fn tell_brain(&self, guides: &Guides) {
@@ -360,13 +449,22 @@
             let mut guide = guides.guide.borrow_mut();
             (guide.hints(now), guide.informed(now))
         };
-        for (started, _) in guided.hints.iter_mut().filter_map(|hint| hint.share.as_mut()) {
+        for (started, _) in guided
+            .hints
+            .iter_mut()
+            .filter_map(|hint| hint.share.as_mut())
+        {
             *started = started.map(|told| guides.clocks.borrow().own(told));
         }
         let before = guides.informed.replace(informed);
         if before != informed {
-            let worse = matches!(informed, Informed::Blind) && guides.back.borrow().took()[0].is_some();
-            let level = if worse { log::Level::Error } else { log::Level::Info };
+            let worse =
+                matches!(informed, Informed::Blind) && guides.back.borrow().took()[0].is_some();
+            let level = if worse {
+                log::Level::Error
+            } else {
+                log::Level::Info
+            };
             log::log!(level, "guidance is now {informed:?}, was {before:?}");
         }
         self.report(News::Guided(guided));
@@ -390,7 +488,9 @@
                 guide.link(self.zone, self.facade.borrow().link());
                 let mut speakers = guides.speakers.borrow_mut();
                 for (at, speaker) in speakers.iter_mut().enumerate() {
-                    let (Some(speaker), planner) = (speaker, PlannerId(at as u32)) else { continue };
+                    let (Some(speaker), planner) = (speaker, PlannerId(at as u32)) else {
+                        continue;
+                    };
                     if !guide.is_report_due(now, planner, &observations) {
                         continue;
                     }
@@ -489,22 +589,35 @@
                 Err(over) => return over,
             };
             let (now, last) = (self.clock.now(), guides.numbering.borrow().last());
-            let judged = guides.guide.borrow_mut().guided(now, PlannerId(at as u32), guidance, last);
+            let judged =
+                guides
+                    .guide
+                    .borrow_mut()
+                    .guided(now, PlannerId(at as u32), guidance, last);
             match judged {
                 Ok(events) => {
                     for relayed in events {
                         match frames::read(&relayed.frame, &self.names) {
                             Ok(event) => {
                                 let last = guides.numbering.borrow().last();
-                                if !guides.numbering.borrow_mut().relayed(now, last, relayed.mark) {
+                                if !guides
+                                    .numbering
+                                    .borrow_mut()
+                                    .relayed(now, last, relayed.mark)
+                                {
                                     break;
                                 }
                                 count(Count::events_relayed);
-                                event.into_iter().for_each(|event| self.told(relayed.mark, event));
+                                event
+                                    .into_iter()
+                                    .for_each(|event| self.told(relayed.mark, event));
                             }
                             Err(malformed) => {
                                 count(Count::events_unreadable);
-                                log::warn!("planner {at} passed on an event that is {}", malformed.0);
+                                log::warn!(
+                                    "planner {at} passed on an event that is {}",
+                                    malformed.0
+                                );
                                 break;
                             }
                         }
--- a/crates/flaxdeck-dispatcher/src/routing/keep.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/keep.rs
@@ -13,7 +13,9 @@
 use flaxdeck_net::clock::{Clock, since_boot};
 use flaxdeck_net::tally::{Count, count};
 use flaxdeck_recovery::Mark;
-use flaxdeck_recovery::belief::{self, Believed, Kept, KeptLine, KeptPurge, KeptRating, Later, Now, Uptime};
+use flaxdeck_recovery::belief::{
+    self, Believed, Kept, KeptLine, KeptPurge, KeptRating, Later, Now, Uptime,
+};
 use flaxdeck_store::{Folder, Store, look};
 use flaxdeck_talk::watch::Event;
 use flaxdeck_wire::frames::AddressedEndpoint;
@@ -68,7 +70,15 @@
 }
 
 fn line(endpoint: &AddressedEndpoint) -> KeptLine {
-    let Endpoint { host, weight, zone, cell, role, health, started } = endpoint.listed.clone();
+    let Endpoint {
+        host,
+        weight,
+        zone,
+        cell,
+        role,
+        health,
+        started,
+    } = endpoint.listed.clone();
     KeptLine {
         host: host.0.to_string(),
         address: endpoint.address,
@@ -96,10 +106,16 @@
         zone: line.zone.map(|zone| ZoneId(zone as usize)),
         cell: CellId(line.cell),
         role: [Role::Cache, Role::Parent, Role::Origin][usize::from(line.role.min(2))],
-        health: [Health::InService, Health::Draining, Health::Removed][usize::from(line.health.min(2))],
-        started: Some(line.started).filter(|ms| *ms > 0).map(|ms| Time::at_ms(ms as f64)),
+        health: [Health::InService, Health::Draining, Health::Removed]
+            [usize::from(line.health.min(2))],
+        started: Some(line.started)
+            .filter(|ms| *ms > 0)
+            .map(|ms| Time::at_ms(ms as f64)),
     };
-    AddressedEndpoint { listed, address: line.address }
+    AddressedEndpoint {
+        listed,
+        address: line.address,
+    }
 }
 
 /// What an earlier run left, as far as it is to be believed, in the form of events and of what was seen.
@@ -113,11 +129,19 @@
 /// Reads the store and judges it; a store that can't be read is told of and passed over.
 pub fn recall(keeps: &Keeps, clock: Clock, file: Mark, waits: Span) -> Recalled {
     let begun = Instant::now();
-    let mut recalled = Recalled { event: None, events: Vec::new(), hints: Vec::new(), waits: None };
+    let mut recalled = Recalled {
+        event: None,
+        events: Vec::new(),
+        hints: Vec::new(),
+        waits: None,
+    };
     let mut folder = match Folder::open(&keeps.folder) {
         Ok(folder) => folder,
         Err(error) => {
-            log::error!("the state's folder {} can't be opened: {error}", keeps.folder.display());
+            log::error!(
+                "the state's folder {} can't be opened: {error}",
+                keeps.folder.display()
+            );
             return recalled;
         }
     };
@@ -142,55 +166,110 @@
     }
     let Ok(kept) = Kept::read(snapshot, &found.records) else {
         count(Count::state_damaged);
-        log::error!("the state in {} is of another version: none is used", keeps.folder.display());
+        log::error!(
+            "the state in {} is of another version: none is used",
+            keeps.folder.display()
+        );
         return recalled;
     };
-    let Believed { event, lines, purges, ratings, waits, verdicts } =
-        belief::judge(kept, Now { uptime: uptime(), file, waits });
+    let Believed {
+        event,
+        lines,
+        purges,
+        ratings,
+        waits,
+        verdicts,
+    } = belief::judge(
+        kept,
+        Now {
+            uptime: uptime(),
+            file,
+            waits,
+        },
+    );
     for verdict in verdicts {
-        let word = if verdict.believed { "believed" } else { "not believed" };
+        let word = if verdict.believed {
+            "believed"
+        } else {
+            "not believed"
+        };
         log::info!("kept {}: {word}: {}", verdict.item, verdict.why);
     }
     if event.is_some() {
-        recalled.events.push(Event::Hosts(ListKind::Full, lines.iter().map(endpoint).collect()));
+        recalled.events.push(Event::Hosts(
+            ListKind::Full,
+            lines.iter().map(endpoint).collect(),
+        ));
     }
-    recalled.events.extend(purges.into_iter().map(|KeptPurge { object, group, made }| Event::Purged {
-        object: object.map(ObjectId),
-        group: GroupId(group),
-        made: Time::at_ms(made as f64),
-    }));
+    recalled.events.extend(purges.into_iter().map(
+        |KeptPurge {
+             object,
+             group,
+             made,
+         }| Event::Purged {
+            object: object.map(ObjectId),
+            group: GroupId(group),
+            made: Time::at_ms(made as f64),
+        },
+    ));
     let now = clock.now();
     let ago = |ago: Option<u64>| ago.map(|ms| now - Span::from_ms(ms));
     recalled.hints = ratings
         .into_iter()
-        .map(|KeptRating { host, measures, measured_ago, good_ago, bad_ago, .. }| Hint {
-            host: HostId(host.as_str().into()),
-            share: None,
-            measures,
-            measured: ago(measured_ago),
-            down: ago(bad_ago),
-            good: ago(good_ago),
-            window: None,
-            others: None,
-        })
+        .map(
+            |KeptRating {
+                 host,
+                 measures,
+                 measured_ago,
+                 good_ago,
+                 bad_ago,
+                 ..
+             }| Hint {
+                host: HostId(host.as_str().into()),
+                share: None,
+                measures,
+                measured: ago(measured_ago),
+                down: ago(bad_ago),
+                good: ago(good_ago),
+                window: None,
+                others: None,
+            },
+        )
         .collect();
     (recalled.event, recalled.waits) = (event, waits);
     let took = begun.elapsed().as_secs_f64() * 1000.0;
-    log::info!("state of generation {} read in {took:.1} ms", found.generation);
+    log::info!(
+        "state of generation {} read in {took:.1} ms",
+        found.generation
+    );
     recalled
 }
 
 impl Keeper {
     /// Begins to keep, from what is known now.
-    pub fn begin(keeps: &Keeps, clock: Clock, settles: Span, events: &[Event], event: Mark) -> Rc<Keeper> {
-        let mut kept = Kept { written: uptime(), event, ..Kept::default() };
+    pub fn begin(
+        keeps: &Keeps,
+        clock: Clock,
+        settles: Span,
+        events: &[Event],
+        event: Mark,
+    ) -> Rc<Keeper> {
+        let mut kept = Kept {
+            written: uptime(),
+            event,
+            ..Kept::default()
+        };
         for told in events {
             kept.add(later(event, told));
         }
         kept.forget_settled(clock.now(), settles);
         let (jobs, work) = sync_channel(WAITING);
         let (tells, wrote) = unbounded_channel();
-        let (folder, name, first) = (keeps.folder.clone(), keeps.name.clone(), belief::bytes(&kept));
+        let (folder, name, first) = (
+            keeps.folder.clone(),
+            keeps.name.clone(),
+            belief::bytes(&kept),
+        );
         thread::spawn(move || write(&folder, &name, &first, work, &tells));
         Rc::new(Keeper {
             clock,
@@ -231,7 +310,10 @@
         }
         self.asked.set(Some(until));
         let up = uptime();
-        let until_up = Uptime { ms: up.ms + until.since(now).ms().ceil() as u64 + 10, ..up };
+        let until_up = Uptime {
+            ms: up.ms + until.since(now).ms().ceil() as u64 + 10,
+            ..up
+        };
         let later = Later::LendsUntil(until_up);
         self.give(Job::Leave(belief::bytes(&later), until));
         self.kept.borrow_mut().add(later);
@@ -245,7 +327,9 @@
         let now = self.clock.now();
         let ago = |at: Option<Time>| at.map(|at| now.since(at).ms() as u64);
         let seen = observations.iter().filter(|observation| {
-            [observation.measured, observation.good, observation.bad].iter().any(Option::is_some)
+            [observation.measured, observation.good, observation.bad]
+                .iter()
+                .any(Option::is_some)
         });
         let rating = |observation: &Observation| KeptRating {
             host: observation.host.0.to_string(),
@@ -280,16 +364,37 @@
 
 fn later(mark: Mark, event: &Event) -> Later {
     match event {
-        Event::Hosts(ListKind::Full, endpoints) => Later::Whole(mark, endpoints.iter().map(line).collect()),
-        Event::Hosts(ListKind::Delta, endpoints) => Later::Lines(mark, endpoints.iter().map(line).collect()),
-        Event::Purged { object, group, made } => {
+        Event::Hosts(ListKind::Full, endpoints) => {
+            Later::Whole(mark, endpoints.iter().map(line).collect())
+        }
+        Event::Hosts(ListKind::Delta, endpoints) => {
+            Later::Lines(mark, endpoints.iter().map(line).collect())
+        }
+        Event::Purged {
+            object,
+            group,
+            made,
+        } => {
             let object = object.map(|object| object.0);
-            Later::Purged(mark, KeptPurge { object, group: group.0, made: made.ms() as u64 })
+            Later::Purged(
+                mark,
+                KeptPurge {
+                    object,
+                    group: group.0,
+                    made: made.ms() as u64,
+                },
+            )
         }
     }
 }
 
-fn write(folder: &Path, name: &str, first: &[u8], work: Receiver<Job>, tells: &UnboundedSender<Wrote>) {
+fn write(
+    folder: &Path,
+    name: &str,
+    first: &[u8],
+    work: Receiver<Job>,
+    tells: &UnboundedSender<Wrote>,
+) {
     let disk = Folder::open(folder).map_err(|error| flaxdeck_store::Broken(error.to_string()));
     let mut store = match disk.and_then(|disk| Store::begin(disk, name, first)) {
         Ok(store) => store,
@@ -300,7 +405,9 @@
         let told = match job {
             Job::Snapshot(bytes) => store.snapshot(&bytes),
             Job::Record(bytes) => store.record(&bytes),
-            Job::Leave(bytes, until) => store.record(&bytes).map(|()| drop(tells.send(Wrote::Leave(until)))),
+            Job::Leave(bytes, until) => store
+                .record(&bytes)
+                .map(|()| drop(tells.send(Wrote::Leave(until)))),
             Job::Last(bytes, done) => {
                 let told = store.snapshot(&bytes);
                 let _ = done.try_send(()); // whoever waited has gone on
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -98,7 +98,10 @@
         carriage: Carriage,
         bounds: Bounds,
     ) -> Rc<Router> {
-        let (asked, answered) = (Rc::new(Room::new(bounds.asked)), Rc::new(Room::new(bounds.answered)));
+        let (asked, answered) = (
+            Rc::new(Room::new(bounds.asked)),
+            Rc::new(Room::new(bounds.answered)),
+        );
         let (zone, settles) = (terms.zone, terms.purge_settles);
         Rc::new(Router {
             clock,
@@ -166,7 +169,9 @@
 
     /// Whether an attempt may still be sent, and what it may ask for by now.
     fn clear(&self, request: RequestId, index: AttemptIndex) -> Option<Clearance> {
-        self.facade.borrow_mut().clear(self.clock.now(), request, index)
+        self.facade
+            .borrow_mut()
+            .clear(self.clock.now(), request, index)
     }
 
     fn has_id(&self, id: &Bytes) -> bool {
@@ -180,13 +185,19 @@
 
     fn notify(&self, requests: &[RequestId]) {
         let table = self.table.borrow();
-        requests.iter().filter_map(|request| table.get(request)).for_each(|entry| entry.notify.notify_one());
+        requests
+            .iter()
+            .filter_map(|request| table.get(request))
+            .for_each(|entry| entry.notify.notify_one());
     }
 
     /// An event of the coordinator that follows what is known.
     pub fn told(&self, mark: Mark, event: Event) {
         self.told_by_others(mark, event);
-        self.in_force(InForce::Events { after: mark.number.saturating_sub(1), upto: mark });
+        self.in_force(InForce::Events {
+            after: mark.number.saturating_sub(1),
+            upto: mark,
+        });
     }
 
     /// The same of one among several that come into force together.
@@ -200,12 +211,17 @@
 
     /// Has somebody told of events that come into force from now on, and first of what is known.
     pub fn watch(&self, watcher: Watcher, known: Option<Mark>) {
-        known.into_iter().for_each(|upto| watcher(InForce::Anew { upto }));
+        known
+            .into_iter()
+            .for_each(|upto| watcher(InForce::Anew { upto }));
         *self.watcher.borrow_mut() = Some(watcher);
     }
 
     fn in_force(&self, what: InForce) {
-        self.watcher.borrow().iter().for_each(|watcher| watcher(what));
+        self.watcher
+            .borrow()
+            .iter()
+            .for_each(|watcher| watcher(what));
     }
 
     fn apply(&self, event: Event) {
@@ -213,15 +229,30 @@
             Event::Hosts(list_kind, endpoints) => {
                 // A whole list is long, and the first comes before the process listens.
                 for endpoint in endpoints.iter().filter(|_| list_kind == ListKind::Delta) {
-                    log::debug!("told: {} {:?}", endpoint.listed.host.0, endpoint.listed.health);
+                    log::debug!(
+                        "told: {} {:?}",
+                        endpoint.listed.host.0,
+                        endpoint.listed.health
+                    );
                 }
                 self.pool.list(list_kind, &endpoints);
-                let lines = endpoints.into_iter().map(|endpoint| endpoint.listed).collect();
+                let lines = endpoints
+                    .into_iter()
+                    .map(|endpoint| endpoint.listed)
+                    .collect();
                 self.report_lines(list_kind, lines);
             }
-            Event::Purged { object, group, made } => {
+            Event::Purged {
+                object,
+                group,
+                made,
+            } => {
                 log::debug!("told: a purge of {object:?} in {group:?}");
-                self.report(News::Purged { object, group, made: self.purged_at(made) });
+                self.report(News::Purged {
+                    object,
+                    group,
+                    made: self.purged_at(made),
+                });
             }
         }
     }
@@ -286,7 +317,11 @@
     /// Gives the facade its ticks.
     pub async fn keep_time(self: Rc<Router>) {
         loop {
-            let due = self.facade.borrow().due().map(|due| self.clock.instant(due));
+            let due = self
+                .facade
+                .borrow()
+                .due()
+                .map(|due| self.clock.instant(due));
             tokio::select! {
                 () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
                     let named = self.facade.borrow_mut().tick(self.clock.now());
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -41,7 +41,12 @@
 
 impl Router {
     /// Takes a request in; its task gives the answer.
-    pub(super) fn take(self: &Rc<Router>, asked: Box<Asked>, reply: Reply, held: Place) -> RequestId {
+    pub(super) fn take(
+        self: &Rc<Router>,
+        asked: Box<Asked>,
+        reply: Reply,
+        held: Place,
+    ) -> RequestId {
         let (id, now) = (RequestId(self.next.get()), self.clock.now());
         self.next.set(id.0 + 1);
         count(Count::requests);
@@ -55,22 +60,39 @@
             deadline: now + asked.waits,
             again: asked.again,
         };
-        let entry =
-            Rc::new(OpenRequest { object: asked.object, notify: Notify::new(), left: Cell::new(false) });
+        let entry = Rc::new(OpenRequest {
+            object: asked.object,
+            notify: Notify::new(),
+            left: Cell::new(false),
+        });
         self.table.borrow_mut().insert(id, entry.clone());
-        must(self.ids.borrow_mut().insert(asked.id.clone()), "open requests differ by their ids");
+        must(
+            self.ids.borrow_mut().insert(asked.id.clone()),
+            "open requests differ by their ids",
+        );
         self.asked_for(asked.object);
         self.report(News::Arrived(request));
         let (router, asked, reply) = (self.clone(), Rc::from(asked), Some(reply));
         let (out, tasks) = (Vec::new(), JoinSet::new());
-        let task = RequestTask { router, id, asked, _held: held, entry, reply, out, tasks };
+        let task = RequestTask {
+            router,
+            id,
+            asked,
+            _held: held,
+            entry,
+            reply,
+            out,
+            tasks,
+        };
         spawn_local(task.run());
         id
     }
 
     /// The client has left.
     pub(super) fn leave(&self, request: RequestId) {
-        let Some(entry) = self.table.borrow().get(&request).cloned() else { return };
+        let Some(entry) = self.table.borrow().get(&request).cloned() else {
+            return;
+        };
         entry.left.set(true);
         entry.notify.notify_one();
     }
@@ -104,12 +126,16 @@
             }
         }
         self.router.ids.borrow_mut().remove(&self.asked.id);
-        must(self.router.pick(self.id) == Step::Wait, "a request ends with no step left");
+        must(
+            self.router.pick(self.id) == Step::Wait,
+            "a request ends with no step left",
+        );
     }
 
     /// What waits for a connection waits for nobody any more, whether or not an attempt may be taken back.
     fn drop_unsent(&mut self) {
-        let (begun, unsent): (Vec<Out>, Vec<Out>) = self.out.drain(..).partition(|out| out.begun.get());
+        let (begun, unsent): (Vec<Out>, Vec<Out>) =
+            self.out.drain(..).partition(|out| out.begun.get());
         unsent.iter().for_each(|out| out.task.abort());
         if begun.is_empty() {
             count(Count::left_unsent);
@@ -123,7 +149,9 @@
 
     /// The only place where a request gets its answer.
     fn answer(&mut self, answer: Answer, held: Option<Place>) {
-        let Some(reply) = self.reply.take() else { return must(false, "one answer a request") };
+        let Some(reply) = self.reply.take() else {
+            return must(false, "one answer a request");
+        };
         count(match &answer {
             Answer::Served(_) => Count::served,
             Answer::Unchanged => Count::unchanged,
@@ -147,11 +175,22 @@
     }
 
     fn attempt(&mut self, index: AttemptIndex, attempt: Attempt) {
-        must(self.reply.is_some(), "nothing is handed off for a request that is over");
+        must(
+            self.reply.is_some(),
+            "nothing is handed off for a request that is over",
+        );
         count(Count::attempts);
         let (to, from, allow) = (&attempt.host.0, &attempt.source.0, attempt.allow.ms());
-        log::debug!("request {} attempt {} to {to} filled from {from} within {allow} ms", self.id.0, index.0);
-        let (router, asked, host) = (self.router.clone(), self.asked.clone(), attempt.host.clone());
+        log::debug!(
+            "request {} attempt {} to {to} filled from {from} within {allow} ms",
+            self.id.0,
+            index.0
+        );
+        let (router, asked, host) = (
+            self.router.clone(),
+            self.asked.clone(),
+            attempt.host.clone(),
+        );
         let (id, until) = (self.id, Instant::now() + length(attempt.allow));
         let begun = Rc::new(Cell::new(false));
         let begins = begun.clone();
@@ -172,15 +211,29 @@
                 };
                 Some((wish, until.min(router.clock.instant(sent_by))))
             };
-            (index, router.pool.ask(&attempt.host, &asked, until, clear, &begins).await)
+            (
+                index,
+                router
+                    .pool
+                    .ask(&attempt.host, &asked, until, clear, &begins)
+                    .await,
+            )
+        });
+        self.out.push(Out {
+            index,
+            host,
+            sent: Instant::now(),
+            begun,
+            task,
         });
-        self.out.push(Out { index, host, sent: Instant::now(), begun, task });
     }
 
     fn take_back(&mut self, index: AttemptIndex) {
         if let Some(at) = self.out.iter().position(|out| out.index == index) {
             count(Count::taken_back);
-            let Out { host, sent, task, .. } = self.out.remove(at);
+            let Out {
+                host, sent, task, ..
+            } = self.out.remove(at);
             task.abort();
             // Guards against a request that waits for ever for the end of what it took back itself.
             if self.reply.is_some() {
@@ -190,27 +243,57 @@
     }
 
     fn ended(&mut self, index: AttemptIndex, outcome: Outcome, held: Option<Place>) {
-        let Some(at) = self.out.iter().position(|out| out.index == index) else { return };
+        let Some(at) = self.out.iter().position(|out| out.index == index) else {
+            return;
+        };
         let Out { host, sent, .. } = self.out.remove(at);
         // Guards against a client that keeps an old copy: one that is not named by its own tag is no answer, and
         // from then on the whole object is asked for.
         let other = outcome.is_of_another_copy(&self.asked);
         if other {
             count(Count::unchanged_of_another);
-            self.asked = Rc::new(Asked { holds: None, ..(*self.asked).clone() });
+            self.asked = Rc::new(Asked {
+                holds: None,
+                ..(*self.asked).clone()
+            });
         }
-        let outcome = Outcome { ending: if other { Ending::Errored } else { outcome.ending }, ..outcome };
+        let outcome = Outcome {
+            ending: if other {
+                Ending::Errored
+            } else {
+                outcome.ending
+            },
+            ..outcome
+        };
         if outcome.ending == Ending::Answered && self.reply.is_some() {
             let body = outcome.body.clone();
-            self.answer(if outcome.unchanged { Answer::Unchanged } else { Answer::Served(body) }, held);
+            self.answer(
+                if outcome.unchanged {
+                    Answer::Unchanged
+                } else {
+                    Answer::Served(body)
+                },
+                held,
+            );
         }
         self.report_end(index, host, sent, outcome);
     }
 
     fn report_end(&self, index: AttemptIndex, host: HostId, sent: Instant, outcome: Outcome) {
-        let Outcome { ending, told, waited, report, .. } = outcome;
+        let Outcome {
+            ending,
+            told,
+            waited,
+            report,
+            ..
+        } = outcome;
         let link = report.link;
-        log::debug!("request {} attempt {} at {}: {ending:?} {told:?} {link:?}", self.id.0, index.0, host.0);
+        log::debug!(
+            "request {} attempt {} at {}: {ending:?} {told:?} {link:?}",
+            self.id.0,
+            index.0,
+            host.0
+        );
         let (request, closed) = (self.id, self.reply.is_none());
         let took = Span::of_ms(sent.elapsed().as_secs_f64() * 1000.0);
         self.router.report(News::Ended(Ended {
--- a/crates/flaxdeck-dispatcher/src/routing/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/subscription.rs
@@ -104,7 +104,11 @@
     pub fn line(&self) -> String {
         let subscriber = self.subscriber.borrow();
         let unsettled = self.purges.borrow().len();
-        format!("followed={:?} unsettled={unsettled} {:?}", subscriber.followed(), subscriber.counted)
+        format!(
+            "followed={:?} unsettled={unsettled} {:?}",
+            subscriber.followed(),
+            subscriber.counted
+        )
     }
 
     // The coordinator's own watch moves the numbering on without a word to the subscriber.
@@ -116,7 +120,10 @@
     }
 
     fn should_tell_refusal(&self, now: Time) -> bool {
-        let tells = self.refusals_told.get().is_none_or(|told| now.since(told) >= REFUSALS_TOLD_EVERY);
+        let tells = self
+            .refusals_told
+            .get()
+            .is_none_or(|told| now.since(told) >= REFUSALS_TOLD_EVERY);
         if tells {
             self.refusals_told.set(Some(now));
         }
@@ -131,17 +138,26 @@
 
 impl Router {
     pub(super) fn subscription(&self) -> Option<Rc<EventSubscription>> {
-        self.guides.borrow().as_ref().and_then(|guides| guides.subscription.clone())
+        self.guides
+            .borrow()
+            .as_ref()
+            .and_then(|guides| guides.subscription.clone())
     }
 
     /// A conversation with a planner has begun, or has ended.
     pub(super) fn planner_connected(&self, guides: &Guides, at: usize, connected: bool) {
-        let Some(subscription) = &guides.subscription else { return };
+        let Some(subscription) = &guides.subscription else {
+            return;
+        };
         let (now, planner) = (self.clock.now(), PlannerNumber(at as u32));
         subscription.catch_up_with_numbering(now);
         {
             let mut subscriber = subscription.subscriber.borrow_mut();
-            if connected { subscriber.connected(now, planner) } else { subscriber.disconnected(now, planner) }
+            if connected {
+                subscriber.connected(now, planner)
+            } else {
+                subscriber.disconnected(now, planner)
+            }
         }
         self.subscribe(guides, subscription);
     }
@@ -159,8 +175,11 @@
         guides.follows(subscription.followed());
         let needed = subscription.subscriber.borrow().needs_coordinator(now);
         if subscription.coordinator_wanted.replace(needed) != needed {
-            let word =
-                if needed { "no planner delivers, the coordinator is asked" } else { "planners deliver" };
+            let word = if needed {
+                "no planner delivers, the coordinator is asked"
+            } else {
+                "planners deliver"
+            };
             log::info!("events: {word}");
             subscription.coordinator_change.notify_one();
         }
@@ -169,9 +188,14 @@
 
     /// Goes on with what falls due by itself.
     pub(super) async fn keep_subscribed(self: Rc<Router>, guides: Rc<Guides>) {
-        let Some(subscription) = guides.subscription.clone() else { return };
+        let Some(subscription) = guides.subscription.clone() else {
+            return;
+        };
         loop {
-            let due = subscription.subscriber.borrow().next_change(self.clock.now());
+            let due = subscription
+                .subscriber
+                .borrow()
+                .next_change(self.clock.now());
             let due = due.map(|due| self.clock.instant(due));
             tokio::select! {
                 () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
@@ -184,7 +208,9 @@
 
     /// A planner has told of events.
     pub(super) fn delivered(&self, guides: &Guides, at: usize, delivery: Delivery) {
-        let Some(subscription) = guides.subscription.clone() else { return };
+        let Some(subscription) = guides.subscription.clone() else {
+            return;
+        };
         let now = self.clock.now();
         if !subscription.numbering.borrow().trusts_others(now) {
             return;
@@ -192,15 +218,37 @@
         subscription.catch_up_with_numbering(now);
         let before = subscription.numbering.borrow().last();
         let planner = PlannerNumber(at as u32);
-        let applied = subscription.subscriber.borrow_mut().delivered(now, planner, delivery);
+        let applied = subscription
+            .subscriber
+            .borrow_mut()
+            .delivered(now, planner, delivery);
         match applied {
             Ok(Applied::Nothing) => {}
-            Ok(Applied::Events { purges, events, upto }) => {
+            Ok(Applied::Events {
+                purges,
+                events,
+                upto,
+            }) => {
                 self.apply_batch(&subscription, before, upto, &purges, &events);
             }
-            Ok(Applied::Snapshot { list, purges, group_purges, upto, copies_in_doubt }) => {
-                let list = FullEvent { mark: upto, frame: list };
-                self.apply_snapshot(&subscription, &list, &purges, &group_purges, copies_in_doubt);
+            Ok(Applied::Snapshot {
+                list,
+                purges,
+                group_purges,
+                upto,
+                copies_in_doubt,
+            }) => {
+                let list = FullEvent {
+                    mark: upto,
+                    frame: list,
+                };
+                self.apply_snapshot(
+                    &subscription,
+                    &list,
+                    &purges,
+                    &group_purges,
+                    copies_in_doubt,
+                );
             }
             Err(why) => {
                 count(Count::deliveries_refused);
@@ -209,7 +257,10 @@
                 }
             }
         }
-        subscription.vouched().into_iter().for_each(|vouched| self.events_known_at(guides, vouched));
+        subscription
+            .vouched()
+            .into_iter()
+            .for_each(|vouched| self.events_known_at(guides, vouched));
         self.subscribe(guides, &subscription);
     }
 
@@ -226,7 +277,11 @@
             return self.unreadable(subscription, now, before);
         };
         let whole_at = subscription.vouched();
-        if !subscription.numbering.borrow_mut().moved_on(now, before, upto, whole_at) {
+        if !subscription
+            .numbering
+            .borrow_mut()
+            .moved_on(now, before, upto, whole_at)
+        {
             return subscription.subscriber.borrow_mut().moved(now, before);
         }
         if before == upto {
@@ -237,7 +292,10 @@
             self.told_by_others(mark, event);
         }
         self.purged(subscription, now, purges);
-        self.in_force(InForce::Events { after: before.number, upto });
+        self.in_force(InForce::Events {
+            after: before.number,
+            upto,
+        });
     }
 
     fn apply_snapshot(
@@ -250,7 +308,10 @@
     ) {
         let (now, upto) = (self.clock.now(), list.mark);
         let before = subscription.numbering.borrow().last();
-        let whole = frames::read(&list.frame, &self.names).ok().flatten().filter(Event::is_whole_list);
+        let whole = frames::read(&list.frame, &self.names)
+            .ok()
+            .flatten()
+            .filter(Event::is_whole_list);
         let (Some(whole), Some(groups)) = (whole, read_all(group_purges, &self.names)) else {
             return self.unreadable(subscription, now, before);
         };
@@ -258,7 +319,10 @@
         subscription.numbering.borrow_mut().replaced_by(now, upto);
         // Hosts that are known to be withdrawn stay so, as the list may be of another numbering. Copies are doubted
         // below, as the snapshot says itself how far back its purges reach.
-        let doubt = since.map(|_| Doubt { since, heard_to_the_end: true });
+        let doubt = since.map(|_| Doubt {
+            since,
+            heard_to_the_end: true,
+        });
         self.told_anew(upto, whole, doubt);
         if copies_in_doubt {
             count(Count::copies_doubted);
@@ -268,7 +332,11 @@
         subscription.coordinator_change.notify_one();
         for (_, event) in groups {
             if let Event::Purged { object, group, .. } = event {
-                self.report(News::Purged { object, group, made: now });
+                self.report(News::Purged {
+                    object,
+                    group,
+                    made: now,
+                });
             }
         }
         self.purged(subscription, now, purges);
@@ -285,7 +353,11 @@
 
     /// No copy from before now is handed out until purges have settled.
     fn doubt_copies(&self, now: Time) {
-        self.report(News::Purged { object: None, group: GroupId::ALL, made: now });
+        self.report(News::Purged {
+            object: None,
+            group: GroupId::ALL,
+            made: now,
+        });
     }
 
     /// Objects were purged: those that are asked for right now are told of at once, the others once they are.
@@ -296,8 +368,14 @@
             count(Count::copies_doubted);
             self.doubt_copies(now);
         }
-        let open: Vec<ObjectId> = self.table.borrow().values().map(|entry| entry.object).collect();
-        open.into_iter().for_each(|object| self.tell_purge(subscription, now, object));
+        let open: Vec<ObjectId> = self
+            .table
+            .borrow()
+            .values()
+            .map(|entry| entry.object)
+            .collect();
+        open.into_iter()
+            .for_each(|object| self.tell_purge(subscription, now, object));
     }
 
     /// A request for the object begins.
@@ -308,7 +386,9 @@
     }
 
     fn tell_purge(&self, subscription: &EventSubscription, now: Time, object: ObjectId) {
-        let Some(made) = subscription.purges.borrow_mut().purged_at(now, object) else { return };
+        let Some(made) = subscription.purges.borrow_mut().purged_at(now, object) else {
+            return;
+        };
         let mut told = subscription.purges_told.borrow_mut();
         if told.get(&object) == Some(&made) {
             return;
@@ -316,13 +396,19 @@
         told.retain(|_, made| now.since(*made) < subscription.settles * 2.0);
         told.insert(object, made);
         drop(told);
-        self.report(News::Purged { object: Some(object), group: GroupId(0), made });
+        self.report(News::Purged {
+            object: Some(object),
+            group: GroupId(0),
+            made,
+        });
     }
 
     /// The coordinator itself brought what is current. Purges that it told others before this process started, and that
     /// have not settled, are known to nobody here: unlike a planner it does not tell them again.
     pub(super) fn current_by_coordinator(&self) {
-        let Some(subscription) = self.subscription() else { return };
+        let Some(subscription) = self.subscription() else {
+            return;
+        };
         if subscription.knows_unsettled.replace(true) {
             return;
         }
--- a/crates/flaxdeck-dispatcher/tests/cold_budget.rs
+++ b/crates/flaxdeck-dispatcher/tests/cold_budget.rs
@@ -54,7 +54,10 @@
 fn most_used(what: &str, from: f64, started: Instant, arrivals: &[Instant]) -> f64 {
     let window = Duration::from_secs_f64(WINDOW_MS / 1000.0);
     let used = arrivals.iter().enumerate().map(|(at, begins)| {
-        let came = arrivals[at..].iter().take_while(|arrival| **arrival - *begins < window).count() as f64;
+        let came = arrivals[at..]
+            .iter()
+            .take_while(|arrival| **arrival - *begins < window)
+            .count() as f64;
         let age = begins.saturating_duration_since(started);
         let allowed = allowed(from, age);
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
@@ -79,7 +82,12 @@
     fn start() -> Hosts {
         let host = |id| Host::start(id, "127.0.0.1:0").unwrap();
         let (warm, cold) = (host("s-0000ca00"), host("s-0000ca01"));
-        Hosts { warm, cold, parent: host("s-00009a01"), origin: host("s-00000001") }
+        Hosts {
+            warm,
+            cold,
+            parent: host("s-00009a01"),
+            origin: host("s-00000001"),
+        }
     }
 
     fn config(&self, coordinator: SocketAddr, seed: u64) -> Value {
@@ -90,8 +98,10 @@
         let mut config: Value = serde_json::from_str(CONFIG).unwrap();
         config["coordinator"] = coordinator.to_string().into();
         config["seed"] = format!("{seed:016x}").into();
-        config["known"]["updates"][0]["endpoints"]["hosts"] =
-            json!([row(&self.warm, "cache", "here"), row(&self.origin, "origin", "hub")]);
+        config["known"]["updates"][0]["endpoints"]["hosts"] = json!([
+            row(&self.warm, "cache", "here"),
+            row(&self.origin, "origin", "hub")
+        ]);
         let settings = &mut config["settings"];
         settings["group_size"] = DISPATCHERS.into();
         settings["rules"]["cold_from"] = CACHE_FROM.into();
@@ -119,7 +129,11 @@
         let fills = format!("fetch={}", self.parent.id);
         let caches = [&self.warm, &self.cold].map(|cache| cache.arrivals("want"));
         let at_parent = self.parent.arrivals("want").into_iter().map(|(at, _)| at);
-        let filled = caches.iter().flatten().filter(|(_, line)| line.contains(&fills)).map(|(at, _)| *at);
+        let filled = caches
+            .iter()
+            .flatten()
+            .filter(|(_, line)| line.contains(&fills))
+            .map(|(at, _)| *at);
         let mut filled: Vec<Instant> = filled.chain(at_parent).collect();
         filled.sort();
         [caches[1].iter().map(|(at, _)| *at).collect(), filled]
@@ -134,7 +148,11 @@
     let is_late = |at: usize| at.is_multiple_of(DISPATCHERS / LATE);
     let mut dispatchers: Vec<Dispatcher> = (0..DISPATCHERS)
         .map(|at| {
-            let coordinator = if is_late(at) { late.address } else { prompt.address };
+            let coordinator = if is_late(at) {
+                late.address
+            } else {
+                prompt.address
+            };
             Dispatcher::spawn(hosts.config(coordinator, 7300 + at as u64))
         })
         .collect();
@@ -144,7 +162,13 @@
         .zip(RATES)
         .enumerate()
         .map(|(at, (dispatcher, rate))| {
-            ask(dispatcher.address(), (rate, KB), at as u64 + 1, over.clone(), served.clone())
+            ask(
+                dispatcher.address(),
+                (rate, KB),
+                at as u64 + 1,
+                over.clone(),
+                served.clone(),
+            )
         })
         .collect();
     thread::sleep(Duration::from_millis(500));
@@ -163,13 +187,22 @@
     }
     thread::sleep(Duration::from_secs_f64(WINDOW_MS * 0.6 / 1000.0));
     over.store(true, Ordering::Relaxed);
-    clients.into_iter().for_each(|client| client.join().unwrap());
+    clients
+        .into_iter()
+        .for_each(|client| client.join().unwrap());
 
     let [cache, parent] = hosts.arrivals();
     let used = [
         most_used("the cold cache", CACHE_FROM, started, &cache),
         most_used("the cold parent", PARENT_FROM, started, &parent),
     ];
-    println!("served {served:?}, at the cold hosts {}, {}; used {used:.2?}", cache.len(), parent.len());
-    assert!(used.iter().all(|used| *used > 0.25), "they are made use of, too: {used:.2?}");
+    println!(
+        "served {served:?}, at the cold hosts {}, {}; used {used:.2?}",
+        cache.len(),
+        parent.len()
+    );
+    assert!(
+        used.iter().all(|used| *used > 0.25),
+        "they are made use of, too: {used:.2?}"
+    );
 }
--- a/crates/flaxdeck-dispatcher/tests/connects.rs
+++ b/crates/flaxdeck-dispatcher/tests/connects.rs
@@ -31,7 +31,10 @@
     clogged.open();
     assert!(served(&client.answer().unwrap(), &key(n)));
     let heard = clogged.heard();
-    assert!(heard.iter().all(|line| !line.contains("fetch=s-00009a01")), "{heard:?}");
+    assert!(
+        heard.iter().all(|line| !line.contains("fetch=s-00009a01")),
+        "{heard:?}"
+    );
 }
 
 // Rule 5: the age limit is the one that holds when the request is written.
@@ -39,13 +42,21 @@
 fn a_purge_told_while_a_connection_comes_up_binds_the_request() {
     let (mut world, clogged, _) = clogged_cache(|_| {});
     let (mut client, n) = on_its_way(&world, 0);
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
-    world.coordinator.purge_object(u64::from_str_radix(&key(n), 16).unwrap(), now);
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64;
+    world
+        .coordinator
+        .purge_object(u64::from_str_radix(&key(n), 16).unwrap(), now);
     world.logged(&["told: a purge"]);
     clogged.open();
     assert!(served(&client.answer().unwrap(), &key(n)));
     let heard = clogged.heard();
-    assert!(!heard.is_empty() && heard.iter().all(|line| line.contains(",newer=")), "{heard:?}");
+    assert!(
+        !heard.is_empty() && heard.iter().all(|line| line.contains(",newer=")),
+        "{heard:?}"
+    );
 }
 
 // How long the host is told that the dispatcher waits is what is left by then.
@@ -56,8 +67,20 @@
     clogged.open();
     assert!(served(&client.answer().unwrap(), &key(n)));
     let heard = clogged.heard();
-    let wait = |line: &String| line.split(",wait=").nth(1)?.split([',', ' ']).next()?.parse::<u64>().ok();
-    assert!(heard.iter().all(|line| wait(line).is_some_and(|ms| ms < 6500)), "of 7000: {heard:?}");
+    let wait = |line: &String| {
+        line.split(",wait=")
+            .nth(1)?
+            .split([',', ' '])
+            .next()?
+            .parse::<u64>()
+            .ok()
+    };
+    assert!(
+        heard
+            .iter()
+            .all(|line| wait(line).is_some_and(|ms| ms < 6500)),
+        "of 7000: {heard:?}"
+    );
 }
 
 // A client that has left while its request waited for a connection: nothing is sent on for it, whether or not attempts
@@ -92,7 +115,8 @@
 fn a_connection_that_outlasts_the_window_of_repeats_carries_none() {
     let mut clogged = Clogged::start();
     let world = World::with(1, |config| {
-        config["known"]["updates"][0]["endpoints"]["hosts"][2]["dial"] = clogged.address.to_string().into();
+        config["known"]["updates"][0]["endpoints"]["hosts"][2]["dial"] =
+            clogged.address.to_string().into();
         config["settings"]["allowed"]["connect_timeout_ms"] = 5000.into();
         let class = &mut config["settings"]["request_classes"][2];
         (class["effect"], class["key_scope"]) = ("deduplicated".into(), "all".into());
