--- a/crates/flaxdeck-dispatcher/tests/departures.rs
+++ b/crates/flaxdeck-dispatcher/tests/departures.rs
@@ -24,7 +24,12 @@
     Cancel,
 }
 
-const EVERY_WAY: [Leaving; 4] = [Leaving::Close, Leaving::HalfClose, Leaving::Reset, Leaving::Cancel];
+const EVERY_WAY: [Leaving; 4] = [
+    Leaving::Close,
+    Leaving::HalfClose,
+    Leaving::Reset,
+    Leaving::Cancel,
+];
 
 /// One client with the request that it is going to leave.
 struct Leaver {
@@ -37,14 +42,25 @@
 impl Leaver {
     /// Asks for an object of that number, and has not left yet.
     fn asks(way: Leaving, mut client: Client, class: &str, number: u32) -> Leaver {
-        let (key, body): (_, &[u8]) = (key(number), if class == "submit" { b"a form" } else { b"" });
+        let (key, body): (_, &[u8]) =
+            (key(number), if class == "submit" { b"a form" } else { b"" });
         let call = client.request(class, &key, 2400, body).unwrap();
-        Leaver { way, client, key, call }
+        Leaver {
+            way,
+            client,
+            key,
+            call,
+        }
     }
 
     /// Leaves; gives what keeps the connection open where it stays so.
     fn leaves(self) -> Option<Client> {
-        let Leaver { way, mut client, call, .. } = self;
+        let Leaver {
+            way,
+            mut client,
+            call,
+            ..
+        } = self;
         match way {
             Leaving::Close | Leaving::Reset => return None,
             Leaving::HalfClose => client.shut().unwrap(),
@@ -77,14 +93,25 @@
 
 /// One leaver for every way, each asking for an object of its own.
 fn leavers(world: &World, class: &str) -> Vec<Leaver> {
-    let ask = |(at, way)| Leaver::asks(way, connect(world.address, way, false), class, 100 + at as u32);
+    let ask = |(at, way)| {
+        Leaver::asks(
+            way,
+            connect(world.address, way, false),
+            class,
+            100 + at as u32,
+        )
+    };
     EVERY_WAY.into_iter().enumerate().map(ask).collect()
 }
 
 /// Attempts that have come to any host for an object.
 fn attempts(world: &World, key: &str) -> usize {
     let wants = |host: &flaxdeck_toy::Host| host.heard("want");
-    world.hosts().flat_map(wants).filter(|(line, _)| line.contains(key)).count()
+    world
+        .hosts()
+        .flat_map(wants)
+        .filter(|(line, _)| line.contains(key))
+        .count()
 }
 
 /// Has all of them leave at once: each is noticed in time, and no attempt begins for it after a tenth of a second, for so
@@ -100,31 +127,52 @@
     }
     let went = unix_now();
     stalls.hear_witness();
-    wait_for("all who left are noticed", || world.left_at().len() == before + count);
+    wait_for("all who left are noticed", || {
+        world.left_at().len() == before + count
+    });
     let noticed = world.left_at().split_off(before);
-    let late = noticed.into_iter().max().unwrap_or_default().saturating_sub(went);
+    let late = noticed
+        .into_iter()
+        .max()
+        .unwrap_or_default()
+        .saturating_sub(went);
     let stalled = stalls.so_far();
-    assert!(late < NOTICED + stalled, "noticed after {late:?}, the machine {stalled:?} late");
+    assert!(
+        late < NOTICED + stalled,
+        "noticed after {late:?}, the machine {stalled:?} late"
+    );
     thread::sleep((went + GONE + stalled).saturating_sub(unix_now()));
     let begun: Vec<usize> = keys.iter().map(|key| attempts(world, key)).collect();
     thread::sleep(watched_for);
     let later: Vec<usize> = keys.iter().map(|key| attempts(world, key)).collect();
-    assert_eq!(begun, later, "attempts for those who left, in the order of {EVERY_WAY:?}");
+    assert_eq!(
+        begun, later,
+        "attempts for those who left, in the order of {EVERY_WAY:?}"
+    );
     drop(kept);
 }
 
 /// One who stays shows that attempts go on in this situation.
 fn go_on_for(world: &World, stays: &Leaver, attempts_before: usize) {
-    wait_for("a further attempt for who stays", || attempts(world, &stays.key) > attempts_before);
+    wait_for("a further attempt for who stays", || {
+        attempts(world, &stays.key) > attempts_before
+    });
 }
 
 #[test]
 fn nothing_follows_a_refused_attempt_whose_client_has_left() {
     let world = World::start(1);
     world.origin.set(Manner::Say("full"));
-    let (leavers, stays) =
-        (leavers(&world, "submit"), Leaver::asks(Leaving::Close, world.client(), "submit", 1));
-    wait_for("retries are due", || leavers.iter().chain([&stays]).all(|one| attempts(&world, &one.key) > 1));
+    let (leavers, stays) = (
+        leavers(&world, "submit"),
+        Leaver::asks(Leaving::Close, world.client(), "submit", 1),
+    );
+    wait_for("retries are due", || {
+        leavers
+            .iter()
+            .chain([&stays])
+            .all(|one| attempts(&world, &one.key) > 1)
+    });
     let before = attempts(&world, &stays.key);
     leave_and_are_gone(&world, leavers, Duration::from_millis(800));
     go_on_for(&world, &stays, before);
@@ -133,9 +181,20 @@
 #[test]
 fn no_second_copy_is_sent_for_a_client_that_has_left() {
     let world = World::with(2, silence_is_long);
-    world.caches.iter().for_each(|cache| cache.set(Manner::Silent));
-    let (leavers, stays) = (leavers(&world, "page"), Leaver::asks(Leaving::Close, world.client(), "page", 1));
-    wait_for("first attempts", || leavers.iter().chain([&stays]).all(|one| attempts(&world, &one.key) > 0));
+    world
+        .caches
+        .iter()
+        .for_each(|cache| cache.set(Manner::Silent));
+    let (leavers, stays) = (
+        leavers(&world, "page"),
+        Leaver::asks(Leaving::Close, world.client(), "page", 1),
+    );
+    wait_for("first attempts", || {
+        leavers
+            .iter()
+            .chain([&stays])
+            .all(|one| attempts(&world, &one.key) > 0)
+    });
     leave_and_are_gone(&world, leavers, SECOND_COPY);
     go_on_for(&world, &stays, 1);
 }
@@ -147,7 +206,12 @@
     let mut on_its_way = |way| {
         let (client, n) = on_its_way_over(&world, number, || connect(world.address, way, false));
         number = n + 1;
-        Leaver { way, client, key: key(n), call: 1 }
+        Leaver {
+            way,
+            client,
+            key: key(n),
+            call: 1,
+        }
     };
     let leavers: Vec<Leaver> = EVERY_WAY.into_iter().map(&mut on_its_way).collect();
     let mut stays = on_its_way(Leaving::Close);
@@ -158,7 +222,11 @@
     // The system tries each connection that is still wanted again within this time.
     thread::sleep(Duration::from_millis(1200));
     let heard = clogged.heard();
-    assert!(keys.iter().all(|key| !heard.iter().any(|line| line.contains(key))), "{heard:?}");
+    assert!(
+        keys.iter()
+            .all(|key| !heard.iter().any(|line| line.contains(key))),
+        "{heard:?}"
+    );
     assert_eq!(clogged.taken(), 1, "connections");
 }
 
@@ -166,7 +234,10 @@
 fn a_client_that_leaves_its_answers_unread_has_left_all_the_same() {
     const UNREAD: usize = 20;
     let world = World::with(2, silence_is_long);
-    world.caches.iter().for_each(|cache| cache.set(Manner::Silent));
+    world
+        .caches
+        .iter()
+        .for_each(|cache| cache.set(Manner::Silent));
     let crowd = EVERY_WAY.into_iter().enumerate().map(|(at, way)| {
         let mut client = connect(world.address, way, true);
         for _ in 0..UNREAD {
@@ -175,11 +246,20 @@
         (at as u32, way, client)
     });
     let crowd: Vec<(u32, Leaving, Client)> = crowd.collect();
-    wait_for("all are answered", || world.origin.heard("want").len() == UNREAD * EVERY_WAY.len());
-    let leavers: Vec<Leaver> =
-        crowd.into_iter().map(|(at, way, client)| Leaver::asks(way, client, "page", 100 + at)).collect();
+    wait_for("all are answered", || {
+        world.origin.heard("want").len() == UNREAD * EVERY_WAY.len()
+    });
+    let leavers: Vec<Leaver> = crowd
+        .into_iter()
+        .map(|(at, way, client)| Leaver::asks(way, client, "page", 100 + at))
+        .collect();
     let stays = Leaver::asks(Leaving::Close, world.client(), "page", 1);
-    wait_for("first attempts", || leavers.iter().chain([&stays]).all(|one| attempts(&world, &one.key) > 0));
+    wait_for("first attempts", || {
+        leavers
+            .iter()
+            .chain([&stays])
+            .all(|one| attempts(&world, &one.key) > 0)
+    });
     leave_and_are_gone(&world, leavers, SECOND_COPY);
     go_on_for(&world, &stays, 1);
 }
@@ -198,10 +278,18 @@
     wait_for("memory is full", || !world.origin.heard("want").is_empty());
     let mut leavers = leavers(&world, "page");
     let stays = Leaver::asks(Leaving::Close, world.client(), "page", 1);
-    wait_for("first attempts", || leavers.iter().chain([&stays]).all(|one| attempts(&world, &one.key) > 0));
+    wait_for("first attempts", || {
+        leavers
+            .iter()
+            .chain([&stays])
+            .all(|one| attempts(&world, &one.key) > 0)
+    });
     for leaver in &mut leavers {
         for _ in 0..WRITES {
-            leaver.client.request("submit", KEY, 2400, &[7; 10_000]).unwrap();
+            leaver
+                .client
+                .request("submit", KEY, 2400, &[7; 10_000])
+                .unwrap();
         }
     }
     leave_and_are_gone(&world, leavers, SECOND_COPY);
@@ -212,16 +300,23 @@
 #[test]
 fn who_asked_and_left_while_the_process_stood_still_reaches_no_host() {
     let world = World::start(1);
-    let mut ready: Vec<Client> =
-        EVERY_WAY.into_iter().map(|way| connect(world.address, way, false)).collect();
+    let mut ready: Vec<Client> = EVERY_WAY
+        .into_iter()
+        .map(|way| connect(world.address, way, false))
+        .collect();
     for client in &mut ready {
         client.alive().unwrap();
         assert!(matches!(client.answer().unwrap(), Answer::Alive { .. }));
     }
     world.stand_still();
     // Those have spoken before, the others wait to be taken in.
-    let late = EVERY_WAY.into_iter().map(|way| connect(world.address, way, false));
-    let clients = EVERY_WAY.into_iter().cycle().zip(ready.into_iter().chain(late));
+    let late = EVERY_WAY
+        .into_iter()
+        .map(|way| connect(world.address, way, false));
+    let clients = EVERY_WAY
+        .into_iter()
+        .cycle()
+        .zip(ready.into_iter().chain(late));
     let asks = |(at, (way, client))| Leaver::asks(way, client, "page", 100 + at as u32);
     let leavers: Vec<Leaver> = clients.enumerate().map(asks).collect();
     let keys: Vec<String> = leavers.iter().map(|leaver| leaver.key.clone()).collect();
@@ -232,7 +327,11 @@
     assert!(served(&stays.client.answer().unwrap(), &stays.key));
     thread::sleep(GONE * 2);
     let begun: Vec<usize> = keys.iter().map(|key| attempts(&world, key)).collect();
-    assert_eq!(begun, vec![0; keys.len()], "attempts, in the order of {EVERY_WAY:?}, twice");
+    assert_eq!(
+        begun,
+        vec![0; keys.len()],
+        "attempts, in the order of {EVERY_WAY:?}, twice"
+    );
     drop(kept);
 }
 
@@ -245,7 +344,9 @@
     for n in 1..=TRIES {
         world.origin.set(Manner::Silent);
         let mut fills = world.client();
-        let call = fills.request("submit", &key(n as u32), 2400, &[7; 40_000]).unwrap();
+        let call = fills
+            .request("submit", &key(n as u32), 2400, &[7; 40_000])
+            .unwrap();
         wait_for("memory is full", || attempts(&world, &key(n as u32)) > 0);
         world.origin.set(Manner::Serve);
         let stalls = Stalls::watch(&world);
@@ -257,6 +358,9 @@
         if matches!(&answer, Answer::Served { body, .. } if body.len() == 40_000) {
             return;
         }
-        assert!(n < TRIES && stalls.so_far() > Duration::from_millis(5), "try {n}: {answer:?}");
+        assert!(
+            n < TRIES && stalls.so_far() > Duration::from_millis(5),
+            "try {n}: {answer:?}"
+        );
     }
 }
--- a/crates/flaxdeck-dispatcher/tests/descriptors.rs
+++ b/crates/flaxdeck-dispatcher/tests/descriptors.rs
@@ -28,7 +28,9 @@
 fn taken(address: SocketAddr) -> Socket {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_reuse_address(true).unwrap();
-    wait_for("the address is free", || socket.bind(&address.into()).is_ok());
+    wait_for("the address is free", || {
+        socket.bind(&address.into()).is_ok()
+    });
     socket
 }
 
@@ -40,12 +42,14 @@
         while !over.load(Ordering::Relaxed) {
             clients.retain(|client| {
                 client.set_nonblocking(true).unwrap();
-                let resting =
-                    client.peek(&mut [0]).map_or_else(|error| error.kind(), |_| std::io::ErrorKind::Other);
+                let resting = client
+                    .peek(&mut [0])
+                    .map_or_else(|error| error.kind(), |_| std::io::ErrorKind::Other);
                 resting == std::io::ErrorKind::WouldBlock
             });
             for n in clients.len()..CROWD {
-                let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(50)) else {
+                let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(50))
+                else {
                     break;
                 };
                 let mut client = Client::over(stream.try_clone().unwrap()).unwrap();
@@ -62,7 +66,10 @@
 /// A client that has so many requests out at once, over and over; gives how many of them were served. Between two rounds
 /// it rests and may be closed to make room.
 fn busy(world: &World, over: &Arc<AtomicBool>) -> JoinHandle<usize> {
-    world.caches.iter().for_each(|cache| cache.set(Manner::Late(200)));
+    world
+        .caches
+        .iter()
+        .for_each(|cache| cache.set(Manner::Late(200)));
     let (address, over) = (world.address, over.clone());
     thread::spawn(move || {
         let mut served = 0;
@@ -71,10 +78,16 @@
                 break;
             }
             let mut client = Client::connect(address).unwrap();
-            let mut ask = |n| client.request("page", &key(round * AT_ONCE + n), 2400, b"").is_ok();
+            let mut ask = |n| {
+                client
+                    .request("page", &key(round * AT_ONCE + n), 2400, b"")
+                    .is_ok()
+            };
             let asked = (0..AT_ONCE).filter(|n| ask(*n)).count();
             let answers = (0..asked).map_while(|_| client.answer().ok());
-            served += answers.filter(|answer| matches!(answer, Answer::Served { .. })).count();
+            served += answers
+                .filter(|answer| matches!(answer, Answer::Served { .. }))
+                .count();
         }
         served
     })
@@ -99,7 +112,11 @@
         thread::sleep(Duration::from_millis(1600));
         let asked = Instant::now();
         let answer = world.request("page", &key(n as u32), 2000, b"");
-        assert!(served(&answer, &key(n as u32)), "{answer:?} after {:?}", asked.elapsed());
+        assert!(
+            served(&answer, &key(n as u32)),
+            "{answer:?} after {:?}",
+            asked.elapsed()
+        );
 
         away.listen(64).unwrap();
         let (returned, stalls) = (Instant::now(), Stalls::watch(&world));
@@ -120,7 +137,9 @@
     world.logged(&["counted: "]);
     let log = world.log.lock().unwrap();
     let counted = log.iter().rfind(|line| line.contains("counted: ")).unwrap();
-    let none_lacked = ["accept_errors", "must_not_happen"].iter().all(|word| !counted.contains(word));
+    let none_lacked = ["accept_errors", "must_not_happen"]
+        .iter()
+        .all(|word| !counted.contains(word));
     assert!(none_lacked, "{counted}");
     assert!(
         counted.contains("clients_closed_silent") && counted.contains("clients_closed_idle"),
--- a/crates/flaxdeck-dispatcher/tests/endings.rs
+++ b/crates/flaxdeck-dispatcher/tests/endings.rs
@@ -24,7 +24,9 @@
 /// An address at which nobody listens, and what keeps it from being given to others.
 fn nobody() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     let address = socket.local_addr().unwrap().as_socket().unwrap();
     (socket, address)
 }
@@ -34,7 +36,9 @@
 }
 
 /// A message of the protocol that nothing follows from.
-const NOTHING: &[u8] = &[0x93, 2, 0xa7, b'n', b'o', b't', b'h', b'i', b'n', b'g', 0x90];
+const NOTHING: &[u8] = &[
+    0x93, 2, 0xa7, b'n', b'o', b't', b'h', b'i', b'n', b'g', 0x90,
+];
 
 /// A question whether the dispatcher is up, which is answered at once.
 const ALIVE: &[u8] = &[0x94, 0, 7, 0xa5, b'a', b'l', b'i', b'v', b'e', 0x91, 0x80];
@@ -44,7 +48,9 @@
     for _ in 0..writes {
         client.request("submit", KEY, 2400, &[7; 40_000]).unwrap();
     }
-    wait_for("all writes are at the origin", || world.origin.heard("want").len() == writes);
+    wait_for("all writes are at the origin", || {
+        world.origin.heard("want").len() == writes
+    });
     thread::sleep(Duration::from_millis(100));
 }
 
@@ -67,14 +73,20 @@
     unread_answers(&world, &mut client, 20);
     client.send(&[0xc1; 400_000]).unwrap();
     takes_them_all(&mut client, 20);
-    assert!(served(&world.request("page", KEY, 2000, b""), KEY), "others notice nothing");
+    assert!(
+        served(&world.request("page", KEY, 2000, b""), KEY),
+        "others notice nothing"
+    );
 }
 
 // The same at the end of the process, while a client goes on sending until the last moment.
 #[test]
 fn answers_arrive_whole_though_the_process_ends_in_the_middle_of_what_a_client_says() {
     let mut world = World::with(1, |config| {
-        for class in config["settings"]["request_classes"].as_array_mut().unwrap() {
+        for class in config["settings"]["request_classes"]
+            .as_array_mut()
+            .unwrap()
+        {
             class["deadline_ms"] = 2900.into();
         }
     });
@@ -106,7 +118,12 @@
         let _ = client.request("page", &key(1), 2000, b"");
     }
     assert!(world.process.wait().unwrap().success());
-    assert!(world.caches[0].heard("want").iter().all(|(line, _)| line.contains(KEY)));
+    assert!(
+        world.caches[0]
+            .heard("want")
+            .iter()
+            .all(|(line, _)| line.contains(KEY))
+    );
 }
 
 #[test]
@@ -131,7 +148,9 @@
     let mut client = world.client();
     client.request("page", KEY, 2400, b"").unwrap();
     wait_for("sent on", || !world.caches[0].heard("want").is_empty());
-    ["HUP", "TERM", "HUP", "TERM"].into_iter().for_each(|name| world.signal(name));
+    ["HUP", "TERM", "HUP", "TERM"]
+        .into_iter()
+        .for_each(|name| world.signal(name));
     assert!(served(&client.answer().unwrap(), KEY));
     world.signal("TERM");
     assert!(world.process.wait().unwrap().success());
@@ -160,8 +179,12 @@
     let writes = 700;
     let mut writer = client.again().unwrap();
     let written = thread::spawn(move || {
-        (0..writes)
-            .for_each(|_| writer.request("submit", KEY, 2400, &[7; 40_000]).map(drop).unwrap_or_default());
+        (0..writes).for_each(|_| {
+            writer
+                .request("submit", KEY, 2400, &[7; 40_000])
+                .map(drop)
+                .unwrap_or_default()
+        });
     });
     written.join().unwrap();
     let mut stalls = Stalls::witnessed(&world);
@@ -185,7 +208,9 @@
     world.origin.set(Manner::Silent);
     let mut fills = world.client();
     fills.request("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of 48,000 that there are
-    wait_for("it is at the origin", || !world.origin.heard("want").is_empty());
+    wait_for("it is at the origin", || {
+        !world.origin.heard("want").is_empty()
+    });
     let mut stalls = Stalls::witnessed(&world);
     let asked = Instant::now();
     let refused = client.request("submit", KEY, 2400, &[7; 40_000]).unwrap();
@@ -197,11 +222,20 @@
     let late = world.left_at()[0].saturating_sub(cancelled);
     assert!(late < GONE + stalls.so_far(), "{late:?}");
     let answer = client.answer().unwrap();
-    assert!(matches!(&answer, Answer::Error { call, word, .. } if *call == refused && word == "Backoff"));
-    assert!(asked.elapsed() < Duration::from_millis(500), "{:?}", asked.elapsed());
+    assert!(
+        matches!(&answer, Answer::Error { call, word, .. } if *call == refused && word == "Backoff")
+    );
+    assert!(
+        asked.elapsed() < Duration::from_millis(500),
+        "{:?}",
+        asked.elapsed()
+    );
     client.request("page", &key(n + 100), 2000, b"").unwrap();
     clogged.open();
-    assert!(served(&client.answer().unwrap(), &key(n + 100)), "its connection goes on");
+    assert!(
+        served(&client.answer().unwrap(), &key(n + 100)),
+        "its connection goes on"
+    );
     assert!(clogged.heard().iter().all(|line| !line.contains(&key(n))));
 }
 
@@ -240,9 +274,14 @@
         }
         drop(client);
         world.logged(&["left: "]);
-        wait_for("given up", || !world.caches[0].heard("never_mind").is_empty());
+        wait_for("given up", || {
+            !world.caches[0].heard("never_mind").is_empty()
+        });
         world.caches[0].set(Manner::Serve);
-        assert!(served(&world.request("page", &key(1), 2000, b""), &key(1)), "others notice nothing");
+        assert!(
+            served(&world.request("page", &key(1), 2000, b""), &key(1)),
+            "others notice nothing"
+        );
     }
 }
 
@@ -274,7 +313,9 @@
     let mut world = World::start(1);
     let mut flood = narrow(world.address);
     // More than its connection takes, so that answers wait in the process and the rest is owed.
-    let asked = (0..700).take_while(|_| flood.request("submit", KEY, 2400, &[7; 40_000]).is_ok()).count();
+    let asked = (0..700)
+        .take_while(|_| flood.request("submit", KEY, 2400, &[7; 40_000]).is_ok())
+        .count();
     let _ = flood.send(&ALIVE.repeat(4000)); // it may be ended in the middle of this
     assert_eq!(asked, 700, "what is owed until then is within the bound");
     assert!(served(&world.request("page", KEY, 2000, b""), KEY));
@@ -291,8 +332,13 @@
         for stream in listener.incoming().flatten() {
             thread::spawn(move || {
                 let mut stream = stream;
-                let Some((line, _)) = read_want(&mut stream) else { return };
-                let head = format!("{} data version=v1,how=hit 200000\r\n", line.split(' ').nth(1).unwrap());
+                let Some((line, _)) = read_want(&mut stream) else {
+                    return;
+                };
+                let head = format!(
+                    "{} data version=v1,how=hit 200000\r\n",
+                    line.split(' ').nth(1).unwrap()
+                );
                 let mut sent = std::io::Write::write_all(&mut stream, head.as_bytes());
                 while sent.is_ok() {
                     thread::sleep(Duration::from_millis(20));
@@ -308,8 +354,15 @@
     let asked = Instant::now();
     client.request("page", KEY, 900, b"").unwrap();
     let first = client.answer().unwrap();
-    assert!(matches!(first, Answer::Error { .. } | Answer::Served { .. }));
-    assert!(asked.elapsed() < Duration::from_millis(950), "{:?}", asked.elapsed());
+    assert!(matches!(
+        first,
+        Answer::Error { .. } | Answer::Served { .. }
+    ));
+    assert!(
+        asked.elapsed() < Duration::from_millis(950),
+        "{:?}",
+        asked.elapsed()
+    );
     assert!(client.quiet_for(Duration::from_millis(200)), "one answer");
     client.request("submit", KEY, 900, b"a form").unwrap();
     assert!(matches!(client.answer().unwrap(), Answer::Served { .. }));
@@ -325,7 +378,11 @@
     let began = Instant::now();
     world.coordinator.change(&draining, 1, 0, 0);
     world.logged(&["told: s-0000ca00 Draining"]);
-    assert!(began.elapsed() < Duration::from_millis(4000), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(4000),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 #[test]
@@ -353,10 +410,15 @@
             thread::spawn(move || {
                 let mut stream = stream;
                 while let Some((line, _)) = read_want(&mut stream) {
-                    let size = if line.contains(&large) { 230_000 } else { 30_000 };
+                    let size = if line.contains(&large) {
+                        230_000
+                    } else {
+                        30_000
+                    };
                     let id = line.split(' ').nth(1).unwrap();
                     let head = format!("{id} data version=v1,how=hit {size}\r\n");
-                    let mut send = |bytes: &[u8]| std::io::Write::write_all(&mut stream, bytes).is_ok();
+                    let mut send =
+                        |bytes: &[u8]| std::io::Write::write_all(&mut stream, bytes).is_ok();
                     let first = send(head.as_bytes()) && send(&vec![7; size / 2]);
                     thread::sleep(Duration::from_millis(200));
                     if !(first && send(&vec![7; size - size / 2]) && send(b"\r\n")) {
@@ -378,7 +440,10 @@
         config["limits"]["memory_mb"] = 0.7.into(); // 240,000 bytes for answers
         config["known"]["updates"][0]["endpoints"]["hosts"][0]["dial"] = address.to_string().into();
         config["settings"]["family_info"]["client_kb_per_s"] = 50.into(); // none is overdue
-        for class in config["settings"]["request_classes"].as_array_mut().unwrap() {
+        for class in config["settings"]["request_classes"]
+            .as_array_mut()
+            .unwrap()
+        {
             class["objective_ms"] = 6000.into();
             class["deadline_ms"] = 8000.into();
         }
@@ -403,9 +468,16 @@
     let asked = Instant::now();
     client.request("clip", &large, 4000, b"").unwrap();
     let answer = client.answer().unwrap();
-    assert!(matches!(&answer, Answer::Served { body, .. } if body.len() == 230_000), "{:?}", asked.elapsed());
+    assert!(
+        matches!(&answer, Answer::Served { body, .. } if body.len() == 230_000),
+        "{:?}",
+        asked.elapsed()
+    );
     over.store(true, Ordering::Relaxed);
-    let served: Vec<u32> = small.into_iter().map(|small| small.join().unwrap()).collect();
+    let served: Vec<u32> = small
+        .into_iter()
+        .map(|small| small.join().unwrap())
+        .collect();
     assert!(served.iter().all(|served| *served > 0), "{served:?}");
 }
 
@@ -415,8 +487,22 @@
     let world = World::with(1, |config| config["limits"]["memory_mb"] = 0.8.into());
     let mut clients: Vec<Client> = (0..7).map(|_| world.client()).collect();
     let asked = Instant::now();
-    clients.iter_mut().for_each(|client| assert!(client.request("submit", KEY, 2400, &[7; 40_000]).is_ok()));
-    let answers: Vec<Answer> = clients.iter_mut().map(|client| client.answer().unwrap()).collect();
-    assert!(answers.iter().any(|answer| matches!(answer, Answer::Served { .. })), "{answers:?}");
-    assert!(asked.elapsed() < Duration::from_millis(1500), "{:?}", asked.elapsed());
+    clients
+        .iter_mut()
+        .for_each(|client| assert!(client.request("submit", KEY, 2400, &[7; 40_000]).is_ok()));
+    let answers: Vec<Answer> = clients
+        .iter_mut()
+        .map(|client| client.answer().unwrap())
+        .collect();
+    assert!(
+        answers
+            .iter()
+            .any(|answer| matches!(answer, Answer::Served { .. })),
+        "{answers:?}"
+    );
+    assert!(
+        asked.elapsed() < Duration::from_millis(1500),
+        "{:?}",
+        asked.elapsed()
+    );
 }
--- a/crates/flaxdeck-dispatcher/tests/fleet/mod.rs
+++ b/crates/flaxdeck-dispatcher/tests/fleet/mod.rs
@@ -37,15 +37,28 @@
     pub fn spawn(mut config: Value) -> Dispatcher {
         config["listen"] = "127.0.0.1:0".into();
         let (process, log) = start(&config);
-        Dispatcher { config, process, address: None, log }
+        Dispatcher {
+            config,
+            process,
+            address: None,
+            log,
+        }
     }
 
     /// Where it listens, once it does.
     pub fn address(&mut self) -> SocketAddr {
         let begun = Instant::now();
         while self.address.is_none() {
-            assert!(begun.elapsed() < STARTED_WITHIN, "a dispatcher does not listen");
-            self.address = self.log.lock().unwrap().iter().find_map(|(_, line)| listening(line));
+            assert!(
+                begun.elapsed() < STARTED_WITHIN,
+                "a dispatcher does not listen"
+            );
+            self.address = self
+                .log
+                .lock()
+                .unwrap()
+                .iter()
+                .find_map(|(_, line)| listening(line));
             thread::sleep(LOOK);
         }
         self.address.expect("just found")
@@ -66,7 +79,12 @@
 
     /// When this run of it logged a line with these words.
     pub fn logged(&self, words: &str) -> Option<Instant> {
-        self.log.lock().unwrap().iter().find(|(_, line)| line.contains(words)).map(|(at, _)| *at)
+        self.log
+            .lock()
+            .unwrap()
+            .iter()
+            .find(|(_, line)| line.contains(words))
+            .map(|(at, _)| *at)
     }
 }
 
@@ -79,10 +97,14 @@
 
 fn start(config: &Value) -> (Child, Arc<Mutex<Vec<Logged>>>) {
     let mut process = command(&config.to_string()).spawn().unwrap();
-    let lines = BufReader::new(process.stderr.take().unwrap()).lines().map_while(Result::ok);
+    let lines = BufReader::new(process.stderr.take().unwrap())
+        .lines()
+        .map_while(Result::ok);
     let log: Arc<Mutex<Vec<Logged>>> = Arc::default();
     let keeps = log.clone();
-    thread::spawn(move || lines.for_each(|line| keeps.lock().unwrap().push((Instant::now(), line))));
+    thread::spawn(move || {
+        lines.for_each(|line| keeps.lock().unwrap().push((Instant::now(), line)))
+    });
     (process, log)
 }
 
@@ -124,7 +146,10 @@
                     ("set", "7"),
                     ("kb", &kb),
                 ];
-                if client.send(&request_message(number, "page", &fields, b"")).is_err() {
+                if client
+                    .send(&request_message(number, "page", &fields, b""))
+                    .is_err()
+                {
                     break;
                 }
             }
--- a/crates/flaxdeck-dispatcher/tests/mass_restart.rs
+++ b/crates/flaxdeck-dispatcher/tests/mass_restart.rs
@@ -63,8 +63,11 @@
 #[test]
 fn nine_in_ten_of_thirty_killed_together_are_ready_in_time() {
     let host = |id| Host::start(id, "127.0.0.1:0").unwrap();
-    let (caches, parent, origin) =
-        ([host("s-0000ca00"), host("s-0000ca01")], host("s-00009a01"), host("s-00000001"));
+    let (caches, parent, origin) = (
+        [host("s-0000ca00"), host("s-0000ca01")],
+        host("s-00009a01"),
+        host("s-00000001"),
+    );
     let hosts = [
         (&caches[0], "cache", "here"),
         (&caches[1], "cache", "here"),
@@ -77,7 +80,13 @@
     let addresses: Vec<SocketAddr> = dispatchers.iter_mut().map(Dispatcher::address).collect();
     let (over, served): (Arc<AtomicBool>, Arc<AtomicU32>) = Default::default();
     let load = |(at, address): (usize, &SocketAddr)| {
-        ask(*address, (RATE, KB), at as u64 + 1, over.clone(), served.clone())
+        ask(
+            *address,
+            (RATE, KB),
+            at as u64 + 1,
+            over.clone(),
+            served.clone(),
+        )
     };
     let load: Vec<JoinHandle<()>> = addresses.iter().enumerate().map(load).collect();
     thread::sleep(Duration::from_millis(500));
@@ -88,18 +97,31 @@
     coordinator.change(&caches[0], 1, 0, 0);
     let started = Instant::now();
     dispatchers.iter_mut().for_each(Dispatcher::restart);
-    let first = addresses.iter().enumerate().map(|(at, address)| served_first(*address, 900_000 + at as u32));
+    let first = addresses
+        .iter()
+        .enumerate()
+        .map(|(at, address)| served_first(*address, 900_000 + at as u32));
     let first: Vec<JoinHandle<Option<Instant>>> = first.collect();
-    let served_at: Vec<Option<Instant>> = first.into_iter().map(|first| first.join().unwrap()).collect();
+    let served_at: Vec<Option<Instant>> = first
+        .into_iter()
+        .map(|first| first.join().unwrap())
+        .collect();
     let told = |dispatcher: &Dispatcher| dispatcher.logged("told: s-0000ca00 Draining");
-    let all_told = || dispatchers.iter().all(|dispatcher| told(dispatcher).is_some());
+    let all_told = || {
+        dispatchers
+            .iter()
+            .all(|dispatcher| told(dispatcher).is_some())
+    };
     while started.elapsed() < READY_WITHIN && !all_told() {
         thread::sleep(AGAIN);
     }
-    let ready = served_at.iter().zip(&dispatchers).filter_map(|(served, dispatcher)| {
-        let ready = (*served)?.max(told(dispatcher)?);
-        Some(ready.duration_since(started)).filter(|took| *took < READY_WITHIN)
-    });
+    let ready = served_at
+        .iter()
+        .zip(&dispatchers)
+        .filter_map(|(served, dispatcher)| {
+            let ready = (*served)?.max(told(dispatcher)?);
+            Some(ready.duration_since(started)).filter(|took| *took < READY_WITHIN)
+        });
     let mut ready: Vec<Duration> = ready.collect();
     ready.sort();
     over.store(true, Ordering::Relaxed);
@@ -110,5 +132,9 @@
         ready.len(),
         ready.last()
     );
-    assert!(ready.len() >= READY, "{} of {DISPATCHERS} ready, {served_in_time} of them served", ready.len());
+    assert!(
+        ready.len() >= READY,
+        "{} of {DISPATCHERS} ready, {served_in_time} of them served",
+        ready.len()
+    );
 }
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -16,7 +16,16 @@
 use serde_json::{Value, json};
 use world::*;
 
-const NAMES: [&str; 8] = ["clip", "Page", "SUBMIT", "страница", "頁面", "a.b-c_d", "größe", "x"];
+const NAMES: [&str; 8] = [
+    "clip",
+    "Page",
+    "SUBMIT",
+    "страница",
+    "頁面",
+    "a.b-c_d",
+    "größe",
+    "x",
+];
 
 /// Settings within the platform's form, drawn from a seed.
 fn draw(seed: u64) -> Value {
@@ -47,9 +56,14 @@
     let mut flag = |of: f64| one_of(&[0.0, 1.0]) < of;
     let through: Vec<bool> = (0..count).map(|_| flag(0.5)).collect();
     let parted: Vec<bool> = (0..count).map(|_| flag(0.5)).collect();
-    let allowed = json!({"cancel": flag(0.5), "may_duplicate": flag(0.5), "retry_after": flag(0.5)});
+    let allowed =
+        json!({"cancel": flag(0.5), "may_duplicate": flag(0.5), "retry_after": flag(0.5)});
     let (direct, collapses, one_zone) = (flag(0.5), flag(0.5), flag(0.5));
-    let zones = if one_zone { vec!["here"] } else { vec!["here", "hub"] };
+    let zones = if one_zone {
+        vec!["here"]
+    } else {
+        vec!["here", "hub"]
+    };
     let mut settings = json!({
         "allowed": allowed, "family": "edge", "group_size": one_of(&[1.0, 3.0, 300.0]),
         "kinds": ["cache", "parent", "origin"], "zone": "here", "zones": zones, "tick_ms": one_of(&[1.0, 2.0, 10.0]),
@@ -81,7 +95,15 @@
 
 fn listed(name: &str, role: Role, zone: usize, started: Option<Time>) -> Endpoint {
     let (host, zone) = (HostId(name.into()), Some(ZoneId(zone)));
-    Endpoint { host, weight: 4.0, zone, cell: CellId(0), role, health: Health::InService, started }
+    Endpoint {
+        host,
+        weight: 4.0,
+        zone,
+        cell: CellId(0),
+        role,
+        health: Health::InService,
+        started,
+    }
 }
 
 // Hosts that answer none, some, or everything with an error: each request has its one end by its deadline.
@@ -89,7 +111,8 @@
 fn whatever_the_settings_each_request_is_answered_once_and_by_its_deadline() {
     for seed in 0..400 {
         let settings = draw(seed);
-        let (terms, names) = flaxdeck_terms::read(&Fields::of(&settings, "settings").unwrap()).unwrap();
+        let (terms, names) =
+            flaxdeck_terms::read(&Fields::of(&settings, "settings").unwrap()).unwrap();
         let (tick, classes, cancels) = (terms.tick, names.classes.len(), terms.may_cancel);
         let start = Time::at_ms(1e9);
         let mut facade = Facade::start(start, seed, terms);
@@ -99,15 +122,25 @@
             listed("s-0000ca01", Role::Cache, 0, Some(start)),
             listed("s-00000001", Role::Origin, 0, None),
         ];
-        hosts.extend((0..parents).map(|n| listed(&format!("s-00009a0{n}"), Role::Parent, 0, Some(start))));
+        hosts.extend(
+            (0..parents).map(|n| listed(&format!("s-00009a0{n}"), Role::Parent, 0, Some(start))),
+        );
         facade.report(start, News::Hosts(ListKind::Full, hosts));
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let mut open: BTreeMap<RequestId, (Time, u32)> = BTreeMap::new();
         let mut out: Vec<(Time, RequestId, AttemptIndex, HostId)> = Vec::new();
-        let deadlines: Vec<f64> =
-            (0..classes).map(|at| settings["request_classes"][at]["deadline_ms"].as_f64().unwrap()).collect();
+        let deadlines: Vec<f64> = (0..classes)
+            .map(|at| {
+                settings["request_classes"][at]["deadline_ms"]
+                    .as_f64()
+                    .unwrap()
+            })
+            .collect();
         let (mut now, mut next) = (start, 0);
-        let last = deadlines.iter().fold(0.0, |a: f64, b| a.max(*b)).min(3000.0);
+        let last = deadlines
+            .iter()
+            .fold(0.0, |a: f64, b| a.max(*b))
+            .min(3000.0);
         while now.since(start).ms() < last + 500.0 {
             if next < 40 {
                 let class = next as usize % classes;
@@ -115,7 +148,16 @@
                 let (object, id) = (ObjectId(chance.random_range(0..10)), RequestId(next));
                 let (class, group) = (ClassId(class), GroupId(3));
                 let size_kb = Some(chance.random_range(1.0..3000.0)).filter(|_| seed % 2 == 0);
-                let request = Request { id, class, object, part: 0, group, size_kb, deadline, again: false };
+                let request = Request {
+                    id,
+                    class,
+                    object,
+                    part: 0,
+                    group,
+                    size_kb,
+                    deadline,
+                    again: false,
+                };
                 open.insert(id, (deadline, 0));
                 facade.report(now, News::Arrived(request));
                 next += 1;
@@ -139,18 +181,25 @@
                             out.retain(|(_, of, at, _)| (*of, *at) != (id, index));
                             if open.contains_key(&id) {
                                 let host = HostId("s-0000ca00".into());
-                                facade.report(now, News::Ended(end(id, index, host, Ending::Cancelled)));
+                                facade.report(
+                                    now,
+                                    News::Ended(end(id, index, host, Ending::Cancelled)),
+                                );
                             }
                         }
                         Step::Reject(_) | Step::Fail => {
-                            let (deadline, _) =
-                                open.remove(&id).unwrap_or_else(|| panic!("seed {seed}: two ends"));
+                            let (deadline, _) = open
+                                .remove(&id)
+                                .unwrap_or_else(|| panic!("seed {seed}: two ends"));
                             assert!(now <= deadline + tick * 2.0, "seed {seed}: {id:?} too late");
                         }
                     }
                 }
             }
-            for (_, id, index, host) in out.extract_if(.., |(at, ..)| *at <= now).collect::<Vec<_>>() {
+            for (_, id, index, host) in out
+                .extract_if(.., |(at, ..)| *at <= now)
+                .collect::<Vec<_>>()
+            {
                 let ending = [
                     Ending::Answered,
                     Ending::Errored,
@@ -177,7 +226,17 @@
 
 fn end(request: RequestId, index: AttemptIndex, host: HostId, ending: Ending) -> Ended {
     let (took, told, report) = (Span::of_ms(5.0), Told::Nothing, LoadReport::default());
-    Ended { request, index, host, ending, took, closed: false, told, waited: None, report }
+    Ended {
+        request,
+        index,
+        host,
+        ending,
+        took,
+        closed: false,
+        told,
+        waited: None,
+        report,
+    }
 }
 
 // The real process under some of them: each class gets its answers in time, and a planned end is one.
@@ -187,10 +246,14 @@
         let settings = draw(seed);
         let mut world = World::with(2, |config| {
             let parents = seed % 3 > 0;
-            let hosts = config["known"]["updates"][0]["endpoints"]["hosts"].as_array_mut().unwrap();
+            let hosts = config["known"]["updates"][0]["endpoints"]["hosts"]
+                .as_array_mut()
+                .unwrap();
             hosts.retain(|host| parents || host["class"] != "parent");
             if settings["zones"].as_array().unwrap().len() == 1 {
-                hosts.iter_mut().for_each(|host| host["site"] = "here".into());
+                hosts
+                    .iter_mut()
+                    .for_each(|host| host["site"] = "here".into());
             }
             config["settings"] = settings.clone();
         });
@@ -198,11 +261,22 @@
             let wait = class["deadline_ms"].as_f64().unwrap().min(2500.0) as u64;
             let mut client = world.client();
             let asked = Instant::now();
-            client.request(class["name"].as_str().unwrap(), KEY, wait, b"").unwrap();
+            client
+                .request(class["name"].as_str().unwrap(), KEY, wait, b"")
+                .unwrap();
             let answer = client.answer().unwrap();
-            assert!(!matches!(answer, Answer::Alive { .. }), "seed {seed}: {answer:?}");
-            assert!(asked.elapsed() < Duration::from_millis(wait + 150), "seed {seed}, {class}");
-            assert!(client.quiet_for(Duration::from_millis(20)), "seed {seed}: one answer");
+            assert!(
+                !matches!(answer, Answer::Alive { .. }),
+                "seed {seed}: {answer:?}"
+            );
+            assert!(
+                asked.elapsed() < Duration::from_millis(wait + 150),
+                "seed {seed}, {class}"
+            );
+            assert!(
+                client.quiet_for(Duration::from_millis(20)),
+                "seed {seed}: one answer"
+            );
         }
         world.terminate();
         assert!(world.process.wait().unwrap().success(), "seed {seed}");
@@ -217,33 +291,71 @@
     };
     type Spoil = Box<dyn Fn(&mut Value)>;
     let rows: Vec<(Spoil, [&str; 2])> = vec![
-        (Box::new(class("effect", "twice".into())), ["effect", "twice"]),
-        (Box::new(class("effect", Value::Null)), ["effect", "missing"]),
-        (Box::new(class("deadline_ms", (-1).into())), ["deadline_ms", "0 to 1e12"]),
-        (Box::new(class("deadline_ms", 1e300.into())), ["deadline_ms", "0 to 1e12"]),
-        (Box::new(class("objective_ms", "soon".into())), ["objective_ms", "0 to 1e12"]),
+        (
+            Box::new(class("effect", "twice".into())),
+            ["effect", "twice"],
+        ),
+        (
+            Box::new(class("effect", Value::Null)),
+            ["effect", "missing"],
+        ),
+        (
+            Box::new(class("deadline_ms", (-1).into())),
+            ["deadline_ms", "0 to 1e12"],
+        ),
+        (
+            Box::new(class("deadline_ms", 1e300.into())),
+            ["deadline_ms", "0 to 1e12"],
+        ),
+        (
+            Box::new(class("objective_ms", "soon".into())),
+            ["objective_ms", "0 to 1e12"],
+        ),
         (Box::new(class("name", "a page".into())), ["name", "space"]),
         (Box::new(class("name", "a,b=c".into())), ["name", "comma"]),
         (Box::new(class("name", "".into())), ["name", "0 bytes"]),
-        (Box::new(class("name", "n".repeat(300).into())), ["name", "300 bytes"]),
-        (Box::new(class("name", "page".into())), ["name", "two classes"]),
-        (Box::new(class("name", "alive".into())), ["name", "whether a dispatcher is up"]),
+        (
+            Box::new(class("name", "n".repeat(300).into())),
+            ["name", "300 bytes"],
+        ),
+        (
+            Box::new(class("name", "page".into())),
+            ["name", "two classes"],
+        ),
+        (
+            Box::new(class("name", "alive".into())),
+            ["name", "whether a dispatcher is up"],
+        ),
         (
             Box::new(|config| config["settings"]["request_classes"] = json!([])),
             ["request_classes", "no class"],
         ),
-        (Box::new(|config| config["settings"]["zone"] = "nowhere".into()), ["zone", "nowhere"]),
-        (Box::new(|config| config["settings"]["tick_ms"] = Value::Null), ["tick_ms", "missing"]),
+        (
+            Box::new(|config| config["settings"]["zone"] = "nowhere".into()),
+            ["zone", "nowhere"],
+        ),
+        (
+            Box::new(|config| config["settings"]["tick_ms"] = Value::Null),
+            ["tick_ms", "missing"],
+        ),
         (
             Box::new(|config| config["settings"]["allowed"]["connect_timeout_ms"] = 1e200.into()),
             ["connect_timeout_ms", "0 to 1e12"],
         ),
         (
-            Box::new(|config| config["settings"]["request_classes"][2]["effect"] = "deduplicated".into()),
+            Box::new(|config| {
+                config["settings"]["request_classes"][2]["effect"] = "deduplicated".into()
+            }),
             ["key_scope", "None"],
         ),
-        (Box::new(|config| config["limits"]["sockets"] = 12.into()), ["sockets", "12"]),
-        (Box::new(|config| config["limits"]["memory_mb"] = 0.into()), ["memory_mb", "nothing fits"]),
+        (
+            Box::new(|config| config["limits"]["sockets"] = 12.into()),
+            ["sockets", "12"],
+        ),
+        (
+            Box::new(|config| config["limits"]["memory_mb"] = 0.into()),
+            ["memory_mb", "nothing fits"],
+        ),
     ];
     for (spoil, words) in rows {
         let mut config: Value = serde_json::from_str(CONFIG).unwrap();
--- a/crates/flaxdeck-dispatcher/tests/sockets.rs
+++ b/crates/flaxdeck-dispatcher/tests/sockets.rs
@@ -36,12 +36,28 @@
 fn messages_may_be_cut_anywhere_and_joined() {
     let world = World::start(1);
     let mut client = world.client();
-    let fields = [("id", "9b1f03aa5c7e2d41"), ("wait", "2500"), ("key", KEY), ("slice", "0"), ("set", "17")];
+    let fields = [
+        ("id", "9b1f03aa5c7e2d41"),
+        ("wait", "2500"),
+        ("key", KEY),
+        ("slice", "0"),
+        ("set", "17"),
+    ];
     let message = request_message(300, "page", &fields, b"");
-    message.iter().for_each(|byte| client.send(&[*byte]).unwrap());
+    message
+        .iter()
+        .for_each(|byte| client.send(&[*byte]).unwrap());
     assert!(served(&client.answer().unwrap(), KEY));
     let other = [("id", "9b1f03aa5c7e2d42"), fields[1], fields[2], fields[3]];
-    client.send(&[message.clone(), request_message(70_000, "page", &other, b"")].concat()).unwrap();
+    client
+        .send(
+            &[
+                message.clone(),
+                request_message(70_000, "page", &other, b""),
+            ]
+            .concat(),
+        )
+        .unwrap();
     assert!(served(&client.answer().unwrap(), KEY) && served(&client.answer().unwrap(), KEY));
 }
 
@@ -49,12 +65,30 @@
 fn the_clients_own_copy_may_be_the_one() {
     let world = World::start(1);
     world.caches[0].set(Manner::Unchanged("4be0c1927d55a6f3"));
-    let fields = [("id", "9b1f03aa5c7e2d41"), ("wait", "2500"), ("key", KEY), ("seen", "4be0c1927d55a6f3")];
+    let fields = [
+        ("id", "9b1f03aa5c7e2d41"),
+        ("wait", "2500"),
+        ("key", KEY),
+        ("seen", "4be0c1927d55a6f3"),
+    ];
     let mut client = world.client();
-    client.send(&request_message(1, "page", &fields, b"")).unwrap();
+    client
+        .send(&request_message(1, "page", &fields, b""))
+        .unwrap();
     let current = BTreeMap::from([("current".into(), "1".into())]);
-    assert_eq!(client.answer().unwrap(), Answer::Served { call: 1, body: vec![], fields: current });
-    assert!(world.caches[0].heard("want")[0].0.contains("holds=4be0c1927d55a6f3"));
+    assert_eq!(
+        client.answer().unwrap(),
+        Answer::Served {
+            call: 1,
+            body: vec![],
+            fields: current
+        }
+    );
+    assert!(
+        world.caches[0].heard("want")[0]
+            .0
+            .contains("holds=4be0c1927d55a6f3")
+    );
 }
 
 // A host that names another copy, none, or what no tag looks like: the client gets the whole object, not its old copy.
@@ -62,14 +96,27 @@
 fn a_copy_that_the_host_does_not_name_is_not_the_clients() {
     for named in ["4be0c1927d55a6f4", "", "%%", "4be0c1927d55a6f3x"] {
         let world = World::start(1);
-        world.caches.iter().for_each(|cache| cache.set(Manner::Unchanged(named)));
-        let fields =
-            [("id", "9b1f03aa5c7e2d41"), ("wait", "2500"), ("key", KEY), ("seen", "4be0c1927d55a6f3")];
+        world
+            .caches
+            .iter()
+            .for_each(|cache| cache.set(Manner::Unchanged(named)));
+        let fields = [
+            ("id", "9b1f03aa5c7e2d41"),
+            ("wait", "2500"),
+            ("key", KEY),
+            ("seen", "4be0c1927d55a6f3"),
+        ];
         let mut client = world.client();
-        client.send(&request_message(1, "page", &fields, b"")).unwrap();
+        client
+            .send(&request_message(1, "page", &fields, b""))
+            .unwrap();
         assert!(served(&client.answer().unwrap(), KEY), "{named}");
-        let heard: Vec<String> =
-            world.caches.iter().flat_map(|cache| cache.heard("want")).map(|(line, _)| line).collect();
+        let heard: Vec<String> = world
+            .caches
+            .iter()
+            .flat_map(|cache| cache.heard("want"))
+            .map(|(line, _)| line)
+            .collect();
         assert!(
             heard.len() == 2 && heard.iter().filter(|line| line.contains("holds=")).count() == 1,
             "{heard:?}"
@@ -94,29 +141,51 @@
         let world = World::start(1);
         world.origin.set(manner);
         let answer = world.request("submit", KEY, 900, b"a form");
-        assert_eq!(word(answer), if again { "Backoff" } else { "Lost" }, "{manner:?}");
+        assert_eq!(
+            word(answer),
+            if again { "Backoff" } else { "Lost" },
+            "{manner:?}"
+        );
         let heard = world.origin.heard("want");
         assert_eq!(heard.len() > 1, again, "{manner:?}: {heard:?}");
         assert!(heard.iter().all(|(_, body)| body == b"a form"));
     }
     let world = World::start(1);
-    assert_eq!(word(world.request("submit", KEY, 900, b"a form")).split(' ').next(), Some("Served"));
+    assert_eq!(
+        word(world.request("submit", KEY, 900, b"a form"))
+            .split(' ')
+            .next(),
+        Some("Served")
+    );
     world.origin.kill();
-    assert_eq!(word(world.request("submit", KEY, 900, b"a form")), "Backoff", "nothing reaches a dead host");
+    assert_eq!(
+        word(world.request("submit", KEY, 900, b"a form")),
+        "Backoff",
+        "nothing reaches a dead host"
+    );
     assert_eq!(world.origin.heard("want").len(), 1);
 }
 
 #[test]
 fn requests_move_past_a_host_that_dies_and_one_that_fails() {
-    for manner in [None, Some(Manner::Say("failed")), Some(Manner::Break), Some(Manner::Garble)] {
+    for manner in [
+        None,
+        Some(Manner::Say("failed")),
+        Some(Manner::Break),
+        Some(Manner::Garble),
+    ] {
         let world = World::start(2);
         (0..8).for_each(|n| assert!(served(&world.request("page", &key(n), 2000, b""), &key(n))));
         match manner {
             Some(manner) => world.caches[0].set(manner),
             None => world.caches[0].kill(),
         }
-        (0..8)
-            .for_each(|n| assert!(served(&world.request("page", &key(n), 2000, b""), &key(n)), "{manner:?}"));
+        (0..8).for_each(|n| {
+            assert!(
+                served(&world.request("page", &key(n), 2000, b""), &key(n)),
+                "{manner:?}"
+            )
+        });
     }
 }
 
@@ -126,25 +195,41 @@
     world.caches[0].set(Manner::Silent);
     let mut client = world.client();
     let answers = request_together(&mut client, 16, 2400);
-    let silent: Vec<String> = world.caches[0].heard("want").into_iter().map(|(line, _)| line).collect();
+    let silent: Vec<String> = world.caches[0]
+        .heard("want")
+        .into_iter()
+        .map(|(line, _)| line)
+        .collect();
     assert!(!silent.is_empty(), "some belong to the silent host");
     for n in (0..16).filter(|n| !silent.iter().any(|line| line.contains(&key(*n)))) {
-        assert!(answers.iter().any(|answer| served(answer, &key(n))), "{n} does not belong to it");
+        assert!(
+            answers.iter().any(|answer| served(answer, &key(n))),
+            "{n} does not belong to it"
+        );
     }
-    wait_for("given up at the silent host", || !world.caches[0].heard("never_mind").is_empty());
+    wait_for("given up at the silent host", || {
+        !world.caches[0].heard("never_mind").is_empty()
+    });
 }
 
 #[test]
 fn without_second_copies_a_request_is_taken_back_from_a_silent_host_and_served_elsewhere() {
-    let world = World::with(2, |config| config["settings"]["allowed"]["may_duplicate"] = false.into());
+    let world = World::with(2, |config| {
+        config["settings"]["allowed"]["may_duplicate"] = false.into()
+    });
     world.caches[0].set(Manner::Silent);
     let mut client = world.client();
     let answers = request_together(&mut client, 16, 2400);
     for n in 0..16 {
         assert!(answers.iter().any(|answer| served(answer, &key(n))), "{n}");
     }
-    assert!(!world.caches[0].heard("want").is_empty(), "some belong to the silent host");
-    wait_for("given up there", || !world.caches[0].heard("never_mind").is_empty());
+    assert!(
+        !world.caches[0].heard("want").is_empty(),
+        "some belong to the silent host"
+    );
+    wait_for("given up there", || {
+        !world.caches[0].heard("never_mind").is_empty()
+    });
 }
 
 #[test]
@@ -155,7 +240,9 @@
     let call = client.request("page", KEY, 2400, b"").unwrap();
     wait_for("handed off", || !world.caches[0].heard("want").is_empty());
     client.cancel(call).unwrap();
-    wait_for("given up", || !world.caches[0].heard("never_mind").is_empty());
+    wait_for("given up", || {
+        !world.caches[0].heard("never_mind").is_empty()
+    });
     assert!(client.quiet_for(Duration::from_millis(600)));
     world.caches[0].set(Manner::Serve);
     for n in 0..4 {
@@ -174,7 +261,9 @@
         let request = request_message(call.into(), "page", &fields, b"");
         [&request[..], b"\x93\x02\xadcancelRequest\x91", &[call]].concat()
     };
-    client.send(&(1..30).flat_map(breath).collect::<Vec<u8>>()).unwrap();
+    client
+        .send(&(1..30).flat_map(breath).collect::<Vec<u8>>())
+        .unwrap();
     assert!(client.quiet_for(Duration::from_millis(200)));
     assert!(world.caches[0].heard("want").is_empty());
     client.request("page", KEY, 2000, b"").unwrap();
@@ -189,7 +278,9 @@
     client.request("page", KEY, 2400, b"").unwrap();
     wait_for("handed off", || !world.caches[0].heard("want").is_empty());
     drop(client);
-    wait_for("given up", || !world.caches[0].heard("never_mind").is_empty());
+    wait_for("given up", || {
+        !world.caches[0].heard("never_mind").is_empty()
+    });
 }
 
 #[test]
@@ -211,7 +302,9 @@
     assert!(!world.spares(&draining));
     world.coordinator.hang_up();
     world.coordinator.change(&draining, 1, 0, 0);
-    wait_for("a drain told while nobody was connected", || world.spares(&draining));
+    wait_for("a drain told while nobody was connected", || {
+        world.spares(&draining)
+    });
     world.coordinator.lose_one();
     world.coordinator.change(&draining, 0, 0, 0);
     wait_for("its end, told after a gap", || !world.spares(&draining));
@@ -229,7 +322,11 @@
     world.coordinator.change(&draining, 1, 0, 0);
     assert!(!world.spares(&draining));
     wait_for("a drain told after the stop", || world.spares(&draining));
-    assert!(stopped.elapsed() < Duration::from_millis(3200), "{:?}", stopped.elapsed());
+    assert!(
+        stopped.elapsed() < Duration::from_millis(3200),
+        "{:?}",
+        stopped.elapsed()
+    );
 }
 
 #[test]
@@ -253,8 +350,13 @@
     std::fs::write(&world.path, config.to_string()).unwrap();
     world.signal("HUP");
     later.change(&draining, 0, 0, 0);
-    assert!(served(&client.answer().unwrap(), KEY), "an open request notices nothing");
-    wait_for("event 3 comes from the later coordinator", || !world.spares(&draining));
+    assert!(
+        served(&client.answer().unwrap(), KEY),
+        "an open request notices nothing"
+    );
+    wait_for("event 3 comes from the later coordinator", || {
+        !world.spares(&draining)
+    });
     later.change(&draining, 1, 0, 0);
     wait_for("and event 4", || world.spares(&draining));
     assert!(world.process.try_wait().unwrap().is_none());
@@ -264,25 +366,50 @@
 fn after_a_purge_only_younger_copies_are_asked_for() {
     let mut world = World::start(1);
     assert!(served(&world.request("page", KEY, 2000, b""), KEY));
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64 - 100;
-    world.coordinator.purge_object(u64::from_str_radix(KEY, 16).unwrap(), unix);
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64
+        - 100;
+    world
+        .coordinator
+        .purge_object(u64::from_str_radix(KEY, 16).unwrap(), unix);
     let newer = |world: &World| {
         let lines = world.caches[0].heard("want");
         lines
             .iter()
-            .filter_map(|(line, _)| line.split("newer=").nth(1)?.split([',', ' ']).next()?.parse().ok())
+            .filter_map(|(line, _)| {
+                line.split("newer=")
+                    .nth(1)?
+                    .split([',', ' '])
+                    .next()?
+                    .parse()
+                    .ok()
+            })
             .max()
     };
     wait_for("the purge is heeded", || {
         drop(world.request("page", KEY, 2000, b""));
         newer(&world).is_some()
     });
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64 - unix;
+    let since = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64
+        - unix;
     let newer = newer(&world).unwrap();
-    assert!((1..=since).contains(&newer), "{newer} ms is from before the purge, {since} ms ago");
+    assert!(
+        (1..=since).contains(&newer),
+        "{newer} ms is from before the purge, {since} ms ago"
+    );
     drop(world.request("page", &key(9), 2000, b""));
     assert!(
-        !world.caches[0].heard("want").last().unwrap().0.contains("newer="),
+        !world.caches[0]
+            .heard("want")
+            .last()
+            .unwrap()
+            .0
+            .contains("newer="),
         "other objects are left alone"
     );
 }
@@ -291,12 +418,21 @@
 fn what_is_malformed_harms_only_its_own_connection() {
     let world = World::start(1);
     let mut good = world.client();
-    for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0x94, 0, 1, 0xdb, 0xff, 0xff, 0xff, 0xff], &[0xc1]] {
+    for bytes in [
+        &b"GET / HTTP/1.1\r\n\r\n"[..],
+        &[0x94, 0, 1, 0xdb, 0xff, 0xff, 0xff, 0xff],
+        &[0xc1],
+    ] {
         let mut bad = world.client();
         bad.send(bytes).unwrap();
         assert!(bad.ended());
     }
-    let whole = [("id", "9b1f03aa5c7e2d41"), ("wait", "2500"), ("key", KEY), ("slice", "0")];
+    let whole = [
+        ("id", "9b1f03aa5c7e2d41"),
+        ("wait", "2500"),
+        ("key", KEY),
+        ("slice", "0"),
+    ];
     let with = |at: usize, value: &'static str| {
         let mut fields = whole;
         fields[at].1 = value;
@@ -309,11 +445,18 @@
         with(1, "soon"),
         with(2, "7f3a9c21e0b4d65g"),
         with(3, "-1"),
-        request_message(9, "page", &[whole[0], whole[1], whole[2], ("seen", "a,b=c d")], b""),
+        request_message(
+            9,
+            "page",
+            &[whole[0], whole[1], whole[2], ("seen", "a,b=c d")],
+            b"",
+        ),
     ];
     for message in bad {
         good.send(&message).unwrap();
-        assert!(matches!(good.answer().unwrap(), Answer::Error { call: 9, word, .. } if word != "Backoff"));
+        assert!(
+            matches!(good.answer().unwrap(), Answer::Error { call: 9, word, .. } if word != "Backoff")
+        );
     }
     assert!(world.hosts().all(|host| host.heard("want").is_empty()));
     good.request("page", KEY, 2000, b"").unwrap();
@@ -325,11 +468,16 @@
     let world = World::start(1);
     let (mut silent, mut half, mut idle) = (world.client(), world.client(), world.client());
     let start = Instant::now();
-    half.send(&request_message(1, "submit", &[("id", "9b1f03aa5c7e2d41")], &[7; 400])[..200]).unwrap();
+    half.send(&request_message(1, "submit", &[("id", "9b1f03aa5c7e2d41")], &[7; 400])[..200])
+        .unwrap();
     idle.request("page", KEY, 2000, b"").unwrap();
     assert!(served(&idle.answer().unwrap(), KEY));
     assert!(silent.ended() && half.ended());
-    assert!(start.elapsed() < Duration::from_millis(2900), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(2900),
+        "{:?}",
+        start.elapsed()
+    );
     idle.request("page", KEY, 2000, b"").unwrap();
     assert!(served(&idle.answer().unwrap(), KEY), "an idle one may stay");
 }
@@ -386,7 +534,11 @@
         client.answer().unwrap();
         clients.push(client);
     }
-    assert!(start.elapsed() < Duration::from_millis(1800), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(1800),
+        "{:?}",
+        start.elapsed()
+    );
 }
 
 #[test]
@@ -399,7 +551,9 @@
     for (n, client) in (0..).zip(&mut clients) {
         client.request("page", &key(n), 2400, b"").unwrap();
     }
-    clients.iter_mut().for_each(|client| drop(client.answer().unwrap()));
+    clients
+        .iter_mut()
+        .for_each(|client| drop(client.answer().unwrap()));
     assert!(world.process.wait().unwrap().success());
     drop(silent);
 }
@@ -408,16 +562,37 @@
 fn a_request_under_the_id_of_an_open_one_is_no_business_of_the_hosts() {
     let world = World::start(1);
     world.origin.set(Manner::Late(300));
-    let fields = |key| [("id", "9b1f03aa5c7e2d41"), ("wait", "2500"), ("key", key), ("slice", "0")];
+    let fields = |key| {
+        [
+            ("id", "9b1f03aa5c7e2d41"),
+            ("wait", "2500"),
+            ("key", key),
+            ("slice", "0"),
+        ]
+    };
     let (mut first, mut second) = (world.client(), world.client());
-    first.send(&request_message(1, "submit", &fields(KEY), b"a form")).unwrap();
+    first
+        .send(&request_message(1, "submit", &fields(KEY), b"a form"))
+        .unwrap();
     wait_for("handed off", || !world.origin.heard("want").is_empty());
-    second.send(&request_message(1, "submit", &fields("0000000000000001"), b"another")).unwrap();
+    second
+        .send(&request_message(
+            1,
+            "submit",
+            &fields("0000000000000001"),
+            b"another",
+        ))
+        .unwrap();
     assert_eq!(word(second.answer().unwrap()), "Lost");
     assert!(matches!(first.answer().unwrap(), Answer::Served { body, .. } if body == b"a form"));
     assert_eq!(world.origin.heard("want").len(), 1);
-    second.send(&request_message(2, "submit", &fields(KEY), b"a form")).unwrap();
-    assert!(matches!(second.answer().unwrap(), Answer::Served { .. }), "it is free again");
+    second
+        .send(&request_message(2, "submit", &fields(KEY), b"a form"))
+        .unwrap();
+    assert!(
+        matches!(second.answer().unwrap(), Answer::Served { .. }),
+        "it is free again"
+    );
 }
 
 #[test]
@@ -438,11 +613,18 @@
     let world = World::start(2);
     world.hosts().for_each(|host| host.set(Manner::Once));
     for _ in 0..8 {
-        assert!(matches!(world.request("submit", KEY, 900, b"a form"), Answer::Served { .. }));
+        assert!(matches!(
+            world.request("submit", KEY, 900, b"a form"),
+            Answer::Served { .. }
+        ));
         assert!(served(&world.request("page", KEY, 2000, b""), KEY));
     }
     assert_eq!(world.origin.heard("want").len(), 8);
-    let mut at: Vec<usize> = world.caches.iter().map(|cache| cache.heard("want").len()).collect();
+    let mut at: Vec<usize> = world
+        .caches
+        .iter()
+        .map(|cache| cache.heard("want").len())
+        .collect();
     at.sort();
     assert_eq!(at, [0, 8], "the object stays where it belongs");
 }
@@ -481,7 +663,10 @@
 #[test]
 fn short_deadlines_of_the_settings_bring_the_planned_end_forward() {
     let mut world = World::with(1, |config| {
-        for class in config["settings"]["request_classes"].as_array_mut().unwrap() {
+        for class in config["settings"]["request_classes"]
+            .as_array_mut()
+            .unwrap()
+        {
             class["deadline_ms"] = 900.into();
         }
     });
@@ -493,12 +678,18 @@
     world.terminate();
     assert_eq!(word(client.answer().unwrap()), "Backoff");
     assert!(world.process.wait().unwrap().success());
-    assert!(told.elapsed() < Duration::from_millis(1600), "{:?}", told.elapsed());
+    assert!(
+        told.elapsed() < Duration::from_millis(1600),
+        "{:?}",
+        told.elapsed()
+    );
 }
 
 #[test]
 fn a_planned_end_with_an_attempt_still_out_ends_well() {
-    let mut world = World::with(1, |config| config["settings"]["allowed"]["cancel"] = false.into());
+    let mut world = World::with(1, |config| {
+        config["settings"]["allowed"]["cancel"] = false.into()
+    });
     world.caches[0].set(Manner::Silent);
     let mut client = world.client();
     let call = client.request("clip", KEY, 30_000, b"").unwrap();
@@ -528,8 +719,12 @@
 fn a_client_that_reads_late_and_speaks_meanwhile_is_not_taken_for_stalled() {
     let world = World::start(1);
     let mut clients: Vec<Client> = (0..10).map(|_| world.client()).collect();
-    clients.iter_mut().for_each(|client| assert!(client.request("page", KEY, 2400, b"").is_ok()));
-    clients.iter_mut().for_each(|client| assert!(served(&client.answer().unwrap(), KEY)));
+    clients
+        .iter_mut()
+        .for_each(|client| assert!(client.request("page", KEY, 2400, b"").is_ok()));
+    clients
+        .iter_mut()
+        .for_each(|client| assert!(served(&client.answer().unwrap(), KEY)));
     thread::sleep(Duration::from_millis(3200));
     // The origin gives a write back: in all more than the system takes for a client that does not read. As more writes
     // come all the time, there is something to be read at the moment when something begins to wait.
@@ -537,7 +732,9 @@
         thread::spawn(move || {
             let mut reads = client.again().unwrap();
             let writes = thread::spawn(move || {
-                (0..250).filter(|_| client.request("submit", KEY, 2900, &[7; 40_000]).is_ok()).count()
+                (0..250)
+                    .filter(|_| client.request("submit", KEY, 2900, &[7; 40_000]).is_ok())
+                    .count()
             });
             thread::sleep(Duration::from_millis(700));
             let answers = (0..250).take_while(|_| reads.answer().is_ok()).count();
@@ -546,7 +743,11 @@
     };
     let told: Vec<_> = clients.into_iter().map(tell).collect();
     for (n, client) in told.into_iter().enumerate() {
-        assert_eq!(client.join().unwrap(), (250, 250), "client {n} lost its connection");
+        assert_eq!(
+            client.join().unwrap(),
+            (250, 250),
+            "client {n} lost its connection"
+        );
     }
 }
 
@@ -557,7 +758,12 @@
     let mut writes = world.client();
     writes.request("page", KEY, 2400, b"").unwrap();
     assert!(served(&writes.answer().unwrap(), KEY));
-    let fields = [("id", "9b1f03aa5c7e2d41"), ("wait", "2500"), ("key", KEY), ("slice", "0")];
+    let fields = [
+        ("id", "9b1f03aa5c7e2d41"),
+        ("wait", "2500"),
+        ("key", KEY),
+        ("slice", "0"),
+    ];
     let message = request_message(9, "submit", &fields, &[7; 4000]);
     writes.send(&message[..1000]).unwrap();
     thread::sleep(Duration::from_millis(50));
@@ -601,7 +807,10 @@
     let mut client = world.client();
     let answers = request_together(&mut client, 24, 1500);
     let served = |n: &u32| answers.iter().any(|answer| served(answer, &key(*n)));
-    assert!((0..24).filter(served).count() >= 4, "what had a descriptor is served");
+    assert!(
+        (0..24).filter(served).count() >= 4,
+        "what had a descriptor is served"
+    );
 }
 
 // Counted at their largest, ten requests would fill this memory; at what they hold it takes all of these.
@@ -620,8 +829,9 @@
     world.hosts().for_each(|host| host.set(Manner::Late(300)));
     let mut client = world.client();
     let answers = request_together(&mut client, 20, 2400);
-    let rejected =
-        answers.iter().filter(|answer| matches!(answer, Answer::Error { word, .. } if word == "Backoff"));
+    let rejected = answers
+        .iter()
+        .filter(|answer| matches!(answer, Answer::Error { word, .. } if word == "Backoff"));
     assert!((10..20).contains(&rejected.count()));
 }
 
@@ -639,7 +849,10 @@
     let mut client = world.client();
     for _ in 0..1000 {
         client.request("page", KEY, 2400, b"").unwrap();
-        assert!(served(&client.answer().unwrap(), KEY), "each writes two lines to a pipe that holds few");
+        assert!(
+            served(&client.answer().unwrap(), KEY),
+            "each writes two lines to a pipe that holds few"
+        );
     }
 }
 
@@ -648,7 +861,10 @@
     let fails = |mut command: Command, why: &str| {
         let output = command.output().unwrap();
         let text = String::from_utf8(output.stderr).unwrap();
-        assert!(!output.status.success() && text.contains(why) && text.lines().count() == 1, "{text}");
+        assert!(
+            !output.status.success() && text.contains(why) && text.lines().count() == 1,
+            "{text}"
+        );
     };
     let mut bare = command("{}");
     bare.env_remove("GW_CONFIG");
@@ -678,27 +894,55 @@
     ];
     for round in 0..20usize {
         let manner = |at: usize| manners[(round * 7 + at * 3 + round / 10) % manners.len()];
-        world.hosts().enumerate().for_each(|(at, host)| host.set(manner(at)));
+        world
+            .hosts()
+            .enumerate()
+            .for_each(|(at, host)| host.set(manner(at)));
         let mut client = world.client();
         let start = Instant::now();
         let mut calls: Vec<u32> = Vec::new();
         for n in 0..8 {
-            let (class, body) = if n == 7 { ("submit", &b"a form"[..]) } else { ("page", &b""[..]) };
-            calls.push(client.request(class, &key(round as u32 * 8 + n), 400, body).unwrap());
+            let (class, body) = if n == 7 {
+                ("submit", &b"a form"[..])
+            } else {
+                ("page", &b""[..])
+            };
+            calls.push(
+                client
+                    .request(class, &key(round as u32 * 8 + n), 400, body)
+                    .unwrap(),
+            );
         }
         for _ in 0..8 {
             let call = match client.answer().unwrap() {
-                Answer::Served { call, .. } | Answer::Error { call, .. } | Answer::Alive { call } => call,
+                Answer::Served { call, .. }
+                | Answer::Error { call, .. }
+                | Answer::Alive { call } => call,
             };
-            let at = calls.iter().position(|open| *open == call).expect("an answer to what is open");
+            let at = calls
+                .iter()
+                .position(|open| *open == call)
+                .expect("an answer to what is open");
             calls.remove(at);
         }
-        assert!(start.elapsed() < Duration::from_millis(1400), "round {round}: {:?}", start.elapsed());
+        assert!(
+            start.elapsed() < Duration::from_millis(1400),
+            "round {round}: {:?}",
+            start.elapsed()
+        );
         assert!(client.quiet_for(Duration::from_millis(20)));
         let write = format!("class=submit,key={}", key(round as u32 * 8 + 7));
-        let runs = world.origin.heard("want").iter().filter(|(line, _)| line.contains(&write)).count();
+        let runs = world
+            .origin
+            .heard("want")
+            .iter()
+            .filter(|(line, _)| line.contains(&write))
+            .count();
         let proof = matches!(manner(3), Manner::Say("full" | "absent" | "moot"));
-        assert!(proof || runs <= 1, "round {round}: sent {runs} times to an origin that may have run it");
+        assert!(
+            proof || runs <= 1,
+            "round {round}: sent {runs} times to an origin that may have run it"
+        );
     }
 }
 
@@ -713,16 +957,34 @@
     });
     world.origin.set(Manner::Say("full"));
     let mark = "6ba245bd25e372d4b65f22998597a9da";
-    let fields = [("id", "9b1f03aa5c7e2d41"), ("wait", "1500"), ("key", KEY), ("slice", "0"), ("once", mark)];
+    let fields = [
+        ("id", "9b1f03aa5c7e2d41"),
+        ("wait", "1500"),
+        ("key", KEY),
+        ("slice", "0"),
+        ("once", mark),
+    ];
     let mut client = world.client();
-    client.send(&request_message(1, "submit", &fields, b"a form")).unwrap();
+    client
+        .send(&request_message(1, "submit", &fields, b"a form"))
+        .unwrap();
     wait_for("attempts", || world.origin.heard("want").len() > 1);
     world.origin.set(Manner::Serve);
     assert!(matches!(client.answer().unwrap(), Answer::Served { body, .. } if body == b"a form"));
     let heard = world.origin.heard("want");
-    assert!(heard.iter().all(|(line, _)| line.contains(&format!(",once={mark} "))), "{heard:?}");
+    assert!(
+        heard
+            .iter()
+            .all(|(line, _)| line.contains(&format!(",once={mark} "))),
+        "{heard:?}"
+    );
     client
-        .send(&request_message(2, "submit", &[fields[0], fields[1], fields[2], ("once", "a,b=c d")], b""))
+        .send(&request_message(
+            2,
+            "submit",
+            &[fields[0], fields[1], fields[2], ("once", "a,b=c d")],
+            b"",
+        ))
         .unwrap();
     assert_eq!(word(client.answer().unwrap()), "once is no mark");
 }
--- a/crates/flaxdeck-dispatcher/tests/world/mod.rs
+++ b/crates/flaxdeck-dispatcher/tests/world/mod.rs
@@ -35,18 +35,27 @@
 
 pub fn command(config: &str) -> Command {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    let name = format!("flaxdeck-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+    let name = format!(
+        "flaxdeck-{}-{}.json",
+        std::process::id(),
+        NEXT.fetch_add(1, Ordering::Relaxed)
+    );
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, config).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_flaxdeck-dispatcher"));
-    command.env_remove("GW_LISTEN").env("GW_CONFIG", path).stderr(Stdio::piped());
+    command
+        .env_remove("GW_LISTEN")
+        .env("GW_CONFIG", path)
+        .stderr(Stdio::piped());
     command
 }
 
 /// The same command with a bound of the system on the process's descriptors.
 fn limited(command: Command, most: usize) -> Command {
     let mut shell = Command::new("sh");
-    shell.args(["-c", &format!("ulimit -n {most} && exec \"$0\"")]).arg(command.get_program());
+    shell
+        .args(["-c", &format!("ulimit -n {most} && exec \"$0\"")])
+        .arg(command.get_program());
     for (name, value) in command.get_envs() {
         match value {
             Some(value) => shell.env(name, value),
@@ -59,7 +68,12 @@
 
 /// The address that a line of the log tells.
 pub fn listening(line: &str) -> Option<SocketAddr> {
-    line.split("listening at ").nth(1)?.split(',').next()?.parse().ok()
+    line.split("listening at ")
+        .nth(1)?
+        .split(',')
+        .next()?
+        .parse()
+        .ok()
 }
 
 impl World {
@@ -85,7 +99,10 @@
             json!({"host": host.id, "dial": host.address.to_string(), "site": site, "class": class,
                 "block": 0, "health": "Ready", "share": 4, "born_ms": 0})
         };
-        let mut hosts: Vec<Value> = caches.iter().map(|cache| row(cache, "cache", "here")).collect();
+        let mut hosts: Vec<Value> = caches
+            .iter()
+            .map(|cache| row(cache, "cache", "here"))
+            .collect();
         hosts.extend([row(&parent, "parent", "hub"), row(&origin, "origin", "hub")]);
         let mut config: Value = serde_json::from_str(CONFIG).unwrap();
         config["listen"] = "127.0.0.1:0".into();
@@ -97,10 +114,14 @@
         if let Some(most) = descriptors {
             command = limited(command, most);
         }
-        let path = command.get_envs().find_map(|(name, value)| value.filter(|_| name == "GW_CONFIG"));
+        let path = command
+            .get_envs()
+            .find_map(|(name, value)| value.filter(|_| name == "GW_CONFIG"));
         let path = PathBuf::from(path.unwrap());
         let mut process = command.spawn().unwrap();
-        let mut lines = BufReader::new(process.stderr.take().unwrap()).lines().map_while(Result::ok);
+        let mut lines = BufReader::new(process.stderr.take().unwrap())
+            .lines()
+            .map_while(Result::ok);
         let address = lines.find_map(|line| listening(&line)).unwrap();
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
         let keeps = log.clone();
@@ -110,7 +131,17 @@
                 keeps.lock().unwrap().push(line);
             })
         });
-        World { process, config, path, address, caches, parent, origin, coordinator, log }
+        World {
+            process,
+            config,
+            path,
+            address,
+            caches,
+            parent,
+            origin,
+            coordinator,
+            log,
+        }
     }
 
     pub fn client(&self) -> Client {
@@ -129,7 +160,9 @@
     }
 
     pub fn signal(&self, name: &str) {
-        let kill = Command::new("sh").args(["-c", &format!("kill -{name} {}", self.process.id())]).status();
+        let kill = Command::new("sh")
+            .args(["-c", &format!("kill -{name} {}", self.process.id())])
+            .status();
         assert!(kill.unwrap().success());
     }
 
@@ -142,22 +175,38 @@
         self.signal("STOP");
         let stat = format!("/proc/{}/stat", self.process.id());
         // The state follows the name, which stands in parentheses.
-        let stands = |text: String| text.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'));
-        wait_for("the process stands still", || std::fs::read_to_string(&stat).is_ok_and(stands));
+        let stands = |text: String| {
+            text.rsplit(") ")
+                .next()
+                .is_some_and(|rest| rest.starts_with('T'))
+        };
+        wait_for("the process stands still", || {
+            std::fs::read_to_string(&stat).is_ok_and(stands)
+        });
     }
 
     /// Waits until the log has a line with all these words.
     pub fn logged(&self, words: &[&str]) {
         let has = |line: &String| words.iter().all(|word| line.contains(word));
-        wait_for(&format!("a log line with {words:?}"), || self.log.lock().unwrap().iter().any(has));
+        wait_for(&format!("a log line with {words:?}"), || {
+            self.log.lock().unwrap().iter().any(has)
+        });
     }
 
     /// When each client that has left so far was noticed, by the process's own clock, since 1970.
     pub fn left_at(&self) -> Vec<Duration> {
         let log = self.log.lock().unwrap();
         let lines = log.iter().filter(|line| line.contains("left: request"));
-        let time = |line: &String| line.split(' ').next()?.parse().ok().map(Duration::from_secs_f64);
-        lines.map(|line| time(line).expect("a line begins with its time")).collect()
+        let time = |line: &String| {
+            line.split(' ')
+                .next()?
+                .parse()
+                .ok()
+                .map(Duration::from_secs_f64)
+        };
+        lines
+            .map(|line| time(line).expect("a line begins with its time"))
+            .collect()
     }
 
     /// Whether a cache gets nothing of some new requests that it would have its share of.
@@ -199,7 +248,15 @@
         let (process, late_us, over) = (world.process.id(), Arc::default(), Arc::default());
         let (witness, asked, slowest) = (None, Vec::new(), Duration::ZERO);
         let waited_before = waited_to_run(process);
-        let stalls = Stalls { witness, asked, slowest, process, waited_before, late_us, over };
+        let stalls = Stalls {
+            witness,
+            asked,
+            slowest,
+            process,
+            waited_before,
+            late_us,
+            over,
+        };
         let (late_us, over) = (stalls.late_us.clone(), stalls.over.clone());
         thread::spawn(move || {
             while !over.load(Ordering::Relaxed) {
@@ -232,7 +289,12 @@
     /// Takes the answers to the witness; to be called as soon as all is sent.
     pub fn hear_witness(&mut self) {
         for asked in self.asked.drain(..) {
-            let answer = self.witness.as_mut().expect("it has asked").answer().unwrap();
+            let answer = self
+                .witness
+                .as_mut()
+                .expect("it has asked")
+                .answer()
+                .unwrap();
             assert!(matches!(answer, Answer::Alive { .. }), "{answer:?}");
             self.slowest = self.slowest.max(asked.elapsed());
         }
@@ -250,7 +312,10 @@
 /// not tell.
 fn waited_to_run(process: u32) -> Duration {
     let text = std::fs::read_to_string(format!("/proc/{process}/schedstat")).unwrap_or_default();
-    let waited = text.split_whitespace().nth(1).and_then(|nanos| nanos.parse().ok());
+    let waited = text
+        .split_whitespace()
+        .nth(1)
+        .and_then(|nanos| nanos.parse().ok());
     waited.map_or(Duration::ZERO, Duration::from_nanos)
 }
 
@@ -315,20 +380,30 @@
     pub fn start() -> Clogged {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        Clogged { address, listener, stuffing: Vec::new(), heard: Arc::default(), taken: Arc::default() }
+        Clogged {
+            address,
+            listener,
+            stuffing: Vec::new(),
+            heard: Arc::default(),
+            taken: Arc::default(),
+        }
     }
 
     /// Fills the queue, so that the next connection comes up only once this is opened: the system tries again about a
     /// second after the first try.
     pub fn clog(&mut self) {
-        while let Ok(stream) = TcpStream::connect_timeout(&self.address, Duration::from_millis(100)) {
+        while let Ok(stream) = TcpStream::connect_timeout(&self.address, Duration::from_millis(100))
+        {
             self.stuffing.push(stream);
             assert!(self.stuffing.len() < 5000, "the queue has a bound");
         }
     }
 
     fn own(&self) -> Vec<SocketAddr> {
-        self.stuffing.iter().map(|stream| stream.local_addr().unwrap()).collect()
+        self.stuffing
+            .iter()
+            .map(|stream| stream.local_addr().unwrap())
+            .collect()
     }
 
     /// Takes the next connection that is not stuffing; the queue must not be full.
@@ -349,7 +424,10 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let heard = heard.clone();
-                if stream.peer_addr().is_ok_and(|from| !stuffing.contains(&from)) {
+                if stream
+                    .peer_addr()
+                    .is_ok_and(|from| !stuffing.contains(&from))
+                {
                     taken.fetch_add(1, Ordering::Relaxed);
                 }
                 thread::spawn(move || {
@@ -390,14 +468,20 @@
             return Some((line, body));
         }
         if let Some(tag) = line.strip_prefix("there ") {
-            stream.write_all(format!("{tag} well - 0\r\n\r\n").as_bytes()).ok()?;
+            stream
+                .write_all(format!("{tag} well - 0\r\n\r\n").as_bytes())
+                .ok()?;
         }
     }
 }
 
 /// Answers a request as the toy's hosts do.
 pub fn serve(stream: &mut TcpStream, line: &str, sent: &[u8]) {
-    let field = |name: &str| line.split([' ', ',']).find_map(|word| word.strip_prefix(name)).unwrap_or("");
+    let field = |name: &str| {
+        line.split([' ', ','])
+            .find_map(|word| word.strip_prefix(name))
+            .unwrap_or("")
+    };
     let id = line.split(' ').nth(1).unwrap();
     let body = if sent.is_empty() {
         body_of(&format!("{}.{}", field("key="), field("part=")))
@@ -413,11 +497,15 @@
     let mut clogged = Clogged::start();
     clogged.clog();
     let world = World::with(2, |config| {
-        config["known"]["updates"][0]["endpoints"]["hosts"][0]["dial"] = clogged.address.to_string().into();
+        config["known"]["updates"][0]["endpoints"]["hosts"][0]["dial"] =
+            clogged.address.to_string().into();
         config["settings"]["allowed"]["connect_timeout_ms"] = 5000.into();
         // A request takes a second to send by these settings, so none is overdue before its connection is up.
         config["settings"]["family_info"]["client_kb_per_s"] = 50.into();
-        for class in config["settings"]["request_classes"].as_array_mut().unwrap() {
+        for class in config["settings"]["request_classes"]
+            .as_array_mut()
+            .unwrap()
+        {
             class["objective_ms"] = 6000.into();
             class["deadline_ms"] = 8000.into();
         }
@@ -440,9 +528,16 @@
         client.request("page", &key(n), 7000, b"").unwrap();
         let decided = |cache: &str| {
             let words = [&*format!("request {n} attempt 0 to"), cache];
-            world.log.lock().unwrap().iter().any(|line| words.iter().all(|word| line.contains(word)))
+            world
+                .log
+                .lock()
+                .unwrap()
+                .iter()
+                .any(|line| words.iter().all(|word| line.contains(word)))
         };
-        wait_for("decided", || decided("to s-0000ca00") || decided("to s-0000ca01"));
+        wait_for("decided", || {
+            decided("to s-0000ca00") || decided("to s-0000ca01")
+        });
         if decided("to s-0000ca00") {
             return (client, n);
         }
--- a/crates/flaxdeck-distribution/src/cadence.rs
+++ b/crates/flaxdeck-distribution/src/cadence.rs
@@ -35,11 +35,17 @@
     /// planner that hangs is left sooner.
     pub fn of_batches(batch_every: Span) -> Cadence {
         let heartbeat = (batch_every * HEARTBEAT_BATCHES).min(HEARTBEAT_MOST);
-        Cadence { batch_every, heartbeat, ..Cadence::default() }
+        Cadence {
+            batch_every,
+            heartbeat,
+            ..Cadence::default()
+        }
     }
 
     /// A planner that has told nothing useful for so long is left for another.
     pub fn silent_after(self) -> Span {
-        (self.batch_every * MISSED_BATCHES).max(self.heartbeat * 1.5).max(SILENT_AT_LEAST)
+        (self.batch_every * MISSED_BATCHES)
+            .max(self.heartbeat * 1.5)
+            .max(SILENT_AT_LEAST)
     }
 }
--- a/crates/flaxdeck-distribution/src/digest.rs
+++ b/crates/flaxdeck-distribution/src/digest.rs
@@ -34,19 +34,29 @@
         fingerprints.sort_unstable();
         let low_bits = best_low_bits(&fingerprints);
         let mut bits = BitWriter::default();
-        differences(&fingerprints).for_each(|difference| write_rice(&mut bits, difference, low_bits));
-        PurgeDigest { count: fingerprints.len() as u32, low_bits, bytes: bits.bytes }
+        differences(&fingerprints)
+            .for_each(|difference| write_rice(&mut bits, difference, low_bits));
+        PurgeDigest {
+            count: fingerprints.len() as u32,
+            low_bits,
+            bytes: bits.bytes,
+        }
     }
 
     /// The fingerprints in it, sorted. Nothing is allocated before the count and the length were found possible.
     pub fn decode(&self) -> Result<Vec<Fingerprint>, InvalidDigest> {
         self.check_sizes()?;
-        let mut bits = BitReader { bytes: &self.bytes, position: 0 };
+        let mut bits = BitReader {
+            bytes: &self.bytes,
+            position: 0,
+        };
         let mut fingerprints = Vec::with_capacity(self.count as usize);
         let mut last = 0_u32;
         for _ in 0..self.count {
             let difference = read_rice(&mut bits, self.low_bits)?;
-            last = last.checked_add(difference).ok_or(InvalidDigest::OutOfRange)?;
+            last = last
+                .checked_add(difference)
+                .ok_or(InvalidDigest::OutOfRange)?;
             fingerprints.push(Fingerprint(last));
         }
         bits.check_padding()?;
@@ -76,7 +86,10 @@
 
 fn differences(sorted: &[Fingerprint]) -> impl Iterator<Item = u32> {
     let before = std::iter::once(0).chain(sorted.iter().map(|fingerprint| fingerprint.0));
-    sorted.iter().zip(before).map(|(fingerprint, before)| fingerprint.0 - before)
+    sorted
+        .iter()
+        .zip(before)
+        .map(|(fingerprint, before)| fingerprint.0 - before)
 }
 
 fn best_low_bits(sorted: &[Fingerprint]) -> u8 {
@@ -84,17 +97,23 @@
         return 0;
     }
     let code_bits = |low_bits: u8| -> u64 {
-        let quotients: u64 = differences(sorted).map(|difference| u64::from(difference) >> low_bits).sum();
+        let quotients: u64 = differences(sorted)
+            .map(|difference| u64::from(difference) >> low_bits)
+            .sum();
         quotients + sorted.len() as u64 * (1 + u64::from(low_bits))
     };
-    (0..=LOW_BITS_MOST).min_by_key(|low_bits| code_bits(*low_bits)).unwrap_or(LOW_BITS_MOST)
+    (0..=LOW_BITS_MOST)
+        .min_by_key(|low_bits| code_bits(*low_bits))
+        .unwrap_or(LOW_BITS_MOST)
 }
 
 fn write_rice(bits: &mut BitWriter, difference: u32, low_bits: u8) {
     let difference = u64::from(difference);
     (0..difference >> low_bits).for_each(|_| bits.write(true));
     bits.write(false);
-    (0..low_bits).rev().for_each(|bit| bits.write(difference >> bit & 1 == 1));
+    (0..low_bits)
+        .rev()
+        .for_each(|bit| bits.write(difference >> bit & 1 == 1));
 }
 
 fn read_rice(bits: &mut BitReader, low_bits: u8) -> Result<u32, InvalidDigest> {
@@ -138,7 +157,10 @@
 
 impl BitReader<'_> {
     fn read(&mut self) -> Result<bool, InvalidDigest> {
-        let byte = self.bytes.get(self.position / BYTE_BITS).ok_or(InvalidDigest::Truncated)?;
+        let byte = self
+            .bytes
+            .get(self.position / BYTE_BITS)
+            .ok_or(InvalidDigest::Truncated)?;
         let bit = byte & (0x80 >> (self.position % BYTE_BITS)) != 0;
         self.position += 1;
         Ok(bit)
--- a/crates/flaxdeck-distribution/src/event_log.rs
+++ b/crates/flaxdeck-distribution/src/event_log.rs
@@ -23,7 +23,10 @@
 
 impl Default for Retention {
     fn default() -> Retention {
-        Retention { keep_for: Span::from_ms(30_000), bytes_most: 16 * 1024 * 1024 }
+        Retention {
+            keep_for: Span::from_ms(30_000),
+            bytes_most: 16 * 1024 * 1024,
+        }
     }
 }
 
@@ -130,7 +133,10 @@
     /// The numbering is another, or some events are missing: nothing that was kept leads to `base`.
     pub fn restart(&mut self, now: Time, base: Mark) {
         let counted = self.counted;
-        *self = EventLog { counted, ..EventLog::start(now, self.retention, base) };
+        *self = EventLog {
+            counted,
+            ..EventLog::start(now, self.retention, base)
+        };
     }
 
     /// Keeps an event. One that does not follow the last has the log begin anew right before it, so that nobody is led
@@ -145,7 +151,13 @@
         if mark.number > last.number + 1 {
             self.counted.gaps += 1;
             // Nobody has that position, as no event has that hash: it is where the event follows from, no more.
-            self.restart(now, Mark { number: mark.number - 1, hash: 0 });
+            self.restart(
+                now,
+                Mark {
+                    number: mark.number - 1,
+                    hash: 0,
+                },
+            );
         }
         if content.frame_len() > FULL_BYTES_MOST {
             self.counted.oversized += 1;
@@ -155,7 +167,11 @@
         if content.is_urgent() {
             self.urgent.push_back((mark.number, now));
         }
-        let entry = Entry { mark, at: now, content };
+        let entry = Entry {
+            mark,
+            at: now,
+            content,
+        };
         self.bytes += entry.bytes();
         self.entries.push_back(entry);
         self.prune(now);
@@ -177,7 +193,8 @@
         if let Some(first) = self.entries.pop_front() {
             self.bytes -= first.bytes();
             self.base = first.mark;
-            self.urgent.pop_front_if(|(number, _)| *number <= first.mark.number);
+            self.urgent
+                .pop_front_if(|(number, _)| *number <= first.mark.number);
             self.complete_after = self.complete_after.max(first.at);
         }
     }
@@ -206,7 +223,9 @@
     /// When the first event after a position came that is to be passed on at once.
     pub fn next_urgent_after(&self, position: Mark) -> Option<Time> {
         self.index_after(position).ok()?;
-        let index = self.urgent.partition_point(|(number, _)| *number <= position.number);
+        let index = self
+            .urgent
+            .partition_point(|(number, _)| *number <= position.number);
         self.urgent.get(index).map(|(_, at)| *at)
     }
 
@@ -217,7 +236,10 @@
         if position.number > self.last().number {
             return Err(NotKept::Ahead);
         }
-        let index = position.number.checked_sub(self.base.number + 1).ok_or(NotKept::Unknown)? as usize;
+        let index = position
+            .number
+            .checked_sub(self.base.number + 1)
+            .ok_or(NotKept::Unknown)? as usize;
         match self.entries.get(index) {
             Some(entry) if entry.mark == position => Ok(index + 1),
             _ => Err(NotKept::Unknown),
@@ -238,12 +260,20 @@
                     if events.len() == FULL_EVENTS_MOST || frame_bytes > FULL_BYTES_MOST {
                         break;
                     }
-                    events.push(FullEvent { mark: entry.mark, frame: frame.clone() });
+                    events.push(FullEvent {
+                        mark: entry.mark,
+                        frame: frame.clone(),
+                    });
                 }
             }
             upto = entry.mark;
         }
-        Ok(Batch { after: position, upto, purges: PurgeDigest::encode(objects), events })
+        Ok(Batch {
+            after: position,
+            upto,
+            purges: PurgeDigest::encode(objects),
+            events,
+        })
     }
 
     /// The latest purges, as many as one snapshot may hold with so many bytes of purges of groups, and how far back they
@@ -270,7 +300,10 @@
             match &entry.content {
                 Content::ObjectPurge(fingerprint) => kept.objects.push(*fingerprint),
                 Content::GroupPurge(frame) => {
-                    kept.groups.push(FullEvent { mark: entry.mark, frame: frame.clone() });
+                    kept.groups.push(FullEvent {
+                        mark: entry.mark,
+                        frame: frame.clone(),
+                    });
                 }
                 Content::HostChange(_) => {}
             }
--- a/crates/flaxdeck-distribution/src/publisher.rs
+++ b/crates/flaxdeck-distribution/src/publisher.rs
@@ -126,7 +126,13 @@
             Subscription::After(position) => Wants::EventsAfter(position),
             Subscription::FromSnapshot => Wants::Snapshot,
         };
-        let member = Member { wants, asked: true, sent: now, offered: None, catching_up: false };
+        let member = Member {
+            wants,
+            asked: true,
+            sent: now,
+            offered: None,
+            catching_up: false,
+        };
         self.members.insert(id, member);
         self.next_due = now;
     }
@@ -142,7 +148,11 @@
         self.log.append(now, mark, content);
         self.cache = Cache::default();
         let step = self.cadence.batch_every * (1.0 / SLOTS as f64);
-        let look = if urgent { now } else { next_multiple(now, step, Span::ZERO) };
+        let look = if urgent {
+            now
+        } else {
+            next_multiple(now, step, Span::ZERO)
+        };
         self.next_due = self.next_due.min(look);
     }
 
@@ -181,7 +191,8 @@
             return Vec::new();
         }
         self.log.prune(now);
-        self.abandoned.take_if(|(since, _)| now.since(*since) >= ABANDONED_KEPT);
+        self.abandoned
+            .take_if(|(since, _)| now.since(*since) >= ABANDONED_KEPT);
         let mut due = Vec::new();
         let mut next_due = Time::NEVER;
         for (id, member) in &self.members {
@@ -192,7 +203,10 @@
             next_due = next_due.min(if at <= now { now + OFFER_AGAIN } else { at });
         }
         for id in &due {
-            let offered = self.members.get_mut(id).and_then(|member| member.offered.replace(now));
+            let offered = self
+                .members
+                .get_mut(id)
+                .and_then(|member| member.offered.replace(now));
             self.counted.passed_over += u64::from(offered.is_some());
         }
         self.next_due = next_due;
@@ -205,8 +219,14 @@
     }
 
     fn due_at(&self, now: Time, id: SubscriberId, member: &Member) -> Time {
-        let due = if member.asked { member.sent } else { self.next_message(now, id, member) };
-        member.offered.map_or(due, |offered| due.max(offered + OFFER_AGAIN))
+        let due = if member.asked {
+            member.sent
+        } else {
+            self.next_message(now, id, member)
+        };
+        member
+            .offered
+            .map_or(due, |offered| due.max(offered + OFFER_AGAIN))
     }
 
     fn next_message(&self, now: Time, id: SubscriberId, member: &Member) -> Time {
@@ -217,23 +237,32 @@
         };
         match kept {
             Ok(position) => heartbeat.min(self.next_batch(id, member, position)),
-            Err(NotKept::Unknown) if self.is_current(now) => member.sent + self.cadence.urgent_after,
+            Err(NotKept::Unknown) if self.is_current(now) => {
+                member.sent + self.cadence.urgent_after
+            }
             Err(_) => heartbeat,
         }
     }
 
     fn next_batch(&self, id: SubscriberId, member: &Member, position: Mark) -> Time {
-        let Some(came) = self.log.next_after(position) else { return Time::NEVER };
+        let Some(came) = self.log.next_after(position) else {
+            return Time::NEVER;
+        };
         if member.catching_up {
             return member.sent + CATCH_UP_EVERY;
         }
-        let Cadence { batch_every, urgent_after, .. } = self.cadence;
+        let Cadence {
+            batch_every,
+            urgent_after,
+            ..
+        } = self.cadence;
         let place = place_of(id);
         // A batch soon after another one would cost a message and hasten little.
         let from = came.max(member.sent + batch_every * 0.5);
         let batch = next_multiple(from, batch_every, batch_every * place);
         let urgent = self.log.next_urgent_after(position);
-        let urgent = urgent.map(|came| (came + urgent_after * place).max(member.sent + urgent_after));
+        let urgent =
+            urgent.map(|came| (came + urgent_after * place).max(member.sent + urgent_after));
         batch.min(urgent.unwrap_or(Time::NEVER))
     }
 
@@ -266,9 +295,16 @@
         member.wants = position.map_or(wants, Wants::EventsAfter);
         (member.asked, member.sent, member.offered) = (false, now, None);
         member.catching_up = position.is_some() && !complete;
-        let next = if member.catching_up { now + CATCH_UP_EVERY } else { now + self.cadence.urgent_after };
+        let next = if member.catching_up {
+            now + CATCH_UP_EVERY
+        } else {
+            now + self.cadence.urgent_after
+        };
         self.next_due = self.next_due.min(next);
-        Some(Delivery { update, coordinator_ago_ms })
+        Some(Delivery {
+            update,
+            coordinator_ago_ms,
+        })
     }
 
     /// Whether a position is known here, and of which numbering.
@@ -276,7 +312,12 @@
         let follows = self.log.follows(position);
         let abandoned = |log: &EventLog| log.follows(position).is_ok();
         match follows {
-            Err(NotKept::Ahead) if self.abandoned.as_ref().is_some_and(|(_, log)| abandoned(log)) => {
+            Err(NotKept::Ahead)
+                if self
+                    .abandoned
+                    .as_ref()
+                    .is_some_and(|(_, log)| abandoned(log)) =>
+            {
                 Err(NotKept::Unknown)
             }
             follows => follows,
@@ -284,13 +325,21 @@
     }
 
     fn batch_after(&mut self, position: Mark) -> Result<Batch, NotKept> {
-        let cached = self.cache.batches.iter().find(|batch| batch.after == position);
+        let cached = self
+            .cache
+            .batches
+            .iter()
+            .find(|batch| batch.after == position);
         let batch = match cached {
             Some(batch) => batch.clone(),
             None => self.encode_after(position)?,
         };
         let counted = &mut self.counted;
-        *if batch.upto == batch.after { &mut counted.heartbeats } else { &mut counted.batches } += 1;
+        *if batch.upto == batch.after {
+            &mut counted.heartbeats
+        } else {
+            &mut counted.batches
+        } += 1;
         Ok(batch)
     }
 
@@ -307,7 +356,9 @@
 
     fn behind(&mut self) -> Update {
         self.counted.behind += 1;
-        Update::Behind { upto: self.log.last() }
+        Update::Behind {
+            upto: self.log.last(),
+        }
     }
 
     /// The state, given only by who knows all that the coordinator has. A planner that has lost the coordinator may
@@ -324,11 +375,15 @@
         self.cache
             .snapshot
             .clone()
-            .map_or(Update::Behind { upto }, |snapshot| Update::Snapshot(Box::new(snapshot)))
+            .map_or(Update::Behind { upto }, |snapshot| {
+                Update::Snapshot(Box::new(snapshot))
+            })
     }
 
     fn take_snapshot(&self, now: Time, list: Vec<u8>) -> Snapshot {
-        let kept = self.log.purges_since(now, FULL_BYTES_MOST.saturating_sub(list.len()));
+        let kept = self
+            .log
+            .purges_since(now, FULL_BYTES_MOST.saturating_sub(list.len()));
         Snapshot {
             upto: self.log.last(),
             list,
--- a/crates/flaxdeck-distribution/src/purge_index.rs
+++ b/crates/flaxdeck-distribution/src/purge_index.rs
@@ -36,7 +36,13 @@
     /// One that keeps at most so many purges.
     pub fn bounded(settles: Span, entries_most: usize) -> PurgeIndex {
         let settles = settles + MARGIN;
-        PurgeIndex { settles, entries_most, told: HashMap::new(), order: VecDeque::new(), dropped: None }
+        PurgeIndex {
+            settles,
+            entries_most,
+            told: HashMap::new(),
+            order: VecDeque::new(),
+            dropped: None,
+        }
     }
 
     /// These objects were purged.
@@ -61,12 +67,17 @@
     /// Purges were dropped before they had settled: all copies from before this moment are in doubt. None once they
     /// have settled.
     pub fn overflowed(&self, now: Time) -> Option<Time> {
-        self.dropped.filter(|dropped| now.since(*dropped) <= self.settles)
+        self.dropped
+            .filter(|dropped| now.since(*dropped) <= self.settles)
     }
 
     /// Forgets what has settled.
     pub fn prune(&mut self, now: Time) {
-        while self.order.front().is_some_and(|(told, _)| now.since(*told) > self.settles) {
+        while self
+            .order
+            .front()
+            .is_some_and(|(told, _)| now.since(*told) > self.settles)
+        {
             self.drop_first();
         }
     }
--- a/crates/flaxdeck-distribution/src/subscriber.rs
+++ b/crates/flaxdeck-distribution/src/subscriber.rs
@@ -183,7 +183,13 @@
 impl Subscriber {
     /// A forwarder that has just started and knows nothing; `preference` orders the planners, and differs from
     /// forwarder to forwarder so that each planner is preferred by about as many.
-    pub fn start(now: Time, planners: u32, preference: u64, cadence: Cadence, settles: Span) -> Subscriber {
+    pub fn start(
+        now: Time,
+        planners: u32,
+        preference: u64,
+        cadence: Cadence,
+        settles: Span,
+    ) -> Subscriber {
         Subscriber {
             cadence,
             settles,
@@ -219,7 +225,9 @@
 
     /// A conversation with a planner has begun; nothing of an earlier one comes any more.
     pub fn connected(&mut self, now: Time, planner: PlannerNumber) {
-        let Some(planner) = self.planners.get_mut(planner.0 as usize) else { return };
+        let Some(planner) = self.planners.get_mut(planner.0 as usize) else {
+            return;
+        };
         (planner.connected, planner.asked, planner.echoed) = (Some(now), None, None);
         (planner.ask_again, planner.behind, planner.delivered) = (None, false, None);
         planner.wanted_since = None;
@@ -228,7 +236,9 @@
 
     /// The conversation has ended.
     pub fn disconnected(&mut self, now: Time, planner: PlannerNumber) {
-        let Some(ended) = self.planners.get_mut(planner.0 as usize) else { return };
+        let Some(ended) = self.planners.get_mut(planner.0 as usize) else {
+            return;
+        };
         (ended.connected, ended.asked, ended.wanted_since) = (None, None, None);
         if self.candidate == Some(planner) {
             self.candidate = None;
@@ -261,7 +271,9 @@
     fn move_to(&mut self, now: Time, position: Mark) {
         (self.position, self.moved) = (position, Some(now));
         (self.from_snapshot, self.behind_since) = (false, None);
-        self.planners.iter_mut().for_each(|planner| planner.behind = false);
+        self.planners
+            .iter_mut()
+            .for_each(|planner| planner.behind = false);
     }
 
     /// Takes in what a planner has delivered, wholly or not at all.
@@ -271,7 +283,10 @@
         from: PlannerNumber,
         delivery: Delivery,
     ) -> Result<Applied, Refused> {
-        let known = self.planners.get_mut(from.0 as usize).filter(|planner| planner.connected.is_some());
+        let known = self
+            .planners
+            .get_mut(from.0 as usize)
+            .filter(|planner| planner.connected.is_some());
         let Some(planner) = known else {
             self.counted.not_connected += 1;
             return Err(Refused::NotConnected);
@@ -325,7 +340,12 @@
         ago: Option<u32>,
     ) -> Result<Applied, Refused> {
         let purges = check_batch(&batch).map_err(Refused::Invalid)?;
-        let Batch { after, upto, events, .. } = batch;
+        let Batch {
+            after,
+            upto,
+            events,
+            ..
+        } = batch;
         if after == self.position {
             let applied = self.follow(now, purges, events, upto);
             self.planners[from.0 as usize].ask_again = None;
@@ -348,7 +368,13 @@
     }
 
     /// A batch that begins and ends where it should. The position moves last, once all is ready to be handed out.
-    fn follow(&mut self, now: Time, purges: Vec<Fingerprint>, events: Vec<FullEvent>, upto: Mark) -> Applied {
+    fn follow(
+        &mut self,
+        now: Time,
+        purges: Vec<Fingerprint>,
+        events: Vec<FullEvent>,
+        upto: Mark,
+    ) -> Applied {
         if upto == self.position {
             self.counted.heartbeats += 1;
             return Applied::Nothing;
@@ -357,7 +383,11 @@
         self.counted.purges += purges.len() as u64;
         self.counted.events += events.len() as u64;
         self.move_to(now, upto);
-        Applied::Events { purges, events, upto }
+        Applied::Events {
+            purges,
+            events,
+            upto,
+        }
     }
 
     /// The coordinator itself, or another planner, was faster. What of it is new can't be told apart, as the purges
@@ -384,7 +414,9 @@
         let purges = check_snapshot(&snapshot).map_err(Refused::Invalid)?;
         let ago_ms = ago.ok_or(Refused::Invalid(Invalid::NotCurrent))?;
         let known_at = self.known_at(from, ago_ms).ok_or(Refused::Stale)?;
-        let newer = self.moved.is_none_or(|moved| known_at > moved + COORDINATOR_SKEW);
+        let newer = self
+            .moved
+            .is_none_or(|moved| known_at > moved + COORDINATOR_SKEW);
         if !newer {
             return Err(Refused::Stale);
         }
@@ -393,7 +425,13 @@
             self.from_snapshot = true;
             return Err(Refused::Stale);
         }
-        let Snapshot { upto, list, group_purges, purges_reach_ms, .. } = snapshot;
+        let Snapshot {
+            upto,
+            list,
+            group_purges,
+            purges_reach_ms,
+            ..
+        } = snapshot;
         let reach = Span::from_ms(u64::from(purges_reach_ms));
         // The snapshot was written before it came, so what reaches back for that time from then reaches back further
         // from now, and all that came to the planner later comes by batches.
@@ -403,13 +441,21 @@
         self.move_to(now, upto);
         self.delivers(now, from);
         self.vouch(now, from, ago);
-        Ok(Applied::Snapshot { list, purges, group_purges, upto, copies_in_doubt })
+        Ok(Applied::Snapshot {
+            list,
+            purges,
+            group_purges,
+            upto,
+            copies_in_doubt,
+        })
     }
 
     /// A moment up to which the planner had heard the coordinator when it answered: it wrote after it was asked.
     fn known_at(&self, from: PlannerNumber, ago_ms: u32) -> Option<Time> {
         let planner = &self.planners[from.0 as usize];
-        let asked = planner.asked.filter(|asked| asked.subscription != Subscription::None)?;
+        let asked = planner
+            .asked
+            .filter(|asked| asked.subscription != Subscription::None)?;
         let written = planner.echoed.unwrap_or(asked.first);
         Some(written - Span::from_ms(u64::from(ago_ms)))
     }
@@ -425,7 +471,9 @@
         self.need.delivered(now);
         let planner = &mut self.planners[from.0 as usize];
         planner.delivered = Some(now);
-        if planner.connected.is_some_and(|connected| now.since(connected) >= STEADY)
+        if planner
+            .connected
+            .is_some_and(|connected| now.since(connected) >= STEADY)
             && now >= planner.avoided_until
         {
             planner.failures = 0;
@@ -443,7 +491,9 @@
         let Some(ago_ms) = ago else { return };
         let echoed = self.planners[from.0 as usize].echoed;
         let written = echoed.map_or(now - WRITTEN_AGO, |echoed| echoed.min(now));
-        self.vouched = self.vouched.max(Some(written - Span::from_ms(u64::from(ago_ms))));
+        self.vouched = self
+            .vouched
+            .max(Some(written - Span::from_ms(u64::from(ago_ms))));
     }
 
     /// What is to be sent now. It has to be sent: a connection that can't take it has ended.
@@ -459,7 +509,12 @@
             // A question that is only repeated may be answered by what was written after the first time.
             let waits = |asked: &Asked| !asked.answered && same_kind(asked.subscription, wanted);
             let first = planner.asked.filter(waits).map_or(now, |asked| asked.first);
-            planner.asked = Some(Asked { subscription: wanted, first, last: now, answered: false });
+            planner.asked = Some(Asked {
+                subscription: wanted,
+                first,
+                last: now,
+                answered: false,
+            });
             let since = planner.wanted_since.unwrap_or(now);
             planner.wanted_since = (wanted != Subscription::None).then_some(since);
             planner.ask_again = None;
@@ -472,7 +527,11 @@
         if self.followed != Some(number) && self.candidate != Some(number) {
             return Subscription::None;
         }
-        if self.from_snapshot { Subscription::FromSnapshot } else { Subscription::After(self.position) }
+        if self.from_snapshot {
+            Subscription::FromSnapshot
+        } else {
+            Subscription::After(self.position)
+        }
     }
 
     /// When [`actions`](Subscriber::actions) or [`needs_coordinator`](Subscriber::needs_coordinator) may say something
@@ -490,7 +549,10 @@
                 Some(planner.avoided_until),
             ]
         });
-        let all = planners.chain([behind]).flatten().chain(self.need.changes_at());
+        let all = planners
+            .chain([behind])
+            .flatten()
+            .chain(self.need.changes_at());
         all.filter(|at| *at > now).min()
     }
 
@@ -503,8 +565,13 @@
     /// When a planner that was asked counts as silent if it delivers nothing of use.
     fn silent_at(&self, planner: &Planner) -> Option<Time> {
         let since = planner.wanted_since?;
-        let from = planner.delivered.map_or(since, |delivered| delivered.max(since));
-        Some(from + self.cadence.silent_after() * f64::from(1_u32 << self.silences.min(DOUBLINGS_MOST)))
+        let from = planner
+            .delivered
+            .map_or(since, |delivered| delivered.max(since));
+        Some(
+            from + self.cadence.silent_after()
+                * f64::from(1_u32 << self.silences.min(DOUBLINGS_MOST)),
+        )
     }
 
     fn is_silent(&self, now: Time, number: PlannerNumber) -> bool {
@@ -514,11 +581,17 @@
 
     /// Whom to follow, and whether from the position.
     fn choose(&mut self, now: Time) {
-        if let Some(candidate) = self.candidate.filter(|candidate| self.is_silent(now, *candidate)) {
+        if let Some(candidate) = self
+            .candidate
+            .filter(|candidate| self.is_silent(now, *candidate))
+        {
             self.avoid(now, candidate);
             self.candidate = None;
         }
-        if let Some(followed) = self.followed.filter(|followed| self.is_silent(now, *followed)) {
+        if let Some(followed) = self
+            .followed
+            .filter(|followed| self.is_silent(now, *followed))
+        {
             self.leave_silent(now, followed);
         }
         if self.followed.is_none() {
@@ -535,7 +608,10 @@
         if now >= self.planners[followed.0 as usize].avoided_until {
             self.avoid(now, followed);
         }
-        let other = self.candidate.or(self.first_connected(now)).filter(|other| *other != followed);
+        let other = self
+            .candidate
+            .or(self.first_connected(now))
+            .filter(|other| *other != followed);
         if other.is_some() {
             self.counted.failovers += 1;
             self.silences += 1;
@@ -563,15 +639,25 @@
         let followed = self.followed?;
         let steady = |number: &PlannerNumber| {
             let planner = &self.planners[number.0 as usize];
-            let connected = planner.connected.is_some_and(|connected| now.since(connected) >= STEADY);
+            let connected = planner
+                .connected
+                .is_some_and(|connected| now.since(connected) >= STEADY);
             connected && now >= planner.avoided_until
         };
-        let better = self.connected_planners().filter(|number| self.draw(*number) > self.draw(followed));
-        better.filter(steady).max_by_key(|number| self.draw(*number))
+        let better = self
+            .connected_planners()
+            .filter(|number| self.draw(*number) > self.draw(followed));
+        better
+            .filter(steady)
+            .max_by_key(|number| self.draw(*number))
     }
 
     fn connected_planners(&self) -> impl Iterator<Item = PlannerNumber> {
-        let connected = self.planners.iter().enumerate().filter(|(_, planner)| planner.connected.is_some());
+        let connected = self
+            .planners
+            .iter()
+            .enumerate()
+            .filter(|(_, planner)| planner.connected.is_some());
         connected.map(|(number, _)| PlannerNumber(number as u32))
     }
 
@@ -584,8 +670,12 @@
     /// No planner that could be asked has known the position for long: the numbering is another. What was missed since
     /// is in doubt, by the snapshot's reach.
     fn give_position_up(&mut self, now: Time) {
-        let long = self.behind_since.is_some_and(|since| now.since(since) >= BEHIND_MOST);
-        let all = self.connected_planners().all(|number| self.planners[number.0 as usize].behind);
+        let long = self
+            .behind_since
+            .is_some_and(|since| now.since(since) >= BEHIND_MOST);
+        let all = self
+            .connected_planners()
+            .all(|number| self.planners[number.0 as usize].behind);
         if long && all && self.followed.is_some() {
             self.from_snapshot = true;
         }
@@ -593,9 +683,12 @@
 }
 
 fn is_to_be_asked(now: Time, planner: &Planner, wanted: Subscription) -> bool {
-    let Some(asked) = planner.asked else { return wanted != Subscription::None };
+    let Some(asked) = planner.asked else {
+        return wanted != Subscription::None;
+    };
     let again = planner.ask_again.is_some_and(|at| now >= at);
-    let unanswered = wanted != Subscription::None && !asked.answered && now.since(asked.last) >= ASK_AGAIN;
+    let unanswered =
+        wanted != Subscription::None && !asked.answered && now.since(asked.last) >= ASK_AGAIN;
     !same_kind(asked.subscription, wanted) || again || unanswered
 }
 
--- a/crates/flaxdeck-distribution/src/subscriber/coordinator_need.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/coordinator_need.rs
@@ -54,8 +54,15 @@
         let interrupted = self.is_interrupted(now);
         self.unconnected = None;
         self.served = match self.served {
-            Some(served) if !interrupted => Some(Served { last: now, ..served }),
-            _ => Some(Served { since: now, last: now, after_need: interrupted }),
+            Some(served) if !interrupted => Some(Served {
+                last: now,
+                ..served
+            }),
+            _ => Some(Served {
+                since: now,
+                last: now,
+                after_need: interrupted,
+            }),
         };
     }
 
@@ -68,7 +75,8 @@
     /// again.
     pub(super) fn is_needed(&self, now: Time) -> bool {
         let begun_again = self.served.filter(|served| served.after_need);
-        self.is_interrupted(now) || begun_again.is_some_and(|served| now.since(served.since) < DELIVERS_AGAIN)
+        self.is_interrupted(now)
+            || begun_again.is_some_and(|served| now.since(served.since) < DELIVERS_AGAIN)
     }
 
     fn is_interrupted(&self, now: Time) -> bool {
@@ -78,7 +86,9 @@
     /// When [`is_needed`](CoordinatorNeed::is_needed) may change if nothing comes until then.
     pub(super) fn changes_at(&self) -> impl Iterator<Item = Time> {
         let again = self.served.map(|served| served.since + DELIVERS_AGAIN);
-        [Some(self.silent_at()), self.unconnected_at(), again].into_iter().flatten()
+        [Some(self.silent_at()), self.unconnected_at(), again]
+            .into_iter()
+            .flatten()
     }
 
     fn silent_at(&self) -> Time {
--- a/crates/flaxdeck-distribution/tests/digest.rs
+++ b/crates/flaxdeck-distribution/tests/digest.rs
@@ -13,13 +13,21 @@
 
 /// Numbers near each other, far apart, repeated, and at both ends.
 fn numbers(most: usize) -> impl Strategy<Value = Vec<u32>> {
-    let number = prop_oneof![any::<u32>(), 0..40_u32, Just(u32::MAX), Just(0), 7_000_000..7_000_100_u32];
+    let number = prop_oneof![
+        any::<u32>(),
+        0..40_u32,
+        Just(u32::MAX),
+        Just(0),
+        7_000_000..7_000_100_u32
+    ];
     prop::collection::vec(number, 0..most)
 }
 
 /// Whatever is decoded is sorted and of exactly the count.
 fn is_whole(digest: &PurgeDigest) -> bool {
-    digest.decode().is_ok_and(|decoded| decoded.len() == digest.count as usize && decoded.is_sorted())
+    digest
+        .decode()
+        .is_ok_and(|decoded| decoded.len() == digest.count as usize && decoded.is_sorted())
 }
 
 proptest! {
@@ -68,7 +76,15 @@
     let mut chance = Pcg64Mcg::seed_from_u64(3);
     let digest = PurgeDigest::encode((0..330).map(|_| Fingerprint(chance.random())).collect());
     for count in (0..=400).filter(|count| *count != digest.count) {
-        assert!(PurgeDigest { count, ..digest.clone() }.decode().is_err(), "{count}");
+        assert!(
+            PurgeDigest {
+                count,
+                ..digest.clone()
+            }
+            .decode()
+            .is_err(),
+            "{count}"
+        );
     }
 }
 
@@ -81,28 +97,56 @@
         change(&mut changed);
         changed.decode()
     };
-    assert_eq!(decoded(&|digest| digest.count = PURGES_MOST + 1), Err(InvalidDigest::TooMany));
-    assert_eq!(decoded(&|digest| digest.count = u32::MAX), Err(InvalidDigest::TooMany));
-    assert_eq!(decoded(&|digest| digest.low_bits = 33), Err(InvalidDigest::LowBits));
-    assert_eq!(decoded(&|digest| digest.bytes.truncate(2)), Err(InvalidDigest::Truncated));
-    assert_eq!(decoded(&|digest| digest.bytes.push(0)), Err(InvalidDigest::TrailingBits));
-    assert_eq!(decoded(&|digest| digest.bytes = vec![0; 1 << 20]), Err(InvalidDigest::TooLong));
+    assert_eq!(
+        decoded(&|digest| digest.count = PURGES_MOST + 1),
+        Err(InvalidDigest::TooMany)
+    );
+    assert_eq!(
+        decoded(&|digest| digest.count = u32::MAX),
+        Err(InvalidDigest::TooMany)
+    );
+    assert_eq!(
+        decoded(&|digest| digest.low_bits = 33),
+        Err(InvalidDigest::LowBits)
+    );
+    assert_eq!(
+        decoded(&|digest| digest.bytes.truncate(2)),
+        Err(InvalidDigest::Truncated)
+    );
+    assert_eq!(
+        decoded(&|digest| digest.bytes.push(0)),
+        Err(InvalidDigest::TrailingBits)
+    );
+    assert_eq!(
+        decoded(&|digest| digest.bytes = vec![0; 1 << 20]),
+        Err(InvalidDigest::TooLong)
+    );
     let beyond = PurgeDigest {
         count: 2,
         low_bits: 32,
         bytes: vec![0x7f, 0xff, 0xff, 0xff, 0xbf, 0xff, 0xff, 0xff, 0xc0],
     };
     assert_eq!(beyond.decode(), Err(InvalidDigest::OutOfRange));
-    let padded = PurgeDigest { count: 1, low_bits: 0, bytes: vec![0b0000_0001] };
+    let padded = PurgeDigest {
+        count: 1,
+        low_bits: 0,
+        bytes: vec![0b0000_0001],
+    };
     assert_eq!(padded.decode(), Err(InvalidDigest::TrailingBits));
-    let none = PurgeDigest { count: 0, low_bits: 0, bytes: vec![0] };
+    let none = PurgeDigest {
+        count: 0,
+        low_bits: 0,
+        bytes: vec![0],
+    };
     assert_eq!(none.decode(), Err(InvalidDigest::TooLong));
     assert_eq!(PurgeDigest::default().decode(), Ok(Vec::new()));
 }
 
 #[test]
 fn the_most_purges_fit_and_one_more_does_not() {
-    let numbers: Vec<u32> = (0..PURGES_MOST).map(|n| n.wrapping_mul(0x9e37_79b9)).collect();
+    let numbers: Vec<u32> = (0..PURGES_MOST)
+        .map(|n| n.wrapping_mul(0x9e37_79b9))
+        .collect();
     assert!(is_whole(&PurgeDigest::encode(fingerprints(&numbers))));
     let digest = PurgeDigest::encode(fingerprints(&[&numbers[..], &[7]].concat()));
     assert_eq!(digest.decode(), Err(InvalidDigest::TooMany));
@@ -119,15 +163,21 @@
             let mut bytes = [0.0; 2];
             let mut low_bits = 0;
             for _ in 0..100 {
-                let digest = PurgeDigest::encode((0..count).map(|_| Fingerprint(chance.random())).collect());
+                let digest =
+                    PurgeDigest::encode((0..count).map(|_| Fingerprint(chance.random())).collect());
                 let message = postcard::to_stdvec(&digest).unwrap().len();
                 bytes[0] += digest.bytes.len() as f64 / f64::from(count) / 100.0;
                 bytes[1] += message as f64 / f64::from(count) / 100.0;
                 low_bits = digest.low_bits;
             }
             let [digest, message] = bytes;
-            println!("{rate:8} | {interval:>7} | {count:6} | {low_bits:8} | {digest:21.3} | {message:.3}");
-            assert!(digest < if rate == 330 { 3.3 } else { 3.9 }, "{digest} bytes");
+            println!(
+                "{rate:8} | {interval:>7} | {count:6} | {low_bits:8} | {digest:21.3} | {message:.3}"
+            );
+            assert!(
+                digest < if rate == 330 { 3.3 } else { 3.9 },
+                "{digest} bytes"
+            );
         }
     }
 }
@@ -141,9 +191,14 @@
     for bits in [24, 28, 32] {
         let mut bytes = 0.0;
         for _ in 0..100 {
-            let numbers = (0..330).map(|_| Fingerprint(chance.random::<u32>() >> (32 - bits))).collect();
+            let numbers = (0..330)
+                .map(|_| Fingerprint(chance.random::<u32>() >> (32 - bits)))
+                .collect();
             bytes += PurgeDigest::encode(numbers).bytes.len() as f64 / 330.0 / 100.0;
         }
-        println!("{bits:4} | {bytes:27.3} | {:.0}", f64::from(1 << (bits / 2)).powi(2) / 3_300.0);
+        println!(
+            "{bits:4} | {bytes:27.3} | {:.0}",
+            f64::from(1 << (bits / 2)).powi(2) / 3_300.0
+        );
     }
 }
--- a/crates/flaxdeck-distribution/tests/distribution_model.rs
+++ b/crates/flaxdeck-distribution/tests/distribution_model.rs
@@ -15,7 +15,8 @@
 use flaxdeck::words::{Span, Time};
 use flaxdeck_distribution::messages::*;
 use flaxdeck_distribution::{
-    Applied, Cadence, Content, Fingerprint, PlannerNumber, Publisher, Retention, Subscriber, SubscriberId,
+    Applied, Cadence, Content, Fingerprint, PlannerNumber, Publisher, Retention, Subscriber,
+    SubscriberId,
 };
 use flaxdeck_recovery::Mark;
 use serde::{Deserialize, Serialize};
@@ -79,7 +80,10 @@
         if position == self.base {
             return Some(0);
         }
-        self.events.iter().position(|event| event.mark == position).map(|place| place + 1)
+        self.events
+            .iter()
+            .position(|event| event.mark == position)
+            .map(|place| place + 1)
     }
 }
 
@@ -115,8 +119,14 @@
 
 #[derive(Serialize, Deserialize)]
 enum Body {
-    Asks { sent: u64, subscription: Subscription },
-    Tells { echo: u64, delivery: Delivery },
+    Asks {
+        sent: u64,
+        subscription: Subscription,
+    },
+    Tells {
+        echo: u64,
+        delivery: Delivery,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -204,7 +214,11 @@
 
     /// The place of the next event among all that were ever told.
     fn next_hash(&self) -> u64 {
-        let told: usize = self.numberings.iter().map(|numbering| 1 + numbering.events.len()).sum();
+        let told: usize = self
+            .numberings
+            .iter()
+            .map(|numbering| 1 + numbering.events.len())
+            .sum();
         told as u64 + 1
     }
 
@@ -212,10 +226,16 @@
         let conversation = self.planners[planner].conversation;
         let asks = matches!(body, Body::Asks { .. });
         let bytes = postcard::to_stdvec(body).expect("it can be written");
-        let message = Message { planner, asks, conversation, body: bytes };
+        let message = Message {
+            planner,
+            asks,
+            conversation,
+            body: bytes,
+        };
         self.network.retain(|other| *other != message);
         self.network.push(message);
-        self.network.sort_by_key(|message| (message.planner, message.asks));
+        self.network
+            .sort_by_key(|message| (message.planner, message.asks));
         let of_this_way = |other: &&Message| (other.planner, other.asks) == (planner, asks);
         if self.network.iter().filter(of_this_way).count() > EACH_WAY_MOST {
             let first = self.network.iter().position(|other| of_this_way(&other));
@@ -228,7 +248,8 @@
         let known = &mut self.planners[planner];
         (known.conversation, known.connected, known.echo) = (known.conversation + 1, true, 0);
         known.publisher.leave(SubscriberId(0));
-        self.subscriber.connected(now, PlannerNumber(planner as u32));
+        self.subscriber
+            .connected(now, PlannerNumber(planner as u32));
         self.network.retain(|message| message.planner != planner);
     }
 
@@ -236,12 +257,20 @@
     fn speak(&mut self) {
         let now = self.now();
         for (to, subscription) in self.subscriber.actions(now) {
-            self.send(to.0 as usize, &Body::Asks { sent: stamp(now), subscription });
+            self.send(
+                to.0 as usize,
+                &Body::Asks {
+                    sent: stamp(now),
+                    subscription,
+                },
+            );
         }
         for planner in 0..PLANNERS {
             let known = &mut self.planners[planner];
             for id in known.publisher.due(now) {
-                let told = known.publisher.update_for(now, id, &mut |number| vec![number as u8]);
+                let told = known
+                    .publisher
+                    .update_for(now, id, &mut |number| vec![number as u8]);
                 let echo = known.echo;
                 if let Some(delivery) = told {
                     self.send(planner, &Body::Tells { echo, delivery });
@@ -265,7 +294,10 @@
 
 impl Distribution {
     fn publisher(&self, now: Time) -> Publisher {
-        let retention = Retention { keep_for: self.keep_for, bytes_most: 1 << 20 };
+        let retention = Retention {
+            keep_for: self.keep_for,
+            bytes_most: 1 << 20,
+        };
         Publisher::start(now, Cadence::default(), retention, Mark::NONE)
     }
 
@@ -282,12 +314,16 @@
         match known.follows {
             Some((numbering, place)) if numbering == current => {
                 for event in &coordinator.events[place..] {
-                    known.publisher.event(now, event.mark, event.content.clone());
+                    known
+                        .publisher
+                        .event(now, event.mark, event.content.clone());
                 }
             }
             Some(_) if self.broken == Broken::LogKeptOverRenumbering => {
                 for event in &coordinator.events {
-                    known.publisher.event(now, event.mark, event.content.clone());
+                    known
+                        .publisher
+                        .event(now, event.mark, event.content.clone());
                 }
             }
             _ => known.publisher.renumbered(now, coordinator.last()),
@@ -304,17 +340,23 @@
         }
         let subscription = match subscription {
             Subscription::After(position) if self.broken == Broken::HashNotCompared => {
-                let numbering = known.follows.map(|(numbering, _)| &state.numberings[numbering]);
+                let numbering = known
+                    .follows
+                    .map(|(numbering, _)| &state.numberings[numbering]);
                 let same = numbering.and_then(|numbering| {
                     let events = numbering.events.iter().map(|event| event.mark);
-                    events.chain([numbering.base]).find(|mark| mark.number == position.number)
+                    events
+                        .chain([numbering.base])
+                        .find(|mark| mark.number == position.number)
                 });
                 Subscription::After(same.unwrap_or(position))
             }
             other => other,
         };
         known.echo = sent;
-        known.publisher.subscribe(now, SubscriberId(0), subscription);
+        known
+            .publisher
+            .subscribe(now, SubscriberId(0), subscription);
     }
 
     fn tells(&self, state: &mut State, planner: usize, echo: u64, mut delivery: Delivery) {
@@ -326,11 +368,15 @@
                 let moves = match self.broken {
                     Broken::MovesBeforeApplying if batch.after == before => Some(batch.upto),
                     Broken::GapIgnored if batch.after.number > before.number => Some(batch.after),
-                    Broken::HashNotCompared if batch.after.number == before.number => Some(batch.after),
+                    Broken::HashNotCompared if batch.after.number == before.number => {
+                        Some(batch.after)
+                    }
                     _ => None,
                 };
                 let moves = moves.filter(|position| *position != before);
-                moves.into_iter().for_each(|position| state.subscriber.moved(now, position));
+                moves
+                    .into_iter()
+                    .for_each(|position| state.subscriber.moved(now, position));
             }
             Update::Snapshot(snapshot) if self.broken == Broken::ReachOverstated => {
                 snapshot.purges_reach_ms += 10_000;
@@ -341,7 +387,14 @@
         if older {
             delivery.coordinator_ago_ms = delivery.coordinator_ago_ms.map(|_| 0);
         }
-        state.subscriber.echoed(number, if older { now + SETTLES } else { Time::at_ms(echo as f64) });
+        state.subscriber.echoed(
+            number,
+            if older {
+                now + SETTLES
+            } else {
+                Time::at_ms(echo as f64)
+            },
+        );
         if let Ok(applied) = state.subscriber.delivered(now, number, delivery) {
             self.applies(state, before, applied);
         }
@@ -352,17 +405,34 @@
         let now = state.now();
         match applied {
             Applied::Nothing => {}
-            Applied::Events { purges, events, upto } => {
+            Applied::Events {
+                purges,
+                events,
+                upto,
+            } => {
                 let told = purges.iter().map(|purge| u64::from(purge.0));
-                let told: BTreeSet<u64> = told.chain(events.iter().map(|event| event.mark.hash)).collect();
+                let told: BTreeSet<u64> = told
+                    .chain(events.iter().map(|event| event.mark.hash))
+                    .collect();
                 if !follows_exactly(state, before, upto, &told) {
                     state.fails("a batch is not what follows the position");
                 }
                 state.held.purged.extend(told);
             }
-            Applied::Snapshot { purges, group_purges, copies_in_doubt, .. } => {
-                state.held.purged.extend(purges.iter().map(|purge| u64::from(purge.0)));
-                state.held.purged.extend(group_purges.iter().map(|event| event.mark.hash));
+            Applied::Snapshot {
+                purges,
+                group_purges,
+                copies_in_doubt,
+                ..
+            } => {
+                state
+                    .held
+                    .purged
+                    .extend(purges.iter().map(|purge| u64::from(purge.0)));
+                state
+                    .held
+                    .purged
+                    .extend(group_purges.iter().map(|event| event.mark.hash));
                 if copies_in_doubt {
                     state.held.doubted = Some(now);
                 }
@@ -392,7 +462,10 @@
             .map(|event| event.mark.hash)
             .collect();
         state.held.purged.retain(|hash| !gone.contains(hash));
-        state.held.doubted = state.held.doubted.filter(|doubted| now.since(*doubted) <= SETTLES);
+        state.held.doubted = state
+            .held
+            .doubted
+            .filter(|doubted| now.since(*doubted) <= SETTLES);
     }
 
     fn deliver(&self, state: &mut State, message: Message) {
@@ -415,12 +488,17 @@
 
     /// All that comes at once has come.
     fn settle(&self, state: &mut State) {
-        for planner in (0..PLANNERS).filter(|planner| !state.deaf[*planner]).collect::<Vec<_>>() {
+        for planner in (0..PLANNERS)
+            .filter(|planner| !state.deaf[*planner])
+            .collect::<Vec<_>>()
+        {
             self.planner_hears(state, planner);
         }
         state.speak();
         for _ in 0..INSTANT_MOST {
-            let Some(message) = state.next_delivered() else { return };
+            let Some(message) = state.next_delivered() else {
+                return;
+            };
             self.deliver(state, message);
             state.speak();
         }
@@ -444,10 +522,16 @@
 /// Whether what was told is all that follows one position up to the other, and nothing else.
 fn follows_exactly(state: &State, before: Mark, upto: Mark, told: &BTreeSet<u64>) -> bool {
     state.numberings.iter().any(|numbering| {
-        let places = numbering.place_after(before).zip(numbering.place_after(upto));
+        let places = numbering
+            .place_after(before)
+            .zip(numbering.place_after(upto));
         places.is_some_and(|(from, to)| {
             let events = numbering.events.get(from..to).unwrap_or_default();
-            events.iter().map(|event| event.mark.hash).collect::<BTreeSet<u64>>() == *told
+            events
+                .iter()
+                .map(|event| event.mark.hash)
+                .collect::<BTreeSet<u64>>()
+                == *told
         })
     })
 }
@@ -455,11 +539,17 @@
 /// A purge up to the position that has not settled, is not heeded, and is in no doubt.
 fn skipped(state: &State) -> bool {
     let (now, position) = (state.now(), state.subscriber.position());
-    let events = state.numberings.iter().flat_map(|numbering| &numbering.events);
+    let events = state
+        .numberings
+        .iter()
+        .flat_map(|numbering| &numbering.events);
     let mut unsettled = events.filter(|event| now.since(event.made) <= SETTLES);
     unsettled.any(|event| {
         let passed = event.mark.hash <= position.hash;
-        let doubted = state.held.doubted.is_some_and(|doubted| doubted >= event.made);
+        let doubted = state
+            .held
+            .doubted
+            .is_some_and(|doubted| doubted >= event.made);
         passed && !doubted && !state.held.purged.contains(&event.mark.hash)
     })
 }
@@ -479,7 +569,10 @@
         };
         let mut state = State {
             step: 0,
-            numberings: vec![Numbering { base: Mark { number: 1, hash: 1 }, events: Vec::new() }],
+            numberings: vec![Numbering {
+                base: Mark { number: 1, hash: 1 },
+                events: Vec::new(),
+            }],
             planners: (0..PLANNERS).map(planner).collect(),
             subscriber: Distribution::subscriber(now),
             held: Held::default(),
@@ -495,7 +588,9 @@
         (0..PLANNERS).for_each(|planner| state.connect(planner));
         self.settle(&mut state);
         for action in self.before {
-            state = self.next_state(&state, *action).expect("it changes something");
+            state = self
+                .next_state(&state, *action)
+                .expect("it changes something");
         }
         state.faults = 0;
         vec![state]
@@ -522,12 +617,20 @@
             }
         }
         actions.extend((0..state.network.len()).map(Action::Deliver));
-        actions.extend((0..PLANNERS).filter(|planner| state.deaf[*planner]).map(Action::Hears));
+        actions.extend(
+            (0..PLANNERS)
+                .filter(|planner| state.deaf[*planner])
+                .map(Action::Hears),
+        );
         if state.faults < self.faults {
             let free = ways.filter(|(planner, asks)| !state.held_up[*planner][usize::from(*asks)]);
             actions.extend(free.map(|(planner, asks)| Action::HoldUp { planner, asks }));
             actions.extend((0..state.network.len()).map(Action::Double));
-            actions.extend((0..PLANNERS).filter(|planner| !state.deaf[*planner]).map(Action::Deafen));
+            actions.extend(
+                (0..PLANNERS)
+                    .filter(|planner| !state.deaf[*planner])
+                    .map(Action::Deafen),
+            );
             actions.extend((0..PLANNERS).map(Action::RestartPlanner));
             actions.push(Action::RestartForwarder);
         }
@@ -541,18 +644,35 @@
             Action::Event => {
                 state.events += 1;
                 let hash = state.next_hash();
-                let mark = Mark { number: state.coordinator().last().number + 1, hash };
+                let mark = Mark {
+                    number: state.coordinator().last().number + 1,
+                    hash,
+                };
                 // Both kinds of purges, in turn.
                 let single = hash.is_multiple_of(2);
                 let object = Content::ObjectPurge(Fingerprint(hash as u32));
-                let content = if single { object } else { Content::GroupPurge(vec![hash as u8]) };
-                let event = Event { mark, content, made: now };
+                let content = if single {
+                    object
+                } else {
+                    Content::GroupPurge(vec![hash as u8])
+                };
+                let event = Event {
+                    mark,
+                    content,
+                    made: now,
+                };
                 state.numberings.last_mut()?.events.push(event);
             }
             Action::Renumber => {
                 state.renumberings += 1;
-                let base = Mark { number: 1, hash: state.next_hash() };
-                state.numberings.push(Numbering { base, events: Vec::new() });
+                let base = Mark {
+                    number: 1,
+                    hash: state.next_hash(),
+                };
+                state.numberings.push(Numbering {
+                    base,
+                    events: Vec::new(),
+                });
             }
             Action::HoldUp { planner, asks } => {
                 state.faults += 1;
@@ -561,7 +681,9 @@
             Action::Release { planner, asks } => state.held_up[planner][usize::from(asks)] = false,
             Action::Lose { planner, asks } => {
                 state.held_up[planner][usize::from(asks)] = false;
-                state.network.retain(|message| (message.planner, message.asks) != (planner, asks));
+                state
+                    .network
+                    .retain(|message| (message.planner, message.asks) != (planner, asks));
             }
             Action::Deliver(place) => {
                 let message = state.network.remove(place);
@@ -582,7 +704,9 @@
                 let publisher = self.publisher(now);
                 let known = &mut state.planners[planner];
                 (known.publisher, known.follows, known.connected) = (publisher, None, false);
-                state.subscriber.disconnected(now, PlannerNumber(planner as u32));
+                state
+                    .subscriber
+                    .disconnected(now, PlannerNumber(planner as u32));
                 state.network.retain(|message| message.planner != planner);
             }
             Action::RestartForwarder => {
@@ -595,7 +719,10 @@
         self.settle(&mut state);
         // Counts change nothing that is done.
         state.subscriber.counted = Default::default();
-        state.planners.iter_mut().for_each(|planner| planner.publisher.counted = Default::default());
+        state
+            .planners
+            .iter_mut()
+            .for_each(|planner| planner.publisher.counted = Default::default());
         Some(state).filter(|state| state != last)
     }
 
@@ -605,9 +732,12 @@
             Property::always(LIVE, |model: &Distribution, state: &State| {
                 model.broken != Broken::Nothing || !sampled(state) || model.catches_up(state)
             }),
-            Property::sometimes("all purges are applied", |model: &Distribution, state: &State| {
-                state.held.purged.len() == usize::from(model.events)
-            }),
+            Property::sometimes(
+                "all purges are applied",
+                |model: &Distribution, state: &State| {
+                    state.held.purged.len() == usize::from(model.events)
+                },
+            ),
         ]
     }
 }
@@ -636,8 +766,15 @@
 fn holds(model: Distribution) {
     let started = std::time::Instant::now();
     let checker = model.checker().threads(4).spawn_bfs().join();
-    let (all, unique, depth) = (checker.state_count(), checker.unique_state_count(), checker.max_depth());
-    println!("{all} states, {unique} unique, depth {depth}, {:.1} s", started.elapsed().as_secs_f64());
+    let (all, unique, depth) = (
+        checker.state_count(),
+        checker.unique_state_count(),
+        checker.max_depth(),
+    );
+    println!(
+        "{all} states, {unique} unique, depth {depth}, {:.1} s",
+        started.elapsed().as_secs_f64()
+    );
     checker.assert_properties();
 }
 
@@ -645,41 +782,75 @@
     let broken = model.broken;
     let checker = model.checker().threads(4).spawn_bfs().join();
     let found = checker.discovery(SAFE);
-    let found =
-        found.unwrap_or_else(|| panic!("{broken:?} is not found in {} states", checker.state_count()));
+    let found = found.unwrap_or_else(|| {
+        panic!(
+            "{broken:?} is not found in {} states",
+            checker.state_count()
+        )
+    });
     let wrong = found.last_state().wrong.unwrap_or_default();
     println!("{broken:?} after {:?}: {wrong}", found.into_actions());
 }
 
 #[test]
 fn nothing_is_skipped_or_out_of_order_with_one_fault_of_any_kind() {
-    holds(Distribution { events: 2, faults: 1, ..distribution(Broken::Nothing) });
+    holds(Distribution {
+        events: 2,
+        faults: 1,
+        ..distribution(Broken::Nothing)
+    });
 }
 
 #[test]
 fn nor_with_two_faults() {
-    holds(Distribution { steps: 2, events: 2, faults: 2, ..distribution(Broken::Nothing) });
+    holds(Distribution {
+        steps: 2,
+        events: 2,
+        faults: 2,
+        ..distribution(Broken::Nothing)
+    });
 }
 
 #[test]
 fn nor_where_the_numbering_turns_out_another() {
-    holds(Distribution { steps: 6, events: 1, faults: 1, renumberings: 1, ..distribution(Broken::Nothing) });
+    holds(Distribution {
+        steps: 6,
+        events: 1,
+        faults: 1,
+        renumberings: 1,
+        ..distribution(Broken::Nothing)
+    });
 }
 
 #[test]
 fn nor_where_planners_keep_little() {
     let keep_for = Span::from_ms(900);
-    holds(Distribution { steps: 5, events: 2, faults: 1, keep_for, ..distribution(Broken::Nothing) });
+    holds(Distribution {
+        steps: 5,
+        events: 2,
+        faults: 1,
+        keep_for,
+        ..distribution(Broken::Nothing)
+    });
 }
 
 /// Schedules with more of everything, by chance, each to its end.
 #[test]
 fn nor_in_long_schedules_by_chance() {
-    let model =
-        Distribution { steps: 24, events: 8, faults: 8, renumberings: 2, ..distribution(Broken::Nothing) };
+    let model = Distribution {
+        steps: 24,
+        events: 8,
+        faults: 8,
+        renumberings: 2,
+        ..distribution(Broken::Nothing)
+    };
     let checker = model.checker().target_state_count(10_000);
     let checker = checker.spawn_simulation(7, UniformChooser).join();
-    println!("{} states, depth {}", checker.state_count(), checker.max_depth());
+    println!(
+        "{} states, depth {}",
+        checker.state_count(),
+        checker.max_depth()
+    );
     checker.assert_no_discovery(SAFE);
     checker.assert_no_discovery(LIVE);
 }
@@ -696,28 +867,53 @@
 
 #[test]
 fn comparing_numbers_alone_is_found() {
-    breaks(Distribution { steps: 6, renumberings: 1, ..distribution(Broken::HashNotCompared) });
+    breaks(Distribution {
+        steps: 6,
+        renumberings: 1,
+        ..distribution(Broken::HashNotCompared)
+    });
 }
 
 #[test]
 fn a_snapshot_of_a_planner_that_is_not_current_is_found() {
     let before = &[Action::Event, Action::Deafen(0), Action::Renumber];
     let broken = distribution(Broken::SnapshotWhileNotCurrent);
-    breaks(Distribution { steps: 6, events: 1, renumberings: 1, before, ..broken });
+    breaks(Distribution {
+        steps: 6,
+        events: 1,
+        renumberings: 1,
+        before,
+        ..broken
+    });
 }
 
 #[test]
 fn taking_an_older_snapshot_is_found() {
     let broken = distribution(Broken::OlderSnapshotTaken);
-    breaks(Distribution { steps: 2, events: 0, renumberings: 1, faults: 2, ..broken });
+    breaks(Distribution {
+        steps: 2,
+        events: 0,
+        renumberings: 1,
+        faults: 2,
+        ..broken
+    });
 }
 
 #[test]
 fn overstating_how_far_purges_reach_is_found() {
-    breaks(Distribution { steps: 2, events: 1, faults: 2, ..distribution(Broken::ReachOverstated) });
+    breaks(Distribution {
+        steps: 2,
+        events: 1,
+        faults: 2,
+        ..distribution(Broken::ReachOverstated)
+    });
 }
 
 #[test]
 fn keeping_the_log_over_another_numbering_is_found() {
-    breaks(Distribution { steps: 6, renumberings: 1, ..distribution(Broken::LogKeptOverRenumbering) });
+    breaks(Distribution {
+        steps: 6,
+        renumberings: 1,
+        ..distribution(Broken::LogKeptOverRenumbering)
+    });
 }
--- a/crates/flaxdeck-distribution/tests/event_log.rs
+++ b/crates/flaxdeck-distribution/tests/event_log.rs
@@ -5,14 +5,20 @@
 use flaxdeck_distribution::{Content, EventLog, Fingerprint, NotKept, Retention};
 use flaxdeck_recovery::Mark;
 
-const BASE: Mark = Mark { number: 10, hash: 1 };
+const BASE: Mark = Mark {
+    number: 10,
+    hash: 1,
+};
 
 fn at(ms: u64) -> Time {
     Time::at_ms(100_000.0 + ms as f64)
 }
 
 fn mark(number: u64) -> Mark {
-    Mark { number, hash: number * 7 }
+    Mark {
+        number,
+        hash: number * 7,
+    }
 }
 
 fn purge(number: u64) -> Content {
@@ -20,7 +26,10 @@
 }
 
 fn retention(bytes_most: usize) -> Retention {
-    Retention { bytes_most, ..Retention::default() }
+    Retention {
+        bytes_most,
+        ..Retention::default()
+    }
 }
 
 fn log() -> EventLog {
@@ -35,16 +44,31 @@
     log.append(at(3), mark(13), Content::GroupPurge(vec![2]));
     log.append(at(4), mark(14), purge(3));
     let batch = log.batch_after(BASE).unwrap();
-    assert_eq!((batch.after, batch.upto, batch.purges.count), (BASE, mark(14), 2));
-    assert_eq!(batch.purges.decode(), Ok(vec![Fingerprint(3), Fingerprint(11)]));
-    let events: Vec<(u64, u8)> =
-        batch.events.iter().map(|event| (event.mark.number, event.frame[0])).collect();
+    assert_eq!(
+        (batch.after, batch.upto, batch.purges.count),
+        (BASE, mark(14), 2)
+    );
+    assert_eq!(
+        batch.purges.decode(),
+        Ok(vec![Fingerprint(3), Fingerprint(11)])
+    );
+    let events: Vec<(u64, u8)> = batch
+        .events
+        .iter()
+        .map(|event| (event.mark.number, event.frame[0]))
+        .collect();
     assert_eq!(events, [(12, 1), (13, 2)]);
     assert_eq!(log.batch_after(mark(13)).unwrap().purges.count, 1);
     let heartbeat = log.batch_after(mark(14)).unwrap();
     assert_eq!((heartbeat.after, heartbeat.upto), (mark(14), mark(14)));
-    assert_eq!((log.next_after(mark(11)), log.next_urgent_after(mark(12))), (Some(at(2)), Some(at(3))));
-    assert_eq!((log.next_after(mark(14)), log.next_urgent_after(mark(13))), (None, None));
+    assert_eq!(
+        (log.next_after(mark(11)), log.next_urgent_after(mark(12))),
+        (Some(at(2)), Some(at(3)))
+    );
+    assert_eq!(
+        (log.next_after(mark(14)), log.next_urgent_after(mark(13))),
+        (None, None)
+    );
 }
 
 #[test]
@@ -52,8 +76,20 @@
     let mut log = log();
     log.append(at(1), mark(11), purge(1));
     assert_eq!(log.batch_after(mark(12)), Err(NotKept::Ahead));
-    assert_eq!(log.batch_after(Mark { number: 11, hash: 5 }), Err(NotKept::Unknown));
-    assert_eq!(log.batch_after(Mark { number: 10, hash: 5 }), Err(NotKept::Unknown));
+    assert_eq!(
+        log.batch_after(Mark {
+            number: 11,
+            hash: 5
+        }),
+        Err(NotKept::Unknown)
+    );
+    assert_eq!(
+        log.batch_after(Mark {
+            number: 10,
+            hash: 5
+        }),
+        Err(NotKept::Unknown)
+    );
     assert_eq!(log.batch_after(mark(9)), Err(NotKept::Unknown));
     assert_eq!(log.batch_after(Mark::NONE), Err(NotKept::Unknown));
 }
@@ -71,7 +107,10 @@
     assert_eq!(log.batch_after(mark(9_997)), Err(NotKept::Unknown));
     log.prune(at(20_000 * 3 + 40_000));
     assert_eq!((log.size(), log.last()), ((0, 0), mark(19_999)));
-    assert!(log.batch_after(mark(19_999)).is_ok(), "who has all follows without anything kept");
+    assert!(
+        log.batch_after(mark(19_999)).is_ok(),
+        "who has all follows without anything kept"
+    );
 }
 
 #[test]
@@ -85,7 +124,11 @@
     assert_eq!(log.counted.shortened as usize, 1_000 - entries);
     let kept = log.purges_since(at(1_010), FULL_BYTES_MOST);
     assert_eq!(kept.objects.len(), entries);
-    assert_eq!(kept.reach, Span::from_ms(entries as u64), "what came after the last that was dropped");
+    assert_eq!(
+        kept.reach,
+        Span::from_ms(entries as u64),
+        "what came after the last that was dropped"
+    );
 }
 
 #[test]
@@ -94,10 +137,16 @@
     log.append(at(500), mark(11), purge(1));
     log.append(at(600), mark(12), Content::GroupPurge(vec![3]));
     let kept = log.purges_since(at(2_000), FULL_BYTES_MOST);
-    assert_eq!((kept.objects.len(), kept.groups.len(), kept.reach), (1, 1, Span::from_ms(2_000)));
+    assert_eq!(
+        (kept.objects.len(), kept.groups.len(), kept.reach),
+        (1, 1, Span::from_ms(2_000))
+    );
     log.restart(at(2_500), mark(3));
     let kept = log.purges_since(at(3_000), FULL_BYTES_MOST);
-    assert_eq!((kept.objects.len(), kept.groups.len(), kept.reach), (0, 0, Span::from_ms(500)));
+    assert_eq!(
+        (kept.objects.len(), kept.groups.len(), kept.reach),
+        (0, 0, Span::from_ms(500))
+    );
     assert_eq!(log.batch_after(mark(12)), Err(NotKept::Ahead));
 }
 
@@ -121,7 +170,10 @@
     }
     let kept = log.purges_since(at(20), 450);
     let numbers: Vec<u64> = kept.groups.iter().map(|event| event.mark.number).collect();
-    assert_eq!((numbers, kept.reach), (vec![17, 18, 19, 20], Span::from_ms(4)));
+    assert_eq!(
+        (numbers, kept.reach),
+        (vec![17, 18, 19, 20], Span::from_ms(4))
+    );
 }
 
 #[test]
@@ -131,14 +183,22 @@
         log.append(at(number), mark(number), purge(number));
     }
     for number in 9_011..9_611 {
-        log.append(at(number), mark(number), Content::HostChange(vec![0; 2_000]));
+        log.append(
+            at(number),
+            mark(number),
+            Content::HostChange(vec![0; 2_000]),
+        );
     }
     let (mut position, mut batches, mut told) = (BASE, 0, 0);
     while position != log.last() {
         let batch = log.batch_after(position).unwrap();
         assert!(batch.purges.count <= PURGES_MOST && batch.events.len() <= FULL_EVENTS_MOST);
         let bytes: usize = batch.events.iter().map(|event| event.frame.len()).sum();
-        assert!(bytes <= FULL_BYTES_MOST && batch.after == position && batch.upto.number > position.number);
+        assert!(
+            bytes <= FULL_BYTES_MOST
+                && batch.after == position
+                && batch.upto.number > position.number
+        );
         told += u64::from(batch.purges.count) + batch.events.len() as u64;
         (position, batches) = (batch.upto, batches + 1);
     }
@@ -150,11 +210,24 @@
     let mut log = log();
     log.append(at(1), mark(11), purge(1));
     log.append(at(2), mark(14), purge(2));
-    assert_eq!((log.counted.gaps, log.batch_after(mark(11))), (1, Err(NotKept::Unknown)));
-    assert_eq!(log.purges_since(at(5), FULL_BYTES_MOST).reach, Span::from_ms(3));
+    assert_eq!(
+        (log.counted.gaps, log.batch_after(mark(11))),
+        (1, Err(NotKept::Unknown))
+    );
+    assert_eq!(
+        log.purges_since(at(5), FULL_BYTES_MOST).reach,
+        Span::from_ms(3)
+    );
     assert_eq!(log.last(), mark(14));
-    log.append(at(6), mark(15), Content::HostChange(vec![0; FULL_BYTES_MOST + 1]));
-    assert_eq!((log.counted.oversized, log.batch_after(mark(14))), (1, Err(NotKept::Unknown)));
+    log.append(
+        at(6),
+        mark(15),
+        Content::HostChange(vec![0; FULL_BYTES_MOST + 1]),
+    );
+    assert_eq!(
+        (log.counted.oversized, log.batch_after(mark(14))),
+        (1, Err(NotKept::Unknown))
+    );
     assert!(log.batch_after(mark(15)).is_ok());
     log.append(at(7), mark(15), purge(1));
     log.append(at(7), mark(3), purge(1));
--- a/crates/flaxdeck-distribution/tests/figures.rs
+++ b/crates/flaxdeck-distribution/tests/figures.rs
@@ -6,7 +6,8 @@
 use flaxdeck::words::{Span, Time};
 use flaxdeck_distribution::messages::*;
 use flaxdeck_distribution::{
-    Applied, Cadence, Content, Fingerprint, PlannerNumber, Publisher, Retention, Subscriber, SubscriberId,
+    Applied, Cadence, Content, Fingerprint, PlannerNumber, Publisher, Retention, Subscriber,
+    SubscriberId,
 };
 use flaxdeck_recovery::Mark;
 
@@ -71,13 +72,19 @@
         }
         let mut contents = Vec::new();
         if ms % PURGE_EVERY == 0 {
-            contents.push((0, Content::ObjectPurge(Fingerprint((ms as u32).wrapping_mul(0x9e37_79b9)))));
+            contents.push((
+                0,
+                Content::ObjectPurge(Fingerprint((ms as u32).wrapping_mul(0x9e37_79b9))),
+            ));
         }
         if ms % CHANGE_EVERY == 0 {
             contents.push((1, Content::HostChange(vec![7; CHANGE_BYTES])));
         }
         for (kind, content) in contents {
-            last = Mark { number: last.number + 1, hash: last.hash + 3 };
+            last = Mark {
+                number: last.number + 1,
+                hash: last.hash + 3,
+            };
             told.insert(last.number, (ms, kind));
             for publisher in &mut publishers {
                 publisher.event(at(ms), last, content.clone());
@@ -106,7 +113,9 @@
         for (number, publisher) in publishers.iter_mut().enumerate() {
             let number = PlannerNumber(number as u32);
             for due in publisher.due(at(ms)) {
-                let delivery = publisher.update_for(at(ms), due, &mut |_| Vec::new()).unwrap();
+                let delivery = publisher
+                    .update_for(at(ms), due, &mut |_| Vec::new())
+                    .unwrap();
                 if !(gone && Some(number) == lost) {
                     to_forwarder.push_back((ms + TRANSIT, number, delivery));
                 }
@@ -131,13 +140,18 @@
 }
 
 fn cadence(batch_every: u64) -> Cadence {
-    Cadence { batch_every: Span::from_ms(batch_every), ..Cadence::default() }
+    Cadence {
+        batch_every: Span::from_ms(batch_every),
+        ..Cadence::default()
+    }
 }
 
 #[test]
 fn messages_bytes_and_delays_by_interval() {
     const LASTS: u64 = 60_000;
-    println!("interval ms | messages a s | bytes a s | purges: median, 99th, worst ms | changes: the same");
+    println!(
+        "interval ms | messages a s | bytes a s | purges: median, 99th, worst ms | changes: the same"
+    );
     for interval in [250, 500, 1_000, 2_000] {
         let mut all = Measured::default();
         for id in 0..16 {
@@ -157,21 +171,41 @@
 /// One message an event, each purge with the fields that the coordinator's frame has, for comparison.
 #[test]
 fn one_message_an_event_for_comparison() {
-    let purge = FullEvent { mark: Mark { number: 1 << 40, hash: u64::MAX }, frame: vec![0; 28] };
-    let one =
-        Batch { events: vec![purge], upto: Mark { number: 1 << 40, hash: u64::MAX }, ..Batch::default() };
-    let delivery = Delivery { update: Update::Batch(one), coordinator_ago_ms: Some(3) };
+    let purge = FullEvent {
+        mark: Mark {
+            number: 1 << 40,
+            hash: u64::MAX,
+        },
+        frame: vec![0; 28],
+    };
+    let one = Batch {
+        events: vec![purge],
+        upto: Mark {
+            number: 1 << 40,
+            hash: u64::MAX,
+        },
+        ..Batch::default()
+    };
+    let delivery = Delivery {
+        update: Update::Batch(one),
+        coordinator_ago_ms: Some(3),
+    };
     let bytes = postcard::to_stdvec(&delivery).unwrap().len();
-    println!("one message an event: {} a second, {} bytes a second before any seal", 334, 334 * bytes);
+    println!(
+        "one message an event: {} a second, {} bytes a second before any seal",
+        334,
+        334 * bytes
+    );
     assert!(334 * bytes > 10_000);
 }
 
 /// A planner that ends or hangs at any instant of a second: nothing is lost, and the worst delay stays within 6.8 s.
 #[test]
 fn a_planner_that_ends_or_hangs_at_the_worst_instant() {
-    for (what, fault) in
-        [("ends", Planner::Ends as fn(u64) -> Planner), ("hangs", Planner::Hangs as fn(u64) -> Planner)]
-    {
+    for (what, fault) in [
+        ("ends", Planner::Ends as fn(u64) -> Planner),
+        ("hangs", Planner::Hangs as fn(u64) -> Planner),
+    ] {
         let mut worst = [0; 2];
         for when in (10_000..11_000).step_by(20) {
             let mut one = play(Cadence::default(), 3, 14_000, fault(when));
@@ -179,7 +213,10 @@
             assert!(one.left < 400, "{} not applied", one.left);
             assert!(!one.needed_coordinator);
         }
-        println!("a planner {what}: worst delay of purges {} ms, of changes {} ms", worst[0], worst[1]);
+        println!(
+            "a planner {what}: worst delay of purges {} ms, of changes {} ms",
+            worst[0], worst[1]
+        );
         assert!(worst.iter().all(|worst| *worst < 6_800));
     }
 }
--- a/crates/flaxdeck-distribution/tests/publisher.rs
+++ b/crates/flaxdeck-distribution/tests/publisher.rs
@@ -7,14 +7,20 @@
 use flaxdeck_distribution::{Cadence, Content, Fingerprint, Publisher, Retention, SubscriberId};
 use flaxdeck_recovery::Mark;
 
-const BASE: Mark = Mark { number: 10, hash: 1 };
+const BASE: Mark = Mark {
+    number: 10,
+    hash: 1,
+};
 
 fn at(ms: u64) -> Time {
     Time::at_ms(100_000.0 + ms as f64)
 }
 
 fn mark(number: u64) -> Mark {
-    Mark { number, hash: number * 7 }
+    Mark {
+        number,
+        hash: number * 7,
+    }
 }
 
 fn purge(number: u64) -> Content {
@@ -46,7 +52,11 @@
             publisher.event(at(ms), mark(*number), content.clone());
         }
         for id in publisher.due(at(ms)) {
-            sent.extend(publisher.update_for(at(ms), id, &mut list).map(|delivery| (ms, id, delivery)));
+            sent.extend(
+                publisher
+                    .update_for(at(ms), id, &mut list)
+                    .map(|delivery| (ms, id, delivery)),
+            );
         }
     }
     sent
@@ -66,20 +76,34 @@
     let sent = play(&mut publisher, 5..5_005, &[]);
     let times: Vec<u64> = sent.iter().map(|(ms, ..)| *ms).collect();
     assert_eq!(times, [5, 1_005, 2_005, 3_005, 4_005]);
-    assert!(sent.iter().all(|(_, _, delivery)| batch(delivery).upto == BASE));
-    assert!(sent.iter().all(|(_, _, delivery)| delivery.coordinator_ago_ms.is_some()));
+    assert!(
+        sent.iter()
+            .all(|(_, _, delivery)| batch(delivery).upto == BASE)
+    );
+    assert!(
+        sent.iter()
+            .all(|(_, _, delivery)| delivery.coordinator_ago_ms.is_some())
+    );
 }
 
 #[test]
 fn purges_go_out_twice_a_second_and_host_changes_within_a_tenth() {
     let mut publisher = publisher();
     publisher.subscribe(at(0), SubscriberId(1), Subscription::After(BASE));
-    let mut events: Vec<(u64, u64, Content)> = (1..=3_000).map(|n| (n * 3, 10 + n, purge(n))).collect();
+    let mut events: Vec<(u64, u64, Content)> =
+        (1..=3_000).map(|n| (n * 3, 10 + n, purge(n))).collect();
     events[999].2 = Content::HostChange(vec![9]);
     let sent = play(&mut publisher, 0..9_000, &events);
-    let urgent = sent.iter().find(|(.., delivery)| !batch(delivery).events.is_empty()).unwrap();
+    let urgent = sent
+        .iter()
+        .find(|(.., delivery)| !batch(delivery).events.is_empty())
+        .unwrap();
     assert!((3_000..=3_100).contains(&urgent.0), "told at {}", urgent.0);
-    assert!((18..=22).contains(&sent.len()), "{} messages in 9 s", sent.len());
+    assert!(
+        (18..=22).contains(&sent.len()),
+        "{} messages in 9 s",
+        sent.len()
+    );
     let gaps = sent.windows(2).map(|pair| pair[1].0 - pair[0].0);
     assert!(gaps.clone().max() <= Some(750) && gaps.min() >= Some(100));
     let mut position = BASE;
@@ -94,23 +118,32 @@
 fn changes_that_come_thick_are_told_ten_times_a_second_at_most() {
     let mut publisher = publisher();
     publisher.subscribe(at(0), SubscriberId(7), Subscription::After(BASE));
-    let events: Vec<(u64, u64, Content)> =
-        (1..=500).map(|n| (n * 4, 10 + n, Content::HostChange(vec![1]))).collect();
+    let events: Vec<(u64, u64, Content)> = (1..=500)
+        .map(|n| (n * 4, 10 + n, Content::HostChange(vec![1])))
+        .collect();
     let sent = play(&mut publisher, 0..2_000, &events);
     let gaps = sent.windows(2).map(|pair| pair[1].0 - pair[0].0);
-    assert!(gaps.min() >= Some(100) && sent.len() >= 15, "{} messages", sent.len());
+    assert!(
+        gaps.min() >= Some(100) && sent.len() >= 15,
+        "{} messages",
+        sent.len()
+    );
 }
 
 #[test]
 fn subscribers_are_spread_over_the_interval_and_share_what_is_encoded() {
     let mut publisher = publisher();
-    (0..1_600).for_each(|id| publisher.subscribe(at(0), SubscriberId(id), Subscription::After(BASE)));
+    (0..1_600)
+        .for_each(|id| publisher.subscribe(at(0), SubscriberId(id), Subscription::After(BASE)));
     let events: Vec<(u64, u64, Content)> = (1..=1_650).map(|n| (n * 3, 10 + n, purge(n))).collect();
     let sent = play(&mut publisher, 0..5_000, &events);
     let mut each_tenth: BTreeMap<u64, usize> = BTreeMap::new();
     let settled = sent.iter().filter(|(ms, ..)| (1_000..5_000).contains(ms));
     settled.for_each(|(ms, ..)| *each_tenth.entry(ms / 125).or_default() += 1);
-    println!("messages each 125 ms: {:?}", each_tenth.values().collect::<Vec<_>>());
+    println!(
+        "messages each 125 ms: {:?}",
+        each_tenth.values().collect::<Vec<_>>()
+    );
     assert!(each_tenth.values().all(|count| (350..=450).contains(count)));
     let counted = publisher.counted;
     println!("{} batches, {} encoded", counted.batches, counted.encoded);
@@ -140,10 +173,19 @@
         }
     }
     assert!(quick_batches >= 11);
-    assert!((40..=60).contains(&named), "named {named} times: ten a second");
+    assert!(
+        (40..=60).contains(&named),
+        "named {named} times: ten a second"
+    );
     assert_eq!(publisher.counted.passed_over, named - 1);
-    assert_eq!((slow_batches[0].after, slow_batches[0].purges.count), (BASE, PURGES_MOST));
-    assert_eq!(slow_batches[1].after, slow_batches[0].upto, "the rest follows at once");
+    assert_eq!(
+        (slow_batches[0].after, slow_batches[0].purges.count),
+        (BASE, PURGES_MOST)
+    );
+    assert_eq!(
+        slow_batches[1].after, slow_batches[0].upto,
+        "the rest follows at once"
+    );
 }
 
 #[test]
@@ -154,7 +196,12 @@
     let sent = play(&mut publisher, 2..100, &[]);
     let told: Vec<(u32, bool)> = sent
         .iter()
-        .map(|(.., delivery)| (batch(delivery).purges.count, delivery.coordinator_ago_ms.is_some()))
+        .map(|(.., delivery)| {
+            (
+                batch(delivery).purges.count,
+                delivery.coordinator_ago_ms.is_some(),
+            )
+        })
         .collect();
     assert_eq!(told, [(PURGES_MOST, false), (6_000 - PURGES_MOST, true)]);
 }
@@ -167,7 +214,8 @@
     publisher.subscribe(at(200), id, Subscription::FromSnapshot);
     let told = |publisher: &mut Publisher, ms: u64| {
         let due = publisher.due(at(ms));
-        due.first().map(|id| publisher.update_for(at(ms), *id, &mut list).unwrap())
+        due.first()
+            .map(|id| publisher.update_for(at(ms), *id, &mut list).unwrap())
     };
     let behind = Update::Behind { upto: mark(11) };
     assert_eq!(told(&mut publisher, 200).unwrap().update, behind);
@@ -175,18 +223,31 @@
     assert_eq!(told(&mut publisher, 1_200).unwrap().update, behind);
     publisher.coordinator_heard(at(1_400), true);
     let delivery = told(&mut publisher, 1_400).unwrap();
-    let Update::Snapshot(snapshot) = delivery.update else { panic!("{delivery:?}") };
-    assert_eq!((snapshot.upto, &snapshot.list[..], snapshot.purges_reach_ms), (mark(11), &[11][..], 1_400));
-    assert_eq!((snapshot.purges.count, delivery.coordinator_ago_ms), (1, Some(0)));
+    let Update::Snapshot(snapshot) = delivery.update else {
+        panic!("{delivery:?}")
+    };
+    assert_eq!(
+        (snapshot.upto, &snapshot.list[..], snapshot.purges_reach_ms),
+        (mark(11), &[11][..], 1_400)
+    );
+    assert_eq!(
+        (snapshot.purges.count, delivery.coordinator_ago_ms),
+        (1, Some(0))
+    );
     // From there it goes on by batches.
     publisher.event(at(1_500), mark(12), purge(2));
     publisher.coordinator_heard(at(1_500), true);
-    let next = (1_501..2_500).find_map(|ms| told(&mut publisher, ms)).unwrap();
+    let next = (1_501..2_500)
+        .find_map(|ms| told(&mut publisher, ms))
+        .unwrap();
     assert_eq!(batch(&next).after, mark(11));
     // The coordinator is silent: no more snapshots.
     publisher.subscribe(at(4_000), id, Subscription::FromSnapshot);
     let delivery = told(&mut publisher, 4_000).unwrap();
-    assert_eq!((delivery.update, delivery.coordinator_ago_ms), (Update::Behind { upto: mark(12) }, None));
+    assert_eq!(
+        (delivery.update, delivery.coordinator_ago_ms),
+        (Update::Behind { upto: mark(12) }, None)
+    );
 }
 
 #[test]
@@ -196,11 +257,20 @@
     let mut told = |position: Mark| {
         publisher.subscribe(at(2), SubscriberId(1), Subscription::After(position));
         let due = publisher.due(at(2));
-        publisher.update_for(at(2), due[0], &mut list).unwrap().update
+        publisher
+            .update_for(at(2), due[0], &mut list)
+            .unwrap()
+            .update
     };
     assert_eq!(told(mark(15)), Update::Behind { upto: mark(11) });
     assert!(matches!(told(mark(3)), Update::Snapshot(_)));
-    assert!(matches!(told(Mark { number: 11, hash: 3 }), Update::Snapshot(_)));
+    assert!(matches!(
+        told(Mark {
+            number: 11,
+            hash: 3
+        }),
+        Update::Snapshot(_)
+    ));
 }
 
 #[test]
@@ -216,10 +286,25 @@
         publisher.update_for(now, due[0], &mut list).unwrap().update
     };
     assert!(matches!(told(at(3), mark(11)), Update::Snapshot(snapshot) if snapshot.upto == base));
-    assert_eq!(told(at(4), mark(12)), Update::Behind { upto: base }, "never known here");
-    let other = Mark { number: 11, hash: 3 };
-    assert_eq!(told(at(5), other), Update::Behind { upto: base }, "not of that numbering either");
-    assert_eq!(told(at(70_000), mark(11)), Update::Behind { upto: base }, "long forgotten");
+    assert_eq!(
+        told(at(4), mark(12)),
+        Update::Behind { upto: base },
+        "never known here"
+    );
+    let other = Mark {
+        number: 11,
+        hash: 3,
+    };
+    assert_eq!(
+        told(at(5), other),
+        Update::Behind { upto: base },
+        "not of that numbering either"
+    );
+    assert_eq!(
+        told(at(70_000), mark(11)),
+        Update::Behind { upto: base },
+        "long forgotten"
+    );
 }
 
 #[test]
@@ -227,7 +312,9 @@
     let mut publisher = publisher();
     publisher.subscribe(at(0), SubscriberId(1), Subscription::After(BASE));
     assert_eq!(publisher.due(at(0)), [SubscriberId(1)]);
-    publisher.update_for(at(0), SubscriberId(1), &mut list).unwrap();
+    publisher
+        .update_for(at(0), SubscriberId(1), &mut list)
+        .unwrap();
     publisher.renumbered(at(200), Mark { number: 2, hash: 9 });
     assert_eq!(publisher.due(at(200)), [SubscriberId(1)]);
 }
@@ -236,10 +323,14 @@
 fn nobody_is_served_after_leaving() {
     let mut publisher = publisher();
     let ids = [SubscriberId(1), SubscriberId(2)];
-    ids.iter().for_each(|id| publisher.subscribe(at(0), *id, Subscription::After(BASE)));
+    ids.iter()
+        .for_each(|id| publisher.subscribe(at(0), *id, Subscription::After(BASE)));
     publisher.leave(ids[0]);
     publisher.subscribe(at(1), ids[1], Subscription::None);
-    assert_eq!((publisher.due(at(1)), publisher.next_due()), (Vec::new(), None));
+    assert_eq!(
+        (publisher.due(at(1)), publisher.next_due()),
+        (Vec::new(), None)
+    );
     assert_eq!(publisher.update_for(at(1), ids[0], &mut list), None);
 }
 
@@ -247,12 +338,20 @@
 #[test]
 fn the_cost_of_serving_is_printed() {
     let mut publisher = publisher();
-    (0..1_000).for_each(|id| publisher.subscribe(at(0), SubscriberId(id), Subscription::After(BASE)));
+    (0..1_000)
+        .for_each(|id| publisher.subscribe(at(0), SubscriberId(id), Subscription::After(BASE)));
     let events: Vec<(u64, u64, Content)> = (1..=3_300).map(|n| (n * 3, 10 + n, purge(n))).collect();
     let started = std::time::Instant::now();
     let sent = play(&mut publisher, 0..10_000, &events);
     let each = started.elapsed().as_secs_f64() * 1e6 / sent.len() as f64;
-    let bytes: usize = sent.iter().map(|(.., delivery)| postcard::to_stdvec(delivery).unwrap().len()).sum();
-    println!("{} messages in 10 s, {each:.1} us each, {} bytes a second each", sent.len(), bytes / 10_000);
+    let bytes: usize = sent
+        .iter()
+        .map(|(.., delivery)| postcard::to_stdvec(delivery).unwrap().len())
+        .sum();
+    println!(
+        "{} messages in 10 s, {each:.1} us each, {} bytes a second each",
+        sent.len(),
+        bytes / 10_000
+    );
     assert!(bytes / 10_000 < 1_300, "{bytes}");
 }
--- a/crates/flaxdeck-distribution/tests/purge_index.rs
+++ b/crates/flaxdeck-distribution/tests/purge_index.rs
@@ -13,7 +13,10 @@
 }
 
 fn of(objects: &[u64]) -> Vec<Fingerprint> {
-    objects.iter().map(|object| Fingerprint::of(ObjectId(*object))).collect()
+    objects
+        .iter()
+        .map(|object| Fingerprint::of(ObjectId(*object)))
+        .collect()
 }
 
 #[test]
@@ -40,7 +43,11 @@
     index.told(at(20), &of(&(1_000..1_098).collect::<Vec<_>>()));
     assert_eq!(index.len(), 100);
     assert_eq!(index.overflowed(at(20)), Some(at(0)));
-    assert_eq!(index.purged_at(at(20), ObjectId(3)), Some(at(10)), "still known");
+    assert_eq!(
+        index.purged_at(at(20), ObjectId(3)),
+        Some(at(10)),
+        "still known"
+    );
     assert_eq!(index.overflowed(at(7_000)), None);
 }
 
@@ -76,8 +83,10 @@
     const PURGED: u64 = 3_300;
     let mut chance = Pcg64Mcg::seed_from_u64(11);
     // Ids as they may be given: one after the other, and all over the range.
-    for (kind, sequential, asked) in [("ids in sequence", true, 1_000_000), ("random ids", false, 10_000_000)]
-    {
+    for (kind, sequential, asked) in [
+        ("ids in sequence", true, 1_000_000),
+        ("random ids", false, 10_000_000),
+    ] {
         let mut index = PurgeIndex::new(SETTLES);
         let mut next = 0_u64;
         let mut id = |chance: &mut Pcg64Mcg| {
@@ -87,7 +96,9 @@
         for _ in 0..PURGED {
             index.told(at(0), &[Fingerprint::of(id(&mut chance))]);
         }
-        let matched = (0..asked).filter(|_| index.purged_at(at(1), id(&mut chance)).is_some()).count();
+        let matched = (0..asked)
+            .filter(|_| index.purged_at(at(1), id(&mut chance)).is_some())
+            .count();
         let one_in = asked / matched.max(1);
         println!(
             "{kind}: {matched} of {asked} objects match one of {PURGED} purges by chance, one in {one_in}"
