--- a/crates/flaxdeck-distribution/tests/safe_side.rs
+++ b/crates/flaxdeck-distribution/tests/safe_side.rs
@@ -10,8 +10,8 @@
 use flaxdeck::words::{ObjectId, Span, Time};
 use flaxdeck_distribution::messages::*;
 use flaxdeck_distribution::{
-    Applied, Cadence, Content, Fingerprint, PlannerNumber, Publisher, PurgeIndex, Retention, Subscriber,
-    SubscriberId,
+    Applied, Cadence, Content, Fingerprint, PlannerNumber, Publisher, PurgeIndex, Retention,
+    Subscriber, SubscriberId,
 };
 use flaxdeck_recovery::Mark;
 use proptest::prelude::*;
@@ -66,7 +66,14 @@
     fn start() -> Coordinator {
         let (run, events, hashes, known, unsettled) = (0, Vec::new(), 0, BTreeMap::new(), 0);
         let withdrawn_since = [None; HOSTS];
-        let mut coordinator = Coordinator { run, events, hashes, known, unsettled, withdrawn_since };
+        let mut coordinator = Coordinator {
+            run,
+            events,
+            hashes,
+            known,
+            unsettled,
+            withdrawn_since,
+        };
         coordinator.list(0, [true; HOSTS]);
         coordinator
     }
@@ -81,9 +88,16 @@
             _ => self.last().hosts,
         };
         self.hashes += 1;
-        let mark =
-            Mark { number: self.events.last().map_or(1, |last| last.mark.number + 1), hash: self.hashes };
-        let event = Event { mark, told, made: ms, hosts };
+        let mark = Mark {
+            number: self.events.last().map_or(1, |last| last.mark.number + 1),
+            hash: self.hashes,
+        };
+        let event = Event {
+            mark,
+            told,
+            made: ms,
+            hosts,
+        };
         self.known.insert(mark.hash, event.clone());
         self.events.push(event);
         self.stands(ms);
@@ -120,8 +134,17 @@
 
     fn settle(&mut self, ms: u64) {
         let settled = |event: &Event| at(ms).since(at(event.made)) > SETTLES;
-        while self.known.range(self.unsettled..).next().is_some_and(|(_, event)| settled(event)) {
-            let first = self.known.range(self.unsettled..).next().map(|(hash, _)| *hash);
+        while self
+            .known
+            .range(self.unsettled..)
+            .next()
+            .is_some_and(|(_, event)| settled(event))
+        {
+            let first = self
+                .known
+                .range(self.unsettled..)
+                .next()
+                .map(|(hash, _)| *hash);
             self.unsettled = first.unwrap_or(self.unsettled) + 1;
         }
     }
@@ -131,7 +154,13 @@
             self.tell(ms, Told::Object(chance.random_range(0..OBJECTS)));
         }
         if chance.random_bool(0.01) {
-            self.tell(ms, Told::Group { group: chance.random_range(0..GROUPS), made_ms: ms });
+            self.tell(
+                ms,
+                Told::Group {
+                    group: chance.random_range(0..GROUPS),
+                    made_ms: ms,
+                },
+            );
         }
         if chance.random_bool(0.01) {
             let mut hosts = self.last().hosts;
@@ -182,7 +211,10 @@
 
 impl Planner {
     fn start(ms: u64, play: &Play) -> Planner {
-        let retention = Retention { keep_for: Span::from_ms(play.keep_for), bytes_most: play.bytes_most };
+        let retention = Retention {
+            keep_for: Span::from_ms(play.keep_for),
+            bytes_most: play.bytes_most,
+        };
         Planner {
             publisher: Publisher::start(at(ms), Cadence::default(), retention, Mark::NONE),
             follows: None,
@@ -212,8 +244,10 @@
             _ if self.follows.is_some() && chance.random_bool(0.95) => return,
             _ => self.publisher.renumbered(now, coordinator.last().mark),
         }
-        (self.follows, self.hosts) =
-            (Some((coordinator.run, coordinator.events.len())), coordinator.last().hosts);
+        (self.follows, self.hosts) = (
+            Some((coordinator.run, coordinator.events.len())),
+            coordinator.last().hosts,
+        );
         self.publisher.coordinator_heard(now, true);
     }
 }
@@ -245,9 +279,19 @@
 
 impl Forwarder {
     fn start(ms: u64, preference: u64, broken: Broken) -> Forwarder {
-        let settles = if broken == Broken::SettledTooSoon { SETTLES * 0.5 } else { SETTLES };
+        let settles = if broken == Broken::SettledTooSoon {
+            SETTLES * 0.5
+        } else {
+            SETTLES
+        };
         Forwarder {
-            subscriber: Subscriber::start(at(ms), PLANNERS as u32, preference, Cadence::default(), SETTLES),
+            subscriber: Subscriber::start(
+                at(ms),
+                PLANNERS as u32,
+                preference,
+                Cadence::default(),
+                SETTLES,
+            ),
             index: PurgeIndex::new(settles),
             groups: Vec::new(),
             hosts: [false; HOSTS],
@@ -258,7 +302,9 @@
 
     fn applies_in_full(&mut self, ms: u64, told: &Told) {
         match told {
-            Told::Object(object) => self.index.told(at(ms), &[Fingerprint::of(ObjectId(*object))]),
+            Told::Object(object) => self
+                .index
+                .told(at(ms), &[Fingerprint::of(ObjectId(*object))]),
             Told::Group { group, made_ms } => self.groups.push((*group, *made_ms)),
             Told::Hosts(hosts) => self.hosts = *hosts,
         }
@@ -266,18 +312,31 @@
 
     fn applies(&mut self, ms: u64, applied: Applied, broken: Broken) {
         let full = |events: Vec<FullEvent>| -> Vec<Told> {
-            events.iter().map(|event| postcard::from_bytes(&event.frame).expect("written here")).collect()
+            events
+                .iter()
+                .map(|event| postcard::from_bytes(&event.frame).expect("written here"))
+                .collect()
         };
         match applied {
             Applied::Nothing => {}
             Applied::Events { purges, events, .. } => {
                 let skip = usize::from(broken == Broken::PurgeForgotten).min(purges.len());
                 self.index.told(at(ms), &purges[skip..]);
-                full(events).iter().for_each(|told| self.applies_in_full(ms, told));
+                full(events)
+                    .iter()
+                    .for_each(|told| self.applies_in_full(ms, told));
             }
-            Applied::Snapshot { list, purges, group_purges, copies_in_doubt, .. } => {
+            Applied::Snapshot {
+                list,
+                purges,
+                group_purges,
+                copies_in_doubt,
+                ..
+            } => {
                 self.index.told(at(ms), &purges);
-                full(group_purges).iter().for_each(|told| self.applies_in_full(ms, told));
+                full(group_purges)
+                    .iter()
+                    .for_each(|told| self.applies_in_full(ms, told));
                 let list: Hosts = postcard::from_bytes(&list).expect("written here");
                 if broken != Broken::ListIgnored {
                     self.hosts = list;
@@ -293,11 +352,18 @@
     fn copies_from(&mut self, ms: u64, object: u64) -> u64 {
         let now = at(ms);
         let unsettled = |made: &u64| now.since(at(*made)) <= SETTLES;
-        let told = self.index.purged_at(now, ObjectId(object)).max(self.index.overflowed(now));
+        let told = self
+            .index
+            .purged_at(now, ObjectId(object))
+            .max(self.index.overflowed(now));
         let told = told.map_or(0, |told| told.since(at(0)).ms() as u64);
-        let groups = self.groups.iter().filter(|(group, _)| *group == object % GROUPS);
+        let groups = self
+            .groups
+            .iter()
+            .filter(|(group, _)| *group == object % GROUPS);
         let group = groups.map(|(_, made)| *made).max().unwrap_or(0);
-        told.max(group).max(self.doubted.filter(unsettled).unwrap_or(0))
+        told.max(group)
+            .max(self.doubted.filter(unsettled).unwrap_or(0))
     }
 
     /// The coordinator's own watch, while no planner delivers.
@@ -306,7 +372,9 @@
             self.watch = None;
             return;
         }
-        let (from, run) = *self.watch.get_or_insert((ms + chance.random_range(50..500), coordinator.run));
+        let (from, run) = *self
+            .watch
+            .get_or_insert((ms + chance.random_range(50..500), coordinator.run));
         if ms < from {
             return;
         }
@@ -320,7 +388,9 @@
             None => (self.hosts, self.doubted) = (coordinator.last().hosts, Some(ms)),
             Some(place) => {
                 let events = &coordinator.events[place + 1..];
-                events.iter().for_each(|event| self.applies_in_full(ms, &event.told));
+                events
+                    .iter()
+                    .for_each(|event| self.applies_in_full(ms, &event.told));
             }
         }
         self.watch = Some((ms + chance.random_range(0..TRANSIT), run));
@@ -339,8 +409,14 @@
 
 #[derive(Clone)]
 enum Body {
-    Asks { sent: u64, subscription: Subscription },
-    Tells { echo: u64, delivery: Delivery },
+    Asks {
+        sent: u64,
+        subscription: Subscription,
+    },
+    Tells {
+        echo: u64,
+        delivery: Delivery,
+    },
 }
 
 /// How often what goes wrong, as chances a message or a step.
@@ -362,12 +438,27 @@
 fn plays() -> impl Strategy<Value = Play> {
     let network = (0.0..0.3, 0.0..0.2, 0.0..0.2, 0.0..0.002);
     let sides = (0.0..0.001, 0.0..0.002, 0.0..0.001, any::<bool>());
-    let kept = (1_000..30_000_u64, prop_oneof![Just(1 << 24), 4_000..40_000_usize]);
+    let kept = (
+        1_000..30_000_u64,
+        prop_oneof![Just(1 << 24), 4_000..40_000_usize],
+    );
     (any::<u64>(), network, sides, kept).prop_map(|(seed, network, sides, kept)| {
         let (lost, late, doubled, cuts) = network;
         let (restarts, deaf, renumberings, put_back) = sides;
         let (keep_for, bytes_most) = kept;
-        Play { seed, lost, late, doubled, cuts, restarts, deaf, renumberings, put_back, keep_for, bytes_most }
+        Play {
+            seed,
+            lost,
+            late,
+            doubled,
+            cuts,
+            restarts,
+            deaf,
+            renumberings,
+            put_back,
+            keep_for,
+            bytes_most,
+        }
     })
 }
 
@@ -407,10 +498,19 @@
             1 + usize::from(self.chance.random_bool(self.play.doubled))
         };
         for _ in 0..copies {
-            let late = if self.chance.random_bool(self.play.late) { 2_000 } else { 50 };
+            let late = if self.chance.random_bool(self.play.late) {
+                2_000
+            } else {
+                50
+            };
             let comes = ms + self.chance.random_range(0..late);
             let conversation = self.planners[planner].conversation;
-            self.network.push(Message { planner, conversation, comes, body: body.clone() });
+            self.network.push(Message {
+                planner,
+                conversation,
+                comes,
+                body: body.clone(),
+            });
         }
     }
 
@@ -418,14 +518,18 @@
         let known = &mut self.planners[planner];
         (known.connected, known.restarts_at) = (false, ms + self.chance.random_range(50..1_500));
         known.publisher.leave(SubscriberId(0));
-        self.forwarder.subscriber.disconnected(at(ms), PlannerNumber(planner as u32));
+        self.forwarder
+            .subscriber
+            .disconnected(at(ms), PlannerNumber(planner as u32));
     }
 
     fn connect(&mut self, ms: u64, planner: usize) {
         let known = &mut self.planners[planner];
         (known.connected, known.echo, known.restarts_at) = (true, 0, u64::MAX);
         known.conversation += 1;
-        self.forwarder.subscriber.connected(at(ms), PlannerNumber(planner as u32));
+        self.forwarder
+            .subscriber
+            .connected(at(ms), PlannerNumber(planner as u32));
     }
 
     fn faults(&mut self, ms: u64) {
@@ -440,8 +544,11 @@
                 self.disconnect(ms, planner);
                 let conversation = self.planners[planner].conversation;
                 let restarts_at = ms + 200;
-                self.planners[planner] =
-                    Planner { conversation, restarts_at, ..Planner::start(ms, self.play) };
+                self.planners[planner] = Planner {
+                    conversation,
+                    restarts_at,
+                    ..Planner::start(ms, self.play)
+                };
             }
             if ms >= self.planners[planner].restarts_at {
                 self.connect(ms, planner);
@@ -458,14 +565,23 @@
 
     fn speak(&mut self, ms: u64) {
         for (to, subscription) in self.forwarder.subscriber.actions(at(ms)) {
-            self.send(ms, to.0 as usize, Body::Asks { sent: ms, subscription });
+            self.send(
+                ms,
+                to.0 as usize,
+                Body::Asks {
+                    sent: ms,
+                    subscription,
+                },
+            );
         }
         for planner in 0..PLANNERS {
             let known = &mut self.planners[planner];
             let hosts = known.hosts;
             for id in known.publisher.due(at(ms)) {
                 let mut list = |_| postcard::to_stdvec(&hosts).expect("it can be written");
-                let told = self.planners[planner].publisher.update_for(at(ms), id, &mut list);
+                let told = self.planners[planner]
+                    .publisher
+                    .update_for(at(ms), id, &mut list);
                 let echo = self.planners[planner].echo;
                 if let Some(delivery) = told {
                     self.send(ms, planner, Body::Tells { echo, delivery });
@@ -476,7 +592,12 @@
 
     fn deliver(&mut self, ms: u64) {
         while let Some(place) = self.network.iter().position(|message| message.comes <= ms) {
-            let Message { planner, conversation, body, .. } = self.network.remove(place);
+            let Message {
+                planner,
+                conversation,
+                body,
+                ..
+            } = self.network.remove(place);
             let known = &mut self.planners[planner];
             if !known.connected || known.conversation != conversation {
                 continue;
@@ -484,12 +605,18 @@
             match body {
                 Body::Asks { sent, subscription } => {
                     known.echo = sent;
-                    known.publisher.subscribe(at(ms), SubscriberId(0), subscription);
+                    known
+                        .publisher
+                        .subscribe(at(ms), SubscriberId(0), subscription);
                 }
                 Body::Tells { echo, delivery } => {
                     let number = PlannerNumber(planner as u32);
                     self.forwarder.subscriber.echoed(number, at(echo));
-                    match self.forwarder.subscriber.delivered(at(ms), number, delivery) {
+                    match self
+                        .forwarder
+                        .subscriber
+                        .delivered(at(ms), number, delivery)
+                    {
                         Ok(applied) => self.forwarder.applies(ms, applied, self.broken),
                         Err(_) => self.seen.refused += 1,
                     }
@@ -504,16 +631,29 @@
         self.coordinator.settle(ms);
         let (unsettled, known) = (self.coordinator.unsettled, &self.coordinator.known);
         if position.hash >= unsettled {
-            self.passed.extend(known.range(unsettled..=position.hash).map(|(hash, _)| *hash));
+            self.passed.extend(
+                known
+                    .range(unsettled..=position.hash)
+                    .map(|(hash, _)| *hash),
+            );
         }
-        self.passed.retain(|hash| *hash >= unsettled && known.contains_key(hash));
+        self.passed
+            .retain(|hash| *hash >= unsettled && known.contains_key(hash));
         // Where it claims to have had all that the coordinator had, it has all that was told by then.
-        let vouched = self.forwarder.subscriber.vouched().filter(|_| !self.play.put_back);
-        let claimed = |event: &Event| vouched.is_some_and(|vouched| at(event.made + TRANSIT) < vouched);
-        let due =
-            known.range(unsettled..).filter(|(hash, event)| self.passed.contains(hash) || claimed(event));
+        let vouched = self
+            .forwarder
+            .subscriber
+            .vouched()
+            .filter(|_| !self.play.put_back);
+        let claimed =
+            |event: &Event| vouched.is_some_and(|vouched| at(event.made + TRANSIT) < vouched);
+        let due = known
+            .range(unsettled..)
+            .filter(|(hash, event)| self.passed.contains(hash) || claimed(event));
         let due: Vec<&Event> = due.map(|(_, event)| event).collect();
-        self.forwarder.groups.retain(|(_, made)| at(ms).since(at(*made)) <= SETTLES);
+        self.forwarder
+            .groups
+            .retain(|(_, made)| at(ms).since(at(*made)) <= SETTLES);
         let mut from = [0; OBJECTS as usize];
         for event in due {
             let hit = |object: u64| match event.told {
@@ -521,14 +661,18 @@
                 Told::Group { group, .. } => group == object % GROUPS,
                 Told::Hosts(_) => false,
             };
-            (0..OBJECTS).filter(|object| hit(*object)).for_each(|object| {
-                from[object as usize] = from[object as usize].max(event.made);
-            });
+            (0..OBJECTS)
+                .filter(|object| hit(*object))
+                .for_each(|object| {
+                    from[object as usize] = from[object as usize].max(event.made);
+                });
         }
         for (object, oracle) in from.into_iter().enumerate() {
             let digest = self.forwarder.copies_from(ms, object as u64);
             if digest < oracle {
-                return Err(format!("at {ms} object {object} from {digest}, by the events from {oracle}"));
+                return Err(format!(
+                    "at {ms} object {object} from {digest}, by the events from {oracle}"
+                ));
             }
             self.seen.looked_at += 1;
             self.seen.refused_more += u64::from(digest > 0 && oracle == 0);
@@ -537,19 +681,31 @@
     }
 
     fn check_hosts(&self, ms: u64, position: Mark) -> Result<(), String> {
-        let Some(event) = self.coordinator.known.get(&position.hash) else { return Ok(()) };
+        let Some(event) = self.coordinator.known.get(&position.hash) else {
+            return Ok(());
+        };
         if self.forwarder.hosts != event.hosts {
-            return Err(format!("at {ms} hosts {:?}, by the events {:?}", self.forwarder.hosts, event.hosts));
+            return Err(format!(
+                "at {ms} hosts {:?}, by the events {:?}",
+                self.forwarder.hosts, event.hosts
+            ));
         }
         // Where it claims to have had all that the coordinator had, it uses no host withdrawn by then. A coordinator
         // that is put back may be contradicted for a while by a planner that has not noticed.
-        let Some(vouched) = self.forwarder.subscriber.vouched().filter(|_| !self.play.put_back) else {
+        let Some(vouched) = self
+            .forwarder
+            .subscriber
+            .vouched()
+            .filter(|_| !self.play.put_back)
+        else {
             return Ok(());
         };
         for (host, since) in self.coordinator.withdrawn_since.iter().enumerate() {
             let known = since.is_some_and(|since| at(since + TRANSIT) < vouched);
             if known && self.forwarder.hosts[host] {
-                return Err(format!("at {ms} host {host} used, withdrawn since {since:?}"));
+                return Err(format!(
+                    "at {ms} host {host} used, withdrawn since {since:?}"
+                ));
             }
         }
         Ok(())
@@ -589,7 +745,9 @@
         world.speak(ms);
         world.deliver(ms);
         let before = world.forwarder.subscriber.position();
-        world.forwarder.follows_coordinator(ms, &world.coordinator, &mut world.chance);
+        world
+            .forwarder
+            .follows_coordinator(ms, &world.coordinator, &mut world.chance);
         world.seen.fed += u64::from(world.forwarder.subscriber.position() != before);
         if world.forwarder.subscriber.position() != checked || ms.is_multiple_of(CHECKED_EVERY) {
             checked = world.forwarder.subscriber.position();
@@ -641,13 +799,30 @@
         all.looked_at += seen.looked_at;
     }
     println!("in 20 schedules of 30 s: {all:?}");
-    assert!(all.batches > 500 && all.snapshots > 20 && all.doubts > 10 && all.refused > 20 && all.fed > 50);
+    assert!(
+        all.batches > 500
+            && all.snapshots > 20
+            && all.doubts > 10
+            && all.refused > 20
+            && all.fed > 50
+    );
 }
 
 #[test]
 fn without_faults_the_digests_refuse_little_more() {
-    let quiet = Play { lost: 0.0, late: 0.0, doubled: 0.0, cuts: 0.0, restarts: 0.0, ..ordinary(1) };
-    let quiet = Play { deaf: 0.0, renumberings: 0.0, ..quiet };
+    let quiet = Play {
+        lost: 0.0,
+        late: 0.0,
+        doubled: 0.0,
+        cuts: 0.0,
+        restarts: 0.0,
+        ..ordinary(1)
+    };
+    let quiet = Play {
+        deaf: 0.0,
+        renumberings: 0.0,
+        ..quiet
+    };
     let seen = run(&quiet, Broken::Nothing).unwrap();
     println!("without faults: {seen:?}");
     assert!(seen.batches > 50 && seen.fed == 0);
@@ -655,9 +830,15 @@
 
 #[test]
 fn each_way_to_break_the_forwarder_is_found() {
-    let ways = [Broken::DoubtIgnored, Broken::PurgeForgotten, Broken::ListIgnored, Broken::SettledTooSoon];
+    let ways = [
+        Broken::DoubtIgnored,
+        Broken::PurgeForgotten,
+        Broken::ListIgnored,
+        Broken::SettledTooSoon,
+    ];
     for broken in ways {
-        let found = (0..40).find_map(|seed| run(&ordinary(seed), broken).err().map(|what| (seed, what)));
+        let found =
+            (0..40).find_map(|seed| run(&ordinary(seed), broken).err().map(|what| (seed, what)));
         println!("{broken:?}: {found:?}");
         assert!(found.is_some(), "{broken:?}");
     }
--- a/crates/flaxdeck-distribution/tests/subscriber.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber.rs
@@ -17,24 +17,42 @@
 }
 
 fn mark(number: u64) -> Mark {
-    Mark { number, hash: number.wrapping_mul(7) }
+    Mark {
+        number,
+        hash: number.wrapping_mul(7),
+    }
 }
 
 fn digest(purges: u64) -> PurgeDigest {
-    PurgeDigest::encode((0..purges).map(|n| Fingerprint(n as u32 * 1_000_000)).collect())
+    PurgeDigest::encode(
+        (0..purges)
+            .map(|n| Fingerprint(n as u32 * 1_000_000))
+            .collect(),
+    )
 }
 
 fn event(number: u64) -> FullEvent {
-    FullEvent { mark: mark(number), frame: vec![number as u8] }
+    FullEvent {
+        mark: mark(number),
+        frame: vec![number as u8],
+    }
 }
 
 /// All purges, from one number to another.
 fn purges(after: u64, upto: u64) -> Batch {
-    Batch { after: mark(after), upto: mark(upto), purges: digest(upto - after), events: Vec::new() }
+    Batch {
+        after: mark(after),
+        upto: mark(upto),
+        purges: digest(upto - after),
+        events: Vec::new(),
+    }
 }
 
 fn delivery(update: Update) -> Delivery {
-    Delivery { update, coordinator_ago_ms: Some(40) }
+    Delivery {
+        update,
+        coordinator_ago_ms: Some(40),
+    }
 }
 
 fn told(batch: Batch) -> Delivery {
@@ -42,7 +60,10 @@
 }
 
 fn behind() -> Delivery {
-    Delivery { update: Update::Behind { upto: mark(1) }, coordinator_ago_ms: None }
+    Delivery {
+        update: Update::Behind { upto: mark(1) },
+        coordinator_ago_ms: None,
+    }
 }
 
 fn snapshot(upto: u64) -> Snapshot {
@@ -56,12 +77,17 @@
 }
 
 fn snapshot_delivery(snapshot: Snapshot, ago_ms: Option<u32>) -> Delivery {
-    Delivery { update: Update::Snapshot(Box::new(snapshot)), coordinator_ago_ms: ago_ms }
+    Delivery {
+        update: Update::Snapshot(Box::new(snapshot)),
+        coordinator_ago_ms: ago_ms,
+    }
 }
 
 /// With two planners, the first preferred, and a position that the coordinator's own watch has told.
 fn subscriber(position: u64) -> Subscriber {
-    let preference = (0..).find(|preference| prefers(*preference) == ONE).unwrap();
+    let preference = (0..)
+        .find(|preference| prefers(*preference) == ONE)
+        .unwrap();
     let mut subscriber = Subscriber::start(at(0), 2, preference, Cadence::default(), SETTLES);
     subscriber.moved(at(0), mark(position));
     subscriber
@@ -77,14 +103,20 @@
     subscriber.connected(at(0), ONE);
     subscriber.actions(at(0));
     // It goes back to the preferred one as soon as that is steady.
-    subscriber.actions(at(5_000)).first().map_or(OTHER, |(planner, _)| *planner)
+    subscriber
+        .actions(at(5_000))
+        .first()
+        .map_or(OTHER, |(planner, _)| *planner)
 }
 
 fn connected(position: u64) -> Subscriber {
     let mut subscriber = subscriber(position);
     subscriber.connected(at(0), ONE);
     subscriber.connected(at(0), OTHER);
-    assert_eq!(subscriber.actions(at(0)), [(ONE, Subscription::After(mark(position)))]);
+    assert_eq!(
+        subscriber.actions(at(0)),
+        [(ONE, Subscription::After(mark(position)))]
+    );
     subscriber
 }
 
@@ -94,36 +126,86 @@
     let mut batch = purges(10, 15);
     (batch.upto, batch.events) = (mark(17), vec![event(12), event(17)]);
     let applied = subscriber.delivered(at(50), ONE, told(batch)).unwrap();
-    let Applied::Events { purges: applied, events, upto } = applied else { panic!("{applied:?}") };
+    let Applied::Events {
+        purges: applied,
+        events,
+        upto,
+    } = applied
+    else {
+        panic!("{applied:?}")
+    };
     assert_eq!((applied.len(), events.len(), upto), (5, 2, mark(17)));
-    assert_eq!((subscriber.position(), subscriber.followed()), (mark(17), Some(ONE)));
-    assert_eq!(subscriber.delivered(at(90), ONE, told(purges(17, 17))), Ok(Applied::Nothing));
-    assert_eq!((subscriber.counted.batches, subscriber.counted.heartbeats), (1, 1));
-    assert_eq!(subscriber.actions(at(900)), [], "the planner moves its own note");
+    assert_eq!(
+        (subscriber.position(), subscriber.followed()),
+        (mark(17), Some(ONE))
+    );
+    assert_eq!(
+        subscriber.delivered(at(90), ONE, told(purges(17, 17))),
+        Ok(Applied::Nothing)
+    );
+    assert_eq!(
+        (subscriber.counted.batches, subscriber.counted.heartbeats),
+        (1, 1)
+    );
+    assert_eq!(
+        subscriber.actions(at(900)),
+        [],
+        "the planner moves its own note"
+    );
 }
 
 #[test]
 fn what_was_known_already_is_passed_over() {
     let mut subscriber = connected(10);
-    subscriber.delivered(at(50), ONE, told(purges(10, 15))).unwrap();
+    subscriber
+        .delivered(at(50), ONE, told(purges(10, 15)))
+        .unwrap();
     for _ in 0..3 {
-        assert_eq!(subscriber.delivered(at(60), ONE, told(purges(10, 15))), Ok(Applied::Nothing));
+        assert_eq!(
+            subscriber.delivered(at(60), ONE, told(purges(10, 15))),
+            Ok(Applied::Nothing)
+        );
     }
-    assert_eq!(subscriber.delivered(at(60), ONE, told(purges(8, 12))), Ok(Applied::Nothing));
-    assert_eq!((subscriber.counted.duplicates, subscriber.position()), (4, mark(15)));
+    assert_eq!(
+        subscriber.delivered(at(60), ONE, told(purges(8, 12))),
+        Ok(Applied::Nothing)
+    );
+    assert_eq!(
+        (subscriber.counted.duplicates, subscriber.position()),
+        (4, mark(15))
+    );
 }
 
 #[test]
 fn a_gap_is_refused_counted_and_the_position_told_anew() {
     let mut subscriber = connected(10);
-    subscriber.delivered(at(50), ONE, told(purges(10, 15))).unwrap();
-    assert_eq!(subscriber.delivered(at(550), ONE, told(purges(20, 25))), Err(Refused::Gap));
-    assert_eq!((subscriber.counted.gaps, subscriber.position()), (1, mark(15)));
-    assert_eq!(subscriber.actions(at(550)), [], "a moment is left to what is on its way");
+    subscriber
+        .delivered(at(50), ONE, told(purges(10, 15)))
+        .unwrap();
+    assert_eq!(
+        subscriber.delivered(at(550), ONE, told(purges(20, 25))),
+        Err(Refused::Gap)
+    );
+    assert_eq!(
+        (subscriber.counted.gaps, subscriber.position()),
+        (1, mark(15))
+    );
+    assert_eq!(
+        subscriber.actions(at(550)),
+        [],
+        "a moment is left to what is on its way"
+    );
     assert_eq!(subscriber.next_change(at(550)), Some(at(650)));
-    assert_eq!(subscriber.actions(at(650)), [(ONE, Subscription::After(mark(15)))]);
+    assert_eq!(
+        subscriber.actions(at(650)),
+        [(ONE, Subscription::After(mark(15)))]
+    );
     assert_eq!(subscriber.actions(at(650)), []);
-    assert!(subscriber.delivered(at(660), ONE, told(purges(15, 26))).is_ok());
+    assert!(
+        subscriber
+            .delivered(at(660), ONE, told(purges(15, 26)))
+            .is_ok()
+    );
     assert_eq!(subscriber.position(), mark(26));
 }
 
@@ -131,24 +213,52 @@
 fn half_of_a_batch_that_the_coordinator_told_itself_is_not_applied() {
     let mut subscriber = connected(10);
     subscriber.moved(at(20), mark(12));
-    assert_eq!(subscriber.delivered(at(50), ONE, told(purges(10, 15))), Ok(Applied::Nothing));
-    assert_eq!((subscriber.counted.duplicates, subscriber.position()), (1, mark(12)));
-    assert_eq!(subscriber.actions(at(150)), [(ONE, Subscription::After(mark(12)))]);
+    assert_eq!(
+        subscriber.delivered(at(50), ONE, told(purges(10, 15))),
+        Ok(Applied::Nothing)
+    );
+    assert_eq!(
+        (subscriber.counted.duplicates, subscriber.position()),
+        (1, mark(12))
+    );
+    assert_eq!(
+        subscriber.actions(at(150)),
+        [(ONE, Subscription::After(mark(12)))]
+    );
 }
 
 #[test]
 fn a_number_with_another_event_is_another_numbering() {
     let mut subscriber = connected(10);
-    let other = Mark { number: 10, hash: 1 };
+    let other = Mark {
+        number: 10,
+        hash: 1,
+    };
     let batches = [
-        Batch { after: other, ..purges(10, 15) },
-        Batch { after: other, upto: other, ..purges(10, 10) },
-        Batch { upto: other, ..purges(8, 10) },
+        Batch {
+            after: other,
+            ..purges(10, 15)
+        },
+        Batch {
+            after: other,
+            upto: other,
+            ..purges(10, 10)
+        },
+        Batch {
+            upto: other,
+            ..purges(8, 10)
+        },
     ];
     for batch in batches {
-        assert_eq!(subscriber.delivered(at(50), ONE, told(batch)), Err(Refused::OtherNumbering));
+        assert_eq!(
+            subscriber.delivered(at(50), ONE, told(batch)),
+            Err(Refused::OtherNumbering)
+        );
     }
-    assert_eq!((subscriber.counted.other_numbering, subscriber.position()), (3, mark(10)));
+    assert_eq!(
+        (subscriber.counted.other_numbering, subscriber.position()),
+        (3, mark(10))
+    );
 }
 
 #[test]
@@ -165,46 +275,127 @@
         change(&mut damaged.purges);
         damaged
     };
-    let long = FullEvent { mark: mark(12), frame: vec![0; FULL_BYTES_MOST] };
+    let long = FullEvent {
+        mark: mark(12),
+        frame: vec![0; FULL_BYTES_MOST],
+    };
     let cases = [
-        ("ends before it begins", batch(10, 9, 0, Vec::new()), Invalid::Range),
+        (
+            "ends before it begins",
+            batch(10, 9, 0, Vec::new()),
+            Invalid::Range,
+        ),
         (
             "a heartbeat of another event",
-            Batch { upto: Mark { number: 10, hash: 9 }, ..purges(10, 10) },
+            Batch {
+                upto: Mark {
+                    number: 10,
+                    hash: 9,
+                },
+                ..purges(10, 10)
+            },
             Invalid::Range,
         ),
-        ("one event too few", batch(10, 15, 4, Vec::new()), Invalid::Count),
-        ("one too many", batch(10, 15, 5, full(15..=15)), Invalid::Count),
-        ("a number far away", batch(10, u64::MAX, 5, Vec::new()), Invalid::Count),
-        ("an event before its range", batch(10, 15, 4, full(10..=10)), Invalid::Marks),
-        ("an event after its range", batch(10, 15, 4, full(16..=16)), Invalid::Marks),
-        ("events out of order", batch(10, 15, 3, vec![event(13), event(12)]), Invalid::Marks),
-        ("an event twice", batch(10, 15, 3, vec![event(13), event(13)]), Invalid::Marks),
+        (
+            "one event too few",
+            batch(10, 15, 4, Vec::new()),
+            Invalid::Count,
+        ),
+        (
+            "one too many",
+            batch(10, 15, 5, full(15..=15)),
+            Invalid::Count,
+        ),
+        (
+            "a number far away",
+            batch(10, u64::MAX, 5, Vec::new()),
+            Invalid::Count,
+        ),
+        (
+            "an event before its range",
+            batch(10, 15, 4, full(10..=10)),
+            Invalid::Marks,
+        ),
+        (
+            "an event after its range",
+            batch(10, 15, 4, full(16..=16)),
+            Invalid::Marks,
+        ),
+        (
+            "events out of order",
+            batch(10, 15, 3, vec![event(13), event(12)]),
+            Invalid::Marks,
+        ),
+        (
+            "an event twice",
+            batch(10, 15, 3, vec![event(13), event(13)]),
+            Invalid::Marks,
+        ),
         (
             "another event at its end",
-            Batch { upto: Mark { number: 15, hash: 1 }, ..batch(10, 15, 4, full(15..=15)) },
+            Batch {
+                upto: Mark {
+                    number: 15,
+                    hash: 1,
+                },
+                ..batch(10, 15, 4, full(15..=15))
+            },
             Invalid::Marks,
         ),
-        ("too many events", batch(10, 267, 0, full(11..=267)), Invalid::TooManyEvents),
-        ("too long", batch(10, 12, 0, vec![event(11), long]), Invalid::TooLong),
+        (
+            "too many events",
+            batch(10, 267, 0, full(11..=267)),
+            Invalid::TooManyEvents,
+        ),
+        (
+            "too long",
+            batch(10, 12, 0, vec![event(11), long]),
+            Invalid::TooLong,
+        ),
         (
             "another count of purges",
             damaged(&|purges| (purges.count, purges.bytes) = (5, digest(6).bytes)),
             Invalid::Digest(InvalidDigest::TrailingBits),
         ),
-        ("cut off", damaged(&|purges| purges.bytes.truncate(2)), Invalid::Digest(InvalidDigest::Truncated)),
-        ("too many purges", purges(10, 11 + u64::from(PURGES_MOST)), Invalid::Digest(InvalidDigest::TooMany)),
+        (
+            "cut off",
+            damaged(&|purges| purges.bytes.truncate(2)),
+            Invalid::Digest(InvalidDigest::Truncated),
+        ),
+        (
+            "too many purges",
+            purges(10, 11 + u64::from(PURGES_MOST)),
+            Invalid::Digest(InvalidDigest::TooMany),
+        ),
     ];
     let mut subscriber = connected(10);
     for (count, (what, batch, why)) in cases.into_iter().enumerate() {
         let before = (subscriber.position(), subscriber.vouched());
-        assert_eq!(subscriber.delivered(at(50), ONE, told(batch)), Err(Refused::Invalid(why)), "{what}");
-        assert_eq!((subscriber.position(), subscriber.vouched()), before, "{what}");
+        assert_eq!(
+            subscriber.delivered(at(50), ONE, told(batch)),
+            Err(Refused::Invalid(why)),
+            "{what}"
+        );
+        assert_eq!(
+            (subscriber.position(), subscriber.vouched()),
+            before,
+            "{what}"
+        );
         assert_eq!(subscriber.counted.invalid, count as u64 + 1, "{what}");
     }
-    let Counted { batches, purges: applied, events, .. } = subscriber.counted;
+    let Counted {
+        batches,
+        purges: applied,
+        events,
+        ..
+    } = subscriber.counted;
     assert_eq!((batches, applied, events), (0, 0, 0));
-    assert!(subscriber.delivered(at(60), ONE, told(purges(10, 15))).is_ok(), "what is right still applies");
+    assert!(
+        subscriber
+            .delivered(at(60), ONE, told(purges(10, 15)))
+            .is_ok(),
+        "what is right still applies"
+    );
 }
 
 #[test]
@@ -215,45 +406,93 @@
         snapshot_delivery(changed, Some(0))
     };
     let cases = [
-        (change(&|snapshot| snapshot.list = vec![0; FULL_BYTES_MOST + 1]), Invalid::TooLong),
-        (change(&|snapshot| snapshot.list = vec![0; FULL_BYTES_MOST]), Invalid::TooLong),
-        (change(&|snapshot| snapshot.group_purges = vec![event(31)]), Invalid::Marks),
-        (change(&|snapshot| snapshot.group_purges = vec![event(9), event(8)]), Invalid::Marks),
-        (change(&|snapshot| snapshot.group_purges = (1..258).map(event).collect()), Invalid::TooManyEvents),
-        (change(&|snapshot| snapshot.purges.low_bits = 40), Invalid::Digest(InvalidDigest::LowBits)),
+        (
+            change(&|snapshot| snapshot.list = vec![0; FULL_BYTES_MOST + 1]),
+            Invalid::TooLong,
+        ),
+        (
+            change(&|snapshot| snapshot.list = vec![0; FULL_BYTES_MOST]),
+            Invalid::TooLong,
+        ),
+        (
+            change(&|snapshot| snapshot.group_purges = vec![event(31)]),
+            Invalid::Marks,
+        ),
+        (
+            change(&|snapshot| snapshot.group_purges = vec![event(9), event(8)]),
+            Invalid::Marks,
+        ),
+        (
+            change(&|snapshot| snapshot.group_purges = (1..258).map(event).collect()),
+            Invalid::TooManyEvents,
+        ),
+        (
+            change(&|snapshot| snapshot.purges.low_bits = 40),
+            Invalid::Digest(InvalidDigest::LowBits),
+        ),
         (snapshot_delivery(snapshot(30), None), Invalid::NotCurrent),
     ];
     let mut subscriber = connected(10);
     for (delivery, why) in cases {
-        assert_eq!(subscriber.delivered(at(900), ONE, delivery), Err(Refused::Invalid(why)));
+        assert_eq!(
+            subscriber.delivered(at(900), ONE, delivery),
+            Err(Refused::Invalid(why))
+        );
     }
-    assert_eq!((subscriber.position(), subscriber.counted.invalid), (mark(10), 7));
+    assert_eq!(
+        (subscriber.position(), subscriber.counted.invalid),
+        (mark(10), 7)
+    );
 }
 
 #[test]
 fn deliveries_of_planners_that_are_not_connected_are_refused() {
     let mut subscriber = connected(10);
     subscriber.disconnected(at(5), ONE);
-    assert_eq!(subscriber.delivered(at(6), ONE, told(purges(10, 12))), Err(Refused::NotConnected));
+    assert_eq!(
+        subscriber.delivered(at(6), ONE, told(purges(10, 12))),
+        Err(Refused::NotConnected)
+    );
     assert_eq!(
         subscriber.delivered(at(6), PlannerNumber(9), told(purges(10, 12))),
         Err(Refused::NotConnected)
     );
-    assert_eq!((subscriber.position(), subscriber.counted.not_connected), (mark(10), 2));
+    assert_eq!(
+        (subscriber.position(), subscriber.counted.not_connected),
+        (mark(10), 2)
+    );
 }
 
 #[test]
 fn one_that_knows_nothing_asks_for_the_state_as_it_is() {
     let mut subscriber = Subscriber::start(at(0), 1, 0, Cadence::default(), SETTLES);
     subscriber.connected(at(0), ONE);
-    assert_eq!(subscriber.actions(at(0)), [(ONE, Subscription::FromSnapshot)]);
-    let applied = subscriber.delivered(at(30), ONE, snapshot_delivery(snapshot(30), Some(900))).unwrap();
-    let Applied::Snapshot { list, purges, group_purges, upto, copies_in_doubt } = applied else {
+    assert_eq!(
+        subscriber.actions(at(0)),
+        [(ONE, Subscription::FromSnapshot)]
+    );
+    let applied = subscriber
+        .delivered(at(30), ONE, snapshot_delivery(snapshot(30), Some(900)))
+        .unwrap();
+    let Applied::Snapshot {
+        list,
+        purges,
+        group_purges,
+        upto,
+        copies_in_doubt,
+    } = applied
+    else {
         panic!("{applied:?}")
     };
-    assert_eq!((list.len(), purges.len(), group_purges.len(), upto), (3, 4, 1, mark(30)));
+    assert_eq!(
+        (list.len(), purges.len(), group_purges.len(), upto),
+        (3, 4, 1, mark(30))
+    );
     assert!(!copies_in_doubt);
-    assert_eq!(subscriber.delivered(at(90), ONE, told(purges_from(30))), Ok(applied_from(30)));
+    assert_eq!(
+        subscriber.delivered(at(90), ONE, told(purges_from(30))),
+        Ok(applied_from(30))
+    );
 }
 
 fn purges_from(number: u64) -> Batch {
@@ -261,16 +500,32 @@
 }
 
 fn applied_from(number: u64) -> Applied {
-    Applied::Events { purges: vec![Fingerprint(0)], events: Vec::new(), upto: mark(number + 1) }
+    Applied::Events {
+        purges: vec![Fingerprint(0)],
+        events: Vec::new(),
+        upto: mark(number + 1),
+    }
 }
 
 #[test]
 fn copies_are_in_doubt_unless_a_snapshots_purges_reach_back_over_the_hosts_time() {
-    for (reach, doubt) in [(0, true), (5_999, true), (6_499, true), (6_500, false), (u32::MAX, false)] {
+    for (reach, doubt) in [
+        (0, true),
+        (5_999, true),
+        (6_499, true),
+        (6_500, false),
+        (u32::MAX, false),
+    ] {
         let mut subscriber = Subscriber::start(at(0), 1, 0, Cadence::default(), SETTLES);
         subscriber.connected(at(0), ONE);
         subscriber.actions(at(0));
-        let delivery = snapshot_delivery(Snapshot { purges_reach_ms: reach, ..snapshot(30) }, Some(0));
+        let delivery = snapshot_delivery(
+            Snapshot {
+                purges_reach_ms: reach,
+                ..snapshot(30)
+            },
+            Some(0),
+        );
         let applied = subscriber.delivered(at(30), ONE, delivery).unwrap();
         assert!(
             matches!(applied, Applied::Snapshot { copies_in_doubt, .. } if copies_in_doubt == doubt),
@@ -282,36 +537,64 @@
 #[test]
 fn a_snapshot_older_than_what_is_known_here_is_not_taken() {
     let mut subscriber = connected(10);
-    subscriber.delivered(at(1_000), ONE, told(purges(10, 15))).unwrap();
+    subscriber
+        .delivered(at(1_000), ONE, told(purges(10, 15)))
+        .unwrap();
     // Its planner has not heard the coordinator since the position moved.
     subscriber.echoed(ONE, at(1_400));
     let stale = snapshot_delivery(snapshot(30), Some(500));
-    assert_eq!(subscriber.delivered(at(1_500), ONE, stale), Err(Refused::Stale));
+    assert_eq!(
+        subscriber.delivered(at(1_500), ONE, stale),
+        Err(Refused::Stale)
+    );
     // It has now, but its number is lower, and nobody asked for that.
     subscriber.echoed(ONE, at(2_000));
     let lower = snapshot_delivery(snapshot(12), Some(0));
-    assert_eq!(subscriber.delivered(at(2_000), ONE, lower), Err(Refused::Stale));
-    assert_eq!((subscriber.counted.stale, subscriber.position()), (2, mark(15)));
+    assert_eq!(
+        subscriber.delivered(at(2_000), ONE, lower),
+        Err(Refused::Stale)
+    );
+    assert_eq!(
+        (subscriber.counted.stale, subscriber.position()),
+        (2, mark(15))
+    );
     // Its planner knows all that the coordinator has, so the numbering is another: now it is asked for.
-    assert_eq!(subscriber.actions(at(2_000)), [(ONE, Subscription::FromSnapshot)]);
+    assert_eq!(
+        subscriber.actions(at(2_000)),
+        [(ONE, Subscription::FromSnapshot)]
+    );
     subscriber.echoed(ONE, at(2_040));
     let lower = snapshot_delivery(snapshot(12), Some(0));
-    assert!(matches!(subscriber.delivered(at(2_050), ONE, lower), Ok(Applied::Snapshot { .. })));
+    assert!(matches!(
+        subscriber.delivered(at(2_050), ONE, lower),
+        Ok(Applied::Snapshot { .. })
+    ));
     assert_eq!(subscriber.position(), mark(12));
 }
 
 #[test]
 fn a_snapshot_with_a_higher_number_that_nobody_asked_for_is_taken_if_it_knows_more() {
     let mut subscriber = connected(10);
-    subscriber.delivered(at(1_000), ONE, told(purges(10, 15))).unwrap();
+    subscriber
+        .delivered(at(1_000), ONE, told(purges(10, 15)))
+        .unwrap();
     subscriber.echoed(ONE, at(2_000));
     let newer = snapshot_delivery(snapshot(30), Some(0));
-    assert!(matches!(subscriber.delivered(at(2_050), ONE, newer), Ok(Applied::Snapshot { .. })));
+    assert!(matches!(
+        subscriber.delivered(at(2_050), ONE, newer),
+        Ok(Applied::Snapshot { .. })
+    ));
 }
 
 #[test]
 fn where_all_planners_are_far_each_is_waited_for_twice_as_long_as_the_one_before() {
-    let mut subscriber = Subscriber::start(at(0), 2, 7, Cadence::of_batches(Span::from_ms(150)), SETTLES);
+    let mut subscriber = Subscriber::start(
+        at(0),
+        2,
+        7,
+        Cadence::of_batches(Span::from_ms(150)),
+        SETTLES,
+    );
     let silent = Cadence::of_batches(Span::from_ms(150)).silent_after();
     (0..2).for_each(|number| subscriber.connected(at(0), PlannerNumber(number)));
     let first = subscriber.followed().unwrap();
@@ -334,29 +617,52 @@
 #[test]
 fn a_planner_that_ends_or_falls_silent_is_left_for_the_other() {
     let mut subscriber = connected(10);
-    subscriber.delivered(at(10), ONE, told(purges(10, 11))).unwrap();
+    subscriber
+        .delivered(at(10), ONE, told(purges(10, 11)))
+        .unwrap();
     subscriber.disconnected(at(20), ONE);
-    assert_eq!(subscriber.actions(at(20)), [(OTHER, Subscription::After(mark(11)))]);
-    subscriber.delivered(at(30), OTHER, told(purges(11, 12))).unwrap();
+    assert_eq!(
+        subscriber.actions(at(20)),
+        [(OTHER, Subscription::After(mark(11)))]
+    );
+    subscriber
+        .delivered(at(30), OTHER, told(purges(11, 12)))
+        .unwrap();
     assert!(!subscriber.needs_coordinator(at(1_000)));
 
     let mut subscriber = connected(10);
-    subscriber.delivered(at(10), ONE, told(purges(10, 11))).unwrap();
+    subscriber
+        .delivered(at(10), ONE, told(purges(10, 11)))
+        .unwrap();
     assert_eq!(subscriber.actions(at(1_509)), []);
     assert_eq!(subscriber.next_change(at(1_000)), Some(at(1_510)));
     let actions = subscriber.actions(at(1_510));
-    assert_eq!(actions, [(ONE, Subscription::None), (OTHER, Subscription::After(mark(11)))]);
+    assert_eq!(
+        actions,
+        [
+            (ONE, Subscription::None),
+            (OTHER, Subscription::After(mark(11)))
+        ]
+    );
     assert_eq!(subscriber.counted.failovers, 1);
     // Both deliver for a moment; each event is applied once.
-    subscriber.delivered(at(1_520), OTHER, told(purges(11, 15))).unwrap();
-    assert_eq!(subscriber.delivered(at(1_530), ONE, told(purges(11, 13))), Ok(Applied::Nothing));
+    subscriber
+        .delivered(at(1_520), OTHER, told(purges(11, 15)))
+        .unwrap();
+    assert_eq!(
+        subscriber.delivered(at(1_530), ONE, told(purges(11, 13))),
+        Ok(Applied::Nothing)
+    );
     assert_eq!(subscriber.position(), mark(15));
 }
 
 #[test]
 fn a_planner_that_has_lost_the_coordinator_is_left_for_the_other() {
     let mut subscriber = connected(10);
-    let lost = || Delivery { coordinator_ago_ms: None, ..told(purges(10, 10)) };
+    let lost = || Delivery {
+        coordinator_ago_ms: None,
+        ..told(purges(10, 10))
+    };
     for ms in (0..1_500).step_by(100) {
         subscriber.delivered(at(ms), ONE, lost()).unwrap();
         assert_eq!(subscriber.followed(), Some(ONE));
@@ -373,7 +679,9 @@
     subscriber.connected(at(100), ONE);
     let heard = |subscriber: &mut Subscriber, ms: u64| {
         let position = subscriber.position().number;
-        subscriber.delivered(at(ms), OTHER, told(purges(position, position + 1))).unwrap();
+        subscriber
+            .delivered(at(ms), OTHER, told(purges(position, position + 1)))
+            .unwrap();
         subscriber.actions(at(ms))
     };
     for ms in (500..5_000).step_by(500) {
@@ -381,7 +689,10 @@
     }
     // It is asked first, and the other is left once it delivers.
     let position = mark(subscriber.position().number + 1);
-    assert_eq!(heard(&mut subscriber, 5_200), [(ONE, Subscription::After(position))]);
+    assert_eq!(
+        heard(&mut subscriber, 5_200),
+        [(ONE, Subscription::After(position))]
+    );
     assert_eq!(subscriber.followed(), Some(OTHER));
     let next = purges(position.number, position.number + 1);
     subscriber.delivered(at(5_250), ONE, told(next)).unwrap();
@@ -397,10 +708,18 @@
     for ms in (0..60_000).step_by(100) {
         if ms >= 1_600 && ms % 500 == 100 {
             let position = subscriber.position().number;
-            assert!(subscriber.delivered(at(ms), OTHER, told(purges(position, position + 1))).is_ok());
+            assert!(
+                subscriber
+                    .delivered(at(ms), OTHER, told(purges(position, position + 1)))
+                    .is_ok()
+            );
         }
         let actions = subscriber.actions(at(ms));
-        asked.extend(actions.into_iter().filter(|(to, what)| *to == ONE && *what != Subscription::None));
+        asked.extend(
+            actions
+                .into_iter()
+                .filter(|(to, what)| *to == ONE && *what != Subscription::None),
+        );
         assert!(ms < 1_600 || subscriber.followed() == Some(OTHER));
         assert!(!subscriber.needs_coordinator(at(ms)), "at {ms}");
     }
@@ -411,7 +730,9 @@
 #[test]
 fn unknown_to_all_planners_for_long_it_asks_for_the_state_as_it_is() {
     let mut subscriber = subscriber(1_000);
-    [ONE, OTHER].into_iter().for_each(|planner| subscriber.connected(at(0), planner));
+    [ONE, OTHER]
+        .into_iter()
+        .for_each(|planner| subscriber.connected(at(0), planner));
     let mut asked = Vec::new();
     for ms in (0..4_000).step_by(100) {
         for (to, subscription) in subscriber.actions(at(ms)) {
@@ -422,18 +743,39 @@
         }
     }
     let after = Subscription::After(mark(1_000));
-    let expected = [(0, ONE, after), (1_500, OTHER, after), (3_000, ONE, Subscription::FromSnapshot)];
+    let expected = [
+        (0, ONE, after),
+        (1_500, OTHER, after),
+        (3_000, ONE, Subscription::FromSnapshot),
+    ];
     assert!(asked.starts_with(&expected[..2]), "{asked:?}");
     assert!(
-        asked.iter().any(|(ms, _, what)| *ms == 3_000 && *what == Subscription::FromSnapshot),
+        asked
+            .iter()
+            .any(|(ms, _, what)| *ms == 3_000 && *what == Subscription::FromSnapshot),
         "{asked:?}"
     );
     // Now a lower number is what was asked for.
     let to = asked.last().unwrap().1;
-    let restarted = Snapshot { purges_reach_ms: 900, ..snapshot(30) };
+    let restarted = Snapshot {
+        purges_reach_ms: 900,
+        ..snapshot(30)
+    };
     let applied = subscriber.delivered(at(4_000), to, snapshot_delivery(restarted, Some(10)));
-    assert!(matches!(applied, Ok(Applied::Snapshot { copies_in_doubt: true, .. })), "{applied:?}");
-    assert_eq!((subscriber.position(), subscriber.counted.doubts), (mark(30), 1));
+    assert!(
+        matches!(
+            applied,
+            Ok(Applied::Snapshot {
+                copies_in_doubt: true,
+                ..
+            })
+        ),
+        "{applied:?}"
+    );
+    assert_eq!(
+        (subscriber.position(), subscriber.counted.doubts),
+        (mark(30), 1)
+    );
 }
 
 #[test]
@@ -446,7 +788,9 @@
     subscriber.connected(at(2_200), ONE);
     subscriber.actions(at(2_200));
     for (position, ms) in (10..).zip((2_300..9_000).step_by(500)) {
-        subscriber.delivered(at(ms), ONE, told(purges(position, position + 1))).unwrap();
+        subscriber
+            .delivered(at(ms), ONE, told(purges(position, position + 1)))
+            .unwrap();
         assert_eq!(subscriber.needs_coordinator(at(ms)), ms < 4_300, "at {ms}");
     }
     assert!(!subscriber.needs_coordinator(at(10_700)));
@@ -457,22 +801,40 @@
 fn needs_coordinator_after_both_ended(preference: u64) -> u64 {
     let mut subscriber = Subscriber::start(at(0), 2, preference, Cadence::default(), SETTLES);
     subscriber.moved(at(0), mark(10));
-    [ONE, OTHER].into_iter().for_each(|planner| subscriber.connected(at(0), planner));
+    [ONE, OTHER]
+        .into_iter()
+        .for_each(|planner| subscriber.connected(at(0), planner));
     subscriber.actions(at(0));
     let followed = subscriber.followed().unwrap();
-    subscriber.delivered(at(90), followed, told(purges(10, 11))).unwrap();
+    subscriber
+        .delivered(at(90), followed, told(purges(10, 11)))
+        .unwrap();
     subscriber.disconnected(at(100), ONE);
-    assert!(!subscriber.needs_coordinator(at(1_000)), "the other one is connected");
+    assert!(
+        !subscriber.needs_coordinator(at(1_000)),
+        "the other one is connected"
+    );
     subscriber.disconnected(at(100), OTHER);
-    (100..3_000).find(|ms| subscriber.needs_coordinator(at(*ms))).unwrap()
+    (100..3_000)
+        .find(|ms| subscriber.needs_coordinator(at(*ms)))
+        .unwrap()
 }
 
 #[test]
 fn with_no_planner_connected_the_coordinator_is_needed_soon_and_not_by_all_at_once() {
     let mut needs: Vec<u64> = (0..1_000).map(needs_coordinator_after_both_ended).collect();
     needs.sort_unstable();
-    println!("the coordinator is needed from {} to {} ms after the end", needs[0] - 100, needs[999] - 100);
-    assert!(needs[0] >= 200 && needs[999] <= 500, "{} to {}", needs[0], needs[999]);
+    println!(
+        "the coordinator is needed from {} to {} ms after the end",
+        needs[0] - 100,
+        needs[999] - 100
+    );
+    assert!(
+        needs[0] >= 200 && needs[999] <= 500,
+        "{} to {}",
+        needs[0],
+        needs[999]
+    );
     let in_one_step = |step: u64| needs.iter().filter(|ms| **ms / 10 == step).count();
     assert!((20..50).all(|step| in_one_step(step) <= 100), "{needs:?}");
 }
@@ -480,22 +842,38 @@
 #[test]
 fn a_planner_that_is_reached_again_at_once_spares_the_coordinator_the_call() {
     let mut subscriber = connected(10);
-    subscriber.delivered(at(90), ONE, told(purges(10, 11))).unwrap();
-    [ONE, OTHER].into_iter().for_each(|planner| subscriber.disconnected(at(100), planner));
+    subscriber
+        .delivered(at(90), ONE, told(purges(10, 11)))
+        .unwrap();
+    [ONE, OTHER]
+        .into_iter()
+        .for_each(|planner| subscriber.disconnected(at(100), planner));
     subscriber.connected(at(150), ONE);
     subscriber.actions(at(150));
-    subscriber.delivered(at(180), ONE, told(purges(11, 12))).unwrap();
+    subscriber
+        .delivered(at(180), ONE, told(purges(11, 12)))
+        .unwrap();
     assert!((180..1_600).all(|ms| !subscriber.needs_coordinator(at(ms))));
     // One that is reached and tells nothing spares it nothing.
     subscriber.disconnected(at(200), ONE);
     subscriber.connected(at(250), ONE);
     subscriber.actions(at(250));
     let needed = subscriber.next_change(at(250)).unwrap();
-    assert!(needed <= at(600) && subscriber.needs_coordinator(needed), "{needed:?}");
-    subscriber.delivered(at(700), ONE, told(purges(12, 13))).unwrap();
-    assert!(subscriber.needs_coordinator(at(750)), "until planners have delivered for a while");
+    assert!(
+        needed <= at(600) && subscriber.needs_coordinator(needed),
+        "{needed:?}"
+    );
+    subscriber
+        .delivered(at(700), ONE, told(purges(12, 13)))
+        .unwrap();
+    assert!(
+        subscriber.needs_coordinator(at(750)),
+        "until planners have delivered for a while"
+    );
     for (position, ms) in (13..).zip((1_200..4_000).step_by(500)) {
-        subscriber.delivered(at(ms), ONE, told(purges(position, position + 1))).unwrap();
+        subscriber
+            .delivered(at(ms), ONE, told(purges(position, position + 1)))
+            .unwrap();
         assert_eq!(subscriber.needs_coordinator(at(ms)), ms < 2_700, "at {ms}");
     }
 }
@@ -513,12 +891,27 @@
 fn it_is_vouched_for_by_when_a_planner_with_all_events_heard_the_coordinator() {
     let mut subscriber = connected(10);
     assert_eq!(subscriber.vouched(), None);
-    subscriber.delivered(at(1_000), ONE, told(purges(10, 11))).unwrap();
-    assert_eq!(subscriber.vouched(), Some(at(460)), "40 ms before it was written, 500 before now at most");
+    subscriber
+        .delivered(at(1_000), ONE, told(purges(10, 11)))
+        .unwrap();
+    assert_eq!(
+        subscriber.vouched(),
+        Some(at(460)),
+        "40 ms before it was written, 500 before now at most"
+    );
     subscriber.echoed(ONE, at(1_900));
-    subscriber.delivered(at(2_000), ONE, told(purges(11, 11))).unwrap();
-    assert_eq!(subscriber.vouched(), Some(at(1_860)), "the conversation tells when it was written");
-    let not_all = Delivery { coordinator_ago_ms: None, ..told(purges(11, 12)) };
+    subscriber
+        .delivered(at(2_000), ONE, told(purges(11, 11)))
+        .unwrap();
+    assert_eq!(
+        subscriber.vouched(),
+        Some(at(1_860)),
+        "the conversation tells when it was written"
+    );
+    let not_all = Delivery {
+        coordinator_ago_ms: None,
+        ..told(purges(11, 12))
+    };
     subscriber.delivered(at(5_000), ONE, not_all).unwrap();
     assert_eq!(subscriber.vouched(), Some(at(1_860)));
 }
@@ -527,13 +920,18 @@
 fn forwarders_are_spread_over_the_planners() {
     let mut preferred = [0; 24];
     for preference in 0..2_400_u64 {
-        let mut subscriber = Subscriber::start(at(0), 24, preference * 31, Cadence::default(), SETTLES);
+        let mut subscriber =
+            Subscriber::start(at(0), 24, preference * 31, Cadence::default(), SETTLES);
         subscriber.moved(at(0), mark(1));
         (0..24).for_each(|planner| subscriber.connected(at(0), PlannerNumber(planner)));
         // Steadily connected, the most preferred is asked in the end.
         let asked = subscriber.actions(at(5_000));
         let followed = subscriber.followed().unwrap();
-        let chosen = asked.iter().map(|(to, _)| *to).find(|to| *to != followed).unwrap_or(followed);
+        let chosen = asked
+            .iter()
+            .map(|(to, _)| *to)
+            .find(|to| *to != followed)
+            .unwrap_or(followed);
         preferred[chosen.0 as usize] += 1;
     }
     println!("forwarders of 2,400 that prefer each of 24 planners: {preferred:?}");
--- a/crates/flaxdeck-emulator/src/clients.rs
+++ b/crates/flaxdeck-emulator/src/clients.rs
@@ -86,7 +86,12 @@
 /// The requests at one dispatcher, all settled before the first is sent.
 pub fn draw(load: &Load, dispatcher: usize) -> Vec<Planned> {
     let mut chance = Pcg64Mcg::seed_from_u64(load.seed ^ (dispatcher as u64) << 32);
-    let rate = load.rates.get(dispatcher).or(load.rates.last()).copied().unwrap_or(0.0);
+    let rate = load
+        .rates
+        .get(dispatcher)
+        .or(load.rates.last())
+        .copied()
+        .unwrap_or(0.0);
     let mut weights = Vec::with_capacity(load.objects as usize);
     let mut sum = 0.0;
     for rank in 1..=load.objects {
@@ -112,7 +117,10 @@
 impl Clients {
     /// Starts clients of these dispatchers; to be called within the world's runtime.
     pub fn start(world: &Arc<Inside>, dispatchers: &[SocketAddr], load: &Load) -> Clients {
-        let clients = Clients { tally: Arc::default(), open: Arc::default() };
+        let clients = Clients {
+            tally: Arc::default(),
+            open: Arc::default(),
+        };
         for (at, address) in dispatchers.iter().enumerate() {
             let mut lanes: Vec<Vec<Planned>> = (0..CONNECTIONS).map(|_| Vec::new()).collect();
             for (n, planned) in draw(load, at).into_iter().enumerate() {
@@ -120,7 +128,8 @@
             }
             for (lane, planned) in lanes.into_iter().enumerate() {
                 clients.open.fetch_add(1, Ordering::SeqCst);
-                let (world, tally, open) = (world.clone(), clients.tally.clone(), clients.open.clone());
+                let (world, tally, open) =
+                    (world.clone(), clients.tally.clone(), clients.open.clone());
                 let (address, wait) = (*address, load.wait_ms);
                 let name = load.names_from + at * CONNECTIONS + lane;
                 tokio::spawn(async move {
@@ -138,7 +147,11 @@
 
     pub fn told(&self) -> Told {
         let tally = self.tally.lock().expect("no holder panics");
-        Told { took: tally.took.clone(), wrong_bytes: tally.wrong_bytes, broken: tally.broken }
+        Told {
+            took: tally.took.clone(),
+            wrong_bytes: tally.wrong_bytes,
+            broken: tally.broken,
+        }
     }
 }
 
@@ -162,27 +175,53 @@
         let Ok(stream) = TcpStream::connect(address).await else {
             // Who finds no dispatcher has not asked: what was due meanwhile is lost to this one.
             sleep(Duration::from_millis(50)).await;
-            while planned.next_if(|planned| planned.at < world.now()).is_some() {}
+            while planned
+                .next_if(|planned| planned.at < world.now())
+                .is_some()
+            {}
             continue;
         };
         let _ = stream.set_nodelay(true);
         let (read, mut write) = stream.into_split();
         let open: Arc<Mutex<HashMap<u32, Open>>> = Arc::default();
         let (over, mut ended) = mpsc::channel::<()>(1);
-        let hears = tokio::spawn(hear(world.clone(), read, name, open.clone(), tally.clone(), over));
+        let hears = tokio::spawn(hear(
+            world.clone(),
+            read,
+            name,
+            open.clone(),
+            tally.clone(),
+            over,
+        ));
         while let Some(next) = planned.peek() {
             tokio::select! {
                 () = sleep_until(world.instant(next.at)) => {}
                 _ = ended.recv() => break,
             }
-            let Planned { object, write: writes, .. } = planned.next().expect("just seen");
+            let Planned {
+                object,
+                write: writes,
+                ..
+            } = planned.next().expect("just seen");
             call += 1;
             let (now, request) = (world.now(), format!("{name:08x}{call:08x}"));
-            world.see(Seen::Asked { request: request.clone(), by: now + wait as f64 });
-            open.lock()
-                .expect("no holder panics")
-                .insert(call, Open { object: object.clone(), sent: now, write: writes });
-            if write.write_all(&message(call, &request, &object, writes, wait, false)).await.is_err() {
+            world.see(Seen::Asked {
+                request: request.clone(),
+                by: now + wait as f64,
+            });
+            open.lock().expect("no holder panics").insert(
+                call,
+                Open {
+                    object: object.clone(),
+                    sent: now,
+                    write: writes,
+                },
+            );
+            if write
+                .write_all(&message(call, &request, &object, writes, wait, false))
+                .await
+                .is_err()
+            {
                 break;
             }
         }
@@ -200,13 +239,23 @@
         if broke {
             tally.lock().expect("no holder panics").broken += 1;
             // Only who lost his connection has left; one that waits in vain on a whole one is a breach.
-            left.into_keys()
-                .for_each(|call| world.see(Seen::Left { request: format!("{name:08x}{call:08x}") }));
+            left.into_keys().for_each(|call| {
+                world.see(Seen::Left {
+                    request: format!("{name:08x}{call:08x}"),
+                })
+            });
         }
     }
 }
 
-pub fn message(call: u32, request: &str, object: &str, writes: bool, wait: u64, again: bool) -> Vec<u8> {
+pub fn message(
+    call: u32,
+    request: &str,
+    object: &str,
+    writes: bool,
+    wait: u64,
+    again: bool,
+) -> Vec<u8> {
     let text = |text: &str| Value::from(text);
     let kb = kb_of(object).to_string();
     let fields = [
@@ -221,9 +270,18 @@
     .map(|(name, value)| (text(name), text(value)));
     let fields = &fields[..fields.len() - usize::from(!again)];
     let class = if writes { "submit" } else { "page" };
-    let body = if writes { b"a form".to_vec() } else { Vec::new() };
+    let body = if writes {
+        b"a form".to_vec()
+    } else {
+        Vec::new()
+    };
     let arguments = Value::Array(vec![Value::Map(fields.to_vec()), Value::Binary(body)]);
-    let whole = Value::Array(vec![Value::from(0), Value::from(call), text(class), arguments]);
+    let whole = Value::Array(vec![
+        Value::from(0),
+        Value::from(call),
+        text(class),
+        arguments,
+    ]);
     let mut bytes = Vec::new();
     rmpv::encode::write_value(&mut bytes, &whole).expect("a vector grows");
     bytes
@@ -260,9 +318,17 @@
     let parts = value.as_array().filter(|parts| parts.len() == 4)?;
     let call = parts[1].as_u64()? as u32;
     if parts[2].is_nil() {
-        let body = parts[3].as_array().and_then(|result| result.first()).and_then(Value::as_slice);
+        let body = parts[3]
+            .as_array()
+            .and_then(|result| result.first())
+            .and_then(Value::as_slice);
         let body = body.unwrap_or(&[]).to_vec();
-        return Some(Spoken { call, how: Answer::Served, after: None, body });
+        return Some(Spoken {
+            call,
+            how: Answer::Served,
+            after: None,
+            body,
+        });
     }
     let error = parts[2].as_array()?;
     let how = match error.first().and_then(Value::as_str)? {
@@ -271,8 +337,15 @@
         _ => return None,
     };
     let told = error.get(1).and_then(Value::as_map).into_iter().flatten();
-    let after = told.filter(|(name, _)| name.as_str() == Some("after")).find_map(|(_, value)| value.as_str());
-    Some(Spoken { call, how, after: after.and_then(|after| after.parse().ok()), body: Vec::new() })
+    let after = told
+        .filter(|(name, _)| name.as_str() == Some("after"))
+        .find_map(|(_, value)| value.as_str());
+    Some(Spoken {
+        call,
+        how,
+        after: after.and_then(|after| after.parse().ok()),
+        body: Vec::new(),
+    })
 }
 
 fn answered(
@@ -287,10 +360,21 @@
     if let Some(asked) = asked.filter(|_| spoken.how == Answer::Served) {
         match made_of(&asked.object, &spoken.body) {
             Some(_) if asked.write => {}
-            Some(made) => world.see(Seen::Copy { object: asked.object.clone(), sent: asked.sent, made }),
+            Some(made) => world.see(Seen::Copy {
+                object: asked.object.clone(),
+                sent: asked.sent,
+                made,
+            }),
             None => tally.lock().expect("no holder panics").wrong_bytes += 1,
         }
-        tally.lock().expect("no holder panics").took.push(now - asked.sent);
+        tally
+            .lock()
+            .expect("no holder panics")
+            .took
+            .push(now - asked.sent);
     }
-    world.see(Seen::Answered { request: format!("{name:08x}{:08x}", spoken.call), how: spoken.how });
+    world.see(Seen::Answered {
+        request: format!("{name:08x}{:08x}", spoken.call),
+        how: spoken.how,
+    });
 }
--- a/crates/flaxdeck-emulator/src/coordinator.rs
+++ b/crates/flaxdeck-emulator/src/coordinator.rs
@@ -14,7 +14,9 @@
 
 pub async fn serve(world: Arc<Inside>, listener: TcpListener) {
     loop {
-        let Ok((stream, _)) = listener.accept().await else { continue };
+        let Ok((stream, _)) = listener.accept().await else {
+            continue;
+        };
         let world = world.clone();
         tokio::spawn(async move { feed(&world, stream).await });
     }
@@ -70,16 +72,30 @@
 
 /// What follows that number; to who names one that was never given out, the whole list as it stands.
 fn news(state: &State, last: u64) -> Vec<(u64, Vec<u8>)> {
-    let whole = state.lists.last().filter(|(number, _)| last > state.known && *number <= state.known);
+    let whole = state
+        .lists
+        .last()
+        .filter(|(number, _)| last > state.known && *number <= state.known);
     match whole {
         Some((_, list)) => vec![(state.known, frame(state.known, 1, list))],
-        None => state.frames.iter().filter(|(number, _)| *number > last).cloned().collect(),
+        None => state
+            .frames
+            .iter()
+            .filter(|(number, _)| *number > last)
+            .cloned()
+            .collect(),
     }
 }
 
 pub fn frame(number: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
     let length = (9 + payload.len()) as u32;
-    [&length.to_be_bytes()[..], &number.to_be_bytes(), &[kind], payload].concat()
+    [
+        &length.to_be_bytes()[..],
+        &number.to_be_bytes(),
+        &[kind],
+        payload,
+    ]
+    .concat()
 }
 
 /// A line of the list as the frames hold it.
@@ -104,5 +120,7 @@
 /// All hosts that are listed.
 pub fn whole(world: &Inside, state: &State) -> Vec<u8> {
     let listed = state.hosts.iter().filter(|(_, host)| host.state < 2);
-    listed.flat_map(|(id, host)| record(world, id, host)).collect()
+    listed
+        .flat_map(|(id, host)| record(world, id, host))
+        .collect()
 }
--- a/crates/flaxdeck-emulator/src/fleet.rs
+++ b/crates/flaxdeck-emulator/src/fleet.rs
@@ -85,7 +85,17 @@
     pub fn of(binary: PathBuf, planners: usize, forwarders: usize) -> Setup {
         let (reserve, guided, plan_words, shown) = (0.0, planners > 0, "", false);
         let (first_file, state) = (false, false);
-        Setup { binary, planners, forwarders, reserve, guided, plan_words, shown, first_file, state }
+        Setup {
+            binary,
+            planners,
+            forwarders,
+            reserve,
+            guided,
+            plan_words,
+            shown,
+            first_file,
+            state,
+        }
     }
 }
 
@@ -110,9 +120,14 @@
 impl Fleet {
     pub fn start(world: World, setup: Setup) -> Result<Fleet, String> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let name = format!("flaxdeck-fleet-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+        let name = format!(
+            "flaxdeck-fleet-{}-{}",
+            std::process::id(),
+            NEXT.fetch_add(1, Ordering::Relaxed)
+        );
         let folder = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&folder).map_err(|error| format!("{}: {error}", folder.display()))?;
+        std::fs::create_dir_all(&folder)
+            .map_err(|error| format!("{}: {error}", folder.display()))?;
         write(&folder.join("fleet.key"), KEY)?;
         let mut fleet = Fleet {
             world,
@@ -128,14 +143,21 @@
         };
         for at in 0..fleet.setup.planners {
             fleet.planners.push(None);
-            fleet.planner_addresses.push(SocketAddr::from(([127, 0, 0, 1], 0)));
+            fleet
+                .planner_addresses
+                .push(SocketAddr::from(([127, 0, 0, 1], 0)));
             fleet.start_planner(at)?;
         }
         for at in 0..fleet.setup.forwarders {
-            let wires = fleet.planner_addresses.iter().map(|address| fleet.world.proxy(*address));
+            let wires = fleet
+                .planner_addresses
+                .iter()
+                .map(|address| fleet.world.proxy(*address));
             let wires = wires.collect::<Result<Vec<_>, _>>()?;
             fleet.planner_wires.push(wires);
-            fleet.coordinator_wires.push(fleet.world.proxy(fleet.world.coordinator)?);
+            fleet
+                .coordinator_wires
+                .push(fleet.world.proxy(fleet.world.coordinator)?);
             fleet.forwarders.push(None);
             fleet.start_forwarder(at)?;
         }
@@ -149,7 +171,11 @@
 
     fn plan(&self, addresses: &[SocketAddr], port: impl Fn(usize) -> u16, state: &str) -> String {
         let planner = |(at, address): (usize, &SocketAddr)| {
-            format!("(planner (name p{at}) (listen \"{}:{}\"))", address.ip(), port(at))
+            format!(
+                "(planner (name p{at}) (listen \"{}:{}\"))",
+                address.ip(),
+                port(at)
+            )
         };
         let planners: Vec<String> = addresses.iter().enumerate().map(planner).collect();
         format!(
@@ -162,22 +188,32 @@
 
     /// What the world says now, or what that file has said since its first start.
     fn config(&self, path: &Path, coordinator: SocketAddr) -> Result<serde_json::Value, String> {
-        let old = std::fs::read_to_string(path).ok().filter(|_| self.setup.first_file);
-        let Some(old) = old else { return Ok(self.world.config(coordinator)) };
+        let old = std::fs::read_to_string(path)
+            .ok()
+            .filter(|_| self.setup.first_file);
+        let Some(old) = old else {
+            return Ok(self.world.config(coordinator));
+        };
         serde_json::from_str(&old).map_err(|error| format!("{}: {error}", path.display()))
     }
 
     fn start_planner(&mut self, at: usize) -> Result<(), String> {
         // Its own port is chosen at the first start and kept; the others' do not matter to it.
         let own = self.planner_addresses[at].port();
-        let plan = self.plan(&self.planner_addresses, |other| if other == at { own } else { 0 }, "");
+        let plan = self.plan(
+            &self.planner_addresses,
+            |other| if other == at { own } else { 0 },
+            "",
+        );
         let plan_path = self.folder.join(format!("planner{at}.plan"));
         write(&plan_path, &plan)?;
         let config_path = self.folder.join(format!("planner{at}.json"));
         let config = self.config(&config_path, self.world.coordinator)?;
         write(&config_path, &config.to_string())?;
         let mut command = Command::new(&self.setup.binary);
-        command.args(["plan", "--name", &format!("p{at}"), "--config"]).arg(config_path);
+        command
+            .args(["plan", "--name", &format!("p{at}"), "--config"])
+            .arg(config_path);
         command.arg("--plan").arg(plan_path);
         let known = Some(self.planner_addresses[at]).filter(|address| address.port() != 0);
         let instance = self.spawn(command, known)?;
@@ -187,9 +223,16 @@
     }
 
     fn start_forwarder(&mut self, at: usize) -> Result<(), String> {
-        let addresses: Vec<SocketAddr> = self.planner_wires[at].iter().map(|wire| wire.address).collect();
+        let addresses: Vec<SocketAddr> = self.planner_wires[at]
+            .iter()
+            .map(|wire| wire.address)
+            .collect();
         let state = format!("(state (folder \"state{at}\"))");
-        let state = if self.setup.state && self.forwarders[at].is_some() { &*state } else { "" };
+        let state = if self.setup.state && self.forwarders[at].is_some() {
+            &*state
+        } else {
+            ""
+        };
         let plan = self.plan(&addresses, |planner| addresses[planner].port(), state);
         let plan_path = self.folder.join(format!("forwarder{at}.plan"));
         write(&plan_path, &plan)?;
@@ -203,7 +246,12 @@
         write(&config_path, &config.to_string())?;
         let mut command = Command::new(&self.setup.binary);
         if self.setup.guided {
-            command.arg("forward").arg("--config").arg(config_path).arg("--plan").arg(plan_path);
+            command
+                .arg("forward")
+                .arg("--config")
+                .arg(config_path)
+                .arg("--plan")
+                .arg(plan_path);
         } else {
             command.arg("forward").arg("--config").arg(config_path);
         }
@@ -216,11 +264,17 @@
     /// take its time.
     fn spawn(&self, mut command: Command, known: Option<SocketAddr>) -> Result<Instance, String> {
         if self.clocks_apart != 0 {
-            command.arg("--clock-apart-ms").arg(self.clocks_apart.to_string());
+            command
+                .arg("--clock-apart-ms")
+                .arg(self.clocks_apart.to_string());
         }
-        command.env_remove("GW_LISTEN").env_remove("GW_CONFIG").stdin(Stdio::null());
+        command
+            .env_remove("GW_LISTEN")
+            .env_remove("GW_CONFIG")
+            .stdin(Stdio::null());
         let spawned = command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn();
-        let mut child = spawned.map_err(|error| format!("{}: {error}", self.setup.binary.display()))?;
+        let mut child =
+            spawned.map_err(|error| format!("{}: {error}", self.setup.binary.display()))?;
         let stderr = child.stderr.take().ok_or("no standard error")?;
         let mut read = BufReader::new(stderr).lines().map_while(Result::ok);
         let (begun, mut said) = (Instant::now(), Vec::new());
@@ -249,7 +303,11 @@
 
     /// Where clients reach the forwarders.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.forwarders.iter().flatten().map(|forwarder| forwarder.address).collect()
+        self.forwarders
+            .iter()
+            .flatten()
+            .map(|forwarder| forwarder.address)
+            .collect()
     }
 
     /// All lines that the programs have logged so far.
@@ -260,18 +318,29 @@
     /// Bytes of reports and of guidance so far, over all forwarders and planners.
     pub fn spoken(&self) -> [u64; 2] {
         let wires = self.planner_wires.iter().flatten().map(Proxy::passed);
-        wires.fold([0, 0], |sum, passed| [sum[0] + passed[0], sum[1] + passed[1]])
+        wires.fold([0, 0], |sum, passed| {
+            [sum[0] + passed[0], sum[1] + passed[1]]
+        })
     }
 
     /// The most memory that a program has held, in KB; none where the system does not tell.
     pub fn memory_kb(&self, forwarder: usize) -> Option<u64> {
         let id = self.forwarders[forwarder].as_ref()?.child.id();
         let text = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
-        text.lines().find_map(|line| line.strip_prefix("VmHWM:")?.split_whitespace().next()?.parse().ok())
+        text.lines().find_map(|line| {
+            line.strip_prefix("VmHWM:")?
+                .split_whitespace()
+                .next()?
+                .parse()
+                .ok()
+        })
     }
 
     fn signal(child: &Child, name: &str) {
-        let _ = Command::new("kill").arg(format!("-{name}")).arg(child.id().to_string()).status();
+        let _ = Command::new("kill")
+            .arg(format!("-{name}"))
+            .arg(child.id().to_string())
+            .status();
     }
 
     /// Has one fault happen now.
@@ -279,28 +348,32 @@
         match fault {
             Fault::KillPlanner(at) => kill(&mut self.planners[*at]),
             Fault::StartPlanner(at) => self.start_planner(*at)?,
-            Fault::FreezePlanner(at) => {
-                self.planners[*at].iter().for_each(|p| Fleet::signal(&p.child, "STOP"))
-            }
-            Fault::ThawPlanner(at) => self.planners[*at].iter().for_each(|p| Fleet::signal(&p.child, "CONT")),
+            Fault::FreezePlanner(at) => self.planners[*at]
+                .iter()
+                .for_each(|p| Fleet::signal(&p.child, "STOP")),
+            Fault::ThawPlanner(at) => self.planners[*at]
+                .iter()
+                .for_each(|p| Fleet::signal(&p.child, "CONT")),
             Fault::KillForwarder(at) => {
                 if let Some(forwarder) = &mut self.forwarders[*at] {
                     let _ = (forwarder.child.kill(), forwarder.child.wait());
                 }
             }
             Fault::StartForwarder(at) => self.start_forwarder(*at)?,
-            Fault::FreezeForwarder(at) => {
-                self.forwarders[*at].iter().for_each(|f| Fleet::signal(&f.child, "STOP"))
-            }
-            Fault::ThawForwarder(at) => {
-                self.forwarders[*at].iter().for_each(|f| Fleet::signal(&f.child, "CONT"))
-            }
+            Fault::FreezeForwarder(at) => self.forwarders[*at]
+                .iter()
+                .for_each(|f| Fleet::signal(&f.child, "STOP")),
+            Fault::ThawForwarder(at) => self.forwarders[*at]
+                .iter()
+                .for_each(|f| Fleet::signal(&f.child, "CONT")),
             Fault::LoseState(at) => drop(std::fs::remove_dir_all(self.state(*at))), // there may be none
             Fault::ClocksApart(ms) => self.clocks_apart = *ms,
             Fault::PlannerWire(forwarder, planner, wire) => {
                 self.planner_wires[*forwarder][*planner].set(*wire)
             }
-            Fault::CoordinatorWire(forwarder, wire) => self.coordinator_wires[*forwarder].set(*wire),
+            Fault::CoordinatorWire(forwarder, wire) => {
+                self.coordinator_wires[*forwarder].set(*wire)
+            }
             Fault::Drain(host) => self.world.withdraw(host),
             Fault::Serve(host) => self.world.announce(host),
             Fault::KillHost(host) => self.world.kill(host),
@@ -338,12 +411,20 @@
 
 /// The address that a line of the log tells.
 fn listening(line: &str) -> Option<SocketAddr> {
-    line.split("listening at ").nth(1)?.split(',').next()?.parse().ok()
+    line.split("listening at ")
+        .nth(1)?
+        .split(',')
+        .next()?
+        .parse()
+        .ok()
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.forwarders.iter_mut().chain(&mut self.planners).for_each(kill);
+        self.forwarders
+            .iter_mut()
+            .chain(&mut self.planners)
+            .for_each(kill);
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
--- a/crates/flaxdeck-emulator/src/hosts.rs
+++ b/crates/flaxdeck-emulator/src/hosts.rs
@@ -38,7 +38,12 @@
                 _ = attend(&world, &id, stream) => {}
                 () = over(&world, &id, run) => {}
             }
-            if let Some(host) = world.lock().hosts.get_mut(&id).filter(|host| host.run == run) {
+            if let Some(host) = world
+                .lock()
+                .hosts
+                .get_mut(&id)
+                .filter(|host| host.run == run)
+            {
                 host.connections = host.connections.saturating_sub(1);
             }
         });
@@ -49,7 +54,9 @@
 fn let_in(world: &Inside, id: &str) -> bool {
     let (now, most) = (world.now(), world.layout.host_connections);
     let mut state = world.lock();
-    let Some(host) = state.hosts.get_mut(id) else { return false };
+    let Some(host) = state.hosts.get_mut(id) else {
+        return false;
+    };
     let taken = host.connections < most;
     host.connections += u32::from(taken);
     let held = host.connections;
@@ -65,7 +72,12 @@
         let notified = world.changed.notified();
         tokio::pin!(notified);
         notified.as_mut().enable();
-        if world.lock().hosts.get(id).is_none_or(|host| host.run != run || !host.up) {
+        if world
+            .lock()
+            .hosts
+            .get(id)
+            .is_none_or(|host| host.run != run || !host.up)
+        {
             return;
         }
         notified.await;
@@ -100,11 +112,19 @@
                         continue;
                     }
                 };
-                let Some((word, told, body)) = answer else { continue };
+                let Some((word, told, body)) = answer else {
+                    continue;
+                };
                 let head = format!("{request} {word} {told} {}\r\n", body.len());
-                write.write_all(&[head.as_bytes(), &body, b"\r\n"].concat()).await?;
+                write
+                    .write_all(&[head.as_bytes(), &body, b"\r\n"].concat())
+                    .await?;
+            }
+            ["there", tag] => {
+                write
+                    .write_all(format!("{tag} well - 0\r\n\r\n").as_bytes())
+                    .await?
             }
-            ["there", tag] => write.write_all(format!("{tag} well - 0\r\n\r\n").as_bytes()).await?,
             _ => {}
         }
     }
@@ -140,20 +160,34 @@
     let now = world.now();
     let mut state = world.lock();
     let state = &mut *state;
-    let Some(host) = state.hosts.get_mut(id).filter(|host| host.up) else { return Taken::Gone };
+    let Some(host) = state.hosts.get_mut(id).filter(|host| host.up) else {
+        return Taken::Gone;
+    };
     let work = kb / KB_PER_MS + START;
-    state.record.push((now, Seen::Arrived { host: id.to_owned() }));
+    state.record.push((
+        now,
+        Seen::Arrived {
+            host: id.to_owned(),
+        },
+    ));
     match host.manner {
         Manner::Silent => return Taken::Silent,
         Manner::Fail => return Taken::Failed,
         _ => {}
     }
     let pace = world.part(host, now);
-    let slow = if let Manner::Slow(times) = host.manner { times } else { 1.0 };
+    let slow = if let Manner::Slow(times) = host.manner {
+        times
+    } else {
+        1.0
+    };
     // A cold host has fewer places, the last of them a slower one.
     let capacity = (pace * host.places).max(0.2);
     let places = (capacity.ceil() as usize).clamp(1, host.busy.len());
-    let place = host.busy[..places].iter_mut().min_by(|a, b| a.total_cmp(b)).expect("a host has a place");
+    let place = host.busy[..places]
+        .iter_mut()
+        .min_by(|a, b| a.total_cmp(b))
+        .expect("a host has a place");
     let took = work * slow * places as f64 / capacity;
     if *place - now > QUEUE * took {
         return Taken::Full;
@@ -163,12 +197,22 @@
     host.handled += 1;
     host.work.push_back((now, work));
     host.spent += work;
-    while let Some((_, old)) = host.work.front().copied().filter(|(at, _)| *at <= now - world.layout.fall_ms)
+    while let Some((_, old)) = host
+        .work
+        .front()
+        .copied()
+        .filter(|(at, _)| *at <= now - world.layout.fall_ms)
     {
         host.spent -= old;
         host.work.pop_front();
     }
-    state.record.push((now, Seen::Work { host: id.to_owned(), cost: work }));
+    state.record.push((
+        now,
+        Seen::Work {
+            host: id.to_owned(),
+            cost: work,
+        },
+    ));
     let bears = world.layout.factor * pace * host.places * world.layout.fall_ms;
     if pace < 1.0 && host.spent > bears {
         (host.up, host.run) = (false, host.run + 1);
@@ -199,10 +243,20 @@
     let ended = match taken {
         Taken::Until(until) => {
             let made = if field("class") == "submit" {
-                world.see(Seen::Ran { effect: format!("{request} {object}") });
+                world.see(Seen::Ran {
+                    effect: format!("{request} {object}"),
+                });
                 Ok(world.now())
             } else {
-                copy(world, id, &object, field("fetch"), field("newer"), &mut told).await
+                copy(
+                    world,
+                    id,
+                    &object,
+                    field("fetch"),
+                    field("newer"),
+                    &mut told,
+                )
+                .await
             };
             sleep_until(world.instant(until)).await;
             made.map(|made| body_of(&object, made))
@@ -222,7 +276,10 @@
     });
     if ended.is_ok() && field("class") != "submit" {
         let mut state = world.lock();
-        let cache = state.hosts.get(id).is_some_and(|host| host.kind == Kind::Cache);
+        let cache = state
+            .hosts
+            .get(id)
+            .is_some_and(|host| host.kind == Kind::Cache);
         let pulse = state.pulse(now);
         pulse.cache_answers += u32::from(cache);
         pulse.cache_hits += u32::from(cache && told == "how=hit");
@@ -231,7 +288,11 @@
     Some(match ended {
         Ok(body) => {
             let stamp = world.unix_ms(world.now());
-            ("data", format!("version=v{object},stamp={stamp},{told},{stats}"), body)
+            (
+                "data",
+                format!("version=v{object},stamp={stamp},{told},{stats}"),
+                body,
+            )
         }
         Err((word, told)) if told == "-" => (word, stats, Vec::new()),
         Err((word, told)) => (word, format!("{told},{stats}"), Vec::new()),
@@ -247,16 +308,25 @@
     newer: &str,
     told: &mut String,
 ) -> Result<f64, (&'static str, String)> {
-    let oldest = newer.parse().map_or(f64::NEG_INFINITY, |age: f64| world.now() - age);
+    let oldest = newer
+        .parse()
+        .map_or(f64::NEG_INFINITY, |age: f64| world.now() - age);
     let (oldest, held) = {
         let state = world.lock();
         // Some time after a purge hosts have heard of it themselves.
-        let settled = state.purged.get(object).filter(|at| world.now() - **at > SETTLES);
+        let settled = state
+            .purged
+            .get(object)
+            .filter(|at| world.now() - **at > SETTLES);
         let oldest = settled.map_or(oldest, |at| oldest.max(*at));
         let host = state.hosts.get(id);
         let held = match host {
             Some(host) if host.kind == Kind::Origin => return Ok(world.now()),
-            Some(host) => host.held.get(object).copied().filter(|made| *made >= oldest),
+            Some(host) => host
+                .held
+                .get(object)
+                .copied()
+                .filter(|made| *made >= oldest),
             None => None,
         };
         (oldest, held)
@@ -274,7 +344,10 @@
         Err(why) => return Err(broke(why)),
     };
     let took = world.now() - begun;
-    *told = format!("how={},took={took:.1}", if via { "via_origin" } else { "filled" });
+    *told = format!(
+        "how={},took={took:.1}",
+        if via { "via_origin" } else { "filled" }
+    );
     if let Some(host) = world.lock().hosts.get_mut(id) {
         host.held.insert(object.to_owned(), made);
     }
@@ -294,7 +367,10 @@
     {
         let now = world.now();
         let mut state = world.lock();
-        let origin = state.hosts.get(source).is_some_and(|host| host.kind == Kind::Origin);
+        let origin = state
+            .hosts
+            .get(source)
+            .is_some_and(|host| host.kind == Kind::Origin);
         let pulse = state.pulse(now);
         pulse.origin_fills += u32::from(origin && matches!(taken, Taken::Until(_)));
         pulse.origin_refused += u32::from(origin && matches!(taken, Taken::Full));
@@ -310,13 +386,24 @@
     };
     let (kind, held) = {
         let mut state = world.lock();
-        let Some(host) = state.hosts.get(source) else { return Err("src_broke") };
-        let found = (host.kind, host.held.get(object).copied().filter(|made| *made >= oldest));
+        let Some(host) = state.hosts.get(source) else {
+            return Err("src_broke");
+        };
+        let found = (
+            host.kind,
+            host.held
+                .get(object)
+                .copied()
+                .filter(|made| *made >= oldest),
+        );
         state.fills_at_origin += u64::from(found.0 == Kind::Origin);
         found
     };
-    let latency =
-        if kind == Kind::Origin { world.layout.origin_latency } else { world.layout.parent_latency };
+    let latency = if kind == Kind::Origin {
+        world.layout.origin_latency
+    } else {
+        world.layout.parent_latency
+    };
     wait(latency).await;
     let filled = match (kind, held) {
         (Kind::Origin, _) => (world.now(), false),
@@ -329,8 +416,9 @@
                 .find(|(_, host)| host.kind == Kind::Origin)
                 .map(|(id, _)| id.clone());
             let origin = origin.ok_or("origin_failed")?;
-            let (made, _) =
-                Box::pin(fetch(world, &origin, object, oldest)).await.map_err(|_| "origin_failed")?;
+            let (made, _) = Box::pin(fetch(world, &origin, object, oldest))
+                .await
+                .map_err(|_| "origin_failed")?;
             if let Some(host) = world.lock().hosts.get_mut(source) {
                 host.held.insert(object.to_owned(), made);
             }
--- a/crates/flaxdeck-emulator/src/lib.rs
+++ b/crates/flaxdeck-emulator/src/lib.rs
@@ -61,16 +61,23 @@
 impl World {
     /// Starts hosts and a coordinator; port 0 throughout.
     pub fn start(layout: Layout) -> Result<World, String> {
-        let runtime =
-            tokio::runtime::Builder::new_multi_thread().worker_threads(THREADS).enable_all().build();
+        let runtime = tokio::runtime::Builder::new_multi_thread()
+            .worker_threads(THREADS)
+            .enable_all()
+            .build();
         let runtime = runtime.map_err(|error| format!("no runtime: {error}"))?;
         let inside = Inside::new(layout.clone());
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let entered = runtime.enter();
-        let (listener, coordinator) = hosts::open(any).map_err(|error| format!("no listener: {error}"))?;
+        let (listener, coordinator) =
+            hosts::open(any).map_err(|error| format!("no listener: {error}"))?;
         runtime.spawn(coordinator::serve(inside.clone(), listener));
         drop(entered);
-        let world = World { inside, runtime, coordinator };
+        let world = World {
+            inside,
+            runtime,
+            coordinator,
+        };
         let kinds = [
             (Kind::Cache, layout.caches, 0xca00, layout.cache_places),
             (Kind::Parent, layout.parents, 0x9a00, layout.parent_places),
@@ -88,13 +95,19 @@
     /// The names of all hosts of a kind.
     pub fn hosts(&self, kind: Kind) -> Vec<String> {
         let state = self.inside.lock();
-        state.hosts.iter().filter(|(_, host)| host.kind == kind).map(|(id, _)| id.clone()).collect()
+        state
+            .hosts
+            .iter()
+            .filter(|(_, host)| host.kind == kind)
+            .map(|(id, _)| id.clone())
+            .collect()
     }
 
     fn open(&self, id: &str, kind: Kind, places: f64) -> Result<(), String> {
         let _entered = self.runtime.enter();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let (listener, address) = hosts::open(any).map_err(|error| format!("no listener: {error}"))?;
+        let (listener, address) =
+            hosts::open(any).map_err(|error| format!("no listener: {error}"))?;
         let host = HostState {
             kind,
             address,
@@ -113,7 +126,12 @@
             connections: 0,
         };
         self.inside.lock().hosts.insert(id.to_owned(), host);
-        self.runtime.spawn(hosts::serve(self.inside.clone(), id.to_owned(), listener, 0));
+        self.runtime.spawn(hosts::serve(
+            self.inside.clone(),
+            id.to_owned(),
+            listener,
+            0,
+        ));
         Ok(())
     }
 
@@ -134,7 +152,12 @@
         let now = self.now();
         let mut state = self.inside.lock();
         state.purged.insert(object.to_owned(), now);
-        state.record.push((now, Seen::Purged { object: object.to_owned() }));
+        state.record.push((
+            now,
+            Seen::Purged {
+                object: object.to_owned(),
+            },
+        ));
     }
 
     /// What a dispatcher is started with.
@@ -224,14 +247,20 @@
         let now = self.now();
         {
             let mut state = self.inside.lock();
-            let Some(host) = state.hosts.get(id) else { return };
+            let Some(host) = state.hosts.get(id) else {
+                return;
+            };
             let payload = coordinator::record(&self.inside, id, host);
             let row = self.inside.row(id, host);
             state.known += 1;
             let known = state.known;
             let change = json!({"seq": known, "whole": false, "hosts": [row]});
-            state.events.push((known, json!({"index": known, "endpoints": change})));
-            state.frames.push((known, coordinator::frame(known, 2, &payload)));
+            state
+                .events
+                .push((known, json!({"index": known, "endpoints": change})));
+            state
+                .frames
+                .push((known, coordinator::frame(known, 2, &payload)));
             let list = coordinator::whole(&self.inside, &state);
             state.lists.push((known, list));
             state.record.extend(seen.map(|seen| (now, seen)));
@@ -248,13 +277,23 @@
     /// Announces that a host drains.
     pub fn withdraw(&self, id: &str) {
         self.set_state(id, 1);
-        self.tell(id, Some(Seen::Withdrawn { host: id.to_owned() }));
+        self.tell(
+            id,
+            Some(Seen::Withdrawn {
+                host: id.to_owned(),
+            }),
+        );
     }
 
     /// Announces that a host is in service.
     pub fn announce(&self, id: &str) {
         self.set_state(id, 0);
-        self.tell(id, Some(Seen::Announced { host: id.to_owned() }));
+        self.tell(
+            id,
+            Some(Seen::Announced {
+                host: id.to_owned(),
+            }),
+        );
     }
 
     /// A host dies without a word.
@@ -275,7 +314,12 @@
         let now = self.now();
         let run = {
             let mut state = self.inside.lock();
-            state.record.push((now, Seen::Started { host: id.to_owned() }));
+            state.record.push((
+                now,
+                Seen::Started {
+                    host: id.to_owned(),
+                },
+            ));
             let host = state.hosts.get_mut(id).ok_or("a host went")?;
             host.run += 1;
             (host.up, host.started, host.manner, host.state) = (true, Some(now), Manner::Serve, 0);
@@ -285,8 +329,18 @@
             host.busy.fill(0.0);
             host.run
         };
-        self.runtime.spawn(hosts::serve(self.inside.clone(), id.to_owned(), listener, run));
-        self.tell(id, Some(Seen::Announced { host: id.to_owned() }));
+        self.runtime.spawn(hosts::serve(
+            self.inside.clone(),
+            id.to_owned(),
+            listener,
+            run,
+        ));
+        self.tell(
+            id,
+            Some(Seen::Announced {
+                host: id.to_owned(),
+            }),
+        );
         Ok(())
     }
 
@@ -305,13 +359,23 @@
             state.known += 1;
             let known = state.known;
             let payload = [number.to_be_bytes(), self.inside.unix_ms(now).to_be_bytes()].concat();
-            state.frames.push((known, coordinator::frame(known, 3, &payload)));
+            state
+                .frames
+                .push((known, coordinator::frame(known, 3, &payload)));
             let made = self.inside.unix_ms(now);
-            state.events.push((known, json!({"index": known, "evict": {"ref": object, "unix_ms": made}})));
+            state.events.push((
+                known,
+                json!({"index": known, "evict": {"ref": object, "unix_ms": made}}),
+            ));
             let list = coordinator::whole(&self.inside, &state);
             state.lists.push((known, list));
             state.purged.insert(object.to_owned(), now);
-            state.record.push((now, Seen::Purged { object: object.to_owned() }));
+            state.record.push((
+                now,
+                Seen::Purged {
+                    object: object.to_owned(),
+                },
+            ));
         }
         self.inside.changed.notify_waiters();
     }
@@ -335,13 +399,18 @@
     pub fn terms(&self) -> Terms {
         let layout = &self.inside.layout;
         let state = self.inside.lock();
-        let cold = state.hosts.iter().filter(|(_, host)| host.kind != Kind::Origin);
+        let cold = state
+            .hosts
+            .iter()
+            .filter(|(_, host)| host.kind != Kind::Origin);
         Terms {
             grace: 1000.0,
             purge_grace: layout.purge_grace_ms,
             slack: 50.0,
             window: layout.fall_ms,
-            ramps: cold.map(|(id, host)| (id.clone(), self.inside.ramp(host.places))).collect(),
+            ramps: cold
+                .map(|(id, host)| (id.clone(), self.inside.ramp(host.places)))
+                .collect(),
         }
     }
 
--- a/crates/flaxdeck-emulator/src/proxy.rs
+++ b/crates/flaxdeck-emulator/src/proxy.rs
@@ -51,13 +51,17 @@
         let count = passed.clone();
         tokio::spawn(async move {
             loop {
-                let Ok((near, _)) = listener.accept().await else { continue };
+                let Ok((near, _)) = listener.accept().await else {
+                    continue;
+                };
                 if *watched.borrow() == Wire::Cut {
                     continue;
                 }
                 let (watched, count) = (watched.clone(), count.clone());
                 tokio::spawn(async move {
-                    let Ok(far) = TcpStream::connect(to).await else { return };
+                    let Ok(far) = TcpStream::connect(to).await else {
+                        return;
+                    };
                     let _ = (near.set_nodelay(true), far.set_nodelay(true));
                     let ((near_read, near_write), (far_read, far_write)) =
                         (near.into_split(), far.into_split());
@@ -69,7 +73,11 @@
                 });
             }
         });
-        Ok(Proxy { address, passed, wire: Arc::new(wire) })
+        Ok(Proxy {
+            address,
+            passed,
+            wire: Arc::new(wire),
+        })
     }
 }
 
@@ -85,7 +93,9 @@
 ) {
     let mut bytes = vec![0; 16 * 1024];
     loop {
-        let Ok(count @ 1..) = from.read(&mut bytes).await else { return };
+        let Ok(count @ 1..) = from.read(&mut bytes).await else {
+            return;
+        };
         let wire = *watched.borrow();
         match wire {
             Wire::Late(ms) => sleep(Duration::from_millis(ms)).await,
--- a/crates/flaxdeck-emulator/src/seekers.rs
+++ b/crates/flaxdeck-emulator/src/seekers.rs
@@ -84,7 +84,10 @@
         load: &Load,
         kinds: &[Patience],
     ) -> Seekers {
-        let seekers = Seekers { tally: Arc::default(), open: Arc::default() };
+        let seekers = Seekers {
+            tally: Arc::default(),
+            open: Arc::default(),
+        };
         let all: Arc<[SocketAddr]> = dispatchers.into();
         for at in 0..dispatchers.len() {
             let mut lanes: Vec<Vec<Planned>> = (0..LANES).map(|_| Vec::new()).collect();
@@ -172,12 +175,26 @@
 impl Lane {
     async fn run(mut self, planned: Vec<Planned>, mut heard: mpsc::UnboundedReceiver<Event>) {
         for (n, Planned { at, object, write }) in planned.into_iter().enumerate() {
-            let want = Want { object, write, first: None, tries: 0, broken: false, sent: 0.0 };
+            let want = Want {
+                object,
+                write,
+                first: None,
+                tries: 0,
+                broken: false,
+                sent: 0.0,
+            };
             self.due.insert(((at * 1000.0) as u64, n as u32), want);
         }
         while !(self.due.is_empty() && self.open.is_empty()) {
-            let next = self.due.keys().next().map(|(at, _)| self.world.instant(*at as f64 / 1000.0));
-            let late = self.open.values().map(|want| want.sent + self.wait as f64 + 500.0);
+            let next = self
+                .due
+                .keys()
+                .next()
+                .map(|(at, _)| self.world.instant(*at as f64 / 1000.0));
+            let late = self
+                .open
+                .values()
+                .map(|want| want.sent + self.wait as f64 + 500.0);
             let late = late.min_by(f64::total_cmp).map(|at| self.world.instant(at));
             let none = tokio::time::Instant::now;
             tokio::select! {
@@ -197,7 +214,9 @@
     }
 
     fn is(&self, link: u64) -> bool {
-        self.link.as_ref().is_some_and(|(_, number, _)| *number == link)
+        self.link
+            .as_ref()
+            .is_some_and(|(_, number, _)| *number == link)
     }
 
     fn request(&self, call: u32) -> String {
@@ -205,7 +224,9 @@
     }
 
     async fn send(&mut self) {
-        let Some((_, mut want)) = self.due.pop_first() else { return };
+        let Some((_, mut want)) = self.due.pop_first() else {
+            return;
+        };
         let now = self.world.now();
         let first = *want.first.get_or_insert(now);
         if self.away_since.is_some_and(|since| now - since > HOME) && self.open.is_empty() {
@@ -218,11 +239,16 @@
         let (call, now) = (self.call, self.world.now());
         (want.tries, want.sent) = (want.tries + 1, now);
         let request = self.request(call);
-        self.world.see(Seen::Asked { request: request.clone(), by: now + self.wait as f64 });
+        self.world.see(Seen::Asked {
+            request: request.clone(),
+            by: now + self.wait as f64,
+        });
         let again = want.tries > 1 && now > first;
         let bytes = message(call, &request, &want.object, want.write, self.wait, again);
         self.open.insert(call, want);
-        let Some((write, ..)) = &mut self.link else { return };
+        let Some((write, ..)) = &mut self.link else {
+            return;
+        };
         if write.write_all(&bytes).await.is_err() {
             self.ended();
         }
@@ -239,8 +265,11 @@
         let now = self.world.now();
         let own = self.away_since.is_none_or(|since| now - since > HOME);
         for _ in 0..3 {
-            let at =
-                if own && self.links_try() { self.own } else { self.chance.random_range(0..self.all.len()) };
+            let at = if own && self.links_try() {
+                self.own
+            } else {
+                self.chance.random_range(0..self.all.len())
+            };
             let connected = timeout(CONNECT, TcpStream::connect(self.all[at])).await;
             let Ok(Ok(stream)) = connected else {
                 self.away_since = Some(self.world.now());
@@ -252,22 +281,28 @@
             let (number, events) = (self.links, self.events.clone());
             let hears = tokio::spawn(hear(read, number, events));
             self.link = Some((write, number, hears));
-            self.away_since =
-                (at != self.own).then_some(self.away_since.unwrap_or(now)).filter(|_| at != self.own);
+            self.away_since = (at != self.own)
+                .then_some(self.away_since.unwrap_or(now))
+                .filter(|_| at != self.own);
             return true;
         }
         false
     }
 
     fn links_try(&self) -> bool {
-        self.away_since.is_none_or(|since| self.world.now() - since > HOME)
+        self.away_since
+            .is_none_or(|since| self.world.now() - since > HOME)
     }
 
     fn give_up_late(&mut self) {
         let now = self.world.now();
         let late = |want: &Want| now - want.sent > self.wait as f64 + 499.0;
-        let calls: Vec<u32> =
-            self.open.iter().filter(|(_, want)| late(want)).map(|(call, _)| *call).collect();
+        let calls: Vec<u32> = self
+            .open
+            .iter()
+            .filter(|(_, want)| late(want))
+            .map(|(call, _)| *call)
+            .collect();
         for call in calls {
             if let Some(want) = self.open.remove(&call) {
                 self.over(&want, End::Lost);
@@ -279,19 +314,31 @@
         self.hang_up();
         self.away_since = Some(self.world.now());
         for (call, mut want) in std::mem::take(&mut self.open) {
-            self.world.see(Seen::Left { request: self.request(call) });
+            self.world.see(Seen::Left {
+                request: self.request(call),
+            });
             want.broken = true;
             // What may have run is not asked again.
-            if want.write { self.over(&want, End::Lost) } else { self.again(want, None) }
+            if want.write {
+                self.over(&want, End::Lost)
+            } else {
+                self.again(want, None)
+            }
         }
     }
 
     fn answered(&mut self, spoken: Spoken) {
         let Some(want) = self.open.remove(&spoken.call) else {
             let request = self.request(spoken.call);
-            return self.world.see(Seen::Answered { request, how: spoken.how });
+            return self.world.see(Seen::Answered {
+                request,
+                how: spoken.how,
+            });
         };
-        self.world.see(Seen::Answered { request: self.request(spoken.call), how: spoken.how });
+        self.world.see(Seen::Answered {
+            request: self.request(spoken.call),
+            how: spoken.how,
+        });
         match spoken.how {
             Answer::Served => {
                 match made_of(&want.object, &spoken.body) {
@@ -320,16 +367,33 @@
         };
         let last = want.first.unwrap_or(now) + self.wait as f64;
         if self.patience == Patience::GivesUp || want.tries >= TRIES || now + pause > last {
-            return self.over(&want, if rejected.is_some() { End::Rejected } else { End::Lost });
+            return self.over(
+                &want,
+                if rejected.is_some() {
+                    End::Rejected
+                } else {
+                    End::Lost
+                },
+            );
         }
         self.call += 1;
-        self.due.insert((((now + pause) * 1000.0) as u64, self.call), want);
+        self.due
+            .insert((((now + pause) * 1000.0) as u64, self.call), want);
     }
 
     fn over(&self, want: &Want, end: End) {
         let first = want.first.unwrap_or(want.sent);
-        let fate = Fate { first, tries: want.tries, end, broken: want.broken };
-        self.tally.lock().expect("no holder panics").fates.push(fate);
+        let fate = Fate {
+            first,
+            tries: want.tries,
+            end,
+            broken: want.broken,
+        };
+        self.tally
+            .lock()
+            .expect("no holder panics")
+            .fates
+            .push(fate);
     }
 }
 
@@ -338,7 +402,9 @@
     while let Ok(count @ 1..) = from.read(&mut piece).await {
         bytes.extend_from_slice(&piece[..count]);
         while let Some(spoken) = read(&mut bytes) {
-            let Ok(spoken) = spoken else { return drop(events.send(Event::Ended(number))) };
+            let Ok(spoken) = spoken else {
+                return drop(events.send(Event::Ended(number)));
+            };
             if events.send(Event::Answered(number, spoken)).is_err() {
                 return;
             }
--- a/crates/flaxdeck-emulator/src/world.rs
+++ b/crates/flaxdeck-emulator/src/world.rs
@@ -172,7 +172,11 @@
 
 impl Inside {
     pub fn new(layout: Layout) -> Arc<Inside> {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_secs_f64()
+            * 1000.0;
         let state = State {
             hosts: BTreeMap::new(),
             record: Vec::new(),
@@ -221,12 +225,18 @@
 
     pub fn ramp(&self, places: f64) -> Ramp {
         let layout = &self.layout;
-        Ramp { places, from: layout.cold_from, within: layout.warm_within_ms, factor: layout.factor }
+        Ramp {
+            places,
+            from: layout.cold_from,
+            within: layout.warm_within_ms,
+            factor: layout.factor,
+        }
     }
 
     /// The part of its capacity that a host has.
     pub fn part(&self, host: &HostState, at: f64) -> f64 {
-        host.started.map_or(1.0, |started| self.ramp(host.places).part(at - started))
+        host.started
+            .map_or(1.0, |started| self.ramp(host.places).part(at - started))
     }
 
     /// A host's line as configurations hold it.
@@ -285,17 +295,28 @@
 
 /// KB of an object, which follow from its name: 100 to 339, so 10 to 31 ms of a place. Its bytes are fewer.
 pub fn kb_of(object: &str) -> u64 {
-    100 + u64::from_str_radix(object, 16).unwrap_or(0).wrapping_mul(0x9e37_79b9_7f4a_7c15) % 240
+    100 + u64::from_str_radix(object, 16)
+        .unwrap_or(0)
+        .wrapping_mul(0x9e37_79b9_7f4a_7c15)
+        % 240
 }
 
 /// The bytes of an object as it stood at that time: its name and version, over and over.
 pub fn body_of(object: &str, made: f64) -> Vec<u8> {
-    format!("{object} as of {made:.3}. ").repeat(20).into_bytes()
+    format!("{object} as of {made:.3}. ")
+        .repeat(20)
+        .into_bytes()
 }
 
 /// When the copy was made whose bytes these are; none if they are not the object's own throughout.
 pub fn made_of(object: &str, body: &[u8]) -> Option<f64> {
     let text = std::str::from_utf8(body).ok()?;
-    let made: f64 = text.strip_prefix(object)?.strip_prefix(" as of ")?.split(". ").next()?.parse().ok()?;
+    let made: f64 = text
+        .strip_prefix(object)?
+        .strip_prefix(" as of ")?
+        .split(". ")
+        .next()?
+        .parse()
+        .ok()?;
     (body_of(object, made) == body).then_some(made)
 }
--- a/crates/flaxdeck-fleet/src/faults.rs
+++ b/crates/flaxdeck-fleet/src/faults.rs
@@ -118,19 +118,30 @@
     pub fn of(kind: &str, mut ask: impl FnMut(&'static str) -> f64) -> Option<Trouble> {
         Some(match kind {
             "die" => Trouble::Die { part: ask("part") },
-            "deploy" => Trouble::Deploy { at_once: ask("at-once") as usize },
+            "deploy" => Trouble::Deploy {
+                at_once: ask("at-once") as usize,
+            },
             "late-register" => Trouble::LateRegister { ms: ask("ms") },
-            "lost-zone" => Trouble::LostZone { zone: ask("zone") as usize },
+            "lost-zone" => Trouble::LostZone {
+                zone: ask("zone") as usize,
+            },
             "lost-hub" => Trouble::LostHub,
             "hang" => Trouble::Hang { part: ask("part") },
             "fail" => Trouble::Fail { part: ask("part") },
-            "slow" => Trouble::Slow { part: ask("part"), times: ask("times") },
-            "slow-origin" => Trouble::SlowOrigin { times: ask("times") },
+            "slow" => Trouble::Slow {
+                part: ask("part"),
+                times: ask("times"),
+            },
+            "slow-origin" => Trouble::SlowOrigin {
+                times: ask("times"),
+            },
             "origin-refuses" => Trouble::OriginRefuses,
             "purge-all" => Trouble::PurgeAll,
             "scan" => Trouble::Scan { rate: ask("rate") },
             "hot" => Trouble::Hot { part: ask("part") },
-            "overload" => Trouble::Overload { times: ask("times") },
+            "overload" => Trouble::Overload {
+                times: ask("times"),
+            },
             "kill-forwarders" => Trouble::KillForwarders { part: ask("part") },
             "silent-planners" => Trouble::SilentPlanners,
             "split-planners" => Trouble::SplitPlanners,
@@ -156,5 +167,9 @@
     })?;
     let at_ms = day_ms * chance.random_range(0.25..0.45);
     let lasts_ms = day_ms * chance.random_range(0.2..0.35);
-    Some(Fault { at_ms, lasts_ms, trouble })
+    Some(Fault {
+        at_ms,
+        lasts_ms,
+        trouble,
+    })
 }
--- a/crates/flaxdeck-fleet/src/hosts.rs
+++ b/crates/flaxdeck-fleet/src/hosts.rs
@@ -29,7 +29,10 @@
 impl Copies {
     /// No copies yet, room for so many KB.
     pub fn new(most_kb: f64) -> Copies {
-        Copies { most_kb, ..Copies::default() }
+        Copies {
+            most_kb,
+            ..Copies::default()
+        }
     }
 
     /// KB of all copies.
@@ -44,7 +47,10 @@
 
     /// When the copy was made, if there is one made at `oldest` or later; using it makes it young.
     pub fn look(&mut self, object: u64, oldest: f64) -> Option<f64> {
-        let (rank, used, made, _) = self.held.get_mut(&object).filter(|(.., made, _)| *made >= oldest)?;
+        let (rank, used, made, _) = self
+            .held
+            .get_mut(&object)
+            .filter(|(.., made, _)| *made >= oldest)?;
         self.order.remove(&(*rank, *used));
         self.uses += 1;
         *used = self.uses;
@@ -56,7 +62,9 @@
     pub fn purge(&mut self, before: f64) {
         let old = self.held.iter().filter(|(_, (.., made, _))| *made < before);
         for object in old.map(|(object, _)| *object).collect::<Vec<_>>() {
-            let Some((rank, used, _, kb)) = self.held.remove(&object) else { continue };
+            let Some((rank, used, _, kb)) = self.held.remove(&object) else {
+                continue;
+            };
             self.order.remove(&(rank, used));
             self.kb -= kb;
         }
@@ -72,7 +80,9 @@
             return;
         }
         while self.kb + kb > self.most_kb {
-            let Some((_, gone)) = self.order.pop_first() else { break };
+            let Some((_, gone)) = self.order.pop_first() else {
+                break;
+            };
             self.kb -= self.held.remove(&gone).map_or(0.0, |(.., kb)| kb);
         }
         self.uses += 1;
@@ -170,15 +180,21 @@
 
     /// The part of its capacity that it has: it grows evenly during slow start.
     pub fn part(&self, now: f64, from: f64, within: f64) -> f64 {
-        self.started
-            .map_or(1.0, |started| (from + (1.0 - from) * (now - started) / within.max(1.0)).clamp(0.0, 1.0))
+        self.started.map_or(1.0, |started| {
+            (from + (1.0 - from) * (now - started) / within.max(1.0)).clamp(0.0, 1.0)
+        })
     }
 
     /// Books work; gives what was asked for within the window, that included.
     pub fn book(&mut self, now: f64, cost: f64, window: f64) -> f64 {
         self.spent.push_back((now, cost));
         self.sum += cost;
-        while let Some((_, old)) = self.spent.front().copied().filter(|(at, _)| *at <= now - window) {
+        while let Some((_, old)) = self
+            .spent
+            .front()
+            .copied()
+            .filter(|(at, _)| *at <= now - window)
+        {
             self.sum -= old;
             self.spent.pop_front();
         }
@@ -191,6 +207,9 @@
         (self.sum, self.told) = (0.0, 0.0);
         self.spent.clear();
         self.copies.clear();
-        self.waiting.drain(..).chain(self.served.drain(..)).collect()
+        self.waiting
+            .drain(..)
+            .chain(self.served.drain(..))
+            .collect()
     }
 }
--- a/crates/flaxdeck-fleet/src/links.rs
+++ b/crates/flaxdeck-fleet/src/links.rs
@@ -22,7 +22,10 @@
 impl Link {
     /// A link that carries so many KB a millisecond.
     pub fn new(pace: f64) -> Link {
-        Link { pace, ..Link::default() }
+        Link {
+            pace,
+            ..Link::default()
+        }
     }
 
     /// Transfers under way.
--- a/crates/flaxdeck-fleet/src/model/attempts.rs
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -41,12 +41,22 @@
 impl Model<'_> {
     /// Milliseconds between an attempt's forwarder and its host.
     pub(super) fn distance(&self, host: usize) -> f64 {
-        if self.hosts[host].kind == Kind::Cache { self.shape.near_ms } else { self.shape.far_ms }
+        if self.hosts[host].kind == Kind::Cache {
+            self.shape.near_ms
+        } else {
+            self.shape.far_ms
+        }
     }
 
     /// An attempt reaches its host.
     pub(super) fn at_host(&mut self, id: u64) {
-        let Some(attempt) = self.attempts.get(&id).filter(|attempt| attempt.ending.is_none()) else { return };
+        let Some(attempt) = self
+            .attempts
+            .get(&id)
+            .filter(|attempt| attempt.ending.is_none())
+        else {
+            return;
+        };
         let (host, kb) = (attempt.host, self.wants[attempt.want as usize].kb);
         match self.admit(host, Job::Answer(id), kb) {
             None | Some(Ending::TimedOut) => {}
@@ -56,7 +66,9 @@
 
     /// An attempt has ended where it was; word of it goes back.
     pub(super) fn end(&mut self, id: u64, ending: Ending, told: Told) {
-        let Some(attempt) = self.attempts.get_mut(&id) else { return };
+        let Some(attempt) = self.attempts.get_mut(&id) else {
+            return;
+        };
         if attempt.ending.is_some() {
             return self.forget(id);
         }
@@ -65,7 +77,11 @@
             attempt.told = told;
         }
         let host = attempt.host;
-        let near = if ending == Ending::TimedOut { 0.0 } else { self.distance(host) };
+        let near = if ending == Ending::TimedOut {
+            0.0
+        } else {
+            self.distance(host)
+        };
         self.after(near, Event::Ended { attempt: id });
     }
 
@@ -76,7 +92,9 @@
 
     /// Word of an attempt's end reaches its forwarder.
     pub(super) fn ended(&mut self, id: u64) {
-        let Some(attempt) = self.attempts.get(&id).cloned() else { return };
+        let Some(attempt) = self.attempts.get(&id).cloned() else {
+            return;
+        };
         let Some(ending) = attempt.ending else { return };
         // A cancelled or timed out one may still be worked on where it is.
         if ending != Ending::TimedOut {
@@ -89,7 +107,9 @@
             self.hand_out(&attempt);
         }
         let ended = self.end_as_told(&attempt, ending);
-        let decisions = self.forwarders[attempt.forwarder].engine.attempt_ended(time(self.now), ended);
+        let decisions = self.forwarders[attempt.forwarder]
+            .engine
+            .attempt_ended(time(self.now), ended);
         self.decide(attempt.forwarder, decisions);
     }
 
@@ -99,7 +119,11 @@
         let want = &self.wants[attempt.want as usize];
         if !want.write && want.out.is_some() {
             let object = want.object.to_string();
-            self.see(Seen::Copy { object, sent: attempt.sent, made: attempt.made });
+            self.see(Seen::Copy {
+                object,
+                sent: attempt.sent,
+                made: attempt.made,
+            });
         }
         self.answered(attempt.forwarder, attempt.request, Answer::Served, None);
     }
@@ -117,7 +141,10 @@
             took: Span::of_ms(self.now - attempt.sent),
             closed: answered,
             told: attempt.told,
-            waited: attempt.waited.filter(|_| attempt.source != attempt.host).map(Span::of_ms),
+            waited: attempt
+                .waited
+                .filter(|_| attempt.source != attempt.host)
+                .map(Span::of_ms),
             report: LoadReport {
                 link: over_link.then(|| self.sites[host.zone].link_load),
                 in_hand: answered.then_some(host.told),
--- a/crates/flaxdeck-fleet/src/model/build.rs
+++ b/crates/flaxdeck-fleet/src/model/build.rs
@@ -30,19 +30,39 @@
     }
     for n in 0..shape.parents {
         let id = format!("s-{:08x}", 0x9a0000 + n);
-        hosts.push(Host::new(id, Kind::Parent, usize::MAX, parent_places, parent_kb));
+        hosts.push(Host::new(
+            id,
+            Kind::Parent,
+            usize::MAX,
+            parent_places,
+            parent_kb,
+        ));
     }
-    hosts.push(Host::new("s-00000001".into(), Kind::Origin, usize::MAX, origin_places, 0.0));
+    hosts.push(Host::new(
+        "s-00000001".into(),
+        Kind::Origin,
+        usize::MAX,
+        origin_places,
+        0.0,
+    ));
     hosts
 }
 
 /// The planners of a shape, which know all its hosts.
 fn planners(shape: &Shape, hosts: &[Host]) -> Vec<Planner> {
-    let start =
-        |n: usize| Planner::start(time(0.0), Epoch(n as u64 + 1), pledges(shape.window_ms), Parts::NONE);
+    let start = |n: usize| {
+        Planner::start(
+            time(0.0),
+            Epoch(n as u64 + 1),
+            pledges(shape.window_ms),
+            Parts::NONE,
+        )
+    };
     let mut planners: Vec<Planner> = (0..shape.planners).map(start).collect();
     for host in hosts {
-        planners.iter_mut().for_each(|planner| planner.listed(time(0.0), &host.id, Some(0)));
+        planners
+            .iter_mut()
+            .for_each(|planner| planner.listed(time(0.0), &host.id, Some(0)));
     }
     planners
 }
@@ -53,7 +73,11 @@
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let traffic = Traffic::new(shape.law.clone(), &mut chance);
         let hosts = hosts(shape);
-        let names = hosts.iter().enumerate().map(|(at, host)| (host.id.clone(), at)).collect();
+        let names = hosts
+            .iter()
+            .enumerate()
+            .map(|(at, host)| (host.id.clone(), at))
+            .collect();
         let planners = planners(shape, &hosts);
         let mut model = Model {
             shape,
@@ -65,7 +89,9 @@
             names,
             forwarders: Vec::new(),
             planners,
-            sites: (0..shape.zones).map(|_| Site::new(shape.link_pace)).collect(),
+            sites: (0..shape.zones)
+                .map(|_| Site::new(shape.link_pace))
+                .collect(),
             wants: Vec::new(),
             attempts: HashMap::new(),
             requests: HashMap::new(),
--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -57,7 +57,11 @@
         let gap = self.traffic.gap(self.conditions.load, &mut self.chance);
         self.after(gap, Event::Arrival { zone });
         let hot = self.conditions.hot > 0.0 && self.chance.random_bool(self.conditions.hot);
-        let object = if hot { 0 } else { self.traffic.object(&mut self.chance) };
+        let object = if hot {
+            0
+        } else {
+            self.traffic.object(&mut self.chance)
+        };
         let write = self.traffic.writes(&mut self.chance);
         self.want(zone, object, write);
     }
@@ -75,7 +79,11 @@
     }
 
     fn want(&mut self, zone: usize, object: u64, write: bool) {
-        let kb = if write { WRITE_KB } else { self.traffic.kb(object) };
+        let kb = if write {
+            WRITE_KB
+        } else {
+            self.traffic.kb(object)
+        };
         let objective = self.now + OBJECTIVE_MS as f64 + STRETCH * kb / self.shape.place_pace;
         self.wants.push(Want {
             zone,
@@ -104,15 +112,30 @@
         let (tries, forwarder) = (want.tries, want.zone * self.shape.forwarders + place);
         let request = RequestId(self.number());
         let run = self.forwarders[forwarder].run;
-        self.wants[id as usize].out = Some(Try { forwarder, run, request });
+        self.wants[id as usize].out = Some(Try {
+            forwarder,
+            run,
+            request,
+        });
         self.outcome.requests += 1;
         let by = self.now + self.shape.wait_ms;
-        self.see(Seen::Asked { request: request.0.to_string(), by });
+        self.see(Seen::Asked {
+            request: request.0.to_string(),
+            by,
+        });
         self.after(self.shape.wait_ms, Event::ClientStops { want: id, tries });
-        self.forwarders[forwarder].open.insert(request, OpenRequest { want: id, attempts: 0 });
+        self.forwarders[forwarder].open.insert(
+            request,
+            OpenRequest {
+                want: id,
+                attempts: 0,
+            },
+        );
         self.requests.insert(request.0, id);
         let told = self.request(request, id);
-        let decisions = self.forwarders[forwarder].engine.request(time(self.now), told);
+        let decisions = self.forwarders[forwarder]
+            .engine
+            .request(time(self.now), told);
         self.decide(forwarder, decisions);
     }
 
@@ -138,11 +161,21 @@
             return;
         }
         // This try had its answer, and the next one waits for its time.
-        let Some(Try { forwarder, run, request }) = want.out.take() else { return };
+        let Some(Try {
+            forwarder,
+            run,
+            request,
+        }) = want.out.take()
+        else {
+            return;
+        };
         // Unanswered on a whole connection: the record shows it.
-        if self.forwarders[forwarder].run == run && self.forwarders[forwarder].open.remove(&request).is_some()
+        if self.forwarders[forwarder].run == run
+            && self.forwarders[forwarder].open.remove(&request).is_some()
         {
-            let decisions = self.forwarders[forwarder].engine.client_left(time(self.now), request);
+            let decisions = self.forwarders[forwarder]
+                .engine
+                .client_left(time(self.now), request);
             self.decide(forwarder, decisions);
         }
         self.retry(id, RETRY_AFTER_TIMEOUT_MS);
@@ -174,9 +207,20 @@
     }
 
     /// A forwarder answers a request, unless it had its answer before.
-    pub(super) fn answered(&mut self, n: usize, request: RequestId, how: Answer, retry_after: Option<Span>) {
-        let Some(OpenRequest { want, .. }) = self.forwarders[n].open.remove(&request) else { return };
-        self.see(Seen::Answered { request: request.0.to_string(), how });
+    pub(super) fn answered(
+        &mut self,
+        n: usize,
+        request: RequestId,
+        how: Answer,
+        retry_after: Option<Span>,
+    ) {
+        let Some(OpenRequest { want, .. }) = self.forwarders[n].open.remove(&request) else {
+            return;
+        };
+        self.see(Seen::Answered {
+            request: request.0.to_string(),
+            how,
+        });
         self.note([request.0, how as u64, (self.now * 1000.0) as u64]);
         match how {
             Answer::Served => self.want_served(want),
--- a/crates/flaxdeck-fleet/src/model/coordinator.rs
+++ b/crates/flaxdeck-fleet/src/model/coordinator.rs
@@ -37,7 +37,11 @@
             zone: (host.kind == Kind::Cache).then_some(ZoneId(host.zone)),
             cell: CellId(0),
             role,
-            health: if host.up { Health::InService } else { Health::Removed },
+            health: if host.up {
+                Health::InService
+            } else {
+                Health::Removed
+            },
             started: host.started.map(|at| Time::at_ms(time(at).ms().floor())),
         }
     }
@@ -58,8 +62,13 @@
 
     /// A host is withdrawn, and starts again a while later.
     pub(super) fn drain(&mut self, at: usize) {
-        let endpoint = Endpoint { health: Health::Draining, ..self.endpoint(at) };
-        self.see(Seen::Withdrawn { host: self.hosts[at].id.clone() });
+        let endpoint = Endpoint {
+            health: Health::Draining,
+            ..self.endpoint(at)
+        };
+        self.see(Seen::Withdrawn {
+            host: self.hosts[at].id.clone(),
+        });
         self.publish(CoordinatorEvent::Endpoint(endpoint));
         self.after(DRAIN_MS, Event::Restart { host: at });
     }
@@ -72,7 +81,10 @@
                 Job::Fill(id) | Job::Behind(id) => self.fill_failed(id, Told::SourceUnreached),
             }
         }
-        let endpoint = Endpoint { health: Health::Removed, ..self.endpoint(at) };
+        let endpoint = Endpoint {
+            health: Health::Removed,
+            ..self.endpoint(at)
+        };
         self.publish(CoordinatorEvent::Endpoint(endpoint));
     }
 
@@ -100,7 +112,10 @@
             self.apply(n, number);
         }
         let now = time(self.now);
-        self.forwarders[n].guide.iter_mut().for_each(|guide| guide.coordinator_heard(now));
+        self.forwarders[n]
+            .guide
+            .iter_mut()
+            .for_each(|guide| guide.coordinator_heard(now));
     }
 
     /// A forwarder applies the event of that number.
@@ -109,7 +124,10 @@
         match self.coordinator_events[number as usize - 1].clone() {
             CoordinatorEvent::Endpoint(endpoint) => {
                 let now = time(self.now);
-                let decisions = self.forwarders[n].engine.list(now, ListKind::Delta, vec![endpoint]);
+                let decisions =
+                    self.forwarders[n]
+                        .engine
+                        .list(now, ListKind::Delta, vec![endpoint]);
                 self.decide(n, decisions);
             }
             CoordinatorEvent::PurgeAll(made) => self.purge(n, time(made)),
@@ -118,7 +136,10 @@
 
     fn purge(&mut self, n: usize, made: Time) {
         for group in 0..GROUPS {
-            let decisions = self.forwarders[n].engine.purge(time(self.now), None, GroupId(group), made);
+            let decisions =
+                self.forwarders[n]
+                    .engine
+                    .purge(time(self.now), None, GroupId(group), made);
             self.decide(n, decisions);
         }
     }
--- a/crates/flaxdeck-fleet/src/model/decisions.rs
+++ b/crates/flaxdeck-fleet/src/model/decisions.rs
@@ -10,11 +10,20 @@
 impl Model<'_> {
     /// Carries out decisions: cancellations first, then attempts, answers, and the next waking.
     pub(super) fn decide(&mut self, n: usize, decisions: Decisions) {
-        decisions.cancels.into_iter().for_each(|cancel| self.cancel(&cancel));
-        decisions.attempts.into_iter().for_each(|attempt| self.begin_attempt(n, &attempt));
+        decisions
+            .cancels
+            .into_iter()
+            .for_each(|cancel| self.cancel(&cancel));
+        decisions
+            .attempts
+            .into_iter()
+            .for_each(|attempt| self.begin_attempt(n, &attempt));
         for last in decisions.finals {
             match last {
-                Final::Rejected { request, retry_after } => {
+                Final::Rejected {
+                    request,
+                    retry_after,
+                } => {
                     self.answered(n, request, Answer::Rejected, retry_after);
                 }
                 Final::Failed { request } => self.answered(n, request, Answer::Failed, None),
@@ -23,14 +32,21 @@
         // Every wish stands beside the earlier ones.
         if let Some(wake) = decisions.wake {
             let run = self.forwarders[n].run;
-            self.after((ms(wake) - self.now).max(0.001), Event::Wake { forwarder: n, run });
+            self.after(
+                (ms(wake) - self.now).max(0.001),
+                Event::Wake { forwarder: n, run },
+            );
         }
     }
 
     fn cancel(&mut self, cancel: &Cancel) {
-        let Some(want) = self.requests.get(&cancel.request.0) else { return };
+        let Some(want) = self.requests.get(&cancel.request.0) else {
+            return;
+        };
         for id in &self.wants[*want as usize].attempts {
-            let Some(attempt) = self.attempts.get_mut(id) else { continue };
+            let Some(attempt) = self.attempts.get_mut(id) else {
+                continue;
+            };
             if (attempt.request, attempt.index) == (cancel.request, cancel.index.0) {
                 attempt.ending = Some(Ending::Cancelled);
             }
@@ -40,7 +56,9 @@
     /// A forwarder sends a request to a host.
     fn begin_attempt(&mut self, n: usize, decided: &Attempt) {
         let run = self.forwarders[n].run;
-        let Some(open) = self.forwarders[n].open.get_mut(&decided.request) else { return };
+        let Some(open) = self.forwarders[n].open.get_mut(&decided.request) else {
+            return;
+        };
         let (want, index) = (open.want, open.attempts);
         open.attempts += 1;
         let host = self.names[&*decided.host.0];
@@ -54,7 +72,9 @@
             want,
             host,
             source,
-            oldest: decided.oldest.map_or(f64::NEG_INFINITY, |age| self.now - age.ms()),
+            oldest: decided
+                .oldest
+                .map_or(f64::NEG_INFINITY, |age| self.now - age.ms()),
             keep: decided.keep,
             only_held: decided.only_held,
             sent: self.now,
--- a/crates/flaxdeck-fleet/src/model/events.rs
+++ b/crates/flaxdeck-fleet/src/model/events.rs
@@ -24,7 +24,11 @@
     /// An attempt's allowed time is up.
     TimeUp { attempt: u64 },
     /// A fill reaches its source: a parent or the origin, asked by a cache, or (`behind`) the origin, asked by a parent.
-    FillAt { attempt: u64, source: usize, behind: bool },
+    FillAt {
+        attempt: u64,
+        source: usize,
+        behind: bool,
+    },
     /// A fill's source has said nothing for too long.
     SourceSilent { attempt: u64 },
     /// A host is done with a job.
@@ -40,9 +44,18 @@
     /// A forwarder reports to all planners.
     Report { forwarder: usize, run: u32 },
     /// A report reaches a planner.
-    Reported { planner: usize, forwarder: usize, report: Box<Report> },
+    Reported {
+        planner: usize,
+        forwarder: usize,
+        report: Box<Report>,
+    },
     /// Guidance reaches a forwarder.
-    Guided { planner: usize, forwarder: usize, run: u32, guidance: Box<Guidance> },
+    Guided {
+        planner: usize,
+        forwarder: usize,
+        run: u32,
+        guidance: Box<Guidance>,
+    },
     /// Hosts and links are sampled for what they tell of their load.
     Samples,
     /// Hosts have dropped by themselves what was made before that time.
@@ -68,8 +81,16 @@
             Event::Wake { forwarder, run } => self.wake(forwarder, run),
             Event::AtHost { attempt } => self.at_host(attempt),
             Event::TimeUp { attempt } => self.time_up(attempt),
-            Event::FillAt { attempt, source, behind } => {
-                let job = if behind { Job::Behind(attempt) } else { Job::Fill(attempt) };
+            Event::FillAt {
+                attempt,
+                source,
+                behind,
+            } => {
+                let job = if behind {
+                    Job::Behind(attempt)
+                } else {
+                    Job::Fill(attempt)
+                };
                 self.fill_at(attempt, source, job);
             }
             Event::SourceSilent { attempt } => self.fill_failed(attempt, Told::SourceUnreached),
@@ -83,12 +104,24 @@
             Event::ForwarderHears { forwarder, number } => self.forwarder_hears(forwarder, number),
             Event::PlannerHears { planner, number } => self.planner_hears(planner, number),
             Event::Report { forwarder, run } => self.report(forwarder, run),
-            Event::Reported { planner, forwarder, report } => self.reported(planner, forwarder, &report),
-            Event::Guided { planner, forwarder, run, guidance } => {
+            Event::Reported {
+                planner,
+                forwarder,
+                report,
+            } => self.reported(planner, forwarder, &report),
+            Event::Guided {
+                planner,
+                forwarder,
+                run,
+                guidance,
+            } => {
                 self.guided(forwarder, planner, run, *guidance);
             }
             Event::Samples => self.sample(),
-            Event::PurgeSettles { made } => self.hosts.iter_mut().for_each(|host| host.copies.purge(made)),
+            Event::PurgeSettles { made } => self
+                .hosts
+                .iter_mut()
+                .for_each(|host| host.copies.purge(made)),
             Event::FaultBegins { fault } => self.fault_begins(fault),
             Event::FaultEnds { fault } => self.fault_ends(fault),
             Event::Restart { host } => self.restart(host),
@@ -104,7 +137,11 @@
     }
 
     fn time_up(&mut self, attempt: u64) {
-        if self.attempts.get(&attempt).is_some_and(|attempt| attempt.ending.is_none()) {
+        if self
+            .attempts
+            .get(&attempt)
+            .is_some_and(|attempt| attempt.ending.is_none())
+        {
             self.end(attempt, Ending::TimedOut, Told::Nothing);
         }
     }
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -45,7 +45,10 @@
         older: Span::ZERO,
     };
     Terms {
-        classes: vec![class(Repeats::Idempotent, false), class(Repeats::AtMostOnce, true)],
+        classes: vec![
+            class(Repeats::Idempotent, false),
+            class(Repeats::AtMostOnce, true),
+        ],
         zone: ZoneId(zone),
         zone_dispatchers: vec![shape.forwarders as u32; shape.zones],
         dispatchers: (shape.forwarders * shape.zones) as u32,
@@ -79,7 +82,13 @@
         let (engine, _) = Brain::start(now, seed, terms(self.shape, zone));
         let guide = (self.shape.planners > 0).then(|| self.guide(n, run));
         let last_event = self.coordinator_events.len() as u64;
-        Forwarder { engine, guide, run, last_event, open: BTreeMap::new() }
+        Forwarder {
+            engine,
+            guide,
+            run,
+            last_event,
+            open: BTreeMap::new(),
+        }
     }
 
     fn guide(&self, n: usize, run: u32) -> Guide {
@@ -103,14 +112,23 @@
             let run = self.forwarders[n].run;
             self.after(spread, Event::Report { forwarder: n, run });
         }
-        let decisions = self.forwarders[n].engine.list(time(self.now), ListKind::Full, endpoints);
+        let decisions = self.forwarders[n]
+            .engine
+            .list(time(self.now), ListKind::Full, endpoints);
         self.decide(n, decisions);
     }
 
     /// A forwarder's decision engine learns what its guide knows by now.
     pub(super) fn take_hints(&mut self, n: usize) {
         let now = time(self.now);
-        let Forwarder { engine, guide: Some(guide), .. } = &mut self.forwarders[n] else { return };
+        let Forwarder {
+            engine,
+            guide: Some(guide),
+            ..
+        } = &mut self.forwarders[n]
+        else {
+            return;
+        };
         let decisions = engine.guided(now, guide.hints(now));
         self.decide(n, decisions);
     }
@@ -121,7 +139,9 @@
         for n in 0..count {
             let open = std::mem::take(&mut self.forwarders[n].open);
             for (request, OpenRequest { want, .. }) in open {
-                self.see(Seen::Left { request: request.0.to_string() });
+                self.see(Seen::Left {
+                    request: request.0.to_string(),
+                });
                 self.retry_unless_write(want, RETRY_AFTER_LOST_FORWARDER_MS);
             }
             let run = self.forwarders[n].run + 1;
--- a/crates/flaxdeck-fleet/src/model/planners.rs
+++ b/crates/flaxdeck-fleet/src/model/planners.rs
@@ -22,20 +22,31 @@
 
 /// The coordinator of the model never loses its numbering: a number is its event.
 fn mark(number: u64) -> Mark {
-    Mark { number, hash: number }
+    Mark {
+        number,
+        hash: number,
+    }
 }
 
 impl Model<'_> {
     /// The coordinator's event of that number reaches a planner.
     pub(super) fn planner_hears(&mut self, planner: usize, number: u64) {
         let now = time(self.now);
-        if let CoordinatorEvent::Endpoint(endpoint) = &self.coordinator_events[number as usize - 1] {
+        if let CoordinatorEvent::Endpoint(endpoint) = &self.coordinator_events[number as usize - 1]
+        {
             let started = endpoint.started.map_or(0, |at| at.ms() as u64);
             let started = (endpoint.health != Health::Removed).then_some(started);
             self.planners[planner].listed(now, &endpoint.host.0, started);
         }
         let frame = number.to_be_bytes().to_vec();
-        self.planners[planner].coordinator(now, Some(Relayed { mark: mark(number), frame }), true);
+        self.planners[planner].coordinator(
+            now,
+            Some(Relayed {
+                mark: mark(number),
+                frame,
+            }),
+            true,
+        );
     }
 
     /// A forwarder reports to the planners that it reaches, and plans its next report.
@@ -49,7 +60,11 @@
         for (planner, report) in reports {
             self.after(
                 self.shape.far_ms,
-                Event::Reported { planner, forwarder: n, report: Box::new(report) },
+                Event::Reported {
+                    planner,
+                    forwarder: n,
+                    report: Box::new(report),
+                },
             );
         }
     }
@@ -57,14 +72,23 @@
     /// A forwarder's reports by the planners that they go to.
     fn reports(&mut self, n: usize) -> Vec<(usize, Report)> {
         let now = time(self.now);
-        let reached: Vec<usize> = (0..self.planners.len()).filter(|at| self.reaches(n, *at)).collect();
+        let reached: Vec<usize> = (0..self.planners.len())
+            .filter(|at| self.reaches(n, *at))
+            .collect();
         let forwarder = &mut self.forwarders[n];
-        let Some(guide) = &mut forwarder.guide else { return Vec::new() };
+        let Some(guide) = &mut forwarder.guide else {
+            return Vec::new();
+        };
         let observations = forwarder.engine.observations(now);
         guide.stand(now, &observations);
         guide.link(ZoneId(n / self.shape.forwarders), forwarder.engine.link);
         let known = mark(forwarder.last_event);
-        let mut report = |at: usize| (at, guide.report(now, PlannerId(at as u32), &observations, known));
+        let mut report = |at: usize| {
+            (
+                at,
+                guide.report(now, PlannerId(at as u32), &observations, known),
+            )
+        };
         reached.into_iter().map(&mut report).collect()
     }
 
@@ -78,9 +102,19 @@
         if self.conditions.planners_silent {
             return;
         }
-        let Ok(guidance) = self.planners[planner].report(time(self.now), report) else { return };
+        let Ok(guidance) = self.planners[planner].report(time(self.now), report) else {
+            return;
+        };
         let (run, guidance) = (self.forwarders[forwarder].run, Box::new(guidance));
-        self.after(self.shape.far_ms, Event::Guided { planner, forwarder, run, guidance });
+        self.after(
+            self.shape.far_ms,
+            Event::Guided {
+                planner,
+                forwarder,
+                run,
+                guidance,
+            },
+        );
     }
 
     /// Guidance reaches a forwarder.
@@ -89,10 +123,14 @@
             return;
         }
         let known = mark(self.forwarders[n].last_event);
-        let Some(guide) = &mut self.forwarders[n].guide else { return };
+        let Some(guide) = &mut self.forwarders[n].guide else {
+            return;
+        };
         let told = guide.guided(time(self.now), PlannerId(planner as u32), guidance, known);
         let Ok(events) = told else { return };
-        events.iter().for_each(|event| self.apply(n, event.mark.number));
+        events
+            .iter()
+            .for_each(|event| self.apply(n, event.mark.number));
         self.take_hints(n);
     }
 }
--- a/crates/flaxdeck-fleet/src/model/record.rs
+++ b/crates/flaxdeck-fleet/src/model/record.rs
@@ -66,7 +66,11 @@
         let mut reads: Vec<&Want> = self.wants.iter().filter(|want| !want.write).collect();
         reads.sort_by(|one, other| other.kb.total_cmp(&one.kb));
         let (tenth, next) = (reads.len() / 10, reads.len() * 3 / 10);
-        [served_part(&reads), served_part(&reads[..tenth]), served_part(&reads[tenth..next])]
+        [
+            served_part(&reads),
+            served_part(&reads[..tenth]),
+            served_part(&reads[tenth..next]),
+        ]
     }
 }
 
--- a/crates/flaxdeck-fleet/src/model/service.rs
+++ b/crates/flaxdeck-fleet/src/model/service.rs
@@ -42,7 +42,9 @@
         if !self.hosts[at].up {
             return Some(Ending::NotConnected);
         }
-        self.see(Seen::Arrived { host: self.hosts[at].id.clone() });
+        self.see(Seen::Arrived {
+            host: self.hosts[at].id.clone(),
+        });
         match self.hosts[at].manner {
             Manner::Silent => return Some(Ending::TimedOut),
             Manner::Fail => return Some(Ending::Errored),
@@ -66,7 +68,10 @@
     fn falls_over(&mut self, at: usize, cost: f64) -> bool {
         let shape = self.shape;
         let asked = self.hosts[at].book(self.now, cost, shape.window_ms);
-        self.see(Seen::Work { host: self.hosts[at].id.clone(), cost });
+        self.see(Seen::Work {
+            host: self.hosts[at].id.clone(),
+            cost,
+        });
         let host = &self.hosts[at];
         let part = host.part(self.now, shape.cold_from, shape.warm_within_ms);
         let bearable = shape.factor * part * host.places * shape.window_ms;
@@ -76,14 +81,18 @@
     /// Gives free places to what waits.
     pub(super) fn start(&mut self, at: usize) {
         while self.hosts[at].up && self.hosts[at].busy < self.capacity(at) {
-            let Some(job) = self.hosts[at].waiting.pop_front() else { return };
+            let Some(job) = self.hosts[at].waiting.pop_front() else {
+                return;
+            };
             self.start_job(at, job);
         }
     }
 
     fn start_job(&mut self, at: usize, job: Job) {
         let id = job.attempt();
-        let Some(attempt) = self.attempts.get(&id) else { return };
+        let Some(attempt) = self.attempts.get(&id) else {
+            return;
+        };
         if attempt.ending.is_some() && matches!(job, Job::Answer(_)) {
             return self.forget(id);
         }
@@ -93,7 +102,9 @@
         host.served.push(job);
         let held = match host.kind {
             Kind::Origin => Some(self.now),
-            Kind::Cache | Kind::Parent => host.copies.look(self.wants[want as usize].object, oldest),
+            Kind::Cache | Kind::Parent => {
+                host.copies.look(self.wants[want as usize].object, oldest)
+            }
         };
         match held {
             Some(made) => self.serve(at, job, made),
@@ -103,7 +114,9 @@
 
     /// A host has what was asked for, made then, and works on it.
     fn serve(&mut self, at: usize, job: Job, made: f64) {
-        let Some(attempt) = self.attempts.get_mut(&job.attempt()) else { return };
+        let Some(attempt) = self.attempts.get_mut(&job.attempt()) else {
+            return;
+        };
         let (is_origin, run) = (self.hosts[at].kind == Kind::Origin, self.hosts[at].run);
         attempt.made = made;
         let want = &self.wants[attempt.want as usize];
--- a/crates/flaxdeck-fleet/src/model/sites.rs
+++ b/crates/flaxdeck-fleet/src/model/sites.rs
@@ -29,7 +29,12 @@
 impl Site {
     /// A location whose link carries so many KB a millisecond.
     pub(super) fn new(pace: f64) -> Site {
-        Site { link: Link::new(pace), link_load: 0.0, turn: 0, transfers: HashMap::new() }
+        Site {
+            link: Link::new(pace),
+            link_load: 0.0,
+            turn: 0,
+            transfers: HashMap::new(),
+        }
     }
 
     /// A transfer of so many KB begins, for that attempt.
@@ -47,7 +52,10 @@
         let turn = site.turn;
         if let Some(end) = site.link.next_end() {
             // Rounded up to the queue's grain, so that it has ended then.
-            self.after(end - self.now + GRAIN_MS, Event::TransferEnds { zone, turn });
+            self.after(
+                end - self.now + GRAIN_MS,
+                Event::TransferEnds { zone, turn },
+            );
         }
     }
 
@@ -67,7 +75,8 @@
     /// Hosts and links are sampled.
     pub(super) fn sample(&mut self) {
         for host in &mut self.hosts {
-            host.told = (host.busy + host.waiting.len()) as f64 * self.chance.random_range(0.9..1.1);
+            host.told =
+                (host.busy + host.waiting.len()) as f64 * self.chance.random_range(0.9..1.1);
         }
         let fits = (self.shape.link_pace / self.shape.place_pace).max(1.0);
         for site in &mut self.sites {
--- a/crates/flaxdeck-fleet/src/model/troubles.rs
+++ b/crates/flaxdeck-fleet/src/model/troubles.rs
@@ -118,7 +118,9 @@
     fn struck_by(&mut self, trouble: &Trouble) -> Vec<usize> {
         match *trouble {
             Trouble::Die { part } => self.draw_hosts(part, |host| host.kind != Kind::Origin),
-            Trouble::LostZone { zone } => self.draw_hosts(1.0, |host| is_cache(host) && host.zone == zone),
+            Trouble::LostZone { zone } => {
+                self.draw_hosts(1.0, |host| is_cache(host) && host.zone == zone)
+            }
             Trouble::LostHub => {
                 let mut parents = self.draw_hosts(1.0, |host| host.kind == Kind::Parent);
                 parents.pop();
@@ -133,7 +135,9 @@
 
     /// So large a part of the hosts that the choice allows, drawn.
     fn draw_hosts(&mut self, part: f64, choice: impl Fn(&Host) -> bool) -> Vec<usize> {
-        let mut all: Vec<usize> = (0..self.hosts.len()).filter(|at| choice(&self.hosts[*at])).collect();
+        let mut all: Vec<usize> = (0..self.hosts.len())
+            .filter(|at| choice(&self.hosts[*at]))
+            .collect();
         let count = ((all.len() as f64 * part).ceil() as usize).min(all.len());
         for at in 0..count {
             let with = self.chance.random_range(at..all.len());
@@ -144,7 +148,9 @@
     }
 
     fn set_manner(&mut self, hosts: &[usize], manner: Manner) {
-        hosts.iter().for_each(|host| self.hosts[*host].manner = manner);
+        hosts
+            .iter()
+            .for_each(|host| self.hosts[*host].manner = manner);
     }
 
     /// All caches are drained and started again, so many at a time.
@@ -152,7 +158,9 @@
         let caches = self.draw_hosts(1.0, is_cache);
         for (turn, group) in caches.chunks(at_once.max(1)).enumerate() {
             let after = turn as f64 * DEPLOY_STEP_MS;
-            group.iter().for_each(|host| self.after(after, Event::Drain { host: *host }));
+            group
+                .iter()
+                .for_each(|host| self.after(after, Event::Drain { host: *host }));
         }
     }
 
@@ -161,7 +169,9 @@
         if self.shape.judged {
             let objects: BTreeSet<u64> = self.wants.iter().map(|want| want.object).collect();
             for object in objects {
-                self.see(Seen::Purged { object: object.to_string() });
+                self.see(Seen::Purged {
+                    object: object.to_string(),
+                });
             }
         }
         self.publish(CoordinatorEvent::PurgeAll(self.now));
--- a/crates/flaxdeck-fleet/src/queue.rs
+++ b/crates/flaxdeck-fleet/src/queue.rs
@@ -49,7 +49,14 @@
 impl<T> Default for Queue<T> {
     fn default() -> Queue<T> {
         let slots = (0..SLOTS).map(|_| Vec::new()).collect();
-        Queue { slots, at: 0, current: Vec::new(), near: 0, far: BinaryHeap::new(), next: 0 }
+        Queue {
+            slots,
+            at: 0,
+            current: Vec::new(),
+            near: 0,
+            far: BinaryHeap::new(),
+            next: 0,
+        }
     }
 }
 
@@ -60,7 +67,9 @@
         self.next += 1;
         let slot = (time >> SLOT_BITS).max(self.at);
         if slot == self.at {
-            let place = self.current.partition_point(|other| (other.0, other.1) > (entry.0, entry.1));
+            let place = self
+                .current
+                .partition_point(|other| (other.0, other.1) > (entry.0, entry.1));
             self.current.insert(place, entry);
         } else if slot < self.at + SLOTS as u64 {
             self.slots[slot as usize % SLOTS].push(entry);
@@ -84,16 +93,25 @@
                 self.near -= self.current.len();
             }
             self.bring_near();
-            self.current.sort_unstable_by_key(|entry| Reverse((entry.0, entry.1)));
+            self.current
+                .sort_unstable_by_key(|entry| Reverse((entry.0, entry.1)));
         }
-        self.current.pop().map(|(time, _, Held(event))| (time, event))
+        self.current
+            .pop()
+            .map(|(time, _, Held(event))| (time, event))
     }
 
     /// Moves into the wheel what has come within its reach.
     fn bring_near(&mut self) {
         let end = self.at + SLOTS as u64;
-        while self.far.peek().is_some_and(|Reverse(first)| first.0 >> SLOT_BITS < end) {
-            let Some(Reverse(entry)) = self.far.pop() else { return };
+        while self
+            .far
+            .peek()
+            .is_some_and(|Reverse(first)| first.0 >> SLOT_BITS < end)
+        {
+            let Some(Reverse(entry)) = self.far.pop() else {
+                return;
+            };
             let slot = entry.0 >> SLOT_BITS;
             if slot <= self.at {
                 self.current.push(entry);
@@ -123,7 +141,10 @@
 
 impl<T> Default for Plain<T> {
     fn default() -> Plain<T> {
-        Plain { heap: BinaryHeap::new(), next: 0 }
+        Plain {
+            heap: BinaryHeap::new(),
+            next: 0,
+        }
     }
 }
 
@@ -136,6 +157,8 @@
 
     /// The next event with its time.
     pub fn take(&mut self) -> Option<(u64, T)> {
-        self.heap.pop().map(|Reverse((time, _, Held(event)))| (time, event))
+        self.heap
+            .pop()
+            .map(|Reverse((time, _, Held(event)))| (time, event))
     }
 }
--- a/crates/flaxdeck-fleet/src/shape.rs
+++ b/crates/flaxdeck-fleet/src/shape.rs
@@ -56,8 +56,14 @@
 
 impl Default for Shape {
     fn default() -> Shape {
-        let law =
-            Law { rate: 150.0, objects: 3_000, power: 0.8, median_kb: 120.0, spread: 0.8, writes: 0.01 };
+        let law = Law {
+            rate: 150.0,
+            objects: 3_000,
+            power: 0.8,
+            median_kb: 120.0,
+            spread: 0.8,
+            writes: 0.01,
+        };
         Shape {
             zones: 2,
             forwarders: 2,
--- a/crates/flaxdeck-fleet/src/traffic.rs
+++ b/crates/flaxdeck-fleet/src/traffic.rs
@@ -40,7 +40,9 @@
         };
         let sums = (1..=law.objects).map(weight).collect();
         let sizes = LogNormal::new(law.median_kb.ln(), law.spread).expect("a spread is finite");
-        let sizes = (0..law.objects).map(|_| sizes.sample(chance).clamp(1.0, 20_000.0)).collect();
+        let sizes = (0..law.objects)
+            .map(|_| sizes.sample(chance).clamp(1.0, 20_000.0))
+            .collect();
         Traffic { law, sums, sizes }
     }
 
@@ -52,7 +54,9 @@
     /// An object by its popularity, as its rank from 0.
     pub fn object(&self, chance: &mut Pcg64Mcg) -> u64 {
         let draw = chance.random::<f64>() * self.sums.last().copied().unwrap_or(0.0);
-        self.sums.partition_point(|sum| *sum < draw).min(self.sums.len().saturating_sub(1)) as u64
+        self.sums
+            .partition_point(|sum| *sum < draw)
+            .min(self.sums.len().saturating_sub(1)) as u64
     }
 
     /// Whether the next request is a write.
@@ -62,6 +66,9 @@
 
     /// KB of an object; those past the law's are of a scan, and median.
     pub fn kb(&self, object: u64) -> f64 {
-        self.sizes.get(object as usize).copied().unwrap_or(self.law.median_kb)
+        self.sizes
+            .get(object as usize)
+            .copied()
+            .unwrap_or(self.law.median_kb)
     }
 }
--- a/crates/flaxdeck-guidance/examples/size.rs
+++ b/crates/flaxdeck-guidance/examples/size.rs
@@ -25,7 +25,11 @@
 fn memory_mb() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
-    line.split_whitespace().next()?.parse().ok().map(|kb: f64| kb / 1024.0)
+    line.split_whitespace()
+        .next()?
+        .parse()
+        .ok()
+        .map(|kb: f64| kb / 1024.0)
 }
 
 fn planner(forwarders: u64, hosts: u64) {
@@ -48,14 +52,28 @@
                 bad_ago_ms: None,
                 in_hand: 2,
             };
-            let samples = (0..20).map(|_| sample(chance.random_range(0..hosts))).collect();
+            let samples = (0..20)
+                .map(|_| sample(chance.random_range(0..hosts)))
+                .collect();
             let trades = (0..hosts / 20).take(40).map(|n| Trade {
-                life: Life { host: name(n * 20), started: 999_000 },
-                lends: if from % 4 > 0 { Parts(500) } else { Parts::NONE },
-                wishes: if from.is_multiple_of(4) { Parts(3_000) } else { Parts::NONE },
+                life: Life {
+                    host: name(n * 20),
+                    started: 999_000,
+                },
+                lends: if from % 4 > 0 {
+                    Parts(500)
+                } else {
+                    Parts::NONE
+                },
+                wishes: if from.is_multiple_of(4) {
+                    Parts(3_000)
+                } else {
+                    Parts::NONE
+                },
                 in_hand: 1,
             });
-            let echo = (round > 0).then(|| flaxdeck_guidance::messages::Stamp::of(now - Span::from_ms(200)));
+            let echo = (round > 0)
+                .then(|| flaxdeck_guidance::messages::Stamp::of(now - Span::from_ms(200)));
             let envelope = Envelope {
                 from: Epoch(from + 10),
                 to: Epoch(1),
@@ -107,7 +125,9 @@
         let now = at(200 * n);
         let observations = brain.observations(now);
         guide.stand(now, &observations);
-        (0..2).for_each(|to| drop(guide.report(now, PlannerId(to), &observations, Default::default())));
+        (0..2).for_each(|to| {
+            drop(guide.report(now, PlannerId(to), &observations, Default::default()))
+        });
         let guided = guide.hints(now);
         brain.guided(now, guided);
     }
@@ -194,7 +214,12 @@
             };
             brain.guided(
                 now,
-                Guided { hints: (0..hosts).map(hint).collect(), by_right: 1.0, link: None, vouched: true },
+                Guided {
+                    hints: (0..hosts).map(hint).collect(),
+                    by_right: 1.0,
+                    link: None,
+                    vouched: true,
+                },
             );
         }
         let request = Request {
@@ -240,15 +265,25 @@
         (begun.elapsed().as_secs_f64() * 1e4, sum)
     };
     let stairs = std::cell::RefCell::new(Staircase::default());
-    let made = renewals(&mut |amount, until| stairs.borrow_mut().add(amount, until), &mut |now| {
-        stairs.borrow_mut().prune(now);
-        stairs.borrow().at(now)
-    });
+    let made = renewals(
+        &mut |amount, until| stairs.borrow_mut().add(amount, until),
+        &mut |now| {
+            stairs.borrow_mut().prune(now);
+            stairs.borrow().at(now)
+        },
+    );
     let all = std::cell::RefCell::new(Vec::new());
-    let plain = renewals(&mut |amount, until| all.borrow_mut().push((until, amount)), &mut |now| {
-        all.borrow_mut().retain(|(until, _)| *until > now);
-        all.borrow().iter().map(|(_, amount)| *amount).max().unwrap_or_default()
-    });
+    let plain = renewals(
+        &mut |amount, until| all.borrow_mut().push((until, amount)),
+        &mut |now| {
+            all.borrow_mut().retain(|(until, _)| *until > now);
+            all.borrow()
+                .iter()
+                .map(|(_, amount)| *amount)
+                .max()
+                .unwrap_or_default()
+        },
+    );
     assert_eq!(made.1, plain.1, "both tell the same");
     println!(
         "a promise kept and looked up: {:.0} ns as a staircase, {:.0} ns in a plain list",
@@ -263,7 +298,9 @@
     [10, 100, 1_000, 5_000].into_iter().for_each(report);
     for hosts in [10, 100, 1_000] {
         let (alone, guided) = (decisions(hosts, false), decisions(hosts, true));
-        println!("a request's decisions at {hosts} hosts: {alone:.2} us alone, {guided:.2} us guided");
+        println!(
+            "a request's decisions at {hosts} hosts: {alone:.2} us alone, {guided:.2} us guided"
+        );
     }
     staircase();
 }
--- a/crates/flaxdeck-guidance/src/forwarder.rs
+++ b/crates/flaxdeck-guidance/src/forwarder.rs
@@ -105,14 +105,23 @@
 }
 
 fn life_of(observation: &Observation) -> Life {
-    Life { host: observation.host.0.to_string(), started: observation.started.map_or(0, |at| at.ms() as u64) }
+    Life {
+        host: observation.host.0.to_string(),
+        started: observation.started.map_or(0, |at| at.ms() as u64),
+    }
 }
 
 impl Guide {
     /// A forwarder that has just started, with so many planners in its file.
     pub fn start(now: Time, epoch: Epoch, stance: Stance, planners: u32) -> Guide {
-        let side =
-            |_| Side { echo: None, version: 0, sent: 0, reported: None, vouched: None, owes_until: None };
+        let side = |_| Side {
+            echo: None,
+            version: 0,
+            sent: 0,
+            reported: None,
+            vouched: None,
+            owes_until: None,
+        };
         Guide {
             epoch,
             stance,
@@ -138,13 +147,20 @@
     /// tick while a cold host is shared or a failure is to be told, else after `idle_every`.
     pub fn report_sparingly(&mut self, idle_every: Span) {
         let silent_after = idle_every * IDLE_REPORTS_MISSED;
-        self.known.iter_mut().for_each(|known| known.silent_after(silent_after));
-        self.sparing = Some(Sparing { idle_every, subscribed_to: None });
+        self.known
+            .iter_mut()
+            .for_each(|known| known.silent_after(silent_after));
+        self.sparing = Some(Sparing {
+            idle_every,
+            subscribed_to: None,
+        });
     }
 
     /// The planner that tells the events, if one does.
     pub fn subscribed_to(&mut self, planner: Option<PlannerId>) {
-        self.sparing.iter_mut().for_each(|sparing| sparing.subscribed_to = planner);
+        self.sparing
+            .iter_mut()
+            .for_each(|sparing| sparing.subscribed_to = planner);
     }
 
     /// Somebody who follows the coordinator has told all that it had at that time.
@@ -154,17 +170,26 @@
 
     /// Whether a report to that planner is due at this tick.
     pub fn is_report_due(&self, now: Time, to: PlannerId, observations: &[Observation]) -> bool {
-        let (Some(sparing), Some(side)) = (&self.sparing, self.sides.get(to.0 as usize)) else { return true };
-        let Some(last) = side.reported else { return true };
+        let (Some(sparing), Some(side)) = (&self.sparing, self.sides.get(to.0 as usize)) else {
+            return true;
+        };
+        let Some(last) = side.reported else {
+            return true;
+        };
         let urgent = |observation: &Observation| {
             observation.cold.is_some() || observation.bad.is_some_and(|bad| bad > last)
         };
-        side.echo.is_none() || now.since(last) >= sparing.idle_every || observations.iter().any(urgent)
+        side.echo.is_none()
+            || now.since(last) >= sparing.idle_every
+            || observations.iter().any(urgent)
     }
 
     /// A conversation with a planner has begun.
     pub fn met(&mut self, planner: PlannerId) {
-        self.known.get_mut(planner.0 as usize).into_iter().for_each(Known::met);
+        self.known
+            .get_mut(planner.0 as usize)
+            .into_iter()
+            .for_each(Known::met);
     }
 
     /// What was lent before this start is known: the own shares are its own after so long.
@@ -234,13 +259,24 @@
         let last = side.reported.replace(now);
         let newer = |at: Option<Time>| at.is_some_and(|at| last.is_none_or(|last| at > last));
         let news = |observation: &&Observation| {
-            [observation.measured, observation.good, observation.bad].into_iter().any(newer)
+            [observation.measured, observation.good, observation.bad]
+                .into_iter()
+                .any(newer)
         };
         let mut told: Vec<&Observation> = observations.iter().filter(news).collect();
-        told.sort_by_key(|observation| std::cmp::Reverse(observation.bad.filter(|bad| newer(Some(*bad)))));
+        told.sort_by_key(|observation| {
+            std::cmp::Reverse(observation.bad.filter(|bad| newer(Some(*bad))))
+        });
         if let Some(sparing) = &self.sparing {
-            let failed = told.iter().take_while(|observation| newer(observation.bad)).count();
-            let others = if sparing.subscribed_to == Some(to) { RARE_MOST } else { 0 };
+            let failed = told
+                .iter()
+                .take_while(|observation| newer(observation.bad))
+                .count();
+            let others = if sparing.subscribed_to == Some(to) {
+                RARE_MOST
+            } else {
+                0
+            };
             // Which of the others are told goes round with the reports.
             let turn = side.sent as usize * RARE_MOST;
             let rest = told.len() - failed;
@@ -263,13 +299,22 @@
         self.counted.reports += 1;
         let (from, sent) = (self.epoch, Stamp::of(now));
         Report {
-            envelope: Envelope { from, to: known.epoch, number: side.sent, sent, echo: side.echo },
+            envelope: Envelope {
+                from,
+                to: known.epoch,
+                number: side.sent,
+                sent,
+                echo: side.echo,
+            },
             seat: self.stance.seat,
             last_event,
             subscribes: self.sparing.is_some(),
             version: side.version,
             zone: self.zone,
-            link: self.link.map(|(full, at)| Fullness { full: full as f32, ago_ms: ago(at) }),
+            link: self.link.map(|(full, at)| Fullness {
+                full: full as f32,
+                ago_ms: ago(at),
+            }),
             trades,
             samples: told.into_iter().take(RATINGS_MOST).map(sample).collect(),
         }
@@ -308,11 +353,16 @@
         self.counted.relayed += events.len() as u64;
         // Between two words of the coordinator a planner on a good connection would hear of any change at once.
         let ago = |ago: u32| Span::from_ms(u64::from(ago)).less(COORDINATOR_SILENT);
-        let followed = guidance.coordinator_ago_ms.filter(|_| guidance.upto == Some(last));
+        let followed = guidance
+            .coordinator_ago_ms
+            .filter(|_| guidance.upto == Some(last));
         self.sides[from.0 as usize].vouched = followed.map(|told| true_at - ago(told));
         let ago = |link: Fullness| true_at - Span::from_ms(u64::from(link.ago_ms));
         let told = guidance.link.map(|link| (f64::from(link.full), ago(link)));
-        self.link_told = [self.link_told, told].into_iter().flatten().max_by_key(|(_, at)| *at);
+        self.link_told = [self.link_told, told]
+            .into_iter()
+            .flatten()
+            .max_by_key(|(_, at)| *at);
         for rating in guidance.ratings {
             self.news.insert(rating.host.clone(), (true_at, rating));
         }
@@ -320,9 +370,18 @@
     }
 
     fn judge(&mut self, now: Time, from: PlannerId, guidance: &Guidance) -> Result<(), Refused> {
-        let known = self.known.get_mut(from.0 as usize).ok_or(Refused::Nonsense)?;
+        let known = self
+            .known
+            .get_mut(from.0 as usize)
+            .ok_or(Refused::Nonsense)?;
         let side = &mut self.sides[from.0 as usize];
-        let Envelope { from: epoch, to, number, sent, echo } = guidance.envelope;
+        let Envelope {
+            from: epoch,
+            to,
+            number,
+            sent,
+            echo,
+        } = guidance.envelope;
         if to != self.epoch {
             return Err(Refused::NotForUs);
         }
@@ -350,18 +409,28 @@
             if word.wanted {
                 self.shares.wanted(now, echo, &word.life);
             }
-            self.others.insert(word.life.clone(), (f64::from(word.others), echo));
+            self.others
+                .insert(word.life.clone(), (f64::from(word.others), echo));
         }
         // Once it has lent itself, what an earlier run lent is of no more interest.
-        let owes = guidance.owes_ms.filter(|_| !self.shares.owns(now)).map(|ms| Span::from_ms(u64::from(ms)));
+        let owes = guidance
+            .owes_ms
+            .filter(|_| !self.shares.owns(now))
+            .map(|ms| Span::from_ms(u64::from(ms)));
         side.owes_until = owes.map(|owes| now + owes).or(side.owes_until);
         known.true_at = Some(echo);
         (side.echo, side.version) = (Some(sent), guidance.version);
         self.counted.guidance += 1;
         // All planners that an earlier run may have lent to have said when nothing of it is out any more.
-        let all = self.sides.iter().map(|side| side.owes_until).collect::<Option<Vec<Time>>>();
+        let all = self
+            .sides
+            .iter()
+            .map(|side| side.owes_until)
+            .collect::<Option<Vec<Time>>>();
         let until = all.and_then(|all| all.into_iter().max());
-        until.into_iter().for_each(|until| self.shares.owns_by(until));
+        until
+            .into_iter()
+            .for_each(|until| self.shares.owns_by(until));
         Ok(())
     }
 
@@ -378,7 +447,8 @@
             others: None,
         };
         let start = |life: &Life| (life.started > 0).then(|| Time::at_ms(life.started as f64));
-        self.others.retain(|_, (_, true_at)| now.since(*true_at) < membership::SILENT);
+        self.others
+            .retain(|_, (_, true_at)| now.since(*true_at) < membership::SILENT);
         let shares = self.shares.uses(now).map(|(life, parts)| Hint {
             share: Some((start(life), parts.share())),
             others: self.others.get(life).copied(),
@@ -398,32 +468,62 @@
                 });
             }
         }
-        let by_right = if self.shares.owns(now) { self.by_right() } else { 0.0 };
-        Guided { hints, by_right, link: self.link_told, vouched: self.informed(now) != Informed::Blind }
+        let by_right = if self.shares.owns(now) {
+            self.by_right()
+        } else {
+            0.0
+        };
+        Guided {
+            hints,
+            by_right,
+            link: self.link_told,
+            vouched: self.informed(now) != Informed::Blind,
+        }
     }
 
     /// The part of an equal share that this forwarder has by right.
     fn by_right(&self) -> f64 {
-        if self.stance.seated { 1.0 - self.stance.reserve } else { 0.0 }
+        if self.stance.seated {
+            1.0 - self.stance.reserve
+        } else {
+            0.0
+        }
     }
 
     /// When the brain is to be told anew, if nothing is heard until then.
     pub fn next_change(&self, now: Time) -> Option<Time> {
         let until = |after| self.vouched().map(|at| at + after);
-        let blind = self.stance.blind_after.and_then(until).filter(|at| *at > now);
-        [blind, self.shares.next_change(now)].into_iter().flatten().min()
+        let blind = self
+            .stance
+            .blind_after
+            .and_then(until)
+            .filter(|at| *at > now);
+        [blind, self.shares.next_change(now)]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// When somebody who follows the coordinator was last heard, or it itself; none since the start.
     pub fn vouched(&self) -> Option<Time> {
-        self.sides.iter().filter_map(|side| side.vouched).chain(self.coordinator).max()
+        self.sides
+            .iter()
+            .filter_map(|side| side.vouched)
+            .chain(self.coordinator)
+            .max()
     }
 
     /// Whether a planner that follows the coordinator was heard within its own second: then drains come by it as well.
     pub fn planners_vouch(&self, now: Time) -> bool {
         let heard = |known: &Known| known.live(now);
-        let vouched = |side: &Side| side.vouched.is_some_and(|at| now.since(at) < COORDINATOR_SILENT * 0.5);
-        self.known.iter().zip(&self.sides).any(|(known, side)| heard(known) && vouched(side))
+        let vouched = |side: &Side| {
+            side.vouched
+                .is_some_and(|at| now.since(at) < COORDINATOR_SILENT * 0.5)
+        };
+        self.known
+            .iter()
+            .zip(&self.sides)
+            .any(|(known, side)| heard(known) && vouched(side))
     }
 
     /// From when on what it may use of cold hosts is its own.
@@ -433,7 +533,10 @@
 
     pub fn informed(&self, now: Time) -> Informed {
         let heard = self.known.iter().filter_map(|known| known.true_at).max();
-        if self.stance.blind_after.is_some_and(|after| self.vouched().is_none_or(|at| now.since(at) >= after))
+        if self
+            .stance
+            .blind_after
+            .is_some_and(|after| self.vouched().is_none_or(|at| now.since(at) >= after))
         {
             Informed::Blind
         } else if self.known.iter().any(|known| known.live(now)) {
--- a/crates/flaxdeck-guidance/src/lib.rs
+++ b/crates/flaxdeck-guidance/src/lib.rs
@@ -25,7 +25,9 @@
 use serde::{Deserialize, Serialize};
 
 /// A share of what a host bears, in millionths of the whole.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Parts(pub u32);
 
 impl Parts {
@@ -73,7 +75,12 @@
         let drift = drift.min(200);
         let late = Span::from_ms(700); // an answer of half that on each way still finds most of a deposit left
         let lent = (window + granted + late) * (1.0 + f64::from(drift) * 0.008);
-        Pledges { window, lent, granted, drift }
+        Pledges {
+            window,
+            lent,
+            granted,
+            drift,
+        }
     }
     fn stretched(self, span: Span, by: f64) -> Span {
         span * (1.0 + f64::from(self.drift) / 1000.0 * by)
--- a/crates/flaxdeck-guidance/src/membership.rs
+++ b/crates/flaxdeck-guidance/src/membership.rs
@@ -58,7 +58,18 @@
         let (epoch, number, true_at, heard) = (Epoch(0), 0, None, None);
         let (since, nonsense, shunned_until, met) = (Time::default(), 0, Time::default(), false);
         let silent_after = SILENT;
-        Known { id, epoch, number, true_at, heard, since, nonsense, shunned_until, silent_after, met }
+        Known {
+            id,
+            epoch,
+            number,
+            true_at,
+            heard,
+            since,
+            nonsense,
+            shunned_until,
+            silent_after,
+            met,
+        }
     }
 
     /// How long it may say nothing until it counts as lost, where reports are rarer than usual; never below [`SILENT`].
@@ -100,7 +111,9 @@
     }
 
     pub fn live(&self, now: Time) -> bool {
-        self.heard.is_some_and(|heard| now.since(heard) < self.silent_after) && now >= self.shunned_until
+        self.heard
+            .is_some_and(|heard| now.since(heard) < self.silent_after)
+            && now >= self.shunned_until
     }
 
     fn steady(&self, now: Time) -> bool {
@@ -113,6 +126,11 @@
 pub fn in_charge(now: Time, planners: &[Known], life: &Life) -> Option<PlannerId> {
     let hash = of_name(&life.host, life.started);
     let live = planners.iter().filter(|planner| planner.live(now));
-    let draw = |planner: &&Known| (planner.steady(now), mix(hash ^ mix(u64::from(planner.id.0) + 1)));
+    let draw = |planner: &&Known| {
+        (
+            planner.steady(now),
+            mix(hash ^ mix(u64::from(planner.id.0) + 1)),
+        )
+    };
     live.max_by_key(draw).map(|planner| planner.id)
 }
--- a/crates/flaxdeck-guidance/src/messages.rs
+++ b/crates/flaxdeck-guidance/src/messages.rs
@@ -9,7 +9,9 @@
 
 /// One run of a forwarder or planner: new with each start. Which of two is the later is told by the conversations that
 /// they hold, not by their numbers: a clock may have been set back between them.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Epoch(pub u64);
 
 impl Epoch {
@@ -21,7 +23,9 @@
 }
 
 /// A forwarder's or planner's moment, in microseconds of its own clock; others only send it back.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Stamp(pub u64);
 
 impl Stamp {
@@ -34,7 +38,9 @@
 }
 
 /// What stays the same over a forwarder's restarts: a hash of where it listens. Zero stands for one that tells none.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct SeatId(pub u64);
 
 /// A host from one start to the next: what it bears while cold belongs to that life alone.
--- a/crates/flaxdeck-guidance/src/planner.rs
+++ b/crates/flaxdeck-guidance/src/planner.rs
@@ -119,7 +119,12 @@
             }
             return;
         };
-        let new = || Host { started, health: Health::default(), version: 0, told: now };
+        let new = || Host {
+            started,
+            health: Health::default(),
+            version: 0,
+            told: now,
+        };
         let known = self.hosts.entry(host.to_owned()).or_insert_with(new);
         if known.started != started {
             // Another process: what was measured of the old one says nothing of it.
@@ -161,18 +166,33 @@
         if mark == self.base {
             return Some(0);
         }
-        let at = self.log.partition_point(|event| event.mark.number < mark.number);
-        self.log.get(at).filter(|event| event.mark == mark).map(|_| at + 1)
+        let at = self
+            .log
+            .partition_point(|event| event.mark.number < mark.number);
+        self.log
+            .get(at)
+            .filter(|event| event.mark == mark)
+            .map(|_| at + 1)
     }
 
     /// A forwarder's report, answered with guidance.
     pub fn report(&mut self, now: Time, report: &Report) -> Result<Guidance, Refused> {
         self.tidy(now);
-        let Envelope { from, to, number, sent, echo } = report.envelope;
+        let Envelope {
+            from,
+            to,
+            number,
+            sent,
+            echo,
+        } = report.envelope;
         if report.trades.len() > LIVES_MOST || report.samples.len() > RATINGS_MOST {
             return Err(self.nonsense());
         }
-        if self.members.get(&from).is_some_and(|member| number <= member.number) {
+        if self
+            .members
+            .get(&from)
+            .is_some_and(|member| number <= member.number)
+        {
             self.counted.out_of_order += 1;
             return Err(Refused::OutOfOrder);
         }
@@ -192,7 +212,11 @@
             self.counted.not_for_us += 1;
         }
         self.counted.reports += 1;
-        let version = if to == self.epoch { report.version.min(self.version) } else { 0 };
+        let version = if to == self.epoch {
+            report.version.min(self.version)
+        } else {
+            0
+        };
         let member = self.members.entry(from).or_insert(Member {
             number,
             stamp: sent,
@@ -208,8 +232,15 @@
         member.subscribes = report.subscribes;
         let written = seen.unwrap_or(now);
         self.link(now, written, report);
-        report.samples.iter().for_each(|sample| self.sample(now, from, written.max(now - REFRESH), sample));
-        let grants = report.trades.iter().filter_map(|trade| self.trade(now, from, seen, trade)).collect();
+        report
+            .samples
+            .iter()
+            .for_each(|sample| self.sample(now, from, written.max(now - REFRESH), sample));
+        let grants = report
+            .trades
+            .iter()
+            .filter_map(|trade| self.trade(now, from, seen, trade))
+            .collect();
         if seen.is_some() && report.trades.iter().any(|trade| trade.lends > Parts::NONE) {
             self.seats.lent(now, report.seat);
         }
@@ -222,7 +253,10 @@
             others: pool.others_have_out(from),
         };
         // Of the lives that the forwarder has a word in itself.
-        let lives = report.trades.iter().filter_map(|trade| self.pools.get_key_value(&trade.life));
+        let lives = report
+            .trades
+            .iter()
+            .filter_map(|trade| self.pools.get_key_value(&trade.life));
         guidance.lives = lives.map(word).collect();
         Ok(guidance)
     }
@@ -247,7 +281,10 @@
         }
         self.links.retain(|_, (_, at)| now.since(*at) < FORGOTTEN);
         let at = written - Span::from_ms(u64::from(link.ago_ms));
-        let newer = self.links.get(&report.zone).is_none_or(|(_, old)| *old < at);
+        let newer = self
+            .links
+            .get(&report.zone)
+            .is_none_or(|(_, old)| *old < at);
         if newer && (self.links.len() < MEMBERS_MOST || self.links.contains_key(&report.zone)) {
             self.links.insert(report.zone, (link.full, at));
         }
@@ -275,9 +312,23 @@
         }
     }
 
-    fn trade(&mut self, now: Time, from: Epoch, seen: Option<Time>, trade: &Trade) -> Option<Grant> {
-        let Trade { life, lends, wishes, in_hand } = trade;
-        let listed = self.hosts.get(&life.host).is_some_and(|host| host.started == life.started);
+    fn trade(
+        &mut self,
+        now: Time,
+        from: Epoch,
+        seen: Option<Time>,
+        trade: &Trade,
+    ) -> Option<Grant> {
+        let Trade {
+            life,
+            lends,
+            wishes,
+            in_hand,
+        } = trade;
+        let listed = self
+            .hosts
+            .get(&life.host)
+            .is_some_and(|host| host.started == life.started);
         if !listed || (!self.pools.contains_key(life) && self.pools.len() >= POOLS_MOST) {
             self.counted.unlisted += 1;
             return None;
@@ -291,7 +342,11 @@
         let amount = pool.grant(self.pledges, now, from, *wishes);
         (amount > Parts::NONE).then(|| {
             self.counted.grants += 1;
-            Grant { life: life.clone(), amount, lasts_ms: self.pledges.granted.ms() as u32 }
+            Grant {
+                life: life.clone(),
+                amount,
+                lasts_ms: self.pledges.granted.ms() as u32,
+            }
         })
     }
 
@@ -299,7 +354,9 @@
         let upto = Some(self.last_event()).filter(|_| self.current);
         let told_here = self.members.get(&to).filter(|member| !member.subscribes);
         let later = told_here.and_then(|member| self.follows(member.last_event));
-        let Some(member) = self.members.get_mut(&to) else { return Guidance::default() };
+        let Some(member) = self.members.get_mut(&to) else {
+            return Guidance::default();
+        };
         member.sent += 1;
         let envelope = Envelope {
             from: self.epoch,
@@ -313,7 +370,13 @@
             bytes += event.frame.len();
             bytes <= EVENT_BYTES_MOST
         };
-        let events = later.map(|later| self.log.iter().skip(later).take(EVENTS_MOST).take_while(fits));
+        let events = later.map(|later| {
+            self.log
+                .iter()
+                .skip(later)
+                .take(EVENTS_MOST)
+                .take_while(fits)
+        });
         let events: Vec<Relayed> = events.into_iter().flatten().cloned().collect();
         let after = member.last_event;
         member.last_event = events.last().map_or(after, |event| event.mark);
@@ -323,14 +386,24 @@
         } else {
             later.take(RATINGS_MOST).collect()
         };
-        let newest = told.iter().map(|(version, _)| **version).max().filter(|_| !member.subscribes);
+        let newest = told
+            .iter()
+            .map(|(version, _)| **version)
+            .max()
+            .filter(|_| !member.subscribes);
         member.version = newest.unwrap_or(self.version);
-        let rating =
-            |(_, name): &(&u64, &String)| self.hosts.get(*name).map(|host| host.health.rating(now, name));
+        let rating = |(_, name): &(&u64, &String)| {
+            self.hosts
+                .get(*name)
+                .map(|host| host.health.rating(now, name))
+        };
         let link = self.links.get(&member.zone);
         Guidance {
             envelope,
-            link: link.map(|(full, at)| Fullness { full: *full, ago_ms: ms_up(now.since(*at)) }),
+            link: link.map(|(full, at)| Fullness {
+                full: *full,
+                ago_ms: ms_up(now.since(*at)),
+            }),
             coordinator_ago_ms: self.coordinator.map(|at| ms_up(now.since(at))),
             owes_ms: None,
             upto,
@@ -349,7 +422,11 @@
         hosts: &BTreeMap<String, Host>,
         later: impl DoubleEndedIterator<Item = (&'a u64, &'a String)>,
     ) -> Vec<(&'a u64, &'a String)> {
-        let is_down = |name: &String| hosts.get(name).is_some_and(|host| host.health.down(now).is_some());
+        let is_down = |name: &String| {
+            hosts
+                .get(name)
+                .is_some_and(|host| host.health.down(now).is_some())
+        };
         let (mut told, others): (Vec<_>, Vec<_>) = later.rev().partition(|(_, name)| is_down(name));
         told.truncate(RATINGS_MOST - RARE_MOST);
         told.extend(others.into_iter().take(RARE_MOST));
@@ -359,14 +436,20 @@
     fn tidy(&mut self, now: Time) {
         if now >= self.next_tidy {
             self.next_tidy = now + TIDY;
-            self.members.retain(|_, member| now.since(member.heard) < FORGOTTEN);
+            self.members
+                .retain(|_, member| now.since(member.heard) < FORGOTTEN);
             self.pools.retain(|_, pool| !pool.prune(now));
         }
     }
 
     /// Forwarders heard from lately, lives with something lent or out, and of all those the shares lent and out.
     pub fn load(&self, now: Time) -> (usize, usize, [f64; 2]) {
-        let sum = |at: usize| self.pools.values().map(|pool| pool.totals(now)[at].share()).sum();
+        let sum = |at: usize| {
+            self.pools
+                .values()
+                .map(|pool| pool.totals(now)[at].share())
+                .sum()
+        };
         (self.members.len(), self.pools.len(), [sum(0), sum(1)])
     }
 }
--- a/crates/flaxdeck-guidance/src/pool.rs
+++ b/crates/flaxdeck-guidance/src/pool.rs
@@ -60,13 +60,17 @@
 
     /// The sum of all parties in a slot.
     pub fn at(&self, slot: Slot) -> Parts {
-        let place = slot.checked_sub(self.first).and_then(|place| self.slots.get(place as usize));
+        let place = slot
+            .checked_sub(self.first)
+            .and_then(|place| self.slots.get(place as usize));
         Parts(place.copied().unwrap_or(0))
     }
 
     /// What one party has promised of it.
     pub fn of(&self, party: Epoch, slot: Slot) -> Parts {
-        self.parties.get(&party).map_or(Parts::NONE, |stairs| stairs.at(start_of(slot)))
+        self.parties
+            .get(&party)
+            .map_or(Parts::NONE, |stairs| stairs.at(start_of(slot)))
     }
 
     /// Forgets what has ended; true if nothing is left.
@@ -125,10 +129,14 @@
         self.lent.advance(begin);
         self.out.advance(begin);
         if new || self.level.0 != begin {
-            self.wishes.retain(|_, (_, at)| now.since(*at) < WISHES_LAST);
+            self.wishes
+                .retain(|_, (_, at)| now.since(*at) < WISHES_LAST);
             self.level = (begin, self.level_of(self.pool_at(end - 1)));
         }
-        let room = |slot| self.pool_at(slot).less(self.out.at(slot).less(self.out.of(to, slot)));
+        let room = |slot| {
+            self.pool_at(slot)
+                .less(self.out.at(slot).less(self.out.of(to, slot)))
+        };
         let least = (begin..end).map(room).min().unwrap_or(Parts::NONE);
         let amount = wish.min(self.level.1).min(least);
         if amount > Parts::NONE {
@@ -152,13 +160,20 @@
 
     /// A forwarder has so many attempts out there.
     pub fn has_out(&mut self, now: Time, who: Epoch, in_hand: u16) {
-        let before = self.in_hand.insert(who, (in_hand, now)).map_or(0, |(before, _)| before);
+        let before = self
+            .in_hand
+            .insert(who, (in_hand, now))
+            .map_or(0, |(before, _)| before);
         self.all_in_hand = self.all_in_hand + u32::from(in_hand) - u32::from(before);
     }
 
     /// Attempts that others have out there, as they said lately.
     pub fn others_have_out(&self, than: Epoch) -> u32 {
-        self.all_in_hand - self.in_hand.get(&than).map_or(0, |(own, _)| u32::from(*own))
+        self.all_in_hand
+            - self
+                .in_hand
+                .get(&than)
+                .map_or(0, |(own, _)| u32::from(*own))
     }
 
     /// Whether anybody else wishes for some of it, by what was said lately.
@@ -168,8 +183,10 @@
 
     /// Forgets what has ended; true if nothing is left. To be called each second.
     pub fn prune(&mut self, now: Time) -> bool {
-        self.wishes.retain(|_, (_, at)| now.since(*at) < WISHES_LAST);
-        self.in_hand.retain(|_, (_, at)| now.since(*at) < WISHES_LAST);
+        self.wishes
+            .retain(|_, (_, at)| now.since(*at) < WISHES_LAST);
+        self.in_hand
+            .retain(|_, (_, at)| now.since(*at) < WISHES_LAST);
         self.all_in_hand = self.in_hand.values().map(|(out, _)| u32::from(*out)).sum();
         let (lent, out) = (self.lent.prune(now), self.out.prune(now));
         lent && out && self.in_hand.is_empty()
--- a/crates/flaxdeck-guidance/src/ratings.rs
+++ b/crates/flaxdeck-guidance/src/ratings.rs
@@ -38,7 +38,10 @@
 
     fn add(&mut self, value: f64, at: Time) {
         let later = at.max(self.youngest);
-        let (old, new) = (Self::faded(later.since(self.youngest)), Self::faded(later.since(at)));
+        let (old, new) = (
+            Self::faded(later.since(self.youngest)),
+            Self::faded(later.since(at)),
+        );
         self.sum = self.sum * old + value * new;
         self.weight = self.weight * old + new;
         self.youngest = later;
@@ -62,7 +65,8 @@
 
 /// Whether a sample can be true.
 pub fn sensible(sample: &Sample) -> bool {
-    let within = |value: Option<f32>, most: f32| value.is_none_or(|value| (0.0..=most).contains(&value));
+    let within =
+        |value: Option<f32>, most: f32| value.is_none_or(|value| (0.0..=most).contains(&value));
     within(sample.measures[0], LATENCY_MOST) && within(sample.measures[1], BANDWIDTH_MOST)
 }
 
@@ -106,7 +110,8 @@
             self.failures.insert(place, (from, bad));
             self.failures.truncate(KEPT);
         }
-        self.in_hand.retain(|(who, _, at)| *who != from && now.since(*at) < IN_HAND_LASTS);
+        self.in_hand
+            .retain(|(who, _, at)| *who != from && now.since(*at) < IN_HAND_LASTS);
         if sample.in_hand > 0 {
             self.in_hand.push((from, sample.in_hand, now));
         }
@@ -126,15 +131,27 @@
     pub fn rating(&self, now: Time, host: &str) -> Rating {
         let ago = |at: Time| ms_up(now.since(at));
         let down = self.down(now);
-        let measured = self.measures.iter().filter(|fading| fading.mean().is_some());
-        let together = self.in_hand.iter().filter(|(.., at)| now.since(*at) < IN_HAND_LASTS);
-        let (sum, count) =
-            together.fold((0, 0), |(sum, count), (_, out, _)| (sum + u32::from(*out), count + 1));
+        let measured = self
+            .measures
+            .iter()
+            .filter(|fading| fading.mean().is_some());
+        let together = self
+            .in_hand
+            .iter()
+            .filter(|(.., at)| now.since(*at) < IN_HAND_LASTS);
+        let (sum, count) = together.fold((0, 0), |(sum, count), (_, out, _)| {
+            (sum + u32::from(*out), count + 1)
+        });
         let advised = f64::from(sum) * NARROWED / f64::from(count.max(1));
         Rating {
             host: host.to_owned(),
-            measures: self.measures.map(|fading| fading.mean().map(|mean| mean as f32)),
-            measured_ago_ms: measured.map(|fading| ago(fading.youngest)).min().unwrap_or(u32::MAX),
+            measures: self
+                .measures
+                .map(|fading| fading.mean().map(|mean| mean as f32)),
+            measured_ago_ms: measured
+                .map(|fading| ago(fading.youngest))
+                .min()
+                .unwrap_or(u32::MAX),
             down_ago_ms: down.map(ago),
             good_ago_ms: self.good.map(ago),
             window: down.map(|_| (advised as u16).max(1)),
--- a/crates/flaxdeck-guidance/src/seats.rs
+++ b/crates/flaxdeck-guidance/src/seats.rs
@@ -34,7 +34,12 @@
     pub fn new(now: Time, pledges: Pledges) -> Seats {
         // A loan by the lender's clock, as long as that can be by this one's, and told to a third.
         let lasts = pledges.lent * (1.0 + f64::from(pledges.drift) / 1000.0 * 5.0);
-        Seats { born: now, lasts, seats: BTreeMap::new(), ended: BTreeMap::new() }
+        Seats {
+            born: now,
+            lasts,
+            seats: BTreeMap::new(),
+            ended: BTreeMap::new(),
+        }
     }
 
     /// A run reports from a seat; false if a later one has been met there, and nothing may be taken from it.
@@ -51,7 +56,10 @@
                 return true;
             }
         }
-        let known = self.seats.entry(seat).or_insert(Seat { run, out_until: now });
+        let known = self.seats.entry(seat).or_insert(Seat {
+            run,
+            out_until: now,
+        });
         if known.run != run {
             self.ended.retain(|_, until| *until > now);
             if self.ended.len() < SEATS_MOST {
@@ -68,7 +76,10 @@
     /// What a seat lends has been taken.
     pub fn lent(&mut self, now: Time, seat: SeatId) {
         let until = now + self.lasts;
-        self.seats.get_mut(&seat).into_iter().for_each(|seat| seat.out_until = until);
+        self.seats
+            .get_mut(&seat)
+            .into_iter()
+            .for_each(|seat| seat.out_until = until);
     }
 
     /// For how long something may still be out that the seat lent; none if this planner can't tell.
