--- a/crates/flaxdeck-guidance/src/shares.rs
+++ b/crates/flaxdeck-guidance/src/shares.rs
@@ -56,12 +56,17 @@
 }
 
 fn all(of: &BTreeMap<Epoch, Staircase>, at: Time) -> Parts {
-    of.values().fold(Parts::NONE, |sum, stairs| sum.and(stairs.at(at)))
+    of.values()
+        .fold(Parts::NONE, |sum, stairs| sum.and(stairs.at(at)))
 }
 
 impl Purse {
     fn may_use(&self, owns: bool, at: Time) -> Parts {
-        let own = if owns { self.right.less(all(&self.lent, at)) } else { Parts::NONE };
+        let own = if owns {
+            self.right.less(all(&self.lent, at))
+        } else {
+            Parts::NONE
+        };
         Parts(own.and(all(&self.granted, at)).0.min(Parts::WHOLE.0))
     }
 }
@@ -100,13 +105,19 @@
 
     /// With no planner to lend to: its own share is its own from the start.
     pub fn lending_nothing(now: Time, pledges: Pledges) -> Shares {
-        Shares { owns_from: now, ..Shares::new(now, pledges) }
+        Shares {
+            owns_from: now,
+            ..Shares::new(now, pledges)
+        }
     }
 
     /// Takes in how the cold hosts stand. Warm ones are left out, and forgotten once nothing of them is out.
     pub fn stand(&mut self, now: Time, cold: impl IntoIterator<Item = Cold>) {
-        let passed =
-            self.stood.replace(now).map_or(1.0, |last| now.since(last).ms() / AVERAGED.ms()).min(1.0);
+        let passed = self
+            .stood
+            .replace(now)
+            .map_or(1.0, |last| now.since(last).ms() / AVERAGED.ms())
+            .min(1.0);
         let scale = (self.pledges.window.ms() / AVERAGED.ms()).max(1.0);
         for purse in self.purses.values_mut() {
             (purse.spent, purse.right, purse.in_hand) = (Parts::NONE, Parts::NONE, 0);
@@ -114,7 +125,14 @@
             purse.lent.retain(|_, stairs| !stairs.prune(now));
             purse.granted.retain(|_, stairs| !stairs.prune(now));
         }
-        for Cold { life, right, spent, in_hand, wished } in cold {
+        for Cold {
+            life,
+            right,
+            spent,
+            in_hand,
+            wished,
+        } in cold
+        {
             let purse = self.purses.entry(life).or_default();
             (purse.right, purse.spent) = (right, spent);
             purse.wished = purse.wished.and(Parts::above(wished.share() * scale));
@@ -122,7 +140,9 @@
         }
         let out = |purse: &Purse| !purse.lent.is_empty() || !purse.granted.is_empty();
         self.wanted.retain(|_, until| *until > now);
-        self.purses.retain(|_, purse| purse.right > Parts::NONE || purse.wished > Parts::NONE || out(purse));
+        self.purses.retain(|_, purse| {
+            purse.right > Parts::NONE || purse.wished > Parts::NONE || out(purse)
+        });
     }
 
     /// Others want some of these lives, as was true at that time. What nobody wants is not lent: it would only be
@@ -136,7 +156,12 @@
 
     /// What is lent to and asked of a planner, of the lives that it is in charge of. To be told to it at once: what
     /// is lent is no longer used from this moment on, whether the message arrives or not.
-    pub fn trade(&mut self, now: Time, planner: Epoch, in_charge: impl Fn(&Life) -> bool) -> Vec<Trade> {
+    pub fn trade(
+        &mut self,
+        now: Time,
+        planner: Epoch,
+        in_charge: impl Fn(&Life) -> bool,
+    ) -> Vec<Trade> {
         let (owns, until) = (self.owns(now), now + self.pledges.lent);
         let allowed = self.leave.is_none_or(|leave| leave >= until);
         let mut lacks_leave = false;
@@ -151,25 +176,46 @@
             }
             let others = purse.lent.iter().filter(|(epoch, _)| **epoch != planner);
             let others = others.fold(Parts::NONE, |sum, (_, stairs)| sum.and(stairs.at(now)));
-            let own = if owns { purse.right.less(all(&purse.lent, now)) } else { Parts::NONE };
+            let own = if owns {
+                purse.right.less(all(&purse.lent, now))
+            } else {
+                Parts::NONE
+            };
             if owns && (wants >= purse.peak.0 || now.since(purse.peak.1) >= HOLDS) {
                 purse.peak = (wants, now);
             }
             let keeps = purse.peak.0.max(Parts(purse.right.0 / 100 * FLOOR));
             // What is lent already counts as lent again: the deposit goes on for as long as it is not needed.
-            let lends = if owns { purse.right.less(others).less(keeps) } else { Parts::NONE };
+            let lends = if owns {
+                purse.right.less(others).less(keeps)
+            } else {
+                Parts::NONE
+            };
             let wanted = self.wanted.get(life).is_some_and(|until| *until > now);
-            let lends = if lends < LEAST || !wanted { Parts::NONE } else { lends };
+            let lends = if lends < LEAST || !wanted {
+                Parts::NONE
+            } else {
+                lends
+            };
             lacks_leave |= lends > Parts::NONE && !allowed;
             let lends = if allowed { lends } else { Parts::NONE };
             let wishes = Parts(purse.recent.0.less(own).0.min(Parts::WHOLE.0));
-            let wishes = if lends > Parts::NONE || wishes < LEAST { Parts::NONE } else { wishes };
+            let wishes = if lends > Parts::NONE || wishes < LEAST {
+                Parts::NONE
+            } else {
+                wishes
+            };
             if lends > Parts::NONE {
                 purse.lent.entry(planner).or_default().add(lends, until);
             }
             purse.asked.insert(planner, wishes);
             // One with neither still tells what is in hand.
-            trades.push(Trade { life: life.clone(), lends, wishes, in_hand: purse.in_hand });
+            trades.push(Trade {
+                life: life.clone(),
+                lends,
+                wishes,
+                in_hand: purse.in_hand,
+            });
         }
         self.lacks_leave |= lacks_leave;
         trades
@@ -177,14 +223,20 @@
 
     /// Takes in a grant that answers what was written at `asked`; false if it is more than was ever asked for.
     pub fn granted(&mut self, now: Time, planner: Epoch, asked: Time, grant: &Grant) -> bool {
-        let Some(purse) = self.purses.get_mut(&grant.life) else { return true };
+        let Some(purse) = self.purses.get_mut(&grant.life) else {
+            return true;
+        };
         let most = purse.asked.get(&planner).copied().unwrap_or(Parts::NONE);
         if f64::from(grant.lasts_ms) > self.pledges.granted.ms() || grant.amount > Parts::WHOLE {
             return false;
         }
         let until = asked + Span::from_ms(u64::from(grant.lasts_ms));
         if until > now {
-            purse.granted.entry(planner).or_default().add(Parts(grant.amount.0.min(most.0)), until);
+            purse
+                .granted
+                .entry(planner)
+                .or_default()
+                .add(Parts(grant.amount.0.min(most.0)), until);
         }
         true
     }
@@ -231,22 +283,36 @@
     /// What may be used of each life, with the time until which that holds if nothing else is heard.
     pub fn uses(&self, now: Time) -> impl Iterator<Item = (&Life, Parts)> {
         let owns = self.owns(now);
-        self.purses.iter().map(move |(life, purse)| (life, purse.may_use(owns, now)))
+        self.purses
+            .iter()
+            .map(move |(life, purse)| (life, purse.may_use(owns, now)))
     }
 
     /// When what may be used changes by itself next.
     pub fn next_change(&self, now: Time) -> Option<Time> {
         let stairs = |purse: &Purse| -> Vec<Time> {
-            purse.lent.values().chain(purse.granted.values()).flat_map(Staircase::ends).collect()
+            purse
+                .lent
+                .values()
+                .chain(purse.granted.values())
+                .flat_map(Staircase::ends)
+                .collect()
         };
-        let ends = self.purses.values().flat_map(stairs).chain([self.owns_from]);
+        let ends = self
+            .purses
+            .values()
+            .flat_map(stairs)
+            .chain([self.owns_from]);
         ends.filter(|end| *end > now).min()
     }
 
     /// Lent and granted now over all lives, for the log.
     pub fn totals(&self, now: Time) -> [f64; 2] {
         let sum = |pick: fn(&Purse) -> &BTreeMap<Epoch, Staircase>| {
-            self.purses.values().map(|purse| all(pick(purse), now).share()).sum()
+            self.purses
+                .values()
+                .map(|purse| all(pick(purse), now).share())
+                .sum()
         };
         [sum(|purse| &purse.lent), sum(|purse| &purse.granted)]
     }
--- a/crates/flaxdeck-guidance/src/staircase.rs
+++ b/crates/flaxdeck-guidance/src/staircase.rs
@@ -20,18 +20,24 @@
         if amount == Parts::NONE || self.at_least(amount, until) {
             return;
         }
-        self.steps.retain(|(end, other)| *end > until || *other > amount);
+        self.steps
+            .retain(|(end, other)| *end > until || *other > amount);
         let place = self.steps.partition_point(|(end, _)| *end < until);
         self.steps.insert(place, (until, amount));
     }
 
     fn at_least(&self, amount: Parts, until: Time) -> bool {
-        self.steps.iter().any(|(end, other)| *end >= until && *other >= amount)
+        self.steps
+            .iter()
+            .any(|(end, other)| *end >= until && *other >= amount)
     }
 
     /// What is promised at that time; an end itself is no part of its promise.
     pub fn at(&self, time: Time) -> Parts {
-        self.steps.iter().find(|(end, _)| *end > time).map_or(Parts::NONE, |(_, amount)| *amount)
+        self.steps
+            .iter()
+            .find(|(end, _)| *end > time)
+            .map_or(Parts::NONE, |(_, amount)| *amount)
     }
 
     /// The times at which the amount falls.
--- a/crates/flaxdeck-guidance/tests/lending_model.rs
+++ b/crates/flaxdeck-guidance/tests/lending_model.rs
@@ -118,7 +118,10 @@
         let (window, granted) = (Span::from_ms(self.window * STEP), Span::from_ms(STEP));
         // The time allowed for lateness is set for real networks; here it would only add steps.
         let lent = (window + granted + Span::from_ms(STEP)) * 1.4;
-        Pledges { lent, ..Pledges::of(window, granted, DRIFT) }
+        Pledges {
+            lent,
+            ..Pledges::of(window, granted, DRIFT)
+        }
     }
     /// The reading of a clock in milliseconds; each has a zero of its own.
     fn clock(&self, who: usize, step: u64) -> u64 {
@@ -137,12 +140,19 @@
         Parts::below(self.reserve / self.planners as f64)
     }
     fn life() -> Life {
-        Life { host: "s-1".into(), started: 1 }
+        Life {
+            host: "s-1".into(),
+            started: 1,
+        }
     }
     fn shares(&self, who: usize, step: u64, first: bool) -> Shares {
         // The first run of all has nothing behind it that it could have lent.
         let waits = !first && self.broken != Broken::ForwarderWaitsForNothing;
-        let from = if waits { self.time(who, step) } else { Time::at_ms(1.0) };
+        let from = if waits {
+            self.time(who, step)
+        } else {
+            Time::at_ms(1.0)
+        };
         Shares::new(from, self.pledges())
     }
     fn within(&self, spent: &[(u64, Parts)], step: u64) -> Parts {
@@ -154,8 +164,13 @@
         let (step, pledges) = (state.step, self.pledges());
         for (who, forwarder) in state.forwarders.iter_mut().enumerate() {
             let (now, right) = (self.time(who, step), self.right());
-            let cold =
-                Cold { life: Lending::life(), right, spent: Parts::NONE, in_hand: 0, wished: Parts::NONE };
+            let cold = Cold {
+                life: Lending::life(),
+                right,
+                spent: Parts::NONE,
+                in_hand: 0,
+                wished: Parts::NONE,
+            };
             forwarder.shares.stand(now, [cold]);
         }
         for (at, planner) in state.planners.iter_mut().enumerate() {
@@ -164,10 +179,20 @@
         if self.broken != Broken::Nothing {
             return;
         }
-        let past = |who: usize, at: u64, lasts: Span| Time::at_ms(at as f64) + lasts <= self.time(who, step);
+        let past = |who: usize, at: u64, lasts: Span| {
+            Time::at_ms(at as f64) + lasts <= self.time(who, step)
+        };
         state.network.retain(|message| match message {
-            Message::Report { from, to, seen, lends, at, .. } => {
-                let deposit = *lends > Parts::NONE && !past(self.planner(*to), *seen, pledges.counted_on());
+            Message::Report {
+                from,
+                to,
+                seen,
+                lends,
+                at,
+                ..
+            } => {
+                let deposit =
+                    *lends > Parts::NONE && !past(self.planner(*to), *seen, pledges.counted_on());
                 deposit || !past(*from, *at, pledges.granted)
             }
             Message::Grant { to, asked, .. } => !past(*to, *asked, pledges.granted),
@@ -177,7 +202,13 @@
         let (now, step) = (self.time(who, state.step), state.step);
         let forwarder = &mut state.forwarders[who];
         let spent = self.within(&forwarder.spent, step);
-        let cold = Cold { life: Lending::life(), right: self.right(), spent, in_hand: 0, wished };
+        let cold = Cold {
+            life: Lending::life(),
+            right: self.right(),
+            spent,
+            in_hand: 0,
+            wished,
+        };
         forwarder.shares.stand(now, [cold]);
     }
 }
@@ -190,14 +221,28 @@
         let forwarder = |who: usize| Forwarder {
             epoch: Epoch(1),
             shares: self.shares(who, 0, true),
-            seen: (0..self.planners).map(|at| (Epoch(1), self.clock(self.planner(at), 0))).collect(),
+            seen: (0..self.planners)
+                .map(|at| (Epoch(1), self.clock(self.planner(at), 0)))
+                .collect(),
             spent: Vec::new(),
             reports: 0,
         };
-        let planner = |_| PlannerState { epoch: Epoch(1), owns_from: Time::default(), pool: Pool::default() };
-        let (forwarders, planners) =
-            ((0..2).map(forwarder).collect(), (0..self.planners).map(planner).collect());
-        vec![State { step: 0, forwarders, planners, network: BTreeSet::new(), restarts: 0 }]
+        let planner = |_| PlannerState {
+            epoch: Epoch(1),
+            owns_from: Time::default(),
+            pool: Pool::default(),
+        };
+        let (forwarders, planners) = (
+            (0..2).map(forwarder).collect(),
+            (0..self.planners).map(planner).collect(),
+        );
+        vec![State {
+            step: 0,
+            forwarders,
+            planners,
+            network: BTreeSet::new(),
+            restarts: 0,
+        }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
@@ -207,16 +252,21 @@
         for from in 0..2 {
             if state.forwarders[from].reports < self.reports[from] {
                 for to in 0..self.planners {
-                    let wants = [false, true].into_iter().filter(|wants| self.both || *wants == (from == 1));
+                    let wants = [false, true]
+                        .into_iter()
+                        .filter(|wants| self.both || *wants == (from == 1));
                     actions.extend(wants.map(|wants| Action::Report { from, to, wants }));
                 }
             }
             actions.push(Action::Spend(from));
         }
         // Delivered messages stay: they may come again.
-        let changes = |message: &&Message| self.next_state(state, Action::Deliver((*message).clone()));
-        let useful =
-            state.network.iter().filter(|message| changes(message).is_some_and(|next| next != *state));
+        let changes =
+            |message: &&Message| self.next_state(state, Action::Deliver((*message).clone()));
+        let useful = state
+            .network
+            .iter()
+            .filter(|message| changes(message).is_some_and(|next| next != *state));
         actions.extend(useful.cloned().map(Action::Deliver));
         if state.restarts < self.restarts {
             actions.extend((0..self.planners).map(Action::RestartPlanner));
@@ -233,19 +283,42 @@
             }
             Action::Report { from, to, wants } => {
                 let now = self.time(from, state.step);
-                self.stand(&mut state, from, if wants { Parts::WHOLE } else { Parts::NONE });
+                self.stand(
+                    &mut state,
+                    from,
+                    if wants { Parts::WHOLE } else { Parts::NONE },
+                );
                 let forwarder = &mut state.forwarders[from];
                 forwarder.reports += 1;
                 let (planner, seen) = forwarder.seen[to];
                 forwarder.shares.wanted(now, now, &Lending::life());
                 let trades = forwarder.shares.trade(now, planner, |_| true);
-                let trade =
-                    trades.first().filter(|trade| trade.lends > Parts::NONE || trade.wishes > Parts::NONE)?;
+                let trade = trades
+                    .first()
+                    .filter(|trade| trade.lends > Parts::NONE || trade.wishes > Parts::NONE)?;
                 let (lends, wishes, epoch) = (trade.lends, trade.wishes, forwarder.epoch);
                 let at = self.clock(from, state.step);
-                state.network.insert(Message::Report { from, epoch, to, planner, seen, lends, wishes, at });
+                state.network.insert(Message::Report {
+                    from,
+                    epoch,
+                    to,
+                    planner,
+                    seen,
+                    lends,
+                    wishes,
+                    at,
+                });
             }
-            Action::Deliver(Message::Report { from, epoch, to, planner, seen, lends, wishes, at }) => {
+            Action::Deliver(Message::Report {
+                from,
+                epoch,
+                to,
+                planner,
+                seen,
+                lends,
+                wishes,
+                at,
+            }) => {
                 let now = self.time(self.planner(to), state.step);
                 let known = &mut state.planners[to];
                 known.pool.prune(now);
@@ -260,16 +333,34 @@
                 }
                 let forgets = self.broken == Broken::WindowForgotten;
                 let window = if forgets { Span::ZERO } else { pledges.window };
-                let amount = known.pool.grant(Pledges { window, ..pledges }, now, lender, wishes);
+                let amount = known
+                    .pool
+                    .grant(Pledges { window, ..pledges }, now, lender, wishes);
                 let sent = self.clock(self.planner(to), state.step);
                 let planner = known.epoch;
                 let (to, from) = (from, to);
                 if amount == Parts::NONE && !self.stamps {
                     return Some(state);
                 }
-                state.network.insert(Message::Grant { to, epoch, planner, asked: at, sent, amount, from });
+                state.network.insert(Message::Grant {
+                    to,
+                    epoch,
+                    planner,
+                    asked: at,
+                    sent,
+                    amount,
+                    from,
+                });
             }
-            Action::Deliver(Message::Grant { to, epoch, planner, asked, sent, amount, from }) => {
+            Action::Deliver(Message::Grant {
+                to,
+                epoch,
+                planner,
+                asked,
+                sent,
+                amount,
+                from,
+            }) => {
                 let now = self.time(to, state.step);
                 let forwarder = &mut state.forwarders[to];
                 if forwarder.epoch != epoch {
@@ -280,32 +371,54 @@
                 }
                 let late = self.broken == Broken::GrantFromReceipt;
                 let asked = if late { now } else { Time::at_ms(asked as f64) };
-                let grant = Grant { life: Lending::life(), amount, lasts_ms: STEP as u32 };
+                let grant = Grant {
+                    life: Lending::life(),
+                    amount,
+                    lasts_ms: STEP as u32,
+                };
                 forwarder.shares.granted(now, planner, asked, &grant);
             }
             Action::RestartPlanner(at) => {
                 state.restarts += 1;
                 let waits = self.broken != Broken::PlannerWaitsForNothing;
-                let wait = if waits { self.pledges().planner_waits() } else { Span::ZERO };
+                let wait = if waits {
+                    self.pledges().planner_waits()
+                } else {
+                    Span::ZERO
+                };
                 let now = self.time(self.planner(at), state.step);
                 let epoch = Epoch(state.planners[at].epoch.0 + 1);
-                state.planners[at] = PlannerState { epoch, owns_from: now + wait, pool: Pool::default() };
+                state.planners[at] = PlannerState {
+                    epoch,
+                    owns_from: now + wait,
+                    pool: Pool::default(),
+                };
             }
             Action::RestartForwarder(who) => {
                 state.restarts += 1;
                 let shares = self.shares(who, state.step, false);
                 let old = &state.forwarders[who];
                 // What an earlier run spent still counts for the host.
-                let forwarder = Forwarder { epoch: Epoch(old.epoch.0 + 1), shares, ..old.clone() };
+                let forwarder = Forwarder {
+                    epoch: Epoch(old.epoch.0 + 1),
+                    shares,
+                    ..old.clone()
+                };
                 state.forwarders[who] = forwarder;
             }
             Action::Spend(who) => {
                 let now = self.time(who, state.step);
                 let forwarder = &mut state.forwarders[who];
                 let told = forwarder.shares.uses(now).next().map(|(_, parts)| parts);
-                let owned = if forwarder.shares.owns(now) { self.right() } else { Parts::NONE };
+                let owned = if forwarder.shares.owns(now) {
+                    self.right()
+                } else {
+                    Parts::NONE
+                };
                 let keeps = self.broken == Broken::LenderKeepsUsing;
-                let uses = told.unwrap_or(owned).max(if keeps { owned } else { Parts::NONE });
+                let uses = told
+                    .unwrap_or(owned)
+                    .max(if keeps { owned } else { Parts::NONE });
                 let amount = uses.less(self.within(&forwarder.spent, state.step));
                 if amount == Parts::NONE {
                     return None;
@@ -314,7 +427,9 @@
             }
         }
         state.forwarders.iter_mut().for_each(|forwarder| {
-            forwarder.spent.retain(|(at, amount)| at + self.window > state.step && *amount > Parts::NONE);
+            forwarder
+                .spent
+                .retain(|(at, amount)| at + self.window > state.step && *amount > Parts::NONE);
         });
         Some(state)
     }
@@ -324,16 +439,20 @@
             Property::always(
                 "no cold host is asked for more than the whole",
                 |model: &Lending, state: &State| {
-                    let spent =
-                        state.forwarders.iter().map(|forwarder| model.within(&forwarder.spent, state.step));
+                    let spent = state
+                        .forwarders
+                        .iter()
+                        .map(|forwarder| model.within(&forwarder.spent, state.step));
                     spent.fold(Parts::NONE, Parts::and) <= Parts::WHOLE
                 },
             ),
             Property::sometimes(
                 "a share moves: one forwarder spends beyond its right",
                 |model: &Lending, state: &State| {
-                    let mut spent =
-                        state.forwarders.iter().map(|forwarder| model.within(&forwarder.spent, state.step));
+                    let mut spent = state
+                        .forwarders
+                        .iter()
+                        .map(|forwarder| model.within(&forwarder.spent, state.step));
                     spent.any(|spent| spent > model.right())
                 },
             ),
@@ -342,7 +461,12 @@
 }
 
 fn lending(broken: Broken) -> Lending {
-    let rates = [1000 - u64::from(DRIFT), 1000 + u64::from(DRIFT), 1000 - u64::from(DRIFT), 1000];
+    let rates = [
+        1000 - u64::from(DRIFT),
+        1000 + u64::from(DRIFT),
+        1000 - u64::from(DRIFT),
+        1000,
+    ];
     Lending {
         broken,
         both: false,
@@ -372,54 +496,105 @@
     let broken = model.broken;
     let checker = model.checker().threads(4).spawn_bfs().join();
     let found = checker.discovery("no cold host is asked for more than the whole");
-    let found =
-        found.unwrap_or_else(|| panic!("{broken:?} is not found in {} states", checker.state_count()));
+    let found = found.unwrap_or_else(|| {
+        panic!(
+            "{broken:?} is not found in {} states",
+            checker.state_count()
+        )
+    });
     println!("{broken:?} after {} actions", found.into_actions().len());
 }
 
 #[test]
 fn shares_never_add_up_to_more_than_the_whole_with_one_planner() {
-    holds(Lending { reports: [2, 2], steps: 6, ..lending(Broken::Nothing) });
+    holds(Lending {
+        reports: [2, 2],
+        steps: 6,
+        ..lending(Broken::Nothing)
+    });
 }
 
 #[test]
 fn nor_over_the_whole_life_of_a_deposit() {
-    holds(Lending { reports: [1, 2], steps: 9, ..lending(Broken::Nothing) });
+    holds(Lending {
+        reports: [1, 2],
+        steps: 9,
+        ..lending(Broken::Nothing)
+    });
 }
 
 #[test]
 fn nor_when_either_may_lend_or_borrow() {
-    holds(Lending { both: true, steps: 7, ..lending(Broken::Nothing) });
+    holds(Lending {
+        both: true,
+        steps: 7,
+        ..lending(Broken::Nothing)
+    });
 }
 
 #[test]
 fn nor_with_two_planners_that_both_believe_to_be_in_charge() {
-    holds(Lending { planners: 2, reports: [2, 1], steps: 5, ..lending(Broken::Nothing) });
+    holds(Lending {
+        planners: 2,
+        reports: [2, 1],
+        steps: 5,
+        ..lending(Broken::Nothing)
+    });
 }
 
 #[test]
 fn nor_when_a_planner_or_a_forwarder_restarts() {
-    holds(Lending { restarts: 1, steps: 5, ..lending(Broken::Nothing) });
+    holds(Lending {
+        restarts: 1,
+        steps: 5,
+        ..lending(Broken::Nothing)
+    });
 }
 
 #[test]
 fn nor_with_parts_that_planners_own() {
-    holds(Lending { reserve: 0.4, restarts: 1, steps: 7, reports: [0, 2], ..lending(Broken::Nothing) });
+    holds(Lending {
+        reserve: 0.4,
+        restarts: 1,
+        steps: 7,
+        reports: [0, 2],
+        ..lending(Broken::Nothing)
+    });
 }
 
 /// Some minutes and gigabytes: `cargo test --release -p flaxdeck-guidance --test lending_model -- --ignored`.
 #[test]
 #[ignore = "long"]
 fn nor_in_longer_runs() {
-    holds(Lending { restarts: 1, steps: 6, ..lending(Broken::Nothing) });
-    holds(Lending { planners: 2, reports: [2, 2], steps: 3, ..lending(Broken::Nothing) });
-    holds(Lending { both: true, reports: [2, 2], steps: 5, ..lending(Broken::Nothing) });
+    holds(Lending {
+        restarts: 1,
+        steps: 6,
+        ..lending(Broken::Nothing)
+    });
+    holds(Lending {
+        planners: 2,
+        reports: [2, 2],
+        steps: 3,
+        ..lending(Broken::Nothing)
+    });
+    holds(Lending {
+        both: true,
+        reports: [2, 2],
+        steps: 5,
+        ..lending(Broken::Nothing)
+    });
 }
 
 #[test]
 fn a_planner_that_does_not_wait_out_its_earlier_grants_is_found() {
     let broken = Broken::PlannerWaitsForNothing;
-    breaks(Lending { reserve: 0.4, restarts: 1, steps: 3, reports: [0, 2], ..lending(broken) });
+    breaks(Lending {
+        reserve: 0.4,
+        restarts: 1,
+        steps: 3,
+        reports: [0, 2],
+        ..lending(broken)
+    });
 }
 
 #[test]
@@ -429,13 +604,22 @@
 
 #[test]
 fn a_forwarder_that_restarts_into_what_it_lent_is_found() {
-    breaks(Lending { restarts: 1, steps: 4, ..lending(Broken::ForwarderWaitsForNothing) });
+    breaks(Lending {
+        restarts: 1,
+        steps: 4,
+        ..lending(Broken::ForwarderWaitsForNothing)
+    });
 }
 
 #[test]
 fn a_grant_whose_last_use_is_forgotten_is_found() {
     let rates = [1000 + u64::from(DRIFT), 1000 - u64::from(DRIFT), 1000, 1000];
-    breaks(Lending { window: 3, rates, steps: 8, ..lending(Broken::WindowForgotten) });
+    breaks(Lending {
+        window: 3,
+        rates,
+        steps: 8,
+        ..lending(Broken::WindowForgotten)
+    });
 }
 
 #[test]
@@ -445,5 +629,8 @@
 
 #[test]
 fn a_lender_that_uses_what_it_lent_is_found() {
-    breaks(Lending { steps: 3, ..lending(Broken::LenderKeepsUsing) });
+    breaks(Lending {
+        steps: 3,
+        ..lending(Broken::LenderKeepsUsing)
+    });
 }
--- a/crates/flaxdeck-guidance/tests/membership.rs
+++ b/crates/flaxdeck-guidance/tests/membership.rs
@@ -9,7 +9,10 @@
 }
 
 fn life(n: u64) -> Life {
-    Life { host: format!("s-{n:08x}"), started: n }
+    Life {
+        host: format!("s-{n:08x}"),
+        started: n,
+    }
 }
 
 #[test]
@@ -19,7 +22,9 @@
         known.admit(at(0), Epoch(1), 1).unwrap();
     }
     let charge = |planners: &[Known], now| -> Vec<PlannerId> {
-        (0..300).map(|n| in_charge(now, planners, &life(n)).unwrap()).collect()
+        (0..300)
+            .map(|n| in_charge(now, planners, &life(n)).unwrap())
+            .collect()
     };
     let before = charge(&planners, at(1));
     for id in 0..3 {
@@ -30,7 +35,10 @@
     planners[1].admit(at(900), Epoch(1), 2).unwrap();
     let after = charge(&planners, at(1_100));
     for (before, after) in before.iter().zip(after) {
-        assert!(before.0 == 2 || *before == after, "a life moved from a planner that lives");
+        assert!(
+            before.0 == 2 || *before == after,
+            "a life moved from a planner that lives"
+        );
     }
 }
 
@@ -51,7 +59,11 @@
     known.met();
     known.admit(at(2), Epoch(4), 1).unwrap();
     known.admit(at(3), Epoch(4), 2).unwrap();
-    assert_eq!(known.admit(at(4), Epoch(3), 1), Err(Refused::OldEpoch), "one run a conversation");
+    assert_eq!(
+        known.admit(at(4), Epoch(3), 1),
+        Err(Refused::OldEpoch),
+        "one run a conversation"
+    );
 }
 
 #[test]
@@ -69,15 +81,29 @@
 #[test]
 fn a_planner_that_has_just_come_back_takes_over_only_once_it_is_steady() {
     let mut planners: Vec<Known> = (0..2).map(|n| Known::new(PlannerId(n))).collect();
-    planners.iter_mut().for_each(|known| known.admit(at(0), Epoch(1), 1).unwrap());
-    let of_second = (0..).map(life).find(|life| in_charge(at(1), &planners, life) == Some(PlannerId(1)));
+    planners
+        .iter_mut()
+        .for_each(|known| known.admit(at(0), Epoch(1), 1).unwrap());
+    let of_second = (0..)
+        .map(life)
+        .find(|life| in_charge(at(1), &planners, life) == Some(PlannerId(1)));
     let of_second = of_second.unwrap();
     planners[0].admit(at(900), Epoch(1), 2).unwrap();
     planners[0].admit(at(1_500), Epoch(1), 3).unwrap();
-    assert_eq!(in_charge(at(1_500), &planners, &of_second), Some(PlannerId(0)));
+    assert_eq!(
+        in_charge(at(1_500), &planners, &of_second),
+        Some(PlannerId(0))
+    );
     planners[1].admit(at(1_600), Epoch(2), 1).unwrap();
-    assert_eq!(in_charge(at(1_600), &planners, &of_second), Some(PlannerId(0)), "too soon");
+    assert_eq!(
+        in_charge(at(1_600), &planners, &of_second),
+        Some(PlannerId(0)),
+        "too soon"
+    );
     planners[0].admit(at(2_100), Epoch(1), 4).unwrap();
     planners[1].admit(at(2_100), Epoch(2), 2).unwrap();
-    assert_eq!(in_charge(at(2_101), &planners, &of_second), Some(PlannerId(1)));
+    assert_eq!(
+        in_charge(at(2_101), &planners, &of_second),
+        Some(PlannerId(1))
+    );
 }
--- a/crates/flaxdeck-guidance/tests/sparing.rs
+++ b/crates/flaxdeck-guidance/tests/sparing.rs
@@ -24,7 +24,13 @@
 
 fn guide(epoch: u64) -> Guide {
     let (pledges, blind_after) = (pledges(), Some(Span::from_ms(2_500)));
-    let stance = Stance { pledges, reserve: 0.0, seated: true, seat: SeatId(epoch), blind_after };
+    let stance = Stance {
+        pledges,
+        reserve: 0.0,
+        seated: true,
+        seat: SeatId(epoch),
+        blind_after,
+    };
     let mut guide = Guide::start(at(0), Epoch(epoch), stance, 2);
     guide.report_sparingly(IDLE);
     guide.subscribed_to(Some(FOLLOWED));
@@ -50,7 +56,9 @@
 }
 
 fn measured(now: Time) -> Vec<Observation> {
-    (0..HOSTS).map(|n| observation(n, Some(now), None)).collect()
+    (0..HOSTS)
+        .map(|n| observation(n, Some(now), None))
+        .collect()
 }
 
 fn planner() -> Planner {
@@ -60,7 +68,12 @@
 }
 
 /// A report to the planner that is followed, and its answer, without delay; gives how many ratings came.
-fn trip(now: Time, guide: &mut Guide, planner: &mut Planner, observations: &[Observation]) -> usize {
+fn trip(
+    now: Time,
+    guide: &mut Guide,
+    planner: &mut Planner,
+    observations: &[Observation],
+) -> usize {
     let report = guide.report(now, FOLLOWED, observations, Mark::NONE);
     let guidance = planner.report(now, &report).unwrap();
     let ratings = guidance.ratings.len();
@@ -72,7 +85,10 @@
 #[test]
 fn a_report_is_due_after_the_idle_time_and_at_once_for_a_failure_or_a_cold_host() {
     let (mut guide, mut planner) = (guide(10), planner());
-    assert!(guide.is_report_due(at(0), FOLLOWED, &[]), "the first is an introduction");
+    assert!(
+        guide.is_report_due(at(0), FOLLOWED, &[]),
+        "the first is an introduction"
+    );
     trip(at(0), &mut guide, &mut planner, &[]);
     let well = measured(at(100));
     assert!(!guide.is_report_due(at(200), FOLLOWED, &well));
@@ -80,11 +96,21 @@
     assert!(guide.is_report_due(at(1_500), FOLLOWED, &well));
     let failed = [observation(3, None, Some(at(150)))];
     assert!(guide.is_report_due(at(200), FOLLOWED, &failed));
-    let used = Used { right: 0.5, spent: 0.0, wished: 0.0 };
-    let cold = [Observation { cold: Some(used), ..observation(3, None, None) }];
+    let used = Used {
+        right: 0.5,
+        spent: 0.0,
+        wished: 0.0,
+    };
+    let cold = [Observation {
+        cold: Some(used),
+        ..observation(3, None, None)
+    }];
     assert!(guide.is_report_due(at(200), FOLLOWED, &cold));
     trip(at(200), &mut guide, &mut planner, &failed);
-    assert!(!guide.is_report_due(at(400), FOLLOWED, &failed), "it is told once");
+    assert!(
+        !guide.is_report_due(at(400), FOLLOWED, &failed),
+        "it is told once"
+    );
 }
 
 #[test]
@@ -96,7 +122,12 @@
         let report = guide.report(now, FOLLOWED, &measured(now), Mark::NONE);
         assert_eq!(report.samples.len(), RARE_MOST);
         told.extend(report.samples.into_iter().map(|sample| sample.host));
-        assert!(guide.report(now, OTHER, &measured(now), Mark::NONE).samples.is_empty());
+        assert!(
+            guide
+                .report(now, OTHER, &measured(now), Mark::NONE)
+                .samples
+                .is_empty()
+        );
     }
     told.sort();
     told.dedup();
@@ -105,7 +136,14 @@
     let mut observations = measured(now);
     observations[7].bad = Some(now);
     let report = guide.report(now, OTHER, &observations, Mark::NONE);
-    assert_eq!(report.samples.iter().map(|sample| &*sample.host).collect::<Vec<_>>(), [&*host(7).0]);
+    assert_eq!(
+        report
+            .samples
+            .iter()
+            .map(|sample| &*sample.host)
+            .collect::<Vec<_>>(),
+        [&*host(7).0]
+    );
 }
 
 #[test]
@@ -120,7 +158,10 @@
     }
     assert!(trip(at(9_100), &mut other, &mut planner, &[]) <= RARE_MOST);
     trip(at(9_100), &mut late, &mut planner, &[]);
-    let failed = [observation(0, None, Some(at(9_200))), observation(1, None, Some(at(9_200)))];
+    let failed = [
+        observation(0, None, Some(at(9_200))),
+        observation(1, None, Some(at(9_200))),
+    ];
     trip(at(9_200), &mut one, &mut planner, &failed);
     trip(at(9_200), &mut other, &mut planner, &failed);
     // Later changes of others don't push them out.
@@ -128,7 +169,10 @@
     let report = late.report(at(9_400), FOLLOWED, &[], Mark::NONE);
     let guidance = planner.report(at(9_400), &report).unwrap();
     let down = |n: u32| {
-        guidance.ratings.iter().any(|rating| rating.host == *host(n).0 && rating.down_ago_ms.is_some())
+        guidance
+            .ratings
+            .iter()
+            .any(|rating| rating.host == *host(n).0 && rating.down_ago_ms.is_some())
     };
     assert!(down(0) && down(1), "{:?}", guidance.ratings);
     assert!(guidance.ratings.len() <= RARE_MOST + 2);
@@ -138,15 +182,23 @@
 fn who_subscribes_is_pushed_nothing_and_who_does_not_is() {
     let mut planner = planner();
     let mut subscribed = guide(10);
-    let stance =
-        Stance { pledges: pledges(), reserve: 0.0, seated: true, seat: SeatId(11), blind_after: None };
+    let stance = Stance {
+        pledges: pledges(),
+        reserve: 0.0,
+        seated: true,
+        seat: SeatId(11),
+        blind_after: None,
+    };
     let mut told = Guide::start(at(0), Epoch(11), stance, 2);
     planner.begins_at(Mark { number: 1, hash: 1 });
     for guide in [&mut subscribed, &mut told] {
         let report = guide.report(at(0), FOLLOWED, &[], Mark { number: 1, hash: 1 });
         planner.report(at(0), &report).unwrap();
     }
-    let event = Relayed { mark: Mark { number: 2, hash: 2 }, frame: vec![0] };
+    let event = Relayed {
+        mark: Mark { number: 2, hash: 2 },
+        frame: vec![0],
+    };
     planner.coordinator(at(10), Some(event), true);
     assert!(planner.push(at(10), Epoch(10)).is_none());
     assert_eq!(planner.push(at(10), Epoch(11)).unwrap().events.len(), 1);
--- a/crates/flaxdeck-guidance/tests/two_levels.rs
+++ b/crates/flaxdeck-guidance/tests/two_levels.rs
@@ -17,7 +17,10 @@
 
 /// Here a number is its event.
 fn mark(number: u64) -> Mark {
-    Mark { number, hash: number }
+    Mark {
+        number,
+        hash: number,
+    }
 }
 
 fn at(ms: u64) -> Time {
@@ -30,7 +33,13 @@
 
 fn stance() -> Stance {
     let (pledges, blind_after) = (pledges(), Some(Span::from_ms(2_500)));
-    Stance { pledges, reserve: 0.0, seated: true, seat: SeatId(0), blind_after }
+    Stance {
+        pledges,
+        reserve: 0.0,
+        seated: true,
+        seat: SeatId(0),
+        blind_after,
+    }
 }
 
 /// A host as a forwarder sees it.
@@ -48,7 +57,11 @@
 }
 
 fn cold(right: f64, spent: f64, wished: f64) -> Option<Used> {
-    Some(Used { right, spent, wished })
+    Some(Used {
+        right,
+        spent,
+        wished,
+    })
 }
 
 fn planner(now: Time, epoch: u64, own: f64) -> Planner {
@@ -58,7 +71,12 @@
 }
 
 /// A round trip without delay.
-fn trip(now: Time, guide: &mut Guide, planner: &mut Planner, observations: &[Observation]) -> Report {
+fn trip(
+    now: Time,
+    guide: &mut Guide,
+    planner: &mut Planner,
+    observations: &[Observation],
+) -> Report {
     guide.stand(now, observations);
     let report = guide.report(now, P, observations, mark(0));
     let guidance = planner.report(now, &report).unwrap();
@@ -67,7 +85,12 @@
 }
 
 fn share(guide: &mut Guide, now: Time) -> Option<f64> {
-    guide.hints(now).hints.iter().find_map(|hint| hint.share).map(|(_, share)| share)
+    guide
+        .hints(now)
+        .hints
+        .iter()
+        .find_map(|hint| hint.share)
+        .map(|(_, share)| share)
 }
 
 /// Past the time for which a forwarder that starts leaves its share alone.
@@ -78,14 +101,23 @@
     let mut planner = planner(at(0), 1, 0.0);
     let mut idle = Guide::start(at(0), Epoch(10), stance(), 1);
     let mut busy = Guide::start(at(0), Epoch(11), stance(), 1);
-    let (calm, pressed) = ([observation(cold(0.5, 0.0, 0.0))], [observation(cold(0.5, 0.45, 0.3))]);
+    let (calm, pressed) = (
+        [observation(cold(0.5, 0.0, 0.0))],
+        [observation(cold(0.5, 0.45, 0.3))],
+    );
     for ms in [0, 200, 400, 600] {
         trip(at(OWNS + ms), &mut idle, &mut planner, &calm);
         trip(at(OWNS + ms), &mut busy, &mut planner, &pressed);
     }
     let now = at(OWNS + 600);
-    let (lends, uses) = (share(&mut idle, now).unwrap(), share(&mut busy, now).unwrap());
-    assert!(lends < 0.06 && uses > 0.9 && lends + uses <= 1.0, "{lends} {uses}");
+    let (lends, uses) = (
+        share(&mut idle, now).unwrap(),
+        share(&mut busy, now).unwrap(),
+    );
+    assert!(
+        lends < 0.06 && uses > 0.9 && lends + uses <= 1.0,
+        "{lends} {uses}"
+    );
     // Nobody is heard any more: the grant ends first, then the deposit.
     assert_eq!(share(&mut busy, now + Span::from_ms(1_200)), Some(0.5));
     assert!(share(&mut idle, now + Span::from_ms(1_200)).unwrap() < 0.06);
@@ -95,7 +127,10 @@
 #[test]
 fn a_planner_that_restarts_from_nothing_hands_out_nothing_that_is_still_out() {
     let mut planner1 = planner(at(0), 1, 0.4);
-    let reserve = Stance { reserve: 0.4, ..stance() };
+    let reserve = Stance {
+        reserve: 0.4,
+        ..stance()
+    };
     let mut busy = Guide::start(at(0), Epoch(11), reserve, 1);
     let mut late = Guide::start(at(0), Epoch(12), reserve, 1);
     let pressed = [observation(cold(0.5, 0.3, 0.6))];
@@ -103,9 +138,14 @@
         trip(at(OWNS + ms), &mut busy, &mut planner1, &pressed);
     }
     let granted = share(&mut busy, at(OWNS + 400)).unwrap();
-    assert!(granted > 0.6, "its own 0.3 and the planner's 0.4: {granted}");
+    assert!(
+        granted > 0.6,
+        "its own 0.3 and the planner's 0.4: {granted}"
+    );
     let mut planner2 = planner(at(OWNS + 500), 2, 0.4);
-    for ms in (500..).step_by(200).take_while(|ms| at(OWNS + ms) < at(OWNS + 500) + pledges().planner_waits())
+    for ms in (500..)
+        .step_by(200)
+        .take_while(|ms| at(OWNS + ms) < at(OWNS + 500) + pledges().planner_waits())
     {
         trip(at(OWNS + ms), &mut late, &mut planner2, &pressed);
         assert_eq!(share(&mut late, at(OWNS + ms)), Some(0.3), "after {ms} ms");
@@ -118,13 +158,25 @@
 #[test]
 fn a_forwarder_without_a_seat_lives_on_grants_and_has_one_within_a_report() {
     let mut planner = planner(at(0), 1, 0.2);
-    let mut guest =
-        Guide::start(at(20_000), Epoch(30), Stance { seated: false, reserve: 0.2, ..stance() }, 1);
+    let mut guest = Guide::start(
+        at(20_000),
+        Epoch(30),
+        Stance {
+            seated: false,
+            reserve: 0.2,
+            ..stance()
+        },
+        1,
+    );
     let pressed = [observation(cold(0.5, 0.0, 0.1))];
     let now = at(20_000);
     assert_eq!(guest.hints(now).by_right, 0.0);
     trip(now, &mut guest, &mut planner, &pressed);
-    assert_eq!(share(&mut guest, now), Some(0.0), "the first answer only brings the stamp to ask by");
+    assert_eq!(
+        share(&mut guest, now),
+        Some(0.0),
+        "the first answer only brings the stamp to ask by"
+    );
     trip(now + Span::from_ms(200), &mut guest, &mut planner, &pressed);
     let uses = share(&mut guest, now + Span::from_ms(200)).unwrap();
     assert!((0.09..=0.2).contains(&uses), "{uses}");
@@ -135,7 +187,12 @@
     let mut planner = planner(at(0), 1, 0.0);
     let mut idle = Guide::start(at(0), Epoch(10), stance(), 1);
     (0..3).for_each(|n| {
-        drop(trip(at(OWNS + n * 200), &mut idle, &mut planner, &[observation(cold(0.5, 0.0, 0.0))]))
+        drop(trip(
+            at(OWNS + n * 200),
+            &mut idle,
+            &mut planner,
+            &[observation(cold(0.5, 0.0, 0.0))],
+        ))
     });
     assert_eq!(share(&mut idle, at(OWNS + 400)), Some(0.5));
 }
@@ -145,18 +202,33 @@
     let mut planner = planner(at(0), 1, 0.0);
     let mut busy = Guide::start(at(0), Epoch(11), stance(), 1);
     (0..3).for_each(|n| {
-        drop(trip(at(OWNS + n * 200), &mut busy, &mut planner, &[observation(cold(0.5, 0.4, 0.6))]))
+        drop(trip(
+            at(OWNS + n * 200),
+            &mut busy,
+            &mut planner,
+            &[observation(cold(0.5, 0.4, 0.6))],
+        ))
     });
     let mut idle = Guide::start(at(0), Epoch(10), stance(), 1);
     (0..3).for_each(|n| {
-        drop(trip(at(OWNS + n * 200), &mut idle, &mut planner, &[observation(cold(0.5, 0.0, 0.0))]))
+        drop(trip(
+            at(OWNS + n * 200),
+            &mut idle,
+            &mut planner,
+            &[observation(cold(0.5, 0.0, 0.0))],
+        ))
     });
     assert!(share(&mut idle, at(OWNS + 400)).unwrap() < 0.06);
-    let again = Observation { started: Some(at(OWNS + 450)), ..observation(cold(0.5, 0.0, 0.0)) };
+    let again = Observation {
+        started: Some(at(OWNS + 450)),
+        ..observation(cold(0.5, 0.0, 0.0))
+    };
     idle.stand(at(OWNS + 500), &[again]);
     let hints = idle.hints(at(OWNS + 500)).hints;
-    let new =
-        hints.iter().find_map(|hint| hint.share.filter(|(started, _)| *started == Some(at(OWNS + 450))));
+    let new = hints.iter().find_map(|hint| {
+        hint.share
+            .filter(|(started, _)| *started == Some(at(OWNS + 450)))
+    });
     assert_eq!(new.map(|(_, share)| share), Some(0.5));
 }
 
@@ -169,23 +241,46 @@
     let report = guide.report(at(100), P, &[], mark(0));
     let two = first.report(at(100), &report).unwrap();
     guide.guided(at(110), P, two.clone(), mark(0)).unwrap();
-    assert_eq!(guide.guided(at(120), P, one, mark(0)), Err(Refused::OutOfOrder));
-    assert_eq!(guide.guided(at(130), P, two, mark(0)), Err(Refused::OutOfOrder));
+    assert_eq!(
+        guide.guided(at(120), P, one, mark(0)),
+        Err(Refused::OutOfOrder)
+    );
+    assert_eq!(
+        guide.guided(at(130), P, two, mark(0)),
+        Err(Refused::OutOfOrder)
+    );
     let report = guide.report(at(200), P, &[], mark(0));
     let old = first.report(at(200), &report).unwrap();
     let report = guide.report(at(300), P, &[], mark(0));
     let new = second.report(at(300), &report).unwrap();
     guide.guided(at(310), P, new.clone(), mark(0)).unwrap();
-    assert_eq!(guide.guided(at(900), P, old, mark(0)), Err(Refused::OldEpoch), "a delayed connection");
+    assert_eq!(
+        guide.guided(at(900), P, old, mark(0)),
+        Err(Refused::OldEpoch),
+        "a delayed connection"
+    );
     let mut restarted = Guide::start(at(1_000), Epoch(20), stance(), 1);
-    assert_eq!(restarted.guided(at(1_000), P, new, mark(0)), Err(Refused::NotForUs));
+    assert_eq!(
+        restarted.guided(at(1_000), P, new, mark(0)),
+        Err(Refused::NotForUs)
+    );
     let counted = guide.counted;
-    assert_eq!((counted.old_epoch, counted.out_of_order, restarted.counted.not_for_us), (1, 2, 1));
+    assert_eq!(
+        (
+            counted.old_epoch,
+            counted.out_of_order,
+            restarted.counted.not_for_us
+        ),
+        (1, 2, 1)
+    );
 }
 
 #[test]
 fn nonsense_is_bounded_in_effect_and_the_planner_pays_for_it() {
-    let life = || Life { host: "s-1".into(), started: at(0).ms() as u64 };
+    let life = || Life {
+        host: "s-1".into(),
+        started: at(0).ms() as u64,
+    };
     let rating = |measure, window| Rating {
         host: "s-1".into(),
         measures: [measure, None],
@@ -194,8 +289,16 @@
         good_ago_ms: None,
         window,
     };
-    let grant = |amount, lasts_ms| Grant { life: life(), amount: Parts(amount), lasts_ms };
-    let with = |grants: Vec<Grant>, ratings: Vec<Rating>| Guidance { grants, ratings, ..Guidance::default() };
+    let grant = |amount, lasts_ms| Grant {
+        life: life(),
+        amount: Parts(amount),
+        lasts_ms,
+    };
+    let with = |grants: Vec<Grant>, ratings: Vec<Rating>| Guidance {
+        grants,
+        ratings,
+        ..Guidance::default()
+    };
     let nonsense = [
         with(vec![], vec![rating(Some(f32::NAN), None)]),
         with(vec![], vec![rating(Some(-1.0), None)]),
@@ -216,11 +319,19 @@
             let report = guide.report(now, P, &pressed, mark(0));
             let mut answer = planner.report(now, &report).unwrap();
             (answer.grants, answer.ratings) = (guidance.grants.clone(), guidance.ratings.clone());
-            assert_eq!(guide.guided(now, P, answer, mark(0)), Err(Refused::Nonsense), "case {n}");
+            assert_eq!(
+                guide.guided(now, P, answer, mark(0)),
+                Err(Refused::Nonsense),
+                "case {n}"
+            );
         }
         let now = at(OWNS + 500);
         let told = guide.hints(now);
-        assert!(told.hints.iter().all(|hint| hint.measures == [None; 2] && hint.window.is_none()));
+        assert!(
+            told.hints
+                .iter()
+                .all(|hint| hint.measures == [None; 2] && hint.window.is_none())
+        );
         assert!(share(&mut guide, now).unwrap() <= 1.0);
         let report = guide.report(now, P, &pressed, mark(0));
         let sane = planner.report(now, &report).unwrap();
@@ -233,10 +344,18 @@
 fn a_planner_passes_over_what_cannot_be_and_hosts_that_nobody_listed() {
     let mut planner = planner(at(0), 1, 0.0);
     let mut guide = Guide::start(at(0), Epoch(10), stance(), 1);
-    let unlisted =
-        Observation { host: HostId("s-2".into()), good: Some(at(5_900)), ..observation(cold(0.5, 0.4, 0.5)) };
+    let unlisted = Observation {
+        host: HostId("s-2".into()),
+        good: Some(at(5_900)),
+        ..observation(cold(0.5, 0.4, 0.5))
+    };
     (0..2).for_each(|n| {
-        drop(trip(at(OWNS + n * 200), &mut guide, &mut planner, std::slice::from_ref(&unlisted)))
+        drop(trip(
+            at(OWNS + n * 200),
+            &mut guide,
+            &mut planner,
+            std::slice::from_ref(&unlisted),
+        ))
     });
     assert!(planner.counted.unlisted >= 2, "{:?}", planner.counted);
     assert_eq!(planner.load(at(OWNS + 200)).1, 0, "no pool for it");
@@ -255,24 +374,48 @@
     for number in 1..=4 {
         planner.coordinator(
             at(number),
-            Some(Relayed { mark: mark(number), frame: vec![number as u8] }),
+            Some(Relayed {
+                mark: mark(number),
+                frame: vec![number as u8],
+            }),
             true,
         );
     }
-    planner.coordinator(at(5), Some(Relayed { mark: mark(4), frame: vec![9] }), true);
+    planner.coordinator(
+        at(5),
+        Some(Relayed {
+            mark: mark(4),
+            frame: vec![9],
+        }),
+        true,
+    );
     let mut guide = Guide::start(at(0), Epoch(10), stance(), 1);
-    let numbers = |events: Vec<Relayed>| events.iter().map(|event| event.mark.number).collect::<Vec<_>>();
+    let numbers = |events: Vec<Relayed>| {
+        events
+            .iter()
+            .map(|event| event.mark.number)
+            .collect::<Vec<_>>()
+    };
     let report = guide.report(at(10), P, &[], mark(2));
     let guidance = planner.report(at(10), &report).unwrap();
     // Meanwhile the coordinator itself has brought 3.
-    assert_eq!(numbers(guide.guided(at(11), P, guidance.clone(), mark(3)).unwrap()), [4]);
+    assert_eq!(
+        numbers(guide.guided(at(11), P, guidance.clone(), mark(3)).unwrap()),
+        [4]
+    );
     let report = guide.report(at(20), P, &[], mark(4));
     let guidance = planner.report(at(20), &report).unwrap();
-    assert_eq!(numbers(guide.guided(at(21), P, guidance, mark(4)).unwrap()), []);
+    assert_eq!(
+        numbers(guide.guided(at(21), P, guidance, mark(4)).unwrap()),
+        []
+    );
     // One whose earlier events the planner has not: nothing is passed on over a gap.
     let report = guide.report(at(30), P, &[], mark(0));
     let guidance = planner.report(at(30), &report).unwrap();
-    assert_eq!(numbers(guide.guided(at(31), P, guidance, mark(0)).unwrap()), [1, 2, 3, 4]);
+    assert_eq!(
+        numbers(guide.guided(at(31), P, guidance, mark(0)).unwrap()),
+        [1, 2, 3, 4]
+    );
     let mut young = planner2_without(3);
     let report = guide.report(at(40), P, &[], mark(1));
     assert_eq!(young.report(at(40), &report).unwrap().events, []);
@@ -281,7 +424,14 @@
 /// A planner that heard only what came after an event.
 fn planner2_without(first: u64) -> Planner {
     let mut planner = planner(at(35), 2, 0.0);
-    planner.coordinator(at(36), Some(Relayed { mark: mark(first + 1), frame: vec![] }), true);
+    planner.coordinator(
+        at(36),
+        Some(Relayed {
+            mark: mark(first + 1),
+            frame: vec![],
+        }),
+        true,
+    );
     planner
 }
 
@@ -313,13 +463,17 @@
 #[test]
 fn what_one_hears_of_a_link_the_others_of_its_location_hear() {
     let mut planner = planner(at(0), 1, 0.0);
-    let mut guides: Vec<Guide> = (10..13).map(|n| Guide::start(at(0), Epoch(n), stance(), 1)).collect();
+    let mut guides: Vec<Guide> = (10..13)
+        .map(|n| Guide::start(at(0), Epoch(n), stance(), 1))
+        .collect();
     guides[0].link(ZoneId(4), Some((7.5, at(90))));
     guides[1].link(ZoneId(4), Some((2.0, at(50))));
     guides[2].link(ZoneId(5), None);
     // The first answers bring the stamps by which ages are told.
     for ms in [100, 200] {
-        guides.iter_mut().for_each(|guide| drop(trip(at(ms), guide, &mut planner, &[])));
+        guides
+            .iter_mut()
+            .for_each(|guide| drop(trip(at(ms), guide, &mut planner, &[])));
     }
     let told = |guide: &mut Guide| guide.hints(at(200)).link;
     let (full, heard) = told(&mut guides[1]).unwrap();
@@ -341,7 +495,15 @@
     let mut planners: Vec<Planner> = (1..=2).map(|n| planner(at(0), n, 0.0)).collect();
     let seat = |n: usize| SeatId(n as u64 + 1);
     let start = |n: usize, epoch: u64, ms: u64| {
-        Guide::start(at(ms), Epoch(epoch * 1_000 + n as u64), Stance { seat: seat(n), ..stance() }, 2)
+        Guide::start(
+            at(ms),
+            Epoch(epoch * 1_000 + n as u64),
+            Stance {
+                seat: seat(n),
+                ..stance()
+            },
+            2,
+        )
     };
     let mut guides: Vec<Guide> = (0..forwarders).map(|n| start(n, 1, 0)).collect();
     let mut runs = vec![1u64; forwarders];
@@ -363,14 +525,20 @@
                     let from = report.envelope.from.0 as usize % 1_000;
                     if let Ok(guidance) = planners[to].report(now, &report) {
                         number += 1;
-                        let late = if rough { chance.random_range(0..900) } else { 1 };
+                        let late = if rough {
+                            chance.random_range(0..900)
+                        } else {
+                            1
+                        };
                         mails.insert(
                             (ms + late, number),
                             Mail::Guidance(from, PlannerId(to as u32), guidance),
                         );
                     }
                 }
-                Mail::Guidance(to, from, guidance) => drop(guides[to].guided(now, from, guidance, mark(0))),
+                Mail::Guidance(to, from, guidance) => {
+                    drop(guides[to].guided(now, from, guidance, mark(0)))
+                }
             }
         }
         for who in 0..forwarders {
@@ -383,8 +551,15 @@
             let own: f64 = spent[who].iter().map(|(_, cost)| cost).sum();
             // The brain takes the window as spent at its start.
             let told = guides[who].hints(now);
-            let may = told.hints.iter().find_map(|hint| hint.share.map(|(_, share)| share));
-            let may = if ms < born[who] + WINDOW { 0.0 } else { may.unwrap_or(right * told.by_right) };
+            let may = told
+                .hints
+                .iter()
+                .find_map(|hint| hint.share.map(|(_, share)| share));
+            let may = if ms < born[who] + WINDOW {
+                0.0
+            } else {
+                may.unwrap_or(right * told.by_right)
+            };
             let wants = demand(who, ms) * STEP as f64 / WINDOW as f64;
             if own + wants <= may {
                 spent[who].push((ms, wants));
@@ -392,17 +567,30 @@
                 wished[who] += wants;
             }
             if (ms + who as u64 * 37) % REPORT < STEP {
-                let own = if ms < born[who] + WINDOW { 1.0 } else { own.min(1.0) };
+                let own = if ms < born[who] + WINDOW {
+                    1.0
+                } else {
+                    own.min(1.0)
+                };
                 let observations = [observation(cold(right, own, f64::min(wished[who], 1.0)))];
                 wished[who] = 0.0;
                 guides[who].stand(now, &observations);
                 for to in 0..2 {
-                    let report = guides[who].report(now, PlannerId(to as u32), &observations, mark(0));
-                    let copies = if !rough { 1 } else { [0, 1, 1, 1, 2][chance.random_range(0..5)] };
+                    let report =
+                        guides[who].report(now, PlannerId(to as u32), &observations, mark(0));
+                    let copies = if !rough {
+                        1
+                    } else {
+                        [0, 1, 1, 1, 2][chance.random_range(0..5)]
+                    };
                     let copies = if how == Play::Alone { 0 } else { copies };
                     for _ in 0..copies {
                         number += 1;
-                        let late = if rough { chance.random_range(0..900) } else { 1 };
+                        let late = if rough {
+                            chance.random_range(0..900)
+                        } else {
+                            1
+                        };
                         mails.insert((ms + late, number), Mail::Report(to, report.clone()));
                     }
                 }
@@ -426,10 +614,18 @@
     let (mut guided, mut alone) = (0.0, 0.0);
     for seed in 0..16 {
         let forwarders = [2, 3, 5, 8][seed as usize % 4];
-        let busy = |who: usize, ms: u64| if (who as u64 + ms / 4_000).is_multiple_of(2) { 1.0 } else { 0.1 };
+        let busy = |who: usize, ms: u64| {
+            if (who as u64 + ms / 4_000).is_multiple_of(2) {
+                1.0
+            } else {
+                0.1
+            }
+        };
         let (most, mean) = play(seed, forwarders, busy, Play::Rough);
         let (_, lone) = play(seed, forwarders, busy, Play::Alone);
-        println!("rough, {forwarders} forwarders: at most {most:.3}, in the mean {mean:.3}, alone {lone:.3}");
+        println!(
+            "rough, {forwarders} forwarders: at most {most:.3}, in the mean {mean:.3}, alone {lone:.3}"
+        );
         assert!(most <= 1.0 + 1e-6, "seed {seed}: {most}");
         (guided, alone) = (guided + mean, alone + lone);
     }
@@ -439,7 +635,10 @@
 
 #[test]
 fn a_forwarder_that_returns_uses_its_share_as_soon_as_all_planners_say_that_nothing_of_it_is_out() {
-    let seated = Stance { seat: SeatId(7), ..stance() };
+    let seated = Stance {
+        seat: SeatId(7),
+        ..stance()
+    };
     let mut planners: Vec<Planner> = (1..=2).map(|n| planner(at(0), n, 0.0)).collect();
     let tell = |guide: &mut Guide, planners: &mut [Planner], which: usize, ms: u64| {
         let to = PlannerId(which as u32);
@@ -455,25 +654,47 @@
     assert_eq!(tell(&mut first, &mut planners, 1, 110), at(100) + waits);
     // Later both can; the first word of one of them is not enough.
     let mut second = Guide::start(at(20_000), Epoch(2), seated, 2);
-    assert_eq!(tell(&mut second, &mut planners, 0, 20_010), at(20_000) + waits);
+    assert_eq!(
+        tell(&mut second, &mut planners, 0, 20_010),
+        at(20_000) + waits
+    );
     assert_eq!(tell(&mut second, &mut planners, 1, 20_010), at(20_011));
     // A report of the first that was still on its way lends nothing any more.
     let late = first.report(at(19_900), P, &[], mark(0));
-    assert_eq!(planners[0].report(at(20_100), &late), Err(Refused::OldEpoch));
+    assert_eq!(
+        planners[0].report(at(20_100), &late),
+        Err(Refused::OldEpoch)
+    );
 }
 
 #[test]
 fn where_one_asks_for_all_it_gets_over_four_fifths_at_any_number_of_forwarders() {
     for forwarders in [2, 8, 32] {
-        let (most, mean) = play(1, forwarders, |who, _| if who == 0 { 1.5 } else { 0.0 }, Play::Calm);
-        println!("calm, {forwarders} forwarders, one busy: at most {most:.3}, in the mean {mean:.3}");
-        assert!(most <= 1.0 + 1e-6 && mean > 0.8, "{forwarders}: {most} {mean}");
+        let (most, mean) = play(
+            1,
+            forwarders,
+            |who, _| if who == 0 { 1.5 } else { 0.0 },
+            Play::Calm,
+        );
+        println!(
+            "calm, {forwarders} forwarders, one busy: at most {most:.3}, in the mean {mean:.3}"
+        );
+        assert!(
+            most <= 1.0 + 1e-6 && mean > 0.8,
+            "{forwarders}: {most} {mean}"
+        );
     }
 }
 
 #[test]
 fn where_demand_turns_faster_than_shares_can_move_little_is_lost() {
-    let turns = |who: usize, ms: u64| if who as u64 == ms / 5_000 % 4 { 1.5 } else { 0.02 };
+    let turns = |who: usize, ms: u64| {
+        if who as u64 == ms / 5_000 % 4 {
+            1.5
+        } else {
+            0.02
+        }
+    };
     let (most, mean) = play(3, 4, turns, Play::Calm);
     println!("calm, 4 forwarders, one busy in turn: at most {most:.3}, in the mean {mean:.3}");
     // Alone it would be 0.25 and a little: within a window and a grant there is nothing to be had by lending.
--- a/crates/flaxdeck-lab/src/keep.rs
+++ b/crates/flaxdeck-lab/src/keep.rs
@@ -35,7 +35,10 @@
 pub fn write(path: &Path, columns: &[(&str, Column)]) -> Result<(), String> {
     let rows = columns.first().map_or(0, |(_, column)| column.len());
     if let Some((name, _)) = columns.iter().find(|(_, column)| column.len() != rows) {
-        return Err(format!("{}: column {name} is not as long as the first", path.display()));
+        return Err(format!(
+            "{}: column {name} is not as long as the first",
+            path.display()
+        ));
     }
     write_columns(path, columns).map_err(|error| format!("{}: {error}", path.display()))
 }
@@ -47,13 +50,18 @@
         Column::Text(_) => format!("required binary {name} (UTF8);"),
     };
     let fields: Vec<String> = columns.iter().map(field).collect();
-    let schema = Arc::new(parse_message_type(&format!("message rows {{ {} }}", fields.join(" ")))?);
+    let schema = Arc::new(parse_message_type(&format!(
+        "message rows {{ {} }}",
+        fields.join(" ")
+    ))?);
     let zstd = Compression::ZSTD(ZstdLevel::default());
     let properties = Arc::new(WriterProperties::builder().set_compression(zstd).build());
     let mut writer = SerializedFileWriter::new(File::create(path)?, schema, properties)?;
     let mut group = writer.next_row_group()?;
     for (_, column) in columns {
-        let Some(mut to) = group.next_column()? else { break };
+        let Some(mut to) = group.next_column()? else {
+            break;
+        };
         match column {
             Column::Whole(rows) => to.typed::<Int64Type>().write_batch(rows, None, None)?,
             Column::Number(rows) => to.typed::<DoubleType>().write_batch(rows, None, None)?,
--- a/crates/flaxdeck-lab/src/pairs.rs
+++ b/crates/flaxdeck-lab/src/pairs.rs
@@ -62,15 +62,25 @@
 const PAIRS_AT_ONCE: u64 = 4;
 
 const OTHERS: &[(&str, Read)] = &[
-    ("in time", |out| out.in_time as f64 / out.wants.max(1) as f64),
-    ("not lost", |out| 1.0 - out.lost as f64 / out.wants.max(1) as f64),
+    ("in time", |out| {
+        out.in_time as f64 / out.wants.max(1) as f64
+    }),
+    ("not lost", |out| {
+        1.0 - out.lost as f64 / out.wants.max(1) as f64
+    }),
     ("hits", |out| out.hits as f64 / out.attempts.max(1) as f64),
-    ("spared origin", |out| -(out.origin_fills as f64) / out.wants.max(1) as f64),
+    ("spared origin", |out| {
+        -(out.origin_fills as f64) / out.wants.max(1) as f64
+    }),
 ];
 
 impl Figure {
     fn new(name: String, level: f64) -> Figure {
-        Figure { name, sequence: Sequence::new(level), means: [0.0; 2] }
+        Figure {
+            name,
+            sequence: Sequence::new(level),
+            means: [0.0; 2],
+        }
     }
 
     /// Adds what A and B had on one pair of days.
@@ -89,10 +99,22 @@
     fn begin(limits: &Limits) -> Comparison {
         let kinds = limits.kinds.iter().map(|kind| format!("gain, {kind}"));
         let others = OTHERS.iter().map(|(name, _)| (*name).to_owned());
-        let names: Vec<String> = iter::once("gain".to_owned()).chain(kinds).chain(others).collect();
+        let names: Vec<String> = iter::once("gain".to_owned())
+            .chain(kinds)
+            .chain(others)
+            .collect();
         let level = limits.level / names.len() as f64;
-        let figures = names.into_iter().map(|name| Figure::new(name, level)).collect();
-        Comparison { figures, pairs: 0, took: Duration::ZERO, breaches: [0; 2], first_breach: None }
+        let figures = names
+            .into_iter()
+            .map(|name| Figure::new(name, level))
+            .collect();
+        Comparison {
+            figures,
+            pairs: 0,
+            took: Duration::ZERO,
+            breaches: [0; 2],
+            first_breach: None,
+        }
     }
 
     /// The verdict over all by the gain.
@@ -114,13 +136,19 @@
         }
         let kind = kind.map_or("", |kind| &kinds[kind]);
         for (way, outcome) in outcomes.iter().enumerate() {
-            self.add_breaches(way, outcome, &format!("{} pair {pair} {kind}", ["A", "B"][way]));
+            self.add_breaches(
+                way,
+                outcome,
+                &format!("{} pair {pair} {kind}", ["A", "B"][way]),
+            );
         }
         self.pairs += 1;
     }
 
     fn add_breaches(&mut self, way: usize, outcome: &Outcome, day: &str) {
-        let Some(verdict) = &outcome.verdict else { return };
+        let Some(verdict) = &outcome.verdict else {
+            return;
+        };
         self.breaches[way] += verdict.breaches.len() as u64;
         if let Some(breach) = verdict.breaches.first() {
             let told = || format!("{day}: rule {}: {}", breach.rule, breach.what);
@@ -135,14 +163,20 @@
 }
 
 /// Plays pairs until the gain's answer is clear, or the budget is out.
-pub fn compare(a: &Shape, b: &Shape, limits: &Limits, mut told: impl FnMut(&Comparison)) -> Comparison {
+pub fn compare(
+    a: &Shape,
+    b: &Shape,
+    limits: &Limits,
+    mut told: impl FnMut(&Comparison),
+) -> Comparison {
     let begun = Instant::now();
     let mut comparison = Comparison::begin(limits);
     let batch = (rayon::current_num_threads() as u64).max(PAIRS_AT_ONCE);
     while comparison.pairs < limits.pairs && begun.elapsed() < limits.budget {
         let first = comparison.pairs;
         let pairs = (first..(first + batch).min(limits.pairs)).into_par_iter();
-        let played: Vec<(u64, [Outcome; 2])> = pairs.map(|pair| (pair, play(a, b, limits, pair))).collect();
+        let played: Vec<(u64, [Outcome; 2])> =
+            pairs.map(|pair| (pair, play(a, b, limits, pair))).collect();
         for (pair, outcomes) in &played {
             comparison.add(*pair, outcomes, &limits.kinds);
         }
@@ -162,10 +196,25 @@
         if let Some(kind) = kind_of(pair, &limits.kinds) {
             let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0xfau64);
             let kind = &limits.kinds[kind];
-            shape.faults.extend(faults::draw(kind, shape.zones, shape.day_ms, &mut chance));
+            shape
+                .faults
+                .extend(faults::draw(kind, shape.zones, shape.day_ms, &mut chance));
         }
         run(&shape, seed)
     };
-    let seed = limits.seed.wrapping_add(pair).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    [one(a, seed), one(b, if limits.apart { seed ^ 0x5555_5555 } else { seed })]
+    let seed = limits
+        .seed
+        .wrapping_add(pair)
+        .wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    [
+        one(a, seed),
+        one(
+            b,
+            if limits.apart {
+                seed ^ 0x5555_5555
+            } else {
+                seed
+            },
+        ),
+    ]
 }
--- a/crates/flaxdeck-lab/src/sequence.rs
+++ b/crates/flaxdeck-lab/src/sequence.rs
@@ -35,7 +35,12 @@
 impl Sequence {
     /// No differences yet; the interval may ever miss with this chance.
     pub fn new(level: f64) -> Sequence {
-        Sequence { level, count: 0, mean: 0.0, squares: 0.0 }
+        Sequence {
+            level,
+            count: 0,
+            mean: 0.0,
+            squares: 0.0,
+        }
     }
 
     /// Adds a difference, B's figure less A's.
@@ -72,8 +77,8 @@
         // The mixture's width that makes the interval tightest at that count.
         let rho2 = (-2.0 * self.level.ln() + (-2.0 * self.level.ln()).ln() + 1.0) / TUNED_TO;
         let inner = count * rho2 + 1.0;
-        let radius =
-            deviation * (2.0 * inner / (count * count * rho2) * (inner.sqrt() / self.level).ln()).sqrt();
+        let radius = deviation
+            * (2.0 * inner / (count * count * rho2) * (inner.sqrt() / self.level).ln()).sqrt();
         Some((self.mean - radius, self.mean + radius))
     }
 
--- a/crates/flaxdeck-lab/src/service.rs
+++ b/crates/flaxdeck-lab/src/service.rs
@@ -46,11 +46,21 @@
 /// long enough. The slices begin at the same moment as `up` is counted from.
 pub fn full_service(played: &[Slice], twin: &[Slice], up: f64) -> Option<f64> {
     let first = (up / SLICE).ceil() as usize;
-    let both: Vec<bool> = played.iter().zip(twin).map(|(played, twin)| played.like(*twin)).collect();
+    let both: Vec<bool> = played
+        .iter()
+        .zip(twin)
+        .map(|(played, twin)| played.like(*twin))
+        .collect();
     let starts = first..both.len().saturating_sub(LASTING - 1);
-    let full = starts.into_iter().find(|from| both[*from..from + LASTING].iter().all(|like| *like))?;
+    let full = starts
+        .into_iter()
+        .find(|from| both[*from..from + LASTING].iter().all(|like| *like))?;
     // One that is like the twin from the first slice on counts from the moment itself.
-    Some(if full == first { 0.0 } else { full as f64 * SLICE - up })
+    Some(if full == first {
+        0.0
+    } else {
+        full as f64 * SLICE - up
+    })
 }
 
 /// Wants that did not come in time beyond the twin's, by when they were first asked for.
@@ -85,7 +95,10 @@
 
 /// The median and the worst of some figures; what never came counts as worse than any.
 pub fn median_and_worst(figures: &[Option<f64>]) -> [Option<f64>; 2] {
-    let mut sorted: Vec<f64> = figures.iter().map(|figure| figure.unwrap_or(f64::INFINITY)).collect();
+    let mut sorted: Vec<f64> = figures
+        .iter()
+        .map(|figure| figure.unwrap_or(f64::INFINITY))
+        .collect();
     sorted.sort_by(f64::total_cmp);
     let told = |at: usize| sorted.get(at).copied().filter(|figure| figure.is_finite());
     [told(sorted.len() / 2), told(sorted.len().saturating_sub(1))]
--- a/crates/flaxdeck-lab/tests/sequence.rs
+++ b/crates/flaxdeck-lab/tests/sequence.rs
@@ -12,7 +12,9 @@
         let (mut chance, mut sequence) = (Pcg64Mcg::seed_from_u64(seed), Sequence::new(0.05));
         (0..200).any(|_| {
             sequence.add(draw(&mut chance));
-            sequence.interval().is_some_and(|(low, high)| truth < low || truth > high)
+            sequence
+                .interval()
+                .is_some_and(|(low, high)| truth < low || truth > high)
         })
     };
     (0..400).filter(|seed| miss(*seed)).count() as f64 / 400.0
@@ -29,7 +31,11 @@
 fn days_that_tip_now_and_then_leave_it_honest() {
     // One day in five is worse by a lot.
     let tips = |chance: &mut Pcg64Mcg| {
-        if chance.random_bool(0.2) { -0.4 } else { chance.random_range(-0.02..0.02) }
+        if chance.random_bool(0.2) {
+            -0.4
+        } else {
+            chance.random_range(-0.02..0.02)
+        }
     };
     let rate = missed(tips, -0.08);
     assert!(rate <= 0.06, "{rate}");
--- a/crates/flaxdeck-net/src/clock.rs
+++ b/crates/flaxdeck-net/src/clock.rs
@@ -22,9 +22,14 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let apart = APART.load(Ordering::Relaxed) as f64;
-        Clock { start: Instant::now(), start_ms: unix.as_secs_f64() * 1000.0 + apart }
+        Clock {
+            start: Instant::now(),
+            start_ms: unix.as_secs_f64() * 1000.0 + apart,
+        }
     }
 
     pub fn now(&self) -> Time {
@@ -40,10 +45,18 @@
 /// moves. Zeros where the system does not tell.
 pub fn since_boot() -> (u64, u64) {
     let text = |path| std::fs::read_to_string(path).unwrap_or_default();
-    let digits: String =
-        text("/proc/sys/kernel/random/boot_id").chars().filter(char::is_ascii_hexdigit).collect();
-    let boot = digits.get(..16).and_then(|digits| u64::from_str_radix(digits, 16).ok()).unwrap_or(0);
-    let seconds = text("/proc/uptime").split_whitespace().next().and_then(|word| word.parse::<f64>().ok());
+    let digits: String = text("/proc/sys/kernel/random/boot_id")
+        .chars()
+        .filter(char::is_ascii_hexdigit)
+        .collect();
+    let boot = digits
+        .get(..16)
+        .and_then(|digits| u64::from_str_radix(digits, 16).ok())
+        .unwrap_or(0);
+    let seconds = text("/proc/uptime")
+        .split_whitespace()
+        .next()
+        .and_then(|word| word.parse::<f64>().ok());
     seconds.map_or((0, 0), |seconds| (boot, (seconds * 1000.0) as u64))
 }
 
--- a/crates/flaxdeck-net/src/counters_file.rs
+++ b/crates/flaxdeck-net/src/counters_file.rs
@@ -32,6 +32,12 @@
 }
 
 fn line(elapsed: Duration, counters: &Reader) -> String {
-    let counters = counters.snapshot().map(|(name, value)| format!(",\"{name}\":{value}"));
-    format!("{{\"elapsed_us\":{}{}}}\n", elapsed.as_micros(), counters.collect::<String>())
+    let counters = counters
+        .snapshot()
+        .map(|(name, value)| format!(",\"{name}\":{value}"));
+    format!(
+        "{{\"elapsed_us\":{}{}}}\n",
+        elapsed.as_micros(),
+        counters.collect::<String>()
+    )
 }
--- a/crates/flaxdeck-net/src/eviction.rs
+++ b/crates/flaxdeck-net/src/eviction.rs
@@ -36,15 +36,21 @@
 // idle ones are asked in order, up to the first that can go.
 pub fn choose<C: Connection>(connections: &[C], now: Instant) -> Eviction<'_, C> {
     let quiet = |connection: &C| now.saturating_duration_since(connection.quiet_since()) > SILENT;
-    let mute = |connection: &&C| !connection.has_spoken() && quiet(connection) && !connection.is_busy();
-    let silent: Vec<&C> =
-        connections.iter().filter(mute).filter(|connection| !connection.has_unread()).collect();
+    let mute =
+        |connection: &&C| !connection.has_spoken() && quiet(connection) && !connection.is_busy();
+    let silent: Vec<&C> = connections
+        .iter()
+        .filter(mute)
+        .filter(|connection| !connection.has_unread())
+        .collect();
     if !silent.is_empty() {
         return Eviction::Silent(silent);
     }
     let rests = |connection: &&C| connection.has_spoken() && !connection.is_busy();
     let mut resting: Vec<&C> = connections.iter().filter(rests).collect();
     resting.sort_by_key(|connection| connection.quiet_since());
-    let longest = resting.into_iter().find(|connection| !connection.has_unread());
+    let longest = resting
+        .into_iter()
+        .find(|connection| !connection.has_unread());
     longest.map_or(Eviction::Nobody, Eviction::Idle)
 }
--- a/crates/flaxdeck-net/src/link.rs
+++ b/crates/flaxdeck-net/src/link.rs
@@ -58,7 +58,8 @@
     /// Whether the other side has closed, or sent what nobody asked for, since the last read.
     pub fn stale(&mut self) -> bool {
         let quiet = self.stream.try_read(&mut [0; 1]);
-        !self.bytes.is_empty() || !matches!(quiet, Err(error) if error.kind() == ErrorKind::WouldBlock)
+        !self.bytes.is_empty()
+            || !matches!(quiet, Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 }
 
@@ -69,11 +70,17 @@
 pub async fn end(inbound: &mut Inbound, outbound: &Outbound, within: Duration) {
     let ended = async {
         outbound.flush().await.ok()?;
-        SockRef::from(&*outbound.stream).shutdown(Shutdown::Write).ok()?;
+        SockRef::from(&*outbound.stream)
+            .shutdown(Shutdown::Write)
+            .ok()?;
         let mut drained = 0;
         loop {
             inbound.bytes.clear();
-            let more = inbound.more(0).await.ok().filter(|more| *more && drained < DRAINED_MOST);
+            let more = inbound
+                .more(0)
+                .await
+                .ok()
+                .filter(|more| *more && drained < DRAINED_MOST);
             drained += more.map(|_| inbound.bytes.len())?;
         }
     };
@@ -126,8 +133,18 @@
         broken: false,
         stuck_since: None,
     }));
-    let inbound = Inbound { stream: stream.clone(), bytes: BytesMut::new() };
-    (inbound, Outbound { stream, queue, changed: Rc::new(Notify::new()) })
+    let inbound = Inbound {
+        stream: stream.clone(),
+        bytes: BytesMut::new(),
+    };
+    (
+        inbound,
+        Outbound {
+            stream,
+            queue,
+            changed: Rc::new(Notify::new()),
+        },
+    )
 }
 
 /// Opens a connection; how long that may take is the caller's matter.
@@ -141,8 +158,14 @@
         if self.is_closed() {
             return;
         }
-        let pieces = pieces.into_iter().filter(|piece| !piece.is_empty()).collect();
-        self.queue.borrow_mut().parcels.push_back(Parcel { pieces, _places: places });
+        let pieces = pieces
+            .into_iter()
+            .filter(|piece| !piece.is_empty())
+            .collect();
+        self.queue.borrow_mut().parcels.push_back(Parcel {
+            pieces,
+            _places: places,
+        });
         if self.write().is_err() || self.pending() {
             self.changed.notify_one();
         }
@@ -193,7 +216,10 @@
     /// Whether that is known to have happened already.
     pub fn is_peer_closed(&self) -> bool {
         let mut context = Context::from_waker(Waker::noop());
-        pin!(self.peer_closed()).as_mut().poll(&mut context).is_ready()
+        pin!(self.peer_closed())
+            .as_mut()
+            .poll(&mut context)
+            .is_ready()
     }
 
     /// Takes nothing more to send; the connection ends at its owner's next look, which writes what is queued.
@@ -222,7 +248,11 @@
         while self.pending() {
             self.step().await?;
         }
-        if self.queue.borrow().broken { Err(ErrorKind::BrokenPipe.into()) } else { Ok(()) }
+        if self.queue.borrow().broken {
+            Err(ErrorKind::BrokenPipe.into())
+        } else {
+            Ok(())
+        }
     }
 
     fn write(&self) -> io::Result<()> {
@@ -230,7 +260,10 @@
         loop {
             let mut slices = [IoSlice::new(&[]); PIECES];
             let pieces = queue.parcels.iter().flat_map(|parcel| &parcel.pieces);
-            let used = pieces.zip(&mut slices).map(|(piece, slice)| *slice = IoSlice::new(piece)).count();
+            let used = pieces
+                .zip(&mut slices)
+                .map(|(piece, slice)| *slice = IoSlice::new(piece))
+                .count();
             if used == 0 {
                 queue.parcels.clear();
                 queue.stuck_since = None;
--- a/crates/flaxdeck-net/src/listener.rs
+++ b/crates/flaxdeck-net/src/listener.rs
@@ -17,7 +17,11 @@
 impl Claim {
     /// Takes the address, unless somebody listens there. A start right after a kill finds it free again.
     pub fn take(address: SocketAddr) -> io::Result<Claim> {
-        let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+        let socket = Socket::new(
+            Domain::for_address(address),
+            Type::STREAM,
+            Some(Protocol::TCP),
+        )?;
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
         socket.bind(&address.into())?;
--- a/crates/flaxdeck-net/src/room.rs
+++ b/crates/flaxdeck-net/src/room.rs
@@ -100,7 +100,11 @@
     /// So many places at once, if they are free and nobody waits for any.
     pub fn take_some(&self, places: usize) -> Option<Place> {
         let waited_for = places > 0 && !self.0.queue.borrow().is_empty();
-        if waited_for { None } else { self.take_first(places) }
+        if waited_for {
+            None
+        } else {
+            self.take_first(places)
+        }
     }
     fn take_first(&self, places: usize) -> Option<Place> {
         let taken = self.taken() + places;
@@ -108,7 +112,10 @@
             return None;
         }
         self.0.taken.set(taken);
-        Some(Place { room: self.0.clone(), places })
+        Some(Place {
+            room: self.0.clone(),
+            places,
+        })
     }
     /// Waits for its turn and until so many are free; who asks for more than there are gets them once nobody holds any.
     // Guards against small wishes that are met past a large one for ever: first come, first served.
@@ -120,7 +127,11 @@
             let mut freed = pin!(self.0.freed.notified());
             freed.as_mut().enable();
             let first = self.0.queue.borrow().front() == Some(&turn.1);
-            let place = if first { self.take_first(places.min(self.0.most.get())) } else { None };
+            let place = if first {
+                self.take_first(places.min(self.0.most.get()))
+            } else {
+                None
+            };
             if let Some(place) = place {
                 return place;
             }
@@ -147,7 +158,9 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.room.taken.set(self.room.taken.get().saturating_sub(self.places));
+        self.room
+            .taken
+            .set(self.room.taken.get().saturating_sub(self.places));
         self.room.freed.notify_waiters();
     }
 }
--- a/crates/flaxdeck-net/src/tally.rs
+++ b/crates/flaxdeck-net/src/tally.rs
@@ -110,7 +110,10 @@
 impl Reader {
     /// All counters by name, zero ones too.
     pub fn snapshot(&self) -> impl Iterator<Item = (&'static str, u64)> {
-        NAMES.iter().copied().zip(self.0.iter().map(|value| value.load(Ordering::Relaxed)))
+        NAMES
+            .iter()
+            .copied()
+            .zip(self.0.iter().map(|value| value.load(Ordering::Relaxed)))
     }
 }
 
@@ -143,6 +146,12 @@
 
 /// All counters that are not zero, as `name=value` words.
 pub fn line() -> String {
-    let some = reader().snapshot().filter(|(_, value)| *value > 0).collect::<Vec<_>>();
-    some.into_iter().map(|(name, value)| format!("{name}={value}")).collect::<Vec<_>>().join(" ")
+    let some = reader()
+        .snapshot()
+        .filter(|(_, value)| *value > 0)
+        .collect::<Vec<_>>();
+    some.into_iter()
+        .map(|(name, value)| format!("{name}={value}"))
+        .collect::<Vec<_>>()
+        .join(" ")
 }
--- a/crates/flaxdeck-net/tests/eviction.rs
+++ b/crates/flaxdeck-net/tests/eviction.rs
@@ -33,19 +33,32 @@
 
 fn quiet_for(now: Instant, milliseconds: u64, has_spoken: bool) -> Fake {
     let quiet_since = now - Duration::from_millis(milliseconds);
-    Fake { has_spoken, quiet_since, is_busy: false, has_unread: false, looks: Cell::new(0) }
+    Fake {
+        has_spoken,
+        quiet_since,
+        is_busy: false,
+        has_unread: false,
+        looks: Cell::new(0),
+    }
 }
 
 fn looks(connections: &[Fake]) -> usize {
-    connections.iter().map(|connection| connection.looks.get()).sum()
+    connections
+        .iter()
+        .map(|connection| connection.looks.get())
+        .sum()
 }
 
 #[test]
 fn the_longest_idle_makes_room_and_a_full_house_costs_one_look() {
     let now = Instant::now();
     // Not in the order of their rest.
-    let connections: Vec<Fake> = (0..400).map(|n| quiet_for(now, 1000 + (n * 37) % 400, true)).collect();
-    let Eviction::Idle(longest) = choose(&connections, now) else { panic!("all are idle") };
+    let connections: Vec<Fake> = (0..400)
+        .map(|n| quiet_for(now, 1000 + (n * 37) % 400, true))
+        .collect();
+    let Eviction::Idle(longest) = choose(&connections, now) else {
+        panic!("all are idle")
+    };
     assert_eq!(now - longest.quiet_since, Duration::from_millis(1399));
     assert_eq!(looks(&connections), 1);
 }
@@ -54,8 +67,12 @@
 fn idle_ones_with_unread_bytes_stay_and_each_costs_one_look() {
     let now = Instant::now();
     let mut connections: Vec<Fake> = (0..400).map(|n| quiet_for(now, 1000 + n, true)).collect();
-    connections[397..].iter_mut().for_each(|connection| connection.has_unread = true);
-    let Eviction::Idle(longest) = choose(&connections, now) else { panic!("one can go") };
+    connections[397..]
+        .iter_mut()
+        .for_each(|connection| connection.has_unread = true);
+    let Eviction::Idle(longest) = choose(&connections, now) else {
+        panic!("one can go")
+    };
     assert_eq!(now - longest.quiet_since, Duration::from_millis(1396));
     assert_eq!(looks(&connections), 4);
 }
@@ -63,8 +80,12 @@
 #[test]
 fn busy_ones_stay_and_cost_no_look() {
     let now = Instant::now();
-    let mut connections: Vec<Fake> = (0..400).map(|n| quiet_for(now, 1000 + n, n % 2 == 0)).collect();
-    connections.iter_mut().for_each(|connection| connection.is_busy = true);
+    let mut connections: Vec<Fake> = (0..400)
+        .map(|n| quiet_for(now, 1000 + n, n % 2 == 0))
+        .collect();
+    connections
+        .iter_mut()
+        .for_each(|connection| connection.is_busy = true);
     assert!(matches!(choose(&connections, now), Eviction::Nobody));
     assert_eq!(looks(&connections), 0);
 }
@@ -75,9 +96,15 @@
     let mut connections: Vec<Fake> = (0..10).map(|n| quiet_for(now, 300 + n, n >= 5)).collect();
     connections[0].has_unread = true;
     connections.push(quiet_for(now, 200, false));
-    let Eviction::Silent(silent) = choose(&connections, now) else { panic!("some are silent") };
+    let Eviction::Silent(silent) = choose(&connections, now) else {
+        panic!("some are silent")
+    };
     assert_eq!(silent.len(), 4);
-    assert!(silent.iter().all(|connection| !connection.has_spoken && !connection.has_unread));
+    assert!(
+        silent
+            .iter()
+            .all(|connection| !connection.has_spoken && !connection.has_unread)
+    );
     assert_eq!(looks(&connections), 5);
 }
 
--- a/crates/flaxdeck-net/tests/link.rs
+++ b/crates/flaxdeck-net/tests/link.rs
@@ -11,7 +11,10 @@
 // A connection may have been up for long when something begins to wait on it.
 #[test]
 fn a_client_is_stuck_from_when_it_takes_no_more_and_not_from_before() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (near, far) = tokio::join!(connect(listener.local_addr().unwrap()), listener.accept());
@@ -32,6 +35,9 @@
                 () = sleep(Duration::from_millis(1)) => {}
             }
         }
-        assert!(outbound.stuck_since().is_none_or(|since| since > first), "it took something");
+        assert!(
+            outbound.stuck_since().is_none_or(|since| since > first),
+            "it took something"
+        );
     });
 }
--- a/crates/flaxdeck-plan/src/form.rs
+++ b/crates/flaxdeck-plan/src/form.rs
@@ -25,8 +25,18 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        let Fault { file, place, what, why, mend } = self;
-        write!(out, "{file}:{}:{}: {what}, {why}, {mend}", place.line, place.column)
+        let Fault {
+            file,
+            place,
+            what,
+            why,
+            mend,
+        } = self;
+        write!(
+            out,
+            "{file}:{}:{}: {what}, {why}, {mend}",
+            place.line, place.column
+        )
     }
 }
 
@@ -38,16 +48,35 @@
 
 impl Faults {
     pub fn of(file: &str) -> Faults {
-        Faults { file: file.to_owned(), found: Vec::new() }
+        Faults {
+            file: file.to_owned(),
+            found: Vec::new(),
+        }
     }
-    pub fn add(&mut self, place: Place, what: String, why: impl Into<String>, mend: impl Into<String>) {
+    pub fn add(
+        &mut self,
+        place: Place,
+        what: String,
+        why: impl Into<String>,
+        mend: impl Into<String>,
+    ) {
         let (file, why, mend) = (self.file.clone(), why.into(), mend.into());
-        self.found.push(Fault { file, place, what, why, mend });
+        self.found.push(Fault {
+            file,
+            place,
+            what,
+            why,
+            mend,
+        });
     }
     /// All of them in the order of the file, or the value if there are none.
     pub fn or<T>(mut self, value: T) -> Result<T, Vec<Fault>> {
         self.found.sort();
-        if self.found.is_empty() { Ok(value) } else { Err(self.found) }
+        if self.found.is_empty() {
+            Ok(value)
+        } else {
+            Err(self.found)
+        }
     }
 }
 
@@ -60,7 +89,10 @@
 
 fn place(datum: Ref) -> Place {
     let start = datum.span().start();
-    Place { line: start.line(), column: start.column() + 1 }
+    Place {
+        line: start.line(),
+        column: start.column() + 1,
+    }
 }
 
 /// The changes of single letters that make one word of another.
@@ -92,12 +124,19 @@
     pub fn of(datum: Ref<'a>, faults: &mut Faults) -> Option<Form<'a>> {
         let at = place(datum);
         let mut parts = datum.list_iter()?;
-        let Some(word) = parts.next().and_then(|head| head.value().as_symbol().map(str::to_owned)) else {
+        let Some(word) = parts
+            .next()
+            .and_then(|head| head.value().as_symbol().map(str::to_owned))
+        else {
             let why = "each form begins with its word";
             faults.add(at, "a form without a word".into(), why, "write (word ...)");
             return None;
         };
-        Some(Form { word, place: at, arguments: parts.collect() })
+        Some(Form {
+            word,
+            place: at,
+            arguments: parts.collect(),
+        })
     }
 
     fn says(&self) -> String {
@@ -109,7 +148,9 @@
         let mut forms = Vec::new();
         for datum in &self.arguments {
             if datum.value().is_list() && !datum.value().is_null() {
-                let Some(form) = Form::of(*datum, faults) else { continue };
+                let Some(form) = Form::of(*datum, faults) else {
+                    continue;
+                };
                 if known.contains(&&*form.word) {
                     forms.push(form);
                 } else {
@@ -123,7 +164,12 @@
                 }
             } else {
                 let what = format!("{} stands alone in {}", datum.value(), self.says());
-                faults.add(place(*datum), what, "only forms may stand there", "write it as (word value)");
+                faults.add(
+                    place(*datum),
+                    what,
+                    "only forms may stand there",
+                    "write it as (word value)",
+                );
             }
         }
         forms
@@ -135,7 +181,12 @@
             [one] => Some((one.value(), place(*one))),
             others => {
                 let what = format!("{} has {} values", self.says(), others.len());
-                faults.add(self.place, what, "it takes one", format!("write ({} value)", self.word));
+                faults.add(
+                    self.place,
+                    what,
+                    "it takes one",
+                    format!("write ({} value)", self.word),
+                );
                 None
             }
         }
@@ -144,10 +195,17 @@
     /// A number within bounds, both ends allowed.
     pub fn number(&self, least: f64, most: f64, faults: &mut Faults) -> Option<f64> {
         let (value, at) = self.value(faults)?;
-        let number = value.as_f64().filter(|number| (least..=most).contains(number));
+        let number = value
+            .as_f64()
+            .filter(|number| (least..=most).contains(number));
         if number.is_none() {
             let what = format!("{} is {value}", self.word);
-            faults.add(at, what, format!("it is a number from {least} to {most}"), "choose one within");
+            faults.add(
+                at,
+                what,
+                format!("it is a number from {least} to {most}"),
+                "choose one within",
+            );
         }
         number
     }
@@ -181,11 +239,18 @@
     /// One of some words.
     pub fn choice(&self, known: &[&'static str], faults: &mut Faults) -> Option<&'static str> {
         let (value, at) = self.value(faults)?;
-        let chosen = value.as_symbol().and_then(|word| known.iter().find(|known| **known == word).copied());
+        let chosen = value
+            .as_symbol()
+            .and_then(|word| known.iter().find(|known| **known == word).copied());
         if chosen.is_none() {
             let what = format!("{} is {value}", self.word);
             let word = value.as_symbol().unwrap_or_default();
-            faults.add(at, what, format!("it is one of: {}", known.join(" ")), nearest(word, known));
+            faults.add(
+                at,
+                what,
+                format!("it is one of: {}", known.join(" ")),
+                nearest(word, known),
+            );
         }
         chosen
     }
@@ -219,9 +284,17 @@
             Ok(None) => break,
             Err(error) => {
                 let at = error.location();
-                let at = at.map_or(Place::default(), |at| Place { line: at.line(), column: at.column() + 1 });
+                let at = at.map_or(Place::default(), |at| Place {
+                    line: at.line(),
+                    column: at.column() + 1,
+                });
                 let why = "the rest can't be read then";
-                faults.add(at, format!("not an S-expression ({error})"), why, "look for a missing ) or \"");
+                faults.add(
+                    at,
+                    format!("not an S-expression ({error})"),
+                    why,
+                    "look for a missing ) or \"",
+                );
                 return None;
             }
         }
@@ -239,7 +312,12 @@
     };
     if form.word != word {
         let what = format!("the file holds {}", form.says());
-        faults.add(form.place, what, format!("it is no {word}"), format!("write ({word} ...)"));
+        faults.add(
+            form.place,
+            what,
+            format!("it is no {word}"),
+            format!("write ({word} ...)"),
+        );
         return None;
     }
     Some(look(&form, faults))
--- a/crates/flaxdeck-plan/src/lib.rs
+++ b/crates/flaxdeck-plan/src/lib.rs
@@ -72,7 +72,9 @@
 const BATCH_MS: [f64; 2] = [100.0, 2_000.0];
 const BATCH_DEFAULT_MS: u32 = 1_000;
 
-const TOP: &[&str] = &["key-file", "planners", "shares", "reports", "events", "blind", "state", "log"];
+const TOP: &[&str] = &[
+    "key-file", "planners", "shares", "reports", "events", "blind", "state", "log",
+];
 
 /// Reads a file's text; `file` is the name that faults bear.
 pub fn read(file: &str, text: &str) -> Result<Plan, Vec<Fault>> {
@@ -97,7 +99,9 @@
         log_form: LogForm::Text,
         log_levels: "info".into(),
     };
-    root(text, "plan", faults, |form, faults| fill(&mut plan, form, faults));
+    root(text, "plan", faults, |form, faults| {
+        fill(&mut plan, form, faults)
+    });
     plan
 }
 
@@ -107,14 +111,24 @@
         Some(form) => plan.key_file = form.text(faults).map(|(text, _)| text).unwrap_or_default(),
         None => {
             let why = "instances that share no key would believe anybody";
-            faults.add(root.place, "key-file is missing".into(), why, "add (key-file \"name.key\")");
+            faults.add(
+                root.place,
+                "key-file is missing".into(),
+                why,
+                "add (key-file \"name.key\")",
+            );
         }
     }
     match only(&mut forms, "planners", faults) {
         Some(form) => plan.planners = planners(&form, faults),
         None => {
             let mend = "add (planners (planner (name p1) (listen \"127.0.0.1:7501\")))";
-            faults.add(root.place, "planners is missing".into(), "nobody would guide", mend);
+            faults.add(
+                root.place,
+                "planners is missing".into(),
+                "nobody would guide",
+                mend,
+            );
         }
     }
     if let Some(form) = only(&mut forms, "shares", faults) {
@@ -122,11 +136,14 @@
         let mut take = |word: &str, faults: &mut Faults| only(&mut inner, word, faults);
         let reserve = take("reserve", faults).and_then(|form| form.number(0.0, 0.9, faults));
         plan.reserve = reserve.unwrap_or(plan.reserve);
-        let granted = take("granted-ms", faults).and_then(|form| form.number(300.0, 10_000.0, faults));
+        let granted =
+            take("granted-ms", faults).and_then(|form| form.number(300.0, 10_000.0, faults));
         plan.granted_ms = granted.map_or(plan.granted_ms, |ms| ms as u32);
         let drift = take("drift", faults).and_then(|form| form.number(0.0, 0.2, faults));
         plan.drift = drift.unwrap_or(plan.drift);
-        plan.seated = take("seated", faults).and_then(|form| form.flag(faults)).unwrap_or(true);
+        plan.seated = take("seated", faults)
+            .and_then(|form| form.flag(faults))
+            .unwrap_or(true);
         if !plan.seated && plan.reserve == 0.0 {
             let why = "a forwarder without a seat lives on what others lend alone";
             faults.add(
@@ -145,10 +162,17 @@
         let every = every.and_then(|form| form.number(20.0, 5_000.0, faults));
         plan.report_every_ms = every.map_or(plan.report_every_ms, |ms| ms as u32);
         if plan.report_every_ms * 3 > plan.granted_ms {
-            let what =
-                format!("reports every {} ms with grants of {} ms", plan.report_every_ms, plan.granted_ms);
+            let what = format!(
+                "reports every {} ms with grants of {} ms",
+                plan.report_every_ms, plan.granted_ms
+            );
             let why = "a grant must outlast three reports, or every lost one takes it away";
-            faults.add(place.unwrap_or(form.place), what, why, "report more often or grant for longer");
+            faults.add(
+                place.unwrap_or(form.place),
+                what,
+                why,
+                "report more often or grant for longer",
+            );
         }
         let least = f64::from(plan.report_every_ms);
         let idle = idle.and_then(|form| form.number(least, IDLE_MOST_MS, faults));
@@ -177,10 +201,16 @@
     }
     if let Some(form) = only(&mut forms, "log", faults) {
         let mut inner = form.forms(&["format", "levels"], faults);
-        let format =
-            only(&mut inner, "format", faults).and_then(|form| form.choice(&["text", "json"], faults));
-        plan.log_form = if format == Some("json") { LogForm::Json } else { LogForm::Text };
-        if let Some((levels, _)) = only(&mut inner, "levels", faults).and_then(|form| form.text(faults)) {
+        let format = only(&mut inner, "format", faults)
+            .and_then(|form| form.choice(&["text", "json"], faults));
+        plan.log_form = if format == Some("json") {
+            LogForm::Json
+        } else {
+            LogForm::Text
+        };
+        if let Some((levels, _)) =
+            only(&mut inner, "levels", faults).and_then(|form| form.text(faults))
+        {
             plan.log_levels = levels;
         }
     }
@@ -194,12 +224,19 @@
     if by != Some("digest") {
         if let Some(batch) = batch {
             let why = "only digests come in batches";
-            faults.add(batch.place, "batch-ms without (by digest)".into(), why, "take batch-ms out");
+            faults.add(
+                batch.place,
+                "batch-ms without (by digest)".into(),
+                why,
+                "take batch-ms out",
+            );
         }
         return;
     }
     let batch = batch.and_then(|form| form.number(BATCH_MS[0], BATCH_MS[1], faults));
-    plan.events = Events::Digest { batch_ms: batch.map_or(BATCH_DEFAULT_MS, |ms| ms as u32) };
+    plan.events = Events::Digest {
+        batch_ms: batch.map_or(BATCH_DEFAULT_MS, |ms| ms as u32),
+    };
     if plan.planners.is_empty() {
         let why = "digests come from planners";
         faults.add(
@@ -214,11 +251,17 @@
 fn blind(form: &Form, plan: &mut Plan, faults: &mut Faults) {
     let mut inner = form.forms(&["after-ms", "then"], faults);
     let after = only(&mut inner, "after-ms", faults);
-    let then = only(&mut inner, "then", faults).and_then(|form| form.choice(&["bounce", "go-on"], faults));
+    let then =
+        only(&mut inner, "then", faults).and_then(|form| form.choice(&["bounce", "go-on"], faults));
     if then == Some("go-on") {
         if let Some(after) = after {
             let why = "going on needs no time";
-            faults.add(after.place, "after-ms beside (then go-on)".into(), why, "take after-ms out");
+            faults.add(
+                after.place,
+                "after-ms beside (then go-on)".into(),
+                why,
+                "take after-ms out",
+            );
         }
         plan.blind = Blind::GoOn;
         return;
@@ -235,7 +278,12 @@
     if forms.len() > PLANNERS_MOST {
         let what = format!("{} planners", forms.len());
         let why = format!("there may be {PLANNERS_MOST} at most, as each forwarder reports to all");
-        faults.add(form.place, what, why, "list them as (planner (name p1) (listen \"address:port\"))");
+        faults.add(
+            form.place,
+            what,
+            why,
+            "list them as (planner (name p1) (listen \"address:port\"))",
+        );
     }
     for form in forms {
         let mut inner = form.forms(&["name", "listen"], faults);
@@ -244,14 +292,24 @@
         for (found, word) in [(name.is_some(), "name"), (listen.is_some(), "listen")] {
             if !found {
                 let why = "a planner needs both name and listen";
-                faults.add(form.place, format!("{word} is missing"), why, format!("add ({word} ...)"));
+                faults.add(
+                    form.place,
+                    format!("{word} is missing"),
+                    why,
+                    format!("add ({word} ...)"),
+                );
             }
         }
         let name = name.and_then(|form| {
             let (value, at) = form.value(faults)?;
             let name = value.as_symbol().or(value.as_str()).map(str::to_owned);
             if name.is_none() {
-                faults.add(at, format!("name is {value}"), "it is a word", "write (name p1)");
+                faults.add(
+                    at,
+                    format!("name is {value}"),
+                    "it is a word",
+                    "write (name p1)",
+                );
             }
             name.map(|name| (name, at))
         });
@@ -260,19 +318,36 @@
             let address = text.parse().ok();
             if address.is_none() {
                 let why = "it is an IP address and a port; names are not looked up";
-                faults.add(at, format!("listen is {text:?}"), why, "write (listen \"127.0.0.1:7501\")");
+                faults.add(
+                    at,
+                    format!("listen is {text:?}"),
+                    why,
+                    "write (listen \"127.0.0.1:7501\")",
+                );
             }
             address.map(|address| (address, at))
         });
-        let (Some((name, at)), Some((listen, listens_at))) = (name, listen) else { continue };
+        let (Some((name, at)), Some((listen, listens_at))) = (name, listen) else {
+            continue;
+        };
         if planners.iter().any(|planner| planner.name == name) {
             let why = "two planners of one name can't be told apart";
-            faults.add(at, format!("name {name} is taken"), why, "choose another name");
+            faults.add(
+                at,
+                format!("name {name} is taken"),
+                why,
+                "choose another name",
+            );
         }
         let port: SocketAddr = listen;
         if port.port() != 0 && planners.iter().any(|planner| planner.listen == listen) {
             let why = "two planners can't listen at one address";
-            faults.add(listens_at, format!("{listen} is taken"), why, "choose another port");
+            faults.add(
+                listens_at,
+                format!("{listen} is taken"),
+                why,
+                "choose another port",
+            );
         }
         planners.push(Planner { name, listen });
     }
--- a/crates/flaxdeck-planner/src/events.rs
+++ b/crates/flaxdeck-planner/src/events.rs
@@ -23,7 +23,11 @@
     /// A planner that has just started and has heard nothing of the coordinator.
     pub fn start(now: Time, cadence: Cadence, names: Rc<Names>) -> Events {
         let publisher = Publisher::start(now, cadence, Retention::default(), Mark::NONE);
-        Events { publisher, hosts: BTreeMap::new(), names }
+        Events {
+            publisher,
+            hosts: BTreeMap::new(),
+            names,
+        }
     }
 
     /// All that is known here ends with that event, and nothing that was told before leads to it.
@@ -33,7 +37,9 @@
 
     /// Takes in what an event says of hosts.
     pub fn list(&mut self, event: &Event) {
-        let Event::Hosts(list_kind, endpoints) = event else { return };
+        let Event::Hosts(list_kind, endpoints) = event else {
+            return;
+        };
         if *list_kind == ListKind::Full {
             self.hosts.clear();
         }
@@ -41,7 +47,9 @@
             let host = endpoint.listed.host.clone();
             match endpoint.listed.health {
                 Health::Removed => drop(self.hosts.remove(&host)),
-                Health::InService | Health::Draining => drop(self.hosts.insert(host, endpoint.clone())),
+                Health::InService | Health::Draining => {
+                    drop(self.hosts.insert(host, endpoint.clone()))
+                }
             }
         }
     }
@@ -49,7 +57,10 @@
     /// The coordinator has told an event, which came in that frame.
     pub fn told(&mut self, now: Time, mark: Mark, frame: &[u8], event: &Event) {
         let content = match event {
-            Event::Purged { object: Some(object), .. } => Content::ObjectPurge(Fingerprint::of(*object)),
+            Event::Purged {
+                object: Some(object),
+                ..
+            } => Content::ObjectPurge(Fingerprint::of(*object)),
             Event::Purged { object: None, .. } => Content::GroupPurge(frame.to_vec()),
             Event::Hosts(..) => Content::HostChange(frame.to_vec()),
         };
@@ -84,10 +95,16 @@
 
     /// What a subscriber is told now; its position moves by it.
     pub fn delivery(&mut self, now: Time, id: SubscriberId) -> Option<Delivery> {
-        let Events { publisher, hosts, names } = self;
+        let Events {
+            publisher,
+            hosts,
+            names,
+        } = self;
         publisher.update_for(now, id, &mut |number| {
             whole_list(number, hosts.values(), names).unwrap_or_else(|| {
-                tracing::error!("the list of hosts has no form as a frame: no snapshot can be taken in");
+                tracing::error!(
+                    "the list of hosts has no form as a frame: no snapshot can be taken in"
+                );
                 Vec::new()
             })
         })
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -77,17 +77,31 @@
 
 /// Runs until SIGTERM or ctrl-c.
 pub fn run(start: impl FnOnce() -> Result<Start, String>) -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|error| format!("no runtime: {error}"))?;
     LocalSet::new().block_on(&runtime, async move { serve(start()?).await })
 }
 
 async fn serve(start: Start) -> Result<(), String> {
     let signals = |kind| signal(kind).map_err(|error| format!("no signals: {error}"));
-    let (mut terminate, mut interrupt) =
-        (signals(SignalKind::terminate())?, signals(SignalKind::interrupt())?);
+    let (mut terminate, mut interrupt) = (
+        signals(SignalKind::terminate())?,
+        signals(SignalKind::interrupt())?,
+    );
     let clock = Clock::start();
-    let Start { name, listen, key, pledges, own, cadence, watch, known, counters } = start;
+    let Start {
+        name,
+        listen,
+        key,
+        pledges,
+        own,
+        cadence,
+        watch,
+        known,
+        counters,
+    } = start;
     let epoch = Epoch::new(clock.now(), std::process::id());
     let server = Rc::new(Server {
         clock,
@@ -101,16 +115,25 @@
         room: Room::new(CONNECTIONS_MOST),
         refused: Cell::new(0),
     });
-    known.into_iter().for_each(|(_, event)| server.listed(event));
+    known
+        .into_iter()
+        .for_each(|(_, event)| server.listed(event));
     server.begins_at(watch.numbering().borrow().last());
-    let listener = Listener::open(listen).map_err(|error| format!("cannot listen at {listen}: {error}"))?;
-    let at = listener.address().map_err(|error| format!("cannot listen at {listen}: {error}"))?;
+    let listener =
+        Listener::open(listen).map_err(|error| format!("cannot listen at {listen}: {error}"))?;
+    let at = listener
+        .address()
+        .map_err(|error| format!("cannot listen at {listen}: {error}"))?;
     spawn_local(server.clone().follow(watch));
     spawn_local(server.clone().accept(listener));
     spawn_local(server.clone().publish());
     spawn_local(server.clone().log_counters());
     counters.into_iter().for_each(counters_file::spawn);
-    tracing::info!(planner = name, epoch = epoch.0, "listening at {at}, {pledges:?}");
+    tracing::info!(
+        planner = name,
+        epoch = epoch.0,
+        "listening at {at}, {pledges:?}"
+    );
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
@@ -134,17 +157,31 @@
     }
 
     fn told(&self, event: Event) {
-        let Event::Hosts(list_kind, endpoints) = event else { return };
+        let Event::Hosts(list_kind, endpoints) = event else {
+            return;
+        };
         let (now, mut planner) = (self.clock.now(), self.planner.borrow_mut());
         if list_kind == ListKind::Full {
-            let named: BTreeSet<&str> = endpoints.iter().map(|endpoint| &*endpoint.listed.host.0).collect();
-            let gone = planner.hosts().filter(|host| !named.contains(host.as_str())).cloned();
-            gone.collect::<Vec<String>>().iter().for_each(|host| planner.listed(now, host, None));
+            let named: BTreeSet<&str> = endpoints
+                .iter()
+                .map(|endpoint| &*endpoint.listed.host.0)
+                .collect();
+            let gone = planner
+                .hosts()
+                .filter(|host| !named.contains(host.as_str()))
+                .cloned();
+            gone.collect::<Vec<String>>()
+                .iter()
+                .for_each(|host| planner.listed(now, host, None));
         }
         for endpoint in &endpoints {
             let line = &endpoint.listed;
             let started = line.started.map_or(0, |at| at.ms() as u64);
-            planner.listed(now, &line.host.0, (line.health != Health::Removed).then_some(started));
+            planner.listed(
+                now,
+                &line.host.0,
+                (line.health != Health::Removed).then_some(started),
+            );
         }
     }
 
@@ -153,9 +190,14 @@
             let event = match watch.next().await {
                 WatchEvent::Heartbeat => None,
                 WatchEvent::Event(mark, frame, event) => {
-                    self.events.borrow_mut().told(self.clock.now(), mark, &frame, &event);
+                    self.events
+                        .borrow_mut()
+                        .told(self.clock.now(), mark, &frame, &event);
                     self.told(event);
-                    Some(Relayed { mark, frame: frame.to_vec() })
+                    Some(Relayed {
+                        mark,
+                        frame: frame.to_vec(),
+                    })
                 }
                 WatchEvent::Relisted(mark, event, doubt) => {
                     tracing::warn!(
@@ -195,7 +237,11 @@
     /// Tells subscribers of events, each when it is due; who reads slowly is told more at once later.
     async fn publish(self: Rc<Server>) {
         loop {
-            let due = self.events.borrow().next_due().map(|due| self.clock.instant(due));
+            let due = self
+                .events
+                .borrow()
+                .next_due()
+                .map(|due| self.clock.instant(due));
             tokio::select! {
                 () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {}
                 () = self.due_changed.notified() => {}
@@ -203,7 +249,9 @@
             let now = self.clock.now();
             let due = self.events.borrow_mut().due(now);
             for id in due {
-                let Some(speaker) = self.subscribers.borrow().get(&id).cloned() else { continue };
+                let Some(speaker) = self.subscribers.borrow().get(&id).cloned() else {
+                    continue;
+                };
                 if !speaker.borrow().may_speak() {
                     continue;
                 }
@@ -216,7 +264,9 @@
 
     fn subscribe(&self, id: SubscriberId, speaker: &Shared, subscription: Subscription) {
         self.subscribers.borrow_mut().insert(id, speaker.clone());
-        self.events.borrow_mut().subscribe(self.clock.now(), id, subscription);
+        self.events
+            .borrow_mut()
+            .subscribe(self.clock.now(), id, subscription);
         self.due_changed.notify_one();
     }
 
@@ -241,7 +291,9 @@
     }
 
     async fn attend(self: Rc<Server>, stream: TcpStream, _place: Place) {
-        let peer = stream.peer_addr().map_or("somebody gone".to_owned(), |peer| peer.to_string());
+        let peer = stream
+            .peer_addr()
+            .map_or("somebody gone".to_owned(), |peer| peer.to_string());
         let over = match line::accept(stream, &self.key).await {
             Ok((speaker, hearer)) => {
                 let number = self.next.get();
@@ -249,7 +301,9 @@
                 let speaker = Rc::new(RefCell::new(speaker));
                 let over = self.converse(number, &speaker, hearer).await;
                 // A later connection of the same forwarder has a speaker of its own.
-                self.speakers.borrow_mut().retain(|_, (theirs, _)| *theirs != number);
+                self.speakers
+                    .borrow_mut()
+                    .retain(|_, (theirs, _)| *theirs != number);
                 self.unsubscribe(SubscriberId(number));
                 over
             }
@@ -279,8 +333,15 @@
             if *known.get_or_insert(from) != from {
                 return Over::Refused("a second forwarder on one connection");
             }
-            if self.speakers.borrow().get(&from).is_none_or(|(theirs, _)| *theirs != number) {
-                self.speakers.borrow_mut().insert(from, (number, speaker.clone()));
+            if self
+                .speakers
+                .borrow()
+                .get(&from)
+                .is_none_or(|(theirs, _)| *theirs != number)
+            {
+                self.speakers
+                    .borrow_mut()
+                    .insert(from, (number, speaker.clone()));
             }
             // Who does not read what he is told gets no more until he does.
             if !speaker.borrow().may_speak() {
--- a/crates/flaxdeck-recovery/src/belief.rs
+++ b/crates/flaxdeck-recovery/src/belief.rs
@@ -100,7 +100,11 @@
 
 fn whole<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<T, Unreadable> {
     let (value, rest) = postcard::take_from_bytes(bytes).map_err(|_| Unreadable)?;
-    if rest.is_empty() { Ok(value) } else { Err(Unreadable) }
+    if rest.is_empty() {
+        Ok(value)
+    } else {
+        Err(Unreadable)
+    }
 }
 
 /// The bytes of a whole state, or of one thing more.
@@ -144,18 +148,33 @@
     /// Forgets purges that have settled: hosts have dropped what they concern. `now` is this machine's wall clock; the time
     /// counts from the earlier of that and the latest purge, as either clock may be ahead.
     pub fn forget_settled(&mut self, now: Time, settles: Span) {
-        let latest = self.purges.iter().map(|purge| purge.made).max().unwrap_or(0);
+        let latest = self
+            .purges
+            .iter()
+            .map(|purge| purge.made)
+            .max()
+            .unwrap_or(0);
         let from = latest.min(now.ms() as u64);
         let kept_for = (settles + SETTLE_MARGIN).ms().ceil() as u64;
-        self.purges.retain(|purge| purge.made.saturating_add(kept_for) >= from);
+        self.purges
+            .retain(|purge| purge.made.saturating_add(kept_for) >= from);
     }
 
     /// The oldest purges become one of all copies from before the latest of them, which asks for no less.
     fn fold_oldest_purges(&mut self) {
         self.purges.sort_by_key(|purge| purge.made);
         let oldest = self.purges.drain(..=FOLDED);
-        let Some(made) = oldest.map(|purge| purge.made).max() else { return };
-        self.purges.insert(0, KeptPurge { object: None, group: GroupId::ALL.0, made });
+        let Some(made) = oldest.map(|purge| purge.made).max() else {
+            return;
+        };
+        self.purges.insert(
+            0,
+            KeptPurge {
+                object: None,
+                group: GroupId::ALL.0,
+                made,
+            },
+        );
     }
 }
 
@@ -196,58 +215,124 @@
     let mut believed = Believed::default();
     let age = now.uptime.since(kept.written);
     let told = |span: Span| format!("{:.1} s", span.ms() / 1000.0);
-    let mut say = |item, yes: bool, why: String| believed.verdicts.push(Verdict { item, believed: yes, why });
+    let mut say = |item, yes: bool, why: String| {
+        believed.verdicts.push(Verdict {
+            item,
+            believed: yes,
+            why,
+        })
+    };
     match age {
-        Some(age) => say("age", true, format!("written {} ago by the machine's own count", told(age))),
-        None => {
-            say("age", false, "the machine has booted since, and a wall clock vouches for nothing".into())
-        }
+        Some(age) => say(
+            "age",
+            true,
+            format!("written {} ago by the machine's own count", told(age)),
+        ),
+        None => say(
+            "age",
+            false,
+            "the machine has booted since, and a wall clock vouches for nothing".into(),
+        ),
     }
     // A number is only a claim: the coordinator has to prove it, so a wrong one costs a whole list and no more.
     let newer = kept.event.number >= now.file.number && kept.event != Mark::NONE;
     let event = kept.event.number;
     if newer {
-        say("event", true, format!("{event}, to be proven by the coordinator's next word"));
+        say(
+            "event",
+            true,
+            format!("{event}, to be proven by the coordinator's next word"),
+        );
         say(
             "hosts",
             true,
-            format!("{} lines as of that event, not vouched for until then", kept.lines.len()),
+            format!(
+                "{} lines as of that event, not vouched for until then",
+                kept.lines.len()
+            ),
         );
         (believed.event, believed.lines) = (Some(kept.event), kept.lines);
     } else {
-        say("event", false, format!("{event}, and the configuration has {}", now.file.number));
-        say("hosts", false, "the configuration's list is of a later event".into());
+        say(
+            "event",
+            false,
+            format!("{event}, and the configuration has {}", now.file.number),
+        );
+        say(
+            "hosts",
+            false,
+            "the configuration's list is of a later event".into(),
+        );
     }
     // One believed in vain costs a fill; one forgotten hands out what was purged.
-    say("purges", true, format!("{}: they only limit the age of copies", kept.purges.len()));
+    say(
+        "purges",
+        true,
+        format!("{}: they only limit the age of copies", kept.purges.len()),
+    );
     believed.purges = kept.purges;
-    let starts: BTreeMap<&str, u64> = believed.lines.iter().map(|line| (&*line.host, line.started)).collect();
+    let starts: BTreeMap<&str, u64> = believed
+        .lines
+        .iter()
+        .map(|line| (&*line.host, line.started))
+        .collect();
     let rating = |rating: KeptRating| {
         let passed = age?.ms() as u64;
         let within = |ago: Option<u64>, most: Span| {
-            ago.map(|ago| ago + passed).filter(|ago| Span::from_ms(*ago) <= most)
+            ago.map(|ago| ago + passed)
+                .filter(|ago| Span::from_ms(*ago) <= most)
         };
         let same = starts.get(&*rating.host) == Some(&rating.started);
         let measured_ago = within(rating.measured_ago, MEASURES_LAST);
-        let (good_ago, bad_ago) =
-            (within(rating.good_ago, CONTACTS_LAST), within(rating.bad_ago, CONTACTS_LAST));
-        let measures = if measured_ago.is_some() { rating.measures } else { [None; 2] };
+        let (good_ago, bad_ago) = (
+            within(rating.good_ago, CONTACTS_LAST),
+            within(rating.bad_ago, CONTACTS_LAST),
+        );
+        let measures = if measured_ago.is_some() {
+            rating.measures
+        } else {
+            [None; 2]
+        };
         let some = measured_ago.is_some() || good_ago.is_some() || bad_ago.is_some();
-        (same && some).then_some(KeptRating { measures, measured_ago, good_ago, bad_ago, ..rating })
+        (same && some).then_some(KeptRating {
+            measures,
+            measured_ago,
+            good_ago,
+            bad_ago,
+            ..rating
+        })
     };
     let count = kept.ratings.len();
     let ratings: Vec<KeptRating> = kept.ratings.into_iter().filter_map(rating).collect();
     let why = "of the same start and young enough; a first failed contact outweighs them";
-    say("ratings", !ratings.is_empty(), format!("{} of {count} are {why}", ratings.len()));
+    say(
+        "ratings",
+        !ratings.is_empty(),
+        format!("{} of {count} are {why}", ratings.len()),
+    );
     believed.ratings = ratings;
     // What was lent is told to be so before it is, so nothing can be out that is not kept.
     let left = kept.lent_until.map_or(Some(Span::ZERO), |until| {
-        (until.boot == now.uptime.boot).then(|| Span::from_ms(until.ms.saturating_sub(now.uptime.ms)))
+        (until.boot == now.uptime.boot)
+            .then(|| Span::from_ms(until.ms.saturating_sub(now.uptime.ms)))
     });
-    let waits = left.filter(|_| age.is_some()).map(|left| if left < now.waits { left } else { now.waits });
+    let waits = left
+        .filter(|_| age.is_some())
+        .map(|left| if left < now.waits { left } else { now.waits });
     match waits {
-        Some(waits) => say("shares", true, format!("nothing that was lent is out after {}", told(waits))),
-        None => say("shares", false, format!("left alone for {}, as if all had been lent", told(now.waits))),
+        Some(waits) => say(
+            "shares",
+            true,
+            format!("nothing that was lent is out after {}", told(waits)),
+        ),
+        None => say(
+            "shares",
+            false,
+            format!(
+                "left alone for {}, as if all had been lent",
+                told(now.waits)
+            ),
+        ),
     }
     believed.waits = waits;
     believed
--- a/crates/flaxdeck-recovery/src/clocks.rs
+++ b/crates/flaxdeck-recovery/src/clocks.rs
@@ -50,7 +50,11 @@
             self.last.drain(..self.last.len().saturating_sub(WINDOW));
             let least = self.last.iter().copied().fold(f64::INFINITY, f64::min);
             // Guards against hosts' starts moving to and fro with the ways of single events.
-            self.ahead = if (least - self.ahead).abs() > EARLY.ms() { least } else { self.ahead };
+            self.ahead = if (least - self.ahead).abs() > EARLY.ms() {
+                least
+            } else {
+                self.ahead
+            };
         }
         before != self.ahead
     }
@@ -67,13 +71,15 @@
 
     /// Lines of the list by the own clock.
     pub fn lines(&self, lines: &mut [Endpoint]) {
-        lines.iter_mut().for_each(|line| line.started = line.started.map(|told| self.own(told)));
+        lines
+            .iter_mut()
+            .for_each(|line| line.started = line.started.map(|told| self.own(told)));
     }
 
     /// What was seen of hosts, with their starts as they were told: those name a host's life to others.
     pub fn observations(&self, observations: &mut [Observation]) {
-        observations
-            .iter_mut()
-            .for_each(|observation| observation.started = observation.started.map(|own| self.told(own)));
+        observations.iter_mut().for_each(|observation| {
+            observation.started = observation.started.map(|own| self.told(own))
+        });
     }
 }
--- a/crates/flaxdeck-recovery/src/doubt.rs
+++ b/crates/flaxdeck-recovery/src/doubt.rs
@@ -33,10 +33,13 @@
         self.held.clear();
         let withdrawn = |line: &&mut Endpoint| line.health == Health::InService;
         for line in list.iter_mut().filter(withdrawn) {
-            let Some(before) = known.get(&line.host) else { continue };
+            let Some(before) = known.get(&line.host) else {
+                continue;
+            };
             if before.health != Health::InService && !started_later(line, before) {
                 line.health = before.health;
-                self.held.insert(line.host.clone(), (line.clone(), now + LASTS));
+                self.held
+                    .insert(line.host.clone(), (line.clone(), now + LASTS));
             }
         }
         (list, self.held.len())
@@ -44,16 +47,24 @@
 
     /// An event of the new numbering names these: nothing of them is doubted any more.
     pub fn named<'a>(&mut self, hosts: impl IntoIterator<Item = &'a HostId>) {
-        hosts.into_iter().for_each(|host| drop(self.held.remove(host)));
+        hosts
+            .into_iter()
+            .for_each(|host| drop(self.held.remove(host)));
     }
 
     /// Hosts whose doubt has run out, as the new list had them.
     pub fn run_out(&mut self, now: Time) -> Vec<Endpoint> {
-        let (out, held) =
-            std::mem::take(&mut self.held).into_iter().partition(|(_, (_, until))| *until <= now);
+        let (out, held) = std::mem::take(&mut self.held)
+            .into_iter()
+            .partition(|(_, (_, until))| *until <= now);
         self.held = held;
         let out: BTreeMap<HostId, (Endpoint, Time)> = out;
-        out.into_values().map(|(line, _)| Endpoint { health: Health::InService, ..line }).collect()
+        out.into_values()
+            .map(|(line, _)| Endpoint {
+                health: Health::InService,
+                ..line
+            })
+            .collect()
     }
 
     /// When that is next.
@@ -71,9 +82,11 @@
 /// heard to its end has told all that there was.
 pub fn copies_from(now: Time, doubt: Doubt, settles: Span) -> Option<Time> {
     let since = doubt.since?;
-    (!doubt.heard_to_the_end && now.since(since) > Span::ZERO).then_some(if now.since(since) > settles {
-        now - settles
-    } else {
-        since
-    })
+    (!doubt.heard_to_the_end && now.since(since) > Span::ZERO).then_some(
+        if now.since(since) > settles {
+            now - settles
+        } else {
+            since
+        },
+    )
 }
--- a/crates/flaxdeck-recovery/src/numbering.rs
+++ b/crates/flaxdeck-recovery/src/numbering.rs
@@ -28,7 +28,9 @@
 const DISTRUSTS: Span = Span::from_ms(2_500);
 
 /// An event by its number and a hash of what it tells; without events both are zero.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Mark {
     pub number: u64,
     pub hash: u64,
@@ -114,8 +116,12 @@
     /// One that has the numbering proven on each link.
     pub fn new(last: Mark) -> Numbering {
         let (link, from_the_start, sure, ended_whole) = (None, false, None, false);
-        let applied = Applied { hash: last.hash, at: Time::default() };
-        let (applied, distrusts_until) = (BTreeMap::from([(last.number, applied)]), Time::default());
+        let applied = Applied {
+            hash: last.hash,
+            at: Time::default(),
+        };
+        let (applied, distrusts_until) =
+            (BTreeMap::from([(last.number, applied)]), Time::default());
         let (trusts, unechoed, silent) = (false, None, false);
         Numbering {
             last,
@@ -133,12 +139,19 @@
 
     /// One that believes the numbers, and applies what is above the last.
     pub fn trusting(last: Mark) -> Numbering {
-        Numbering { trusts: true, ..Numbering::new(last) }
+        Numbering {
+            trusts: true,
+            ..Numbering::new(last)
+        }
     }
 
     /// What was kept goes further than what the instance was started with; it has to be proven like that.
     pub fn begin_at(&mut self, now: Time, last: Mark) {
-        *self = Numbering { trusts: self.trusts, sure: Some(now), ..Numbering::new(last) };
+        *self = Numbering {
+            trusts: self.trusts,
+            sure: Some(now),
+            ..Numbering::new(last)
+        };
     }
 
     pub fn last(&self) -> Mark {
@@ -157,7 +170,12 @@
             (_, true) => 0,
             _ => self.last.number.saturating_sub(1),
         };
-        self.link = Some(Link { asked, proven: self.trusts, heard: now, new: true });
+        self.link = Some(Link {
+            asked,
+            proven: self.trusts,
+            heard: now,
+            new: true,
+        });
         self.unechoed = None;
         asked
     }
@@ -172,10 +190,16 @@
 
     /// An event has come on the link.
     pub fn heard(&mut self, now: Time, mark: Mark, whole: bool) -> Next {
-        let Some(link) = &mut self.link else { return Next::Skip };
+        let Some(link) = &mut self.link else {
+            return Next::Skip;
+        };
         link.heard = now;
         self.silent = false;
-        let next = if link.proven { self.on_proven(now, mark) } else { self.on_first(now, mark, whole) };
+        let next = if link.proven {
+            self.on_proven(now, mark)
+        } else {
+            self.on_first(now, mark, whole)
+        };
         match next {
             Next::Apply => self.applies(now, mark),
             Next::Adopt(doubt) => {
@@ -198,7 +222,13 @@
             before.at = now;
         }
         self.last = mark;
-        self.applied.insert(mark.number, Applied { hash: mark.hash, at: now });
+        self.applied.insert(
+            mark.number,
+            Applied {
+                hash: mark.hash,
+                at: now,
+            },
+        );
         while self.forgets_first(now) {
             self.applied.pop_first();
         }
@@ -212,11 +242,15 @@
 
     /// Whether another event than this was applied under its number; none if that is not remembered.
     fn is_other(&self, mark: Mark) -> Option<bool> {
-        self.applied.get(&mark.number).map(|applied| applied.hash != mark.hash)
+        self.applied
+            .get(&mark.number)
+            .map(|applied| applied.hash != mark.hash)
     }
 
     fn on_proven(&mut self, now: Time, mark: Mark) -> Next {
-        let Some(link) = &mut self.link else { return Next::Skip };
+        let Some(link) = &mut self.link else {
+            return Next::Skip;
+        };
         match mark.number {
             // Somebody else brought it first, or brought what was meant to follow before the coordinator was put back.
             number if number <= self.last.number => {
@@ -248,7 +282,9 @@
         // Others may have brought more since the link asked. What it asked for proves the numbering all the same, and
         // what they brought beyond has to come on the link in its turn.
         let overtaken = mark.number < self.last.number && self.is_other(mark) == Some(false);
-        let Some(link) = &mut self.link else { return Next::Skip };
+        let Some(link) = &mut self.link else {
+            return Next::Skip;
+        };
         if overtaken && !whole && link.asked > 0 {
             (link.proven, self.from_the_start) = (true, false);
             self.unechoed = Some((mark.number + 1, now));
@@ -261,14 +297,21 @@
         if whole {
             (link.proven, self.from_the_start) = (true, false);
             let since = self.sure;
-            let doubt = since.map(|_| Doubt { since, heard_to_the_end: self.ended_whole });
+            let doubt = since.map(|_| Doubt {
+                since,
+                heard_to_the_end: self.ended_whole,
+            });
             return Next::Adopt(doubt);
         }
         if link.asked == 0 {
             return Next::AskAgain(Why::NoList);
         }
         self.from_the_start = true;
-        let why = if mark.number == self.last.number { Why::OtherEvent } else { Why::Gap };
+        let why = if mark.number == self.last.number {
+            Why::OtherEvent
+        } else {
+            Why::Gap
+        };
         Next::AskAgain(why)
     }
 
@@ -278,7 +321,11 @@
     pub fn proves_by(&self) -> Option<Time> {
         let link = self.link.as_ref()?;
         let unproven = || Some(link.heard).filter(|_| !self.silent);
-        let since = if link.proven { self.unechoed.map(|(_, since)| since) } else { unproven() };
+        let since = if link.proven {
+            self.unechoed.map(|(_, since)| since)
+        } else {
+            unproven()
+        };
         since.map(|since| since + PROVES)
     }
 
@@ -295,7 +342,9 @@
     /// An empty frame has come. On a link that has proven nothing it says that the coordinator lacks the last event
     /// known: the link has to be ended.
     pub fn alive(&mut self, now: Time) -> Next {
-        let Some(link) = &mut self.link else { return Next::Skip };
+        let Some(link) = &mut self.link else {
+            return Next::Skip;
+        };
         link.heard = now;
         self.silent = false;
         if link.proven {
@@ -320,7 +369,8 @@
 
     /// Somebody who knows the same numbering brought the event that follows.
     pub fn relayed(&mut self, now: Time, after: Mark, mark: Mark) -> bool {
-        let follows = after == self.last && mark.number == after.number + 1 && now >= self.distrusts_until;
+        let follows =
+            after == self.last && mark.number == after.number + 1 && now >= self.distrusts_until;
         if follows {
             self.applies(now, mark);
             self.sure = Some(now); // no more a file's: who passed it on follows the coordinator
@@ -365,11 +415,16 @@
 
     /// Whether all that the coordinator has told has come, as far as can be seen.
     pub fn current(&self, now: Time) -> bool {
-        self.link.as_ref().is_some_and(|link| link.proven && now.since(link.heard) >= SETTLES)
+        self.link
+            .as_ref()
+            .is_some_and(|link| link.proven && now.since(link.heard) >= SETTLES)
     }
 
     /// When that will be if nothing more comes; none on a link that has proven nothing.
     pub fn current_at(&self) -> Option<Time> {
-        self.link.as_ref().filter(|link| link.proven).map(|link| link.heard + SETTLES)
+        self.link
+            .as_ref()
+            .filter(|link| link.proven)
+            .map(|link| link.heard + SETTLES)
     }
 }
--- a/crates/flaxdeck-recovery/src/pace.rs
+++ b/crates/flaxdeck-recovery/src/pace.rs
@@ -28,7 +28,13 @@
     /// Pauses between `least` and `most`. Each instance and each called party needs a seed of its own.
     pub fn new(seed: u64, least: Span, most: Span) -> Pace {
         let most = if most < least { least } else { most };
-        Pace { chance: Pcg64Mcg::seed_from_u64(seed), least, most, last: least, up_since: None }
+        Pace {
+            chance: Pcg64Mcg::seed_from_u64(seed),
+            least,
+            most,
+            last: least,
+            up_since: None,
+        }
     }
 
     /// A call was answered.
@@ -49,12 +55,20 @@
     /// A call failed, or what it began is over: how long to wait before the next. One that lasted for as long as the
     /// longest pause begins anew; one that breaks at once is as good as none. Calm is who hears the same from others.
     pub fn pause(&mut self, now: Time, calm: bool) -> Span {
-        if self.up_since.take().is_some_and(|since| now.since(since) >= self.most) {
+        if self
+            .up_since
+            .take()
+            .is_some_and(|since| now.since(since) >= self.most)
+        {
             self.last = self.least;
         }
         let most = if calm { self.most * CALM } else { self.most };
         let (least, most) = (self.least.ms(), (self.last.ms() * GROWS).min(most.ms()));
-        let drawn = Span::of_ms(if most > least { self.chance.random_range(least..=most) } else { least });
+        let drawn = Span::of_ms(if most > least {
+            self.chance.random_range(least..=most)
+        } else {
+            least
+        });
         self.last = drawn;
         drawn
     }
--- a/crates/flaxdeck-recovery/src/phase.rs
+++ b/crates/flaxdeck-recovery/src/phase.rs
@@ -39,7 +39,13 @@
 
 impl Return {
     pub fn begin(now: Time, unheard: Unheard) -> Return {
-        Return { began: now, unheard, vouched: None, listened: None, full: false }
+        Return {
+            began: now,
+            unheard,
+            vouched: None,
+            listened: None,
+            full: false,
+        }
     }
 
     /// Somebody vouches for the list.
--- a/crates/flaxdeck-recovery/tests/belief.rs
+++ b/crates/flaxdeck-recovery/tests/belief.rs
@@ -7,40 +7,74 @@
 };
 
 const NOW: Now = Now {
-    uptime: Uptime { boot: 7, ms: 100_000 },
+    uptime: Uptime {
+        boot: 7,
+        ms: 100_000,
+    },
     file: Mark { number: 1, hash: 1 },
     waits: Span::from_ms(5_000),
 };
 
 fn line(host: &str, started: u64) -> KeptLine {
     let address = "127.0.0.1:1".parse().unwrap();
-    KeptLine { host: host.into(), address, weight: 1.0, zone: None, cell: 0, role: 0, health: 0, started }
+    KeptLine {
+        host: host.into(),
+        address,
+        weight: 1.0,
+        zone: None,
+        cell: 0,
+        role: 0,
+        health: 0,
+        started,
+    }
 }
 
 fn rating(host: &str, started: u64) -> KeptRating {
     let (measured_ago, good_ago, bad_ago) = (Some(1_000), Some(1_000), None);
-    KeptRating { host: host.into(), started, measures: [Some(3.0), None], measured_ago, good_ago, bad_ago }
+    KeptRating {
+        host: host.into(),
+        started,
+        measures: [Some(3.0), None],
+        measured_ago,
+        good_ago,
+        bad_ago,
+    }
 }
 
 fn kept(ago: u64) -> Kept {
     Kept {
-        written: Uptime { boot: 7, ms: 100_000 - ago },
+        written: Uptime {
+            boot: 7,
+            ms: 100_000 - ago,
+        },
         event: Mark { number: 9, hash: 5 },
         lines: vec![line("a", 0), line("b", 500)],
-        purges: vec![KeptPurge { object: Some(1), group: 0, made: 1 }],
+        purges: vec![KeptPurge {
+            object: Some(1),
+            group: 0,
+            made: 1,
+        }],
         ratings: vec![rating("a", 0), rating("b", 400), rating("gone", 0)],
         lent_until: None,
     }
 }
 
 fn hosts(believed: &Believed) -> Vec<&str> {
-    believed.ratings.iter().map(|rating| &*rating.host).collect()
+    believed
+        .ratings
+        .iter()
+        .map(|rating| &*rating.host)
+        .collect()
 }
 
 #[test]
 fn what_was_seen_of_a_host_counts_for_that_start_of_it_alone() {
     let believed = judge(kept(2_000), NOW);
-    assert_eq!(hosts(&believed), ["a"], "b has restarted, one is listed no more");
+    assert_eq!(
+        hosts(&believed),
+        ["a"],
+        "b has restarted, one is listed no more"
+    );
     assert_eq!(believed.ratings[0].good_ago, Some(3_000));
     assert_eq!(believed.event, Some(Mark { number: 9, hash: 5 }));
 }
@@ -48,24 +82,68 @@
 #[test]
 fn what_is_old_is_worth_what_a_stranger_is() {
     let believed = judge(kept(30_000), NOW);
-    assert_eq!((believed.ratings[0].good_ago, believed.ratings[0].measured_ago), (None, Some(31_000)));
+    assert_eq!(
+        (
+            believed.ratings[0].good_ago,
+            believed.ratings[0].measured_ago
+        ),
+        (None, Some(31_000))
+    );
     assert_eq!(judge(kept(90_000), NOW).ratings, []);
 }
 
 #[test]
 fn after_a_boot_no_clock_vouches_for_any_age() {
-    let now = Now { uptime: Uptime { boot: 8, ms: 100_000 }, ..NOW };
-    let believed = judge(Kept { lent_until: Some(Uptime { boot: 7, ms: 1 }), ..kept(10) }, now);
+    let now = Now {
+        uptime: Uptime {
+            boot: 8,
+            ms: 100_000,
+        },
+        ..NOW
+    };
+    let believed = judge(
+        Kept {
+            lent_until: Some(Uptime { boot: 7, ms: 1 }),
+            ..kept(10)
+        },
+        now,
+    );
     assert_eq!((believed.ratings.len(), believed.waits), (0, None));
-    assert_eq!((believed.lines.len(), believed.purges.len()), (2, 1), "facts need no clock");
+    assert_eq!(
+        (believed.lines.len(), believed.purges.len()),
+        (2, 1),
+        "facts need no clock"
+    );
     // Nor where none can be read.
-    let now = Now { uptime: Uptime::default(), ..NOW };
-    assert_eq!(judge(Kept { written: Uptime::default(), ..kept(10) }, now).waits, None);
+    let now = Now {
+        uptime: Uptime::default(),
+        ..NOW
+    };
+    assert_eq!(
+        judge(
+            Kept {
+                written: Uptime::default(),
+                ..kept(10)
+            },
+            now
+        )
+        .waits,
+        None
+    );
 }
 
 #[test]
 fn shares_are_left_alone_for_what_may_be_out_and_never_for_longer_than_without_a_store() {
-    let waits = |ms| judge(Kept { lent_until: ms, ..kept(100) }, NOW).waits;
+    let waits = |ms| {
+        judge(
+            Kept {
+                lent_until: ms,
+                ..kept(100)
+            },
+            NOW,
+        )
+        .waits
+    };
     let at = |ms| Some(Uptime { boot: 7, ms });
     assert_eq!(waits(None), Some(Span::ZERO));
     assert_eq!(waits(at(99_000)), Some(Span::ZERO));
@@ -76,17 +154,37 @@
 
 #[test]
 fn a_configuration_of_a_later_event_outweighs_the_store() {
-    let now = Now { file: Mark { number: 10, hash: 2 }, ..NOW };
+    let now = Now {
+        file: Mark {
+            number: 10,
+            hash: 2,
+        },
+        ..NOW
+    };
     let believed = judge(kept(100), now);
-    assert_eq!((believed.event, believed.lines.len(), believed.purges.len()), (None, 0, 1));
-    assert!(believed.verdicts.iter().any(|verdict| verdict.item == "hosts" && !verdict.believed));
+    assert_eq!(
+        (believed.event, believed.lines.len(), believed.purges.len()),
+        (None, 0, 1)
+    );
+    assert!(
+        believed
+            .verdicts
+            .iter()
+            .any(|verdict| verdict.item == "hosts" && !verdict.believed)
+    );
 }
 
 #[test]
 fn what_was_written_is_read_and_other_bytes_are_not() {
     let (all, later) = (kept(3), Later::LendsUntil(Uptime { boot: 7, ms: 9 }));
     let read = Kept::read(&bytes(&all), &[bytes(&later)]).unwrap();
-    assert_eq!(read, Kept { lent_until: Some(Uptime { boot: 7, ms: 9 }), ..all.clone() });
+    assert_eq!(
+        read,
+        Kept {
+            lent_until: Some(Uptime { boot: 7, ms: 9 }),
+            ..all.clone()
+        }
+    );
     assert!(Kept::read(&bytes(&all), &[vec![9, 9, 9]]).is_err());
     assert!(Kept::read(&[bytes(&all), vec![0]].concat(), &[]).is_err());
 }
@@ -95,24 +193,70 @@
 fn what_came_later_is_added_in_its_order() {
     let mut all = kept(0);
     let mark = |number| Mark { number, hash: 1 };
-    all.add(Later::Lines(mark(10), vec![KeptLine { health: 1, ..line("a", 0) }, line("c", 0)]));
-    all.add(Later::Purged(mark(11), KeptPurge { object: None, group: 3, made: 2 }));
-    assert_eq!((all.event, all.lines.len(), all.lines[0].health, all.purges.len()), (mark(11), 3, 1, 2));
+    all.add(Later::Lines(
+        mark(10),
+        vec![
+            KeptLine {
+                health: 1,
+                ..line("a", 0)
+            },
+            line("c", 0),
+        ],
+    ));
+    all.add(Later::Purged(
+        mark(11),
+        KeptPurge {
+            object: None,
+            group: 3,
+            made: 2,
+        },
+    ));
+    assert_eq!(
+        (
+            all.event,
+            all.lines.len(),
+            all.lines[0].health,
+            all.purges.len()
+        ),
+        (mark(11), 3, 1, 2)
+    );
     all.add(Later::Whole(mark(1), vec![line("d", 0)]));
     all.add(Later::LendsUntil(Uptime { boot: 7, ms: 9 }));
-    assert_eq!((all.event, all.lines.len(), all.lent_until.map(|at| at.ms)), (mark(1), 1, Some(9)));
+    assert_eq!(
+        (all.event, all.lines.len(), all.lent_until.map(|at| at.ms)),
+        (mark(1), 1, Some(9))
+    );
 }
 
 const SETTLES: Span = Span::from_ms(6_800);
 
 fn purged(object: u64, made: u64) -> Later {
-    Later::Purged(Mark { number: object, hash: object }, KeptPurge { object: Some(object), group: 0, made })
+    Later::Purged(
+        Mark {
+            number: object,
+            hash: object,
+        },
+        KeptPurge {
+            object: Some(object),
+            group: 0,
+            made,
+        },
+    )
 }
 
 /// From when on a copy of the object has to be by what is kept; 0 if any will do.
 fn copies_from(kept: &Kept, object: u64) -> u64 {
-    let concerns = |purge: &&KeptPurge| purge.object.map_or(purge.group == u64::MAX, |of| of == object);
-    kept.purges.iter().filter(concerns).map(|purge| purge.made).max().unwrap_or(0)
+    let concerns = |purge: &&KeptPurge| {
+        purge
+            .object
+            .map_or(purge.group == u64::MAX, |of| of == object)
+    };
+    kept.purges
+        .iter()
+        .filter(concerns)
+        .map(|purge| purge.made)
+        .max()
+        .unwrap_or(0)
 }
 
 #[test]
@@ -131,10 +275,17 @@
         for number in 0..=last {
             let made = 1_000 + number * 1_000 / per_s;
             let unsettled = made + 6_800 >= latest;
-            assert!(!unsettled || copies_from(&kept, number) == made, "{number} of {last}");
+            assert!(
+                !unsettled || copies_from(&kept, number) == made,
+                "{number} of {last}"
+            );
         }
         let within = per_s * 75 / 10 + 1;
-        assert!(kept.purges.len() as u64 <= within, "{} kept at {per_s} a second", kept.purges.len());
+        assert!(
+            kept.purges.len() as u64 <= within,
+            "{} kept at {per_s} a second",
+            kept.purges.len()
+        );
     }
 }
 
@@ -148,26 +299,45 @@
         assert!(kept.purges.len() <= PURGES_MOST);
     }
     let sample = (0..count).step_by(97);
-    assert!(sample.clone().all(|number| copies_from(&kept, number) >= 1_000 + number), "none is forgotten");
-    assert_eq!(copies_from(&kept, count - 1), 1_000 + count - 1, "the latest are kept one by one");
-    assert!(copies_from(&kept, count) < 1_000 + count, "copies from later are in no doubt");
+    assert!(
+        sample
+            .clone()
+            .all(|number| copies_from(&kept, number) >= 1_000 + number),
+        "none is forgotten"
+    );
+    assert_eq!(
+        copies_from(&kept, count - 1),
+        1_000 + count - 1,
+        "the latest are kept one by one"
+    );
+    assert!(
+        copies_from(&kept, count) < 1_000 + count,
+        "copies from later are in no doubt"
+    );
     let (snapshot, records) = (bytes(&kept), vec![bytes(&purged(count, 1_000 + count))]);
     let read = Kept::read(&snapshot, &records).unwrap();
-    assert_eq!((read.purges.len(), copies_from(&read, count)), (kept.purges.len() + 1, 1_000 + count));
+    assert_eq!(
+        (read.purges.len(), copies_from(&read, count)),
+        (kept.purges.len() + 1, 1_000 + count)
+    );
 }
 
 #[test]
 fn a_purge_made_by_a_clock_that_is_ahead_has_no_other_forgotten() {
     let hour = 3_600_000;
     let mut kept = Kept::default();
-    [purged(1, 1_000_000), purged(2, 1_000_000 + hour)].into_iter().for_each(|purge| kept.add(purge));
+    [purged(1, 1_000_000), purged(2, 1_000_000 + hour)]
+        .into_iter()
+        .for_each(|purge| kept.add(purge));
     kept.forget_settled(Time::at_ms(1_002_000.0), SETTLES);
     assert_eq!(kept.purges.len(), 2, "made 2 s ago by this machine's clock");
     kept.forget_settled(Time::at_ms(1_010_000.0), SETTLES);
     assert_eq!((kept.purges.len(), copies_from(&kept, 1)), (1, 0));
     // This machine's own clock may be ahead as well: then the latest purge counts.
     let mut kept = Kept::default();
-    [purged(1, 1_000_000), purged(2, 1_002_000)].into_iter().for_each(|purge| kept.add(purge));
+    [purged(1, 1_000_000), purged(2, 1_002_000)]
+        .into_iter()
+        .for_each(|purge| kept.add(purge));
     kept.forget_settled(Time::at_ms(9e9), SETTLES);
     assert_eq!(kept.purges.len(), 2);
 }
--- a/crates/flaxdeck-recovery/tests/brought_by_others.rs
+++ b/crates/flaxdeck-recovery/tests/brought_by_others.rs
@@ -15,13 +15,29 @@
 #[test]
 fn a_batch_moves_on_from_the_last_event_only() {
     let mut numbering = Numbering::new(mark(20, 7));
-    assert!(!numbering.moved_on(at(1), mark(20, 8), mark(30, 1), Some(at(0))), "another numbering's");
-    assert!(!numbering.moved_on(at(1), mark(19, 7), mark(30, 1), Some(at(0))), "a gap before it");
+    assert!(
+        !numbering.moved_on(at(1), mark(20, 8), mark(30, 1), Some(at(0))),
+        "another numbering's"
+    );
+    assert!(
+        !numbering.moved_on(at(1), mark(19, 7), mark(30, 1), Some(at(0))),
+        "a gap before it"
+    );
     assert_eq!((numbering.last(), numbering.sure()), (mark(20, 7), None));
     assert!(numbering.moved_on(at(2), mark(20, 7), mark(30, 1), Some(at(1))));
-    assert_eq!((numbering.last(), numbering.sure()), (mark(30, 1), Some(at(1))));
-    assert!(numbering.moved_on(at(3), mark(30, 1), mark(30, 1), None), "a heartbeat");
-    assert_eq!(numbering.sure(), Some(at(1)), "nothing vouches for a later time");
+    assert_eq!(
+        (numbering.last(), numbering.sure()),
+        (mark(30, 1), Some(at(1)))
+    );
+    assert!(
+        numbering.moved_on(at(3), mark(30, 1), mark(30, 1), None),
+        "a heartbeat"
+    );
+    assert_eq!(
+        numbering.sure(),
+        Some(at(1)),
+        "nothing vouches for a later time"
+    );
 }
 
 #[test]
@@ -42,18 +58,33 @@
     numbering.ended(true); // paused here, so not heard to its end
     assert!(numbering.moved_on(at(500), mark(20, 7), mark(30, 1), Some(at(400))));
     numbering.ask(at(900));
-    let doubt = Doubt { since: Some(at(400)), heard_to_the_end: false };
-    assert_eq!(numbering.heard(at(901), mark(1, 9), true), Next::Adopt(Some(doubt)));
+    let doubt = Doubt {
+        since: Some(at(400)),
+        heard_to_the_end: false,
+    };
+    assert_eq!(
+        numbering.heard(at(901), mark(1, 9), true),
+        Next::Adopt(Some(doubt))
+    );
     let distrusted = at(901) + Span::from_ms(1_000);
-    assert!(!numbering.moved_on(distrusted, mark(1, 9), mark(2, 2), None), "others may follow what was");
+    assert!(
+        !numbering.moved_on(distrusted, mark(1, 9), mark(2, 2), None),
+        "others may follow what was"
+    );
 }
 
 #[test]
 fn a_list_that_others_brought_is_followed_by_the_coordinator_from_there() {
     let mut numbering = Numbering::new(mark(20, 7));
     numbering.replaced_by(at(5), mark(900, 3));
-    assert_eq!((numbering.last(), numbering.sure()), (mark(900, 3), Some(at(5))));
+    assert_eq!(
+        (numbering.last(), numbering.sure()),
+        (mark(900, 3), Some(at(5)))
+    );
     assert_eq!(numbering.ask(at(6)), 899);
-    assert_eq!(numbering.heard(at(7), mark(900, 4), false), Next::AskAgain(Why::OtherEvent));
+    assert_eq!(
+        numbering.heard(at(7), mark(900, 4), false),
+        Next::AskAgain(Why::OtherEvent)
+    );
     assert_eq!(numbering.ask(at(8)), 0);
 }
--- a/crates/flaxdeck-recovery/tests/clocks.rs
+++ b/crates/flaxdeck-recovery/tests/clocks.rs
@@ -15,7 +15,10 @@
         !clocks.heard(at(400.0), at(800.0), PURGE_LATE),
         "a little early: the coordinator's may be ahead"
     );
-    assert!(!clocks.heard(at(5_000.0), at(0.0), START_LATE), "the register may be late");
+    assert!(
+        !clocks.heard(at(5_000.0), at(0.0), START_LATE),
+        "the register may be late"
+    );
     assert_eq!(clocks.own(at(7.0)), at(7.0));
 }
 
@@ -24,12 +27,21 @@
     for hour in [3_600_000.0, -3_600_000.0] {
         let mut clocks = Clocks::default();
         assert!(clocks.heard(at(hour + 300.0), at(0.0), PURGE_LATE));
-        assert!(!clocks.heard(at(hour + 10_040.0), at(10_000.0), PURGE_LATE), "about as long a way");
-        assert!(!clocks.heard(at(hour + 20_900.0), at(20_000.0), PURGE_LATE), "a longer way tells nothing");
+        assert!(
+            !clocks.heard(at(hour + 10_040.0), at(10_000.0), PURGE_LATE),
+            "about as long a way"
+        );
+        assert!(
+            !clocks.heard(at(hour + 20_900.0), at(20_000.0), PURGE_LATE),
+            "a longer way tells nothing"
+        );
         assert!(!clocks.heard(at(hour + 35_000.0), at(30_000.0), START_LATE));
         let started = clocks.own(at(30_000.0));
         let error = started.since(at(hour + 30_000.0)).ms();
-        assert!((0.0..=300.0).contains(&error), "younger than it is, by a short way: {error}");
+        assert!(
+            (0.0..=300.0).contains(&error),
+            "younger than it is, by a short way: {error}"
+        );
         assert_eq!(clocks.told(started), at(30_000.0));
     }
 }
@@ -57,7 +69,11 @@
 fn no_time_is_too_far_off() {
     let mut clocks = Clocks::default();
     assert!(clocks.heard(at(0.0), Time::NEVER, PURGE_LATE));
-    assert_eq!(clocks.own(at(0.0)), Time::default(), "held at the ends of what a time can be");
+    assert_eq!(
+        clocks.own(at(0.0)),
+        Time::default(),
+        "held at the ends of what a time can be"
+    );
     (0..WINDOW).for_each(|_| _ = clocks.heard(Time::NEVER, at(0.0), PURGE_LATE));
     assert_eq!(clocks.own(Time::NEVER), Time::NEVER);
 }
--- a/crates/flaxdeck-recovery/tests/numbering.rs
+++ b/crates/flaxdeck-recovery/tests/numbering.rs
@@ -26,7 +26,10 @@
     assert!(!numbering.current(at(1)) && numbering.current(at(40)));
     assert_eq!(numbering.heard(at(50), mark(21, 8), false), Next::Apply);
     assert!(!numbering.current(at(51)), "more may be on its way");
-    assert_eq!(numbering.heard(at(52), mark(23, 8), false), Next::AskAgain(Why::Gap));
+    assert_eq!(
+        numbering.heard(at(52), mark(23, 8), false),
+        Next::AskAgain(Why::Gap)
+    );
     assert_eq!(numbering.ask(at(60)), 20);
 }
 
@@ -35,8 +38,14 @@
     let mut numbering = known();
     numbering.ended(false);
     numbering.ask(at(100));
-    let doubt = Doubt { since: Some(at(1)), heard_to_the_end: true };
-    assert_eq!(numbering.heard(at(101), mark(1, 9), true), Next::Adopt(Some(doubt)));
+    let doubt = Doubt {
+        since: Some(at(1)),
+        heard_to_the_end: true,
+    };
+    assert_eq!(
+        numbering.heard(at(101), mark(1, 9), true),
+        Next::Adopt(Some(doubt))
+    );
     assert_eq!(numbering.heard(at(102), mark(2, 9), false), Next::Apply);
 }
 
@@ -45,10 +54,19 @@
     let mut numbering = known();
     numbering.ended(true);
     numbering.ask(at(100));
-    assert_eq!(numbering.heard(at(101), mark(20, 8), false), Next::AskAgain(Why::OtherEvent));
+    assert_eq!(
+        numbering.heard(at(101), mark(20, 8), false),
+        Next::AskAgain(Why::OtherEvent)
+    );
     assert_eq!(numbering.ask(at(102)), 0, "the whole of it");
-    let doubt = Doubt { since: Some(at(1)), heard_to_the_end: false };
-    assert_eq!(numbering.heard(at(103), mark(1, 8), true), Next::Adopt(Some(doubt)));
+    let doubt = Doubt {
+        since: Some(at(1)),
+        heard_to_the_end: false,
+    };
+    assert_eq!(
+        numbering.heard(at(103), mark(1, 8), true),
+        Next::Adopt(Some(doubt))
+    );
     assert_eq!(numbering.last(), mark(1, 8));
 }
 
@@ -66,18 +84,27 @@
     let mut numbering = known();
     numbering.ended(false);
     numbering.ask(at(100));
-    assert!(matches!(numbering.heard(at(101), mark(900, 1), true), Next::Adopt(Some(_))));
+    assert!(matches!(
+        numbering.heard(at(101), mark(900, 1), true),
+        Next::Adopt(Some(_))
+    ));
     let mut numbering = known();
     numbering.ended(false);
     numbering.ask(at(100));
-    assert_eq!(numbering.heard(at(101), mark(900, 1), false), Next::AskAgain(Why::Gap));
+    assert_eq!(
+        numbering.heard(at(101), mark(900, 1), false),
+        Next::AskAgain(Why::Gap)
+    );
     assert_eq!(numbering.ask(at(102)), 0);
 }
 
 #[test]
 fn what_a_planner_brings_counts_only_if_it_follows_in_this_numbering() {
     let mut numbering = known();
-    assert!(!numbering.relayed(at(2), mark(20, 6), mark(21, 1)), "another numbering's");
+    assert!(
+        !numbering.relayed(at(2), mark(20, 6), mark(21, 1)),
+        "another numbering's"
+    );
     assert!(!numbering.relayed(at(2), mark(19, 1), mark(20, 7)), "known");
     assert!(numbering.relayed(at(2), mark(20, 7), mark(21, 1)));
     assert_eq!(numbering.heard(at(9), mark(21, 1), false), Next::Skip);
@@ -97,11 +124,20 @@
     assert!(numbering.relayed(at(10), mark(20, 7), mark(21, 1)));
     assert!(numbering.relayed(at(10), mark(21, 1), mark(22, 2)));
     assert_eq!(numbering.heard(at(20), mark(21, 1), false), Next::Skip);
-    assert_eq!(numbering.heard(at(20), mark(22, 9), false), Next::AskAgain(Why::OtherEvent));
+    assert_eq!(
+        numbering.heard(at(20), mark(22, 9), false),
+        Next::AskAgain(Why::OtherEvent)
+    );
     assert_eq!(numbering.ask(at(30)), 0);
-    assert!(matches!(numbering.heard(at(31), mark(1, 5), true), Next::Adopt(Some(_))));
+    assert!(matches!(
+        numbering.heard(at(31), mark(1, 5), true),
+        Next::Adopt(Some(_))
+    ));
     (2..=20).for_each(|n| assert_eq!(numbering.heard(at(31), mark(n, 7), false), Next::Apply));
-    assert!(!numbering.relayed(at(40), mark(20, 7), mark(21, 1)), "not from them again for a while");
+    assert!(
+        !numbering.relayed(at(40), mark(20, 7), mark(21, 1)),
+        "not from them again for a while"
+    );
     assert_eq!(numbering.heard(at(41), mark(21, 8), false), Next::Apply);
 }
 
@@ -110,11 +146,17 @@
     let mut numbering = Numbering::new(mark(1, 3));
     assert!(numbering.relayed(at(5), mark(1, 3), mark(2, 3)));
     numbering.ask(at(9));
-    assert!(matches!(numbering.heard(at(10), mark(1, 4), true), Next::Adopt(Some(_))));
+    assert!(matches!(
+        numbering.heard(at(10), mark(1, 4), true),
+        Next::Adopt(Some(_))
+    ));
     let mut numbering = Numbering::new(mark(1, 3));
     numbering.begin_at(at(5), mark(9, 3));
     numbering.ask(at(9));
-    assert!(matches!(numbering.heard(at(10), mark(1, 4), true), Next::Adopt(Some(_))));
+    assert!(matches!(
+        numbering.heard(at(10), mark(1, 4), true),
+        Next::Adopt(Some(_))
+    ));
 }
 
 #[test]
@@ -129,7 +171,11 @@
     let hash = |number: u64| if number == 20 { 7 } else { number * 31 };
     for number in 20..20 + events {
         let ms = from + (number - 19) * 3;
-        assert!(numbering.relayed(at(ms), mark(number, hash(number)), mark(number + 1, hash(number + 1))));
+        assert!(numbering.relayed(
+            at(ms),
+            mark(number, hash(number)),
+            mark(number + 1, hash(number + 1))
+        ));
     }
     from + events * 3
 }
@@ -140,10 +186,20 @@
     numbering.ended(false);
     assert_eq!(numbering.ask(at(100)), 19);
     let now = brought(&mut numbering, 100, 330);
-    assert_eq!(numbering.heard(at(now), mark(20, 7), false), Next::Skip, "what it was asked for");
+    assert_eq!(
+        numbering.heard(at(now), mark(20, 7), false),
+        Next::Skip,
+        "what it was asked for"
+    );
     assert!(numbering.is_proven());
-    assert_eq!(numbering.heard(at(now), mark(21, 21 * 31), false), Next::Skip);
-    assert_eq!(numbering.heard(at(now), mark(22, 1), false), Next::AskAgain(Why::OtherEvent));
+    assert_eq!(
+        numbering.heard(at(now), mark(21, 21 * 31), false),
+        Next::Skip
+    );
+    assert_eq!(
+        numbering.heard(at(now), mark(22, 1), false),
+        Next::AskAgain(Why::OtherEvent)
+    );
 }
 
 #[test]
@@ -153,14 +209,21 @@
     numbering.ask(at(100));
     let now = brought(&mut numbering, 100, 2_000);
     let first = numbering.heard(at(now), mark(20, 7), false);
-    assert_eq!(first, Next::AskAgain(Why::Gap), "longer ago than a link may take: all is asked for");
+    assert_eq!(
+        first,
+        Next::AskAgain(Why::Gap),
+        "longer ago than a link may take: all is asked for"
+    );
 
     let mut numbering = known();
     let most = flaxdeck_recovery::numbering::REMEMBERED_MOST as u64;
     for number in 20..20 + 2 * most {
         numbering.heard(at(1), mark(number + 1, 5), false);
     }
-    assert_eq!(numbering.heard(at(1), mark(20 + 2 * most - 100, 6), false), Next::AskAgain(Why::OtherEvent));
+    assert_eq!(
+        numbering.heard(at(1), mark(20 + 2 * most - 100, 6), false),
+        Next::AskAgain(Why::OtherEvent)
+    );
 }
 
 #[test]
@@ -186,7 +249,10 @@
     numbering.ask(at(2_300));
     assert_eq!(numbering.alive(at(3_000)), Next::AskAgain(Why::Nothing));
     assert_eq!(numbering.ask(at(3_010)), 0);
-    assert!(matches!(numbering.heard(at(3_020), mark(1, 9), true), Next::Adopt(Some(_))));
+    assert!(matches!(
+        numbering.heard(at(3_020), mark(1, 9), true),
+        Next::Adopt(Some(_))
+    ));
 }
 
 #[test]
--- a/crates/flaxdeck-recovery/tests/numbering_model.rs
+++ b/crates/flaxdeck-recovery/tests/numbering_model.rs
@@ -43,7 +43,10 @@
 
     fn mark(&mut self, number: u64) -> Mark {
         self.hashes += 1;
-        Mark { number, hash: if self.hashed { self.hashes } else { 1 } }
+        Mark {
+            number,
+            hash: if self.hashed { self.hashes } else { 1 },
+        }
     }
 
     fn tell(&mut self, chance: &mut Pcg64Mcg) {
@@ -52,14 +55,22 @@
         healths[host] = !healths[host];
         let number = self.last().mark.number + 1;
         let mark = self.mark(number);
-        self.events.push(Event { mark, whole: false, healths });
+        self.events.push(Event {
+            mark,
+            whole: false,
+            healths,
+        });
     }
 
     /// It starts anew with its list as event `number`.
     fn list(&mut self, number: u64, healths: HostHealth) {
         self.run += 1;
         let mark = self.mark(number);
-        self.events = vec![Event { mark, whole: true, healths }];
+        self.events = vec![Event {
+            mark,
+            whole: true,
+            healths,
+        }];
     }
 
     fn put_back(&mut self, events: usize) {
@@ -71,9 +82,16 @@
     /// What follows that number, as stand-ins and the platform's page have it.
     fn news(&self, last: u64) -> Vec<Event> {
         if last > self.last().mark.number {
-            return vec![Event { whole: true, ..self.last().clone() }];
+            return vec![Event {
+                whole: true,
+                ..self.last().clone()
+            }];
         }
-        self.events.iter().filter(|event| event.mark.number > last).cloned().collect()
+        self.events
+            .iter()
+            .filter(|event| event.mark.number > last)
+            .cloned()
+            .collect()
     }
 }
 
@@ -98,16 +116,39 @@
 }
 
 fn line(host: usize, withdrawn: bool) -> Endpoint {
-    let health = if withdrawn { Health::Draining } else { Health::InService };
+    let health = if withdrawn {
+        Health::Draining
+    } else {
+        Health::InService
+    };
     let (host, cell) = (HostId(format!("s-{host}").into()), CellId(0));
-    Endpoint { host, weight: 1.0, zone: None, cell, role: Role::Cache, health, started: None }
+    Endpoint {
+        host,
+        weight: 1.0,
+        zone: None,
+        cell,
+        role: Role::Cache,
+        health,
+        started: None,
+    }
 }
 
 impl Instance {
     fn new(first: &Event, trusting: bool) -> Instance {
-        let numbering = if trusting { Numbering::trusting(first.mark) } else { Numbering::new(first.mark) };
+        let numbering = if trusting {
+            Numbering::trusting(first.mark)
+        } else {
+            Numbering::new(first.mark)
+        };
         let (doubted, healths, log) = (Doubted::default(), first.healths, (first.mark, Vec::new()));
-        Instance { numbering, doubted, healths, link: None, again_at: 0, log }
+        Instance {
+            numbering,
+            doubted,
+            healths,
+            link: None,
+            again_at: 0,
+            log,
+        }
     }
 
     fn applies(&mut self, event: &Event) {
@@ -124,7 +165,9 @@
             .map(|host| line(host, self.healths[host]))
             .map(|line| (line.host.clone(), line))
             .collect();
-        let mut list: Vec<Endpoint> = (0..HOSTS).map(|host| line(host, event.healths[host])).collect();
+        let mut list: Vec<Endpoint> = (0..HOSTS)
+            .map(|host| line(host, event.healths[host]))
+            .collect();
         if doubt {
             list = self.doubted.adopt(now, &before, list).0;
         }
@@ -140,16 +183,33 @@
             if ms >= self.again_at {
                 let asked = self.numbering.ask(now);
                 let late = ms + chance.random_range(0..COMES);
-                let coming: VecDeque<_> =
-                    coordinator.news(asked).into_iter().map(|event| (late, Some(event))).collect();
+                let coming: VecDeque<_> = coordinator
+                    .news(asked)
+                    .into_iter()
+                    .map(|event| (late, Some(event)))
+                    .collect();
                 let sent = coordinator.last().mark.number;
-                self.link = Some(Link { run: coordinator.run, sent, coming, quiet_since: ms, held: false });
+                self.link = Some(Link {
+                    run: coordinator.run,
+                    sent,
+                    coming,
+                    quiet_since: ms,
+                    held: false,
+                });
             }
             return;
         };
         if link.run == coordinator.run && !link.held {
-            let late = link.coming.back().map_or(ms, |(at, _)| *at).max(ms + chance.random_range(0..COMES));
-            for event in coordinator.events.iter().filter(|event| event.mark.number > link.sent) {
+            let late = link
+                .coming
+                .back()
+                .map_or(ms, |(at, _)| *at)
+                .max(ms + chance.random_range(0..COMES));
+            for event in coordinator
+                .events
+                .iter()
+                .filter(|event| event.mark.number > link.sent)
+            {
                 link.coming.push_back((late, Some(event.clone())));
                 link.quiet_since = ms;
             }
@@ -197,9 +257,16 @@
         let at = if other.log.0 == last {
             Some(0)
         } else {
-            other.log.1.iter().position(|event| event.mark == last).map(|at| at + 1)
+            other
+                .log
+                .1
+                .iter()
+                .position(|event| event.mark == last)
+                .map(|at| at + 1)
+        };
+        let Some(event) = at.and_then(|at| other.log.1.get(at)).cloned() else {
+            return;
         };
-        let Some(event) = at.and_then(|at| other.log.1.get(at)).cloned() else { return };
         if self.numbering.relayed(now, last, event.mark) {
             self.applies(&event);
         }
@@ -219,7 +286,12 @@
 /// been withdrawn for long enough.
 fn play(seed: u64, how: How) -> Option<String> {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let mut coordinator = Coordinator { run: 0, events: Vec::new(), hashes: 0, hashed: how != How::Unhashed };
+    let mut coordinator = Coordinator {
+        run: 0,
+        events: Vec::new(),
+        hashes: 0,
+        hashed: how != How::Unhashed,
+    };
     coordinator.list(1, [false; HOSTS]);
     coordinator.run = 0;
     let first = coordinator.last().clone();
@@ -237,10 +309,13 @@
                 let number = coordinator.last().mark.number + chance.random_range(2..50);
                 coordinator.list(number, before);
             }
-            35..39 => instances[chance.random_range(0..2)].link.iter_mut().for_each(|link| {
-                link.held = true;
-                link.coming.clear();
-            }),
+            35..39 => instances[chance.random_range(0..2)]
+                .link
+                .iter_mut()
+                .for_each(|link| {
+                    link.held = true;
+                    link.coming.clear();
+                }),
             _ => {}
         }
         for (since, withdrawn) in withdrawn_since.iter_mut().zip(coordinator.last().healths) {
@@ -256,7 +331,10 @@
         }
         for (n, instance) in instances.iter().enumerate() {
             let now = Time::at_ms(1_000.0 + ms as f64);
-            let linked = instance.link.as_ref().is_some_and(|link| link.run == coordinator.run && !link.held);
+            let linked = instance
+                .link
+                .as_ref()
+                .is_some_and(|link| link.run == coordinator.run && !link.held);
             let current = linked && instance.numbering.current(now);
             for host in 0..HOSTS {
                 let long = withdrawn_since[host].is_some_and(|since| ms >= since + 3 * COMES);
--- a/crates/flaxdeck-recovery/tests/overtaken.rs
+++ b/crates/flaxdeck-recovery/tests/overtaken.rs
@@ -9,7 +9,10 @@
 }
 
 fn mark(number: u64) -> Mark {
-    Mark { number, hash: number * 7 }
+    Mark {
+        number,
+        hash: number * 7,
+    }
 }
 
 /// It knew 20 when it asked, and planners have brought 21 and 22 since.
@@ -24,7 +27,9 @@
 #[test]
 fn what_was_asked_for_proves_the_numbering_though_others_were_faster() {
     let mut numbering = overtaken();
-    let told: Vec<Next> = (20..=23).map(|n| numbering.heard(at(3), mark(n), false)).collect();
+    let told: Vec<Next> = (20..=23)
+        .map(|n| numbering.heard(at(3), mark(n), false))
+        .collect();
     assert_eq!(told, [Next::Skip, Next::Skip, Next::Skip, Next::Apply]);
     assert_eq!((numbering.last(), numbering.proves_by()), (mark(23), None));
 }
@@ -34,17 +39,33 @@
     let mut numbering = overtaken();
     assert_eq!(numbering.heard(at(3), mark(20), false), Next::Skip);
     let by = numbering.proves_by().unwrap();
-    assert_eq!(numbering.overdue(by), Next::AskAgain(Why::Nothing), "it has nothing after 20");
+    assert_eq!(
+        numbering.overdue(by),
+        Next::AskAgain(Why::Nothing),
+        "it has nothing after 20"
+    );
     let mut numbering = overtaken();
     assert_eq!(numbering.heard(at(3), mark(20), false), Next::Skip);
-    let other = Mark { number: 21, hash: 1 };
-    assert_eq!(numbering.heard(at(4), other, false), Next::AskAgain(Why::OtherEvent));
+    let other = Mark {
+        number: 21,
+        hash: 1,
+    };
+    assert_eq!(
+        numbering.heard(at(4), other, false),
+        Next::AskAgain(Why::OtherEvent)
+    );
 }
 
 #[test]
 fn another_event_of_that_number_still_has_all_asked_for() {
     let mut numbering = overtaken();
-    let other = Mark { number: 20, hash: 1 };
-    assert!(matches!(numbering.heard(at(3), other, false), Next::AskAgain(_)));
+    let other = Mark {
+        number: 20,
+        hash: 1,
+    };
+    assert!(matches!(
+        numbering.heard(at(3), other, false),
+        Next::AskAgain(_)
+    ));
     assert_eq!(numbering.ask(at(4)), 0);
 }
--- a/crates/flaxdeck-recovery/tests/pace.rs
+++ b/crates/flaxdeck-recovery/tests/pace.rs
@@ -38,11 +38,18 @@
     pace.hurry();
     now = now + longest;
     assert!(pace.pause(now, false) <= LEAST * GROWS);
-    let firsts: Vec<Span> = (0..200).map(|seed| Pace::new(seed, LEAST, MOST).first()).collect();
-    assert!(firsts.iter().all(|first| (FIRST[0]..=FIRST[1]).contains(first)));
+    let firsts: Vec<Span> = (0..200)
+        .map(|seed| Pace::new(seed, LEAST, MOST).first())
+        .collect();
+    assert!(
+        firsts
+            .iter()
+            .all(|first| (FIRST[0]..=FIRST[1]).contains(first))
+    );
     // Spread: in step they would be 200 within any 30 ms.
     for from in (150..420).step_by(10) {
-        let within = |first: &&Span| (f64::from(from)..f64::from(from) + 30.0).contains(&first.ms());
+        let within =
+            |first: &&Span| (f64::from(from)..f64::from(from) + 30.0).contains(&first.ms());
         let count = firsts.iter().filter(within).count();
         assert!(count < 40, "{count} within 30 ms from {from}");
     }
--- a/crates/flaxdeck-recovery/tests/phase.rs
+++ b/crates/flaxdeck-recovery/tests/phase.rs
@@ -10,7 +10,10 @@
 #[test]
 fn clients_are_taken_once_the_list_is_vouched_for() {
     let mut back = Return::begin(at(0), Unheard::RejectAfter(Span::from_ms(2_500)));
-    assert_eq!((back.phase(at(9), at(0)), back.listens_at()), (Phase::Listed, at(2_500)));
+    assert_eq!(
+        (back.phase(at(9), at(0)), back.listens_at()),
+        (Phase::Listed, at(2_500))
+    );
     back.vouched(at(12));
     back.vouched(at(700));
     assert_eq!(back.listens_at(), at(12));
@@ -20,7 +23,10 @@
     assert_eq!(back.full(at(5_000), at(5_000)), Some(Span::from_ms(5_000)));
     assert_eq!(back.full(at(5_001), at(5_000)), None, "told once");
     back.listens(at(14));
-    assert_eq!(back.took(), [Some(Span::from_ms(12)), Some(Span::from_ms(14))]);
+    assert_eq!(
+        back.took(),
+        [Some(Span::from_ms(12)), Some(Span::from_ms(14))]
+    );
 }
 
 #[test]
--- a/crates/flaxdeck-rules/src/lib.rs
+++ b/crates/flaxdeck-rules/src/lib.rs
@@ -156,10 +156,16 @@
             }
             Seen::Answered { request, how } => {
                 match open.remove(&**request) {
-                    None => breach(1, format!("{request} was answered again, or never asked: {how:?}")),
+                    None => breach(
+                        1,
+                        format!("{request} was answered again, or never asked: {how:?}"),
+                    ),
                     Some(by) => {
                         if at > by + terms.slack {
-                            breach(1, format!("{request} was answered {:.0} ms too late", at - by));
+                            breach(
+                                1,
+                                format!("{request} was answered {:.0} ms too late", at - by),
+                            );
                         }
                         over.insert(request, at);
                         *match how {
@@ -180,7 +186,13 @@
                 if let Some(since) = hosts.entry(host).or_default().withdrawn {
                     verdict.latest_arrival = verdict.latest_arrival.max(at - since);
                     if at > since + terms.grace {
-                        breach(3, format!("{host} got new work {:.0} ms after it was withdrawn", at - since));
+                        breach(
+                            3,
+                            format!(
+                                "{host} got new work {:.0} ms after it was withdrawn",
+                                at - since
+                            ),
+                        );
                     }
                 }
             }
@@ -204,39 +216,56 @@
                 let host = hosts.entry(name).or_default();
                 host.recent.push_back((at, *cost));
                 host.sum += cost;
-                while let Some((old, cost)) =
-                    host.recent.front().copied().filter(|(old, _)| *old <= at - terms.window)
+                while let Some((old, cost)) = host
+                    .recent
+                    .front()
+                    .copied()
+                    .filter(|(old, _)| *old <= at - terms.window)
                 {
                     debug_assert!(old <= at);
                     host.sum -= cost;
                     host.recent.pop_front();
                 }
-                let (Some(ramp), Some(started)) = (terms.ramps.get(name), host.started) else { continue };
+                let (Some(ramp), Some(started)) = (terms.ramps.get(name), host.started) else {
+                    continue;
+                };
                 let part = ramp.part(at - started);
                 if part < 1.0 {
                     let of_bound = host.sum / (ramp.factor * part * ramp.places * terms.window);
                     verdict.most_of_bound = verdict.most_of_bound.max(of_bound);
                     if of_bound > 1.0 {
-                        breach(4, format!("{name} was asked for {of_bound:.2} of what it bears while cold"));
+                        breach(
+                            4,
+                            format!(
+                                "{name} was asked for {of_bound:.2} of what it bears while cold"
+                            ),
+                        );
                     }
                 }
             }
             Seen::Purged { object } => purged.entry(object).or_default().push(at),
             Seen::Copy { object, sent, made } => {
                 let times = purged.get(&**object).into_iter().flatten();
-                let old = times.filter(|purge| *made < **purge && *sent >= **purge + terms.purge_grace);
+                let old =
+                    times.filter(|purge| *made < **purge && *sent >= **purge + terms.purge_grace);
                 if let Some(purge) = old.max_by(|a, b| a.total_cmp(b)) {
                     let (late, age) = (sent - purge, purge - made);
                     breach(
                         5,
-                        format!("{object}: a copy {age:.0} ms older than its purge, {late:.0} ms after it"),
+                        format!(
+                            "{object}: a copy {age:.0} ms older than its purge, {late:.0} ms after it"
+                        ),
                     );
                 }
             }
         }
     }
     for (request, by) in open {
-        verdict.breaches.push(Breach { rule: 1, at: by, what: format!("{request} was never answered") });
+        verdict.breaches.push(Breach {
+            rule: 1,
+            at: by,
+            what: format!("{request} was never answered"),
+        });
     }
     verdict
 }
@@ -260,12 +289,17 @@
             _ => {}
         }
     }
-    let (Some(started), Some(ramp)) = (started, terms.ramps.get(name)) else { return 0.0 };
+    let (Some(started), Some(ramp)) = (started, terms.ramps.get(name)) else {
+        return 0.0;
+    };
     let (mut sum, mut looks, mut at) = (0.0, 0u32, started + from);
     while at <= to {
-        let recent = work.iter().filter(|(when, _)| *when > at - terms.window && *when <= at);
+        let recent = work
+            .iter()
+            .filter(|(when, _)| *when > at - terms.window && *when <= at);
         let spent: f64 = recent.map(|(_, cost)| cost).sum();
-        sum += spent / (ramp.factor * ramp.part(at - started - terms.window) * ramp.places * terms.window);
+        sum += spent
+            / (ramp.factor * ramp.part(at - started - terms.window) * ramp.places * terms.window);
         (looks, at) = (looks + 1, at + step);
     }
     sum / f64::from(looks.max(1))
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -30,7 +30,8 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let file = std::env::args().nth(1).ok_or("name the target's file")?;
     let text = files::read_text(Path::new(&file))?;
-    let target = target::read(&file, &text).map_err(flaxdeck_scale::error::CapacityError::Target)?;
+    let target =
+        target::read(&file, &text).map_err(flaxdeck_scale::error::CapacityError::Target)?;
     let mut rows = Vec::new();
     for hosts in [target.hosts_a_region().round(), target.hosts] {
         for purges_per_s in [0.0, target.purges_per_s] {
@@ -71,7 +72,11 @@
 impl Schedule {
     fn new(per_s: f64) -> Schedule {
         let every_ms = 1e3 / per_s;
-        Schedule { every_ms, next_ms: every_ms, happened: 0 }
+        Schedule {
+            every_ms,
+            next_ms: every_ms,
+            happened: 0,
+        }
     }
 
     /// The number of the next one, if it is due by then.
@@ -103,7 +108,12 @@
         now_ms += each_ms;
         while let Some(number) = purges.due(now_ms) {
             let made = at(purges.next_ms - purges.every_ms);
-            engine.purge(at(now_ms), Some(ObjectId(PURGED_FROM + number)), GroupId(1), made);
+            engine.purge(
+                at(now_ms),
+                Some(ObjectId(PURGED_FROM + number)),
+                GroupId(1),
+                made,
+            );
         }
         while ticks.due(now_ms).is_some() {
             engine.wake(at(now_ms));
--- a/crates/flaxdeck-scale/src/bounds.rs
+++ b/crates/flaxdeck-scale/src/bounds.rs
@@ -40,10 +40,16 @@
         let Over { asked, most, .. } = self;
         match self.bound {
             Bound::Memory => {
-                write!(out, "some {asked} bytes of memory, the bound is {most} over all processes")
+                write!(
+                    out,
+                    "some {asked} bytes of memory, the bound is {most} over all processes"
+                )
             }
             Bound::Processes => write!(out, "{asked} processes, the bound is {most}"),
-            Bound::Descriptors => write!(out, "{asked} descriptors in one process, the bound is {most}"),
+            Bound::Descriptors => write!(
+                out,
+                "{asked} descriptors in one process, the bound is {most}"
+            ),
         }
     }
 }
@@ -53,7 +59,8 @@
     let [hollow, hosts] = [point.hollow, point.hosts].map(u64::from);
     // The coordinator, the planners, the hollow processes, the real forwarders, and this one.
     let processes = u64::from(point.processes + point.planners + point.real) + 2;
-    let memory = processes * PROCESS_BYTES + hollow * (FORWARDER_BYTES + hosts * LINE_BYTES) + OTHER_BYTES;
+    let memory =
+        processes * PROCESS_BYTES + hollow * (FORWARDER_BYTES + hosts * LINE_BYTES) + OTHER_BYTES;
     let connections = u64::from(point.planners) + 1;
     let in_hollow = hollow.div_ceil(u64::from(point.processes.max(1))) * connections;
     let descriptors = in_hollow.max(hollow + u64::from(point.real)) + OWN_DESCRIPTORS;
@@ -63,5 +70,7 @@
         (Bound::Memory, memory, MEMORY_MOST),
     ];
     let over = checks.into_iter().find(|(_, asked, most)| asked > most);
-    over.map_or(Ok(()), |(bound, asked, most)| Err(Over { bound, asked, most }))
+    over.map_or(Ok(()), |(bound, asked, most)| {
+        Err(Over { bound, asked, most })
+    })
 }
--- a/crates/flaxdeck-scale/src/capacity/estimate.rs
+++ b/crates/flaxdeck-scale/src/capacity/estimate.rs
@@ -52,7 +52,11 @@
 }
 
 fn size_text(size: &Size) -> String {
-    let (forwarders, hosts, purges) = (count(size.forwarders), count(size.hosts), figure(size.purges));
+    let (forwarders, hosts, purges) = (
+        count(size.forwarders),
+        count(size.hosts),
+        figure(size.purges),
+    );
     format!("{forwarders} forwarders, {hosts} hosts, {purges} purges/s")
 }
 
@@ -62,7 +66,11 @@
             Known::Measured { at } => write!(out, "measured at {}", size_text(at)),
             Known::MeasuredBelow { at } => write!(out, "measured at {} only", size_text(at)),
             Known::MeasuredApart => write!(out, "measured"),
-            Known::Slope { factor, held, partly_at } => {
+            Known::Slope {
+                factor,
+                held,
+                partly_at,
+            } => {
                 write!(out, "slope x {}", figure(*factor))?;
                 for (term, at) in held {
                     write!(out, ", {} held at {}", term.name(), figure(*at))?;
@@ -85,11 +93,17 @@
 }
 
 impl Estimate {
-    pub const NOT_SHOWN: Estimate = Estimate { value: None, known: Known::NotShown };
+    pub const NOT_SHOWN: Estimate = Estimate {
+        value: None,
+        known: Known::NotShown,
+    };
 
     /// The same, counted otherwise.
     pub fn map(self, change: impl FnOnce(f64) -> f64) -> Estimate {
-        Estimate { value: self.value.map(change), ..self }
+        Estimate {
+            value: self.value.map(change),
+            ..self
+        }
     }
 }
 
@@ -98,22 +112,40 @@
     match line.evidence {
         Evidence::Measured => {
             let known = match nature(line.series.role, line.series.metric) {
-                Nature::Line(terms) if is_below(line.at, size, terms) => Known::MeasuredBelow { at: line.at },
+                Nature::Line(terms) if is_below(line.at, size, terms) => {
+                    Known::MeasuredBelow { at: line.at }
+                }
                 _ => Known::Measured { at: line.at },
             };
-            Estimate { value: Some(line.value), known }
+            Estimate {
+                value: Some(line.value),
+                known,
+            }
         }
         Evidence::Slope => {
-            let held = line.held(size).iter().map(|term| (term.term, term.most)).collect();
-            let known = Known::Slope { factor: line.factor(size), held, partly_at: None };
-            Estimate { value: Some(line.predict(size)), known }
+            let held = line
+                .held(size)
+                .iter()
+                .map(|term| (term.term, term.most))
+                .collect();
+            let known = Known::Slope {
+                factor: line.factor(size),
+                held,
+                partly_at: None,
+            };
+            Estimate {
+                value: Some(line.predict(size)),
+                known,
+            }
         }
     }
 }
 
 /// Whether one of the drivers is smaller at one size than at another.
 fn is_below(one: Size, other: &Size, terms: &[Term]) -> bool {
-    terms.iter().any(|term| term.driver(&one) < term.driver(other))
+    terms
+        .iter()
+        .any(|term| term.driver(&one) < term.driver(other))
 }
 
 /// The sum of what several lines say of a size, known as well as the least known of them.
@@ -125,7 +157,10 @@
 /// Two estimates together.
 pub fn plus(one: Estimate, other: Estimate) -> Estimate {
     let value = one.value.zip(other.value).map(|(one, other)| one + other);
-    Estimate { value, known: least_known(one.known, other.known) }
+    Estimate {
+        value,
+        known: least_known(one.known, other.known),
+    }
 }
 
 fn least_known(one: Known, other: Known) -> Known {
@@ -133,22 +168,63 @@
         (Known::NotShown, _) | (_, Known::NotShown) => Known::NotShown,
         (Known::MeasuredApart, other) | (other, Known::MeasuredApart) => other,
         (
-            Known::Slope { factor, mut held, partly_at },
-            Known::Slope { factor: other, held: more, partly_at: also },
+            Known::Slope {
+                factor,
+                mut held,
+                partly_at,
+            },
+            Known::Slope {
+                factor: other,
+                held: more,
+                partly_at: also,
+            },
         ) => {
-            let new: Vec<(Term, f64)> = more.into_iter().filter(|term| !held.contains(term)).collect();
+            let new: Vec<(Term, f64)> = more
+                .into_iter()
+                .filter(|term| !held.contains(term))
+                .collect();
             held.extend(new);
             let partly_at = [partly_at, also].into_iter().flatten().reduce(smaller);
-            Known::Slope { factor: factor.max(other), held, partly_at }
+            Known::Slope {
+                factor: factor.max(other),
+                held,
+                partly_at,
+            }
         }
-        (Known::Slope { factor, held, partly_at }, measured)
-        | (measured, Known::Slope { factor, held, partly_at }) => {
-            let partly_at = [partly_at, measured.measured_at()].into_iter().flatten().reduce(smaller);
-            Known::Slope { factor, held, partly_at }
+        (
+            Known::Slope {
+                factor,
+                held,
+                partly_at,
+            },
+            measured,
+        )
+        | (
+            measured,
+            Known::Slope {
+                factor,
+                held,
+                partly_at,
+            },
+        ) => {
+            let partly_at = [partly_at, measured.measured_at()]
+                .into_iter()
+                .flatten()
+                .reduce(smaller);
+            Known::Slope {
+                factor,
+                held,
+                partly_at,
+            }
         }
         (one, other) => {
-            let at = [one.measured_at(), other.measured_at()].into_iter().flatten().reduce(smaller);
-            let is_below = [&one, &other].iter().any(|known| matches!(known, Known::MeasuredBelow { .. }));
+            let at = [one.measured_at(), other.measured_at()]
+                .into_iter()
+                .flatten()
+                .reduce(smaller);
+            let is_below = [&one, &other]
+                .iter()
+                .any(|known| matches!(known, Known::MeasuredBelow { .. }));
             match at {
                 Some(at) if is_below => Known::MeasuredBelow { at },
                 Some(at) => Known::Measured { at },
@@ -159,7 +235,11 @@
 }
 
 fn smaller(one: Size, other: Size) -> Size {
-    if one.order(&other).is_le() { one } else { other }
+    if one.order(&other).is_le() {
+        one
+    } else {
+        other
+    }
 }
 
 /// The fitted lines, by what they tell.
@@ -189,7 +269,9 @@
         let all: Vec<&Line> = self.lines.iter().filter(fits).collect();
         let numbers = all.iter().map(|line| line.series.planners);
         let nearest = numbers.min_by_key(|planners| planners.abs_diff(self.planners));
-        let few = all.into_iter().filter(|line| Some(line.series.planners) == nearest);
+        let few = all
+            .into_iter()
+            .filter(|line| Some(line.series.planners) == nearest);
         let (whole, kinds): (Vec<&Line>, Vec<&Line>) =
             few.partition(|line| ALL_KINDS.contains(&line.series.kind.as_str()));
         if kinds.is_empty() { whole } else { kinds }
@@ -202,18 +284,32 @@
 
     /// The lines of runs with a fault.
     pub fn with_faults(&self) -> impl Iterator<Item = &'a Line> + Clone + use<'a> {
-        self.lines.iter().filter(|line| line.series.fault != NO_FAULT)
+        self.lines
+            .iter()
+            .filter(|line| line.series.fault != NO_FAULT)
     }
 
     /// All kinds of some metrics together, at a size.
-    pub fn total(&self, distribution: Distribution, role: Role, metrics: &[Metric], size: &Size) -> Estimate {
-        let lines = metrics.iter().flat_map(|metric| self.by_kind(distribution, role, *metric));
+    pub fn total(
+        &self,
+        distribution: Distribution,
+        role: Role,
+        metrics: &[Metric],
+        size: &Size,
+    ) -> Estimate {
+        let lines = metrics
+            .iter()
+            .flat_map(|metric| self.by_kind(distribution, role, *metric));
         total(lines, size)
     }
 
     /// Names of all runs, sorted, each once.
     pub fn runs(&self) -> Vec<String> {
-        let mut runs: Vec<String> = self.lines.iter().flat_map(|line| line.runs.iter().cloned()).collect();
+        let mut runs: Vec<String> = self
+            .lines
+            .iter()
+            .flat_map(|line| line.runs.iter().cloned())
+            .collect();
         runs.sort();
         runs.dedup();
         runs
--- a/crates/flaxdeck-scale/src/capacity/faults.rs
+++ b/crates/flaxdeck-scale/src/capacity/faults.rs
@@ -27,20 +27,42 @@
 /// What is told of a run with a fault.
 const TOLD: [(Metric, Role, &str); 9] = [
     (Metric::EventsLost, Role::HollowForwarder, "events lost"),
-    (Metric::EventsReplaced, Role::HollowForwarder, "covered by a whole list"),
+    (
+        Metric::EventsReplaced,
+        Role::HollowForwarder,
+        "covered by a whole list",
+    ),
     (Metric::EventsDoubled, Role::HollowForwarder, "doubled"),
-    (Metric::EventsOutOfOrder, Role::HollowForwarder, "out of order"),
-    (Metric::DelayMedianMs, Role::HollowForwarder, "median delay, ms"),
-    (Metric::DelayWorstMs, Role::HollowForwarder, "worst delay, ms"),
+    (
+        Metric::EventsOutOfOrder,
+        Role::HollowForwarder,
+        "out of order",
+    ),
+    (
+        Metric::DelayMedianMs,
+        Role::HollowForwarder,
+        "median delay, ms",
+    ),
+    (
+        Metric::DelayWorstMs,
+        Role::HollowForwarder,
+        "worst delay, ms",
+    ),
     (Metric::ServedShare, Role::RealForwarder, "share served"),
-    (Metric::ServiceP99Ms, Role::RealForwarder, "service at the 99th percentile, ms"),
+    (
+        Metric::ServiceP99Ms,
+        Role::RealForwarder,
+        "service at the 99th percentile, ms",
+    ),
     (Metric::RulesBroken, Role::RealForwarder, "rules broken"),
 ];
 
 /// Each fault under each distribution, as it was measured at the largest size.
 pub fn fault_runs<'a>(lines: impl Iterator<Item = &'a Line> + Clone) -> Vec<FaultRun> {
-    let names: BTreeSet<(String, Distribution)> =
-        lines.clone().map(|line| (line.series.fault.clone(), line.series.distribution)).collect();
+    let names: BTreeSet<(String, Distribution)> = lines
+        .clone()
+        .map(|line| (line.series.fault.clone(), line.series.distribution))
+        .collect();
     let run = |(fault, distribution): (String, Distribution)| {
         let own = lines
             .clone()
@@ -60,15 +82,26 @@
         (!kinds.is_empty()).then_some(FaultFigure { name, value, twin })
     });
     let figures = told.collect();
-    let at = lines.iter().map(|line| line.at).max_by(Size::order).unwrap_or_default();
-    FaultRun { fault, distribution, at, figures }
+    let at = lines
+        .iter()
+        .map(|line| line.at)
+        .max_by(Size::order)
+        .unwrap_or_default();
+    FaultRun {
+        fault,
+        distribution,
+        at,
+        figures,
+    }
 }
 
 impl FaultRun {
     /// All figures in one line, each with its twin's.
     pub fn told(&self) -> String {
         let one = |told: &FaultFigure| {
-            let twin = told.twin.map_or("twin not shown".to_owned(), |twin| format!("twin {}", figure(twin)));
+            let twin = told.twin.map_or("twin not shown".to_owned(), |twin| {
+                format!("twin {}", figure(twin))
+            });
             format!("{} {} ({twin})", told.name, figure(told.value))
         };
         let all: Vec<String> = self.figures.iter().map(one).collect();
--- a/crates/flaxdeck-scale/src/capacity/figures.rs
+++ b/crates/flaxdeck-scale/src/capacity/figures.rs
@@ -15,7 +15,11 @@
 /// A count, whole.
 pub fn count(value: f64) -> String {
     let digits = grouped(&format!("{:.0}", value.abs()));
-    if value <= -0.5 { format!("-{digits}") } else { digits }
+    if value <= -0.5 {
+        format!("-{digits}")
+    } else {
+        digits
+    }
 }
 
 /// A figure with three significant digits.
@@ -31,7 +35,11 @@
     }
     let decimals = (2 - magnitude).clamp(0, 12) as usize;
     let text = format!("{value:.decimals$}");
-    if text.contains('.') { text.trim_end_matches('0').trim_end_matches('.').to_owned() } else { text }
+    if text.contains('.') {
+        text.trim_end_matches('0').trim_end_matches('.').to_owned()
+    } else {
+        text
+    }
 }
 
 /// Seconds as milliseconds, seconds, minutes or hours.
