--- a/crates/flaxdeck-scale/src/capacity/page.rs
+++ b/crates/flaxdeck-scale/src/capacity/page.rs
@@ -28,16 +28,25 @@
 /// The page for these slopes and that target.
 pub fn page(slopes: &[SlopeRow], target: &Target) -> Result<String, CapacityError> {
     let lines = lines(slopes);
-    let basis = Basis { lines: Lines::new(&lines, target.planners_each as u32), target };
+    let basis = Basis {
+        lines: Lines::new(&lines, target.planners_each as u32),
+        target,
+    };
     let fault_runs = fault_runs(basis.lines.with_faults());
     let context = Context {
         target: target_fields(target),
         roles: roles(basis).iter().map(role_table).collect(),
         over: over(&roles(basis)),
         states: states(basis).iter().map(state_cells).collect(),
-        events: events(target).into_iter().map(|event| event_cells(event, &fault_runs)).collect(),
+        events: events(target)
+            .into_iter()
+            .map(|event| event_cells(event, &fault_runs))
+            .collect(),
         faults: fault_runs.iter().map(fault_cells).collect(),
-        charts: charts::titles(&lines).into_iter().map(chart_cells).collect(),
+        charts: charts::titles(&lines)
+            .into_iter()
+            .map(chart_cells)
+            .collect(),
         idle: DISTRIBUTIONS.map(|distribution| idle_percent(basis, distribution)),
         full_core: figure(100.0 * FULL_CORES),
         full_idle: figure(100.0 * FULL_IDLE),
@@ -50,7 +59,10 @@
 
 /// Fills the template in. A field that is not there is a fault.
 fn render(context: Context) -> Result<String, minijinja::Error> {
-    let syntax = SyntaxConfig::builder().trim_blocks(true).keep_trailing_newline(true).build()?;
+    let syntax = SyntaxConfig::builder()
+        .trim_blocks(true)
+        .keep_trailing_newline(true)
+        .build()?;
     let mut environment = Environment::new();
     environment.set_syntax(syntax);
     environment.set_undefined_behavior(UndefinedBehavior::Strict);
--- a/crates/flaxdeck-scale/src/capacity/page/cells.rs
+++ b/crates/flaxdeck-scale/src/capacity/page/cells.rs
@@ -43,13 +43,18 @@
 }
 
 pub(super) fn role_table(role: &RoleRows) -> RoleTable {
-    RoleTable { title: role.title.clone(), rows: role.rows.iter().map(row_cells).collect() }
+    RoleTable {
+        title: role.title.clone(),
+        rows: role.rows.iter().map(row_cells).collect(),
+    }
 }
 
 fn row_cells(row: &Row) -> RowCells {
     RowCells {
         what: row.what.clone(),
-        budget: row.budget.map_or("none".into(), |budget| with_unit(budget, row.unit)),
+        budget: row
+            .budget
+            .map_or("none".into(), |budget| with_unit(budget, row.unit)),
         each_event: estimate_cells(row, 0),
         digest: estimate_cells(row, 1),
         mechanism: row.mechanism.to_owned(),
@@ -66,7 +71,9 @@
         (None, false) => "-".into(),
     };
     EstimateCells {
-        value: value.map_or("-".into(), |value| format!("{least}{}", with_unit(value, row.unit))),
+        value: value.map_or("-".into(), |value| {
+            format!("{least}{}", with_unit(value, row.unit))
+        }),
         ratio,
         known: known.to_string(),
     }
@@ -97,13 +104,18 @@
                     continue;
                 }
                 let ratio = row.ratios()[at];
-                let least = if row.estimates[at].known.is_least() { "at least " } else { "" };
+                let least = if row.estimates[at].known.is_least() {
+                    "at least "
+                } else {
+                    ""
+                };
                 let cells = OverCells {
                     role: role.title.clone(),
                     what: row.what.clone(),
                     distribution: distribution_name(distribution),
-                    ratio: ratio
-                        .map_or("none is allowed".into(), |ratio| format!("{least}{}", figure(ratio))),
+                    ratio: ratio.map_or("none is allowed".into(), |ratio| {
+                        format!("{least}{}", figure(ratio))
+                    }),
                 };
                 found.push((ratio.unwrap_or(f64::INFINITY), cells));
             }
@@ -130,7 +142,10 @@
     let (bytes_each, known) = match &state.bytes_each {
         Bytes::BySlope([each_event, digest]) => {
             let text = |bytes: &Option<f64>| bytes.map_or("-".to_owned(), figure);
-            (format!("{} / {}", text(each_event), text(digest)), "slope; entries by the target")
+            (
+                format!("{} / {}", text(each_event), text(digest)),
+                "slope; entries by the target",
+            )
         }
         Bytes::Encoded(bytes) => (figure(*bytes), "measured: encoded by this command"),
         Bytes::NotShown => (NOT_SHOWN.to_owned(), "by reading"),
@@ -168,8 +183,17 @@
         .filter(|run| event.faults.contains(&run.fault.as_str()))
         .map(|run| format!("`{}`, {}", run.fault, distribution_name(run.distribution)))
         .collect();
-    let by_run = if shown.is_empty() { NOT_SHOWN.to_owned() } else { shown.join("; ") };
-    EventCells { key: event.key, name: event.name, size: event.size, by_run }
+    let by_run = if shown.is_empty() {
+        NOT_SHOWN.to_owned()
+    } else {
+        shown.join("; ")
+    };
+    EventCells {
+        key: event.key,
+        name: event.name,
+        size: event.size,
+        by_run,
+    }
 }
 
 #[derive(Serialize)]
@@ -196,8 +220,12 @@
 }
 
 pub(super) fn idle_percent(basis: Basis, distribution: Distribution) -> String {
-    let line = basis.lines.one(distribution, Role::Coordinator, Metric::MachineIdleShare);
-    line.map_or(NOT_SHOWN.to_owned(), |line| format!("{} %", figure(100.0 * line.value)))
+    let line = basis
+        .lines
+        .one(distribution, Role::Coordinator, Metric::MachineIdleShare);
+    line.map_or(NOT_SHOWN.to_owned(), |line| {
+        format!("{} %", figure(100.0 * line.value))
+    })
 }
 
 #[derive(Serialize)]
@@ -224,9 +252,11 @@
         let (name, seed) = run.rsplit_once('-').unwrap_or((run, ""));
         match cells.iter_mut().find(|cell| cell.name == name) {
             Some(cell) => cell.seeds = format!("{}, {seed}", cell.seeds),
-            None => {
-                cells.push(RunCells { name: name.to_owned(), seeds: seed.to_owned(), command: command(name) })
-            }
+            None => cells.push(RunCells {
+                name: name.to_owned(),
+                seeds: seed.to_owned(),
+                command: command(name),
+            }),
         }
     }
     cells
--- a/crates/flaxdeck-scale/src/capacity/rows.rs
+++ b/crates/flaxdeck-scale/src/capacity/rows.rs
@@ -12,7 +12,11 @@
 pub const DISTRIBUTIONS: [Distribution; 2] = [Distribution::EachEvent, Distribution::Digest];
 
 /// The bytes of all connections both ways, with the headers below them.
-const BYTES: &[Metric] = &[Metric::BytesInPerS, Metric::BytesOutPerS, Metric::HeaderBytesPerS];
+const BYTES: &[Metric] = &[
+    Metric::BytesInPerS,
+    Metric::BytesOutPerS,
+    Metric::HeaderBytesPerS,
+];
 /// The same without those headers, which are estimated by the number of messages.
 const BODIES: &[Metric] = &[Metric::BytesInPerS, Metric::BytesOutPerS];
 const MESSAGES: &[Metric] = &[Metric::MessagesInPerS, Metric::MessagesOutPerS];
@@ -31,7 +35,9 @@
 impl Row {
     /// Value over budget, one for each distribution.
     pub fn ratios(&self) -> [Option<f64>; 2] {
-        let ratio = |estimate: &Estimate| Some(estimate.value? / self.budget.filter(|budget| *budget > 0.0)?);
+        let ratio = |estimate: &Estimate| {
+            Some(estimate.value? / self.budget.filter(|budget| *budget > 0.0)?)
+        };
         [ratio(&self.estimates[0]), ratio(&self.estimates[1])]
     }
 
@@ -66,21 +72,34 @@
     let target = basis.target;
     let (whole, group) = (target.size(), target.size_of_a_group());
     let roles = vec![
-        RoleRows { title: "Dispatcher (forwarder)".into(), rows: forwarder(basis) },
-        RoleRows { title: "Planner that hears every dispatcher".into(), rows: planner(basis, &whole) },
+        RoleRows {
+            title: "Dispatcher (forwarder)".into(),
+            rows: forwarder(basis),
+        },
+        RoleRows {
+            title: "Planner that hears every dispatcher".into(),
+            rows: planner(basis, &whole),
+        },
         RoleRows {
             title: "Planner where the fleet is divided between the machines".into(),
             rows: planner(basis, &group),
         },
-        RoleRows { title: "Coordinator (a stand-in's figures)".into(), rows: coordinator(basis) },
-        RoleRows { title: "The machines set aside, together".into(), rows: machines(basis) },
+        RoleRows {
+            title: "Coordinator (a stand-in's figures)".into(),
+            rows: coordinator(basis),
+        },
+        RoleRows {
+            title: "The machines set aside, together".into(),
+            rows: machines(basis),
+        },
     ];
     roles.into_iter().map(sorted).collect()
 }
 
 /// Rows without a ratio keep their order, behind all others.
 fn sorted(mut role: RoleRows) -> RoleRows {
-    role.rows.sort_by(|one, other| other.weight().total_cmp(&one.weight()));
+    role.rows
+        .sort_by(|one, other| other.weight().total_cmp(&one.weight()));
     role
 }
 
@@ -88,15 +107,18 @@
     DISTRIBUTIONS.map(of)
 }
 
-const BY_EVENTS: &str = "each event from each planner and the coordinator; digest: batches from one planner";
+const BY_EVENTS: &str =
+    "each event from each planner and the coordinator; digest: batches from one planner";
 const BY_REPORTS: &str = "reports and guidance with each planner";
-const BY_GUIDE: &str = "the control side of a forwarder: guide, feed, store of purges and endpoints";
+const BY_GUIDE: &str =
+    "the control side of a forwarder: guide, feed, store of purges and endpoints";
 
 fn forwarder(basis: Basis) -> Vec<Row> {
     let (role, size, target) = (Role::HollowForwarder, basis.target.size(), basis.target);
     let (lines, bytes) = (basis.lines, Some(target.budget_bytes_per_s));
-    let total =
-        |metrics: &'static [Metric]| both(|distribution| lines.total(distribution, role, metrics, &size));
+    let total = |metrics: &'static [Metric]| {
+        both(|distribution| lines.total(distribution, role, metrics, &size))
+    };
     let row = |what: &str, unit, budget, estimates, mechanism| Row {
         what: what.to_owned(),
         unit,
@@ -105,10 +127,34 @@
         mechanism,
     };
     let mut rows = vec![
-        row("all control, both ways, with headers (estimated)", "bytes/s", bytes, total(BYTES), BY_EVENTS),
-        row("all control, both ways, without headers", "bytes/s", bytes, total(BODIES), BY_EVENTS),
-        row("messages, both ways", "messages/s", None, total(MESSAGES), BY_EVENTS),
-        row("processor time", "cores", Some(target.budget_cores), total(&[Metric::Cores]), BY_GUIDE),
+        row(
+            "all control, both ways, with headers (estimated)",
+            "bytes/s",
+            bytes,
+            total(BYTES),
+            BY_EVENTS,
+        ),
+        row(
+            "all control, both ways, without headers",
+            "bytes/s",
+            bytes,
+            total(BODIES),
+            BY_EVENTS,
+        ),
+        row(
+            "messages, both ways",
+            "messages/s",
+            None,
+            total(MESSAGES),
+            BY_EVENTS,
+        ),
+        row(
+            "processor time",
+            "cores",
+            Some(target.budget_cores),
+            total(&[Metric::Cores]),
+            BY_GUIDE,
+        ),
         row(
             "resident memory",
             "bytes",
@@ -134,8 +180,11 @@
 
 /// The bytes of each kind of message, as a part of the budget of all.
 fn kinds(basis: Basis, role: Role, size: &Size) -> Vec<Row> {
-    let parts =
-        [("in", Metric::BytesInPerS), ("out", Metric::BytesOutPerS), ("headers", Metric::HeaderBytesPerS)];
+    let parts = [
+        ("in", Metric::BytesInPerS),
+        ("out", Metric::BytesOutPerS),
+        ("headers", Metric::HeaderBytesPerS),
+    ];
     let mut rows = Vec::new();
     for (way, metric) in parts {
         for kind in kind_names(basis, role, metric) {
@@ -144,7 +193,11 @@
                 let line = found.into_iter().find(|line| line.series.kind == kind);
                 line.map_or(Estimate::NOT_SHOWN, |line| estimate(line, size))
             };
-            let what = if kind.is_empty() { way.to_owned() } else { format!("{kind}, {way}") };
+            let what = if kind.is_empty() {
+                way.to_owned()
+            } else {
+                format!("{kind}, {way}")
+            };
             rows.push(Row {
                 what: format!("of these: {what}"),
                 unit: "bytes/s",
@@ -158,8 +211,9 @@
 }
 
 fn kind_names(basis: Basis, role: Role, metric: Metric) -> Vec<String> {
-    let lines =
-        DISTRIBUTIONS.iter().flat_map(|distribution| basis.lines.by_kind(*distribution, role, metric));
+    let lines = DISTRIBUTIONS
+        .iter()
+        .flat_map(|distribution| basis.lines.by_kind(*distribution, role, metric));
     let mut names: Vec<String> = lines.map(|line| line.series.kind.clone()).collect();
     names.sort();
     names.dedup();
@@ -184,14 +238,31 @@
         unit: "ms",
         budget,
         estimates: both(|distribution| {
-            basis.lines.total(distribution, Role::HollowForwarder, &[metric], &basis.target.size())
+            basis.lines.total(
+                distribution,
+                Role::HollowForwarder,
+                &[metric],
+                &basis.target.size(),
+            )
         }),
         mechanism: BY_EVENTS,
     };
     vec![
-        delay("an event until it is in force: worst", Metric::DelayWorstMs, within),
-        delay("an event until it is in force: 99th percentile", Metric::DelayP99Ms, within),
-        delay("an event until it is in force: median", Metric::DelayMedianMs, within),
+        delay(
+            "an event until it is in force: worst",
+            Metric::DelayWorstMs,
+            within,
+        ),
+        delay(
+            "an event until it is in force: 99th percentile",
+            Metric::DelayP99Ms,
+            within,
+        ),
+        delay(
+            "an event until it is in force: median",
+            Metric::DelayMedianMs,
+            within,
+        ),
     ]
 }
 
@@ -210,14 +281,25 @@
     vec![
         row("lost, most of any run", Metric::EventsLost, Some(0.0)),
         row("doubled, most of any run", Metric::EventsDoubled, Some(0.0)),
-        row("out of order, most of any run", Metric::EventsOutOfOrder, Some(0.0)),
-        row("covered by a whole list, copies in doubt, most of any run", Metric::EventsReplaced, None),
+        row(
+            "out of order, most of any run",
+            Metric::EventsOutOfOrder,
+            Some(0.0),
+        ),
+        row(
+            "covered by a whole list, copies in doubt, most of any run",
+            Metric::EventsReplaced,
+            None,
+        ),
     ]
 }
 
 /// The largest value of all points of a line, wherever it was measured.
 fn most_of_all(line: &Line) -> Estimate {
-    Estimate { value: Some(line.largest), known: Known::Measured { at: line.at } }
+    Estimate {
+        value: Some(line.largest),
+        known: Known::Measured { at: line.at },
+    }
 }
 
 /// What became of requests at real forwarders beside the hollow ones, in runs without a fault.
@@ -227,14 +309,34 @@
         unit,
         budget,
         estimates: both(|distribution| {
-            basis.lines.total(distribution, Role::RealForwarder, &[metric], &basis.target.size())
+            basis.lines.total(
+                distribution,
+                Role::RealForwarder,
+                &[metric],
+                &basis.target.size(),
+            )
         }),
         mechanism: "real forwarders under load beside the hollow ones",
     };
     vec![
-        row("rules broken by real forwarders", "breaks", Some(0.0), Metric::RulesBroken),
-        row("service of real forwarders: share in time", "of all", None, Metric::ServedShare),
-        row("service of real forwarders: 99th percentile", "ms", None, Metric::ServiceP99Ms),
+        row(
+            "rules broken by real forwarders",
+            "breaks",
+            Some(0.0),
+            Metric::RulesBroken,
+        ),
+        row(
+            "service of real forwarders: share in time",
+            "of all",
+            None,
+            Metric::ServedShare,
+        ),
+        row(
+            "service of real forwarders: 99th percentile",
+            "ms",
+            None,
+            Metric::ServiceP99Ms,
+        ),
     ]
 }
 
@@ -243,7 +345,9 @@
     let mut rows = Vec::new();
     for kind in kind_names(basis, Role::Dispatcher, Metric::DecisionMicros) {
         let micros = |distribution| {
-            let found = basis.lines.by_kind(distribution, Role::Dispatcher, Metric::DecisionMicros);
+            let found = basis
+                .lines
+                .by_kind(distribution, Role::Dispatcher, Metric::DecisionMicros);
             let line = found.into_iter().find(|line| line.series.kind == kind);
             line.map_or(Estimate::NOT_SHOWN, |line| Estimate {
                 value: Some(line.value),
@@ -271,9 +375,21 @@
 
 /// A planner at a number of dispatchers that converse with it. Its program is one thread, so one core is all it has.
 fn planner(basis: Basis, size: &Size) -> Vec<Row> {
-    let mut rows = server(basis, Role::Planner, size, Some(1.0), Some(CONNECTIONS_MOST as f64));
-    let a_message =
-        |distribution| basis.lines.total(distribution, Role::Planner, &[Metric::MicrosPerMessage], size);
+    let mut rows = server(
+        basis,
+        Role::Planner,
+        size,
+        Some(1.0),
+        Some(CONNECTIONS_MOST as f64),
+    );
+    let a_message = |distribution| {
+        basis.lines.total(
+            distribution,
+            Role::Planner,
+            &[Metric::MicrosPerMessage],
+            size,
+        )
+    };
     rows.push(Row {
         what: "processor time a message".into(),
         unit: "us",
@@ -290,7 +406,13 @@
 
 const BY_SERVING: &str = "each event to each dispatcher; digest: batches to those that subscribe";
 
-fn server(basis: Basis, role: Role, size: &Size, cores: Option<f64>, descriptors: Option<f64>) -> Vec<Row> {
+fn server(
+    basis: Basis,
+    role: Role,
+    size: &Size,
+    cores: Option<f64>,
+    descriptors: Option<f64>,
+) -> Vec<Row> {
     let row = |what: &str, unit, budget, metrics: &'static [Metric]| Row {
         what: what.to_owned(),
         unit,
@@ -300,10 +422,20 @@
     };
     vec![
         row("processor time", "cores", cores, &[Metric::Cores]),
-        row("descriptors", "descriptors", descriptors, &[Metric::Descriptors]),
+        row(
+            "descriptors",
+            "descriptors",
+            descriptors,
+            &[Metric::Descriptors],
+        ),
         row("bytes in", "bytes/s", None, &[Metric::BytesInPerS]),
         row("bytes out", "bytes/s", None, &[Metric::BytesOutPerS]),
-        row("headers, both ways", "bytes/s", None, &[Metric::HeaderBytesPerS]),
+        row(
+            "headers, both ways",
+            "bytes/s",
+            None,
+            &[Metric::HeaderBytesPerS],
+        ),
         row("messages, both ways", "messages/s", None, MESSAGES),
         row("resident memory", "bytes", None, &[Metric::ResidentBytes]),
     ]
@@ -314,7 +446,9 @@
     let (target, group) = (basis.target, basis.target.size_of_a_group());
     let all = |metrics: &'static [Metric]| {
         both(|distribution| {
-            let one = basis.lines.total(distribution, Role::Planner, metrics, &group);
+            let one = basis
+                .lines
+                .total(distribution, Role::Planner, metrics, &group);
             one.map(|one| one * target.machines)
         })
     };
@@ -332,10 +466,30 @@
             Some(target.machines),
             both(|distribution| machines_needed(basis, distribution)),
         ),
-        row("processor time of all planners", "cores", Some(target.machines), all(&[Metric::Cores])),
-        row("bytes of all planners, both ways, with headers", "bytes/s", None, all(BYTES)),
-        row("messages of all planners", "messages/s", None, all(MESSAGES)),
-        row("resident memory of all planners", "bytes", None, all(&[Metric::ResidentBytes])),
+        row(
+            "processor time of all planners",
+            "cores",
+            Some(target.machines),
+            all(&[Metric::Cores]),
+        ),
+        row(
+            "bytes of all planners, both ways, with headers",
+            "bytes/s",
+            None,
+            all(BYTES),
+        ),
+        row(
+            "messages of all planners",
+            "messages/s",
+            None,
+            all(MESSAGES),
+        ),
+        row(
+            "resident memory of all planners",
+            "bytes",
+            None,
+            all(&[Metric::ResidentBytes]),
+        ),
     ]
 }
 
@@ -348,7 +502,10 @@
         return Estimate::NOT_SHOWN;
     }
     let target = basis.target;
-    let none = Size { forwarders: 0.0, ..target.size() };
+    let none = Size {
+        forwarders: 0.0,
+        ..target.size()
+    };
     let idle = line.predict(&none);
     let each = (line.predict(&target.size()) - idle) / target.dispatchers;
     if each <= 0.0 || idle >= 1.0 {
@@ -356,6 +513,12 @@
     }
     let served = ((1.0 - idle) / each).min(CONNECTIONS_MOST as f64);
     let needed = (target.dispatchers * target.planners_each / served).ceil();
-    let at_that = Size { forwarders: served, ..target.size() };
-    Estimate { value: Some(needed), known: estimate(line, &at_that).known }
+    let at_that = Size {
+        forwarders: served,
+        ..target.size()
+    };
+    Estimate {
+        value: Some(needed),
+        known: estimate(line, &at_that).known,
+    }
 }
--- a/crates/flaxdeck-scale/src/capacity/state.rs
+++ b/crates/flaxdeck-scale/src/capacity/state.rs
@@ -65,7 +65,11 @@
     let order = [DISPATCHER, PLANNER, BATCH, STORE];
     let place = |state: &State| order.iter().position(|role| *role == state.role);
     let ratio = |state: &State| state.ratio().unwrap_or(-1.0);
-    states.sort_by(|one, other| place(one).cmp(&place(other)).then(ratio(other).total_cmp(&ratio(one))));
+    states.sort_by(|one, other| {
+        place(one)
+            .cmp(&place(other))
+            .then(ratio(other).total_cmp(&ratio(one)))
+    });
     states
 }
 
@@ -75,7 +79,8 @@
 }
 
 /// A plan that says as little as it may, so that the rest has its defaults.
-const LEAST_PLAN: &str = "(plan (key-file \"k\") (planners (planner (name p) (listen \"127.0.0.1:1\"))))";
+const LEAST_PLAN: &str =
+    "(plan (key-file \"k\") (planners (planner (name p) (listen \"127.0.0.1:1\"))))";
 
 /// The defaults of the operators' plan file.
 pub fn default_plan() -> Option<Plan> {
@@ -117,7 +122,10 @@
             needed: purges * target.purge_within_s,
             bound: None,
             bytes_each: Bytes::NotShown,
-            kept: format!("{}, if they settle within what the target allows", span(target.purge_within_s)),
+            kept: format!(
+                "{}, if they settle within what the target allows",
+                span(target.purge_within_s)
+            ),
         },
         State {
             role: DISPATCHER,
@@ -181,7 +189,10 @@
             needed: target.events_per_s() * target.purge_within_s,
             bound: Some(events_kept()),
             bytes_each: Bytes::NotShown,
-            kept: format!("by their count, which reaches {} back", reach(LOG_MOST, target.events_per_s())),
+            kept: format!(
+                "by their count, which reaches {} back",
+                reach(LOG_MOST, target.events_per_s())
+            ),
         },
         State {
             role: PLANNER,
@@ -217,11 +228,17 @@
 }
 
 fn members() -> Bound {
-    Bound { most: MEMBERS_MOST as f64, name: "`MEMBERS_MOST` in `crates/flaxdeck-guidance/src/planner.rs`" }
+    Bound {
+        most: MEMBERS_MOST as f64,
+        name: "`MEMBERS_MOST` in `crates/flaxdeck-guidance/src/planner.rs`",
+    }
 }
 
 fn events_kept() -> Bound {
-    Bound { most: LOG_MOST as f64, name: "`LOG_MOST` in `crates/flaxdeck-guidance/src/planner.rs`" }
+    Bound {
+        most: LOG_MOST as f64,
+        name: "`LOG_MOST` in `crates/flaxdeck-guidance/src/planner.rs`",
+    }
 }
 
 /// What one message with a digest holds, if it reaches as far back as a purge may take.
@@ -244,8 +261,16 @@
         name: "`FULL_EVENTS_MOST` in `crates/flaxdeck-distribution/src/messages.rs`",
     };
     vec![
-        row("purges, as far back as one may take", target.purges_per_s, purges()),
-        row("purges, as far back as one may take, in a purge storm", target.storm_per_s(), purges()),
+        row(
+            "purges, as far back as one may take",
+            target.purges_per_s,
+            purges(),
+        ),
+        row(
+            "purges, as far back as one may take, in a purge storm",
+            target.storm_per_s(),
+            purges(),
+        ),
         row("other events, for as long", target.changes_per_s(), others),
     ]
 }
@@ -273,7 +298,10 @@
             kept: "while listed".into(),
         },
         purges("purges, as far back as one may take", target.purges_per_s),
-        purges("purges, as far back as one may take, in a purge storm", target.storm_per_s()),
+        purges(
+            "purges, as far back as one may take, in a purge storm",
+            target.storm_per_s(),
+        ),
         State {
             role: STORE,
             what: "records in its log, each second",
@@ -307,7 +335,11 @@
 }
 
 fn some_purge() -> KeptPurge {
-    KeptPurge { object: Some(LARGE), group: 0, made: SOME_TIME }
+    KeptPurge {
+        object: Some(LARGE),
+        group: 0,
+        made: SOME_TIME,
+    }
 }
 
 fn encoded(state: &impl serde::Serialize) -> f64 {
@@ -315,13 +347,25 @@
 }
 
 fn per_host() -> f64 {
-    encoded(&Kept { lines: vec![some_line()], ..Kept::default() }) - encoded(&Kept::default())
+    encoded(&Kept {
+        lines: vec![some_line()],
+        ..Kept::default()
+    }) - encoded(&Kept::default())
 }
 
 fn per_purge() -> f64 {
-    encoded(&Kept { purges: vec![some_purge()], ..Kept::default() }) - encoded(&Kept::default())
+    encoded(&Kept {
+        purges: vec![some_purge()],
+        ..Kept::default()
+    }) - encoded(&Kept::default())
 }
 
 fn per_record() -> f64 {
-    encoded(&Later::Purged(Mark { number: LARGE, hash: LARGE }, some_purge()))
+    encoded(&Later::Purged(
+        Mark {
+            number: LARGE,
+            hash: LARGE,
+        },
+        some_purge(),
+    ))
 }
--- a/crates/flaxdeck-scale/src/charts.rs
+++ b/crates/flaxdeck-scale/src/charts.rs
@@ -31,7 +31,11 @@
         file: "dispatcher-bytes.svg",
         title: "Control of one dispatcher, both ways, with headers",
         role: Role::HollowForwarder,
-        metrics: &[Metric::BytesInPerS, Metric::BytesOutPerS, Metric::HeaderBytesPerS],
+        metrics: &[
+            Metric::BytesInPerS,
+            Metric::BytesOutPerS,
+            Metric::HeaderBytesPerS,
+        ],
         driver: Term::Purges,
         unit: "bytes a second",
     },
@@ -92,11 +96,16 @@
 /// File and title of the charts that there are, where these lines were fitted.
 pub fn titles(lines: &[Line]) -> Vec<(&'static str, &'static str)> {
     let has_points = |chart: &&Chart| {
-        let own =
-            |line: &Line| line.series.fault == NO_FAULT && chart.shows(line.series.role, line.series.metric);
+        let own = |line: &Line| {
+            line.series.fault == NO_FAULT && chart.shows(line.series.role, line.series.metric)
+        };
         lines.iter().any(own)
     };
-    CHARTS.iter().filter(has_points).map(|chart| (chart.file, chart.title)).collect()
+    CHARTS
+        .iter()
+        .filter(has_points)
+        .map(|chart| (chart.file, chart.title))
+        .collect()
 }
 
 impl Chart {
@@ -111,17 +120,21 @@
         lines: &[Line],
         path: &Path,
     ) -> Result<bool, CapacityError> {
-        let series: Vec<(Distribution, Vec<Point>)> = [Distribution::EachEvent, Distribution::Digest]
-            .into_iter()
-            .map(|distribution| (distribution, self.points(measurements, distribution)))
-            .filter(|(_, points)| !points.is_empty())
-            .collect();
+        let series: Vec<(Distribution, Vec<Point>)> =
+            [Distribution::EachEvent, Distribution::Digest]
+                .into_iter()
+                .map(|distribution| (distribution, self.points(measurements, distribution)))
+                .filter(|(_, points)| !points.is_empty())
+                .collect();
         if series.is_empty() {
             return Ok(false);
         }
         let text = self
             .svg(&series, lines)
-            .map_err(|cause| CapacityError::Chart { path: path.display().to_string(), cause })?;
+            .map_err(|cause| CapacityError::Chart {
+                path: path.display().to_string(),
+                cause,
+            })?;
         std::fs::write(path, text).map_err(|error| CapacityError::File {
             path: path.display().to_string(),
             cause: error.to_string(),
@@ -132,14 +145,25 @@
     /// Points of runs without a fault.
     fn points(&self, measurements: &[&Measurement], distribution: Distribution) -> Vec<Point> {
         let own = measurements.iter().filter(|row| {
-            row.fault == NO_FAULT && row.distribution == distribution && self.shows(row.role, row.metric)
+            row.fault == NO_FAULT
+                && row.distribution == distribution
+                && self.shows(row.role, row.metric)
         });
         let mut sums: Vec<(&str, Point)> = Vec::new();
         for row in own {
             let size = Size::of(row);
-            match sums.iter_mut().find(|(run, point)| *run == row.run && point.size == size) {
+            match sums
+                .iter_mut()
+                .find(|(run, point)| *run == row.run && point.size == size)
+            {
                 Some((_, point)) => point.value += row.value,
-                None => sums.push((&row.run, Point { size, value: row.value })),
+                None => sums.push((
+                    &row.run,
+                    Point {
+                        size,
+                        value: row.value,
+                    },
+                )),
             }
         }
         sums.into_iter().map(|(_, point)| point).collect()
@@ -150,11 +174,15 @@
             let values = series.iter().flat_map(|(_, points)| points.iter().map(of));
             (values.fold(0.0, f64::max) * HEADROOM).max(f64::MIN_POSITIVE)
         };
-        let (right, top) = (most(&|point| self.driver.driver(&point.size)), most(&|point| point.value));
+        let (right, top) = (
+            most(&|point| self.driver.driver(&point.size)),
+            most(&|point| point.value),
+        );
         let mut text = String::new();
         {
             let area = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
-            self.draw_series(&area, series, lines, (right, top)).map_err(|error| error.to_string())?;
+            self.draw_series(&area, series, lines, (right, top))
+                .map_err(|error| error.to_string())?;
             area.present().map_err(|error| error.to_string())?;
         }
         Ok(text)
@@ -185,15 +213,25 @@
         for (distribution, points) in series {
             let color = color(*distribution);
             let dot = |point: &Point| {
-                Circle::new((self.driver.driver(&point.size), point.value), POINT, color.filled())
+                Circle::new(
+                    (self.driver.driver(&point.size), point.value),
+                    POINT,
+                    color.filled(),
+                )
             };
             let drawn = chart.draw_series(points.iter().map(dot))?;
-            drawn.label(name(*distribution)).legend(move |at| Circle::new(at, POINT, color.filled()));
+            drawn
+                .label(name(*distribution))
+                .legend(move |at| Circle::new(at, POINT, color.filled()));
             if let Some(ends) = self.fitted(lines, *distribution, points) {
                 chart.draw_series(LineSeries::new(ends, color))?;
             }
         }
-        chart.configure_series_labels().border_style(BLACK).background_style(WHITE).draw()?;
+        chart
+            .configure_series_labels()
+            .border_style(BLACK)
+            .background_style(WHITE)
+            .draw()?;
         Ok(())
     }
 
@@ -228,10 +266,22 @@
     fn at(&self, driver: f64, size: Size) -> Size {
         match self.driver {
             Term::Constant => size,
-            Term::Forwarders => Size { forwarders: driver, ..size },
-            Term::Hosts => Size { hosts: driver, ..size },
-            Term::Purges => Size { purges: driver, ..size },
-            Term::ForwarderPurges => Size { purges: driver / size.forwarders.max(1.0), ..size },
+            Term::Forwarders => Size {
+                forwarders: driver,
+                ..size
+            },
+            Term::Hosts => Size {
+                hosts: driver,
+                ..size
+            },
+            Term::Purges => Size {
+                purges: driver,
+                ..size
+            },
+            Term::ForwarderPurges => Size {
+                purges: driver / size.forwarders.max(1.0),
+                ..size
+            },
         }
     }
 }
--- a/crates/flaxdeck-scale/src/coordinator.rs
+++ b/crates/flaxdeck-scale/src/coordinator.rs
@@ -68,7 +68,9 @@
 
 /// Runs until standard input closes.
 pub fn run(orders: CoordinatorOrders) -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|error| format!("no runtime: {error}"))?;
     LocalSet::new().block_on(&runtime, serve(orders))
 }
@@ -80,7 +82,9 @@
     let settings_names = [fields.texts("zones")?, fields.texts("kinds")?];
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = Listener::open(any).map_err(|error| format!("cannot listen: {error}"))?;
-    let address = listener.address().map_err(|error| format!("cannot listen: {error}"))?;
+    let address = listener
+        .address()
+        .map_err(|error| format!("cannot listen: {error}"))?;
     let state = State {
         hosts: orders.hosts,
         unchanging: orders.unchanging,
@@ -110,7 +114,8 @@
         }
     }
     let state = state.borrow();
-    write_events(&orders.events, &state.held).map_err(|error| format!("events can't be written: {error}"))
+    write_events(&orders.events, &state.held)
+        .map_err(|error| format!("events can't be written: {error}"))
 }
 
 fn obey(state: &Shared, schedule: &mut Schedule, order: CoordinatorOrder) -> Result<(), String> {
@@ -144,7 +149,11 @@
 
 impl Arrivals {
     fn of(per_s: f64) -> Arrivals {
-        Arrivals { per_s, factor: 1.0, next: None }
+        Arrivals {
+            per_s,
+            factor: 1.0,
+            next: None,
+        }
     }
 
     /// Draws when the next one after that time comes.
@@ -169,7 +178,11 @@
 impl Schedule {
     fn new(seed: u64, purges_per_s: f64, changes_per_s: f64) -> Schedule {
         let (purges, changes) = (Arrivals::of(purges_per_s), Arrivals::of(changes_per_s));
-        Schedule { chance: Pcg64Mcg::seed_from_u64(seed), purges, changes }
+        Schedule {
+            chance: Pcg64Mcg::seed_from_u64(seed),
+            purges,
+            changes,
+        }
     }
 
     fn begin(&mut self) {
@@ -183,7 +196,10 @@
     }
 
     fn due(&self) -> Option<Instant> {
-        [self.purges.next, self.changes.next].into_iter().flatten().min()
+        [self.purges.next, self.changes.next]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Has all happen that is due.
@@ -203,7 +219,14 @@
 
 fn frame(number: u64, kind: u8, payload: &[u8]) -> Bytes {
     let length = (size_of::<u64>() + size_of::<u8>() + payload.len()) as u32;
-    [&length.to_be_bytes()[..], &number.to_be_bytes(), &[kind], payload].concat().into()
+    [
+        &length.to_be_bytes()[..],
+        &number.to_be_bytes(),
+        &[kind],
+        payload,
+    ]
+    .concat()
+    .into()
 }
 
 impl State {
@@ -221,7 +244,11 @@
     }
 
     fn list(&self) -> Vec<u8> {
-        self.hosts.iter().filter(|host| host.state < 2).flat_map(Host::record).collect()
+        self.hosts
+            .iter()
+            .filter(|host| host.state < 2)
+            .flat_map(Host::record)
+            .collect()
     }
 
     fn tell(&mut self, kind: u8, payload: &[u8]) {
@@ -229,7 +256,11 @@
         let frame = frame(number, kind, payload);
         let event = frames::read(&frame, &self.names).ok().flatten();
         let hash = event.map_or(0, |event| event.hash());
-        self.held.push(Held { number, hash, at_us: monotonic::now_us() });
+        self.held.push(Held {
+            number,
+            hash,
+            at_us: monotonic::now_us(),
+        });
         self.frames.push_back(frame);
         if self.frames.len() > KEPT {
             self.frames.pop_front();
@@ -239,14 +270,22 @@
     }
 
     fn purge(&mut self, object: u64) {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let payload = [object.to_be_bytes(), (unix.as_millis() as u64).to_be_bytes()].concat();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        let payload = [
+            object.to_be_bytes(),
+            (unix.as_millis() as u64).to_be_bytes(),
+        ]
+        .concat();
         self.tell(PURGE, &payload);
     }
 
     /// A host begins to drain, or is back in service.
     fn change_host(&mut self, which: usize) {
-        let Some(host) = self.hosts.get_mut(which) else { return };
+        let Some(host) = self.hosts.get_mut(which) else {
+            return;
+        };
         host.state = u8::from(host.state == 0);
         let record = host.record();
         self.tell(CHANGES, &record);
@@ -279,7 +318,10 @@
         let rows: Vec<Value> = hosts.map(|host| host.row(zones, kinds)).collect();
         let last = self.last();
         let list = json!({"index": last.saturating_sub(1).max(1), "endpoints": {"seq": 1, "whole": true, "hosts": rows}});
-        let last_event = self.frames.back().and_then(|frame| self.event_as_json(frame, last));
+        let last_event = self
+            .frames
+            .back()
+            .and_then(|frame| self.event_as_json(frame, last));
         let updates: Vec<Value> = [Some(list), last_event].into_iter().flatten().collect();
         json!({"index": last, "updates": updates})
     }
@@ -290,7 +332,9 @@
         match kind {
             PURGE => {
                 let [object, made] = [0, 8].map(|at| big_endian(&payload[at..at + 8]));
-                Some(json!({"index": number, "evict": {"ref": format!("{object:016x}"), "unix_ms": made}}))
+                Some(
+                    json!({"index": number, "evict": {"ref": format!("{object:016x}"), "unix_ms": made}}),
+                )
             }
             CHANGES => {
                 let id = big_endian(&payload[..4]) as u32;
@@ -305,12 +349,16 @@
 }
 
 fn big_endian(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0, |word, byte| word << 8 | u64::from(*byte))
+    bytes
+        .iter()
+        .fold(0, |word, byte| word << 8 | u64::from(*byte))
 }
 
 async fn accept(state: Shared, listener: Listener) {
     loop {
-        let Ok(stream) = listener.accept().await else { continue };
+        let Ok(stream) = listener.accept().await else {
+            continue;
+        };
         spawn_local(attend(state.clone(), stream));
     }
 }
@@ -321,7 +369,10 @@
     let mut turns = state.borrow().turn.subscribe();
     let run = turns.borrow_and_update().run;
     let mut after = stream.read_u64().await?;
-    count_message([Count::feed_messages_in, Count::feed_bytes_in], size_of::<u64>());
+    count_message(
+        [Count::feed_messages_in, Count::feed_bytes_in],
+        size_of::<u64>(),
+    );
     loop {
         let turn = *turns.borrow_and_update();
         if turn.run != run {
@@ -347,5 +398,8 @@
     for _ in 1..frames {
         count_message([Count::feed_messages_out, Count::feed_bytes_out], 0);
     }
-    count_message([Count::feed_messages_out, Count::feed_bytes_out], bytes.len());
+    count_message(
+        [Count::feed_messages_out, Count::feed_bytes_out],
+        bytes.len(),
+    );
 }
--- a/crates/flaxdeck-scale/src/delays.rs
+++ b/crates/flaxdeck-scale/src/delays.rs
@@ -33,7 +33,11 @@
         let mut words = line.split(' ');
         let number = words.next()?.parse().ok()?;
         let hash = u64::from_str_radix(words.next()?, 16).ok()?;
-        Some(Held { number, hash, at_us: words.next()?.parse().ok()? })
+        Some(Held {
+            number,
+            hash,
+            at_us: words.next()?.parse().ok()?,
+        })
     };
     let read: Option<Vec<Held>> = text.lines().map(held).collect();
     read.ok_or_else(|| format!("{}: not a list of events", path.display()))
@@ -84,10 +88,20 @@
         for (at, held) in events.iter().enumerate() {
             by_number.entry(held.number as u32).or_default().push(at);
         }
-        let places = events.iter().enumerate().map(|(at, held)| ((held.number as u32, held.hash as u32), at));
+        let places = events
+            .iter()
+            .enumerate()
+            .map(|(at, held)| ((held.number as u32, held.hash as u32), at));
         let delays = Histogram::new_with_bounds(1, LONGEST_US, 3).expect("bounds that are right");
-        let outcome =
-            Outcome { expected: 0, lost: 0, doubled: 0, out_of_order: 0, replaced: 0, unknown: 0, delays };
+        let outcome = Outcome {
+            expected: 0,
+            lost: 0,
+            doubled: 0,
+            out_of_order: 0,
+            replaced: 0,
+            unknown: 0,
+            delays,
+        };
         let places = places.collect();
         Judge {
             events,
@@ -103,8 +117,14 @@
     fn place(&self, note: &Note) -> Option<usize> {
         let exact = self.places.get(&(note.upto, note.hash)).copied();
         exact.or_else(|| {
-            let all = self.by_number.get(&note.upto).filter(|_| note.after.is_none())?;
-            all.iter().rev().find(|at| self.events[**at].at_us <= note.at_us).copied()
+            let all = self
+                .by_number
+                .get(&note.upto)
+                .filter(|_| note.after.is_none())?;
+            all.iter()
+                .rev()
+                .find(|at| self.events[**at].at_us <= note.at_us)
+                .copied()
         })
     }
 
@@ -114,7 +134,9 @@
             self.outcome.unknown += 1;
             return;
         };
-        let Some(after) = note.after else { return self.anew(note, upto) };
+        let Some(after) = note.after else {
+            return self.anew(note, upto);
+        };
         let count = (note.upto.saturating_sub(after)) as usize;
         let first = (upto + 1).saturating_sub(count);
         for at in first..=upto {
@@ -152,24 +174,39 @@
         }
         let held = &self.events[at];
         if self.window.contains(&at) && held.at_us >= position.began_us {
-            self.outcome.delays.saturating_record(note.at_us.saturating_sub(held.at_us).max(1));
+            self.outcome
+                .delays
+                .saturating_record(note.at_us.saturating_sub(held.at_us).max(1));
         }
     }
 
     /// These forwarders were killed on purpose: what followed their last notes is not lost by anybody.
     pub fn killed(&mut self, forwarders: std::ops::Range<u32>) {
-        self.positions.range_mut(forwarders).for_each(|(_, position)| position.ended = true);
+        self.positions
+            .range_mut(forwarders)
+            .for_each(|(_, position)| position.ended = true);
     }
 
     /// All notes are in.
     pub fn outcome(mut self) -> Outcome {
         let window = self.window.clone();
         for position in self.positions.values() {
-            let begun = self.events.partition_point(|held| held.at_us < position.began_us).max(window.start);
-            let until = if position.ended { window.end.min(position.last + 1) } else { window.end };
+            let begun = self
+                .events
+                .partition_point(|held| held.at_us < position.began_us)
+                .max(window.start);
+            let until = if position.ended {
+                window.end.min(position.last + 1)
+            } else {
+                window.end
+            };
             let owed = begun..until.max(begun);
             let tail = owed.clone().filter(|at| *at > position.last).count();
-            let gaps = position.missing.iter().filter(|at| owed.contains(at)).count();
+            let gaps = position
+                .missing
+                .iter()
+                .filter(|at| owed.contains(at))
+                .count();
             self.outcome.expected += owed.len() as u64;
             self.outcome.lost += (tail + gaps) as u64;
         }
--- a/crates/flaxdeck-scale/src/error.rs
+++ b/crates/flaxdeck-scale/src/error.rs
@@ -23,7 +23,9 @@
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             CapacityError::File { path, cause } => write!(out, "{path}: {cause}"),
-            CapacityError::Table { path, cause } => write!(out, "{path}: not a table of this form: {cause}"),
+            CapacityError::Table { path, cause } => {
+                write!(out, "{path}: not a table of this form: {cause}")
+            }
             CapacityError::Target(faults) => {
                 let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
                 write!(out, "{}", lines.join("\n"))
--- a/crates/flaxdeck-scale/src/files.rs
+++ b/crates/flaxdeck-scale/src/files.rs
@@ -9,11 +9,17 @@
 use crate::measurement::Measurement;
 
 fn file_error(path: &Path, cause: impl ToString) -> CapacityError {
-    CapacityError::File { path: path.display().to_string(), cause: cause.to_string() }
+    CapacityError::File {
+        path: path.display().to_string(),
+        cause: cause.to_string(),
+    }
 }
 
 fn table_error(path: &Path, cause: impl ToString) -> CapacityError {
-    CapacityError::Table { path: path.display().to_string(), cause: cause.to_string() }
+    CapacityError::Table {
+        path: path.display().to_string(),
+        cause: cause.to_string(),
+    }
 }
 
 /// The text of a file.
--- a/crates/flaxdeck-scale/src/fit.rs
+++ b/crates/flaxdeck-scale/src/fit.rs
@@ -35,7 +35,10 @@
     }
     let line = |(series, rows): (&Series, &Vec<&Measurement>)| {
         let line = fit_series(series.clone(), rows, &left_out);
-        Line { twin: twin(&line, &groups), ..line }
+        Line {
+            twin: twin(&line, &groups),
+            ..line
+        }
     };
     groups.iter().map(line).collect()
 }
@@ -43,16 +46,32 @@
 /// The measurements that count: figures of cost and delay only of runs that the machine had room for.
 pub fn counted(measurements: &[Measurement]) -> Vec<&Measurement> {
     let left_out = LeftOut::of(measurements);
-    measurements.iter().filter(|row| row.value.is_finite() && !left_out.hides(row)).collect()
+    measurements
+        .iter()
+        .filter(|row| row.value.is_finite() && !left_out.hides(row))
+        .collect()
 }
 
 /// One run at one size.
 type RunKey = (String, Series, [u64; 3]);
 
 fn run_key(row: &Measurement) -> RunKey {
-    let Size { forwarders, hosts, purges } = Size::of(row);
-    let of_all = Series { role: Role::Planner, metric: Metric::Cores, kind: String::new(), ..series_of(row) };
-    (row.run.clone(), of_all, [forwarders, hosts, purges].map(f64::to_bits))
+    let Size {
+        forwarders,
+        hosts,
+        purges,
+    } = Size::of(row);
+    let of_all = Series {
+        role: Role::Planner,
+        metric: Metric::Cores,
+        kind: String::new(),
+        ..series_of(row)
+    };
+    (
+        row.run.clone(),
+        of_all,
+        [forwarders, hosts, purges].map(f64::to_bits),
+    )
 }
 
 /// Runs whose figures don't count, or not for all metrics.
@@ -74,11 +93,17 @@
 impl LeftOut {
     fn of(measurements: &[Measurement]) -> LeftOut {
         let keys_where = |is_so: &dyn Fn(&Measurement) -> bool| -> BTreeSet<RunKey> {
-            measurements.iter().filter(|row| is_so(row)).map(run_key).collect()
+            measurements
+                .iter()
+                .filter(|row| is_so(row))
+                .map(run_key)
+                .collect()
+        };
+        let is_busy =
+            |row: &Measurement| row.metric == Metric::MachineIdleShare && row.value < FULL_IDLE;
+        let is_full = |row: &Measurement| {
+            row.metric == Metric::Cores && is_server(row.role) && row.value >= FULL_CORES
         };
-        let is_busy = |row: &Measurement| row.metric == Metric::MachineIdleShare && row.value < FULL_IDLE;
-        let is_full =
-            |row: &Measurement| row.metric == Metric::Cores && is_server(row.role) && row.value >= FULL_CORES;
         let mut full = keys_where(&is_full);
         full.extend(crowded(measurements));
         LeftOut {
@@ -116,7 +141,8 @@
             asked.insert(run_key(row), f64::from(row.planners + 1) * row.purges_per_s);
         }
     }
-    let is_crowded = |(key, told): (RunKey, f64)| (told < CROWDED_SHARE * asked[&key]).then_some(key);
+    let is_crowded =
+        |(key, told): (RunKey, f64)| (told < CROWDED_SHARE * asked[&key]).then_some(key);
     told.into_iter().filter_map(is_crowded).collect()
 }
 
@@ -125,8 +151,15 @@
     if line.series.fault == NO_FAULT {
         return None;
     }
-    let rows = groups.get(&Series { fault: NO_FAULT.to_owned(), ..line.series.clone() })?;
-    let there: Vec<&Measurement> = rows.iter().copied().filter(|row| Size::of(row) == line.at).collect();
+    let rows = groups.get(&Series {
+        fault: NO_FAULT.to_owned(),
+        ..line.series.clone()
+    })?;
+    let there: Vec<&Measurement> = rows
+        .iter()
+        .copied()
+        .filter(|row| Size::of(row) == line.at)
+        .collect();
     (!there.is_empty()).then(|| summed_up(&line.series, &there))
 }
 
@@ -156,9 +189,15 @@
         Nature::Line(terms) if series.fault == NO_FAULT => terms,
         _ => return measured(series, rows),
     };
-    let unhindered: Vec<&Measurement> =
-        rows.iter().copied().filter(|row| !left_out.leaves_out(row)).collect();
-    let point = |row: &&Measurement| Point { size: Size::of(row), value: row.value };
+    let unhindered: Vec<&Measurement> = rows
+        .iter()
+        .copied()
+        .filter(|row| !left_out.leaves_out(row))
+        .collect();
+    let point = |row: &&Measurement| Point {
+        size: Size::of(row),
+        value: row.value,
+    };
     let points: Vec<Point> = unhindered.iter().map(point).collect();
     let ranges: Vec<FittedTerm> = terms.iter().map(|term| range(*term, &points)).collect();
     match fit_terms(terms, &ranges, &points) {
@@ -178,7 +217,10 @@
 
 /// How far a term's driver was varied.
 fn range(term: Term, points: &[Point]) -> FittedTerm {
-    let drivers: Vec<f64> = points.iter().map(|point| term.driver(&point.size)).collect();
+    let drivers: Vec<f64> = points
+        .iter()
+        .map(|point| term.driver(&point.size))
+        .collect();
     let sizes: BTreeSet<u64> = drivers.iter().map(|driver| driver.to_bits()).collect();
     FittedTerm {
         term,
@@ -192,8 +234,16 @@
 /// Fits a constant and as many of the terms as the points bear. None if the main one, which comes first, has too few sizes.
 /// A term whose coefficient comes out below zero is left out: more of a driver costs no less, so it is noise, and would
 /// flatter what is drawn out.
-fn fit_terms(terms: &[Term], ranges: &[FittedTerm], points: &[Point]) -> Option<(Vec<Term>, Solution)> {
-    let varied = |term: &Term| ranges.iter().any(|range| range.term == *term && range.sizes >= SIZES_LEAST);
+fn fit_terms(
+    terms: &[Term],
+    ranges: &[FittedTerm],
+    points: &[Point],
+) -> Option<(Vec<Term>, Solution)> {
+    let varied = |term: &Term| {
+        ranges
+            .iter()
+            .any(|range| range.term == *term && range.sizes >= SIZES_LEAST)
+    };
     terms.first().filter(|term| varied(term))?;
     let mut fitted = vec![Term::Constant];
     fitted.extend(terms.iter().copied().filter(varied));
@@ -222,8 +272,15 @@
 
 /// The place of the most negative coefficient beside the constant's.
 fn most_negative(solution: &Solution) -> Option<usize> {
-    let negative = solution.coefficients.iter().enumerate().skip(1).filter(|(_, value)| **value < 0.0);
-    negative.min_by(|one, other| one.1.total_cmp(other.1)).map(|(at, _)| at)
+    let negative = solution
+        .coefficients
+        .iter()
+        .enumerate()
+        .skip(1)
+        .filter(|(_, value)| **value < 0.0);
+    negative
+        .min_by(|one, other| one.1.total_cmp(other.1))
+        .map(|(at, _)| at)
 }
 
 fn slope(
@@ -244,18 +301,30 @@
         most: 1.0,
         sizes: 1,
     };
-    let with_coefficient = |range: &FittedTerm| FittedTerm { coefficient: coefficient(range.term), ..*range };
+    let with_coefficient = |range: &FittedTerm| FittedTerm {
+        coefficient: coefficient(range.term),
+        ..*range
+    };
     let mut terms = vec![constant];
     terms.extend(ranges.iter().map(with_coefficient));
     let measured = measured(series, rows);
-    Line { evidence: Evidence::Slope, terms, residual: solution.residual, ..measured }
+    Line {
+        evidence: Evidence::Slope,
+        terms,
+        residual: solution.residual,
+        ..measured
+    }
 }
 
 /// What was measured at the largest size, without a slope.
 fn measured(series: Series, rows: &[&Measurement]) -> Line {
     let sizes = rows.iter().map(|row| Size::of(row));
     let at = sizes.max_by(Size::order).unwrap_or_default();
-    let there: Vec<&Measurement> = rows.iter().copied().filter(|row| Size::of(row) == at).collect();
+    let there: Vec<&Measurement> = rows
+        .iter()
+        .copied()
+        .filter(|row| Size::of(row) == at)
+        .collect();
     let value = summed_up(&series, &there);
     let squares: f64 = there.iter().map(|row| (row.value - value).powi(2)).sum();
     let runs: BTreeSet<String> = rows.iter().map(|row| row.run.clone()).collect();
@@ -266,7 +335,10 @@
         points: rows.len() as u32,
         left_out: 0,
         residual: (squares / there.len() as f64).sqrt(),
-        largest: rows.iter().map(|row| row.value).fold(f64::NEG_INFINITY, f64::max),
+        largest: rows
+            .iter()
+            .map(|row| row.value)
+            .fold(f64::NEG_INFINITY, f64::max),
         at,
         value,
         twin: None,
--- a/crates/flaxdeck-scale/src/fit/least_squares.rs
+++ b/crates/flaxdeck-scale/src/fit/least_squares.rs
@@ -23,14 +23,24 @@
     let mut equations = normal_equations(rows, values, &scales);
     eliminate(&mut equations)?;
     let scaled = substitute_back(&equations);
-    let coefficients: Vec<f64> = scaled.iter().zip(&scales).map(|(value, scale)| value / scale).collect();
+    let coefficients: Vec<f64> = scaled
+        .iter()
+        .zip(&scales)
+        .map(|(value, scale)| value / scale)
+        .collect();
     let residual = root_mean_square(rows, values, &coefficients);
-    Some(Solution { coefficients, residual })
+    Some(Solution {
+        coefficients,
+        residual,
+    })
 }
 
 /// The value that coefficients give for a row.
 pub fn predict(row: &[f64], coefficients: &[f64]) -> f64 {
-    row.iter().zip(coefficients).map(|(column, coefficient)| column * coefficient).sum()
+    row.iter()
+        .zip(coefficients)
+        .map(|(column, coefficient)| column * coefficient)
+        .sum()
 }
 
 /// The largest of each column, by which it is divided so that columns of different units weigh alike.
@@ -45,7 +55,11 @@
     let width = scales.len();
     let mut equations = vec![vec![0.0; width + 1]; width];
     for (row, value) in rows.iter().zip(values) {
-        let scaled: Vec<f64> = row.iter().zip(scales).map(|(column, scale)| column / scale).collect();
+        let scaled: Vec<f64> = row
+            .iter()
+            .zip(scales)
+            .map(|(column, scale)| column / scale)
+            .collect();
         for (at, equation) in equations.iter_mut().enumerate() {
             for (to, sum) in equation.iter_mut().enumerate() {
                 *sum += scaled[at] * scaled.get(to).unwrap_or(value);
@@ -58,7 +72,11 @@
 /// Gauss's elimination. The matrix is symmetric and, where columns are independent, positive definite, so the pivots on the
 /// diagonal will do.
 fn eliminate(equations: &mut [Vec<f64>]) -> Option<()> {
-    let squares: Vec<f64> = equations.iter().enumerate().map(|(at, equation)| equation[at]).collect();
+    let squares: Vec<f64> = equations
+        .iter()
+        .enumerate()
+        .map(|(at, equation)| equation[at])
+        .collect();
     for at in 0..equations.len() {
         let pivot = equations[at].clone();
         if pivot[at] <= SINGULAR * squares[at] {
--- a/crates/flaxdeck-scale/src/fit/line.rs
+++ b/crates/flaxdeck-scale/src/fit/line.rs
@@ -73,21 +73,34 @@
 
     /// What each further unit of a driver adds.
     pub fn coefficient(&self, term: Term) -> Option<f64> {
-        self.terms.iter().find(|fitted| fitted.term == term).and_then(|fitted| fitted.coefficient)
+        self.terms
+            .iter()
+            .find(|fitted| fitted.term == term)
+            .and_then(|fitted| fitted.coefficient)
     }
 
     /// By how much the line is drawn out at a size: the driver there over the largest one measured, the worst of all
     /// terms that were varied, at least 1.
     pub fn factor(&self, size: &Size) -> f64 {
-        let varied = self.terms.iter().filter(|term| term.sizes >= super::SIZES_LEAST && term.most > 0.0);
-        varied.map(|term| term.term.driver(size) / term.most).fold(1.0, f64::max)
+        let varied = self
+            .terms
+            .iter()
+            .filter(|term| term.sizes >= super::SIZES_LEAST && term.most > 0.0);
+        varied
+            .map(|term| term.term.driver(size) / term.most)
+            .fold(1.0, f64::max)
     }
 
     /// Drivers that belong to the metric and were held at one size or two, below that size.
     pub fn held(&self, size: &Size) -> Vec<&FittedTerm> {
         let is_below = |term: &&FittedTerm| term.most < term.term.driver(size);
-        let held = self.terms.iter().filter(|term| term.sizes < super::SIZES_LEAST);
-        held.filter(|term| term.term != Term::Constant).filter(is_below).collect()
+        let held = self
+            .terms
+            .iter()
+            .filter(|term| term.sizes < super::SIZES_LEAST);
+        held.filter(|term| term.term != Term::Constant)
+            .filter(is_below)
+            .collect()
     }
 }
 
@@ -129,7 +142,9 @@
     if value == 0.0 || !value.is_finite() {
         return value;
     }
-    format!("{value:.*e}", (DIGITS - 1) as usize).parse().unwrap_or(value)
+    format!("{value:.*e}", (DIGITS - 1) as usize)
+        .parse()
+        .unwrap_or(value)
 }
 
 fn unit(metric: Metric, term: Option<Term>) -> String {
@@ -148,7 +163,10 @@
     if line.terms.is_empty() {
         return vec![row(line, None)];
     }
-    line.terms.iter().map(|term| row(line, Some(term))).collect()
+    line.terms
+        .iter()
+        .map(|term| row(line, Some(term)))
+        .collect()
 }
 
 fn row(line: &Line, term: Option<&FittedTerm>) -> SlopeRow {
@@ -184,7 +202,9 @@
 pub fn lines(rows: &[SlopeRow]) -> Vec<Line> {
     let mut lines: BTreeMap<Series, Line> = BTreeMap::new();
     for row in rows {
-        let line = lines.entry(series(row)).or_insert_with(|| line_without_terms(row));
+        let line = lines
+            .entry(series(row))
+            .or_insert_with(|| line_without_terms(row));
         line.terms.extend(fitted_term(row));
     }
     lines.into_values().collect()
@@ -210,14 +230,29 @@
         left_out: row.left_out,
         residual: row.residual,
         largest: row.largest,
-        at: Size { forwarders: row.at_forwarders, hosts: row.at_hosts, purges: row.at_purges_per_s },
+        at: Size {
+            forwarders: row.at_forwarders,
+            hosts: row.at_hosts,
+            purges: row.at_purges_per_s,
+        },
         value: row.value,
         twin: row.twin,
-        runs: row.runs.split(';').filter(|run| !run.is_empty()).map(str::to_owned).collect(),
+        runs: row
+            .runs
+            .split(';')
+            .filter(|run| !run.is_empty())
+            .map(str::to_owned)
+            .collect(),
     }
 }
 
 fn fitted_term(row: &SlopeRow) -> Option<FittedTerm> {
     let (least, most, sizes) = (row.driver_least?, row.driver_most?, row.driver_sizes?);
-    Some(FittedTerm { term: row.term?, coefficient: row.coefficient, least, most, sizes })
+    Some(FittedTerm {
+        term: row.term?,
+        coefficient: row.coefficient,
+        least,
+        most,
+        sizes,
+    })
 }
--- a/crates/flaxdeck-scale/src/fit/nature.rs
+++ b/crates/flaxdeck-scale/src/fit/nature.rs
@@ -27,7 +27,9 @@
     /// Orders sizes by what they ask of a control plane: purges told to forwarders, then forwarders, then hosts.
     pub fn order(&self, other: &Size) -> std::cmp::Ordering {
         let key = |size: &Size| [size.forwarders * size.purges, size.forwarders, size.hosts];
-        key(self).partial_cmp(&key(other)).unwrap_or(std::cmp::Ordering::Equal)
+        key(self)
+            .partial_cmp(&key(other))
+            .unwrap_or(std::cmp::Ordering::Equal)
     }
 }
 
@@ -88,9 +90,13 @@
     match metric {
         DelayMedianMs | MicrosPerMessage | DecisionMicros | EventsExpected => Nature::Mean,
         DelayP99Ms | DelayWorstMs | ServiceP99Ms => Nature::Most,
-        EventsLost | EventsDoubled | EventsOutOfOrder | EventsReplaced | RulesBroken => Nature::Most,
+        EventsLost | EventsDoubled | EventsOutOfOrder | EventsReplaced | RulesBroken => {
+            Nature::Most
+        }
         ServedShare | MachineIdleShare => Nature::Least,
-        BytesInPerS | BytesOutPerS | MessagesInPerS | MessagesOutPerS | HeaderBytesPerS | Cores => rate(role),
+        BytesInPerS | BytesOutPerS | MessagesInPerS | MessagesOutPerS | HeaderBytesPerS | Cores => {
+            rate(role)
+        }
         ResidentBytes => memory(role),
         Descriptors => descriptors(role),
     }
@@ -98,7 +104,9 @@
 
 fn rate(role: Role) -> Nature {
     match role {
-        Role::Coordinator | Role::Planner => Nature::Line(&[Term::ForwarderPurges, Term::Forwarders]),
+        Role::Coordinator | Role::Planner => {
+            Nature::Line(&[Term::ForwarderPurges, Term::Forwarders])
+        }
         Role::RealForwarder | Role::HollowForwarder => Nature::Line(&[Term::Purges, Term::Hosts]),
         Role::Dispatcher => Nature::Mean,
     }
--- a/crates/flaxdeck-scale/src/hollow.rs
+++ b/crates/flaxdeck-scale/src/hollow.rs
@@ -25,16 +25,23 @@
 /// Runs until standard input closes. `guidelines` tells each forwarder, by the name that it stands for, what its plan
 /// says.
 pub fn run(orders: &HollowOrders, guidelines: impl Fn(&str) -> Guidelines) -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|error| format!("no runtime: {error}"))?;
     LocalSet::new().block_on(&runtime, serve(orders, guidelines))
 }
 
-async fn serve(orders: &HollowOrders, guidelines: impl Fn(&str) -> Guidelines) -> Result<(), String> {
+async fn serve(
+    orders: &HollowOrders,
+    guidelines: impl Fn(&str) -> Guidelines,
+) -> Result<(), String> {
     let mut input = Input::<()>::start();
     let configuration = configuration(orders)?;
     let notes = Notes::create(&orders.in_force);
-    let notes: SharedNotes = Rc::new(RefCell::new(notes.map_err(|error| format!("no notes: {error}"))?));
+    let notes: SharedNotes = Rc::new(RefCell::new(
+        notes.map_err(|error| format!("no notes: {error}"))?,
+    ));
     counters_file::spawn(orders.counters.clone());
     let (mut forwarders, begun) = (Vec::new(), Rc::new(Cell::new(0)));
     for number in orders.first..orders.first + orders.count {
@@ -64,7 +71,10 @@
             }
         }
     }
-    notes.borrow_mut().flush().map_err(|error| format!("notes can't be written: {error}"))
+    notes
+        .borrow_mut()
+        .flush()
+        .map_err(|error| format!("notes can't be written: {error}"))
 }
 
 fn configuration(orders: &HollowOrders) -> Result<Value, String> {
--- a/crates/flaxdeck-scale/src/hosts.rs
+++ b/crates/flaxdeck-scale/src/hosts.rs
@@ -37,7 +37,16 @@
         let [.., high, low] = n.to_be_bytes();
         let address = SocketAddrV4::new(Ipv4Addr::new(127, 77, high, low), PORT);
         let (id, zone, kind) = (FIRST + n, ZONE, KIND);
-        Host { id, address, state: 0, zone, kind, block: 0, weight: WEIGHT, started_ms: 0 }
+        Host {
+            id,
+            address,
+            state: 0,
+            zone,
+            kind,
+            block: 0,
+            weight: WEIGHT,
+            started_ms: 0,
+        }
     };
     (0..count).map(host).collect()
 }
--- a/crates/flaxdeck-scale/src/in_force.rs
+++ b/crates/flaxdeck-scale/src/in_force.rs
@@ -29,7 +29,10 @@
 
 impl Notes {
     pub fn create(path: &Path) -> io::Result<Notes> {
-        Ok(Notes(BufWriter::with_capacity(64 * 1024, File::create(path)?)))
+        Ok(Notes(BufWriter::with_capacity(
+            64 * 1024,
+            File::create(path)?,
+        )))
     }
 
     /// Notes what has just come into force at that forwarder.
@@ -39,7 +42,16 @@
             InForce::Anew { upto } => (None, upto),
         };
         let (upto, hash, at_us) = (upto.number as u32, upto.hash as u32, monotonic::now_us());
-        self.0.write_all(&Note { forwarder, after, upto, hash, at_us }.bytes())
+        self.0.write_all(
+            &Note {
+                forwarder,
+                after,
+                upto,
+                hash,
+                at_us,
+            }
+            .bytes(),
+        )
     }
 
     pub fn flush(&mut self) -> io::Result<()> {
@@ -50,17 +62,33 @@
 impl Note {
     fn bytes(&self) -> [u8; RECORD] {
         let mut bytes = [0; RECORD];
-        let words = [self.forwarder, self.after.unwrap_or(ANEW), self.upto, self.hash];
-        bytes.chunks_mut(4).zip(words).for_each(|(chunk, word)| chunk.copy_from_slice(&word.to_le_bytes()));
+        let words = [
+            self.forwarder,
+            self.after.unwrap_or(ANEW),
+            self.upto,
+            self.hash,
+        ];
+        bytes
+            .chunks_mut(4)
+            .zip(words)
+            .for_each(|(chunk, word)| chunk.copy_from_slice(&word.to_le_bytes()));
         bytes[16..].copy_from_slice(&self.at_us.to_le_bytes());
         bytes
     }
 
     fn of(bytes: &[u8; RECORD]) -> Note {
-        let word = |at: usize| u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]]);
+        let word = |at: usize| {
+            u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]])
+        };
         let (low, high) = (u64::from(word(16)), u64::from(word(20)));
         let after = Some(word(4)).filter(|after| *after != ANEW);
-        Note { forwarder: word(0), after, upto: word(8), hash: word(12), at_us: high << 32 | low }
+        Note {
+            forwarder: word(0),
+            after,
+            upto: word(8),
+            hash: word(12),
+            at_us: high << 32 | low,
+        }
     }
 }
 
--- a/crates/flaxdeck-scale/src/measurement.rs
+++ b/crates/flaxdeck-scale/src/measurement.rs
@@ -93,7 +93,10 @@
             Metric::MicrosPerMessage | Metric::DecisionMicros => "us",
             Metric::ResidentBytes => "bytes",
             Metric::Descriptors => "descriptors",
-            Metric::DelayMedianMs | Metric::DelayP99Ms | Metric::DelayWorstMs | Metric::ServiceP99Ms => "ms",
+            Metric::DelayMedianMs
+            | Metric::DelayP99Ms
+            | Metric::DelayWorstMs
+            | Metric::ServiceP99Ms => "ms",
             Metric::EventsExpected | Metric::EventsLost => "events",
             Metric::EventsDoubled | Metric::EventsOutOfOrder | Metric::EventsReplaced => "events",
             Metric::ServedShare | Metric::MachineIdleShare => "share",
--- a/crates/flaxdeck-scale/src/processes.rs
+++ b/crates/flaxdeck-scale/src/processes.rs
@@ -51,7 +51,10 @@
             let read = std::io::stdin().lock().lines().map_while(Result::ok);
             read.for_each(|line| drop(sender.send(line))); // nobody listens at the end
         });
-        Input { lines, message: PhantomData }
+        Input {
+            lines,
+            message: PhantomData,
+        }
     }
 
     /// The next message; none once standard input is closed. One that can't be read is told of and passed over.
@@ -103,13 +106,28 @@
         log: PathBuf,
     ) -> Result<Process, String> {
         let file = File::create(&log).map_err(|error| format!("{}: {error}", log.display()))?;
-        command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(file).kill_on_drop(true);
-        let spawned = command.env_remove("GW_LISTEN").env_remove("GW_CONFIG").spawn();
+        command
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped())
+            .stderr(file)
+            .kill_on_drop(true);
+        let spawned = command
+            .env_remove("GW_LISTEN")
+            .env_remove("GW_CONFIG")
+            .spawn();
         let mut child = spawned.map_err(|error| format!("{part:?} can't be started: {error}"))?;
         let id = child.id().ok_or("a process that has ended at once")?;
         let (input, output) = (child.stdin.take(), child.stdout.take());
         let output = output.map(|output| BufReader::new(output).lines());
-        Ok(Process { part, id, counters, log, child, input, output })
+        Ok(Process {
+            part,
+            id,
+            counters,
+            log,
+            child,
+            input,
+            output,
+        })
     }
 
     /// Gives it an order.
@@ -123,11 +141,15 @@
     /// The next thing that it says; a failure if it has ended. May be dropped and called again without loss.
     pub async fn reply<T: DeserializeOwned>(&mut self) -> Result<T, String> {
         let output = self.output.as_mut().ok_or("a process without output")?;
-        let line = output.next_line().await.map_err(|error| error.to_string())?;
+        let line = output
+            .next_line()
+            .await
+            .map_err(|error| error.to_string())?;
         let Some(line) = line else {
             return Err(format!("{:?} has ended: {}", self.part, tail(&self.log)));
         };
-        serde_json::from_str(&line).map_err(|error| format!("{:?} said {line:?}: {error}", self.part))
+        serde_json::from_str(&line)
+            .map_err(|error| format!("{:?} said {line:?}: {error}", self.part))
     }
 
     /// Sends it a signal, by its id.
@@ -148,11 +170,18 @@
         drop(self.input.take());
         match timeout(ENDS_WITHIN, self.child.wait()).await {
             Ok(Ok(status)) if status.success() => Ok(()),
-            Ok(Ok(status)) => Err(format!("{:?} ended with {status}: {}", self.part, tail(&self.log))),
+            Ok(Ok(status)) => Err(format!(
+                "{:?} ended with {status}: {}",
+                self.part,
+                tail(&self.log)
+            )),
             Ok(Err(error)) => Err(format!("{:?}: {error}", self.part)),
             Err(_) => {
                 self.kill().await;
-                Err(format!("{:?} did not end in time and was killed", self.part))
+                Err(format!(
+                    "{:?} did not end in time and was killed",
+                    self.part
+                ))
             }
         }
     }
--- a/crates/flaxdeck-scale/src/report.rs
+++ b/crates/flaxdeck-scale/src/report.rs
@@ -14,7 +14,14 @@
 const SEGMENTS_A_MESSAGE: f64 = 2.0;
 
 /// The kinds of messages whose counters are read.
-pub const KINDS: [&str; 6] = ["feed", "greetings", "reports", "guidance", "subscriptions", "deliveries"];
+pub const KINDS: [&str; 6] = [
+    "feed",
+    "greetings",
+    "reports",
+    "guidance",
+    "subscriptions",
+    "deliveries",
+];
 
 /// What all rows of a run have in common.
 #[derive(Clone, Debug)]
@@ -45,11 +52,20 @@
 
 impl Rows {
     pub fn of(run: Run) -> Rows {
-        Rows { run, rows: Vec::new() }
+        Rows {
+            run,
+            rows: Vec::new(),
+        }
     }
 
     pub fn add(&mut self, role: Role, metric: Metric, kind: &str, value: f64) {
-        let Run { name, seed, distribution, point, fault } = &self.run;
+        let Run {
+            name,
+            seed,
+            distribution,
+            point,
+            fault,
+        } = &self.run;
         self.rows.push(Measurement {
             run: name.clone(),
             seed: *seed,
@@ -73,8 +89,9 @@
         if instances == 0.0 {
             return;
         }
-        let mean =
-            |of: &dyn Fn(&Looks) -> f64| of_role.iter().map(|looks| of(looks)).sum::<f64>() / instances;
+        let mean = |of: &dyn Fn(&Looks) -> f64| {
+            of_role.iter().map(|looks| of(looks)).sum::<f64>() / instances
+        };
         let mut rates: BTreeMap<String, f64> = BTreeMap::new();
         for looks in &of_role {
             for (name, rate) in looks.counters[1].per_second_since(&looks.counters[0]) {
@@ -89,22 +106,41 @@
                 (Metric::MessagesInPerS, "messages_in"),
                 (Metric::MessagesOutPerS, "messages_out"),
             ] {
-                let rate = rates.get(&format!("{kind}_{counted}")).copied().unwrap_or(0.0);
-                let is_messages = matches!(metric, Metric::MessagesInPerS | Metric::MessagesOutPerS);
+                let rate = rates
+                    .get(&format!("{kind}_{counted}"))
+                    .copied()
+                    .unwrap_or(0.0);
+                let is_messages =
+                    matches!(metric, Metric::MessagesInPerS | Metric::MessagesOutPerS);
                 messages += if is_messages { rate } else { 0.0 };
                 if rate > 0.0 {
                     self.add(role, metric, kind, rate);
                 }
             }
         }
-        self.add(role, Metric::HeaderBytesPerS, "", messages * SEGMENTS_A_MESSAGE * HEADER_BYTES);
+        self.add(
+            role,
+            Metric::HeaderBytesPerS,
+            "",
+            messages * SEGMENTS_A_MESSAGE * HEADER_BYTES,
+        );
         let cores = mean(&|looks| (looks.usage[1].cpu_s - looks.usage[0].cpu_s) / looks.seconds);
         self.add(role, Metric::Cores, "", cores);
         if messages > 0.0 {
             self.add(role, Metric::MicrosPerMessage, "", cores * 1e6 / messages);
         }
-        self.add(role, Metric::ResidentBytes, "", mean(&|looks| looks.usage[1].resident_bytes as f64));
-        self.add(role, Metric::Descriptors, "", mean(&|looks| looks.usage[1].descriptors as f64));
+        self.add(
+            role,
+            Metric::ResidentBytes,
+            "",
+            mean(&|looks| looks.usage[1].resident_bytes as f64),
+        );
+        self.add(
+            role,
+            Metric::Descriptors,
+            "",
+            mean(&|looks| looks.usage[1].descriptors as f64),
+        );
     }
 
     /// What became of events at the forwarders of one role.
@@ -112,20 +148,38 @@
         let ms = |us: u64| us as f64 / 1000.0;
         let delays = &outcome.delays;
         if !delays.is_empty() {
-            self.add(role, Metric::DelayMedianMs, "", ms(delays.value_at_quantile(0.5)));
-            self.add(role, Metric::DelayP99Ms, "", ms(delays.value_at_quantile(0.99)));
+            self.add(
+                role,
+                Metric::DelayMedianMs,
+                "",
+                ms(delays.value_at_quantile(0.5)),
+            );
+            self.add(
+                role,
+                Metric::DelayP99Ms,
+                "",
+                ms(delays.value_at_quantile(0.99)),
+            );
             self.add(role, Metric::DelayWorstMs, "", ms(delays.max()));
         }
         self.add(role, Metric::EventsExpected, "", outcome.expected as f64);
         self.add(role, Metric::EventsLost, "", outcome.lost as f64);
         self.add(role, Metric::EventsReplaced, "", outcome.replaced as f64);
         self.add(role, Metric::EventsDoubled, "", outcome.doubled as f64);
-        self.add(role, Metric::EventsOutOfOrder, "", (outcome.out_of_order + outcome.unknown) as f64);
+        self.add(
+            role,
+            Metric::EventsOutOfOrder,
+            "",
+            (outcome.out_of_order + outcome.unknown) as f64,
+        );
     }
 
     /// The value of one metric over all its kinds; none if there is no such row.
     pub fn sum(&self, role: Role, metric: Metric) -> Option<f64> {
-        let values = self.rows.iter().filter(|row| row.role == role && row.metric == metric);
+        let values = self
+            .rows
+            .iter()
+            .filter(|row| row.role == role && row.metric == metric);
         values.map(|row| row.value).reduce(|sum, value| sum + value)
     }
 }
--- a/crates/flaxdeck-scale/src/run.rs
+++ b/crates/flaxdeck-scale/src/run.rs
@@ -46,11 +46,19 @@
     }
     let mut stage = Stage::start(asked, folder.path(), progress).await?;
     let measured = stage.measure(progress).await?;
-    let (both_sides, processes) = (stage.both_sides(), stage.processes().map(|process| process.id).collect());
+    let (both_sides, processes) = (
+        stage.both_sides(),
+        stage.processes().map(|process| process.id).collect(),
+    );
     let served = stage.service.as_ref().map(Service::served);
     let outcome = stage.end(&measured).await?;
-    let fault = asked.fault.map_or("none", |fault| fault.kind.word()).to_owned();
-    let Scenario { name, distribution, .. } = asked.scenario;
+    let fault = asked
+        .fault
+        .map_or("none", |fault| fault.kind.word())
+        .to_owned();
+    let Scenario {
+        name, distribution, ..
+    } = asked.scenario;
     let run = Run {
         name: format!("{name}-{}", asked.seed),
         seed: asked.seed,
@@ -59,7 +67,12 @@
         fault,
     };
     let mut rows = Rows::of(run);
-    for role in [Role::Coordinator, Role::Planner, Role::RealForwarder, Role::HollowForwarder] {
+    for role in [
+        Role::Coordinator,
+        Role::Planner,
+        Role::RealForwarder,
+        Role::HollowForwarder,
+    ] {
         rows.add_role(role, &measured.looks);
     }
     measured
@@ -67,8 +80,14 @@
         .into_iter()
         .for_each(|idle| rows.add(Role::Coordinator, Metric::MachineIdleShare, "", idle));
     rows.add_outcome(Role::HollowForwarder, &outcome);
-    served.iter().for_each(|served| add_service(&mut rows, served));
-    Ok(Played { rows, both_sides, processes })
+    served
+        .iter()
+        .for_each(|served| add_service(&mut rows, served));
+    Ok(Played {
+        rows,
+        both_sides,
+        processes,
+    })
 }
 
 fn add_service(rows: &mut Rows, served: &Served) {
@@ -76,6 +95,11 @@
     rows.add(Role::RealForwarder, Metric::ServiceP99Ms, "", served.p99_ms);
     for rule in 1..=5 {
         let broken = served.broken.get(&rule).copied().unwrap_or(0);
-        rows.add(Role::RealForwarder, Metric::RulesBroken, &format!("rule_{rule}"), broken as f64);
+        rows.add(
+            Role::RealForwarder,
+            Metric::RulesBroken,
+            &format!("rule_{rule}"),
+            broken as f64,
+        );
     }
 }
--- a/crates/flaxdeck-scale/src/scenario.rs
+++ b/crates/flaxdeck-scale/src/scenario.rs
@@ -56,7 +56,10 @@
 
     /// Its word in a scale file.
     pub fn word(self) -> &'static str {
-        FaultKind::ALL.iter().find(|(kind, _)| *kind == self).map_or("", |(_, word)| word)
+        FaultKind::ALL
+            .iter()
+            .find(|(kind, _)| *kind == self)
+            .map_or("", |(_, word)| word)
     }
 }
 
@@ -93,8 +96,18 @@
     pub fault: Option<Fault>,
 }
 
-const TOP: &[&str] =
-    &["name", "seed", "runs", "sizes", "rates", "point", "times", "reports-ms", "distribution", "fault"];
+const TOP: &[&str] = &[
+    "name",
+    "seed",
+    "runs",
+    "sizes",
+    "rates",
+    "point",
+    "times",
+    "reports-ms",
+    "distribution",
+    "fault",
+];
 const SIZES: &[&str] = &["hollow", "processes", "hosts", "planners", "real"];
 const RATES: &[&str] = &["purges", "host-changes"];
 /// Hollow forwarders of a process, unless the file says how many processes there are.
@@ -108,12 +121,18 @@
         seed: 1,
         runs: 1,
         points: Vec::new(),
-        times: Times { settle_s: 2.0, window_s: 15.0, drain_s: 4.0 },
+        times: Times {
+            settle_s: 2.0,
+            window_s: 15.0,
+            drain_s: 4.0,
+        },
         report_every_ms: 200,
         distribution: Distribution::EachEvent,
         fault: None,
     };
-    root(text, "scale", &mut faults, |form, faults| fill(&mut scenario, form, faults));
+    root(text, "scale", &mut faults, |form, faults| {
+        fill(&mut scenario, form, faults)
+    });
     faults.or(scenario)
 }
 
@@ -126,11 +145,21 @@
     let mut forms = root.forms(TOP, faults);
     match only(&mut forms, "name", faults) {
         Some(form) => scenario.name = form.text(faults).map(|(text, _)| text).unwrap_or_default(),
-        None => missing(root.place, "name", "rows of results bear it", "add (name \"hollow\")", faults),
+        None => missing(
+            root.place,
+            "name",
+            "rows of results bear it",
+            "add (name \"hollow\")",
+            faults,
+        ),
     }
     let whole = |value: Option<f64>, default: u32| value.map_or(default, |value| value as u32);
-    scenario.seed = number(&mut forms, "seed", [0.0, 1e9], faults).map_or(scenario.seed, |seed| seed as u64);
-    scenario.runs = whole(number(&mut forms, "runs", [1.0, 20.0], faults), scenario.runs);
+    scenario.seed =
+        number(&mut forms, "seed", [0.0, 1e9], faults).map_or(scenario.seed, |seed| seed as u64);
+    scenario.runs = whole(
+        number(&mut forms, "runs", [1.0, 20.0], faults),
+        scenario.runs,
+    );
     let every = number(&mut forms, "reports-ms", [20.0, 5_000.0], faults);
     scenario.report_every_ms = whole(every, scenario.report_every_ms);
     if let Some(form) = only(&mut forms, "distribution", faults) {
@@ -158,7 +187,8 @@
     if let Some(form) = only(&mut forms, "rates", faults) {
         rates(&mut base, &mut form.forms(RATES, faults), faults);
     }
-    scenario.fault = only(&mut forms, "fault", faults).and_then(|form| fault(scenario.times, &form, faults));
+    scenario.fault =
+        only(&mut forms, "fault", faults).and_then(|form| fault(scenario.times, &form, faults));
     for form in forms.iter().filter(|form| form.word == "point") {
         let known: Vec<&str> = [SIZES, RATES].concat();
         let (mut inner, mut point) = (form.forms(&known, faults), base);
@@ -190,7 +220,12 @@
     take("hollow", 1e6, &mut point.hollow, 1.0);
     take("processes", 1e6, &mut point.processes, 1.0);
     take("hosts", 30_000.0, &mut point.hosts, 1.0);
-    take("planners", flaxdeck_plan::PLANNERS_MOST as f64, &mut point.planners, 1.0);
+    take(
+        "planners",
+        flaxdeck_plan::PLANNERS_MOST as f64,
+        &mut point.planners,
+        1.0,
+    );
     take("real", 100.0, &mut point.real, 0.0);
 }
 
@@ -220,16 +255,38 @@
     let mut inner = form.forms(&["kind", "at-s", "lasts-s"], faults);
     let words = FaultKind::ALL.map(|(_, word)| word);
     let Some(kind) = only(&mut inner, "kind", faults) else {
-        missing(form.place, "kind", "nothing would go wrong", "add (kind planner-killed)", faults);
+        missing(
+            form.place,
+            "kind",
+            "nothing would go wrong",
+            "add (kind planner-killed)",
+            faults,
+        );
         return None;
     };
     let word = kind.choice(&words, faults);
     let at_s = number(&mut inner, "at-s", [0.0, 120.0], faults).unwrap_or(times.window_s / 3.0);
-    let lasts_s = number(&mut inner, "lasts-s", [0.0, 120.0], faults).unwrap_or(times.window_s / 3.0);
+    let lasts_s =
+        number(&mut inner, "lasts-s", [0.0, 120.0], faults).unwrap_or(times.window_s / 3.0);
     if at_s + lasts_s > times.window_s {
-        let what = format!("a fault from {at_s} s for {lasts_s} s in a window of {} s", times.window_s);
-        faults.add(form.place, what, "its end would not be measured", "lengthen window-s or shorten lasts-s");
+        let what = format!(
+            "a fault from {at_s} s for {lasts_s} s in a window of {} s",
+            times.window_s
+        );
+        faults.add(
+            form.place,
+            what,
+            "its end would not be measured",
+            "lengthen window-s or shorten lasts-s",
+        );
     }
-    let kind = FaultKind::ALL.iter().find(|(_, other)| Some(*other) == word)?.0;
-    Some(Fault { kind, at_s, lasts_s })
+    let kind = FaultKind::ALL
+        .iter()
+        .find(|(_, other)| Some(*other) == word)?
+        .0;
+    Some(Fault {
+        kind,
+        at_s,
+        lasts_s,
+    })
 }
--- a/crates/flaxdeck-scale/src/service.rs
+++ b/crates/flaxdeck-scale/src/service.rs
@@ -49,11 +49,17 @@
 
 /// The world of a run with so many forwarders: as usual, but for the purges' grace.
 pub fn layout(forwarders: usize) -> Layout {
-    Layout { forwarders, purge_grace_ms: PURGE_GRACE_MS, ..Layout::default() }
+    Layout {
+        forwarders,
+        purge_grace_ms: PURGE_GRACE_MS,
+        ..Layout::default()
+    }
 }
 
 fn line(host: &ListedHost) -> Option<Host> {
-    let SocketAddr::V4(address) = host.address else { return None };
+    let SocketAddr::V4(address) = host.address else {
+        return None;
+    };
     let id = u32::from_str_radix(host.id.strip_prefix("s-")?, 16).ok()?;
     let (zone, kind) = match host.kind {
         Kind::Cache => (HERE, 0),
@@ -62,7 +68,16 @@
     };
     let address: SocketAddrV4 = address;
     let weight = (host.places * 1000.0) as u32;
-    Some(Host { id, address, state: 0, zone, kind, block: 0, weight, started_ms: 0 })
+    Some(Host {
+        id,
+        address,
+        state: 0,
+        zone,
+        kind,
+        block: 0,
+        weight,
+        started_ms: 0,
+    })
 }
 
 impl Service {
@@ -71,7 +86,12 @@
         let layout = layout(forwarders as usize);
         let world = World::start(layout.clone())?;
         let chance = Pcg64Mcg::seed_from_u64(seed);
-        Ok(Service { world: Some(world), layout, clients: None, chance })
+        Ok(Service {
+            world: Some(world),
+            layout,
+            clients: None,
+            chance,
+        })
     }
 
     fn world(&self) -> &World {
@@ -120,13 +140,26 @@
     /// What came of it.
     pub fn served(&self) -> Served {
         let verdict = self.world().verdict();
-        let mut took = self.clients.as_ref().map(Clients::told).unwrap_or_default().took;
+        let mut took = self
+            .clients
+            .as_ref()
+            .map(Clients::told)
+            .unwrap_or_default()
+            .took;
         took.sort_by(f64::total_cmp);
         let p99_ms = took.get(took.len() * 99 / 100).copied().unwrap_or(f64::NAN);
         let mut broken = BTreeMap::new();
-        verdict.breaches.iter().for_each(|breach| *broken.entry(breach.rule).or_default() += 1);
+        verdict
+            .breaches
+            .iter()
+            .for_each(|breach| *broken.entry(breach.rule).or_default() += 1);
         let share = verdict.served as f64 / verdict.asked.max(1) as f64;
-        Served { asked: verdict.asked, share, p99_ms, broken }
+        Served {
+            asked: verdict.asked,
+            share,
+            p99_ms,
+            broken,
+        }
     }
 }
 
--- a/crates/flaxdeck-scale/src/stage/faults.rs
+++ b/crates/flaxdeck-scale/src/stage/faults.rs
@@ -33,14 +33,20 @@
                 self.planners[0].signal(Signal::CONT);
             }
             FaultKind::RegionRestarted => self.restart_region().await?,
-            FaultKind::CoordinatorForgets => self.coordinator.order(&CoordinatorOrder::Forget).await?,
+            FaultKind::CoordinatorForgets => {
+                self.coordinator.order(&CoordinatorOrder::Forget).await?
+            }
             FaultKind::CoordinatorSilent => {
                 // What a silent coordinator would have told counts as told only some seconds later, by the platform's
                 // page: no purge that clients could notice is made meanwhile.
                 let next_purge = self.next_purge.take();
-                self.coordinator.order(&CoordinatorOrder::Silent(true)).await?;
+                self.coordinator
+                    .order(&CoordinatorOrder::Silent(true))
+                    .await?;
                 self.pass_until(until).await?;
-                self.coordinator.order(&CoordinatorOrder::Silent(false)).await?;
+                self.coordinator
+                    .order(&CoordinatorOrder::Silent(false))
+                    .await?;
                 self.next_purge = next_purge.map(|_| until);
             }
             FaultKind::LinkCut => {
@@ -57,9 +63,13 @@
                 }
             }
             FaultKind::PurgeStorm => {
-                self.coordinator.order(&CoordinatorOrder::PurgeRateTimes(STORM)).await?;
+                self.coordinator
+                    .order(&CoordinatorOrder::PurgeRateTimes(STORM))
+                    .await?;
                 self.pass_until(until).await?;
-                self.coordinator.order(&CoordinatorOrder::PurgeRateTimes(1.0)).await?;
+                self.coordinator
+                    .order(&CoordinatorOrder::PurgeRateTimes(1.0))
+                    .await?;
             }
         }
         Ok(())
@@ -68,19 +78,30 @@
     /// Kills all hollow forwarders of the first process and starts as many at once, from a configuration of now.
     async fn restart_region(&mut self) -> Result<(), String> {
         let known = self.folder.join("known.json");
-        self.coordinator.order(&CoordinatorOrder::WriteKnown(known.clone())).await?;
+        self.coordinator
+            .order(&CoordinatorOrder::WriteKnown(known.clone()))
+            .await?;
         let CoordinatorReply::Written = self.coordinator.reply().await? else {
             return Err("the coordinator said something else than that its file is written".into());
         };
-        let text = fs::read_to_string(&known).map_err(|error| format!("{}: {error}", known.display()))?;
-        let known = serde_json::from_str(&text).map_err(|error| format!("known events: {error}"))?;
+        let text =
+            fs::read_to_string(&known).map_err(|error| format!("{}: {error}", known.display()))?;
+        let known =
+            serde_json::from_str(&text).map_err(|error| format!("known events: {error}"))?;
         let configuration = self.configuration(known, platform_settings(&self.asked.point));
-        write(&self.folder.join("restart.json"), &configuration.to_string())?;
+        write(
+            &self.folder.join("restart.json"),
+            &configuration.to_string(),
+        )?;
         self.regions[0].process.kill().await;
         let count = self.regions[0].count;
         let region = self.start_region(count, "restart.json", "first.plan")?;
         let old = std::mem::replace(&mut self.regions[0], region);
-        self.killed.push(Killed { in_force: old.in_force, first: old.first, count: old.count });
+        self.killed.push(Killed {
+            in_force: old.in_force,
+            first: old.first,
+            count: old.count,
+        });
         Ok(())
     }
 }
--- a/crates/flaxdeck-scale/src/stage/mod.rs
+++ b/crates/flaxdeck-scale/src/stage/mod.rs
@@ -30,7 +30,11 @@
     /// Makes a new one; one that is kept outlasts the run.
     pub fn create(kept: bool) -> Result<Folder, String> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let name = format!("flaxdeck-scale-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+        let name = format!(
+            "flaxdeck-scale-{}-{}",
+            std::process::id(),
+            NEXT.fetch_add(1, Ordering::Relaxed)
+        );
         let path = std::env::temp_dir().join(name);
         fs::create_dir_all(&path).map_err(|error| format!("{}: {error}", path.display()))?;
         Ok(Folder { path, kept })
@@ -94,7 +98,11 @@
     /// All processes as they run now, without those that were killed.
     pub fn processes(&self) -> impl Iterator<Item = &Process> {
         let regions = self.regions.iter().map(|region| &region.process);
-        [&self.coordinator].into_iter().chain(&self.planners).chain(regions).chain(&self.real)
+        [&self.coordinator]
+            .into_iter()
+            .chain(&self.planners)
+            .chain(regions)
+            .chain(&self.real)
     }
 
     /// Ends all processes and judges what was noted.
@@ -108,8 +116,14 @@
         self.coordinator.end().await?;
         let events = read_events(&self.folder.join("events.txt"))?;
         let mut judge = Judge::new(&events, measured.from_us, measured.until_us);
-        let killed = self.killed.iter().map(|killed| (&killed.in_force, killed.first, killed.count, true));
-        let alive = self.regions.iter().map(|region| (&region.in_force, region.first, region.count, false));
+        let killed = self
+            .killed
+            .iter()
+            .map(|killed| (&killed.in_force, killed.first, killed.count, true));
+        let alive = self
+            .regions
+            .iter()
+            .map(|region| (&region.in_force, region.first, region.count, false));
         for (path, first, count, was_killed) in killed.chain(alive) {
             let read = in_force::read(path, |note| judge.take(&note));
             read.map_err(|error| format!("{}: {error}", path.display()))?;
--- a/crates/flaxdeck-scale/src/stage/start.rs
+++ b/crates/flaxdeck-scale/src/stage/start.rs
@@ -40,7 +40,9 @@
     ) -> Result<Stage<'a>, String> {
         write(&folder.join("scale.key"), KEY)?;
         let real = asked.point.real;
-        let service = (real > 0).then(|| Service::start(real, asked.seed)).transpose()?;
+        let service = (real > 0)
+            .then(|| Service::start(real, asked.seed))
+            .transpose()?;
         let own_hosts = service.as_ref().map(Service::hosts).unwrap_or_default();
         let (coordinator, coordinator_at) = start_coordinator(asked, own_hosts, folder).await?;
         let mut stage = Stage {
@@ -68,11 +70,18 @@
             stage.planners.push(process);
             stage.planners_at.push(address);
         }
-        write(&folder.join("forwarders.plan"), &stage.plan(&stage.planners_at))?;
+        write(
+            &folder.join("forwarders.plan"),
+            &stage.plan(&stage.planners_at),
+        )?;
         stage.start_wire()?;
         for at in 0..asked.point.processes {
             let count = share(asked.point.hollow, asked.point.processes, at);
-            let plan = if at == 0 { "first.plan" } else { "forwarders.plan" };
+            let plan = if at == 0 {
+                "first.plan"
+            } else {
+                "forwarders.plan"
+            };
             let region = stage.start_region(count, "config.json", plan)?;
             stage.regions.push(region);
         }
@@ -89,7 +98,12 @@
     /// that can be cut.
     fn start_wire(&mut self) -> Result<(), String> {
         let mut planners = self.planners_at.clone();
-        if self.asked.scenario.fault.is_some_and(|fault| fault.kind == FaultKind::LinkCut) {
+        if self
+            .asked
+            .scenario
+            .fault
+            .is_some_and(|fault| fault.kind == FaultKind::LinkCut)
+        {
             let wire = Proxy::start(planners[0]).map_err(|error| format!("no wire: {error}"))?;
             planners[0] = wire.address;
             self.wire = Some(wire);
@@ -104,10 +118,19 @@
         configuration["seed"] = format!("{:016x}", self.asked.seed ^ REAL_SEEDS ^ at as u64).into();
         write(&file("json"), &configuration.to_string())?;
         let mut command = Command::new(self.asked.binary);
-        command.args(["forward", "--ends-with-parent", "--config"]).arg(file("json"));
-        command.arg("--plan").arg(self.folder.join("forwarders.plan"));
+        command
+            .args(["forward", "--ends-with-parent", "--config"])
+            .arg(file("json"));
+        command
+            .arg("--plan")
+            .arg(self.folder.join("forwarders.plan"));
         command.arg("--counters").arg(file("counters"));
-        let process = Process::start(Part::RealForwarder(at), command, file("counters"), file("log"))?;
+        let process = Process::start(
+            Part::RealForwarder(at),
+            command,
+            file("counters"),
+            file("log"),
+        )?;
         let address = listening(&process).await?;
         Ok((process, address))
     }
@@ -124,15 +147,17 @@
     }
 
     fn plan(&self, planners: &[SocketAddr]) -> String {
-        let line =
-            |(at, address): (usize, &SocketAddr)| format!("(planner (name p{at}) (listen \"{address}\"))");
+        let line = |(at, address): (usize, &SocketAddr)| {
+            format!("(planner (name p{at}) (listen \"{address}\"))")
+        };
         let lines: Vec<String> = planners.iter().enumerate().map(line).collect();
         let every = self.asked.scenario.report_every_ms;
         let (reports, events) = match self.asked.scenario.distribution {
             Distribution::EachEvent => (format!("(every-ms {every})"), "(by each-event)"),
-            Distribution::Digest => {
-                (format!("(every-ms {every}) (idle-ms {DIGEST_IDLE_MS})"), "(by digest) (batch-ms 1000)")
-            }
+            Distribution::Digest => (
+                format!("(every-ms {every}) (idle-ms {DIGEST_IDLE_MS})"),
+                "(by digest) (batch-ms 1000)",
+            ),
         };
         format!(
             "(plan (key-file \"scale.key\") (planners {}) (reports {reports}) (events {events}) \
@@ -153,8 +178,17 @@
         let file = |ending: &str| self.folder.join(format!("planner{at}.{ending}"));
         write(&file("plan"), &self.plan(&planners))?;
         let mut command = Command::new(self.asked.binary);
-        command.args(["plan", "--ends-with-parent", "--name", &format!("p{at}"), "--config"]);
-        command.arg(self.folder.join("config.json")).arg("--plan").arg(file("plan"));
+        command.args([
+            "plan",
+            "--ends-with-parent",
+            "--name",
+            &format!("p{at}"),
+            "--config",
+        ]);
+        command
+            .arg(self.folder.join("config.json"))
+            .arg("--plan")
+            .arg(file("plan"));
         command.arg("--counters").arg(file("counters"));
         let process = Process::start(Part::Planner(at), command, file("counters"), file("log"))?;
         let address = listening(&process).await?;
@@ -179,11 +213,20 @@
             in_force: file("notes"),
             seed: self.asked.seed,
         };
-        write(&file("json"), &serde_json::to_string(&orders).map_err(|error| error.to_string())?)?;
+        write(
+            &file("json"),
+            &serde_json::to_string(&orders).map_err(|error| error.to_string())?,
+        )?;
         let mut command = Command::new(self.asked.binary);
         command.arg("scale-hollow").arg(file("json"));
         let process = Process::start(Part::Hollow(count), command, file("counters"), file("log"))?;
-        Ok(Region { process, in_force: orders.in_force, first, count, current: 0 })
+        Ok(Region {
+            process,
+            in_force: orders.in_force,
+            first,
+            count,
+            current: 0,
+        })
     }
 
     async fn wait_until_current(&mut self, progress: &dyn Fn(&str)) -> Result<(), String> {
@@ -199,7 +242,9 @@
             }
             Ok(())
         };
-        timeout(CURRENT_WITHIN, all).await.map_err(|_| "not all forwarders were current in time")?
+        timeout(CURRENT_WITHIN, all)
+            .await
+            .map_err(|_| "not all forwarders were current in time")?
     }
 }
 
@@ -230,7 +275,10 @@
         events: folder.join("events.txt"),
     };
     let file = folder.join("coordinator.json");
-    write(&file, &serde_json::to_string(&orders).map_err(|error| error.to_string())?)?;
+    write(
+        &file,
+        &serde_json::to_string(&orders).map_err(|error| error.to_string())?,
+    )?;
     let mut command = Command::new(asked.binary);
     command.arg("scale-coordinator").arg(file);
     let log = folder.join("coordinator.log");
@@ -247,11 +295,18 @@
     let begun = Instant::now();
     while begun.elapsed() < LISTENS_WITHIN {
         let text = fs::read_to_string(&process.log).unwrap_or_default();
-        let told = text.split("listening at ").nth(1).and_then(|rest| rest.split_once(','));
+        let told = text
+            .split("listening at ")
+            .nth(1)
+            .and_then(|rest| rest.split_once(','));
         if let Some(address) = told.and_then(|(address, _)| address.parse().ok()) {
             return Ok(address);
         }
         sleep(LOOK).await;
     }
-    Err(format!("{:?} did not listen in time: {}", process.part, tail(&process.log)))
+    Err(format!(
+        "{:?} did not listen in time: {}",
+        process.part,
+        tail(&process.log)
+    ))
 }
--- a/crates/flaxdeck-scale/src/stage/window.rs
+++ b/crates/flaxdeck-scale/src/stage/window.rs
@@ -39,10 +39,24 @@
 impl Look {
     /// Both looks at the process; none if it was started in between, as its counters began anew then.
     fn since(self, before: &[Look], seconds: f64) -> Option<Looks> {
-        let before = before.iter().find(|before| before.process == self.process)?;
-        let Look { role, instances, usage, counters, .. } = self;
+        let before = before
+            .iter()
+            .find(|before| before.process == self.process)?;
+        let Look {
+            role,
+            instances,
+            usage,
+            counters,
+            ..
+        } = self;
         let (usage, counters) = ([before.usage, usage], [before.counters.clone(), counters]);
-        Some(Looks { role, instances, seconds, usage, counters })
+        Some(Looks {
+            role,
+            instances,
+            seconds,
+            usage,
+            counters,
+        })
     }
 }
 
@@ -53,18 +67,29 @@
         progress("settling");
         self.coordinator.order(&CoordinatorOrder::Begin).await?;
         if let Some(service) = &mut self.service {
-            service.load(&self.real_at, times.settle_s + times.window_s, self.asked.seed);
+            service.load(
+                &self.real_at,
+                times.settle_s + times.window_s,
+                self.asked.seed,
+            );
             self.next_purge = Some(Instant::now());
         }
-        self.pass_until(Instant::now() + Duration::from_secs_f64(times.settle_s)).await?;
+        self.pass_until(Instant::now() + Duration::from_secs_f64(times.settle_s))
+            .await?;
         progress("measuring");
         let (begun, from_us) = (Instant::now(), monotonic::now_us());
         let (first, machine) = (self.look(), usage::machine());
         if let Some(fault) = self.asked.fault {
-            self.pass_until(begun + Duration::from_secs_f64(fault.at_s)).await?;
-            self.cause(fault, begun + Duration::from_secs_f64(fault.at_s + fault.lasts_s)).await?;
+            self.pass_until(begun + Duration::from_secs_f64(fault.at_s))
+                .await?;
+            self.cause(
+                fault,
+                begun + Duration::from_secs_f64(fault.at_s + fault.lasts_s),
+            )
+            .await?;
         }
-        self.pass_until(begun + Duration::from_secs_f64(times.window_s)).await?;
+        self.pass_until(begun + Duration::from_secs_f64(times.window_s))
+            .await?;
         self.next_purge = None;
         let (seconds, until_us) = (begun.elapsed().as_secs_f64(), monotonic::now_us());
         let (second, idle) = (self.look(), machine.zip(usage::machine()).map(idle_share));
@@ -75,12 +100,24 @@
         progress("draining");
         sleep(Duration::from_secs_f64(times.drain_s)).await;
         let answered_by = Instant::now() + ANSWERED_WITHIN;
-        while self.service.as_ref().is_some_and(|service| !service.is_done()) && Instant::now() < answered_by
+        while self
+            .service
+            .as_ref()
+            .is_some_and(|service| !service.is_done())
+            && Instant::now() < answered_by
         {
             sleep(LOOK).await;
         }
-        let looks = second.into_iter().filter_map(|after| after.since(&first, seconds)).collect();
-        Ok(Measured { from_us, until_us, looks, idle })
+        let looks = second
+            .into_iter()
+            .filter_map(|after| after.since(&first, seconds))
+            .collect();
+        Ok(Measured {
+            from_us,
+            until_us,
+            looks,
+            idle,
+        })
     }
 
     /// Lets time pass, with purges of what clients ask for when they are due.
@@ -89,7 +126,9 @@
             sleep_until(due).await;
             if let Some(service) = &mut self.service {
                 let object = service.purge();
-                self.coordinator.order(&CoordinatorOrder::Purge { object }).await?;
+                self.coordinator
+                    .order(&CoordinatorOrder::Purge { object })
+                    .await?;
             }
             self.next_purge = Some(due + service::between_purges());
         }
@@ -99,14 +138,25 @@
 
     /// What both sides have counted of each kind since the start.
     pub fn both_sides(&self) -> Vec<BothSides> {
-        let all: Vec<Counters> =
-            self.processes().filter_map(|process| usage::last_counters(&process.counters)).collect();
-        let sum = |name: String| all.iter().filter_map(|counters| counters.values.get(&name)).sum::<u64>();
-        let side =
-            |kind: &str, way: &str| ["messages", "bytes"].map(|what| sum(format!("{kind}_{what}_{way}")));
+        let all: Vec<Counters> = self
+            .processes()
+            .filter_map(|process| usage::last_counters(&process.counters))
+            .collect();
+        let sum = |name: String| {
+            all.iter()
+                .filter_map(|counters| counters.values.get(&name))
+                .sum::<u64>()
+        };
+        let side = |kind: &str, way: &str| {
+            ["messages", "bytes"].map(|what| sum(format!("{kind}_{what}_{way}")))
+        };
         KINDS
             .iter()
-            .map(|kind| BothSides { kind, sent: side(kind, "out"), received: side(kind, "in") })
+            .map(|kind| BothSides {
+                kind,
+                sent: side(kind, "out"),
+                received: side(kind, "in"),
+            })
             .collect()
     }
 
@@ -120,7 +170,13 @@
                 Part::RealForwarder(_) => (Role::RealForwarder, 1),
             };
             let counters = usage::last_counters(&process.counters).unwrap_or_default();
-            usage::of(process.id).map(|usage| Look { process: process.id, role, instances, usage, counters })
+            usage::of(process.id).map(|usage| Look {
+                process: process.id,
+                role,
+                instances,
+                usage,
+                counters,
+            })
         };
         self.processes().filter_map(look).collect()
     }
--- a/crates/flaxdeck-scale/src/target.rs
+++ b/crates/flaxdeck-scale/src/target.rs
@@ -67,7 +67,13 @@
     bounds: (f64, f64),
     set: fn(&mut Target, f64),
 ) -> Field {
-    Field { form, word, least: bounds.0, most: bounds.1, set }
+    Field {
+        form,
+        word,
+        least: bounds.0,
+        most: bounds.1,
+        set,
+    }
 }
 
 const COUNT: (f64, f64) = (1.0, 1e12);
@@ -75,41 +81,111 @@
 const SECONDS: (f64, f64) = (0.001, 1e6);
 
 const FIELDS: &[Field] = &[
-    field(&["fleet"], "dispatchers", COUNT, |target, value| target.dispatchers = value),
-    field(&["fleet"], "sites", COUNT, |target, value| target.sites = value),
-    field(&["fleet"], "hosts", COUNT, |target, value| target.hosts = value),
-    field(&["fleet"], "regions", COUNT, |target, value| target.regions = value),
-    field(&["fleet"], "zones", COUNT, |target, value| target.zones = value),
-    field(&["load"], "requests-per-s", RATE, |target, value| target.requests_per_s = value),
-    field(&["load"], "tbit-per-s", RATE, |target, value| target.tbit_per_s = value),
-    field(&["load"], "objects", COUNT, |target, value| target.objects = value),
-    field(&["purges"], "per-s", RATE, |target, value| target.purges_per_s = value),
-    field(&["purges"], "within-s", SECONDS, |target, value| target.purge_within_s = value),
-    field(&["changes"], "per-day", COUNT, |target, value| target.changes_per_day = value),
-    field(&["changes"], "within-s", SECONDS, |target, value| target.change_within_s = value),
-    field(&["budget"], "core-share", (0.0001, 1.0), |target, value| target.budget_cores = value),
-    field(&["budget"], "memory-mb", COUNT, |target, value| target.budget_memory_mb = value),
-    field(&["budget"], "bytes-per-s", COUNT, |target, value| target.budget_bytes_per_s = value),
-    field(&["budget"], "machines", COUNT, |target, value| target.machines = value),
-    field(&["planners"], "each-dispatcher", (1.0, 64.0), |target, value| target.planners_each = value),
-    field(&["failures"], "machines-per-day", RATE, |target, value| target.failures_per_day = value),
-    field(&["failures"], "restarts-per-day", RATE, |target, value| target.restarts_per_day = value),
-    field(&["failures"], "racks-per-week", RATE, |target, value| target.racks_per_week = value),
-    field(&["failures"], "zones-per-month", RATE, |target, value| target.zones_per_month = value),
-    field(&["events", "rack"], "dispatchers", COUNT, |target, value| target.rack_dispatchers = value),
-    field(&["events", "rolling-restart"], "within-s", SECONDS, |target, value| {
-        target.rolling_within_s = value
-    }),
-    field(&["events", "region-cut-off"], "for-s", SECONDS, |target, value| target.cut_off_s = value),
-    field(&["events", "purge-storm"], "times", (1.0, 1e6), |target, value| target.storm_times = value),
-    field(&["events", "purge-storm"], "for-s", SECONDS, |target, value| target.storm_s = value),
+    field(&["fleet"], "dispatchers", COUNT, |target, value| {
+        target.dispatchers = value
+    }),
+    field(&["fleet"], "sites", COUNT, |target, value| {
+        target.sites = value
+    }),
+    field(&["fleet"], "hosts", COUNT, |target, value| {
+        target.hosts = value
+    }),
+    field(&["fleet"], "regions", COUNT, |target, value| {
+        target.regions = value
+    }),
+    field(&["fleet"], "zones", COUNT, |target, value| {
+        target.zones = value
+    }),
+    field(&["load"], "requests-per-s", RATE, |target, value| {
+        target.requests_per_s = value
+    }),
+    field(&["load"], "tbit-per-s", RATE, |target, value| {
+        target.tbit_per_s = value
+    }),
+    field(&["load"], "objects", COUNT, |target, value| {
+        target.objects = value
+    }),
+    field(&["purges"], "per-s", RATE, |target, value| {
+        target.purges_per_s = value
+    }),
+    field(&["purges"], "within-s", SECONDS, |target, value| {
+        target.purge_within_s = value
+    }),
+    field(&["changes"], "per-day", COUNT, |target, value| {
+        target.changes_per_day = value
+    }),
+    field(&["changes"], "within-s", SECONDS, |target, value| {
+        target.change_within_s = value
+    }),
+    field(&["budget"], "core-share", (0.0001, 1.0), |target, value| {
+        target.budget_cores = value
+    }),
+    field(&["budget"], "memory-mb", COUNT, |target, value| {
+        target.budget_memory_mb = value
+    }),
+    field(&["budget"], "bytes-per-s", COUNT, |target, value| {
+        target.budget_bytes_per_s = value
+    }),
+    field(&["budget"], "machines", COUNT, |target, value| {
+        target.machines = value
+    }),
+    field(
+        &["planners"],
+        "each-dispatcher",
+        (1.0, 64.0),
+        |target, value| target.planners_each = value,
+    ),
+    field(&["failures"], "machines-per-day", RATE, |target, value| {
+        target.failures_per_day = value
+    }),
+    field(&["failures"], "restarts-per-day", RATE, |target, value| {
+        target.restarts_per_day = value
+    }),
+    field(&["failures"], "racks-per-week", RATE, |target, value| {
+        target.racks_per_week = value
+    }),
+    field(&["failures"], "zones-per-month", RATE, |target, value| {
+        target.zones_per_month = value
+    }),
+    field(
+        &["events", "rack"],
+        "dispatchers",
+        COUNT,
+        |target, value| target.rack_dispatchers = value,
+    ),
+    field(
+        &["events", "rolling-restart"],
+        "within-s",
+        SECONDS,
+        |target, value| target.rolling_within_s = value,
+    ),
+    field(
+        &["events", "region-cut-off"],
+        "for-s",
+        SECONDS,
+        |target, value| target.cut_off_s = value,
+    ),
+    field(
+        &["events", "purge-storm"],
+        "times",
+        (1.0, 1e6),
+        |target, value| target.storm_times = value,
+    ),
+    field(
+        &["events", "purge-storm"],
+        "for-s",
+        SECONDS,
+        |target, value| target.storm_s = value,
+    ),
 ];
 
 /// Reads a file's text; `file` is the name that faults bear.
 pub fn read(file: &str, text: &str) -> Result<Target, Vec<Fault>> {
     let mut faults = Faults::of(file);
     let mut target = Target::default();
-    root(text, "target", &mut faults, |form, faults| fill(&mut target, form, &[], faults));
+    root(text, "target", &mut faults, |form, faults| {
+        fill(&mut target, form, &[], faults)
+    });
     faults.or(target)
 }
 
@@ -117,13 +193,19 @@
 fn fill(target: &mut Target, form: &Form, path: &[&'static str], faults: &mut Faults) {
     let inner = inner_forms(path);
     let fields: Vec<&Field> = FIELDS.iter().filter(|field| field.form == path).collect();
-    let words: Vec<&str> = inner.iter().copied().chain(fields.iter().map(|field| field.word)).collect();
+    let words: Vec<&str> = inner
+        .iter()
+        .copied()
+        .chain(fields.iter().map(|field| field.word))
+        .collect();
     let mut forms = form.forms(&words, faults);
     for field in fields {
         match only(&mut forms, field.word, faults) {
             Some(form) => {
                 let value = form.number(field.least, field.most, faults);
-                value.into_iter().for_each(|value| (field.set)(target, value));
+                value
+                    .into_iter()
+                    .for_each(|value| (field.set)(target, value));
             }
             None => missing(form, field.word, faults),
         }
@@ -140,15 +222,21 @@
 /// The words of forms that stand directly within a path, each once.
 fn inner_forms(path: &[&'static str]) -> Vec<&'static str> {
     let within = FIELDS.iter().filter(|field| field.form.starts_with(path));
-    let mut words: Vec<&'static str> =
-        within.filter_map(|field| field.form.get(path.len()).copied()).collect();
+    let mut words: Vec<&'static str> = within
+        .filter_map(|field| field.form.get(path.len()).copied())
+        .collect();
     words.dedup();
     words
 }
 
 fn missing(form: &Form, word: &str, faults: &mut Faults) {
     let what = format!("{word} is missing in ({} ...)", form.word);
-    faults.add(form.place, what, "the page would have no figure for it", format!("add ({word} ...)"));
+    faults.add(
+        form.place,
+        what,
+        "the page would have no figure for it",
+        format!("add ({word} ...)"),
+    );
 }
 
 /// What follows from the file.
@@ -199,10 +287,17 @@
     }
     /// The size at which a line is read off where every planner hears every dispatcher.
     pub fn size(&self) -> Size {
-        Size { forwarders: self.dispatchers, hosts: self.hosts, purges: self.purges_per_s }
+        Size {
+            forwarders: self.dispatchers,
+            hosts: self.hosts,
+            purges: self.purges_per_s,
+        }
     }
     /// The same where the fleet is divided between the machines.
     pub fn size_of_a_group(&self) -> Size {
-        Size { forwarders: self.dispatchers_a_planner(), ..self.size() }
+        Size {
+            forwarders: self.dispatchers_a_planner(),
+            ..self.size()
+        }
     }
 }
--- a/crates/flaxdeck-scale/src/usage.rs
+++ b/crates/flaxdeck-scale/src/usage.rs
@@ -23,16 +23,26 @@
     let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
     let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
     let status = fs::read_to_string(format!("/proc/{process}/status")).ok()?;
-    let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
+    let resident = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))?;
     let resident_kb: u64 = resident.split_whitespace().next()?.parse().ok()?;
     let descriptors = fs::read_dir(format!("/proc/{process}/fd")).ok()?.count() as u64;
-    Some(Usage { cpu_s: ticks / TICKS_PER_S, resident_bytes: resident_kb * 1024, descriptors })
+    Some(Usage {
+        cpu_s: ticks / TICKS_PER_S,
+        resident_bytes: resident_kb * 1024,
+        descriptors,
+    })
 }
 
 /// Processor time of the whole machine since its start, in ticks: all, and what nobody used.
 pub fn machine() -> Option<[u64; 2]> {
     let stat = fs::read_to_string("/proc/stat").ok()?;
-    let fields = stat.lines().next()?.strip_prefix("cpu ")?.split_whitespace();
+    let fields = stat
+        .lines()
+        .next()?
+        .strip_prefix("cpu ")?
+        .split_whitespace();
     let ticks: Vec<u64> = fields.map_while(|field| field.parse().ok()).collect();
     // Idle, and waiting for disks, stand fourth and fifth; guests, who come last, are counted in the first two.
     Some([ticks.iter().take(8).sum(), ticks.get(3)? + ticks.get(4)?])
@@ -60,7 +70,10 @@
         let seconds = self.elapsed_us.saturating_sub(earlier.elapsed_us) as f64 / 1e6;
         let rate = |(name, value): (&String, &u64)| {
             let before = earlier.values.get(name).copied().unwrap_or(0);
-            (name.clone(), value.saturating_sub(before) as f64 / seconds.max(1e-3))
+            (
+                name.clone(),
+                value.saturating_sub(before) as f64 / seconds.max(1e-3),
+            )
         };
         self.values.iter().map(rate).collect()
     }
--- a/crates/flaxdeck-scale/tests/delays.rs
+++ b/crates/flaxdeck-scale/tests/delays.rs
@@ -5,11 +5,23 @@
 
 /// Events 1 to 10, each a millisecond after the one before; the number is its own hash.
 fn events() -> Vec<Held> {
-    (1..=10).map(|number| Held { number, hash: number, at_us: 1_000 * number }).collect()
+    (1..=10)
+        .map(|number| Held {
+            number,
+            hash: number,
+            at_us: 1_000 * number,
+        })
+        .collect()
 }
 
 fn note(after: Option<u32>, upto: u32, at_us: u64) -> Note {
-    Note { forwarder: 7, after, upto, hash: upto, at_us }
+    Note {
+        forwarder: 7,
+        after,
+        upto,
+        hash: upto,
+        at_us,
+    }
 }
 
 /// Judges notes of one forwarder over events 3 to 10; what it knew at first was event 1.
@@ -25,14 +37,30 @@
 }
 
 fn counts(outcome: &Outcome) -> [u64; 6] {
-    let Outcome { expected, lost, doubled, out_of_order, replaced, unknown, .. } = outcome;
-    [*expected, *lost, *doubled, *out_of_order, *replaced, *unknown]
+    let Outcome {
+        expected,
+        lost,
+        doubled,
+        out_of_order,
+        replaced,
+        unknown,
+        ..
+    } = outcome;
+    [
+        *expected,
+        *lost,
+        *doubled,
+        *out_of_order,
+        *replaced,
+        *unknown,
+    ]
 }
 
 #[test]
 fn events_that_come_one_by_one_or_in_batches_are_all_counted_with_their_delays() {
-    let singly: Vec<Note> =
-        (2..=10).map(|upto| note(Some(upto - 1), upto, 1_000 * u64::from(upto) + 300)).collect();
+    let singly: Vec<Note> = (2..=10)
+        .map(|upto| note(Some(upto - 1), upto, 1_000 * u64::from(upto) + 300))
+        .collect();
     let outcome = judged(&singly, false);
     assert_eq!(counts(&outcome), [8, 0, 0, 0, 0, 0]);
     assert_eq!((outcome.delays.len(), outcome.delays.max()), (8, 300));
@@ -41,7 +69,11 @@
     assert_eq!(counts(&outcome), [8, 0, 0, 0, 0, 0]);
     // The oldest of the first batch that belongs to the window waited for three others.
     assert_eq!((outcome.delays.len(), outcome.delays.min()), (8, 200));
-    assert!(outcome.delays.equivalent(outcome.delays.max(), 3_200), "{}", outcome.delays.max());
+    assert!(
+        outcome.delays.equivalent(outcome.delays.max(), 3_200),
+        "{}",
+        outcome.delays.max()
+    );
 }
 
 #[test]
@@ -54,7 +86,11 @@
 
 #[test]
 fn one_that_comes_again_is_doubled_and_one_that_comes_late_is_out_of_order() {
-    let notes = [note(Some(1), 4, 4_100), note(Some(5), 10, 10_100), note(Some(4), 5, 10_200)];
+    let notes = [
+        note(Some(1), 4, 4_100),
+        note(Some(5), 10, 10_100),
+        note(Some(4), 5, 10_200),
+    ];
     assert_eq!(counts(&judged(&notes, false)), [8, 0, 0, 1, 0, 0]);
     let notes = [note(Some(1), 10, 10_100), note(Some(8), 10, 10_200)];
     assert_eq!(counts(&judged(&notes, false)), [8, 0, 2, 0, 0, 0]);
@@ -62,7 +98,11 @@
 
 #[test]
 fn a_whole_list_in_place_of_events_replaces_them() {
-    let notes = [note(Some(1), 4, 4_100), note(None, 8, 8_100), note(Some(8), 10, 10_100)];
+    let notes = [
+        note(Some(1), 4, 4_100),
+        note(None, 8, 8_100),
+        note(Some(8), 10, 10_100),
+    ];
     assert_eq!(counts(&judged(&notes, false)), [8, 0, 0, 0, 4, 0]);
 }
 
@@ -77,14 +117,30 @@
 #[test]
 fn a_numbering_that_begins_anew_is_told_apart_by_the_hashes() {
     let mut events = events();
-    events.extend((1..=4).map(|number| Held { number, hash: 100 + number, at_us: 11_000 + 1_000 * number }));
+    events.extend((1..=4).map(|number| Held {
+        number,
+        hash: 100 + number,
+        at_us: 11_000 + 1_000 * number,
+    }));
     let mut judge = Judge::new(&events, 0, 20_000);
-    let mut take = |after, upto, hash, at_us| judge.take(&Note { forwarder: 7, after, upto, hash, at_us });
+    let mut take = |after, upto, hash, at_us| {
+        judge.take(&Note {
+            forwarder: 7,
+            after,
+            upto,
+            hash,
+            at_us,
+        })
+    };
     take(None, 1, 1, 1_000);
     take(Some(1), 10, 10, 10_100);
     take(None, 1, 101, 12_500);
     take(Some(1), 4, 104, 15_200);
     take(Some(4), 5, 999, 15_300);
     let outcome = judge.outcome();
-    assert_eq!(counts(&outcome), [14, 0, 0, 0, 1, 1], "the list replaced itself, 5 was never held");
+    assert_eq!(
+        counts(&outcome),
+        [14, 0, 0, 0, 1, 1],
+        "the list replaced itself, 5 was never held"
+    );
 }
--- a/crates/flaxdeck-scale/tests/files.rs
+++ b/crates/flaxdeck-scale/tests/files.rs
@@ -5,7 +5,12 @@
 use flaxdeck_scale::scenario::{FaultKind, Point, read};
 
 fn faults(text: &str) -> Vec<String> {
-    read("x.scale", text).err().into_iter().flatten().map(|fault| fault.to_string()).collect()
+    read("x.scale", text)
+        .err()
+        .into_iter()
+        .flatten()
+        .map(|fault| fault.to_string())
+        .collect()
 }
 
 #[test]
@@ -15,7 +20,8 @@
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         let text = std::fs::read_to_string(&path).unwrap();
-        let scenario = read(&path.to_string_lossy(), &text).unwrap_or_else(|faults| panic!("{faults:?}"));
+        let scenario =
+            read(&path.to_string_lossy(), &text).unwrap_or_else(|faults| panic!("{faults:?}"));
         for point in &scenario.points {
             assert_eq!(check(point), Ok(()), "{}: {point:?}", path.display());
         }
@@ -30,12 +36,31 @@
         (distribution digest) (times (window-s 12)) (fault (kind planner-hung) (at-s 3) (lasts-s 4))
         (point (purges 100)) (point (hollow 1000) (processes 5)))";
     let scenario = read("x.scale", text).unwrap();
-    assert_eq!((scenario.seed, scenario.runs, scenario.distribution), (5, 2, Distribution::Digest));
+    assert_eq!(
+        (scenario.seed, scenario.runs, scenario.distribution),
+        (5, 2, Distribution::Digest)
+    );
     let fault = scenario.fault.unwrap();
-    assert_eq!((fault.kind, fault.at_s, fault.lasts_s), (FaultKind::PlannerHung, 3.0, 4.0));
-    let [first, second] = &scenario.points[..] else { panic!("{:?}", scenario.points) };
-    assert_eq!((first.hollow, first.processes, first.hosts, first.purges_per_s), (300, 3, 1000, 100.0));
-    assert_eq!((second.hollow, second.processes, second.purges_per_s), (1000, 5, 33.0));
+    assert_eq!(
+        (fault.kind, fault.at_s, fault.lasts_s),
+        (FaultKind::PlannerHung, 3.0, 4.0)
+    );
+    let [first, second] = &scenario.points[..] else {
+        panic!("{:?}", scenario.points)
+    };
+    assert_eq!(
+        (
+            first.hollow,
+            first.processes,
+            first.hosts,
+            first.purges_per_s
+        ),
+        (300, 3, 1000, 100.0)
+    );
+    assert_eq!(
+        (second.hollow, second.processes, second.purges_per_s),
+        (1000, 5, 33.0)
+    );
 }
 
 #[test]
@@ -44,11 +69,17 @@
     for (rest, what) in [
         (" @(sises (hollow 3)))", "write sizes"),
         (" (sizes (hollow @0)))", "it is a number from 1 to"),
-        (" (sizes (hosts 100) @(hosts 200)))", "hosts is set a second time"),
+        (
+            " (sizes (hosts 100) @(hosts 200)))",
+            "hosts is set a second time",
+        ),
         (" (rates @(purge 3)))", "write purges"),
         (" (fault (kind @planner-gone)))", "write planner-hung"),
         (" @(fault (at-s 3)))", "kind is missing"),
-        (" (times (window-s 5)) @(fault (kind planner-hung) (at-s 3) (lasts-s 4)))", "would not be measured"),
+        (
+            " (times (window-s 5)) @(fault (kind planner-hung) (at-s 3) (lasts-s 4)))",
+            "would not be measured",
+        ),
         (" (distribution @all))", "one of: each-event digest"),
         (" (point @(seed 3)))", "seed is not known in (point ...)"),
     ] {
@@ -77,7 +108,29 @@
     };
     let over = |point: Point| check(&point).err().map(|over| over.bound);
     assert_eq!(over(point), None);
-    assert_eq!(over(Point { processes: 194, ..point }), Some(Bound::Processes));
-    assert_eq!(over(Point { hollow: 8_000, processes: 1, hosts: 10, ..point }), Some(Bound::Descriptors));
-    assert_eq!(over(Point { hollow: 5_000, processes: 50, hosts: 3_500, ..point }), Some(Bound::Memory));
+    assert_eq!(
+        over(Point {
+            processes: 194,
+            ..point
+        }),
+        Some(Bound::Processes)
+    );
+    assert_eq!(
+        over(Point {
+            hollow: 8_000,
+            processes: 1,
+            hosts: 10,
+            ..point
+        }),
+        Some(Bound::Descriptors)
+    );
+    assert_eq!(
+        over(Point {
+            hollow: 5_000,
+            processes: 50,
+            hosts: 3_500,
+            ..point
+        }),
+        Some(Bound::Memory)
+    );
 }
--- a/crates/flaxdeck-store/src/disk.rs
+++ b/crates/flaxdeck-store/src/disk.rs
@@ -29,7 +29,10 @@
     /// Makes the folder if it is not there.
     pub fn open(path: &Path) -> io::Result<Folder> {
         std::fs::create_dir_all(path)?;
-        Ok(Folder { path: path.to_owned(), open: None })
+        Ok(Folder {
+            path: path.to_owned(),
+            open: None,
+        })
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
@@ -37,7 +40,10 @@
             let file = OpenOptions::new().append(true).open(self.path.join(name))?;
             self.open = Some((name.to_owned(), file));
         }
-        self.open.as_mut().map(|(_, file)| file).ok_or_else(|| ErrorKind::NotFound.into())
+        self.open
+            .as_mut()
+            .map(|(_, file)| file)
+            .ok_or_else(|| ErrorKind::NotFound.into())
     }
 }
 
@@ -50,14 +56,20 @@
         let mut bytes = Vec::new();
         file.take(most as u64 + 1).read_to_end(&mut bytes)?;
         if bytes.len() > most {
-            return Err(io::Error::new(ErrorKind::FileTooLarge, "larger than a store's file can be"));
+            return Err(io::Error::new(
+                ErrorKind::FileTooLarge,
+                "larger than a store's file can be",
+            ));
         }
         Ok(Some(bytes))
     }
 
     fn create(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.open = None;
-        let mut file = OpenOptions::new().append(true).create(true).open(self.path.join(name))?;
+        let mut file = OpenOptions::new()
+            .append(true)
+            .create(true)
+            .open(self.path.join(name))?;
         file.set_len(0)?;
         file.write_all(bytes)?;
         self.open = Some((name.to_owned(), file));
--- a/crates/flaxdeck-store/src/faulty.rs
+++ b/crates/flaxdeck-store/src/faulty.rs
@@ -40,7 +40,10 @@
 impl Faulty {
     /// An empty disk with something in store.
     pub fn with(trouble: Trouble) -> Faulty {
-        Faulty { trouble: Some(trouble), ..Faulty::default() }
+        Faulty {
+            trouble: Some(trouble),
+            ..Faulty::default()
+        }
     }
 
     fn step(&mut self) -> io::Result<usize> {
@@ -69,17 +72,34 @@
     /// What is found after the power has come back. `kept` draws how much of each file that was not synced is there
     /// all the same, and whether a rename is: 0 for nothing, 1 for all.
     pub fn after_crash(&self, mut kept: impl FnMut() -> f64) -> Faulty {
-        let names = if kept() < 0.5 { &self.named } else { &self.files };
+        let names = if kept() < 0.5 {
+            &self.named
+        } else {
+            &self.files
+        };
         let file = |held: &Held, part: f64| {
             // What was appended since the sync is there up to some point.
-            let sure = if held.bytes.starts_with(&held.synced) { held.synced.len() } else { 0 };
+            let sure = if held.bytes.starts_with(&held.synced) {
+                held.synced.len()
+            } else {
+                0
+            };
             let end = sure + ((held.bytes.len() - sure) as f64 * part) as usize;
             let bytes = held.bytes[..end].to_vec();
-            Held { synced: bytes.clone(), bytes }
+            Held {
+                synced: bytes.clone(),
+                bytes,
+            }
         };
-        let files: BTreeMap<String, Held> =
-            names.iter().map(|(name, held)| (name.clone(), file(held, kept()))).collect();
-        Faulty { named: files.clone(), files, ..Faulty::default() }
+        let files: BTreeMap<String, Held> = names
+            .iter()
+            .map(|(name, held)| (name.clone(), file(held, kept())))
+            .collect();
+        Faulty {
+            named: files.clone(),
+            files,
+            ..Faulty::default()
+        }
     }
 
     /// The bytes of a file, for tests to spoil.
@@ -96,15 +116,33 @@
     fn create(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let at = self.step()?;
         let bytes = self.part(at, bytes).to_vec();
-        self.files.insert(name.to_owned(), Held { bytes, synced: Vec::new() });
-        if self.crashed { Err(Error::other("the power is gone")) } else { Ok(()) }
+        self.files.insert(
+            name.to_owned(),
+            Held {
+                bytes,
+                synced: Vec::new(),
+            },
+        );
+        if self.crashed {
+            Err(Error::other("the power is gone"))
+        } else {
+            Ok(())
+        }
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let at = self.step()?;
         let bytes = self.part(at, bytes).to_vec();
-        self.files.get_mut(name).ok_or(ErrorKind::NotFound)?.bytes.extend(bytes);
-        if self.crashed { Err(Error::other("the power is gone")) } else { Ok(()) }
+        self.files
+            .get_mut(name)
+            .ok_or(ErrorKind::NotFound)?
+            .bytes
+            .extend(bytes);
+        if self.crashed {
+            Err(Error::other("the power is gone"))
+        } else {
+            Ok(())
+        }
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
--- a/crates/flaxdeck-store/src/store.rs
+++ b/crates/flaxdeck-store/src/store.rs
@@ -81,10 +81,18 @@
         Some(taken)
     }
     fn length(&mut self) -> Option<usize> {
-        self.take(4).map(|bytes| bytes.iter().fold(0, |sum, byte| sum << 8 | usize::from(*byte)))
+        self.take(4).map(|bytes| {
+            bytes
+                .iter()
+                .fold(0, |sum, byte| sum << 8 | usize::from(*byte))
+        })
     }
     fn number(&mut self) -> Option<u64> {
-        self.take(8).map(|bytes| bytes.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte)))
+        self.take(8).map(|bytes| {
+            bytes
+                .iter()
+                .fold(0, |sum, byte| sum << 8 | u64::from(*byte))
+        })
     }
 }
 
@@ -93,19 +101,39 @@
     let mut found = Found::default();
     let read = |disk: &mut dyn Disk, file: &'static str| match disk.read(file, MOST) {
         Ok(bytes) => Ok(bytes),
-        Err(_) => Err(Damage { file, at: 0, why: "it can't be read" }),
+        Err(_) => Err(Damage {
+            file,
+            at: 0,
+            why: "it can't be read",
+        }),
     };
     let snapshot = match read(disk, SNAPSHOT) {
         Ok(snapshot) => snapshot,
-        Err(damage) => return Found { damage: Some(damage), ..found },
+        Err(damage) => {
+            return Found {
+                damage: Some(damage),
+                ..found
+            };
+        }
+    };
+    let Some(snapshot) = snapshot else {
+        return found;
     };
-    let Some(snapshot) = snapshot else { return found };
     match read_snapshot(&snapshot) {
         Ok((generation, name, body, hash)) => {
             (found.generation, found.name, found.snapshot) = (generation, name, Some(body));
             found.snapshot_hash = hash;
         }
-        Err((at, why)) => return Found { damage: Some(Damage { file: SNAPSHOT, at, why }), ..found },
+        Err((at, why)) => {
+            return Found {
+                damage: Some(Damage {
+                    file: SNAPSHOT,
+                    at,
+                    why,
+                }),
+                ..found
+            };
+        }
     }
     match read(disk, LOG) {
         Ok(Some(log)) => {
@@ -132,10 +160,15 @@
     }
     let generation = from.number().ok_or_else(|| short(&from))?;
     let name = from.take(1).ok_or((from.1, "it ends too soon"))?[0];
-    let name = from.take(usize::from(name)).ok_or((from.1, "it ends too soon"))?;
+    let name = from
+        .take(usize::from(name))
+        .ok_or((from.1, "it ends too soon"))?;
     let name = String::from_utf8(name.to_vec()).map_err(|_| (from.1, "its name is no text"))?;
     let length = from.length().ok_or((from.1, "it ends too soon"))?;
-    let body = from.take(length).ok_or((from.1, "it ends too soon"))?.to_vec();
+    let body = from
+        .take(length)
+        .ok_or((from.1, "it ends too soon"))?
+        .to_vec();
     let end = from.1;
     let told = from.take(HASH).ok_or((end, "it ends too soon"))?;
     let made = hash(&[&bytes[..end]]);
@@ -159,7 +192,11 @@
     let mut records = Vec::new();
     if bytes.len() < head.len() || bytes[..head.len()] != head {
         // One that follows another snapshot is no damage of this one: its last words were lost with that.
-        let why = if bytes.starts_with(b"flxl") { "it follows another snapshot" } else { "it is no log" };
+        let why = if bytes.starts_with(b"flxl") {
+            "it follows another snapshot"
+        } else {
+            "it is no log"
+        };
         return (records, Some((0, why)));
     }
     let (mut from, mut last) = (Bytes(bytes, head.len()), [0; HASH]);
@@ -174,7 +211,10 @@
         };
         let made = hash(&[&last, body]);
         if told != made {
-            return (records, Some((at, "a record's hash does not fit what it holds")));
+            return (
+                records,
+                Some((at, "a record's hash does not fit what it holds")),
+            );
         }
         last = made;
         records.push(body.to_vec());
@@ -188,12 +228,22 @@
     pub fn begin(mut disk: D, name: &str, body: &[u8]) -> Result<Store<D>, Broken> {
         let found = look(&mut disk);
         if !found.name.is_empty() && found.name != name {
-            return Err(Broken(format!("it is the store of {}, not of {name}", found.name)));
+            return Err(Broken(format!(
+                "it is the store of {}, not of {name}",
+                found.name
+            )));
         }
         let generation = found.generation + 1;
         let (last, logged, snapshot_bytes, broken) = ([0; HASH], 0, 0, None);
-        let mut store =
-            Store { disk, name: name.to_owned(), generation, last, logged, snapshot_bytes, broken };
+        let mut store = Store {
+            disk,
+            name: name.to_owned(),
+            generation,
+            last,
+            logged,
+            snapshot_bytes,
+            broken,
+        };
         store.snapshot(body)?;
         Ok(store)
     }
@@ -213,8 +263,14 @@
         if body.len() > MOST - 1024 {
             return self.breaks("a snapshot over the bound of a store", None);
         }
-        let head =
-            [&b"flxs"[..], &[VERSION], &self.generation.to_be_bytes(), &[name.len() as u8], name].concat();
+        let head = [
+            &b"flxs"[..],
+            &[VERSION],
+            &self.generation.to_be_bytes(),
+            &[name.len() as u8],
+            name,
+        ]
+        .concat();
         let told = [&head, &(body.len() as u32).to_be_bytes()[..], body].concat();
         let made = hash(&[&told]);
         let bytes = [told, made.to_vec()].concat();
--- a/crates/flaxdeck-store/tests/crashes.rs
+++ b/crates/flaxdeck-store/tests/crashes.rs
@@ -17,7 +17,11 @@
     let number = |bytes: &Vec<u8>| u64::from_be_bytes(bytes[..8].try_into().unwrap());
     let mut last = number(found.snapshot.as_ref()?);
     for record in &found.records {
-        assert_eq!(number(record), last + 1, "a record is never missed before one that is given");
+        assert_eq!(
+            number(record),
+            last + 1,
+            "a record is never missed before one that is given"
+        );
         last += 1;
     }
     Some(last)
@@ -31,7 +35,11 @@
 fn run(store: &mut Store<Faulty>, from: u64, count: u64) -> u64 {
     let mut kept = from;
     for n in from + 1..=from + count {
-        let told = if n % 5 == 0 { store.snapshot(&body(n)) } else { store.record(&body(n)) };
+        let told = if n % 5 == 0 {
+            store.snapshot(&body(n))
+        } else {
+            store.record(&body(n))
+        };
         match told {
             Ok(()) => kept = n,
             Err(_) => break,
@@ -105,11 +113,16 @@
 fn a_sync_that_failed_is_never_taken_back_by_a_later_one() {
     for at in 0..60 {
         let disk = Faulty::with(Trouble::SyncFails { at });
-        let Ok(mut store) = Store::begin(disk, "f1", &body(0)) else { continue };
+        let Ok(mut store) = Store::begin(disk, "f1", &body(0)) else {
+            continue;
+        };
         let kept = run(&mut store, 0, 12);
         if kept < 12 {
             assert!(store.broken().is_some());
-            assert!(store.record(&body(kept + 1)).is_err(), "nothing is kept from then on");
+            assert!(
+                store.record(&body(kept + 1)).is_err(),
+                "nothing is kept from then on"
+            );
         }
         let mut found = store.into_disk().after_crash(|| 0.0);
         assert!(state(&mut found).unwrap() >= kept, "sync {at}");
@@ -120,7 +133,9 @@
 fn a_full_disk_leaves_what_was_there() {
     for from in 0..60 {
         let disk = Faulty::with(Trouble::Full { from });
-        let Ok(mut store) = Store::begin(disk, "f1", &body(0)) else { continue };
+        let Ok(mut store) = Store::begin(disk, "f1", &body(0)) else {
+            continue;
+        };
         let kept = run(&mut store, 0, 12);
         let why = store.broken().cloned();
         assert!(kept == 12 || why.is_some_and(|why| why.0.starts_with("it can't be written: ")));
@@ -134,7 +149,10 @@
     run(&mut store, 0, 3);
     let disk = store.into_disk();
     let refused = Store::begin(disk.clone(), "f2", &body(0)).err().unwrap();
-    assert!(refused.0.contains("the store of f1, not of f2"), "{refused:?}");
+    assert!(
+        refused.0.contains("the store of f1, not of f2"),
+        "{refused:?}"
+    );
     assert_eq!(state(&mut disk.clone()), Some(3));
 }
 
@@ -161,7 +179,11 @@
     let disk = Folder::open(&folder).unwrap();
     let mut store = Store::begin(disk, "f1", &body(0)).unwrap();
     for n in 1..1_000_000 {
-        let told = if n % 5 == 0 { store.snapshot(&body(n)) } else { store.record(&body(n)) };
+        let told = if n % 5 == 0 {
+            store.snapshot(&body(n))
+        } else {
+            store.record(&body(n))
+        };
         told.unwrap();
         println!("kept {n}");
     }
@@ -171,10 +193,16 @@
 fn a_process_killed_at_random_moments_leaves_what_it_said_was_kept() {
     let mut chance = Pcg64Mcg::seed_from_u64(3);
     for round in 0..40 {
-        let folder = std::env::temp_dir().join(format!("flaxdeck-store-{}-{round}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("flaxdeck-store-{}-{round}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let mut child = Command::new(std::env::current_exe().unwrap())
-            .args(["--ignored", "--exact", "writes_until_it_is_killed", "--nocapture"])
+            .args([
+                "--ignored",
+                "--exact",
+                "writes_until_it_is_killed",
+                "--nocapture",
+            ])
             .env("FLAXDECK_STORE_FOLDER", &folder)
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
@@ -184,11 +212,17 @@
         child.kill().unwrap();
         let said = child.wait_with_output().unwrap();
         let said = String::from_utf8_lossy(&said.stdout);
-        let kept = said.lines().filter_map(|line| line.rsplit_once("kept ")?.1.parse::<u64>().ok()).max();
+        let kept = said
+            .lines()
+            .filter_map(|line| line.rsplit_once("kept ")?.1.parse::<u64>().ok())
+            .max();
         let found = look(&mut Folder::open(&folder).unwrap());
         let number = |bytes: &Vec<u8>| u64::from_be_bytes(bytes[..8].try_into().unwrap());
         let last = found.records.last().or(found.snapshot.as_ref()).map(number);
-        assert!(last >= kept, "round {round}: {last:?} found, {kept:?} said to be kept");
+        assert!(
+            last >= kept,
+            "round {round}: {last:?} found, {kept:?} said to be kept"
+        );
         std::fs::remove_dir_all(&folder).unwrap();
     }
 }
--- a/crates/flaxdeck-talk/src/kinds.rs
+++ b/crates/flaxdeck-talk/src/kinds.rs
@@ -22,7 +22,10 @@
             Kind::Greeting => [Count::greetings_messages_in, Count::greetings_bytes_in],
             Kind::Report => [Count::reports_messages_in, Count::reports_bytes_in],
             Kind::Guidance => [Count::guidance_messages_in, Count::guidance_bytes_in],
-            Kind::Subscription => [Count::subscriptions_messages_in, Count::subscriptions_bytes_in],
+            Kind::Subscription => [
+                Count::subscriptions_messages_in,
+                Count::subscriptions_bytes_in,
+            ],
             Kind::Delivery => [Count::deliveries_messages_in, Count::deliveries_bytes_in],
         }
     }
@@ -33,7 +36,10 @@
             Kind::Greeting => [Count::greetings_messages_out, Count::greetings_bytes_out],
             Kind::Report => [Count::reports_messages_out, Count::reports_bytes_out],
             Kind::Guidance => [Count::guidance_messages_out, Count::guidance_bytes_out],
-            Kind::Subscription => [Count::subscriptions_messages_out, Count::subscriptions_bytes_out],
+            Kind::Subscription => [
+                Count::subscriptions_messages_out,
+                Count::subscriptions_bytes_out,
+            ],
             Kind::Delivery => [Count::deliveries_messages_out, Count::deliveries_bytes_out],
         }
     }
--- a/crates/flaxdeck-talk/src/line.rs
+++ b/crates/flaxdeck-talk/src/line.rs
@@ -54,7 +54,10 @@
 /// Connects to a planner and greets it.
 pub async fn connect(address: SocketAddr, key: &Key) -> Result<(Speaker, Hearer), Over> {
     let connected = timeout(GREETED, TcpStream::connect(address)).await;
-    let stream = connected.ok().and_then(Result::ok).ok_or(Over::Broken("no connection"))?;
+    let stream = connected
+        .ok()
+        .and_then(Result::ok)
+        .ok_or(Over::Broken("no connection"))?;
     greet(stream, key, Side::Forwarder).await
 }
 
@@ -66,7 +69,11 @@
 async fn greet(stream: TcpStream, key: &Key, side: Side) -> Result<(Speaker, Hearer), Over> {
     let (mut inbound, outbound) = link::split(stream);
     let ours = Greeting::new(side, rand::rng().random());
-    let other = if side == Side::Planner { Side::Forwarder } else { Side::Planner };
+    let other = if side == Side::Planner {
+        Side::Forwarder
+    } else {
+        Side::Planner
+    };
     let theirs = async {
         outbound.send([ours.bytes(key)], [None, None]);
         count_message(Kind::Greeting.counts_out(), GREETING);
@@ -84,10 +91,23 @@
             }
         }
     };
-    let theirs = timeout(GREETED, theirs).await.map_err(|_| Over::Broken("no greeting in time"))??;
+    let theirs = timeout(GREETED, theirs)
+        .await
+        .map_err(|_| Over::Broken("no greeting in time"))??;
     let (sealer, opener) = ours.keys(&theirs, key);
-    let speaker = Speaker { outbound: outbound.clone(), sealer };
-    Ok((speaker, Hearer { inbound, outbound, opener, heard: Instant::now() }))
+    let speaker = Speaker {
+        outbound: outbound.clone(),
+        sealer,
+    };
+    Ok((
+        speaker,
+        Hearer {
+            inbound,
+            outbound,
+            opener,
+            heard: Instant::now(),
+        },
+    ))
 }
 
 impl Speaker {
@@ -125,7 +145,10 @@
             let before = self.inbound.bytes.len();
             let more = match self.opener.open::<T>(&mut self.inbound.bytes)? {
                 Parsed::Whole(message) => {
-                    count_message(message.kind().counts_in(), before - self.inbound.bytes.len());
+                    count_message(
+                        message.kind().counts_in(),
+                        before - self.inbound.bytes.len(),
+                    );
                     self.heard = Instant::now();
                     return Ok(message);
                 }
--- a/crates/flaxdeck-talk/src/seal.rs
+++ b/crates/flaxdeck-talk/src/seal.rs
@@ -91,11 +91,19 @@
     }
 
     /// Reads the other side's greeting.
-    pub fn read(buffer: &mut BytesMut, key: &Key, from: Side) -> Result<Parsed<Greeting>, Malformed> {
+    pub fn read(
+        buffer: &mut BytesMut,
+        key: &Key,
+        from: Side,
+    ) -> Result<Parsed<Greeting>, Malformed> {
         if buffer.len() < GREETING {
             let wrong = !MAGIC.starts_with(&buffer[..buffer.len().min(MAGIC.len())]);
             let short = Parsed::Short(GREETING - buffer.len());
-            return if wrong { Err(Malformed("not of this protocol")) } else { Ok(short) };
+            return if wrong {
+                Err(Malformed("not of this protocol"))
+            } else {
+                Ok(short)
+            };
         }
         let bytes = buffer.split_to(GREETING);
         let (head, hash) = bytes.split_at(GREETING - HASH);
@@ -120,8 +128,18 @@
     pub fn keys(&self, theirs: &Greeting, key: &Key) -> (Sealer, Opener) {
         let mut nonces = [(self.side, self.nonce), (theirs.side, theirs.nonce)];
         nonces.sort_by_key(|(side, _)| *side as u8);
-        let from = |side: Side| Key(key.hash(&[b"frames", &nonces[0].1, &nonces[1].1, &[side as u8]]));
-        (Sealer { key: from(self.side), counter: 0 }, Opener { key: from(theirs.side), counter: 0 })
+        let from =
+            |side: Side| Key(key.hash(&[b"frames", &nonces[0].1, &nonces[1].1, &[side as u8]]));
+        (
+            Sealer {
+                key: from(self.side),
+                counter: 0,
+            },
+            Opener {
+                key: from(theirs.side),
+                counter: 0,
+            },
+        )
     }
 }
 
@@ -141,19 +159,30 @@
     pub fn seal(&mut self, message: &impl Serialize) -> Result<Bytes, Malformed> {
         self.counter += 1;
         let counter = self.counter.to_be_bytes();
-        let body = postcard::to_stdvec(message).map_err(|_| Malformed("a message that can't be written"))?;
+        let body = postcard::to_stdvec(message)
+            .map_err(|_| Malformed("a message that can't be written"))?;
         let length = COUNTER + body.len() + HASH;
         if length > FRAME_MOST {
             return Err(Malformed("a message over the bound of a frame"));
         }
         let hash = self.key.hash(&[&counter, &body]);
-        Ok([&(length as u32).to_be_bytes()[..], &counter, &body, &hash[..HASH]].concat().into())
+        Ok([
+            &(length as u32).to_be_bytes()[..],
+            &counter,
+            &body,
+            &hash[..HASH],
+        ]
+        .concat()
+        .into())
     }
 }
 
 impl Opener {
     /// Opens the frame at the head of the buffer and takes its bytes out.
-    pub fn open<T: DeserializeOwned>(&mut self, buffer: &mut BytesMut) -> Result<Parsed<T>, Malformed> {
+    pub fn open<T: DeserializeOwned>(
+        &mut self,
+        buffer: &mut BytesMut,
+    ) -> Result<Parsed<T>, Malformed> {
         if buffer.len() < 4 {
             return Ok(Parsed::Short(4 - buffer.len()));
         }
--- a/crates/flaxdeck-talk/src/watch.rs
+++ b/crates/flaxdeck-talk/src/watch.rs
@@ -94,13 +94,21 @@
         seed: u64,
     ) -> Result<(Watch, Numbered), String> {
         let (number, events) = frames::known(known, &names)?;
-        let hash = events.last().filter(|(last, _)| *last == number).map_or(0, |(_, event)| event.hash());
+        let hash = events
+            .last()
+            .filter(|(last, _)| *last == number)
+            .map_or(0, |(_, event)| event.hash());
         let last = Mark { number, hash };
-        let numbering = if trusts { Numbering::trusting(last) } else { Numbering::new(last) };
+        let numbering = if trusts {
+            Numbering::trusting(last)
+        } else {
+            Numbering::new(last)
+        };
         let numbering = Rc::new(RefCell::new(numbering));
         let (pace, clock) = (Pace::new(seed, RETRY[0], RETRY[1]), Clock::start());
         let (urgency, waits, paused) = (Rc::default(), false, false);
-        let (heard, told_current, link, live_edge) = (Instant::now(), false, None, LiveEdge::default());
+        let (heard, told_current, link, live_edge) =
+            (Instant::now(), false, None, LiveEdge::default());
         let watch = Watch {
             address,
             names,
@@ -155,7 +163,12 @@
         self.hang_up(false);
         let mut numbering = self.numbering.borrow_mut();
         let news = known.into_iter().filter_map(|(number, event)| {
-            numbering.told_by_file(Mark { number, hash: event.hash() }).then_some(event)
+            numbering
+                .told_by_file(Mark {
+                    number,
+                    hash: event.hash(),
+                })
+                .then_some(event)
         });
         news.collect()
     }
@@ -219,7 +232,10 @@
                 Ok(Parsed::Whole((number, frame, Some(event)))) => {
                     let (now, whole) = (self.clock.now(), event.is_whole_list());
                     self.note_live(now, &event);
-                    let mark = Mark { number, hash: event.hash() };
+                    let mark = Mark {
+                        number,
+                        hash: event.hash(),
+                    };
                     let next = self.numbering.borrow_mut().heard(now, mark, whole);
                     match next {
                         Next::Skip => {}
@@ -235,7 +251,9 @@
                         }
                         Next::AskAgain(why) => {
                             count(Count::feed_gaps);
-                            log::warn!("event {number} does not follow what is known: {why:?}, asking again");
+                            log::warn!(
+                                "event {number} does not follow what is known: {why:?}, asking again"
+                            );
                             self.hang_up(false);
                             // It has answered, and the next link asks for all: that ends this at once.
                             if why == Why::NoList {
@@ -249,7 +267,10 @@
                     // and does not is not there.
                     let (settles, proves) = {
                         let numbering = self.numbering.borrow();
-                        (numbering.current_at().filter(|_| !self.told_current), numbering.proves_by())
+                        (
+                            numbering.current_at().filter(|_| !self.told_current),
+                            numbering.proves_by(),
+                        )
                     };
                     let due = [settles, proves]
                         .into_iter()
@@ -294,7 +315,9 @@
 
     /// Notes that events come as they happen, where they come without a pause.
     fn note_live(&mut self, now: Time, event: &Event) {
-        let Event::Purged { made, .. } = event else { return };
+        let Event::Purged { made, .. } = event else {
+            return;
+        };
         let live = self.live_edge.told(now, *made) && self.numbering.borrow().is_proven();
         self.told_current |= live;
     }
@@ -305,7 +328,10 @@
             Ok(Ok((inbound, outbound))) => {
                 let asked = self.numbering.borrow_mut().ask(self.clock.now());
                 let asked = Bytes::copy_from_slice(&asked.to_be_bytes());
-                count_message([Count::feed_messages_out, Count::feed_bytes_out], asked.len());
+                count_message(
+                    [Count::feed_messages_out, Count::feed_bytes_out],
+                    asked.len(),
+                );
                 outbound.send([asked], [None, None]);
                 self.heard = Instant::now();
                 (self.link, self.told_current) = (Some((inbound, outbound)), false);
--- a/crates/flaxdeck-talk/tests/conversations.rs
+++ b/crates/flaxdeck-talk/tests/conversations.rs
@@ -18,16 +18,28 @@
 
 /// Runs a story on one thread, with a listener.
 fn story<F: Future<Output = ()>>(tell: impl FnOnce(TcpListener) -> F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     let told = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        tokio::time::timeout(SOON, tell(listener)).await.expect("the story ends");
+        tokio::time::timeout(SOON, tell(listener))
+            .await
+            .expect("the story ends");
     };
     LocalSet::new().block_on(&runtime, told);
 }
 
 fn report(number: u64) -> Report {
-    Report { envelope: Envelope { from: Epoch(7), number, ..Envelope::default() }, ..Report::default() }
+    Report {
+        envelope: Envelope {
+            from: Epoch(7),
+            number,
+            ..Envelope::default()
+        },
+        ..Report::default()
+    }
 }
 
 fn guidance(number: u64, ratings: usize) -> Guidance {
@@ -39,8 +51,16 @@
         good_ago_ms: None,
         window: None,
     };
-    let envelope = Envelope { from: Epoch(1), number, ..Envelope::default() };
-    Guidance { envelope, ratings: (0..ratings).map(rating).collect(), ..Guidance::default() }
+    let envelope = Envelope {
+        from: Epoch(1),
+        number,
+        ..Envelope::default()
+    };
+    Guidance {
+        envelope,
+        ratings: (0..ratings).map(rating).collect(),
+        ..Guidance::default()
+    }
 }
 
 #[test]
@@ -72,9 +92,15 @@
             line::accept(stream, &key("a")).await.err()
         });
         let refused = line::connect(address, &key("b")).await.err();
-        assert!(matches!(refused, Some(Over::Refused("another key"))), "{refused:?}");
+        assert!(
+            matches!(refused, Some(Over::Refused("another key"))),
+            "{refused:?}"
+        );
         let refused = planner.await.unwrap();
-        assert!(matches!(refused, Some(Over::Refused("another key"))), "{refused:?}");
+        assert!(
+            matches!(refused, Some(Over::Refused("another key"))),
+            "{refused:?}"
+        );
     });
 }
 
@@ -86,7 +112,10 @@
         let (stream, _) = listener.accept().await.unwrap();
         let begun = Instant::now();
         let over = line::accept(stream, &key("a")).await.err();
-        assert!(matches!(over, Some(Over::Broken("no greeting in time"))), "{over:?}");
+        assert!(
+            matches!(over, Some(Over::Broken("no greeting in time"))),
+            "{over:?}"
+        );
         assert!(begun.elapsed() < Duration::from_secs(5));
         let mut rest = Vec::new();
         mute.read_to_end(&mut rest).await.unwrap();
@@ -94,7 +123,10 @@
         other.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
         let (stream, _) = listener.accept().await.unwrap();
         let over = line::accept(stream, &key("a")).await.err();
-        assert!(matches!(over, Some(Over::Refused("not of this protocol"))), "{over:?}");
+        assert!(
+            matches!(over, Some(Over::Refused("not of this protocol"))),
+            "{over:?}"
+        );
     });
 }
 
--- a/crates/flaxdeck-talk/tests/seal.rs
+++ b/crates/flaxdeck-talk/tests/seal.rs
@@ -12,17 +12,31 @@
 fn pair(nonces: [u8; 2]) -> ((Sealer, Opener), (Sealer, Opener)) {
     let forwarder = Greeting::new(Side::Forwarder, [nonces[0]; 16]);
     let planner = Greeting::new(Side::Planner, [nonces[1]; 16]);
-    (forwarder.keys(&planner, &key('a')), planner.keys(&forwarder, &key('a')))
+    (
+        forwarder.keys(&planner, &key('a')),
+        planner.keys(&forwarder, &key('a')),
+    )
 }
 
 fn report(number: u64) -> Report {
-    Report { envelope: Envelope { from: Epoch(7), number, ..Envelope::default() }, ..Report::default() }
+    Report {
+        envelope: Envelope {
+            from: Epoch(7),
+            number,
+            ..Envelope::default()
+        },
+        ..Report::default()
+    }
 }
 
 #[test]
 fn frames_cut_at_every_byte_open_once_they_are_whole() {
     let ((mut seals, _), (_, mut opens)) = pair([1, 2]);
-    let bytes = [seals.seal(&report(1)).unwrap(), seals.seal(&report(2)).unwrap()].concat();
+    let bytes = [
+        seals.seal(&report(1)).unwrap(),
+        seals.seal(&report(2)).unwrap(),
+    ]
+    .concat();
     let (mut buffer, mut opened) = (BytesMut::new(), Vec::new());
     for byte in bytes {
         buffer.extend_from_slice(&[byte]);
@@ -37,13 +51,25 @@
 fn a_frame_doubled_left_out_changed_or_of_another_connection_does_not_open() {
     let open = |opens: &mut Opener, bytes: &[u8]| opens.open::<Report>(&mut BytesMut::from(bytes));
     let ((mut seals, _), (_, mut opens)) = pair([1, 2]);
-    let (first, second) = (seals.seal(&report(1)).unwrap(), seals.seal(&report(2)).unwrap());
+    let (first, second) = (
+        seals.seal(&report(1)).unwrap(),
+        seals.seal(&report(2)).unwrap(),
+    );
     assert!(open(&mut opens, &first).is_ok());
-    assert_eq!(open(&mut opens, &first), Err(Malformed("a frame out of its place")));
+    assert_eq!(
+        open(&mut opens, &first),
+        Err(Malformed("a frame out of its place"))
+    );
     let (_, (_, mut opens)) = pair([1, 2]);
-    assert_eq!(open(&mut opens, &second), Err(Malformed("a frame out of its place")));
+    assert_eq!(
+        open(&mut opens, &second),
+        Err(Malformed("a frame out of its place"))
+    );
     let (_, (_, mut other)) = pair([1, 3]);
-    assert_eq!(open(&mut other, &first), Err(Malformed("a frame that is not genuine")));
+    assert_eq!(
+        open(&mut other, &first),
+        Err(Malformed("a frame that is not genuine"))
+    );
     for at in 4..first.len() {
         let mut changed = first.to_vec();
         changed[at] ^= 1;
@@ -56,21 +82,36 @@
 
 #[test]
 fn a_greeting_of_another_key_version_or_side_is_refused_by_name() {
-    let read = |bytes: &[u8], from| Greeting::read(&mut BytesMut::from(bytes), &key('a'), from).map(|_| ());
+    let read = |bytes: &[u8], from| {
+        Greeting::read(&mut BytesMut::from(bytes), &key('a'), from).map(|_| ())
+    };
     let bytes = Greeting::new(Side::Forwarder, [9; 16]).bytes(&key('a'));
     assert_eq!(read(&bytes, Side::Forwarder), Ok(()));
-    assert_eq!(read(&bytes, Side::Planner), Err(Malformed("the wrong side of this protocol")));
+    assert_eq!(
+        read(&bytes, Side::Planner),
+        Err(Malformed("the wrong side of this protocol"))
+    );
     let other = Greeting::new(Side::Forwarder, [9; 16]).bytes(&key('b'));
     assert_eq!(read(&other, Side::Forwarder), Err(Malformed("another key")));
     let mut later = bytes.to_vec();
     later[4] = VERSION + 1;
-    assert_eq!(read(&later, Side::Forwarder), Err(Malformed("another version of this protocol")));
-    assert_eq!(read(b"GET / HTTP/1.1\r\n", Side::Forwarder), Err(Malformed("not of this protocol")));
+    assert_eq!(
+        read(&later, Side::Forwarder),
+        Err(Malformed("another version of this protocol"))
+    );
+    assert_eq!(
+        read(b"GET / HTTP/1.1\r\n", Side::Forwarder),
+        Err(Malformed("not of this protocol"))
+    );
 }
 
 #[test]
 fn what_is_too_long_is_refused_before_it_is_held() {
     let (_, (_, mut opens)) = pair([1, 2]);
     let huge = [0x7f, 0xff, 0xff, 0xff];
-    assert!(opens.open::<Guidance>(&mut BytesMut::from(&huge[..])).is_err());
+    assert!(
+        opens
+            .open::<Guidance>(&mut BytesMut::from(&huge[..]))
+            .is_err()
+    );
 }
--- a/crates/flaxdeck-terms/src/fields.rs
+++ b/crates/flaxdeck-terms/src/fields.rs
@@ -12,7 +12,10 @@
 
 impl<'a> Fields<'a> {
     pub fn of(value: &'a Value, what: &str) -> Read<Fields<'a>> {
-        value.as_object().map(Fields).ok_or_else(|| format!("{what} is not an object"))
+        value
+            .as_object()
+            .map(Fields)
+            .ok_or_else(|| format!("{what} is not an object"))
     }
 
     /// The field's value; none where it is absent or null.
@@ -20,10 +23,17 @@
         self.0.get(name).filter(|value| !value.is_null())
     }
 
-    fn typed<T>(&self, name: &str, kind: &str, read: impl Fn(&'a Value) -> Option<T>) -> Read<Option<T>> {
+    fn typed<T>(
+        &self,
+        name: &str,
+        kind: &str,
+        read: impl Fn(&'a Value) -> Option<T>,
+    ) -> Read<Option<T>> {
         match self.get(name) {
             None => Ok(None),
-            Some(value) => read(value).map(Some).ok_or_else(|| format!("field {name} is not {kind}")),
+            Some(value) => read(value)
+                .map(Some)
+                .ok_or_else(|| format!("field {name} is not {kind}")),
         }
     }
 
@@ -46,7 +56,10 @@
     pub fn whole_or_none(&self, name: &str) -> Read<Option<u64>> {
         self.typed(name, "a whole number", |value| {
             value.as_u64().or_else(|| {
-                value.as_f64().filter(|n| n.fract() == 0.0 && (0.0..9.0e18).contains(n)).map(|n| n as u64)
+                value
+                    .as_f64()
+                    .filter(|n| n.fract() == 0.0 && (0.0..9.0e18).contains(n))
+                    .map(|n| n as u64)
             })
         })
     }
@@ -74,8 +87,9 @@
 
     fn span_or_none(&self, name: &str) -> Read<Option<Span>> {
         let kind = "a time of 0 to 1e12 ms";
-        let ms =
-            self.typed(name, kind, |value| value.as_f64().filter(|ms| (0.0..=LONGEST_MS).contains(ms)))?;
+        let ms = self.typed(name, kind, |value| {
+            value.as_f64().filter(|ms| (0.0..=LONGEST_MS).contains(ms))
+        })?;
         Ok(ms.map(Span::of_ms))
     }
 
@@ -85,7 +99,9 @@
 
     /// False where the field is absent.
     pub fn flag_or_false(&self, name: &str) -> Read<bool> {
-        Ok(self.typed(name, "true or false", Value::as_bool)?.unwrap_or(false))
+        Ok(self
+            .typed(name, "true or false", Value::as_bool)?
+            .unwrap_or(false))
     }
 
     pub fn rows(&self, name: &str) -> Read<&'a Vec<Value>> {
@@ -97,27 +113,44 @@
     }
 
     pub fn numbers(&self, name: &str) -> Read<Vec<f64>> {
-        let Some(rows) = self.rows_or_none(name)? else { return Ok(Vec::new()) };
-        let number = |row: &Value| row.as_f64().ok_or_else(|| format!("field {name} holds no numbers"));
+        let Some(rows) = self.rows_or_none(name)? else {
+            return Ok(Vec::new());
+        };
+        let number = |row: &Value| {
+            row.as_f64()
+                .ok_or_else(|| format!("field {name} holds no numbers"))
+        };
         rows.iter().map(number).collect()
     }
 
     pub fn flags(&self, name: &str) -> Read<Vec<bool>> {
-        let Some(rows) = self.rows_or_none(name)? else { return Ok(Vec::new()) };
-        let flag = |row: &Value| row.as_bool().ok_or_else(|| format!("field {name} holds no flags"));
+        let Some(rows) = self.rows_or_none(name)? else {
+            return Ok(Vec::new());
+        };
+        let flag = |row: &Value| {
+            row.as_bool()
+                .ok_or_else(|| format!("field {name} holds no flags"))
+        };
         rows.iter().map(flag).collect()
     }
 
     pub fn texts(&self, name: &str) -> Read<Vec<String>> {
-        let Some(rows) = self.rows_or_none(name)? else { return Ok(Vec::new()) };
+        let Some(rows) = self.rows_or_none(name)? else {
+            return Ok(Vec::new());
+        };
         let text = |row: &Value| {
-            row.as_str().map(str::to_owned).ok_or_else(|| format!("field {name} holds no strings"))
+            row.as_str()
+                .map(str::to_owned)
+                .ok_or_else(|| format!("field {name} holds no strings"))
         };
         rows.iter().map(text).collect()
     }
 
     pub fn inner(&self, name: &str) -> Read<Fields<'a>> {
         let value = Self::needed(name, self.get(name))?;
-        value.as_object().map(Fields).ok_or_else(|| format!("field {name} is not an object"))
+        value
+            .as_object()
+            .map(Fields)
+            .ok_or_else(|| format!("field {name} is not an object"))
     }
 }
--- a/crates/flaxdeck-terms/src/lib.rs
+++ b/crates/flaxdeck-terms/src/lib.rs
@@ -41,7 +41,9 @@
 }
 
 fn kind_place(number: Option<f64>) -> Option<usize> {
-    number.filter(|place| *place >= 0.0).map(|place| place as usize)
+    number
+        .filter(|place| *place >= 0.0)
+        .map(|place| place as usize)
 }
 
 impl Names {
@@ -87,8 +89,15 @@
     for class in settings.rows("request_classes")? {
         longest_wait = longest_wait.max(Fields::of(class, "a request class")?.span("deadline_ms")?);
     }
-    let (connect_within, idle) = (allowed.span("connect_timeout_ms")?, allowed.span("conn_idle_ms")?);
-    Ok(Carriage { connect_within, idle, longest_wait })
+    let (connect_within, idle) = (
+        allowed.span("connect_timeout_ms")?,
+        allowed.span("conn_idle_ms")?,
+    );
+    Ok(Carriage {
+        connect_within,
+        idle,
+        longest_wait,
+    })
 }
 
 pub fn read(settings: &Fields) -> Result<(Terms, Names), String> {
@@ -98,8 +107,15 @@
     let zones = settings.texts("zones")?;
     let zone = settings.text("zone")?;
     let zone = place(&zones, zone).ok_or_else(|| format!("zone {zone} is not among the zones"))?;
-    let stats = settings.get("stats").map(|stats| Fields::of(stats, "stats")).transpose()?;
-    let via = stats.as_ref().map(|stats| stats.text_or_none("via")).transpose()?.flatten();
+    let stats = settings
+        .get("stats")
+        .map(|stats| Fields::of(stats, "stats"))
+        .transpose()?;
+    let via = stats
+        .as_ref()
+        .map(|stats| stats.text_or_none("via"))
+        .transpose()?
+        .flatten();
     let may_look = via == Some("on_probe") && allowed.flag_or_false("probes")?;
     let report = match stats {
         Some(stats) if via == Some("inline") || may_look => stats.texts("fields")?,
@@ -118,7 +134,11 @@
             repeats: repeats(&class)?,
             goes_through: through.get(at).copied().unwrap_or(false),
             parted: parted.get(at).copied().unwrap_or(false),
-            fresh: fresh.get(at).copied().filter(|ms| *ms > 0.0).map(Span::of_ms),
+            fresh: fresh
+                .get(at)
+                .copied()
+                .filter(|ms| *ms > 0.0)
+                .map(Span::of_ms),
             older: Span::of_ms(older.get(at).copied().unwrap_or(0.0)),
         });
     }
@@ -128,7 +148,11 @@
     let terms = Terms {
         classes,
         zone: ZoneId(zone),
-        zone_dispatchers: family.numbers("count_by_zone")?.iter().map(|n| *n as u32).collect(),
+        zone_dispatchers: family
+            .numbers("count_by_zone")?
+            .iter()
+            .map(|n| *n as u32)
+            .collect(),
         dispatchers: settings.number_or("group_size", 1.0)? as u32,
         tick: settings.span("tick_ms")?,
         may_cancel: allowed.flag_or_false("cancel")?,
@@ -166,7 +190,8 @@
 
 /// A class's name, which clients send as a method and hosts get as a word of a line's fields.
 fn class_name(name: &str, others: &[String]) -> Result<String, String> {
-    let cant_stand = |letter: char| letter.is_whitespace() || letter.is_control() || ",=".contains(letter);
+    let cant_stand =
+        |letter: char| letter.is_whitespace() || letter.is_control() || ",=".contains(letter);
     let fault = if name.is_empty() || name.len() > NAME_MOST {
         format!("has {} bytes, 1 to {NAME_MOST} can be sent", name.len())
     } else if name.contains(cant_stand) {
--- a/crates/flaxdeck-wire/src/frames.rs
+++ b/crates/flaxdeck-wire/src/frames.rs
@@ -24,7 +24,11 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     Hosts(ListKind, Vec<AddressedEndpoint>),
-    Purged { object: Option<ObjectId>, group: GroupId, made: Time },
+    Purged {
+        object: Option<ObjectId>,
+        group: GroupId,
+        made: Time,
+    },
 }
 
 impl Event {
@@ -46,19 +50,30 @@
                 u64::from(address.port()),
             ];
             let host = fold(0, listed.host.0.as_bytes());
-            words.iter().fold(fold(host, address.ip().to_string().as_bytes()), |hash, word| {
-                fold(hash, &word.to_be_bytes())
-            })
+            words.iter().fold(
+                fold(host, address.ip().to_string().as_bytes()),
+                |hash, word| fold(hash, &word.to_be_bytes()),
+            )
         };
         let hash = match self {
             Event::Hosts(list_kind, endpoints) => {
                 let lines = endpoints.iter().map(line).fold(0u64, u64::wrapping_add);
                 fold(1 + *list_kind as u64, &lines.to_be_bytes())
             }
-            Event::Purged { object, group, made } => {
-                let words = [object.map_or(0, |object| object.0), group.0, made.ms() as u64];
+            Event::Purged {
+                object,
+                group,
+                made,
+            } => {
+                let words = [
+                    object.map_or(0, |object| object.0),
+                    group.0,
+                    made.ms() as u64,
+                ];
                 let named = 8 + u64::from(object.is_some());
-                words.iter().fold(named, |hash, word| fold(hash, &word.to_be_bytes()))
+                words
+                    .iter()
+                    .fold(named, |hash, word| fold(hash, &word.to_be_bytes()))
             }
         };
         hash.max(1) // zero stands for an event that is not known
@@ -115,8 +130,15 @@
             if !payload.len().is_multiple_of(RECORD) {
                 return Err(Malformed("a list that is not made of records"));
             }
-            let list_kind = if kind == 1 { ListKind::Full } else { ListKind::Delta };
-            let endpoints: Result<_, _> = payload.chunks(RECORD).map(|row| record(row, names)).collect();
+            let list_kind = if kind == 1 {
+                ListKind::Full
+            } else {
+                ListKind::Delta
+            };
+            let endpoints: Result<_, _> = payload
+                .chunks(RECORD)
+                .map(|row| record(row, names))
+                .collect();
             Event::Hosts(list_kind, endpoints?)
         }
         kind @ (3 | 4) => {
@@ -124,11 +146,21 @@
             if payload.len() != named + 8 {
                 return Err(Malformed("a purge of the wrong length"));
             }
-            let (name, made) =
-                (big_endian(&payload[..named]), Time::at_ms(big_endian(&payload[named..]) as f64));
+            let (name, made) = (
+                big_endian(&payload[..named]),
+                Time::at_ms(big_endian(&payload[named..]) as f64),
+            );
             match kind {
-                3 => Event::Purged { object: Some(ObjectId(name)), group: GroupId(0), made },
-                _ => Event::Purged { object: None, group: GroupId(name), made },
+                3 => Event::Purged {
+                    object: Some(ObjectId(name)),
+                    group: GroupId(0),
+                    made,
+                },
+                _ => Event::Purged {
+                    object: None,
+                    group: GroupId(name),
+                    made,
+                },
             }
         }
         _ => return Err(Malformed("a frame of no known kind")),
@@ -137,7 +169,10 @@
 }
 
 /// Parses one frame at the head of the buffer and takes its bytes out; an empty one holds no event.
-pub fn parse(buffer: &mut BytesMut, names: &Names) -> Result<Parsed<(u64, Bytes, Option<Event>)>, Malformed> {
+pub fn parse(
+    buffer: &mut BytesMut,
+    names: &Names,
+) -> Result<Parsed<(u64, Bytes, Option<Event>)>, Malformed> {
     Ok(match split(buffer)? {
         Parsed::Whole((index, frame)) => {
             let event = read(&frame, names)?;
@@ -178,23 +213,44 @@
     endpoints: impl Iterator<Item = &'a AddressedEndpoint>,
     names: &Names,
 ) -> Option<Vec<u8>> {
-    let records: Option<Vec<[u8; RECORD]>> = endpoints.map(|endpoint| record_of(endpoint, names)).collect();
+    let records: Option<Vec<[u8; RECORD]>> = endpoints
+        .map(|endpoint| record_of(endpoint, names))
+        .collect();
     let payload = records?.concat();
     let length = FIXED + payload.len();
     if length > FRAME_MOST {
         return None;
     }
-    Some([&(length as u32).to_be_bytes()[..], &number.to_be_bytes(), &[WHOLE_LIST], &payload].concat())
+    Some(
+        [
+            &(length as u32).to_be_bytes()[..],
+            &number.to_be_bytes(),
+            &[WHOLE_LIST],
+            &payload,
+        ]
+        .concat(),
+    )
 }
 
 /// The reverse of [`record`].
 fn record_of(endpoint: &AddressedEndpoint, names: &Names) -> Option<[u8; RECORD]> {
     let AddressedEndpoint { listed, address } = endpoint;
-    let SocketAddr::V4(address) = address else { return None };
-    let digits = listed.host.0.strip_prefix("s-").filter(|digits| digits.len() == 8)?;
+    let SocketAddr::V4(address) = address else {
+        return None;
+    };
+    let digits = listed
+        .host
+        .0
+        .strip_prefix("s-")
+        .filter(|digits| digits.len() == 8)?;
     let name = u32::from_str_radix(digits, 16).ok()?;
-    let zone = listed.zone.map_or(Some(NO_PLACE), |zone| u8::try_from(zone.0).ok())?;
-    let kind = names.kind_of(listed.role).and_then(|kind| u8::try_from(kind).ok()).unwrap_or(NO_PLACE);
+    let zone = listed
+        .zone
+        .map_or(Some(NO_PLACE), |zone| u8::try_from(zone.0).ok())?;
+    let kind = names
+        .kind_of(listed.role)
+        .and_then(|kind| u8::try_from(kind).ok())
+        .unwrap_or(NO_PLACE);
     let cell = u16::try_from(listed.cell.0).ok()?;
     let weight = (listed.weight * 1000.0).round() as u32;
     let started = listed.started.map_or(0, |at| at.ms() as u64);
@@ -227,22 +283,39 @@
 fn update_of(update: &Fields, names: &Names) -> Result<Event, String> {
     if update.get("endpoints").is_some() {
         let list = update.inner("endpoints")?;
-        let list_kind = if list.flag_or_false("whole")? { ListKind::Full } else { ListKind::Delta };
+        let list_kind = if list.flag_or_false("whole")? {
+            ListKind::Full
+        } else {
+            ListKind::Delta
+        };
         let endpoints = list.rows("hosts")?.iter().map(|row| endpoint(row, names));
-        return Ok(Event::Hosts(list_kind, endpoints.collect::<Result<_, _>>()?));
+        return Ok(Event::Hosts(
+            list_kind,
+            endpoints.collect::<Result<_, _>>()?,
+        ));
     }
     let purge = update.inner("evict")?;
     let made = purge.time("unix_ms")?;
-    let object = purge.text_or_none("ref")?.map(|key| u64::from_str_radix(key, 16));
-    let object = object.transpose().map_err(|_| "field ref is not in hex")?.map(ObjectId);
+    let object = purge
+        .text_or_none("ref")?
+        .map(|key| u64::from_str_radix(key, 16));
+    let object = object
+        .transpose()
+        .map_err(|_| "field ref is not in hex")?
+        .map(ObjectId);
     let group = GroupId(purge.whole_or_none("shard")?.unwrap_or(0));
-    Ok(Event::Purged { object, group, made })
+    Ok(Event::Purged {
+        object,
+        group,
+        made,
+    })
 }
 
 fn endpoint(row: &Value, names: &Names) -> Result<AddressedEndpoint, String> {
     let row = Fields::of(row, "a host")?;
-    let place =
-        |names: &[String], name: Option<&str>| name.and_then(|name| flaxdeck_terms::place(names, name));
+    let place = |names: &[String], name: Option<&str>| {
+        name.and_then(|name| flaxdeck_terms::place(names, name))
+    };
     let health = match row.text("health")? {
         "Ready" => Health::InService,
         "Terminating" => Health::Draining,
@@ -260,6 +333,8 @@
             health,
             started: started(row.number_or("born_ms", 0.0)?),
         },
-        address: dial.parse().map_err(|_| format!("dial {dial} is no address"))?,
+        address: dial
+            .parse()
+            .map_err(|_| format!("dial {dial} is no address"))?,
     })
 }
--- a/crates/flaxdeck-wire/src/lib.rs
+++ b/crates/flaxdeck-wire/src/lib.rs
@@ -25,7 +25,9 @@
 pub struct Malformed(pub &'static str);
 
 fn big_endian(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
+    bytes
+        .iter()
+        .fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
 /// A client's request, as it was asked. Texts are slices of the bytes that came in.
@@ -73,8 +75,17 @@
 
 impl Outcome {
     pub fn bare(ending: Ending) -> Outcome {
-        let (body, named, told, report) = (Bytes::new(), None, Told::Nothing, LoadReport::default());
-        Outcome { ending, body, unchanged: false, named, told, waited: None, report }
+        let (body, named, told, report) =
+            (Bytes::new(), None, Told::Nothing, LoadReport::default());
+        Outcome {
+            ending,
+            body,
+            unchanged: false,
+            named,
+            told,
+            waited: None,
+            report,
+        }
     }
 
     /// Whether it says that the client's copy is the one, of a copy that the client does not hold.
--- a/crates/flaxdeck-wire/src/lines.rs
+++ b/crates/flaxdeck-wire/src/lines.rs
@@ -40,8 +40,16 @@
 pub fn want(asked: &Asked, wish: &Wish) -> [Bytes; 3] {
     let mut out = BytesMut::with_capacity(256);
     let mut put = |words: Arguments| out.write_fmt(words).expect("a buffer grows");
-    put(format_args!("want {} class={}", text(&asked.id), wish.class));
-    put(format_args!(",key={},part={}", text(&asked.key), asked.part));
+    put(format_args!(
+        "want {} class={}",
+        text(&asked.id),
+        wish.class
+    ));
+    put(format_args!(
+        ",key={},part={}",
+        text(&asked.key),
+        asked.part
+    ));
     put(format_args!(",wait={}", whole_ms(wish.waits)));
     if let Some(source) = wish.source {
         put(format_args!(",fetch={}", source.0));
@@ -52,8 +60,16 @@
     if let Some(oldest) = wish.oldest {
         put(format_args!(",newer={}", whole_ms(oldest)));
     }
-    let how = [(wish.join, "merge"), (wish.only_held, "local"), (wish.renew, "revalidate")];
-    let how: Vec<&str> = how.into_iter().filter(|(is, _)| *is).map(|(_, word)| word).collect();
+    let how = [
+        (wish.join, "merge"),
+        (wish.only_held, "local"),
+        (wish.renew, "revalidate"),
+    ];
+    let how: Vec<&str> = how
+        .into_iter()
+        .filter(|(is, _)| *is)
+        .map(|(_, word)| word)
+        .collect();
     if !how.is_empty() {
         put(format_args!(",handle={}", how.join("+")));
     }
@@ -64,7 +80,11 @@
         put(format_args!(",once={}", text(key)));
     }
     put(format_args!(" {}\r\n", asked.body.len()));
-    [out.freeze(), asked.body.clone(), Bytes::from_static(b"\r\n")]
+    [
+        out.freeze(),
+        asked.body.clone(),
+        Bytes::from_static(b"\r\n"),
+    ]
 }
 
 /// Gives a request up, and asks for a sign by which it is known that no answer to it is on its way.
@@ -90,13 +110,26 @@
 
 /// Parses one answer at the head of the buffer and takes its bytes out.
 pub fn parse(buffer: &mut BytesMut, names: &Names) -> Result<Parsed<Line>, Malformed> {
-    let Some(end) = buffer.windows(2).take(HEAD_MOST).position(|pair| pair == b"\r\n") else {
+    let Some(end) = buffer
+        .windows(2)
+        .take(HEAD_MOST)
+        .position(|pair| pair == b"\r\n")
+    else {
         let long = buffer.len() > HEAD_MOST;
-        return if long { Err(Malformed("an answer's line is too long")) } else { Ok(Parsed::Short(1)) };
+        return if long {
+            Err(Malformed("an answer's line is too long"))
+        } else {
+            Ok(Parsed::Short(1))
+        };
     };
     let head = str::from_utf8(&buffer[..end]).map_err(|_| Malformed("a line is not UTF-8"))?;
     let mut words = head.split(' ');
-    let mut word = || words.next().filter(|word| !word.is_empty()).ok_or(Malformed("a word is missing"));
+    let mut word = || {
+        words
+            .next()
+            .filter(|word| !word.is_empty())
+            .ok_or(Malformed("a word is missing"))
+    };
     let (id, ending) = (word()?, word()?);
     let sign = id.as_bytes() == FENCE;
     let (ending, unchanged) = match ending {
@@ -112,10 +145,15 @@
     };
     if sign && head.split(' ').count() == 2 {
         let _ = buffer.split_to(end + 2);
-        return Ok(Parsed::Whole(Line { id: None, outcome: Outcome::bare(ending) }));
+        return Ok(Parsed::Whole(Line {
+            id: None,
+            outcome: Outcome::bare(ending),
+        }));
     }
     let fields = word()?;
-    let length: usize = word()?.parse().map_err(|_| Malformed("a length is no number"))?;
+    let length: usize = word()?
+        .parse()
+        .map_err(|_| Malformed("a length is no number"))?;
     if length > OBJECT_MOST {
         return Err(Malformed("an answer over the bound"));
     }
@@ -129,7 +167,10 @@
     }
     let message = buffer.split_to(used).freeze();
     outcome.body = message.slice(start..start + length);
-    Ok(Parsed::Whole(Line { id: Some(message.slice(..id)).filter(|_| !sign), outcome }))
+    Ok(Parsed::Whole(Line {
+        id: Some(message.slice(..id)).filter(|_| !sign),
+        outcome,
+    }))
 }
 
 fn note(word: &str) -> Told {
@@ -145,16 +186,37 @@
         "no_slot",
         "origin_failed",
     ];
-    told(NOTES.iter().position(|note| *note == word).map_or(0, |at| at as u64 + 1))
+    told(
+        NOTES
+            .iter()
+            .position(|note| *note == word)
+            .map_or(0, |at| at as u64 + 1),
+    )
 }
 
-fn read(fields: &str, ending: Ending, unchanged: bool, names: &Names) -> Result<Outcome, Malformed> {
-    let mut outcome = Outcome { unchanged, ..Outcome::bare(ending) };
-    let number = |text: &str| text.parse().ok().filter(|number: &f64| number.is_finite() && *number >= 0.0);
+fn read(
+    fields: &str,
+    ending: Ending,
+    unchanged: bool,
+    names: &Names,
+) -> Result<Outcome, Malformed> {
+    let mut outcome = Outcome {
+        unchanged,
+        ..Outcome::bare(ending)
+    };
+    let number = |text: &str| {
+        text.parse()
+            .ok()
+            .filter(|number: &f64| number.is_finite() && *number >= 0.0)
+    };
     for field in fields.split(',').filter(|field| *field != "-") {
-        let (name, value) = field.split_once('=').ok_or(Malformed("a field without a value"))?;
+        let (name, value) = field
+            .split_once('=')
+            .ok_or(Malformed("a field without a value"))?;
         match name {
-            "version" if unchanged => outcome.named = Some(Bytes::copy_from_slice(value.as_bytes())),
+            "version" if unchanged => {
+                outcome.named = Some(Bytes::copy_from_slice(value.as_bytes()))
+            }
             "how" => outcome.told = note(value),
             "took" => outcome.waited = number(value).map(Span::of_ms),
             "stats" => {
--- a/crates/flaxdeck-wire/src/msgpack.rs
+++ b/crates/flaxdeck-wire/src/msgpack.rs
@@ -48,7 +48,10 @@
 
     fn length(&mut self, bytes: usize, most: usize) -> Read<usize> {
         let length = self.number(bytes)?;
-        usize::try_from(length).ok().filter(|length| *length <= most).ok_or(Stop::Bad("too long"))
+        usize::try_from(length)
+            .ok()
+            .filter(|length| *length <= most)
+            .ok_or(Stop::Bad("too long"))
     }
 
     pub fn array(&mut self) -> Read<usize> {
@@ -112,7 +115,10 @@
     pub fn value(&mut self, most: usize) -> Read<Reader<'a>> {
         let at = self.at;
         self.skip(most)?;
-        Ok(Reader { bytes: &self.bytes[..self.at], at })
+        Ok(Reader {
+            bytes: &self.bytes[..self.at],
+            at,
+        })
     }
 
     /// Passes over one value of any type.
--- a/crates/flaxdeck-wire/src/rpc.rs
+++ b/crates/flaxdeck-wire/src/rpc.rs
@@ -67,7 +67,9 @@
     let mut reader = Reader::new(buffer);
     let draft = match read(&mut reader, names) {
         Ok(draft) if reader.at <= MESSAGE_MOST => draft,
-        Err(Stop::Short(more)) if buffer.len() + more <= MESSAGE_MOST => return Ok(Parsed::Short(more)),
+        Err(Stop::Short(more)) if buffer.len() + more <= MESSAGE_MOST => {
+            return Ok(Parsed::Short(more));
+        }
         Ok(_) | Err(Stop::Short(_)) => return Err(Malformed("a message over the bound")),
         Err(Stop::Bad(why)) => return Err(Malformed(why)),
     };
@@ -75,7 +77,10 @@
     let message = buffer.split_to(used).freeze();
     Ok(Parsed::Whole(match draft {
         Draft::Request(call, draft) => match asked(&message, draft) {
-            Ok(asked) => Said::Request { call, asked: Box::new(asked) },
+            Ok(asked) => Said::Request {
+                call,
+                asked: Box::new(asked),
+            },
             Err(why) => Said::Invalid { call, why },
         },
         Draft::Done(said) => said,
@@ -96,7 +101,10 @@
     for _ in 0..2 * fields {
         reader.text(FIELD_MOST).ok()?;
     }
-    let (length, here) = (reader.binary_head(WRITE_MOST).ok()?, buffer.len() - reader.at);
+    let (length, here) = (
+        reader.binary_head(WRITE_MOST).ok()?,
+        buffer.len() - reader.at,
+    );
     (here < length).then(|| (call, length - here))
 }
 
@@ -115,7 +123,11 @@
                     reader.skip(MESSAGE_MOST)?;
                     let why = "no such method";
                     let alive = method == "alive";
-                    Ok(Draft::Done(if alive { Said::Alive { call } } else { Said::Invalid { call, why } }))
+                    Ok(Draft::Done(if alive {
+                        Said::Alive { call }
+                    } else {
+                        Said::Invalid { call, why }
+                    }))
                 }
             }
         }
@@ -125,7 +137,11 @@
             if method != "cancelRequest" {
                 return Ok(Draft::Done(Said::Nothing));
             }
-            let call = if parameters.array()? > 0 { call_number(&mut parameters)? } else { 0 };
+            let call = if parameters.array()? > 0 {
+                call_number(&mut parameters)?
+            } else {
+                0
+            };
             Ok(Draft::Done(Said::Cancel { call }))
         }
         _ => Err(Stop::Bad("neither a request nor a notification")),
@@ -149,7 +165,10 @@
     if parameters != 2 {
         return Err(Stop::Bad("not two parameters"));
     }
-    let mut draft = RequestDraft { class, ..RequestDraft::default() };
+    let mut draft = RequestDraft {
+        class,
+        ..RequestDraft::default()
+    };
     let count = reader.map()?;
     if count > FIELDS_MOST {
         return Err(Stop::Bad("too many fields"));
@@ -206,7 +225,10 @@
 
 /// A number of milliseconds or KB that is none of the odd ones, and small enough for any use.
 fn number(value: &str) -> Option<f64> {
-    value.parse().ok().filter(|number| (0.0..1e9).contains(number))
+    value
+        .parse()
+        .ok()
+        .filter(|number| (0.0..1e9).contains(number))
 }
 
 /// Whether a value can stand in a line's fields as it is.
@@ -237,7 +259,11 @@
         out
     };
     match answer {
-        Answer::Served(body) => [result(body.len()).freeze(), body, Bytes::from_static(&[NO_FIELDS])],
+        Answer::Served(body) => [
+            result(body.len()).freeze(),
+            body,
+            Bytes::from_static(&[NO_FIELDS]),
+        ],
         Answer::Unchanged => {
             let mut out = result(0);
             field(&mut out, "current", "1");
--- a/crates/flaxdeck-wire/tests/frames.rs
+++ b/crates/flaxdeck-wire/tests/frames.rs
@@ -12,20 +12,45 @@
 
 fn frame(index: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
     let length = (FIXED + payload.len()) as u32;
-    [&length.to_be_bytes()[..], &index.to_be_bytes(), &[kind], payload].concat()
+    [
+        &length.to_be_bytes()[..],
+        &index.to_be_bytes(),
+        &[kind],
+        payload,
+    ]
+    .concat()
 }
 
 fn row(state: u8) -> Vec<u8> {
-    let head = [&0x00c41f7au32.to_be_bytes()[..], &[127, 1, 0, 9], &5050u16.to_be_bytes()].concat();
-    let tail = [&[state, 0, 1, 0, 2][..], &4500u32.to_be_bytes(), &1764576000123u64.to_be_bytes()].concat();
+    let head = [
+        &0x00c41f7au32.to_be_bytes()[..],
+        &[127, 1, 0, 9],
+        &5050u16.to_be_bytes(),
+    ]
+    .concat();
+    let tail = [
+        &[state, 0, 1, 0, 2][..],
+        &4500u32.to_be_bytes(),
+        &1764576000123u64.to_be_bytes(),
+    ]
+    .concat();
     [head, tail].concat()
 }
 
 #[test]
 fn frames_cut_at_every_byte_are_read_once_they_are_whole() {
-    let purge = [0x7f3a9c21e0b4d655u64.to_be_bytes(), 1764576000123u64.to_be_bytes()].concat();
+    let purge = [
+        0x7f3a9c21e0b4d655u64.to_be_bytes(),
+        1764576000123u64.to_be_bytes(),
+    ]
+    .concat();
     let group = [&17u16.to_be_bytes()[..], &1764576000480u64.to_be_bytes()].concat();
-    let frames = [frame(4, 0, &[]), frame(5, 2, &row(1)), frame(6, 3, &purge), frame(7, 4, &group)];
+    let frames = [
+        frame(4, 0, &[]),
+        frame(5, 2, &row(1)),
+        frame(6, 3, &purge),
+        frame(7, 4, &group),
+    ];
     let (mut buffer, mut events) = (BytesMut::new(), Vec::new());
     for byte in frames.concat() {
         buffer.extend_from_slice(&[byte]);
@@ -33,27 +58,66 @@
             events.push((index, event));
         }
     }
-    let [(4, None), (5, Some(Event::Hosts(ListKind::Delta, hosts))), (6, Some(purge)), (7, Some(group))] =
-        &events[..]
+    let [
+        (4, None),
+        (5, Some(Event::Hosts(ListKind::Delta, hosts))),
+        (6, Some(purge)),
+        (7, Some(group)),
+    ] = &events[..]
     else {
         panic!("{events:?}")
     };
-    let Endpoint { host, weight, zone, cell, role, health, started } = &hosts[0].listed;
-    assert_eq!((&*host.0, *weight, *zone), ("s-00c41f7a", 4.5, Some(ZoneId(0))));
-    assert_eq!((*cell, *role, *health), (CellId(2), Role::Parent, Health::Draining));
+    let Endpoint {
+        host,
+        weight,
+        zone,
+        cell,
+        role,
+        health,
+        started,
+    } = &hosts[0].listed;
+    assert_eq!(
+        (&*host.0, *weight, *zone),
+        ("s-00c41f7a", 4.5, Some(ZoneId(0)))
+    );
+    assert_eq!(
+        (*cell, *role, *health),
+        (CellId(2), Role::Parent, Health::Draining)
+    );
     assert_eq!(*started, Some(Time::at_ms(1764576000123.0)));
     assert_eq!(hosts[0].address.to_string(), "127.1.0.9:5050");
-    assert!(matches!(purge, Event::Purged { object: Some(ObjectId(0x7f3a9c21e0b4d655)), .. }));
-    assert!(matches!(group, Event::Purged { object: None, group: GroupId(17), .. }));
+    assert!(matches!(
+        purge,
+        Event::Purged {
+            object: Some(ObjectId(0x7f3a9c21e0b4d655)),
+            ..
+        }
+    ));
+    assert!(matches!(
+        group,
+        Event::Purged {
+            object: None,
+            group: GroupId(17),
+            ..
+        }
+    ));
 }
 
 #[test]
 fn what_is_no_frame_is_refused() {
     let long = [&(FRAME_MOST as u32 + 1).to_be_bytes()[..], &[0; 9]].concat();
-    let bad =
-        [frame(1, 9, &[]), frame(1, 2, &row(3)), frame(1, 1, &row(0)[1..]), frame(1, 3, &[0; 15]), long];
+    let bad = [
+        frame(1, 9, &[]),
+        frame(1, 2, &row(3)),
+        frame(1, 1, &row(0)[1..]),
+        frame(1, 3, &[0; 15]),
+        long,
+    ];
     for bytes in bad.into_iter().chain([vec![0, 0, 0, 8]]) {
-        assert!(parse(&mut BytesMut::from(&bytes[..]), &names()).is_err(), "{bytes:?}");
+        assert!(
+            parse(&mut BytesMut::from(&bytes[..]), &names()).is_err(),
+            "{bytes:?}"
+        );
     }
 }
 
@@ -67,9 +131,24 @@
     let value: Value = serde_json::from_str(text).unwrap();
     let (last, events) = known(&Fields::of(&value, "known").unwrap(), &names()).unwrap();
     assert_eq!(last, 43);
-    let (41, Event::Hosts(ListKind::Full, hosts)) = &events[0] else { panic!("{events:?}") };
+    let (41, Event::Hosts(ListKind::Full, hosts)) = &events[0] else {
+        panic!("{events:?}")
+    };
     let same = record(&row(1), &names()).unwrap();
     assert_eq!(format!("{:?}", hosts[0]), format!("{same:?}"));
-    assert!(matches!(events[1].1, Event::Purged { object: Some(ObjectId(0x7f3a9c21e0b4d655)), .. }));
-    assert!(matches!(events[2].1, Event::Purged { object: None, group: GroupId(17), .. }));
+    assert!(matches!(
+        events[1].1,
+        Event::Purged {
+            object: Some(ObjectId(0x7f3a9c21e0b4d655)),
+            ..
+        }
+    ));
+    assert!(matches!(
+        events[2].1,
+        Event::Purged {
+            object: None,
+            group: GroupId(17),
+            ..
+        }
+    ));
 }
