--- a/crates/flaxdeck-wire/tests/lines.rs
+++ b/crates/flaxdeck-wire/tests/lines.rs
@@ -39,14 +39,28 @@
         only_held: true,
         renew: true,
     };
-    let line = want(&Asked { holds: Some("tag".into()), body: "ab".into(), ..asked() }, &wish).concat();
-    let fields = "class=page,key=7f3a9c21e0b4d655,part=3,wait=1,fetch=s-00009a01,retain=2,newer=1500,";
-    let whole = format!("want 9b1f03aa5c7e2d41 {fields}handle=merge+local+revalidate,holds=tag 2\r\nab\r\n");
+    let line = want(
+        &Asked {
+            holds: Some("tag".into()),
+            body: "ab".into(),
+            ..asked()
+        },
+        &wish,
+    )
+    .concat();
+    let fields =
+        "class=page,key=7f3a9c21e0b4d655,part=3,wait=1,fetch=s-00009a01,retain=2,newer=1500,";
+    let whole = format!(
+        "want 9b1f03aa5c7e2d41 {fields}handle=merge+local+revalidate,holds=tag 2\r\nab\r\n"
+    );
     assert_eq!(line, whole.as_bytes());
     (wish.source, wish.keep, wish.oldest) = (None, 0, None);
     (wish.join, wish.only_held, wish.renew) = (false, false, false);
     let line = want(&asked(), &wish).concat();
-    assert_eq!(line, b"want 9b1f03aa5c7e2d41 class=page,key=7f3a9c21e0b4d655,part=3,wait=1 0\r\n\r\n");
+    assert_eq!(
+        line,
+        b"want 9b1f03aa5c7e2d41 class=page,key=7f3a9c21e0b4d655,part=3,wait=1 0\r\n\r\n"
+    );
 }
 
 #[test]
@@ -60,15 +74,29 @@
     }
     buffer.put_slice(b"fence well - 0\r\n\r\n");
     buffer.put_slice(b"fence well\r\n");
-    let Ok(Parsed::Whole(line)) = parse(&mut buffer, &names()) else { panic!("it is whole") };
+    let Ok(Parsed::Whole(line)) = parse(&mut buffer, &names()) else {
+        panic!("it is whole")
+    };
     assert_eq!(line.id.as_deref(), Some(&b"9b1f03aa5c7e2d41"[..]));
     let outcome = line.outcome;
-    assert_eq!((outcome.ending, outcome.told), (Ending::Answered, Told::FilledThroughOrigin));
+    assert_eq!(
+        (outcome.ending, outcome.told),
+        (Ending::Answered, Told::FilledThroughOrigin)
+    );
     assert_eq!(&outcome.body[..], b"a\r\nbc");
-    assert_eq!((outcome.waited, outcome.report.link), (Some(Span::of_ms(85.8)), Some(1.25)));
-    assert_eq!((outcome.report.in_hand, outcome.unchanged), (Some(7.0), false));
+    assert_eq!(
+        (outcome.waited, outcome.report.link),
+        (Some(Span::of_ms(85.8)), Some(1.25))
+    );
+    assert_eq!(
+        (outcome.report.in_hand, outcome.unchanged),
+        (Some(7.0), false)
+    );
     for _ in 0..2 {
-        assert!(matches!(parse(&mut buffer, &names()), Ok(Parsed::Whole(Line { id: None, .. }))));
+        assert!(matches!(
+            parse(&mut buffer, &names()),
+            Ok(Parsed::Whole(Line { id: None, .. }))
+        ));
     }
     assert!(buffer.is_empty());
 }
@@ -79,13 +107,28 @@
         ("data", "hit", Ending::Answered, Told::Held),
         ("unchanged", "stale", Ending::Answered, Told::Aged),
         ("absent", "joined", Ending::NoCopy, Told::Joined),
-        ("full", "src_refused", Ending::TurnedAway, Told::SourceRefused),
-        ("failed", "origin_failed", Ending::Errored, Told::OriginFailed),
+        (
+            "full",
+            "src_refused",
+            Ending::TurnedAway,
+            Told::SourceRefused,
+        ),
+        (
+            "failed",
+            "origin_failed",
+            Ending::Errored,
+            Told::OriginFailed,
+        ),
         ("moot", "what is new", Ending::NotSent, Told::Nothing),
     ];
     for (word, note, ending, told) in rows {
-        let mut buffer = BytesMut::from(&*format!("1 {word} how={} 0\r\n\r\n", note.replace(' ', "_")));
-        let Ok(Parsed::Whole(line)) = parse(&mut buffer, &names()) else { panic!("{word} is whole") };
+        let mut buffer = BytesMut::from(&*format!(
+            "1 {word} how={} 0\r\n\r\n",
+            note.replace(' ', "_")
+        ));
+        let Ok(Parsed::Whole(line)) = parse(&mut buffer, &names()) else {
+            panic!("{word} is whole")
+        };
         assert_eq!((line.outcome.ending, line.outcome.told), (ending, told));
         assert_eq!(line.outcome.unchanged, word == "unchanged");
     }
@@ -95,12 +138,20 @@
 fn a_copy_is_the_clients_own_only_if_its_tag_is_named() {
     let read = |fields: &str, holds: Option<&'static str>| {
         let mut buffer = BytesMut::from(&*format!("1 unchanged {fields} 0\r\n\r\n"));
-        let Ok(Parsed::Whole(line)) = parse(&mut buffer, &names()) else { panic!("it is whole") };
-        line.outcome.is_of_another_copy(&Asked { holds: holds.map(Bytes::from), ..asked() })
+        let Ok(Parsed::Whole(line)) = parse(&mut buffer, &names()) else {
+            panic!("it is whole")
+        };
+        line.outcome.is_of_another_copy(&Asked {
+            holds: holds.map(Bytes::from),
+            ..asked()
+        })
     };
     assert!(!read("version=4be0,how=hit", Some("4be0")));
-    for (fields, holds) in [("version=4be1", Some("4be0")), ("how=hit", Some("4be0")), ("version=4be0", None)]
-    {
+    for (fields, holds) in [
+        ("version=4be1", Some("4be0")),
+        ("how=hit", Some("4be0")),
+        ("version=4be0", None),
+    ] {
         assert!(read(fields, holds), "{fields}");
     }
     assert!(read("how=hit", None));
@@ -109,9 +160,28 @@
 #[test]
 fn what_is_no_answer_is_refused() {
     let long = "x".repeat(HEAD_MOST + 2);
-    let bad = ["1 what - 0\r\n", "1 data - x\r\n", "1 data - 240001\r\n", "1 data 3\r\n", "\r\n", &long];
-    for bytes in bad.into_iter().chain(["1 data novalue 0\r\n\r\n", "1 data - 1\r\nab\r\n"]) {
-        assert!(parse(&mut BytesMut::from(bytes), &names()).is_err(), "{bytes}");
+    let bad = [
+        "1 what - 0\r\n",
+        "1 data - x\r\n",
+        "1 data - 240001\r\n",
+        "1 data 3\r\n",
+        "\r\n",
+        &long,
+    ];
+    for bytes in bad
+        .into_iter()
+        .chain(["1 data novalue 0\r\n\r\n", "1 data - 1\r\nab\r\n"])
+    {
+        assert!(
+            parse(&mut BytesMut::from(bytes), &names()).is_err(),
+            "{bytes}"
+        );
     }
-    assert!(parse(&mut BytesMut::from(&b"\xff\xfe data - 0\r\n\r\n"[..]), &names()).is_err());
+    assert!(
+        parse(
+            &mut BytesMut::from(&b"\xff\xfe data - 0\r\n\r\n"[..]),
+            &names()
+        )
+        .is_err()
+    );
 }
--- a/crates/flaxdeck-wire/tests/msgpack.rs
+++ b/crates/flaxdeck-wire/tests/msgpack.rs
@@ -24,17 +24,32 @@
         assert_eq!(reader.skip(100), Ok(()), "{value:x?}");
         assert_eq!(reader.at, value.len());
         for cut in 0..value.len() {
-            assert!(matches!(Reader::new(&value[..cut]).skip(100), Err(Stop::Short(_))), "{value:x?}");
+            assert!(
+                matches!(Reader::new(&value[..cut]).skip(100), Err(Stop::Short(_))),
+                "{value:x?}"
+            );
         }
     }
 }
 
 #[test]
 fn what_is_too_long_or_too_deep_is_refused_before_it_comes() {
-    assert_eq!(Reader::new(&[0xc6, 0xff, 0xff, 0xff, 0xff]).binary(100), Err(Stop::Bad("too long")));
-    assert_eq!(Reader::new(&[0xdb, 0, 1, 0, 0]).text(100), Err(Stop::Bad("too long")));
-    assert_eq!(Reader::new(&[0x91; 20]).skip(100), Err(Stop::Bad("nested too deep")));
-    assert_eq!(Reader::new(&[0xc1]).skip(100), Err(Stop::Bad("no such type")));
+    assert_eq!(
+        Reader::new(&[0xc6, 0xff, 0xff, 0xff, 0xff]).binary(100),
+        Err(Stop::Bad("too long"))
+    );
+    assert_eq!(
+        Reader::new(&[0xdb, 0, 1, 0, 0]).text(100),
+        Err(Stop::Bad("too long"))
+    );
+    assert_eq!(
+        Reader::new(&[0x91; 20]).skip(100),
+        Err(Stop::Bad("nested too deep"))
+    );
+    assert_eq!(
+        Reader::new(&[0xc1]).skip(100),
+        Err(Stop::Bad("no such type"))
+    );
 }
 
 #[test]
--- a/crates/flaxdeck-wire/tests/names/mod.rs
+++ b/crates/flaxdeck-wire/tests/names/mod.rs
@@ -7,6 +7,9 @@
 pub fn names() -> Names {
     let config = include_str!("../../../../examples/toy/config.json");
     let value: serde_json::Value = serde_json::from_str(config).unwrap();
-    let settings = Fields::of(&value, "the whole").unwrap().inner("settings").unwrap();
+    let settings = Fields::of(&value, "the whole")
+        .unwrap()
+        .inner("settings")
+        .unwrap();
     flaxdeck_terms::read(&settings).unwrap().1
 }
--- a/crates/flaxdeck-wire/tests/rpc.rs
+++ b/crates/flaxdeck-wire/tests/rpc.rs
@@ -49,7 +49,10 @@
         body: "a form".into(),
     };
     for _ in 0..2 {
-        let whole = Parsed::Whole(Said::Request { call: 7, asked: Box::new(asked.clone()) });
+        let whole = Parsed::Whole(Said::Request {
+            call: 7,
+            asked: Box::new(asked.clone()),
+        });
         let before = buffer.len();
         assert_eq!(parse(&mut buffer, &names()), Ok(whole));
         assert_eq!(before - buffer.len(), message.len());
@@ -74,7 +77,10 @@
 #[test]
 fn a_body_over_the_bound_is_an_invalid_request_and_one_far_over_it_is_refused_before_it_comes() {
     let message = request_message(7, "submit", &FIELDS, &[0; WRITE_MOST + 1]);
-    let said = Said::Invalid { call: 7, why: "too long" };
+    let said = Said::Invalid {
+        call: 7,
+        why: "too long",
+    };
     let mut buffer = BytesMut::from(&message[..]);
     assert_eq!(parse(&mut buffer, &names()), Ok(Parsed::Whole(said)));
     assert!(buffer.is_empty(), "all its bytes are taken");
@@ -85,10 +91,19 @@
 #[test]
 fn answers_are_written_as_the_page_shows_them() {
     let bytes = |answered| answer(7, answered).concat();
-    assert_eq!(bytes(Answer::Served("ab".into())), b"\x94\x01\x07\xc0\x92\xc4\x02ab\x80");
-    assert_eq!(bytes(Answer::Unchanged), b"\x94\x01\x07\xc0\x92\xc4\x00\x81\xa7current\xa11");
+    assert_eq!(
+        bytes(Answer::Served("ab".into())),
+        b"\x94\x01\x07\xc0\x92\xc4\x02ab\x80"
+    );
+    assert_eq!(
+        bytes(Answer::Unchanged),
+        b"\x94\x01\x07\xc0\x92\xc4\x00\x81\xa7current\xa11"
+    );
     let after = Some(Span::of_ms(299.5));
-    assert_eq!(bytes(Answer::Rejected(after)), b"\x94\x01\x07\x92\xa7Backoff\x81\xa5after\xa3300\xc0");
+    assert_eq!(
+        bytes(Answer::Rejected(after)),
+        b"\x94\x01\x07\x92\xa7Backoff\x81\xa5after\xa3300\xc0"
+    );
     assert_eq!(bytes(Answer::Failed), b"\x94\x01\x07\x92\xa4Lost\x80\xc0");
     assert_eq!(&alive(8)[..], b"\x94\x01\x08\xc0\x92\xc3\x80");
 }
--- a/crates/flaxdeck-wire/tests/whole_list.rs
+++ b/crates/flaxdeck-wire/tests/whole_list.rs
@@ -9,8 +9,19 @@
 fn endpoint(n: u32, role: Role, health: Health, zone: Option<ZoneId>) -> AddressedEndpoint {
     let started = (n > 0).then(|| Time::at_ms(1_764_576_000_123.0));
     let (host, cell) = (HostId(format!("s-{n:08x}").into()), CellId(u64::from(n)));
-    let listed = Endpoint { host, weight: 4.5, zone, cell, role, health, started };
-    AddressedEndpoint { listed, address: format!("127.1.0.9:{}", 5050 + n).parse().unwrap() }
+    let listed = Endpoint {
+        host,
+        weight: 4.5,
+        zone,
+        cell,
+        role,
+        health,
+        started,
+    };
+    AddressedEndpoint {
+        listed,
+        address: format!("127.1.0.9:{}", 5050 + n).parse().unwrap(),
+    }
 }
 
 #[test]
--- a/examples/toy/src/client.rs
+++ b/examples/toy/src/client.rs
@@ -11,9 +11,19 @@
 /// An answer with the number of what it answers.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
-    Served { call: u32, body: Vec<u8>, fields: BTreeMap<String, String> },
-    Error { call: u32, word: String, fields: BTreeMap<String, String> },
-    Alive { call: u32 },
+    Served {
+        call: u32,
+        body: Vec<u8>,
+        fields: BTreeMap<String, String>,
+    },
+    Error {
+        call: u32,
+        word: String,
+        fields: BTreeMap<String, String>,
+    },
+    Alive {
+        call: u32,
+    },
 }
 
 pub struct Client {
@@ -26,14 +36,30 @@
 }
 
 fn map(fields: &[(&str, &str)]) -> Vec<u8> {
-    let pairs = fields.iter().flat_map(|(name, value)| [text(name), text(value)].concat());
-    [0x80 | fields.len() as u8].into_iter().chain(pairs).collect()
+    let pairs = fields
+        .iter()
+        .flat_map(|(name, value)| [text(name), text(value)].concat());
+    [0x80 | fields.len() as u8]
+        .into_iter()
+        .chain(pairs)
+        .collect()
 }
 
 /// The bytes of a request; a test may send them in pieces of its own.
 pub fn request_message(call: u32, class: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-    let head = [&[0x94, 0, 0xce][..], &call.to_be_bytes(), &text(class), &[0x92], &map(fields)].concat();
-    [head, [&[0xc6][..], &(body.len() as u32).to_be_bytes(), body].concat()].concat()
+    let head = [
+        &[0x94, 0, 0xce][..],
+        &call.to_be_bytes(),
+        &text(class),
+        &[0x92],
+        &map(fields),
+    ]
+    .concat();
+    [
+        head,
+        [&[0xc6][..], &(body.len() as u32).to_be_bytes(), body].concat(),
+    ]
+    .concat()
 }
 
 impl Client {
@@ -54,20 +80,38 @@
 
     /// The id of a request by its call: new with each, also beside other clients of this machine.
     pub fn id(&self, call: u32) -> String {
-        format!("{:08x}{call:08x}", self.stream.local_addr().map_or(0, |own| own.port()))
+        format!(
+            "{:08x}{call:08x}",
+            self.stream.local_addr().map_or(0, |own| own.port())
+        )
     }
 
     /// Asks for part 0 of an object; gives the number of the call.
     /// The same connection once more, for a thread that reads beside one that writes.
     pub fn again(&self) -> io::Result<Client> {
-        Ok(Client { stream: self.stream.try_clone()?, next: self.next })
-    }
-
-    pub fn request(&mut self, class: &str, key: &str, wait_ms: u64, body: &[u8]) -> io::Result<u32> {
+        Ok(Client {
+            stream: self.stream.try_clone()?,
+            next: self.next,
+        })
+    }
+
+    pub fn request(
+        &mut self,
+        class: &str,
+        key: &str,
+        wait_ms: u64,
+        body: &[u8],
+    ) -> io::Result<u32> {
         let (call, wait) = (self.next, wait_ms.to_string());
         let id = self.id(call);
-        let fields =
-            [("id", &*id), ("wait", &wait), ("key", key), ("slice", "0"), ("set", "7"), ("kb", "50")];
+        let fields = [
+            ("id", &*id),
+            ("wait", &wait),
+            ("key", key),
+            ("slice", "0"),
+            ("set", "7"),
+            ("kb", "50"),
+        ];
         self.next += 1;
         self.send(&request_message(call, class, &fields, body))?;
         Ok(call)
@@ -81,7 +125,15 @@
     pub fn alive(&mut self) -> io::Result<u32> {
         let call = self.next;
         self.next += 1;
-        self.send(&[&[0x94, 0, 0xce][..], &call.to_be_bytes(), &text("alive"), &[0x91, 0x80]].concat())?;
+        self.send(
+            &[
+                &[0x94, 0, 0xce][..],
+                &call.to_be_bytes(),
+                &text("alive"),
+                &[0x91, 0x80],
+            ]
+            .concat(),
+        )?;
         Ok(call)
     }
 
@@ -101,7 +153,11 @@
                 0xc3 => self.fields().map(|_| Answer::Alive { call }),
                 head => {
                     let body = self.binary(head)?;
-                    Ok(Answer::Served { call, body, fields: self.fields()? })
+                    Ok(Answer::Served {
+                        call,
+                        body,
+                        fields: self.fields()?,
+                    })
                 }
             };
         }
@@ -126,9 +182,13 @@
 
     /// Whether nothing comes for so long.
     pub fn quiet_for(&mut self, time: Duration) -> bool {
-        self.stream.set_read_timeout(Some(time)).expect("a time-out that is not zero");
+        self.stream
+            .set_read_timeout(Some(time))
+            .expect("a time-out that is not zero");
         let quiet = matches!(self.stream.peek(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock);
-        self.stream.set_read_timeout(Some(PATIENCE)).expect("a time-out that is not zero");
+        self.stream
+            .set_read_timeout(Some(PATIENCE))
+            .expect("a time-out that is not zero");
         quiet
     }
 
@@ -142,7 +202,10 @@
     }
 
     fn big_endian(&mut self, count: usize) -> io::Result<usize> {
-        Ok(self.take(count)?.iter().fold(0, |sum, byte| sum << 8 | usize::from(*byte)))
+        Ok(self
+            .take(count)?
+            .iter()
+            .fold(0, |sum, byte| sum << 8 | usize::from(*byte)))
     }
 
     fn array(&mut self) -> io::Result<usize> {
@@ -168,11 +231,14 @@
             0xd9 => self.big_endian(1)?,
             head => usize::from(head & 0x1f),
         };
-        String::from_utf8(self.take(length)?).map_err(|error| io::Error::new(ErrorKind::InvalidData, error))
+        String::from_utf8(self.take(length)?)
+            .map_err(|error| io::Error::new(ErrorKind::InvalidData, error))
     }
 
     fn fields(&mut self) -> io::Result<BTreeMap<String, String>> {
         let count = self.array()?;
-        (0..count).map(|_| Ok((self.text()?, self.text()?))).collect()
+        (0..count)
+            .map(|_| Ok((self.text()?, self.text()?)))
+            .collect()
     }
 }
--- a/examples/toy/src/coordinator.rs
+++ b/examples/toy/src/coordinator.rs
@@ -59,11 +59,20 @@
                 });
             }
         });
-        Ok(Coordinator { address, told, next: known + 1 })
+        Ok(Coordinator {
+            address,
+            told,
+            next: known + 1,
+        })
     }
 
     fn tell(&mut self, kind: u8, payload: Vec<u8>) {
-        self.told.0.lock().expect("no holder panics").events.push((self.next, kind, payload));
+        self.told
+            .0
+            .lock()
+            .expect("no holder panics")
+            .events
+            .push((self.next, kind, payload));
         self.next += 1;
         self.told.1.notify_all();
     }
@@ -113,8 +122,11 @@
     }
 
     fn line(&mut self, host: &Host, [state, zone, kind]: [u8; 3], places: f64, born_unix_ms: u64) {
-        let id = u32::from_str_radix(host.id.trim_start_matches("s-"), 16).expect("an id is s- and hex");
-        let SocketAddr::V4(address) = host.address else { panic!("hosts have IPv4 addresses") };
+        let id =
+            u32::from_str_radix(host.id.trim_start_matches("s-"), 16).expect("an id is s- and hex");
+        let SocketAddr::V4(address) = host.address else {
+            panic!("hosts have IPv4 addresses")
+        };
         let mut record = id.to_be_bytes().to_vec();
         record.extend(address.ip().octets());
         record.extend(address.port().to_be_bytes());
@@ -148,7 +160,9 @@
                     && told.events.last().is_none_or(|event| event.0 <= last)
             };
             let held = lock.lock().expect("no holder panics");
-            let (held, _) = stir.wait_timeout_while(held, QUIET, nothing).expect("no holder panics");
+            let (held, _) = stir
+                .wait_timeout_while(held, QUIET, nothing)
+                .expect("no holder panics");
             if held.hung_up != hung_up {
                 return Ok(());
             }
@@ -164,7 +178,11 @@
                 drop(held);
                 return stream.read_exact(&mut [0]); // until the other side has had enough
             }
-            held.events.iter().filter(|event| event.0 > last).cloned().collect()
+            held.events
+                .iter()
+                .filter(|event| event.0 > last)
+                .cloned()
+                .collect()
         };
         if news.is_empty() {
             stream.write_all(&frame(last, 0, &[]))?;
@@ -180,7 +198,9 @@
 fn answers(lock: &Mutex<Told>) -> bool {
     let takes = {
         let mut told = lock.lock().expect("no holder panics");
-        let Some((at_once, takes)) = told.few else { return true };
+        let Some((at_once, takes)) = told.few else {
+            return true;
+        };
         if told.calls >= at_once {
             return false;
         }
@@ -194,5 +214,11 @@
 
 fn frame(number: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
     let length = (9 + payload.len()) as u32;
-    [&length.to_be_bytes()[..], &number.to_be_bytes(), &[kind], payload].concat()
+    [
+        &length.to_be_bytes()[..],
+        &number.to_be_bytes(),
+        &[kind],
+        payload,
+    ]
+    .concat()
 }
--- a/examples/toy/src/host.rs
+++ b/examples/toy/src/host.rs
@@ -53,7 +53,11 @@
     /// Starts a host; port 0 lets the system choose.
     pub fn start(id: &str, address: &str) -> io::Result<Host> {
         let listener = TcpListener::bind(address)?;
-        let host = Host { id: id.into(), address: listener.local_addr()?, inside: Arc::default() };
+        let host = Host {
+            id: id.into(),
+            address: listener.local_addr()?,
+            inside: Arc::default(),
+        };
         let serving = host.clone();
         spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -80,14 +84,22 @@
     /// The lines that start with that word, in their order.
     pub fn heard(&self, word: &str) -> Vec<(String, Vec<u8>)> {
         let inside = self.lock();
-        let heard = inside.heard.iter().filter(|(_, line, _)| line.split(' ').next() == Some(word));
-        heard.map(|(_, line, body)| (line.clone(), body.clone())).collect()
+        let heard = inside
+            .heard
+            .iter()
+            .filter(|(_, line, _)| line.split(' ').next() == Some(word));
+        heard
+            .map(|(_, line, body)| (line.clone(), body.clone()))
+            .collect()
     }
 
     /// The same lines with when they came.
     pub fn arrivals(&self, word: &str) -> Vec<(Instant, String)> {
         let inside = self.lock();
-        let heard = inside.heard.iter().filter(|(_, line, _)| line.split(' ').next() == Some(word));
+        let heard = inside
+            .heard
+            .iter()
+            .filter(|(_, line, _)| line.split(' ').next() == Some(word));
         heard.map(|(at, line, _)| (*at, line.clone())).collect()
     }
 
@@ -95,7 +107,10 @@
     pub fn kill(&self) {
         self.lock().down = true;
         while TcpStream::connect(self.address).is_ok() {} // lets the listener end
-        self.lock().open.drain(..).for_each(|stream| drop(stream.shutdown(std::net::Shutdown::Both)));
+        self.lock()
+            .open
+            .drain(..)
+            .for_each(|stream| drop(stream.shutdown(std::net::Shutdown::Both)));
     }
 
     fn serve(&self, stream: TcpStream) -> io::Result<()> {
@@ -112,7 +127,14 @@
             let words: Vec<&str> = line.split(' ').collect();
             let mut body = Vec::new();
             if words[0] == "want" {
-                body.resize(words.last().and_then(|length| length.parse().ok()).unwrap_or(0) + 2, 0);
+                body.resize(
+                    words
+                        .last()
+                        .and_then(|length| length.parse().ok())
+                        .unwrap_or(0)
+                        + 2,
+                    0,
+                );
                 input.read_exact(&mut body)?;
                 body.truncate(body.len() - 2);
             }
@@ -120,7 +142,9 @@
             if wants > 1 && self.lock().manner == Some(Manner::Once) {
                 return output.shutdown(std::net::Shutdown::Both);
             }
-            self.lock().heard.push((Instant::now(), line.clone(), body.clone()));
+            self.lock()
+                .heard
+                .push((Instant::now(), line.clone(), body.clone()));
             match words[..] {
                 ["want", id, fields, _] => {
                     let goes_on = self.answer(&mut output, id, fields, &body)?;
@@ -136,16 +160,41 @@
         }
     }
 
-    fn answer(&self, output: &mut TcpStream, id: &str, fields: &str, sent: &[u8]) -> io::Result<bool> {
-        let field = |name: &str| fields.split(',').filter_map(|f| f.split_once('=')).find(|f| f.0 == name);
+    fn answer(
+        &self,
+        output: &mut TcpStream,
+        id: &str,
+        fields: &str,
+        sent: &[u8],
+    ) -> io::Result<bool> {
+        let field = |name: &str| {
+            fields
+                .split(',')
+                .filter_map(|f| f.split_once('='))
+                .find(|f| f.0 == name)
+        };
         let value = |name: &str| field(name).map_or("", |(_, value)| value);
         let object = format!("{}.{}", value("key"), value("part"));
         let manner = self.lock().manner.unwrap_or(Manner::Serve);
-        let body = if sent.is_empty() { body_of(&object) } else { sent.to_vec() };
+        let body = if sent.is_empty() {
+            body_of(&object)
+        } else {
+            sent.to_vec()
+        };
         let held = !self.lock().held.insert(object.clone()) || value("fetch").is_empty();
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
-        let note = if held { "how=hit" } else { "how=filled,took=1.5" };
-        let told = format!("version=v{},stamp={unix},{note},stats=outstanding:1;x0:0.5;x1:0.1", value("key"));
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_millis();
+        let note = if held {
+            "how=hit"
+        } else {
+            "how=filled,took=1.5"
+        };
+        let told = format!(
+            "version=v{},stamp={unix},{note},stats=outstanding:1;x0:0.5;x1:0.1",
+            value("key")
+        );
         let mut say = |word: &str, told: &str, body: &[u8], id: &str| {
             let head = format!("{id} {word} {told} {}\r\n", body.len());
             output.write_all(&[head.as_bytes(), body, b"\r\n"].concat())
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -77,7 +77,9 @@
     /// The least part of its capacity that a host started then has at a time.
     fn part(&self, started: Option<Time>, at: Time) -> f64 {
         let risen = |started| at.since(started).ms() / self.within.ms().max(1.0);
-        started.map_or(1.0, |started| (self.from + (1.0 - self.from) * risen(started)).min(1.0))
+        started.map_or(1.0, |started| {
+            (self.from + (1.0 - self.from) * risen(started)).min(1.0)
+        })
     }
 }
 
@@ -90,7 +92,11 @@
 
 impl Kind {
     fn new(of: RequestClass) -> Kind {
-        Kind { mean_work: of.objective.ms() / (1.0 + of.stretch), samples: 0.0, of }
+        Kind {
+            mean_work: of.objective.ms() / (1.0 + of.stretch),
+            samples: 0.0,
+            of,
+        }
     }
     fn learn(&mut self, work: f64) {
         self.samples = (self.samples + 1.0).min(SETTLED);
@@ -98,10 +104,16 @@
     }
     /// What a request weighs against a cold cache: the mean, or more until that is known.
     fn cost(&self, work: f64) -> f64 {
-        if self.samples < SETTLED { self.mean_work.max(work) } else { self.mean_work }
+        if self.samples < SETTLED {
+            self.mean_work.max(work)
+        } else {
+            self.mean_work
+        }
     }
     fn large(&self, request: &Request) -> bool {
-        request.size_kb.is_some_and(|kb| self.of.parted || kb >= LARGE_KB)
+        request
+            .size_kb
+            .is_some_and(|kb| self.of.parted || kb >= LARGE_KB)
     }
 }
 
@@ -109,7 +121,17 @@
     fn new(line: Endpoint, now: Time) -> Host {
         let hash = mix(of_name(&line.host.0, 0));
         let (reputation, next_trial, window, slow) = (1.0, now + TRIAL, WINDOW, (1.0, now));
-        Host { line, hash, reputation, next_trial, window, reach: 1.0, slow, heard: now, ..Host::default() }
+        Host {
+            line,
+            hash,
+            reputation,
+            next_trial,
+            window,
+            reach: 1.0,
+            slow,
+            heard: now,
+            ..Host::default()
+        }
     }
     fn is(&self, role: Role) -> bool {
         self.line.role == role
@@ -119,17 +141,27 @@
     }
     fn praise(&mut self, now: Time, out: &Out) {
         (self.heard, self.mute, self.good) = (now, 0, Some(now));
-        self.widen(now < out.sent + out.overdue.since(out.sent) * SLOW[usize::from(self.is(Role::Origin))]);
+        self.widen(
+            now < out.sent + out.overdue.since(out.sent) * SLOW[usize::from(self.is(Role::Origin))],
+        );
         self.reputation += STEP * (1.0 - self.reputation) + f64::EPSILON; // rounds no trial below the floor
     }
     // Guards against a source that all dispatchers lean on when others fail: it slows, then stops.
     fn widen(&mut self, well: bool) {
-        self.window = if well { self.window + 1.0 } else { (self.window * NARROWED).max(1.0) };
+        self.window = if well {
+            self.window + 1.0
+        } else {
+            (self.window * NARROWED).max(1.0)
+        };
     }
     // Guards against what parents pass on to a slow origin: nobody sees the sum, each sees the wait.
     fn reach(&mut self, prompt: bool) {
         let step = 1.0 / WINDOW; // as its window goes
-        self.reach = if prompt { (self.reach + step).min(1.0) } else { (self.reach * NARROWED).max(step) };
+        self.reach = if prompt {
+            (self.reach + step).min(1.0)
+        } else {
+            (self.reach * NARROWED).max(step)
+        };
     }
     // How much longer its hits take; what is left alone for that gets better by and by, to be tried again.
     fn pace(&self, now: Time) -> f64 {
@@ -140,7 +172,10 @@
         self.slow = (pace + PACE_WEIGHT * (ratio.clamp(1.0, ADMIT) - pace), now);
     }
     fn report(&mut self, now: Time, told: LoadReport) {
-        self.others = told.in_hand.map(|requests| ((requests - self.in_hand).max(0.0), now)).or(self.others);
+        self.others = told
+            .in_hand
+            .map(|requests| ((requests - self.in_hand).max(0.0), now))
+            .or(self.others);
         self.busy = told.busy.map(|busy| (busy, now)).or(self.busy);
     }
     fn has_room(&self) -> bool {
@@ -179,7 +214,8 @@
 /// What the shared hash draws for an object's part at a host, 0 to 1; the higher, the more it belongs there.
 // Guards against one cache being leant on for all parts of an object that is much asked for.
 fn draw(host: &Host, request: &Request) -> f64 {
-    ((mix(mix(request.object.0 ^ mix(request.part)) ^ host.hash) >> 11) as f64 + 1.0) / (1u64 << 53) as f64
+    ((mix(mix(request.object.0 ^ mix(request.part)) ^ host.hash) >> 11) as f64 + 1.0)
+        / (1u64 << 53) as f64
 }
 
 /// How much of the load at which objects move a host may have until this one does.
@@ -190,21 +226,62 @@
 impl Brain {
     /// A new instance; the seed is its only source of chance.
     pub fn start(now: Time, seed: u64, mut terms: Terms) -> (Brain, Decisions) {
-        let mates = terms.zone_dispatchers.get(terms.zone.0).map_or(1.0, |count| f64::from(*count).max(1.0));
+        let mates = terms
+            .zone_dispatchers
+            .get(terms.zone.0)
+            .map_or(1.0, |count| f64::from(*count).max(1.0));
         let ramp = |from, within, factor: f64, dispatchers: f64| {
             let whole = (factor * COLD_USE).min(COLD_MOST);
-            Ramp { from, within, window: terms.fall_window, whole, share: whole / dispatchers.max(1.0) }
+            Ramp {
+                from,
+                within,
+                window: terms.fall_window,
+                whole,
+                share: whole / dispatchers.max(1.0),
+            }
         };
         let (all, factor) = (f64::from(terms.dispatchers), terms.parent_overload_factor);
-        let caches = ramp(terms.cold_from, terms.warm_within, terms.overload_factor, mates);
-        let ramps = [caches, ramp(terms.parent_cold_from, terms.parent_warm_within, factor, all)];
-        let kinds = std::mem::take(&mut terms.classes).into_iter().map(Kind::new).collect();
-        let retry_after = terms.may_name_return.then(|| RETRY_AFTER.min(terms.longest_return));
-        let (early, chance, ends) = (terms.tick * TICKS_EARLY, Pcg64Mcg::seed_from_u64(seed), Time::NEVER);
-        let next_look = if terms.may_look { now + LOOK } else { Time::NEVER };
+        let caches = ramp(
+            terms.cold_from,
+            terms.warm_within,
+            terms.overload_factor,
+            mates,
+        );
+        let ramps = [
+            caches,
+            ramp(
+                terms.parent_cold_from,
+                terms.parent_warm_within,
+                factor,
+                all,
+            ),
+        ];
+        let kinds = std::mem::take(&mut terms.classes)
+            .into_iter()
+            .map(Kind::new)
+            .collect();
+        let retry_after = terms
+            .may_name_return
+            .then(|| RETRY_AFTER.min(terms.longest_return));
+        let (early, chance, ends) = (
+            terms.tick * TICKS_EARLY,
+            Pcg64Mcg::seed_from_u64(seed),
+            Time::NEVER,
+        );
+        let next_look = if terms.may_look {
+            now + LOOK
+        } else {
+            Time::NEVER
+        };
         let (link, vouched, by_right, mean_work) = (None, true, 1.0, 0.0);
-        let (hosts, requests, purges, seen) = (BTreeMap::new(), BTreeMap::new(), Vec::new(), BTreeMap::new());
-        let (owed, due, agenda, wake_at) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new(), None);
+        let (hosts, requests, purges, seen) = (
+            BTreeMap::new(),
+            BTreeMap::new(),
+            Vec::new(),
+            BTreeMap::new(),
+        );
+        let (owed, due, agenda, wake_at) =
+            (BTreeMap::new(), BTreeSet::new(), BTreeSet::new(), None);
         #[rustfmt::skip]
         let mut brain = Brain {
             now, born: now, chance, kinds, zone_mates: mates, link, ramps, early, ends, retry_after, terms,
@@ -217,17 +294,31 @@
 
     /// Lines of the list of hosts; with the whole list, what it leaves out is gone.
     pub fn list(&mut self, now: Time, list_kind: ListKind, lines: Vec<Endpoint>) -> Decisions {
-        let left_out = self.hosts.values_mut().filter(|_| list_kind == ListKind::Full);
+        let left_out = self
+            .hosts
+            .values_mut()
+            .filter(|_| list_kind == ListKind::Full);
         left_out.for_each(|host| host.line.health = Health::Removed); // unless a line says otherwise
         for line in lines {
-            let known = self.hosts.entry(line.host.clone()).or_insert_with(|| Host::new(line.clone(), now));
+            let known = self
+                .hosts
+                .entry(line.host.clone())
+                .or_insert_with(|| Host::new(line.clone(), now));
             if known.line.started != line.started {
-                *known = Host { in_hand: known.in_hand, ..Host::new(line.clone(), now) }; // a new process
+                *known = Host {
+                    in_hand: known.in_hand,
+                    ..Host::new(line.clone(), now)
+                }; // a new process
             }
             known.line = line;
             // Guards against a restarted dispatcher giving a cold host its share a second time.
             if now.since(self.born) < self.ramps[0].window && known.spent.is_empty() {
-                known.spent.push((self.born, RequestId(u64::MAX), AttemptIndex(0), f64::INFINITY));
+                known.spent.push((
+                    self.born,
+                    RequestId(u64::MAX),
+                    AttemptIndex(0),
+                    f64::INFINITY,
+                ));
             }
         }
         self.agenda.extend(self.requests.keys().copied());
@@ -244,10 +335,15 @@
         let work = told.unwrap_or(kind.mean_work);
         self.mean_work += (work - self.mean_work) / kind.samples.max(1.0);
         // A client that asks again waits since its first try, so an old promise holds for its new request.
-        let owed = self.owed.remove(&(request.object, request.part)).filter(|_| request.again);
-        let objective = owed.unwrap_or(now + kind.of.objective + Span::of_ms(work * kind.of.stretch));
+        let owed = self
+            .owed
+            .remove(&(request.object, request.part))
+            .filter(|_| request.again);
+        let objective =
+            owed.unwrap_or(now + kind.of.objective + Span::of_ms(work * kind.of.stretch));
         let (id, stop) = (request.id, request.deadline - self.early);
-        let (out, tried, failed_by, attempts, pauses, ran) = (Vec::new(), Vec::new(), Vec::new(), 0, 0, None);
+        let (out, tried, failed_by, attempts, pauses, ran) =
+            (Vec::new(), Vec::new(), Vec::new(), 0, 0, None);
         let (not_before, missed, done) = (now, false, false);
         #[rustfmt::skip]
         let held = Held {
@@ -260,14 +356,23 @@
     }
 
     /// A purge of one object, or of a whole group, made at the given time.
-    pub fn purge(&mut self, now: Time, object: Option<ObjectId>, group: GroupId, made: Time) -> Decisions {
+    pub fn purge(
+        &mut self,
+        now: Time,
+        object: Option<ObjectId>,
+        group: GroupId,
+        made: Time,
+    ) -> Decisions {
         self.purges.push((object, group, made));
         self.wake(now)
     }
 
     /// The client has left; no answer is owed any more.
     pub fn client_left(&mut self, now: Time, id: RequestId) -> Decisions {
-        self.requests.get_mut(&id).into_iter().for_each(|held| held.done = true);
+        self.requests
+            .get_mut(&id)
+            .into_iter()
+            .for_each(|held| held.done = true);
         self.agenda.insert(id);
         self.wake(now)
     }
@@ -284,19 +389,36 @@
 
     /// What other dispatchers tell, each time all of it that holds. Own samples outweigh theirs of that age.
     pub fn guided(&mut self, now: Time, guided: Guided) -> Decisions {
-        (self.now, self.vouched, self.by_right) = (now, guided.vouched, guided.by_right.clamp(0.0, 1.0));
-        self.link = [self.link, guided.link].into_iter().flatten().max_by_key(|(_, at)| *at);
+        (self.now, self.vouched, self.by_right) =
+            (now, guided.vouched, guided.by_right.clamp(0.0, 1.0));
+        self.link = [self.link, guided.link]
+            .into_iter()
+            .flatten()
+            .max_by_key(|(_, at)| *at);
         self.hosts.values_mut().for_each(|host| host.share = None);
         for hint in guided.hints {
-            let Some(host) = self.hosts.get_mut(&hint.host) else { continue };
-            let told = hint.share.filter(|(started, _)| *started == host.line.started);
+            let Some(host) = self.hosts.get_mut(&hint.host) else {
+                continue;
+            };
+            let told = hint
+                .share
+                .filter(|(started, _)| *started == host.line.started);
             host.share = told.map_or(host.share, |(_, share)| Some(share.clamp(0.0, 1.0)));
             host.elsewhere = hint.others.or(host.elsewhere);
-            host.window = hint.window.map_or(host.window, |most| host.window.min(most.max(1.0)));
-            let (newer, out) = (hint.measured > host.measured[0].max(host.measured[1]), !host.usable());
+            host.window = hint
+                .window
+                .map_or(host.window, |most| host.window.min(most.max(1.0)));
+            let (newer, out) = (
+                hint.measured > host.measured[0].max(host.measured[1]),
+                !host.usable(),
+            );
             let down = hint.down > hint.good && hint.down > host.good.max(host.bad);
             // What others reach again is tried at once, and trusted by what comes of it.
-            host.next_trial = if out && hint.good > host.bad { now } else { host.next_trial };
+            host.next_trial = if out && hint.good > host.bad {
+                now
+            } else {
+                host.next_trial
+            };
             if newer {
                 host.measured[1] = hint.measured;
                 (0..2).for_each(|at| self.weigh(&hint.host, at, hint.measures[at]));
@@ -315,10 +437,24 @@
             let whole = (ramp.whole * part * host.line.weight * ramp.window.ms()).max(1.0);
             let (right, wished) = (ramp.share / ramp.whole, host.wished.take() / whole);
             let spent = spent / whole;
-            let cold = (part < 1.0 && !host.is(Role::Origin)).then_some(Used { right, spent, wished });
+            let cold = (part < 1.0 && !host.is(Role::Origin)).then_some(Used {
+                right,
+                spent,
+                wished,
+            });
             let (id, started) = (host.line.host.clone(), host.line.started);
-            let (good, bad, in_hand, measured) = (host.good, host.bad, host.in_hand, host.measured[0]);
-            Observation { host: id, started, measures: host.sampled, measured, good, bad, in_hand, cold }
+            let (good, bad, in_hand, measured) =
+                (host.good, host.bad, host.in_hand, host.measured[0]);
+            Observation {
+                host: id,
+                started,
+                measures: host.sampled,
+                measured,
+                good,
+                bad,
+                in_hand,
+                cold,
+            }
         };
         self.hosts.values().map(observation).collect()
     }
@@ -327,10 +463,20 @@
     // Guards against a connect that outlasts a grace, a window or the request: the rules bind what is sent.
     pub fn clear(&mut self, now: Time, id: RequestId, index: AttemptIndex) -> Option<Clearance> {
         self.now = now;
-        let held = self.requests.get(&id).filter(|held| !held.done && self.vouched)?;
+        let held = self
+            .requests
+            .get(&id)
+            .filter(|held| !held.done && self.vouched)?;
         let out = held.out.iter().find(|out| out.index == index)?;
-        let (kind, ids) = (&self.kinds[held.request.class.0], BTreeSet::from([&out.host, &out.source]));
-        let older = if out.source == out.host { kind.of.older } else { Span::ZERO };
+        let (kind, ids) = (
+            &self.kinds[held.request.class.0],
+            BTreeSet::from([&out.host, &out.source]),
+        );
+        let older = if out.source == out.host {
+            kind.of.older
+        } else {
+            Span::ZERO
+        };
         let oldest = self.oldest(&held.request, kind.of.fresh, older);
         let window = match (kind.of.repeats, &held.ran) {
             (Repeats::Deduplicated { remembered, .. }, Some((sent, _))) => *sent + remembered,
@@ -338,12 +484,21 @@
         };
         let sent_by = window.min(held.request.deadline) - self.early;
         for id_of in ids {
-            let host = self.hosts.get_mut(id_of).filter(|host| host.line.health == Health::InService)?;
-            let spent =
-                host.spent.iter_mut().find(|(_, request, index_of, _)| (*request, *index_of) == (id, index));
+            let host = self
+                .hosts
+                .get_mut(id_of)
+                .filter(|host| host.line.health == Health::InService)?;
+            let spent = host
+                .spent
+                .iter_mut()
+                .find(|(_, request, index_of, _)| (*request, *index_of) == (id, index));
             let counts = spent.map(|spent| spent.0 = now).is_some(); // not with a process started since
-            let (host, warm) = (&self.hosts[id_of], self.asked(&self.hosts[id_of], now).0 >= 1.0);
-            (warm || host.is(Role::Origin) || (counts && self.cold_room(host, 0.0))).then_some(())?;
+            let (host, warm) = (
+                &self.hosts[id_of],
+                self.asked(&self.hosts[id_of], now).0 >= 1.0,
+            );
+            (warm || host.is(Role::Origin) || (counts && self.cold_room(host, 0.0)))
+                .then_some(())?;
         }
         (now < sent_by).then_some(Clearance { oldest, sent_by })
     }
@@ -353,7 +508,9 @@
         self.now = now;
         let well = |origin: &Host| origin.usable() && origin.window >= WINDOW;
         let origin_well = ended.told == SourceRefused && self.origin().is_some_and(well);
-        let Some(held) = self.requests.get_mut(&ended.request) else { return self.wake(now) };
+        let Some(held) = self.requests.get_mut(&ended.request) else {
+            return self.wake(now);
+        };
         let at = held.out.iter().position(|out| out.index == ended.index);
         let Some(at) = at else { return self.wake(now) };
         let out = held.out.remove(at);
@@ -364,17 +521,25 @@
         held.ran = held.ran.take().or(ran);
         // Guards against full parents scattering their objects: one that refuses has not failed. Its request
         // goes on to the origin only while that is well; another parent would fetch the object there anew.
-        let parent = self.hosts.get(&out.source).is_some_and(|host| host.is(Role::Parent));
+        let parent = self
+            .hosts
+            .get(&out.source)
+            .is_some_and(|host| host.is(Role::Parent));
         let full = parent && ended.told == SourceRefused;
         // Guards against a full link being filled again elsewhere: what failed is moved past, nothing else.
-        if matches!(ended.told, SourceRefused | SourceUnreached | SourceLacks | OriginFailed)
-            && (!full || origin_well)
+        if matches!(
+            ended.told,
+            SourceRefused | SourceUnreached | SourceLacks | OriginFailed
+        ) && (!full || origin_well)
         {
             held.tried.push(out.source.clone());
         } else if !lacking && !full && !matches!(ended.ending, Stale | Superseded) {
             held.tried.push(out.host.clone());
         }
-        let cached = self.hosts.get(&out.host).is_none_or(|host| host.is(Role::Cache));
+        let cached = self
+            .hosts
+            .get(&out.host)
+            .is_none_or(|host| host.is(Role::Cache));
         let failed = ended.ending == Errored && ended.told == Nothing;
         held.failed_by.extend(failed.then(|| out.host.clone()));
         if lacking || !cached || matches!(ended.told, SourceRefused | OriginFailed) {
@@ -384,14 +549,24 @@
         }
         let kind = &self.kinds[held.request.class.0];
         let large = held.request.size_kb.filter(|_| kind.large(&held.request));
-        let prompt = ended.waited.is_none_or(|waited| waited <= kind.of.objective);
+        let prompt = ended
+            .waited
+            .is_none_or(|waited| waited <= kind.of.objective);
         self.agenda.insert(ended.request);
         if cached && ended.ending == Answered {
-            let (work, class, sized) = (held.work, held.request.class, held.request.size_kb.is_some());
+            let (work, class, sized) = (
+                held.work,
+                held.request.class,
+                held.request.size_kb.is_some(),
+            );
             self.time(&out, &ended, work.max(1.0), (!sized).then_some(class));
         }
         self.release(&out, &ended, cached);
-        self.hosts.get_mut(&out.source).filter(|_| full).into_iter().for_each(|parent| parent.widen(false));
+        self.hosts
+            .get_mut(&out.source)
+            .filter(|_| full)
+            .into_iter()
+            .for_each(|parent| parent.widen(false));
         if parent && ended.told == FilledThroughOrigin {
             let origin = self.hosts.values_mut().find(|host| host.is(Role::Origin));
             origin.into_iter().for_each(|origin| origin.reach(prompt));
@@ -402,17 +577,26 @@
 
     // How much longer than its sending time an answer of a cache took, and what that tells of whom.
     fn time(&mut self, out: &Out, ended: &Ended, work: f64, untold: Option<ClassId>) {
-        let (now, through) = (self.now, self.origin().filter(|_| ended.told == FilledThroughOrigin));
+        let (now, through) = (
+            self.now,
+            self.origin().filter(|_| ended.told == FilledThroughOrigin),
+        );
         let filled = Some(&out.source).filter(|_| ended.told == Filled);
         let source = through.map(|origin| &origin.line.host).or(filled).cloned();
-        let Some(cache) = self.hosts.get_mut(&out.host) else { return };
+        let Some(cache) = self.hosts.get_mut(&out.host) else {
+            return;
+        };
         let pace = cache.pace(now);
         if ended.told == Told::Held {
             cache.time(now, ended.took.ms() / work);
             let learnt = untold.filter(|_| cache.in_hand <= cache.line.weight);
-            learnt.into_iter().for_each(|class| self.kinds[class.0].learn(ended.took.ms()));
+            learnt
+                .into_iter()
+                .for_each(|class| self.kinds[class.0].learn(ended.took.ms()));
         }
-        let slow = ended.waited.map(|waited| ended.took.less(waited).ms() / work / pace);
+        let slow = ended
+            .waited
+            .map(|waited| ended.took.less(waited).ms() / work / pace);
         if let (Some(source), Some(slow)) = (source.and_then(|id| self.hosts.get_mut(&id)), slow) {
             source.time(now, slow);
             untold.is_none().then(|| self.guess_link(slow));
@@ -421,17 +605,26 @@
 
     // What the ended attempt gives back: places, and a cold source's budget that a hit left alone.
     fn release(&mut self, out: &Out, ended: &Ended, cached: bool) {
-        let alive = !matches!(ended.ending, TimedOut | NotConnected | Cancelled | NotSent | Superseded);
+        let alive = !matches!(
+            ended.ending,
+            TimedOut | NotConnected | Cancelled | NotSent | Superseded
+        );
         self.hear_link(ended.report.link.filter(|_| cached));
         for id in BTreeSet::from([&out.host, &out.source]) {
-            let Some(host) = self.hosts.get_mut(id) else { continue };
+            let Some(host) = self.hosts.get_mut(id) else {
+                continue;
+            };
             (id == &out.host).then(|| host.report(self.now, ended.report));
             host.in_hand = (host.in_hand - 1.0).max(0.0);
             // Any answer, a failed fill too, shows that a host is not silent.
-            (host.heard, host.mute) =
-                if id == &out.host && alive { (self.now, 0) } else { (host.heard, host.mute) };
+            (host.heard, host.mute) = if id == &out.host && alive {
+                (self.now, 0)
+            } else {
+                (host.heard, host.mute)
+            };
             if id != &out.host && matches!(ended.told, Told::Held | Told::Aged | Told::Joined) {
-                host.spent.retain(|(_, of, index, _)| (*of, *index) != (ended.request, ended.index));
+                host.spent
+                    .retain(|(_, of, index, _)| (*of, *index) != (ended.request, ended.index));
                 host.next_trial = if out.trial { self.now } else { host.next_trial };
             }
         }
@@ -445,9 +638,14 @@
         if ended.ending == Answered {
             let source = Some(&out.source).filter(|_| filled && behind);
             for id in [&out.host].into_iter().chain(source) {
-                self.hosts.get_mut(id).into_iter().for_each(|host| host.praise(self.now, out));
+                self.hosts
+                    .get_mut(id)
+                    .into_iter()
+                    .for_each(|host| host.praise(self.now, out));
             }
-            source.into_iter().for_each(|_| self.measure(out, ended, large));
+            source
+                .into_iter()
+                .for_each(|_| self.measure(out, ended, large));
         }
         let culprit = match (ended.ending, ended.told) {
             (Answered, _) => None,
@@ -458,12 +656,20 @@
             _ => None,
         };
         // Guards against all dispatchers losing requests to each dead host: one not reached is out at once.
-        let dead = matches!((ended.ending, ended.told), (NotConnected, _) | (TurnedAway, SourceUnreached));
-        culprit.into_iter().for_each(|id| self.blame(&id, if dead { 1.0 } else { PENALTY }));
+        let dead = matches!(
+            (ended.ending, ended.told),
+            (NotConnected, _) | (TurnedAway, SourceUnreached)
+        );
+        culprit
+            .into_iter()
+            .for_each(|id| self.blame(&id, if dead { 1.0 } else { PENALTY }));
     }
 
     fn blame(&mut self, id: &HostId, penalty: f64) {
-        self.hosts.get_mut(id).into_iter().for_each(|host| host.bad = Some(self.now));
+        self.hosts
+            .get_mut(id)
+            .into_iter()
+            .for_each(|host| host.bad = Some(self.now));
         self.cut(id, penalty);
     }
 
@@ -471,7 +677,8 @@
         let next_trial = self.now + TRIAL * self.chance.random_range(0.9..1.1);
         if let Some(host) = self.hosts.get_mut(id) {
             // Guards against a source that stays out long after its trouble: one good trial is enough.
-            host.reputation = (host.reputation * (1.0 - penalty)).max((FLOOR - STEP) / (1.0 - STEP));
+            host.reputation =
+                (host.reputation * (1.0 - penalty)).max((FLOOR - STEP) / (1.0 - STEP));
             host.widen(false);
             host.next_trial = next_trial;
         }
@@ -479,8 +686,11 @@
 
     fn measure(&mut self, out: &Out, ended: &Ended, large: Option<f64>) {
         let Some(waited) = ended.waited else { return };
-        let Some(source) = self.hosts.get_mut(&out.source) else { return };
-        let latency = Some(waited.ms()).filter(|_| source.is(Role::Origin) || ended.told == Told::Filled);
+        let Some(source) = self.hosts.get_mut(&out.source) else {
+            return;
+        };
+        let latency =
+            Some(waited.ms()).filter(|_| source.is(Role::Origin) || ended.told == Told::Filled);
         let bandwidth = large.map(|kb| kb / ended.took.less(waited).ms().max(1.0));
         (source.sampled, source.measured[0]) = ([latency, bandwidth], Some(self.now));
         self.weigh(&out.source, 0, latency);
@@ -489,11 +699,23 @@
 
     fn weigh(&mut self, id: &HostId, at: usize, sample: Option<f64>) {
         let best = self.origin().and_then(|origin| origin.measures[at]);
-        let (Some(source), Some(sample)) = (self.hosts.get_mut(id), sample) else { return };
+        let (Some(source), Some(sample)) = (self.hosts.get_mut(id), sample) else {
+            return;
+        };
         let own = source.measures[at].map_or(sample, |old| old + NEW_WEIGHT * (sample - old));
         source.measures[at] = Some(own);
-        let wins = |best| if at == 0 { best < own * (1.0 - MARGIN) } else { best > own * (1.0 + MARGIN) };
-        source.beaten[at] = if best.is_some_and(wins) { (source.beaten[at] + 1).min(SEVERAL) } else { 0 };
+        let wins = |best| {
+            if at == 0 {
+                best < own * (1.0 - MARGIN)
+            } else {
+                best > own * (1.0 + MARGIN)
+            }
+        };
+        source.beaten[at] = if best.is_some_and(wins) {
+            (source.beaten[at] + 1).min(SEVERAL)
+        } else {
+            0
+        };
     }
 
     /// The time asked for in an earlier `Decisions::wake` has come, or a fact that calls for decisions.
@@ -502,9 +724,12 @@
         if now >= self.next_tidy {
             self.next_tidy = now + TIDY;
             self.seen.retain(|_, at| now.since(*at) < REMEMBER);
-            self.owed.retain(|_, objective| now.since(*objective) < REMEMBER);
-            self.purges.retain(|(.., made)| now.since(*made) < self.terms.purge_settles + TIDY);
-            self.hosts.retain(|_, host| host.line.health != Health::Removed || host.in_hand > 0.0);
+            self.owed
+                .retain(|_, objective| now.since(*objective) < REMEMBER);
+            self.purges
+                .retain(|(.., made)| now.since(*made) < self.terms.purge_settles + TIDY);
+            self.hosts
+                .retain(|_, host| host.line.health != Health::Removed || host.in_hand > 0.0);
         }
         (now >= self.next_look).then(|| self.look());
         while self.due.first().is_some_and(|(at, _)| *at <= now) {
@@ -524,8 +749,13 @@
     // Asks the cache of this location that was looked at longest ago for its load.
     fn look(&mut self) {
         self.next_look = self.now + LOOK * self.chance.random_range(0.9..1.1);
-        let mine = self.hosts.values().filter(|h| self.mine(h) && h.line.health == Health::InService);
-        let next = mine.min_by_key(|host| (host.looked, host.hash)).map(|host| host.line.host.clone());
+        let mine = self
+            .hosts
+            .values()
+            .filter(|h| self.mine(h) && h.line.health == Health::InService);
+        let next = mine
+            .min_by_key(|host| (host.looked, host.hash))
+            .map(|host| host.line.host.clone());
         if let Some(host) = next.as_ref().and_then(|id| self.hosts.get_mut(id)) {
             host.looked = Some(self.now);
         }
@@ -536,7 +766,10 @@
     pub fn seen(&mut self, now: Time, host: &HostId, told: LoadReport) -> Decisions {
         self.now = now;
         self.hear_link(told.link);
-        self.hosts.get_mut(host).into_iter().for_each(|host| host.report(now, told));
+        self.hosts
+            .get_mut(host)
+            .into_iter()
+            .for_each(|host| host.report(now, told));
         self.wake(now)
     }
 
@@ -546,20 +779,36 @@
 
     // Guards against a full link that no report tells of: a fill outruns its answer unless that holds it up.
     fn guess_link(&mut self, slow: f64) {
-        let fresh = self.link.filter(|(_, at)| self.now.since(*at) < OLD).map(|(full, _)| full);
+        let fresh = self
+            .link
+            .filter(|(_, at)| self.now.since(*at) < OLD)
+            .map(|(full, _)| full);
         let full = LINK_FULL * (slow - 1.0).max(0.0);
         let guess = fresh.map_or(full, |old| old + NEW_WEIGHT * (full - old));
-        self.link = if self.terms.tells_link { self.link } else { Some((guess, self.now)) };
+        self.link = if self.terms.tells_link {
+            self.link
+        } else {
+            Some((guess, self.now))
+        };
     }
 
     fn drop_what_is_done(&mut self, id: RequestId) -> bool {
-        let Some(_) = self.requests.get(&id).filter(|held| held.done) else { return false };
+        let Some(_) = self.requests.get(&id).filter(|held| held.done) else {
+            return false;
+        };
         let held = self.requests.remove(&id).expect("just seen");
         self.due.remove(&(held.request.deadline - self.early, id));
         let cancelled = held.out.iter().filter(|_| self.terms.may_cancel);
-        let cancels = cancelled.map(|out| Cancel { request: id, index: out.index });
+        let cancels = cancelled.map(|out| Cancel {
+            request: id,
+            index: out.index,
+        });
         self.out.cancels.extend(cancels);
-        for host in held.out.iter().flat_map(|out| BTreeSet::from([&out.host, &out.source])) {
+        for host in held
+            .out
+            .iter()
+            .flat_map(|out| BTreeSet::from([&out.host, &out.source]))
+        {
             self.hosts
                 .get_mut(host)
                 .into_iter()
@@ -570,12 +819,16 @@
 
     // Guards against a lost request: whatever else goes on, the client gets its answer while it listens.
     fn answer_before_the_deadline(&mut self, id: RequestId) -> bool {
-        self.requests.get(&id).is_some_and(|held| self.now + self.early >= held.request.deadline)
+        self.requests
+            .get(&id)
+            .is_some_and(|held| self.now + self.early >= held.request.deadline)
             && self.give_up(id)
     }
 
     fn give_up_when_nothing_may_follow(&mut self, id: RequestId) -> bool {
-        let Some(held) = self.requests.get(&id) else { return false };
+        let Some(held) = self.requests.get(&id) else {
+            return false;
+        };
         let in_time = held.work < held.request.deadline.since(self.now).ms();
         held.out.is_empty() && !(in_time && self.may_follow(held)) && self.give_up(id)
     }
@@ -601,31 +854,53 @@
         self.pardon(id);
         let held = &self.requests[&id];
         let harmless = match self.kinds[held.request.class.0].of.repeats {
-            Repeats::Idempotent | Repeats::Deduplicated { scope: Scope::All, .. } => true,
+            Repeats::Idempotent
+            | Repeats::Deduplicated {
+                scope: Scope::All, ..
+            } => true,
             _ => held.ran.is_none() && held.out.is_empty(),
         };
-        self.owed.insert((held.request.object, held.request.part), held.objective);
-        let rejected = Final::Rejected { request: id, retry_after: self.retry_after };
-        self.out.finals.push(if harmless { rejected } else { Final::Failed { request: id } });
-        self.requests.get_mut(&id).into_iter().for_each(|held| held.done = true);
+        self.owed
+            .insert((held.request.object, held.request.part), held.objective);
+        let rejected = Final::Rejected {
+            request: id,
+            retry_after: self.retry_after,
+        };
+        self.out.finals.push(if harmless {
+            rejected
+        } else {
+            Final::Failed { request: id }
+        });
+        self.requests
+            .get_mut(&id)
+            .into_iter()
+            .for_each(|held| held.done = true);
         self.agenda.insert(id);
         true
     }
 
     // Guards against an effect that happens twice.
     fn may_follow(&self, held: &Held) -> bool {
-        let ran = held.ran.as_ref().map(|(sent, _)| *sent).or(held.out.first().map(|out| out.sent));
+        let ran = held
+            .ran
+            .as_ref()
+            .map(|(sent, _)| *sent)
+            .or(held.out.first().map(|out| out.sent));
         let allowed = match (self.kinds[held.request.class.0].of.repeats, ran) {
             (Repeats::Idempotent, _) | (_, None) => true,
             (Repeats::AtMostOnce, Some(_)) => false,
-            (Repeats::Deduplicated { remembered, .. }, Some(at)) => self.now + self.early < at + remembered,
+            (Repeats::Deduplicated { remembered, .. }, Some(at)) => {
+                self.now + self.early < at + remembered
+            }
         };
         self.vouched && held.attempts < self.terms.most_attempts.max(1) && allowed
     }
 
     fn attempt_what_waits(&mut self, id: RequestId) -> bool {
         let waits = |held: &&Held| held.out.is_empty() && self.now >= held.not_before;
-        let Some(_) = self.requests.get(&id).filter(waits) else { return false };
+        let Some(_) = self.requests.get(&id).filter(waits) else {
+            return false;
+        };
         if !self.attempt(id) {
             // Guards against overload in which all come late: what can't come in time makes room at once. So
             // does a known miss that may not be filled: those held would go on together when a link clears.
@@ -643,9 +918,13 @@
     // Guards against hosts that take requests and answer none: one that answered nothing since the overdue
     // attempt went out is blamed; a slow one has answered others. No source pays for a cache cut off midway.
     fn note_what_is_overdue(&mut self, id: RequestId) -> bool {
-        let Some(held) = self.requests.get_mut(&id) else { return false };
+        let Some(held) = self.requests.get_mut(&id) else {
+            return false;
+        };
         let fresh = |out: &&mut Out| out.silent.is_none() && out.overdue <= self.now;
-        let Some(out) = held.out.iter_mut().find(fresh) else { return false };
+        let Some(out) = held.out.iter_mut().find(fresh) else {
+            return false;
+        };
         let ratio = self.now.since(out.sent).ms() / held.work.max(1.0);
         if let Some(host) = self.hosts.get_mut(&out.host) {
             host.widen(false);
@@ -655,7 +934,9 @@
         let enough = if self.terms.may_duplicate { 1 } else { 2 }; // one taken back loses what it has
         let mut muted = Vec::new();
         for (id, since) in BTreeMap::from([(&out.source, out.sent), (&out.host, lately)]) {
-            let Some(host) = self.hosts.get_mut(id).filter(|host| host.heard <= since) else { continue };
+            let Some(host) = self.hosts.get_mut(id).filter(|host| host.heard <= since) else {
+                continue;
+            };
             host.mute = (host.mute + 1).min(enough);
             muted.push((host.mute, id == &out.host, id.clone()));
         }
@@ -667,21 +948,32 @@
         }
         let culprit = muted.into_iter().max().map(|(.., id)| id);
         out.silent = Some(culprit.is_some());
-        let again =
-            self.kinds[held.request.class.0].of.repeats == Repeats::Idempotent && self.terms.may_cancel;
-        let taken_back = culprit.iter().filter(|_| again && !self.terms.may_duplicate);
-        self.out.cancels.extend(taken_back.map(|_| Cancel { request: id, index: out.index }));
+        let again = self.kinds[held.request.class.0].of.repeats == Repeats::Idempotent
+            && self.terms.may_cancel;
+        let taken_back = culprit
+            .iter()
+            .filter(|_| again && !self.terms.may_duplicate);
+        self.out.cancels.extend(taken_back.map(|_| Cancel {
+            request: id,
+            index: out.index,
+        }));
         held.tried.extend(culprit.clone());
-        culprit.iter().for_each(|culprit| self.blame(culprit, PENALTY));
+        culprit
+            .iter()
+            .for_each(|culprit| self.blame(culprit, PENALTY));
         true
     }
 
     fn attempt_beside_the_silent(&mut self, id: RequestId) -> bool {
-        let Some(held) = self.requests.get(&id) else { return false };
+        let Some(held) = self.requests.get(&id) else {
+            return false;
+        };
         let idempotent = self.kinds[held.request.class.0].of.repeats == Repeats::Idempotent;
         let silent = !held.out.is_empty() && held.out.iter().all(|out| out.silent == Some(true));
         let allowed = self.terms.may_duplicate && idempotent && silent && self.may_follow(held);
-        allowed && held.request.deadline.since(self.now).ms() > held.work + SLACK.ms() && self.attempt(id)
+        allowed
+            && held.request.deadline.since(self.now).ms() > held.work + SLACK.ms()
+            && self.attempt(id)
     }
 
     fn ramp(&self, host: &Host) -> &Ramp {
@@ -692,7 +984,9 @@
     // what the worst ramp bears within any window. An attempt without a fill weighs the mean as well.
     fn cold_room(&self, host: &Host, cost: f64) -> bool {
         let (ramp, (part, spent)) = (self.ramp(host), self.asked(host, self.now));
-        let share = host.share.map_or(ramp.share * self.by_right, |share| share * ramp.whole);
+        let share = host
+            .share
+            .map_or(ramp.share * self.by_right, |share| share * ramp.whole);
         let bears = share * part * host.line.weight * ramp.window.ms();
         part >= 1.0 || host.is(Role::Origin) || spent + cost <= bears
     }
@@ -700,13 +994,19 @@
     // What belongs at a cold host that has no room for it, for others to hear.
     fn wish(&self, first: Option<&&Host>, cost: f64) {
         let cold = first.filter(|host| !self.cold_room(host, cost));
-        cold.into_iter().for_each(|host| host.wished.set(host.wished.get() + cost));
+        cold.into_iter()
+            .for_each(|host| host.wished.set(host.wished.get() + cost));
     }
 
     /// The least part of its capacity that a host has had for a window, and what was asked of it within that.
     fn asked(&self, host: &Host, now: Time) -> (f64, f64) {
         let since = now - self.ramp(host).window;
-        let spent = host.spent.iter().filter(|(at, ..)| *at > since).map(|(.., cost)| cost).sum::<f64>();
+        let spent = host
+            .spent
+            .iter()
+            .filter(|(at, ..)| *at > since)
+            .map(|(.., cost)| cost)
+            .sum::<f64>();
         (self.ramp(host).part(host.line.started, since), spent)
     }
 
@@ -714,18 +1014,32 @@
     // own for one of every other's: the more they are, the more the host's last report counts.
     fn load(&self, host: &Host) -> f64 {
         let part = self.ramp(host).part(host.line.started, self.now);
-        let (mates, told) = (self.zone_mates - 1.0, host.others.filter(|(_, at)| self.now.since(*at) < OLD));
+        let (mates, told) = (
+            self.zone_mates - 1.0,
+            host.others.filter(|(_, at)| self.now.since(*at) < OLD),
+        );
         let guess = host.in_hand * mates;
-        let known = host.elsewhere.filter(|(_, at)| self.now.since(*at) < OLD).map(|(others, _)| others);
-        let mixed = told.map_or(guess, |(told, _)| (guess * DOUBT + told * mates) / (DOUBT + mates));
-        let load = (host.in_hand + known.unwrap_or(mixed) + 1.0) / (host.line.weight * part).max(0.1);
+        let known = host
+            .elsewhere
+            .filter(|(_, at)| self.now.since(*at) < OLD)
+            .map(|(others, _)| others);
+        let mixed = told.map_or(guess, |(told, _)| {
+            (guess * DOUBT + told * mates) / (DOUBT + mates)
+        });
+        let load =
+            (host.in_hand + known.unwrap_or(mixed) + 1.0) / (host.line.weight * part).max(0.1);
         // Guards against requests that wait for a slow fill being taken for work that the cache does.
-        let busy = host.busy.filter(|(_, at)| self.now.since(*at) < OLD).map_or(1.0, |(busy, _)| busy);
+        let busy = host
+            .busy
+            .filter(|(_, at)| self.now.since(*at) < OLD)
+            .map_or(1.0, |(busy, _)| busy);
         (load * busy.clamp(IDLE, 1.0)).max(host.pace(self.now)) // guards against what no load tells
     }
 
     fn origin(&self) -> Option<&Host> {
-        self.hosts.values().find(|h| h.is(Role::Origin) && h.line.health == Health::InService)
+        self.hosts
+            .values()
+            .find(|h| h.is(Role::Origin) && h.line.health == Health::InService)
     }
 
     fn mine(&self, host: &Host) -> bool {
@@ -737,9 +1051,15 @@
     fn link_open(&self, held: &Held, mean: f64) -> bool {
         let late = held.objective.since(self.now).ms() < held.work;
         // Of what tells no size most bytes are in few large ones, so it stops sooner, by its class's mean.
-        let mean = if held.request.size_kb.is_some() { mean } else { self.mean_work / LINK_BIAS };
-        let bias = if late { 0.0 } else { mean / held.work.max(1.0) }.clamp(1.0 / LINK_BIAS, LINK_BIAS);
-        self.link.is_none_or(|(full, at)| full < LINK_FULL * bias || self.now.since(at) >= OLD)
+        let mean = if held.request.size_kb.is_some() {
+            mean
+        } else {
+            self.mean_work / LINK_BIAS
+        };
+        let bias =
+            if late { 0.0 } else { mean / held.work.max(1.0) }.clamp(1.0 / LINK_BIAS, LINK_BIAS);
+        self.link
+            .is_none_or(|(full, at)| full < LINK_FULL * bias || self.now.since(at) >= OLD)
     }
 
     /// Hosts of a role in the order of the shared hash (weighted rendezvous).
@@ -755,9 +1075,22 @@
     // A deduplicated request that may have run stays among the hosts that drop its repeats.
     fn in_scope(&self, held: &Held, host: &Host) -> bool {
         let repeats = self.kinds[held.request.class.0].of.repeats;
-        let Repeats::Deduplicated { scope, .. } = repeats else { return true };
-        let Some((_, first)) = &held.ran else { return true };
-        let cell = |line: &Endpoint| (line.zone, if scope == Scope::Cell { line.cell } else { CellId(0) });
+        let Repeats::Deduplicated { scope, .. } = repeats else {
+            return true;
+        };
+        let Some((_, first)) = &held.ran else {
+            return true;
+        };
+        let cell = |line: &Endpoint| {
+            (
+                line.zone,
+                if scope == Scope::Cell {
+                    line.cell
+                } else {
+                    CellId(0)
+                },
+            )
+        };
         let same = |first: &Host| cell(&first.line) == cell(&host.line);
         scope == Scope::All || self.hosts.get(first).is_some_and(same)
     }
@@ -765,27 +1098,41 @@
     fn pick_cache(&self, held: &Held, open: bool) -> Option<HostId> {
         let kind = &self.kinds[held.request.class.0];
         let trials = kind.of.repeats == Repeats::Idempotent && held.attempts == 0;
-        let fits = |host: &Host| self.in_scope(held, host) && self.cold_room(host, kind.cost(held.work));
+        let fits =
+            |host: &Host| self.in_scope(held, host) && self.cold_room(host, kind.cost(held.work));
         let up = |host: &Host| host.reputation >= FLOOR || (trials && host.next_trial <= self.now);
         let mut order = self.in_hash_order(Role::Cache, &held.request);
         self.wish(order.first(), kind.cost(held.work));
         order.retain(|host| up(host) && !held.tried.contains(&host.line.host) && fits(host));
-        let least = order.iter().map(|host| self.load(host)).min_by(f64::total_cmp)?;
+        let least = order
+            .iter()
+            .map(|host| self.load(host))
+            .min_by(f64::total_cmp)?;
         // Guards against the hash being lost where all caches are loaded alike: then no object moves. On a
         // full link only the cache that may hold it helps, so the hash is kept to for longer.
         // Guards against small requests taking each place that comes free before a large one looks: the
         // larger it is within its class, the higher the load at which it is taken, if it comes in time.
         let admit = ADMIT * (held.work / kind.mean_work.max(1.0)).clamp(1.0, ADMIT_LARGE);
-        let most = if open { (least * BOUND).min(admit) } else { admit };
+        let most = if open {
+            (least * BOUND).min(admit)
+        } else {
+            admit
+        };
         let left = held.objective.since(self.now).ms();
         // Guards against a loaded cache losing all its objects at once, and with them its hits: they go one
         // after another by what the hash draws, the same ones at every dispatcher.
         let in_time = |host: &&&Host| {
             let load = self.load(host);
-            load <= (if held.work < left { FULL * stays(host, &held.request) } else { LATE_FULL })
-                || (load <= most && load * held.work < left)
+            load <= (if held.work < left {
+                FULL * stays(host, &held.request)
+            } else {
+                LATE_FULL
+            }) || (load <= most && load * held.work < left)
         };
-        order.iter().find(in_time).map(|host| host.line.host.clone())
+        order
+            .iter()
+            .find(in_time)
+            .map(|host| host.line.host.clone())
     }
 
     // The adaptive set: parents stay unless the origin clearly beats them on the measure that the size picks
@@ -793,12 +1140,16 @@
     fn pick_source(&self, held: &Held) -> Option<HostId> {
         let kind = &self.kinds[held.request.class.0];
         let measure = usize::from(kind.large(&held.request));
-        let new = |host: &&Host| !held.tried.contains(&host.line.host) && self.cold_room(host, held.work);
+        let new =
+            |host: &&Host| !held.tried.contains(&host.line.host) && self.cold_room(host, held.work);
         let trial = |host: &&&Host| held.attempts == 0 && host.next_trial <= self.now;
         let origin = self.origin();
         let mut parents = self.in_hash_order(Role::Parent, &held.request);
         self.wish(parents.first(), held.work);
-        let paces = parents.iter().filter(|host| host.usable()).map(|host| host.pace(self.now));
+        let paces = parents
+            .iter()
+            .filter(|host| host.usable())
+            .map(|host| host.pace(self.now));
         let quick = paces.fold(ADMIT, f64::min);
         // Guards against parents that grow slow: as from a loaded cache, objects leave one by one.
         let keeps = |host: &Host| host.pace(self.now) <= quick * FULL * stays(host, &held.request);
@@ -811,10 +1162,20 @@
             let out = first.filter(|host| !set(&host) && trial(&host));
             let clear = origin.filter(|host| host.usable() && host.has_room() && new(host));
             let usual = parents.iter().find(set).copied();
-            let usual = usual.filter(|host| host.has_room()).or(clear).or(usual).or(first);
+            let usual = usual
+                .filter(|host| host.has_room())
+                .or(clear)
+                .or(usual)
+                .or(first);
             // Guards against a few parents left with the fills of all: they refuse, the next would too.
-            let failed = held.tried.iter().filter_map(|id| self.hosts.get(id)).any(|h| h.is(Role::Parent));
-            out.or(origin.filter(|host| trial(&host))).or(clear.filter(|_| failed)).or(usual)
+            let failed = held
+                .tried
+                .iter()
+                .filter_map(|id| self.hosts.get(id))
+                .any(|h| h.is(Role::Parent));
+            out.or(origin.filter(|host| trial(&host)))
+                .or(clear.filter(|_| failed))
+                .or(usual)
         };
         chosen.map(|host| host.line.host.clone())
     }
@@ -829,16 +1190,23 @@
         let idle = self.link.is_some_and(|(full, _)| full < LINK_IDLE) && work < kind.mean_work;
         let lost = !self.hosts.values().any(|h| self.mine(h) && h.usable());
         let straight = self.terms.direct && (through || lost || (open && idle));
-        let cache = if through && self.terms.direct { None } else { self.pick_cache(held, open) };
+        let cache = if through && self.terms.direct {
+            None
+        } else {
+            self.pick_cache(held, open)
+        };
         let origin = self.origin();
-        let up = origin.filter(|origin| origin.usable()).map(|origin| &origin.line.host);
+        let up = origin
+            .filter(|origin| origin.usable())
+            .map(|origin| &origin.line.host);
         // Guards against slow sources whose fills take up the caches, and a stopped origin being asked on by
         // parents, or every parent asked in turn for what the first one lacks. Behind a slow origin parents
         // fetch what the hash draws, the same at every dispatcher, so that what is fetched serves all.
         let narrow = |origin: &Host| draw(origin, &held.request) > origin.reach;
         let shut = |origin: &Host| !origin.usable() && origin.next_trial > now;
         let stopped = origin.is_some_and(|origin| shut(origin) || narrow(origin));
-        let room = |id: &HostId| through || (self.hosts[id].has_room() && !(stopped && held.missed));
+        let room =
+            |id: &HostId| through || (self.hosts[id].has_room() && !(stopped && held.missed));
         let fits = |id: &HostId| room(id) && (through || self.in_scope(held, &self.hosts[id]));
         let (host, source) = match (cache, self.pick_source(held)) {
             (Some(cache), Some(source)) if open && room(&source) => (cache, source),
@@ -851,13 +1219,19 @@
         let (past, trial) = (!self.hosts[&host].is(Role::Cache), behind.next_trial <= now);
         let only_held = stopped && behind.is(Role::Parent) && !through;
         // Where only a hit will do, a copy past its fresh time is worth more than none.
-        let older = if source == host { kind.of.older } else { Span::ZERO };
+        let older = if source == host {
+            kind.of.older
+        } else {
+            Span::ZERO
+        };
         let oldest = self.oldest(&held.request, kind.of.fresh, older);
         let slow = self.load(&self.hosts[&host]).max(1.0);
-        let patience = Span::of_ms(work * slow + behind.measures[0].unwrap_or(SLACK.ms())) * OVERDUE + SLACK;
+        let patience =
+            Span::of_ms(work * slow + behind.measures[0].unwrap_or(SLACK.ms())) * OVERDUE + SLACK;
         let left = held.request.deadline.since(now);
-        let cut =
-            kind.of.repeats == Repeats::Idempotent && !self.terms.may_duplicate && !self.terms.may_cancel;
+        let cut = kind.of.repeats == Repeats::Idempotent
+            && !self.terms.may_duplicate
+            && !self.terms.may_cancel;
         self.out.attempts.push(Attempt {
             request: id,
             host: host.clone(),
@@ -868,30 +1242,61 @@
             only_held,
             oldest,
             fresh: kind.of.repeats != Repeats::Idempotent, // a reset there could not be made good
-            keep: if self.seen.contains_key(&held.request.object) { 2 } else { 1 },
+            keep: if self.seen.contains_key(&held.request.object) {
+                2
+            } else {
+                1
+            },
         });
-        let (index, cost) = (AttemptIndex(held.attempts), if past { work } else { kind.cost(work) });
+        let (index, cost) = (
+            AttemptIndex(held.attempts),
+            if past { work } else { kind.cost(work) },
+        );
         for (id_of, cost) in BTreeMap::from([(&source, work), (&host, cost)]) {
-            let Some(host) = self.hosts.get_mut(id_of) else { continue };
+            let Some(host) = self.hosts.get_mut(id_of) else {
+                continue;
+            };
             host.in_hand += 1.0;
-            host.next_trial = if through { host.next_trial } else { now + TRIAL };
+            host.next_trial = if through {
+                host.next_trial
+            } else {
+                now + TRIAL
+            };
             host.spent.push((now, id, index, cost));
-            host.spent.retain(|(at, ..)| now.since(*at) <= self.ramps[0].window);
+            host.spent
+                .retain(|(at, ..)| now.since(*at) <= self.ramps[0].window);
         }
         self.due.insert((now + patience, id));
         let held = self.requests.get_mut(&id).expect("just seen");
         self.seen.insert(held.request.object, now);
         held.attempts += 1;
-        held.out.push(Out { index, host, source, sent: now, overdue: now + patience, silent: None, trial });
+        held.out.push(Out {
+            index,
+            host,
+            source,
+            sent: now,
+            overdue: now + patience,
+            silent: None,
+            trial,
+        });
         true
     }
 
     // Guards against purged copies, wherever they lie: no copy from before the youngest purge will do.
     fn oldest(&self, request: &Request, fresh: Option<Span>, older: Span) -> Option<Span> {
         let group_hit = |group| group == GroupId::ALL || group == request.group;
-        let hit = |object: Option<_>, group| object.map_or(group_hit(group), |it| it == request.object);
-        let hits = self.purges.iter().filter(|(object, group, _)| hit(*object, *group));
-        let age = hits.map(|(.., made)| self.now.since(*made).less(HAIR).max(HAIR)).min();
-        age.into_iter().chain(fresh.map(|fresh| fresh + older)).min().filter(|age| Some(*age) != fresh)
+        let hit =
+            |object: Option<_>, group| object.map_or(group_hit(group), |it| it == request.object);
+        let hits = self
+            .purges
+            .iter()
+            .filter(|(object, group, _)| hit(*object, *group));
+        let age = hits
+            .map(|(.., made)| self.now.since(*made).less(HAIR).max(HAIR))
+            .min();
+        age.into_iter()
+            .chain(fresh.map(|fresh| fresh + older))
+            .min()
+            .filter(|age| Some(*age) != fresh)
     }
 }
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -55,7 +55,11 @@
 impl Facade {
     pub fn start(now: Time, seed: u64, terms: Terms) -> Facade {
         let (brain, decisions) = Brain::start(now, seed, terms);
-        let mut facade = Facade { brain, lines: BTreeMap::new(), due: BTreeSet::new() };
+        let mut facade = Facade {
+            brain,
+            lines: BTreeMap::new(),
+            due: BTreeSet::new(),
+        };
         facade.sort(decisions);
         facade
     }
@@ -64,7 +68,11 @@
     pub fn report(&mut self, now: Time, news: News) -> Vec<RequestId> {
         let decisions = match news {
             News::Hosts(list_kind, lines) => self.brain.list(now, list_kind, lines),
-            News::Purged { object, group, made } => self.brain.purge(now, object, group, made),
+            News::Purged {
+                object,
+                group,
+                made,
+            } => self.brain.purge(now, object, group, made),
             News::Arrived(request) => {
                 self.lines.insert(request.id, Line::default());
                 self.brain.request(now, request)
@@ -96,7 +104,12 @@
     }
 
     /// Whether an attempt that was picked may still be sent, and what it may ask for by now.
-    pub fn clear(&mut self, now: Time, request: RequestId, index: AttemptIndex) -> Option<Clearance> {
+    pub fn clear(
+        &mut self,
+        now: Time,
+        request: RequestId,
+        index: AttemptIndex,
+    ) -> Option<Clearance> {
         self.brain.clear(now, request, index)
     }
 
@@ -120,7 +133,9 @@
     }
 
     pub fn pick(&mut self, request: RequestId) -> Step {
-        let Some(line) = self.lines.get_mut(&request) else { return Step::Wait };
+        let Some(line) = self.lines.get_mut(&request) else {
+            return Step::Wait;
+        };
         let step = line.steps.pop_front().unwrap_or(Step::Wait);
         line.over |= matches!(step, Step::Reject(_) | Step::Fail);
         if line.over && step == Step::Wait {
@@ -140,7 +155,13 @@
     /// Puts each decision in its request's line; gives the requests that have a step to pick.
     fn sort(&mut self, decisions: Decisions) -> Vec<RequestId> {
         // On sockets the platform's protocol has no word for a look, so none is asked for there.
-        let Decisions { cancels, attempts, finals, looks: _, wake } = decisions;
+        let Decisions {
+            cancels,
+            attempts,
+            finals,
+            looks: _,
+            wake,
+        } = decisions;
         let mut named = Vec::new();
         for cancel in cancels {
             named.extend(self.add(cancel.request, |_| Step::TakeBack(cancel.index)));
@@ -153,7 +174,10 @@
         }
         for last in finals {
             named.extend(match last {
-                Final::Rejected { request, retry_after } => self.add(request, |_| Step::Reject(retry_after)),
+                Final::Rejected {
+                    request,
+                    retry_after,
+                } => self.add(request, |_| Step::Reject(retry_after)),
                 Final::Failed { request } => self.add(request, |_| Step::Fail),
             });
         }
@@ -162,7 +186,11 @@
         named
     }
 
-    fn add(&mut self, request: RequestId, step: impl FnOnce(&mut Line) -> Step) -> Option<RequestId> {
+    fn add(
+        &mut self,
+        request: RequestId,
+        step: impl FnOnce(&mut Line) -> Step,
+    ) -> Option<RequestId> {
         let line = self.lines.get_mut(&request)?;
         let step = step(line);
         line.steps.push_back(step);
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -10,6 +10,7 @@
 
 /// A number for a name (FNV-1a, begun with another number too).
 pub fn of_name(name: &str, with: u64) -> u64 {
-    name.bytes()
-        .fold(0xcbf29ce484222325 ^ with, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100000001b3))
+    name.bytes().fold(0xcbf29ce484222325 ^ with, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x100000001b3)
+    })
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -27,8 +27,8 @@
     pub(crate) sampled: [Option<f64>; 2], // the last own samples, and when they and the last of others were taken
     pub(crate) measured: [Option<Time>; 2],
     pub(crate) looked: Option<Time>, // when it was last asked for its load
-    pub(crate) slow: (f64, Time),    // times the sending time that its hits take, and when one last did
-    pub(crate) good: Option<Time>,   // the last own success and failure
+    pub(crate) slow: (f64, Time), // times the sending time that its hits take, and when one last did
+    pub(crate) good: Option<Time>, // the last own success and failure
     pub(crate) bad: Option<Time>,
 }
 
--- a/src/words.rs
+++ b/src/words.rs
@@ -236,7 +236,10 @@
     /// Proof that nothing ran.
     pub fn never_ran(self) -> bool {
         use Ending::*;
-        matches!(self, TurnedAway | NotConnected | NotSent | Superseded | NoCopy)
+        matches!(
+            self,
+            TurnedAway | NotConnected | NotSent | Superseded | NoCopy
+        )
     }
 }
 
@@ -322,8 +325,13 @@
 /// A final answer that the dispatcher gives itself.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Final {
-    Rejected { request: RequestId, retry_after: Option<Span> },
-    Failed { request: RequestId },
+    Rejected {
+        request: RequestId,
+        retry_after: Option<Span>,
+    },
+    Failed {
+        request: RequestId,
+    },
 }
 
 /// All that one call asks of the caller, applied in the order of the fields.
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -28,7 +28,15 @@
 pub fn line(name: &str, role: Role) -> Endpoint {
     let zone = Some(ZoneId(if role == Role::Cache { 0 } else { 1 }));
     let (health, started, cell) = (Health::InService, None, CellId(name.len() as u64));
-    Endpoint { host: host(name), weight: 5.0, zone, cell, role, health, started }
+    Endpoint {
+        host: host(name),
+        weight: 5.0,
+        zone,
+        cell,
+        role,
+        health,
+        started,
+    }
 }
 
 pub fn class(repeats: Repeats) -> RequestClass {
@@ -44,9 +52,14 @@
 }
 
 pub fn terms() -> Terms {
-    let deduplicated = Repeats::Deduplicated { scope: Scope::Cell, remembered: Span::from_ms(2000) };
+    let deduplicated = Repeats::Deduplicated {
+        scope: Scope::Cell,
+        remembered: Span::from_ms(2000),
+    };
     Terms {
-        classes: [Repeats::Idempotent, Repeats::AtMostOnce, deduplicated].map(class).to_vec(),
+        classes: [Repeats::Idempotent, Repeats::AtMostOnce, deduplicated]
+            .map(class)
+            .to_vec(),
         zone: ZoneId(0),
         zone_dispatchers: vec![1, 0],
         dispatchers: 2,
@@ -74,8 +87,18 @@
 
 /// Two caches, two parents and the origin.
 pub fn usual() -> Vec<Endpoint> {
-    let roles = [Role::Cache, Role::Cache, Role::Parent, Role::Parent, Role::Origin];
-    ["a", "bb", "p", "q", "o"].iter().zip(roles).map(|(name, role)| line(name, role)).collect()
+    let roles = [
+        Role::Cache,
+        Role::Cache,
+        Role::Parent,
+        Role::Parent,
+        Role::Origin,
+    ];
+    ["a", "bb", "p", "q", "o"]
+        .iter()
+        .zip(roles)
+        .map(|(name, role)| line(name, role))
+        .collect()
 }
 
 impl Fake {
@@ -106,7 +129,11 @@
         self.finals.extend(decisions.finals);
         self.looks.extend(decisions.looks);
         for sent in decisions.attempts {
-            let index = self.sent.iter().filter(|(_, earlier)| earlier.request == sent.request).count();
+            let index = self
+                .sent
+                .iter()
+                .filter(|(_, earlier)| earlier.request == sent.request)
+                .count();
             self.sent.push((AttemptIndex(index as u32), sent));
         }
     }
@@ -145,9 +172,22 @@
 
     fn ask(&mut self, class: usize, object: u64, part: u64, size_kb: Option<f64>) -> usize {
         self.next += 1;
-        let (at, id, deadline) = (self.sent.len(), RequestId(self.next), self.now + Span::from_ms(4000));
+        let (at, id, deadline) = (
+            self.sent.len(),
+            RequestId(self.next),
+            self.now + Span::from_ms(4000),
+        );
         let (class, object, group) = (ClassId(class), ObjectId(object), GroupId(object % 4));
-        let request = Request { id, class, object, part, group, size_kb, deadline, again: self.again };
+        let request = Request {
+            id,
+            class,
+            object,
+            part,
+            group,
+            size_kb,
+            deadline,
+            again: self.again,
+        };
         let decisions = self.brain.request(self.now, request);
         self.apply(decisions);
         at
@@ -162,19 +202,52 @@
         self.ended(at, ending, told, Span::ZERO, Span::from_ms(took), None);
     }
 
-    pub fn end_with(&mut self, at: usize, ending: Ending, told: Told, waited: u64, link: Option<f64>) {
-        self.ended(at, ending, told, Span::from_ms(waited), Span::from_ms(self.took), link);
+    pub fn end_with(
+        &mut self,
+        at: usize,
+        ending: Ending,
+        told: Told,
+        waited: u64,
+        link: Option<f64>,
+    ) {
+        self.ended(
+            at,
+            ending,
+            told,
+            Span::from_ms(waited),
+            Span::from_ms(self.took),
+            link,
+        );
     }
 
     pub fn seen(&mut self, name: &str, link: Option<f64>) {
-        let decisions = self.brain.seen(self.now, &host(name), LoadReport { link, ..LoadReport::default() });
+        let decisions = self.brain.seen(
+            self.now,
+            &host(name),
+            LoadReport {
+                link,
+                ..LoadReport::default()
+            },
+        );
         self.apply(decisions);
     }
 
-    fn ended(&mut self, at: usize, ending: Ending, told: Told, waited: Span, took: Span, link: Option<f64>) {
+    fn ended(
+        &mut self,
+        at: usize,
+        ending: Ending,
+        told: Told,
+        waited: Span,
+        took: Span,
+        link: Option<f64>,
+    ) {
         let (index, sent) = self.sent[at].clone();
         let (waited, closed) = (Some(waited), ending == Ending::Answered);
-        let in_hand = Some(if sent.host == host("a") { self.at_a } else { self.elsewhere });
+        let in_hand = Some(if sent.host == host("a") {
+            self.at_a
+        } else {
+            self.elsewhere
+        });
         let busy = self.busy.filter(|_| sent.host == host("a"));
         let (request, host) = (sent.request, sent.host);
         let ended = Ended {
@@ -186,14 +259,24 @@
             closed,
             told,
             waited,
-            report: LoadReport { link, in_hand, busy },
+            report: LoadReport {
+                link,
+                in_hand,
+                busy,
+            },
         };
         let decisions = self.brain.attempt_ended(self.now, ended);
         self.apply(decisions);
     }
 
     /// A request that is answered at once; gives its source.
-    pub fn fill(&mut self, object: u64, kb: f64, told: Told, waited: impl Fn(&HostId) -> u64) -> HostId {
+    pub fn fill(
+        &mut self,
+        object: u64,
+        kb: f64,
+        told: Told,
+        waited: impl Fn(&HostId) -> u64,
+    ) -> HostId {
         let at = self.request_of(0, object, kb);
         let source = self.sent[at].1.source.clone();
         self.end(at, Ending::Answered, told, waited(&source));
--- a/tests/guided.rs
+++ b/tests/guided.rs
@@ -14,11 +14,25 @@
 fn hint(name: &str) -> Hint {
     let (share, measures, measured, down, good) = (None, [None; 2], None, None, None);
     let (window, others) = (None, None);
-    Hint { host: host(name), share, measures, measured, down, good, window, others }
+    Hint {
+        host: host(name),
+        share,
+        measures,
+        measured,
+        down,
+        good,
+        window,
+        others,
+    }
 }
 
 fn told(hints: Vec<Hint>) -> Guided {
-    Guided { hints, by_right: 1.0, link: None, vouched: true }
+    Guided {
+        hints,
+        by_right: 1.0,
+        link: None,
+        vouched: true,
+    }
 }
 
 fn brain(lines: Vec<Endpoint>) -> Brain {
@@ -28,7 +42,12 @@
 }
 
 fn lines() -> Vec<Endpoint> {
-    vec![line("a", Role::Cache), line("p", Role::Parent), line("q", Role::Parent), line("o", Role::Origin)]
+    vec![
+        line("a", Role::Cache),
+        line("p", Role::Parent),
+        line("q", Role::Parent),
+        line("o", Role::Origin),
+    ]
 }
 
 fn request(id: u64, now: Time, class: usize) -> Request {
@@ -68,45 +87,98 @@
 fn a_parent_that_several_others_found_down_gets_nothing_before_its_trial() {
     let mut brain = brain(lines());
     assert!(sources(&mut brain, at(10), 1..9).contains(&host("p")));
-    brain.guided(at(20), told(vec![Hint { down: Some(at(15)), ..hint("p") }]));
+    brain.guided(
+        at(20),
+        told(vec![Hint {
+            down: Some(at(15)),
+            ..hint("p")
+        }]),
+    );
     assert!(!sources(&mut brain, at(30), 10..20).contains(&host("p")));
 }
 
 #[test]
 fn an_own_success_outweighs_older_words_of_a_failure() {
     let mut brain = brain(lines());
-    let offs: Vec<Attempt> =
-        (1..9).flat_map(|id| brain.request(at(10), request(id, at(10), 0)).attempts).collect();
+    let offs: Vec<Attempt> = (1..9)
+        .flat_map(|id| brain.request(at(10), request(id, at(10), 0)).attempts)
+        .collect();
     let of = offs.iter().find(|off| off.source == host("p")).unwrap();
     brain.attempt_ended(at(100), ended(of, Ending::Answered, Told::Filled, 5.0));
-    brain.guided(at(110), told(vec![Hint { down: Some(at(90)), ..hint("p") }]));
+    brain.guided(
+        at(110),
+        told(vec![Hint {
+            down: Some(at(90)),
+            ..hint("p")
+        }]),
+    );
     assert!(sources(&mut brain, at(120), 20..30).contains(&host("p")));
-    brain.guided(at(130), told(vec![Hint { down: Some(at(125)), good: Some(at(128)), ..hint("p") }]));
-    assert!(sources(&mut brain, at(140), 30..40).contains(&host("p")), "somebody has succeeded since");
+    brain.guided(
+        at(130),
+        told(vec![Hint {
+            down: Some(at(125)),
+            good: Some(at(128)),
+            ..hint("p")
+        }]),
+    );
+    assert!(
+        sources(&mut brain, at(140), 30..40).contains(&host("p")),
+        "somebody has succeeded since"
+    );
 }
 
 #[test]
 fn a_parent_out_of_use_is_tried_at_once_when_others_reach_it_again() {
     let mut brain = brain(lines());
-    brain.guided(at(20), told(vec![Hint { down: Some(at(15)), ..hint("p") }]));
+    brain.guided(
+        at(20),
+        told(vec![Hint {
+            down: Some(at(15)),
+            ..hint("p")
+        }]),
+    );
     assert!(!sources(&mut brain, at(30), 1..20).contains(&host("p")));
-    brain.guided(at(40), told(vec![Hint { good: Some(at(35)), ..hint("p") }]));
-    let tried = sources(&mut brain, at(50), 20..60).into_iter().filter(|source| *source == host("p")).count();
+    brain.guided(
+        at(40),
+        told(vec![Hint {
+            good: Some(at(35)),
+            ..hint("p")
+        }]),
+    );
+    let tried = sources(&mut brain, at(50), 20..60)
+        .into_iter()
+        .filter(|source| *source == host("p"))
+        .count();
     assert_eq!(tried, 1, "one trial, and trust only by what comes of it");
 }
 
 #[test]
 fn peer_observations_of_latency_move_the_choice_only_until_own_samples_speak() {
     let mut brain = brain(lines());
-    let slow = |now| Hint { measures: [Some(900.0), None], measured: Some(now), ..hint("p") };
-    let quick = |now| Hint { measures: [Some(5.0), None], measured: Some(now), ..hint("o") };
+    let slow = |now| Hint {
+        measures: [Some(900.0), None],
+        measured: Some(now),
+        ..hint("p")
+    };
+    let quick = |now| Hint {
+        measures: [Some(5.0), None],
+        measured: Some(now),
+        ..hint("o")
+    };
     for n in 0..6 {
         brain.guided(at(20 + n), told(vec![quick(at(10 + n)), slow(at(10 + n))]));
     }
     let before = sources(&mut brain, at(40), 1..40);
-    assert!(!before.contains(&host("p")) && before.contains(&host("q")), "{before:?}");
+    assert!(
+        !before.contains(&host("p")) && before.contains(&host("q")),
+        "{before:?}"
+    );
     let own = Observation {
-        ..brain.observations(at(41)).into_iter().find(|observation| observation.host == host("p")).unwrap()
+        ..brain
+            .observations(at(41))
+            .into_iter()
+            .find(|observation| observation.host == host("p"))
+            .unwrap()
     };
     assert_eq!(
         (own.measures, own.measured),
@@ -124,16 +196,35 @@
         let mut brain = brain(lines.clone());
         let now = at(2_500);
         let hints = vec![Hint { share, ..hint("a") }];
-        brain.guided(now, Guided { hints, by_right, link: None, vouched: true });
+        brain.guided(
+            now,
+            Guided {
+                hints,
+                by_right,
+                link: None,
+                vouched: true,
+            },
+        );
         let offs = (1..200).flat_map(|id| brain.request(now, request(id, now, 0)).attempts);
         offs.filter(|off| off.host == host("a")).count()
     };
-    let (plain, none, double) =
-        (count(None, 1.0), count(Some((Some(at(0)), 0.0)), 1.0), count(Some((Some(at(0)), 1.0)), 1.0));
+    let (plain, none, double) = (
+        count(None, 1.0),
+        count(Some((Some(at(0)), 0.0)), 1.0),
+        count(Some((Some(at(0)), 1.0)), 1.0),
+    );
     assert!(none == 0 && plain > 0, "{none} {plain}");
     assert!(double >= plain, "{double} {plain}");
-    assert_eq!(count(Some((Some(at(7)), 0.0)), 1.0), plain, "another life's share says nothing");
-    assert_eq!(count(None, 0.0), 0, "a forwarder without a share of its own");
+    assert_eq!(
+        count(Some((Some(at(7)), 0.0)), 1.0),
+        plain,
+        "another life's share says nothing"
+    );
+    assert_eq!(
+        count(None, 0.0),
+        0,
+        "a forwarder without a share of its own"
+    );
 }
 
 #[test]
@@ -141,11 +232,22 @@
     let mut cold = line("a", Role::Cache);
     cold.started = Some(at(0));
     let mut brain = brain(vec![cold, line("p", Role::Parent), line("o", Role::Origin)]);
-    brain.guided(at(2_500), told(vec![Hint { share: Some((Some(at(0)), 0.0)), ..hint("a") }]));
+    brain.guided(
+        at(2_500),
+        told(vec![Hint {
+            share: Some((Some(at(0)), 0.0)),
+            ..hint("a")
+        }]),
+    );
     sources(&mut brain, at(2_500), 1..5);
     let used = |brain: &Brain| {
         let observations = brain.observations(at(2_500));
-        observations.into_iter().find(|observation| observation.host == host("a")).unwrap().cold.unwrap()
+        observations
+            .into_iter()
+            .find(|observation| observation.host == host("a"))
+            .unwrap()
+            .cold
+            .unwrap()
     };
     let first = used(&brain);
     assert!(first.wished > 0.0 && first.spent == 0.0, "{first:?}");
@@ -155,24 +257,46 @@
 #[test]
 fn with_nobody_to_vouch_for_the_hosts_new_requests_are_rejected_at_once_and_what_is_out_goes_on() {
     let mut brain = brain(lines());
-    let out = brain.request(at(10), request(1, at(10), 0)).attempts.remove(0);
-    brain.guided(at(20), Guided { vouched: false, ..told(vec![]) });
+    let out = brain
+        .request(at(10), request(1, at(10), 0))
+        .attempts
+        .remove(0);
+    brain.guided(
+        at(20),
+        Guided {
+            vouched: false,
+            ..told(vec![])
+        },
+    );
     let decisions = brain.request(at(30), request(2, at(30), 0));
     assert!(decisions.attempts.is_empty());
     assert!(matches!(
         decisions.finals[..],
-        [Final::Rejected { request: RequestId(2), retry_after: Some(_) }]
+        [Final::Rejected {
+            request: RequestId(2),
+            retry_after: Some(_)
+        }]
     ));
     let decisions = brain.attempt_ended(at(40), ended(&out, Ending::Answered, Told::Held, 1.0));
     assert!(decisions.finals.is_empty(), "answered by its host");
     brain.guided(at(50), told(vec![]));
-    assert_eq!(brain.request(at(60), request(3, at(60), 0)).attempts.len(), 1);
+    assert_eq!(
+        brain.request(at(60), request(3, at(60), 0)).attempts.len(),
+        1
+    );
 }
 
 #[test]
 fn hints_about_hosts_that_nobody_listed_change_nothing() {
     let mut brain = brain(lines());
-    brain.guided(at(10), told(vec![Hint { share: Some((None, 1.0)), window: Some(1.0), ..hint("nobody") }]));
+    brain.guided(
+        at(10),
+        told(vec![Hint {
+            share: Some((None, 1.0)),
+            window: Some(1.0),
+            ..hint("nobody")
+        }]),
+    );
     assert_eq!(brain.observations(at(10)).len(), 4);
 }
 
@@ -180,13 +304,31 @@
 fn a_full_link_that_others_heard_of_holds_back_misses_here_until_the_word_is_old() {
     let mut brain = brain(lines());
     let now = at(100);
-    brain.guided(now, Guided { link: Some((50.0, at(90))), ..told(vec![]) });
+    brain.guided(
+        now,
+        Guided {
+            link: Some((50.0, at(90))),
+            ..told(vec![])
+        },
+    );
     let off = brain.request(now, request(1, now, 0)).attempts.remove(0);
     assert_eq!(off.source, off.host, "only a hit is asked for");
-    brain.guided(at(110), Guided { link: Some((0.1, at(20))), ..told(vec![]) });
-    let off = brain.request(at(110), request(2, at(110), 0)).attempts.remove(0);
+    brain.guided(
+        at(110),
+        Guided {
+            link: Some((0.1, at(20))),
+            ..told(vec![])
+        },
+    );
+    let off = brain
+        .request(at(110), request(2, at(110), 0))
+        .attempts
+        .remove(0);
     assert_eq!(off.source, off.host, "older word changes nothing");
     let later = at(5_000);
-    let off = brain.request(later, request(3, later, 0)).attempts.remove(0);
+    let off = brain
+        .request(later, request(3, later, 0))
+        .attempts
+        .remove(0);
     assert_ne!(off.source, off.host, "nor does word that is old by now");
 }
--- a/tests/same.rs
+++ b/tests/same.rs
@@ -59,7 +59,11 @@
 
 /// What was printed, as it was at the time of the record.
 fn as_recorded(printed: &str) -> String {
-    RECORDED_NAMES.iter().fold(printed.to_owned(), |text, (now, then)| text.replace(now, then))
+    RECORDED_NAMES
+        .iter()
+        .fold(printed.to_owned(), |text, (now, then)| {
+            text.replace(now, then)
+        })
 }
 
 impl Day {
@@ -77,10 +81,15 @@
             let bad = |(id, from, to, ..): &&(HostId, u64, u64, Ending, Told)| {
                 (*from..*to).contains(&ms) && [&attempt.host, &attempt.source].contains(&id)
             };
-            let (took, waited) = (self.chance.random_range(1.0..90.0), self.chance.random_range(0.5..60.0));
+            let (took, waited) = (
+                self.chance.random_range(1.0..90.0),
+                self.chance.random_range(0.5..60.0),
+            );
             let hit = self.chance.random_bool(0.6) || attempt.source == attempt.host;
             let (ending, told, took) = match self.trouble.iter().find(bad) {
-                Some((.., Ending::TimedOut, _)) => (Ending::TimedOut, Told::Nothing, attempt.allow.ms()),
+                Some((.., Ending::TimedOut, _)) => {
+                    (Ending::TimedOut, Told::Nothing, attempt.allow.ms())
+                }
                 Some((.., ending, told)) => (*ending, *told, 2.0),
                 None if hit => (Ending::Answered, Told::Held, took),
                 None => (Ending::Answered, Told::Filled, took + waited),
@@ -95,13 +104,20 @@
                 told,
                 waited: (told == Told::Filled).then(|| Span::of_ms(waited)),
                 report: LoadReport {
-                    link: self.chance.random_bool(0.5).then(|| self.chance.random_range(0.0..4.0)),
-                    in_hand: self.chance.random_bool(0.5).then(|| f64::from(self.chance.random_range(0..12))),
+                    link: self
+                        .chance
+                        .random_bool(0.5)
+                        .then(|| self.chance.random_range(0.0..4.0)),
+                    in_hand: self
+                        .chance
+                        .random_bool(0.5)
+                        .then(|| f64::from(self.chance.random_range(0..12))),
                     busy: None,
                 },
             };
             self.next += 1;
-            self.later.insert((now + Span::of_ms(took), self.next), Later::Ended(ended));
+            self.later
+                .insert((now + Span::of_ms(took), self.next), Later::Ended(ended));
         }
     }
 }
@@ -110,9 +126,14 @@
     let start = Time::at_ms(100_000.0);
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let mut terms = terms();
-    (terms.zone_dispatchers, terms.dispatchers) = (vec![1 + (seed % 4) as u32, 2], 3 + (seed % 4) as u32);
+    (terms.zone_dispatchers, terms.dispatchers) =
+        (vec![1 + (seed % 4) as u32, 2], 3 + (seed % 4) as u32);
     let (brain, decisions) = Brain::start(start, seed, terms);
-    let roles = [(Role::Cache, 6, "c"), (Role::Parent, 3, "p"), (Role::Origin, 1, "o")];
+    let roles = [
+        (Role::Cache, 6, "c"),
+        (Role::Parent, 3, "p"),
+        (Role::Origin, 1, "o"),
+    ];
     let mut lines: Vec<Endpoint> = Vec::new();
     for (role, count, name) in roles {
         lines.extend((0..count).map(|n| line(&format!("{name}{n}"), role)));
@@ -132,11 +153,26 @@
         let from = 100_000 + chance.random_range(0..MS);
         let (ending, told) = endings[chance.random_range(0..endings.len())];
         let id = lines[chance.random_range(0..lines.len())].host.clone();
-        trouble.push((id, from, from + chance.random_range(500..9_000), ending, told));
+        trouble.push((
+            id,
+            from,
+            from + chance.random_range(500..9_000),
+            ending,
+            told,
+        ));
     }
     let (later, attempts_of) = (BTreeMap::new(), BTreeMap::new());
-    let mut day =
-        Day { brain, chance, later, wake: None, next: 0, attempts_of, digest: 0, attempts: 0, trouble };
+    let mut day = Day {
+        brain,
+        chance,
+        later,
+        wake: None,
+        next: 0,
+        attempts_of,
+        digest: 0,
+        attempts: 0,
+        trouble,
+    };
     day.take(start, decisions);
     let decisions = day.brain.list(start, ListKind::Full, lines.clone());
     day.take(start, decisions);
@@ -163,29 +199,45 @@
                 object: ObjectId(object),
                 part: 0,
                 group: GroupId(object % 5),
-                size_kb: day.chance.random_bool(0.8).then(|| day.chance.random_range(1.0..2_000.0)),
+                size_kb: day
+                    .chance
+                    .random_bool(0.8)
+                    .then(|| day.chance.random_range(1.0..2_000.0)),
                 deadline: now + Span::from_ms(2_500),
                 again: day.chance.random_bool(0.1),
             };
             let decisions = day.brain.request(now, request);
             day.take(now, decisions);
             if day.chance.random_bool(0.03) {
-                day.later.insert((now + Span::from_ms(5), day.next), Later::Leaves(id));
+                day.later
+                    .insert((now + Span::from_ms(5), day.next), Later::Leaves(id));
             }
         }
         if day.chance.random_bool(0.0008) {
             let at = day.chance.random_range(0..lines.len() - 1);
-            let healths = [Health::InService, Health::Draining, Health::Removed, Health::InService];
+            let healths = [
+                Health::InService,
+                Health::Draining,
+                Health::Removed,
+                Health::InService,
+            ];
             lines[at].health = healths[day.chance.random_range(0..healths.len())];
             if lines[at].health == Health::InService {
                 lines[at].started = Some(now);
             }
-            let decisions = day.brain.list(now, ListKind::Delta, vec![lines[at].clone()]);
+            let decisions = day
+                .brain
+                .list(now, ListKind::Delta, vec![lines[at].clone()]);
             day.take(now, decisions);
         }
         if day.chance.random_bool(0.0005) {
-            let object = day.chance.random_bool(0.5).then(|| ObjectId(day.chance.random_range(1..20)));
-            let decisions = day.brain.purge(now, object, GroupId(1), now - Span::from_ms(20));
+            let object = day
+                .chance
+                .random_bool(0.5)
+                .then(|| ObjectId(day.chance.random_range(1..20)));
+            let decisions = day
+                .brain
+                .purge(now, object, GroupId(1), now - Span::from_ms(20));
             day.take(now, decisions);
         }
     }
