--- /dev/null
+++ b/crates/flaxdeck-plan/tests/recorded_plan.rs
@@ -0,0 +1,43 @@
+//! `deploy/two-levels.plan` as revision 45b174f read it, from a copy of the file as it was then: every word of it has
+//! to keep its meaning.
+
+use flaxdeck_plan::{Blind, Events, LogForm, Plan, Planner, read};
+
+const RECORDED: &str = include_str!("fixtures/two-levels.plan");
+
+fn planner(name: &str, listen: &str) -> Planner {
+    Planner {
+        name: name.into(),
+        listen: listen.parse().expect("an address"),
+    }
+}
+
+#[test]
+fn the_operators_plan_file_keeps_its_meaning() {
+    let wanted = Plan {
+        key_file: "two-levels.key".into(),
+        planners: vec![
+            planner("p1", "127.0.0.1:7501"),
+            planner("p2", "127.0.0.1:7502"),
+        ],
+        reserve: 0.0,
+        granted_ms: 1_200,
+        drift: 0.01,
+        seated: true,
+        report_every_ms: 200,
+        report_idle_ms: 200,
+        events: Events::EachEvent,
+        blind: Blind::RejectAfter { ms: 2_500.0 },
+        log_form: LogForm::Text,
+        state_folder: None,
+        log_levels: "info".into(),
+    };
+    assert_eq!(read("two-levels.plan", RECORDED), Ok(wanted));
+}
+
+#[test]
+fn the_plan_file_in_deploy_is_the_recorded_one() {
+    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/two-levels.plan");
+    let today = std::fs::read_to_string(path).expect("the plan file");
+    assert!(today == RECORDED, "deploy/two-levels.plan has changed");
+}
--- /dev/null
+++ b/crates/flaxdeck-talk/tests/recorded_messages.rs
@@ -0,0 +1,219 @@
+//! Frames between forwarders and planners, recorded from version 3 of the protocol (revision 45b174f) under a fixed
+//! key and fixed nonces. Today's code has to read each of them, and to write the same bytes.
+
+use bytes::BytesMut;
+use flaxdeck_distribution::messages::{
+    Batch, Delivery, FullEvent, PurgeDigest, Snapshot, Subscription, Update,
+};
+use flaxdeck_guidance::Parts;
+use flaxdeck_guidance::messages::{
+    Envelope, Epoch, Fullness, Grant, Guidance, Life, PeerSummary, Rating, Relayed, Report, Sample,
+    SeatId, Stamp, Trade,
+};
+use flaxdeck_recovery::Mark;
+use flaxdeck_talk::messages::{FromForwarder, FromPlanner};
+use flaxdeck_talk::seal::{Greeting, Key, Opener, Sealer, Side};
+use flaxdeck_wire::Parsed;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+fn assert_recorded(name: &str, bytes: &[u8]) {
+    let path = format!("{}/tests/fixtures/{name}", env!("CARGO_MANIFEST_DIR"));
+    let recorded = std::fs::read(path).expect("a recorded file");
+    assert!(recorded == bytes, "{name} is written otherwise");
+}
+
+fn key() -> Key {
+    Key::from_hex(&"5c".repeat(32)).expect("64 hex digits")
+}
+
+fn greetings() -> (Greeting, Greeting) {
+    let forwarder = Greeting::new(Side::Forwarder, [0x11; 16]);
+    let planner = Greeting::new(Side::Planner, [0x22; 16]);
+    (forwarder, planner)
+}
+
+/// Seals the messages one after another, compares them with the recorded frames and opens these again.
+fn check<T>(name: &str, mut sealer: Sealer, mut opener: Opener, messages: &[T])
+where
+    T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
+{
+    let mut written = Vec::new();
+    for message in messages {
+        written.extend_from_slice(&sealer.seal(message).expect("it fits a frame"));
+    }
+    assert_recorded(name, &written);
+    let mut buffer = BytesMut::from(&written[..]);
+    for message in messages {
+        let opened = opener.open::<T>(&mut buffer).expect("a genuine frame");
+        let Parsed::Whole(opened) = opened else {
+            panic!("{name} is cut off")
+        };
+        assert_eq!(&opened, message);
+    }
+    assert!(buffer.is_empty());
+}
+
+fn envelope() -> Envelope {
+    Envelope {
+        from: Epoch(0x0123_4567_89ab),
+        to: Epoch(77),
+        number: 300,
+        sent: Stamp(1_234_567),
+        echo: Some(Stamp(7_654_321)),
+    }
+}
+
+fn life() -> Life {
+    Life {
+        host: "s-00c41f7a".into(),
+        started: 1_764_576_000_123,
+    }
+}
+
+fn mark(number: u64) -> Mark {
+    Mark {
+        number,
+        hash: 0x7f3a_9c21_e0b4_d655 ^ number,
+    }
+}
+
+fn report() -> Report {
+    Report {
+        envelope: envelope(),
+        seat: SeatId(0xfeed_beef),
+        last_event: mark(41),
+        subscribes: true,
+        version: 9,
+        zone: 3,
+        link: Some(Fullness {
+            full: 1.75,
+            ago_ms: 210,
+        }),
+        trades: vec![Trade {
+            life: life(),
+            lends: Parts(1_000),
+            wishes: Parts(250_000),
+            in_hand: 12,
+        }],
+        samples: vec![Sample {
+            host: "s-00c41f7b".into(),
+            measures: [Some(12.5), None],
+            measured_ago_ms: 1_500,
+            good_ago_ms: Some(20),
+            bad_ago_ms: None,
+            in_hand: 4,
+        }],
+    }
+}
+
+fn guidance() -> Guidance {
+    Guidance {
+        envelope: envelope(),
+        coordinator_ago_ms: Some(33),
+        owes_ms: Some(900),
+        upto: Some(mark(44)),
+        version: 10,
+        after: mark(42),
+        events: vec![Relayed {
+            mark: mark(43),
+            frame: vec![0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 43, 0],
+        }],
+        link: None,
+        grants: vec![Grant {
+            life: life(),
+            amount: Parts(125_000),
+            lasts_ms: 1_200,
+        }],
+        lives: vec![PeerSummary {
+            life: life(),
+            wanted: true,
+            others: 17,
+        }],
+        ratings: vec![Rating {
+            host: "s-00c41f7c".into(),
+            measures: [Some(80.0), Some(0.5)],
+            measured_ago_ms: 700,
+            down_ago_ms: Some(300),
+            good_ago_ms: None,
+            window: Some(6),
+        }],
+    }
+}
+
+fn digest() -> PurgeDigest {
+    PurgeDigest {
+        count: 3,
+        low_bits: 24,
+        bytes: vec![0xa5, 0x5a, 0x0f, 0xf0],
+    }
+}
+
+fn full_event() -> FullEvent {
+    FullEvent {
+        mark: mark(51),
+        frame: vec![
+            0, 0, 0, 19, 0, 0, 0, 0, 0, 0, 0, 51, 4, 0, 17, 0, 0, 1, 154, 0, 0, 0, 0,
+        ],
+    }
+}
+
+#[test]
+fn greetings_keep_their_bytes() {
+    let (forwarder, planner) = greetings();
+    assert_recorded("greeting-forwarder.bin", &forwarder.bytes(&key()));
+    assert_recorded("greeting-planner.bin", &planner.bytes(&key()));
+    let mut buffer = BytesMut::from(&planner.bytes(&key())[..]);
+    let read = Greeting::read(&mut buffer, &key(), Side::Planner);
+    assert!(matches!(read, Ok(Parsed::Whole(_))));
+}
+
+#[test]
+fn each_message_of_a_forwarder_keeps_its_bytes() {
+    let (forwarder, planner) = greetings();
+    let (sealer, _) = forwarder.keys(&planner, &key());
+    let (_, opener) = planner.keys(&forwarder, &key());
+    let messages = [
+        FromForwarder::Report(Report::default()),
+        FromForwarder::Report(report()),
+        FromForwarder::Subscribe(Subscription::After(mark(40))),
+        FromForwarder::Subscribe(Subscription::FromSnapshot),
+        FromForwarder::Subscribe(Subscription::None),
+    ];
+    check("from-forwarder.bin", sealer, opener, &messages);
+}
+
+#[test]
+fn each_message_of_a_planner_keeps_its_bytes() {
+    let (forwarder, planner) = greetings();
+    let (sealer, _) = planner.keys(&forwarder, &key());
+    let (_, opener) = forwarder.keys(&planner, &key());
+    let batch = Batch {
+        after: mark(50),
+        upto: mark(52),
+        purges: digest(),
+        events: vec![full_event()],
+    };
+    let snapshot = Snapshot {
+        upto: mark(60),
+        list: vec![0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 60, 1],
+        purges: digest(),
+        group_purges: vec![full_event()],
+        purges_reach_ms: 6_800,
+    };
+    let delivery = |update, coordinator_ago_ms| {
+        FromPlanner::Delivery(Delivery {
+            update,
+            coordinator_ago_ms,
+        })
+    };
+    let messages = [
+        FromPlanner::Guidance(Guidance::default()),
+        FromPlanner::Guidance(guidance()),
+        delivery(Update::Batch(Batch::default()), None),
+        delivery(Update::Batch(batch), Some(12)),
+        delivery(Update::Snapshot(Box::new(snapshot)), Some(13)),
+        delivery(Update::Behind { upto: mark(61) }, Some(14)),
+    ];
+    check("from-planner.bin", sealer, opener, &messages);
+}
--- /dev/null
+++ b/crates/flaxdeck-wire/tests/recorded_bytes.rs
@@ -0,0 +1,300 @@
+//! Bytes of clients, cache hosts and the coordinator as revision 45b174f wrote and read them, one file each. Today's
+//! code has to write the same bytes, and to read what others sent in the same way.
+
+mod names;
+
+use bytes::{Bytes, BytesMut};
+use flaxdeck::words::*;
+use flaxdeck_terms::fields::Fields;
+use flaxdeck_wire::frames::{AddressedEndpoint, Event};
+use flaxdeck_wire::lines::{self, Wish};
+use flaxdeck_wire::rpc::{self, Said};
+use flaxdeck_wire::{Answer, Asked, Outcome, Parsed, frames};
+use names::names;
+
+use flaxdeck_toy::request_message;
+
+fn path(name: &str) -> String {
+    format!("{}/tests/fixtures/{name}", env!("CARGO_MANIFEST_DIR"))
+}
+
+fn recorded(name: &str) -> Vec<u8> {
+    std::fs::read(path(name)).expect("a recorded file")
+}
+
+fn assert_recorded(name: &str, bytes: &[u8]) {
+    assert!(recorded(name) == bytes, "{name} is written otherwise");
+}
+
+fn endpoint(health: Health) -> AddressedEndpoint {
+    AddressedEndpoint {
+        listed: Endpoint {
+            host: HostId("s-00c41f7a".into()),
+            weight: 4.5,
+            zone: Some(ZoneId(0)),
+            cell: CellId(2),
+            role: Role::Parent,
+            health,
+            started: Some(Time::at_ms(1_764_576_000_123.0)),
+        },
+        address: "127.1.0.9:5050".parse().expect("an address"),
+    }
+}
+
+fn asked(body: &'static [u8]) -> Asked {
+    Asked {
+        class: ClassId(0),
+        id: Bytes::from_static(b"a1b2c3d4"),
+        key: Bytes::from_static(b"7f3a9c21e0b4d655"),
+        object: ObjectId(0x7f3a_9c21_e0b4_d655),
+        part: 2,
+        group: GroupId(17),
+        size_kb: Some(12.5),
+        waits: Span::of_ms(1_500.0),
+        again: true,
+        holds: Some(Bytes::from_static(b"tag-1")),
+        idempotency_key: Some(Bytes::from_static(b"once-1")),
+        body: Bytes::from_static(body),
+    }
+}
+
+#[test]
+fn frames_of_the_coordinator_keep_their_bytes_and_meaning() {
+    let purge = |kind: u8, named: &[u8]| {
+        let made = 1_764_576_000_480u64.to_be_bytes();
+        let length = (9 + named.len() + 8) as u32;
+        [
+            &length.to_be_bytes()[..],
+            &6u64.to_be_bytes(),
+            &[kind],
+            named,
+            &made,
+        ]
+        .concat()
+    };
+    let endpoints = [
+        endpoint(Health::InService),
+        endpoint(Health::Draining),
+        endpoint(Health::Removed),
+    ];
+    let list = frames::whole_list(5, endpoints.iter(), &names()).expect("it fits a frame");
+    let mut delta = list.clone();
+    delta[12] = 2;
+    let empty = [&9u32.to_be_bytes()[..], &4u64.to_be_bytes(), &[0]].concat();
+    let object = purge(3, &0x7f3a_9c21_e0b4_d655u64.to_be_bytes());
+    let group = purge(4, &17u16.to_be_bytes());
+    assert_recorded(
+        "coordinator-frames.bin",
+        &[&empty[..], &list, &delta, &object, &group].concat(),
+    );
+
+    let mut buffer = BytesMut::from(&recorded("coordinator-frames.bin")[..]);
+    let mut events = Vec::new();
+    while !buffer.is_empty() {
+        match frames::parse(&mut buffer, &names()).expect("frames of the protocol") {
+            Parsed::Whole((number, _, event)) => events.push((number, event)),
+            Parsed::Short(more) => panic!("{more} bytes are missing"),
+        }
+    }
+    let hashes: Vec<_> = events
+        .iter()
+        .map(|(number, event)| format!("{number} {:016x}", event.as_ref().map_or(0, Event::hash)))
+        .collect();
+    assert_recorded(
+        "coordinator-frames.hashes",
+        (hashes.join("\n") + "\n").as_bytes(),
+    );
+    let [
+        _,
+        (5, Some(Event::Hosts(ListKind::Full, full))),
+        (5, Some(Event::Hosts(ListKind::Delta, _))),
+        purged @ ..,
+    ] = &events[..]
+    else {
+        panic!("{events:?}")
+    };
+    let health: Vec<Health> = full.iter().map(|line| line.listed.health).collect();
+    assert_eq!(
+        health,
+        [Health::InService, Health::Draining, Health::Removed]
+    );
+    assert_eq!(full[0].address, endpoints[0].address);
+    let made_at = Time::at_ms(1_764_576_000_480.0);
+    for (_, event) in purged {
+        let Some(Event::Purged {
+            object,
+            group,
+            made,
+        }) = event
+        else {
+            panic!("{event:?}")
+        };
+        assert_eq!(*made, made_at);
+        match object {
+            Some(object) => assert_eq!(*object, ObjectId(0x7f3a_9c21_e0b4_d655)),
+            None => assert_eq!(*group, GroupId(17)),
+        }
+    }
+    assert_eq!(purged.len(), 2);
+}
+
+#[test]
+fn events_of_a_configuration_have_the_hashes_that_were_recorded() {
+    let config = include_str!("../../../examples/toy/config.json");
+    let value: serde_json::Value = serde_json::from_str(config).expect("JSON");
+    let known = Fields::of(&value, "the whole")
+        .and_then(|whole| whole.inner("known"))
+        .expect("the events of the start");
+    let (last, events) = frames::known(&known, &names()).expect("events");
+    let hashes: Vec<_> = events
+        .iter()
+        .map(|(number, event)| format!("{number} {:016x}", event.hash()))
+        .collect();
+    assert_recorded(
+        "configuration-events.hashes",
+        format!("{last}\n{}\n", hashes.join("\n")).as_bytes(),
+    );
+}
+
+#[test]
+fn requests_to_a_host_keep_their_bytes() {
+    let host = HostId("s-00c41f7b".into());
+    let plain = Asked {
+        holds: None,
+        idempotency_key: None,
+        ..asked(b"")
+    };
+    let bare = Wish {
+        class: "page",
+        waits: Span::of_ms(0.2),
+        source: None,
+        keep: 0,
+        fresh: false,
+        oldest: None,
+        join: false,
+        only_held: false,
+        renew: false,
+    };
+    let full = Wish {
+        class: "submit",
+        waits: Span::of_ms(2_999.9),
+        source: Some(&host),
+        keep: 2,
+        fresh: true,
+        oldest: Some(Span::of_ms(17.4)),
+        join: true,
+        only_held: true,
+        renew: true,
+    };
+    let written = [
+        lines::want(&plain, &bare).concat(),
+        lines::want(&asked(b"body of a write"), &full).concat(),
+        lines::never_mind(&Bytes::from_static(b"a1b2c3d4")).to_vec(),
+    ];
+    assert_recorded("host-requests.txt", &written.concat());
+}
+
+const ANSWERS: &[u8] = b"a1 data how=hit,took=12.5 3\r\nabc\r\n\
+a2 unchanged version=tag-1 0\r\n\r\n\
+a3 absent - 0\r\n\r\n\
+a4 full how=no_slot 0\r\n\r\n\
+a5 failed how=src_broke 0\r\n\r\n\
+a6 moot - 0\r\n\r\n\
+a7 data how=via_origin 1\r\nx\r\n\
+fence here\r\n";
+
+#[test]
+fn answers_of_a_host_keep_their_meaning() {
+    assert_recorded("host-answers.txt", ANSWERS);
+    let mut buffer = BytesMut::from(&recorded("host-answers.txt")[..]);
+    let mut read = Vec::new();
+    while !buffer.is_empty() {
+        match lines::parse(&mut buffer, &names()).expect("answers of the protocol") {
+            Parsed::Whole(line) => read.push(line),
+            Parsed::Short(more) => panic!("{more} bytes are missing"),
+        }
+    }
+    let endings: Vec<Ending> = read.iter().map(|line| line.outcome.ending).collect();
+    let wanted = [
+        Ending::Answered,
+        Ending::Answered,
+        Ending::NoCopy,
+        Ending::TurnedAway,
+        Ending::Errored,
+        Ending::NotSent,
+        Ending::Answered,
+        Ending::NotSent,
+    ];
+    assert_eq!(endings, wanted);
+    let told: Vec<Told> = read.iter().map(|line| line.outcome.told).collect();
+    let wanted = [
+        Told::Held,
+        Told::Nothing,
+        Told::Nothing,
+        Told::NoPlace,
+        Told::SourceUnreached,
+        Told::Nothing,
+        Told::FilledThroughOrigin,
+        Told::Nothing,
+    ];
+    assert_eq!(told, wanted);
+    let Outcome { body, waited, .. } = &read[0].outcome;
+    assert_eq!((&body[..], *waited), (&b"abc"[..], Some(Span::of_ms(12.5))));
+    assert!(read[1].outcome.unchanged);
+    assert_eq!(read[1].outcome.named.as_deref(), Some(&b"tag-1"[..]));
+    assert_eq!(
+        (read[6].id.as_deref(), &read[7].id),
+        (Some(&b"a7"[..]), &None)
+    );
+}
+
+#[test]
+fn answers_to_a_client_keep_their_bytes() {
+    let written = [
+        rpc::answer(7, Answer::Served(Bytes::from(vec![0x5a; 70_000]))).concat(),
+        rpc::answer(70_000, Answer::Unchanged).concat(),
+        rpc::answer(300, Answer::Rejected(None)).concat(),
+        rpc::answer(300, Answer::Rejected(Some(Span::of_ms(299.5)))).concat(),
+        rpc::answer(9, Answer::Failed).concat(),
+        rpc::error(9, "Invalid", Some(Span::of_ms(20.0))).to_vec(),
+        rpc::alive(8).to_vec(),
+    ];
+    assert_recorded("client-answers.bin", &written.concat());
+}
+
+#[test]
+fn a_request_of_a_client_keeps_its_meaning() {
+    let fields = [
+        ("id", "9b1f03aa5c7e2d41"),
+        ("wait", "1500"),
+        ("retry", "1"),
+        ("key", "7f3a9c21e0b4d655"),
+        ("slice", "3"),
+        ("set", "17"),
+        ("kb", "412.5"),
+        ("seen", "4be0c1927d55a6f3"),
+        ("once", "6ba245bd25e372d4b65f22998597a9da"),
+    ];
+    let bytes = request_message(70_000, "submit", &fields, b"a form");
+    assert_recorded("client-request.bin", &bytes);
+    let mut buffer = BytesMut::from(&recorded("client-request.bin")[..]);
+    let wanted = Asked {
+        class: ClassId(2),
+        id: "9b1f03aa5c7e2d41".into(),
+        key: "7f3a9c21e0b4d655".into(),
+        object: ObjectId(0x7f3a_9c21_e0b4_d655),
+        part: 3,
+        group: GroupId(17),
+        size_kb: Some(412.5),
+        waits: Span::from_ms(1500),
+        again: true,
+        holds: Some("4be0c1927d55a6f3".into()),
+        idempotency_key: Some("6ba245bd25e372d4b65f22998597a9da".into()),
+        body: "a form".into(),
+    };
+    let Ok(Parsed::Whole(Said::Request { call, asked })) = rpc::parse(&mut buffer, &names()) else {
+        panic!("no whole request")
+    };
+    assert_eq!((call, *asked), (70_000, wanted));
+    assert!(buffer.is_empty());
+}
