--- a/crates/flaxdeck-talk/src/kinds.rs
+++ b/crates/flaxdeck-channel/src/kinds.rs
@@ -1,6 +1,6 @@
 //! The kinds of messages that counters of traffic tell apart.
 
-use flaxdeck_guidance::messages::{Guidance, Report};
+use flaxdeck_control::messages::{Guidance, Report};
 use flaxdeck_net::tally::Count;
 
 use crate::messages::{FromForwarder, FromPlanner};
--- a/crates/flaxdeck-talk/src/messages.rs
+++ b/crates/flaxdeck-channel/src/messages.rs
@@ -1,7 +1,7 @@
 //! What the two sides of a sealed conversation say: one type each way, so that a frame tells what it holds.
 
+use flaxdeck_control::messages::{Guidance, Report};
 use flaxdeck_distribution::messages::{Delivery, Subscription};
-use flaxdeck_guidance::messages::{Guidance, Report};
 use serde::{Deserialize, Serialize};
 
 /// What a forwarder says to a planner.
--- a/crates/flaxdeck-talk/tests/conversations.rs
+++ b/crates/flaxdeck-channel/tests/conversations.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use flaxdeck_guidance::messages::{Envelope, Epoch, Guidance, Rating, Report};
-use flaxdeck_talk::line::{self, Over};
-use flaxdeck_talk::seal::Key;
+use flaxdeck_channel::line::{self, Over};
+use flaxdeck_channel::seal::Key;
+use flaxdeck_control::messages::{Envelope, Epoch, Guidance, Rating, Report};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
--- a/crates/flaxdeck-talk/tests/recorded_messages.rs
+++ b/crates/flaxdeck-channel/tests/recorded_messages.rs
@@ -2,17 +2,17 @@
 //! key and fixed nonces. Today's code has to read each of them, and to write the same bytes.
 
 use bytes::BytesMut;
-use flaxdeck_distribution::messages::{
-    Batch, Delivery, FullEvent, PurgeDigest, Snapshot, Subscription, Update,
-};
-use flaxdeck_guidance::Parts;
-use flaxdeck_guidance::messages::{
+use flaxdeck_channel::messages::{FromForwarder, FromPlanner};
+use flaxdeck_channel::seal::{Greeting, Key, Opener, Sealer, Side};
+use flaxdeck_control::Parts;
+use flaxdeck_control::messages::{
     Envelope, Epoch, Fullness, Grant, Guidance, Life, PeerSummary, Rating, Relayed, Report, Sample,
     SeatId, Stamp, Trade,
 };
+use flaxdeck_distribution::messages::{
+    Batch, Delivery, FullEvent, PurgeDigest, Snapshot, Subscription, Update,
+};
 use flaxdeck_recovery::Mark;
-use flaxdeck_talk::messages::{FromForwarder, FromPlanner};
-use flaxdeck_talk::seal::{Greeting, Key, Opener, Sealer, Side};
 use flaxdeck_wire::Parsed;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/flaxdeck-talk/tests/seal.rs
+++ b/crates/flaxdeck-channel/tests/seal.rs
@@ -1,8 +1,8 @@
 //! Sealed frames: those that are genuine and in their place open, all others do not.
 
 use bytes::BytesMut;
-use flaxdeck_guidance::messages::{Envelope, Epoch, Guidance, Report};
-use flaxdeck_talk::seal::{Greeting, Key, Opener, Sealer, Side, VERSION};
+use flaxdeck_channel::seal::{Greeting, Key, Opener, Sealer, Side, VERSION};
+use flaxdeck_control::messages::{Envelope, Epoch, Guidance, Report};
 use flaxdeck_wire::{Malformed, Parsed};
 
 fn key(digit: char) -> Key {
--- a/crates/flaxdeck-cli/src/compare.rs
+++ b/crates/flaxdeck-cli/src/compare.rs
@@ -3,7 +3,7 @@
 use std::io::IsTerminal;
 use std::time::Instant;
 
-use flaxdeck_lab::{Comparison, Limits, Verdict};
+use flaxdeck_experiments::{Comparison, Limits, Verdict};
 
 use crate::{Stop, faulty, shapes};
 
@@ -86,7 +86,7 @@
     let (mut a, mut b) = (shapes::read(&asked.a)?, shapes::read(&asked.b)?);
     (a.judged, b.judged) = (asked.judged, asked.judged);
     let shown = std::io::stderr().is_terminal() && !asked.json;
-    let comparison = flaxdeck_lab::compare(&a, &b, &asked.limits, |so_far| {
+    let comparison = flaxdeck_experiments::compare(&a, &b, &asked.limits, |so_far| {
         if shown {
             let (low, high) = so_far.figures[0]
                 .sequence
@@ -149,7 +149,7 @@
 }
 
 fn print_json(comparison: &Comparison, asked: &Asked) {
-    let row = |figure: &flaxdeck_lab::Figure| {
+    let row = |figure: &flaxdeck_experiments::Figure| {
         let sequence = &figure.sequence;
         let interval = sequence.interval().map(|(low, high)| [low, high]);
         serde_json::json!({"name": figure.name, "a": figure.means[0], "b": figure.means[1],
--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -5,11 +5,11 @@
 use std::rc::Rc;
 
 use flaxdeck::words::Span;
+use flaxdeck_channel::seal::Key;
+use flaxdeck_channel::watch::{Numbered, Watch};
+use flaxdeck_control::Pledges;
 use flaxdeck_distribution::Cadence;
-use flaxdeck_guidance::Pledges;
 use flaxdeck_plan::{Events, Plan};
-use flaxdeck_talk::seal::Key;
-use flaxdeck_talk::watch::{Numbered, Watch};
 use flaxdeck_terms::fields::Fields;
 use serde_json::Value;
 
--- a/crates/flaxdeck-cli/src/levels.rs
+++ b/crates/flaxdeck-cli/src/levels.rs
@@ -5,7 +5,7 @@
 
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
 use flaxdeck_emulator::{Kind, Layout, Load, Manner, World};
-use flaxdeck_rules::Seen;
+use flaxdeck_invariants::Seen;
 
 use crate::Stop;
 
@@ -158,7 +158,7 @@
     let terms = fleet.world.terms();
     let until = begins + FAILS_AT;
     let cold_use =
-        flaxdeck_rules::use_while_cold(&terms, &record, &cache, 3_000.0, until, 50.0) * FACTOR;
+        flaxdeck_invariants::use_while_cold(&terms, &record, &cache, 3_000.0, until, 50.0) * FACTOR;
     let each = |way: usize| (after[way] - before[way]) as f64 / seconds / forwarders as f64;
     Ok(Row {
         in_time: took.iter().filter(|took| **took <= IN_TIME).count() as f64
--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -17,14 +17,14 @@
 
 use clap::{Args, Parser, Subcommand};
 use flaxdeck::words::Span;
+use flaxdeck_channel::seal::Key;
+use flaxdeck_control::Parts;
+use flaxdeck_control::forwarder::Stance;
+use flaxdeck_control::messages::SeatId;
 use flaxdeck_dispatcher::{Digests, Guidelines, Keeps};
-use flaxdeck_guidance::Parts;
-use flaxdeck_guidance::forwarder::Stance;
-use flaxdeck_guidance::messages::SeatId;
-use flaxdeck_lab::Limits;
+use flaxdeck_experiments::Limits;
 use flaxdeck_net::clock;
 use flaxdeck_plan::{Blind, LogForm, Plan};
-use flaxdeck_talk::seal::Key;
 
 /// Exit codes that scripts can use: 0 done, 1 failed while running, 2 a file or the command line has faults.
 const FAULTY: u8 = 2;
@@ -289,7 +289,7 @@
     }
 }
 
-fn stance(plan: &Plan, pledges: flaxdeck_guidance::Pledges, listen: &str) -> Stance {
+fn stance(plan: &Plan, pledges: flaxdeck_control::Pledges, listen: &str) -> Stance {
     // Where the system chooses the port it is another at each start.
     let hash = listen.bytes().fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3)
--- a/crates/flaxdeck-cli/src/recovery.rs
+++ b/crates/flaxdeck-cli/src/recovery.rs
@@ -8,8 +8,8 @@
 use clap::{Args, ValueEnum};
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
 use flaxdeck_emulator::{End, Kind, Layout, Load, PULSE, Patience, Pulse, World};
-use flaxdeck_lab::keep::Column;
-use flaxdeck_lab::service::{self, Lost, SLICE, Slice};
+use flaxdeck_experiments::keep::Column;
+use flaxdeck_experiments::service::{self, Lost, SLICE, Slice};
 
 use crate::{Stop, faulty};
 
@@ -197,7 +197,7 @@
             whole(&|_, _, _, slice| slice.turned_away as i64),
         ),
     ];
-    flaxdeck_lab::keep::write(&folder.join("slices.parquet"), &columns)?;
+    flaxdeck_experiments::keep::write(&folder.join("slices.parquet"), &columns)?;
     let number = |of: &dyn Fn(&Time) -> f64| Column::Number(kept.times.iter().map(of).collect());
     let text = |of: &dyn Fn(&Shape) -> String| {
         Column::Text(kept.times.iter().map(|(shape, ..)| of(shape)).collect())
@@ -221,7 +221,7 @@
         ("lost_while_down", number(&|(.., lost)| lost.while_down)),
         ("lost_after", number(&|(.., lost)| lost.after)),
     ];
-    flaxdeck_lab::keep::write(&folder.join("runs.parquet"), &columns)
+    flaxdeck_experiments::keep::write(&folder.join("runs.parquet"), &columns)
 }
 
 #[derive(Clone, Copy)]
--- a/crates/flaxdeck-cli/tests/coming_back.rs
+++ b/crates/flaxdeck-cli/tests/coming_back.rs
@@ -9,7 +9,7 @@
 
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
 use flaxdeck_emulator::{End, Kind, Layout, Load, Patience, Seekers, Wire, World};
-use flaxdeck_rules::Verdict;
+use flaxdeck_invariants::Verdict;
 
 const ALL: [Patience; 3] = [Patience::AsTold, Patience::AtOnce, Patience::GivesUp];
 
--- a/crates/flaxdeck-cli/tests/events.rs
+++ b/crates/flaxdeck-cli/tests/events.rs
@@ -7,7 +7,7 @@
 
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
 use flaxdeck_emulator::{Clients, Layout, Load, Wire, World};
-use flaxdeck_rules::Verdict;
+use flaxdeck_invariants::Verdict;
 
 /// Batches at which a planner that hangs is left within the graces of these worlds.
 const DIGESTS: &str = "(events (by digest) (batch-ms 150))";
--- a/crates/flaxdeck-cli/tests/levels.rs
+++ b/crates/flaxdeck-cli/tests/levels.rs
@@ -7,7 +7,7 @@
 
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
 use flaxdeck_emulator::{Clients, Kind, Layout, Load, Manner, Wire, World};
-use flaxdeck_rules::Verdict;
+use flaxdeck_invariants::Verdict;
 
 /// Forwarders that have just started leave cold hosts alone for this long.
 const WAITS: f64 = 4_600.0;
--- a/crates/flaxdeck-guidance/examples/size.rs
+++ b/crates/flaxdeck-control/examples/size.rs
@@ -1,15 +1,15 @@
 //! How large and how slow it gets: a planner fed by generated reports, a forwarder's report, and the time that a
-//! request's decision takes with guidance and without. `cargo run --release -p flaxdeck-guidance --example size`
+//! request's decision takes with guidance and without. `cargo run --release -p flaxdeck-control --example size`
 
 use std::time::Instant;
 
 use flaxdeck::brain::Brain;
 use flaxdeck::words::*;
-use flaxdeck_guidance::forwarder::{Guide, Stance};
-use flaxdeck_guidance::membership::PlannerId;
-use flaxdeck_guidance::messages::{Envelope, Epoch, Life, Report, Sample, Trade};
-use flaxdeck_guidance::planner::Planner;
-use flaxdeck_guidance::{Parts, Pledges, Staircase};
+use flaxdeck_control::forwarder::{Guide, Stance};
+use flaxdeck_control::membership::PlannerId;
+use flaxdeck_control::messages::{Envelope, Epoch, Life, Report, Sample, Trade};
+use flaxdeck_control::planner::Planner;
+use flaxdeck_control::{Parts, Pledges, Staircase};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -73,7 +73,7 @@
                 in_hand: 1,
             });
             let echo = (round > 0)
-                .then(|| flaxdeck_guidance::messages::Stamp::of(now - Span::from_ms(200)));
+                .then(|| flaxdeck_control::messages::Stamp::of(now - Span::from_ms(200)));
             let envelope = Envelope {
                 from: Epoch(from + 10),
                 to: Epoch(1),
--- a/crates/flaxdeck-guidance/tests/lending_model.rs
+++ b/crates/flaxdeck-control/tests/lending_model.rs
@@ -6,10 +6,10 @@
 use std::collections::BTreeSet;
 
 use flaxdeck::words::{Span, Time};
-use flaxdeck_guidance::messages::{Epoch, Grant, Life};
-use flaxdeck_guidance::pool::Pool;
-use flaxdeck_guidance::shares::{Cold, Shares};
-use flaxdeck_guidance::{Parts, Pledges};
+use flaxdeck_control::messages::{Epoch, Grant, Life};
+use flaxdeck_control::pool::Pool;
+use flaxdeck_control::shares::{Cold, Shares};
+use flaxdeck_control::{Parts, Pledges};
 use stateright::{Checker, Model, Property};
 
 /// Milliseconds of real time a step.
@@ -562,7 +562,7 @@
     });
 }
 
-/// Some minutes and gigabytes: `cargo test --release -p flaxdeck-guidance --test lending_model -- --ignored`.
+/// Some minutes and gigabytes: `cargo test --release -p flaxdeck-control --test lending_model -- --ignored`.
 #[test]
 #[ignore = "long"]
 fn nor_in_longer_runs() {
--- a/crates/flaxdeck-guidance/tests/membership.rs
+++ b/crates/flaxdeck-control/tests/membership.rs
@@ -1,8 +1,8 @@
 //! Which planner is in charge of a host's life, and whose word is taken.
 
 use flaxdeck::words::Time;
-use flaxdeck_guidance::membership::{Known, PlannerId, Refused, in_charge};
-use flaxdeck_guidance::messages::{Epoch, Life};
+use flaxdeck_control::membership::{Known, PlannerId, Refused, in_charge};
+use flaxdeck_control::messages::{Epoch, Life};
 
 fn at(ms: u64) -> Time {
     Time::at_ms(10_000.0 + ms as f64)
--- a/crates/flaxdeck-guidance/tests/pool.rs
+++ b/crates/flaxdeck-control/tests/pool.rs
@@ -1,8 +1,8 @@
 //! The sums of many parties' staircases by slots, against adding all of them up.
 
-use flaxdeck_guidance::Parts;
-use flaxdeck_guidance::messages::Epoch;
-use flaxdeck_guidance::pool::{Sums, start_of};
+use flaxdeck_control::Parts;
+use flaxdeck_control::messages::Epoch;
+use flaxdeck_control::pool::{Sums, start_of};
 use proptest::prelude::*;
 
 proptest! {
--- a/crates/flaxdeck-guidance/tests/ratings.rs
+++ b/crates/flaxdeck-control/tests/ratings.rs
@@ -1,8 +1,8 @@
 //! Samples of many forwarders weighed into one picture of a host.
 
 use flaxdeck::words::Time;
-use flaxdeck_guidance::messages::{Epoch, Sample};
-use flaxdeck_guidance::ratings::Health;
+use flaxdeck_control::messages::{Epoch, Sample};
+use flaxdeck_control::ratings::Health;
 
 fn at(ms: u64) -> Time {
     Time::at_ms(10_000.0 + ms as f64)
--- a/crates/flaxdeck-guidance/tests/seats.rs
+++ b/crates/flaxdeck-control/tests/seats.rs
@@ -1,9 +1,9 @@
 //! A planner's memory of seats: what an earlier run may have lent, and whose word is taken.
 
 use flaxdeck::words::{Span, Time};
-use flaxdeck_guidance::Pledges;
-use flaxdeck_guidance::messages::{Epoch, SeatId};
-use flaxdeck_guidance::seats::Seats;
+use flaxdeck_control::Pledges;
+use flaxdeck_control::messages::{Epoch, SeatId};
+use flaxdeck_control::seats::Seats;
 
 fn at(ms: u64) -> Time {
     Time::at_ms(10_000.0 + ms as f64)
--- a/crates/flaxdeck-guidance/tests/sparing.rs
+++ b/crates/flaxdeck-control/tests/sparing.rs
@@ -2,11 +2,11 @@
 //! something to say.
 
 use flaxdeck::words::*;
-use flaxdeck_guidance::forwarder::{Guide, Stance};
-use flaxdeck_guidance::membership::PlannerId;
-use flaxdeck_guidance::messages::{Epoch, RARE_MOST, Relayed, SeatId};
-use flaxdeck_guidance::planner::Planner;
-use flaxdeck_guidance::{Parts, Pledges};
+use flaxdeck_control::forwarder::{Guide, Stance};
+use flaxdeck_control::membership::PlannerId;
+use flaxdeck_control::messages::{Epoch, RARE_MOST, Relayed, SeatId};
+use flaxdeck_control::planner::Planner;
+use flaxdeck_control::{Parts, Pledges};
 use flaxdeck_recovery::Mark;
 
 const FOLLOWED: PlannerId = PlannerId(0);
--- a/crates/flaxdeck-guidance/tests/staircase.rs
+++ b/crates/flaxdeck-control/tests/staircase.rs
@@ -1,7 +1,7 @@
 //! An amount promised until a time, against the plain maximum of all promises.
 
 use flaxdeck::words::Time;
-use flaxdeck_guidance::{Parts, Staircase};
+use flaxdeck_control::{Parts, Staircase};
 use proptest::prelude::*;
 
 proptest! {
--- a/crates/flaxdeck-guidance/tests/two_levels.rs
+++ b/crates/flaxdeck-control/tests/two_levels.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 
 use flaxdeck::words::*;
-use flaxdeck_guidance::forwarder::{Guide, Informed, Stance};
-use flaxdeck_guidance::membership::{PlannerId, Refused};
-use flaxdeck_guidance::messages::{Epoch, Grant, Guidance, Life, Rating, Relayed, Report, SeatId};
-use flaxdeck_guidance::planner::Planner;
-use flaxdeck_guidance::{Parts, Pledges};
+use flaxdeck_control::forwarder::{Guide, Informed, Stance};
+use flaxdeck_control::membership::{PlannerId, Refused};
+use flaxdeck_control::messages::{Epoch, Grant, Guidance, Life, Rating, Relayed, Report, SeatId};
+use flaxdeck_control::planner::Planner;
+use flaxdeck_control::{Parts, Pledges};
 use flaxdeck_recovery::Mark;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -360,7 +360,7 @@
     assert!(planner.counted.unlisted >= 2, "{:?}", planner.counted);
     assert_eq!(planner.load(at(OWNS + 200)).1, 0, "no pool for it");
     let mut report = guide.report(at(OWNS + 400), P, &[], mark(0));
-    report.envelope.echo = Some(flaxdeck_guidance::messages::Stamp::of(at(OWNS + 90_000)));
+    report.envelope.echo = Some(flaxdeck_control::messages::Stamp::of(at(OWNS + 90_000)));
     assert_eq!(
         planner.report(at(OWNS + 400), &report),
         Err(Refused::Nonsense),
--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -3,10 +3,10 @@
 
 use std::rc::Rc;
 
-use flaxdeck_guidance::messages::Epoch;
+use flaxdeck_channel::watch::{Event, Numbered, Watch};
+use flaxdeck_control::messages::Epoch;
 use flaxdeck_net::clock::Clock;
 use flaxdeck_recovery::Mark;
-use flaxdeck_talk::watch::{Event, Numbered, Watch};
 use serde_json::Value;
 use tokio::task::spawn_local;
 
--- a/crates/flaxdeck-dispatcher/src/program/start.rs
+++ b/crates/flaxdeck-dispatcher/src/program/start.rs
@@ -9,8 +9,8 @@
 use flaxdeck_terms::{Carriage, Names};
 use serde_json::Value;
 
+use flaxdeck_channel::watch::{Numbered, Watch};
 use flaxdeck_net::room::{Bounds, SOCKETS_LEAST};
-use flaxdeck_talk::watch::{Numbered, Watch};
 
 pub struct Start {
     pub address: SocketAddr,
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -1,5 +1,5 @@
 //! The planners beside the coordinator: reports go out, guidance comes in, and the facade is told what holds. No request
-//! waits for any of it. What is believed, lent and borrowed is decided in `flaxdeck-guidance`.
+//! waits for any of it. What is believed, lent and borrowed is decided in `flaxdeck-control`.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,20 +10,20 @@
 
 use flaxdeck::facade::News;
 use flaxdeck::words::*;
+use flaxdeck_channel::line::{self, Hearer, Over, Speaker};
+use flaxdeck_channel::messages::{FromForwarder, FromPlanner};
+use flaxdeck_channel::seal::Key;
+use flaxdeck_channel::watch::{Event, Urgency, Watch};
+use flaxdeck_control::forwarder::{Guide, Informed, Stance};
+use flaxdeck_control::membership::PlannerId;
+use flaxdeck_control::messages::{Epoch, Guidance};
 use flaxdeck_distribution::PlannerNumber;
-use flaxdeck_guidance::forwarder::{Guide, Informed, Stance};
-use flaxdeck_guidance::membership::PlannerId;
-use flaxdeck_guidance::messages::{Epoch, Guidance};
 use flaxdeck_net::clock;
 use flaxdeck_net::tally::{Count, count};
 use flaxdeck_recovery::clocks::{self, Clocks};
 use flaxdeck_recovery::numbering::{Doubt, Numbering};
 use flaxdeck_recovery::phase::{Return, Unheard};
 use flaxdeck_recovery::{Mark, Pace, doubt};
-use flaxdeck_talk::line::{self, Hearer, Over, Speaker};
-use flaxdeck_talk::messages::{FromForwarder, FromPlanner};
-use flaxdeck_talk::seal::Key;
-use flaxdeck_talk::watch::{Event, Urgency, Watch};
 use flaxdeck_wire::frames;
 use tokio::sync::Notify;
 use tokio::sync::mpsc::UnboundedReceiver;
--- a/crates/flaxdeck-dispatcher/src/routing/keep.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/keep.rs
@@ -10,6 +10,7 @@
 use std::time::{Duration, Instant};
 
 use flaxdeck::words::*;
+use flaxdeck_channel::watch::Event;
 use flaxdeck_net::clock::{Clock, since_boot};
 use flaxdeck_net::tally::{Count, count};
 use flaxdeck_recovery::Mark;
@@ -17,7 +18,6 @@
     self, Believed, Kept, KeptLine, KeptPurge, KeptRating, Later, Now, Uptime,
 };
 use flaxdeck_store::{Folder, Store, look};
-use flaxdeck_talk::watch::Event;
 use flaxdeck_wire::frames::AddressedEndpoint;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -26,10 +26,10 @@
 pub use subscription::Digests;
 
 use crate::protocol::pool::Pool;
+use flaxdeck_channel::watch::{Event, Numbered, Watch, WatchEvent};
 use flaxdeck_net::clock::Clock;
 use flaxdeck_net::room::{Bounds, Room};
 use flaxdeck_recovery::Mark;
-use flaxdeck_talk::watch::{Event, Numbered, Watch, WatchEvent};
 
 /// Between looks for connections that have been idle too long.
 const SWEEP: Duration = Duration::from_secs(1);
--- a/crates/flaxdeck-dispatcher/src/routing/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/subscription.rs
@@ -8,13 +8,13 @@
 
 use flaxdeck::facade::News;
 use flaxdeck::words::*;
+use flaxdeck_channel::messages::FromForwarder;
+use flaxdeck_channel::watch::Event;
 use flaxdeck_distribution::messages::{Delivery, FullEvent};
 use flaxdeck_distribution::{Applied, Cadence, Fingerprint, PlannerNumber, PurgeIndex, Subscriber};
 use flaxdeck_net::tally::{Count, count};
 use flaxdeck_recovery::Mark;
 use flaxdeck_recovery::numbering::{Doubt, Numbering};
-use flaxdeck_talk::messages::FromForwarder;
-use flaxdeck_talk::watch::Event;
 use flaxdeck_wire::frames;
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
--- a/crates/flaxdeck-emulator/src/hosts.rs
+++ b/crates/flaxdeck-emulator/src/hosts.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use flaxdeck_rules::Seen;
+use flaxdeck_invariants::Seen;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/flaxdeck-emulator/src/lib.rs
+++ b/crates/flaxdeck-emulator/src/lib.rs
@@ -1,5 +1,5 @@
 //! One world on loopback, in one process: hosts, a coordinator, clients, wires between programs; and a fleet of real
-//! programs among them. What happens is written down for `flaxdeck-rules` to judge.
+//! programs among them. What happens is written down for `flaxdeck-invariants` to judge.
 
 mod clients;
 mod coordinator;
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 pub use clients::{Clients, Load, Told, object_of_rank};
-use flaxdeck_rules::{Seen, Terms, Verdict};
+use flaxdeck_invariants::{Seen, Terms, Verdict};
 pub use proxy::{Proxy, Wire};
 pub use seekers::{End, Fate, Patience, Seekers};
 use serde_json::{Value, json};
@@ -419,6 +419,6 @@
     }
 
     pub fn verdict(&self) -> Verdict {
-        flaxdeck_rules::judge(&self.terms(), &self.record())
+        flaxdeck_invariants::judge(&self.terms(), &self.record())
     }
 }
--- a/crates/flaxdeck-emulator/src/seekers.rs
+++ b/crates/flaxdeck-emulator/src/seekers.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use flaxdeck_rules::{Answer, Seen};
+use flaxdeck_invariants::{Answer, Seen};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/flaxdeck-emulator/src/world.rs
+++ b/crates/flaxdeck-emulator/src/world.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use flaxdeck_rules::{Ramp, Seen};
+use flaxdeck_invariants::{Ramp, Seen};
 use serde_json::{Value, json};
 use tokio::sync::Notify;
 
--- a/crates/flaxdeck-lab/tests/answers.rs
+++ b/crates/flaxdeck-experiments/tests/answers.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use flaxdeck_experiments::{Limits, Verdict, compare};
 use flaxdeck_fleet::Shape;
-use flaxdeck_lab::{Limits, Verdict, compare};
 
 fn limits(pairs: u64) -> Limits {
     Limits {
@@ -84,7 +84,7 @@
     assert_eq!(means(1), means(8));
 }
 
-/// A minute: `cargo test --release -p flaxdeck-lab --test answers -- --ignored --nocapture`.
+/// A minute: `cargo test --release -p flaxdeck-experiments --test answers -- --ignored --nocapture`.
 #[test]
 #[ignore = "long"]
 fn of_two_hundred_comparisons_of_the_same_with_the_same_few_call_a_false_alarm() {
--- a/crates/flaxdeck-lab/tests/keep.rs
+++ b/crates/flaxdeck-experiments/tests/keep.rs
@@ -2,13 +2,16 @@
 
 use std::fs::File;
 
-use flaxdeck_lab::keep::{Column, write};
+use flaxdeck_experiments::keep::{Column, write};
 
 use parquet::file::reader::{FileReader, SerializedFileReader};
 
 #[test]
 fn a_table_is_read_as_it_was_written() {
-    let path = std::env::temp_dir().join(format!("flaxdeck-lab-{}.parquet", std::process::id()));
+    let path = std::env::temp_dir().join(format!(
+        "flaxdeck-experiments-{}.parquet",
+        std::process::id()
+    ));
     let texts = ["plain", "cold"].map(String::from).to_vec();
     let columns = [
         ("run", Column::Whole(vec![1, 2])),
--- a/crates/flaxdeck-lab/tests/sequence.rs
+++ b/crates/flaxdeck-experiments/tests/sequence.rs
@@ -1,6 +1,6 @@
 //! Intervals that hold however often one looks: how often they miss, and what they tell.
 
-use flaxdeck_lab::sequence::{LEAST, Sequence, Verdict};
+use flaxdeck_experiments::sequence::{LEAST, Sequence, Verdict};
 
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Normal};
--- a/crates/flaxdeck-lab/tests/service.rs
+++ b/crates/flaxdeck-experiments/tests/service.rs
@@ -1,6 +1,6 @@
 //! When service is full again after a fault, and what was lost until then.
 
-use flaxdeck_lab::service::{Lost, SLICE, Slice, full_service, lost, median_and_worst};
+use flaxdeck_experiments::service::{Lost, SLICE, Slice, full_service, lost, median_and_worst};
 
 fn slices(in_time: &[u64]) -> Vec<Slice> {
     let slice = |in_time| Slice {
--- a/crates/flaxdeck-fleet/src/model.rs
+++ b/crates/flaxdeck-fleet/src/model.rs
@@ -7,8 +7,8 @@
 use std::collections::HashMap;
 
 use flaxdeck::words::Time;
-use flaxdeck_guidance::planner::Planner;
-use flaxdeck_rules::Seen;
+use flaxdeck_control::planner::Planner;
+use flaxdeck_invariants::Seen;
 use rand_pcg::Pcg64Mcg;
 
 pub use crate::outcome::Outcome;
--- a/crates/flaxdeck-fleet/src/model/attempts.rs
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: a request handed to one host, from the decision to the word of its end.
 
 use flaxdeck::words::*;
-use flaxdeck_rules::{Answer, Seen};
+use flaxdeck_invariants::{Answer, Seen};
 
 use super::events::Event;
 use super::{Model, time};
--- a/crates/flaxdeck-fleet/src/model/build.rs
+++ b/crates/flaxdeck-fleet/src/model/build.rs
@@ -2,9 +2,9 @@
 
 use std::collections::HashMap;
 
-use flaxdeck_guidance::Parts;
-use flaxdeck_guidance::messages::Epoch;
-use flaxdeck_guidance::planner::Planner;
+use flaxdeck_control::Parts;
+use flaxdeck_control::messages::Epoch;
+use flaxdeck_control::planner::Planner;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: what they want, their tries for it, and how each try ends for them.
 
 use flaxdeck::words::*;
-use flaxdeck_rules::{Answer, Seen};
+use flaxdeck_invariants::{Answer, Seen};
 use rand::Rng;
 
 use super::events::Event;
--- a/crates/flaxdeck-fleet/src/model/coordinator.rs
+++ b/crates/flaxdeck-fleet/src/model/coordinator.rs
@@ -1,7 +1,7 @@
 //! The coordinator, whose events reach everybody late, and what changes about hosts.
 
 use flaxdeck::words::*;
-use flaxdeck_rules::Seen;
+use flaxdeck_invariants::Seen;
 use rand::Rng;
 
 use super::events::Event;
--- a/crates/flaxdeck-fleet/src/model/decisions.rs
+++ b/crates/flaxdeck-fleet/src/model/decisions.rs
@@ -1,7 +1,7 @@
 //! What a forwarder's decisions ask for is carried out.
 
 use flaxdeck::words::*;
-use flaxdeck_rules::Answer;
+use flaxdeck_invariants::Answer;
 
 use super::attempts::OpenAttempt;
 use super::events::Event;
--- a/crates/flaxdeck-fleet/src/model/events.rs
+++ b/crates/flaxdeck-fleet/src/model/events.rs
@@ -1,7 +1,7 @@
 //! What can happen in a run, and who handles it.
 
 use flaxdeck::words::{Ending, Told};
-use flaxdeck_guidance::messages::{Guidance, Report};
+use flaxdeck_control::messages::{Guidance, Report};
 
 use super::{Model, time};
 use crate::hosts::Job;
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -4,9 +4,9 @@
 
 use flaxdeck::brain::Brain;
 use flaxdeck::words::*;
-use flaxdeck_guidance::forwarder::{Guide, Stance};
-use flaxdeck_guidance::messages::{Epoch, SeatId};
-use flaxdeck_rules::Seen;
+use flaxdeck_control::forwarder::{Guide, Stance};
+use flaxdeck_control::messages::{Epoch, SeatId};
+use flaxdeck_invariants::Seen;
 use rand::Rng;
 
 use super::clients::{OBJECTIVE_MS, RETRY_AFTER_LOST_FORWARDER_MS, STRETCH};
--- a/crates/flaxdeck-fleet/src/model/planners.rs
+++ b/crates/flaxdeck-fleet/src/model/planners.rs
@@ -1,9 +1,9 @@
 //! Planners: the coordinator's events that reach them, the reports that reach them and the guidance that they send.
 
 use flaxdeck::words::{Health, Span, ZoneId};
-use flaxdeck_guidance::Pledges;
-use flaxdeck_guidance::membership::PlannerId;
-use flaxdeck_guidance::messages::{Guidance, Relayed, Report};
+use flaxdeck_control::Pledges;
+use flaxdeck_control::membership::PlannerId;
+use flaxdeck_control::messages::{Guidance, Relayed, Report};
 use flaxdeck_recovery::Mark;
 
 use super::coordinator::CoordinatorEvent;
--- a/crates/flaxdeck-fleet/src/model/record.rs
+++ b/crates/flaxdeck-fleet/src/model/record.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck_rules::{Ramp, Seen, Terms, Verdict, judge};
+use flaxdeck_invariants::{Ramp, Seen, Terms, Verdict, judge};
 
 use super::clients::Want;
 use super::{Model, Outcome};
--- a/crates/flaxdeck-fleet/src/model/service.rs
+++ b/crates/flaxdeck-fleet/src/model/service.rs
@@ -1,7 +1,7 @@
 //! What hosts do: they take work in or refuse it, give it places, and are done with it.
 
 use flaxdeck::words::{Ending, Told};
-use flaxdeck_rules::Seen;
+use flaxdeck_invariants::Seen;
 
 use super::Model;
 use super::events::Event;
--- a/crates/flaxdeck-fleet/src/model/troubles.rs
+++ b/crates/flaxdeck-fleet/src/model/troubles.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use flaxdeck_rules::Seen;
+use flaxdeck_invariants::Seen;
 use rand::Rng;
 
 use super::coordinator::CoordinatorEvent;
--- a/crates/flaxdeck-fleet/src/outcome.rs
+++ b/crates/flaxdeck-fleet/src/outcome.rs
@@ -1,6 +1,6 @@
 //! What came of a run.
 
-use flaxdeck_rules::Verdict;
+use flaxdeck_invariants::Verdict;
 
 /// What came of a run, as counts.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/crates/flaxdeck-rules/tests/rules.rs
+++ b/crates/flaxdeck-invariants/tests/rules.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck_rules::{Answer, Ramp, Seen, Terms, judge};
+use flaxdeck_invariants::{Answer, Ramp, Seen, Terms, judge};
 
 fn terms() -> Terms {
     let ramp = Ramp {
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -1,5 +1,5 @@
 //! A planner on sockets: one connection to the coordinator, one from each forwarder. All that it decides is
-//! `flaxdeck_guidance::planner` and `flaxdeck_distribution::publisher`; here messages only move.
+//! `flaxdeck_control::planner` and `flaxdeck_distribution::publisher`; here messages only move.
 
 mod events;
 
@@ -11,21 +11,21 @@
 use std::time::Duration;
 
 use flaxdeck::words::{Health, ListKind};
+use flaxdeck_channel::line::{self, Hearer, Over, Speaker};
+use flaxdeck_channel::messages::{FromForwarder, FromPlanner};
+use flaxdeck_channel::seal::Key;
+use flaxdeck_channel::watch::{Event, Numbered, Watch, WatchEvent};
+use flaxdeck_control::messages::{Epoch, Relayed, Report};
+use flaxdeck_control::planner::Planner;
+use flaxdeck_control::{Parts, Pledges};
 use flaxdeck_distribution::messages::Subscription;
 use flaxdeck_distribution::{Cadence, SubscriberId};
-use flaxdeck_guidance::messages::{Epoch, Relayed, Report};
-use flaxdeck_guidance::planner::Planner;
-use flaxdeck_guidance::{Parts, Pledges};
 use flaxdeck_net::clock::Clock;
 use flaxdeck_net::counters_file;
 use flaxdeck_net::listener::Listener;
 use flaxdeck_net::room::{Place, Room};
 use flaxdeck_net::tally;
 use flaxdeck_recovery::Mark;
-use flaxdeck_talk::line::{self, Hearer, Over, Speaker};
-use flaxdeck_talk::messages::{FromForwarder, FromPlanner};
-use flaxdeck_talk::seal::Key;
-use flaxdeck_talk::watch::{Event, Numbered, Watch, WatchEvent};
 use tokio::net::TcpStream;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::Notify;
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -179,7 +179,7 @@
     }
 }
 
-/// Those of `flaxdeck-guidance`'s example `size`, but for the time in which a purge settles.
+/// Those of `flaxdeck-control`'s example `size`, but for the time in which a purge settles.
 fn terms(settles_ms: f64) -> Terms {
     let class = RequestClass {
         objective: Span::from_ms(500),
--- a/crates/flaxdeck-scale/src/capacity/page/fields.rs
+++ b/crates/flaxdeck-scale/src/capacity/page/fields.rs
@@ -1,7 +1,7 @@
 //! Figures that the words of the page name: the target's, and bounds of the code that readings go by.
 
-use flaxdeck_guidance::messages::EVENTS_MOST;
-use flaxdeck_guidance::planner::{FORGOTTEN, LOG_MOST};
+use flaxdeck_control::messages::EVENTS_MOST;
+use flaxdeck_control::planner::{FORGOTTEN, LOG_MOST};
 use flaxdeck_net::listener::BACKLOG;
 use flaxdeck_plan::Blind;
 use flaxdeck_recovery::{belief, pace};
--- a/crates/flaxdeck-scale/src/capacity/state.rs
+++ b/crates/flaxdeck-scale/src/capacity/state.rs
@@ -1,8 +1,8 @@
 //! What is kept by each role: entries at the size of the target, bytes each, how long, and the bound in the code.
 
+use flaxdeck_control::messages::EVENTS_MOST;
+use flaxdeck_control::planner::{FORGOTTEN, LOG_MOST, MEMBERS_MOST, POOLS_MOST};
 use flaxdeck_distribution::messages::{FULL_EVENTS_MOST, PURGES_MOST};
-use flaxdeck_guidance::messages::EVENTS_MOST;
-use flaxdeck_guidance::planner::{FORGOTTEN, LOG_MOST, MEMBERS_MOST, POOLS_MOST};
 use flaxdeck_plan::{PLANNERS_MOST, Plan};
 use flaxdeck_planner::CONNECTIONS_MOST;
 use flaxdeck_recovery::Mark;
@@ -133,7 +133,7 @@
             needed: events,
             bound: Some(Bound {
                 most: EVENTS_MOST as f64 * reports_per_s(),
-                name: "`EVENTS_MOST` in `crates/flaxdeck-guidance/src/messages.rs`, times reports a second",
+                name: "`EVENTS_MOST` in `crates/flaxdeck-control/src/messages.rs`, times reports a second",
             }),
             bytes_each: Bytes::NotShown,
             kept: "not kept".into(),
@@ -219,7 +219,7 @@
             needed: target.hosts,
             bound: Some(Bound {
                 most: POOLS_MOST as f64,
-                name: "`POOLS_MOST` in `crates/flaxdeck-guidance/src/planner.rs`",
+                name: "`POOLS_MOST` in `crates/flaxdeck-control/src/planner.rs`",
             }),
             bytes_each: Bytes::NotShown,
             kept: "until nothing of it is lent or out".into(),
@@ -230,14 +230,14 @@
 fn members() -> Bound {
     Bound {
         most: MEMBERS_MOST as f64,
-        name: "`MEMBERS_MOST` in `crates/flaxdeck-guidance/src/planner.rs`",
+        name: "`MEMBERS_MOST` in `crates/flaxdeck-control/src/planner.rs`",
     }
 }
 
 fn events_kept() -> Bound {
     Bound {
         most: LOG_MOST as f64,
-        name: "`LOG_MOST` in `crates/flaxdeck-guidance/src/planner.rs`",
+        name: "`LOG_MOST` in `crates/flaxdeck-control/src/planner.rs`",
     }
 }
 
