--- a/crates/flaxdeck-adapter/src/wire.rs
+++ b/crates/flaxdeck-adapter/src/wire.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Write};
 use std::rc::Rc;
 
-use flaxdeck::brain::Brain;
+use flaxdeck::decision::DecisionEngine;
 use flaxdeck::words::*;
 use flaxdeck_terms::fields::Fields;
 use flaxdeck_terms::{Names, place, told};
@@ -31,7 +31,7 @@
 
 /// One instance, with the names that its start gave to numbers.
 struct Instance {
-    brain: Brain,
+    engine: DecisionEngine,
     names: Names,
 }
 
@@ -138,15 +138,15 @@
                     .get(&number)
                     .ok_or_else(|| format!("list {number} was never sent"))?;
                 let listed = instance.listed(rows)?;
-                instance.brain.list(now, list_kind, listed)
+                instance.engine.list(now, list_kind, listed)
             }
             "Accept" => {
                 let request = instance.request(fields)?;
-                instance.brain.request(now, request)
+                instance.engine.request(now, request)
             }
             "Resolved" => {
                 let ended = instance.ended(fields)?;
-                instance.brain.attempt_ended(now, ended)
+                instance.engine.attempt_ended(now, ended)
             }
             "Outdated" => {
                 let object = fields
@@ -155,21 +155,21 @@
                     .map(ObjectId);
                 let group = GroupId(fields.whole("family_id")?);
                 let made = now - fields.span_or_zero("how_old_ms")?;
-                instance.brain.purge(now, object, group, made)
+                instance.engine.purge(now, object, group, made)
             }
             "Elapsed" => {
                 fields.whole("ctx")?;
-                instance.brain.wake(now)
+                instance.engine.wake(now)
             }
             "Dropped" => instance
-                .brain
+                .engine
                 .client_left(now, RequestId(fields.whole("request_id")?)),
             "CheckResult" => {
                 let (host, told) = (
                     HostId(fields.text("host")?.into()),
                     instance.report(fields)?,
                 );
-                instance.brain.seen(now, &host, told)
+                instance.engine.seen(now, &host, told)
             }
             // Streamed answers and messages are never asked for here: nothing follows from them.
             _ => return Ok(()),
@@ -183,8 +183,8 @@
     fn launch(fields: &Fields, now: Time) -> Result<(Instance, Decisions), String> {
         let seed = fields.whole("entropy")?;
         let (terms, names) = flaxdeck_terms::read(&fields.inner("params")?)?;
-        let (brain, decisions) = Brain::start(now, seed, terms);
-        Ok((Instance { brain, names }, decisions))
+        let (engine, decisions) = DecisionEngine::start(now, seed, terms);
+        Ok((Instance { engine, names }, decisions))
     }
 
     fn listed(&self, rows: &[Value]) -> Result<Vec<Endpoint>, String> {
--- a/crates/flaxdeck-control/examples/size.rs
+++ b/crates/flaxdeck-control/examples/size.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use flaxdeck::brain::Brain;
+use flaxdeck::decision::DecisionEngine;
 use flaxdeck::words::*;
 use flaxdeck_control::forwarder::{Guide, Stance};
 use flaxdeck_control::membership::PlannerId;
@@ -109,8 +109,8 @@
 }
 
 fn report(hosts: u64) {
-    let (mut brain, _) = Brain::start(at(0), 1, terms());
-    brain.list(at(0), ListKind::Full, lines(hosts));
+    let (mut engine, _) = DecisionEngine::start(at(0), 1, terms());
+    engine.list(at(0), ListKind::Full, lines(hosts));
     let stance = Stance {
         pledges: pledges(),
         reserve: 0.0,
@@ -123,17 +123,17 @@
     const TIMES: u64 = 50;
     for n in 0..TIMES {
         let now = at(200 * n);
-        let observations = brain.observations(now);
+        let observations = engine.observations(now);
         guide.stand(now, &observations);
         (0..2).for_each(|to| {
             drop(guide.report(now, PlannerId(to), &observations, Default::default()))
         });
         let guided = guide.hints(now);
-        brain.guided(now, guided);
+        engine.guided(now, guided);
     }
     let took = begun.elapsed().as_secs_f64() * 1e6 / TIMES as f64;
     println!(
-        "forwarder, {hosts} hosts: {took:.0} us for a look, two reports and telling the brain, 5 times a second"
+        "forwarder, {hosts} hosts: {took:.0} us for a look, two reports and telling the engine, 5 times a second"
     );
 }
 
@@ -195,8 +195,8 @@
 
 /// The mean time of a request's decisions, from its arrival to its end, every one a hit.
 fn decisions(hosts: u64, guided: bool) -> f64 {
-    let (mut brain, _) = Brain::start(at(0), 1, terms());
-    brain.list(at(0), ListKind::Full, lines(hosts));
+    let (mut engine, _) = DecisionEngine::start(at(0), 1, terms());
+    engine.list(at(0), ListKind::Full, lines(hosts));
     const PULLS: u64 = 20_000;
     let mut spent = 0.0;
     for n in 0..PULLS {
@@ -212,7 +212,7 @@
                 window: None,
                 others: Some((3.0, now)),
             };
-            brain.guided(
+            engine.guided(
                 now,
                 Guided {
                     hints: (0..hosts).map(hint).collect(),
@@ -233,7 +233,7 @@
             again: false,
         };
         let begun = Instant::now();
-        let offs = brain.request(now, request).attempts;
+        let offs = engine.request(now, request).attempts;
         for (index, off) in offs.into_iter().enumerate() {
             let ended = Ended {
                 request: off.request,
@@ -246,7 +246,7 @@
                 waited: None,
                 report: LoadReport::default(),
             };
-            brain.attempt_ended(now, ended);
+            engine.attempt_ended(now, ended);
         }
         spent += begun.elapsed().as_secs_f64();
     }
--- a/crates/flaxdeck-control/src/forwarder.rs
+++ b/crates/flaxdeck-control/src/forwarder.rs
@@ -1,4 +1,4 @@
-//! The forwarder's side: what is reported to each planner, what of their guidance is believed, and what the brain
+//! The forwarder's side: what is reported to each planner, what of their guidance is believed, and what the decision engine
 //! is told. Falls back by steps as guidance ages: grants run off within about a second, peer observations count by their age,
 //! and with all planners silent for long the forwarder is a lone dispatcher.
 
@@ -13,7 +13,7 @@
 use crate::shares::{Cold, Shares};
 use crate::{Parts, Pledges};
 
-/// Peer observations older than this are not passed to the brain: by then its own trials know better.
+/// Peer observations older than this are not passed to the decision engine: by then its own trials know better.
 const STALE: Span = Span::from_ms(10_000);
 
 /// The coordinator speaks each second: past two of its words a connection to it counts as lost.
@@ -89,7 +89,7 @@
     known: Vec<Known>,
     sides: Vec<Side>,
     shares: Shares,
-    /// Ratings that the brain has not heard, with the time at which they were true.
+    /// Ratings that the decision engine has not heard, with the time at which they were true.
     news: BTreeMap<String, (Time, Rating)>,
     /// What others have out at cold hosts, and when that was true.
     others: BTreeMap<Life, (f64, Time)>,
@@ -216,7 +216,7 @@
         self.coordinator = Some(now);
     }
 
-    /// Takes in what the brain has seen; its wishes count until the next call.
+    /// Takes in what the decision engine has seen; its wishes count until the next call.
     pub fn stand(&mut self, now: Time, observations: &[Observation]) {
         let by_right = self.by_right();
         let cold = observations.iter().filter_map(|observation| {
@@ -434,7 +434,7 @@
         Ok(())
     }
 
-    /// What the brain is to be told now.
+    /// What the decision engine is to be told now.
     pub fn hints(&mut self, now: Time) -> Guided {
         let bare = |host: &str| Hint {
             host: HostId(host.into()),
@@ -490,7 +490,7 @@
         }
     }
 
-    /// When the brain is to be told anew, if nothing is heard until then.
+    /// When the decision engine is to be told anew, if nothing is heard until then.
     pub fn next_change(&self, now: Time) -> Option<Time> {
         let until = |after| self.vouched().map(|at| at + after);
         let blind = self
--- a/crates/flaxdeck-control/src/lib.rs
+++ b/crates/flaxdeck-control/src/lib.rs
@@ -1,4 +1,4 @@
-//! What forwarders and planners decide beside the brain, as state machines without I/O, clocks or tasks: facts and
+//! What forwarders and planners decide beside the decision engine, as state machines without I/O, clocks or tasks: facts and
 //! the time go in, messages and decisions come out. The reasons are in `docs/forwarders-planners.md`.
 //!
 //! - [`Staircase`]: an amount that is promised until some time, and less of it for longer.
--- a/crates/flaxdeck-control/src/shares.rs
+++ b/crates/flaxdeck-control/src/shares.rs
@@ -25,7 +25,7 @@
 /// The least of a life worth lending or borrowing: a thousandth. Less would be more messages than requests.
 const LEAST: Parts = Parts(1_000);
 
-/// What the brain knows of a cold host's use by this forwarder.
+/// What the decision engine knows of a cold host's use by this forwarder.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cold {
     pub life: Life,
--- a/crates/flaxdeck-control/tests/two_levels.rs
+++ b/crates/flaxdeck-control/tests/two_levels.rs
@@ -549,7 +549,7 @@
             }
             spent[who].retain(|(when, _)| when + WINDOW > ms);
             let own: f64 = spent[who].iter().map(|(_, cost)| cost).sum();
-            // The brain takes the window as spent at its start.
+            // The decision engine takes the window as spent at its start.
             let told = guides[who].hints(now);
             let may = told
                 .hints
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -1,4 +1,4 @@
-//! The planners beside the coordinator: reports go out, guidance comes in, and the facade is told what holds. No request
+//! The planners beside the coordinator: reports go out, guidance comes in, and the decision engine is told what holds. No request
 //! waits for any of it. What is believed, lent and borrowed is decided in `flaxdeck-control`.
 
 use std::cell::{Cell, RefCell};
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use flaxdeck::facade::News;
+use flaxdeck::polled::News;
 use flaxdeck::words::*;
 use flaxdeck_channel::line::{self, Hearer, Over, Speaker};
 use flaxdeck_channel::messages::{FromForwarder, FromPlanner};
@@ -131,7 +131,7 @@
             report_now: Notify::new(),
         });
         *self.guides.borrow_mut() = Some(guides.clone());
-        self.tell_brain(&guides);
+        self.tell_engine(&guides);
         for at in 0..count {
             spawn_local(self.clone().listen_to(guides.clone(), at));
         }
@@ -293,7 +293,7 @@
 
     /// What was seen of hosts, with their starts as they were told.
     fn observations(&self) -> Vec<Observation> {
-        let mut observations = self.facade.borrow().observations(self.clock.now());
+        let mut observations = self.engine.borrow().observations(self.clock.now());
         self.guides
             .borrow()
             .iter()
@@ -301,7 +301,7 @@
         observations
     }
 
-    /// Lines of hosts go to the brain with their starts by the own clock.
+    /// Lines of hosts go to the decision engine with their starts by the own clock.
     pub(super) fn report_lines(&self, list_kind: ListKind, mut lines: Vec<Endpoint>) {
         self.guides
             .borrow()
@@ -408,7 +408,7 @@
     pub(super) fn events_known_at(&self, guides: &Guides, at: Time) {
         guides.guide.borrow_mut().events_known_at(at);
         if guides.informed.get() == Informed::Blind {
-            self.tell_brain(guides);
+            self.tell_engine(guides);
         }
         self.note_vouched(guides);
     }
@@ -443,7 +443,7 @@
         ))
     }
 
-    fn tell_brain(&self, guides: &Guides) {
+    fn tell_engine(&self, guides: &Guides) {
         let now = self.clock.now();
         let (mut guided, informed) = {
             let mut guide = guides.guide.borrow_mut();
@@ -485,7 +485,7 @@
             {
                 let mut guide = guides.guide.borrow_mut();
                 guide.stand(now, &observations);
-                guide.link(self.zone, self.facade.borrow().link());
+                guide.link(self.zone, self.engine.borrow().link());
                 let mut speakers = guides.speakers.borrow_mut();
                 for (at, speaker) in speakers.iter_mut().enumerate() {
                     let (Some(speaker), planner) = (speaker, PlannerId(at as u32)) else {
@@ -508,7 +508,7 @@
                 }
             }
             // What was lent is not used from this moment on.
-            self.tell_brain(&guides);
+            self.tell_engine(&guides);
             self.note_urgency(&guides);
             let owns_from = guides.guide.borrow().owns_from();
             if let Some(took) = guides.back.borrow_mut().full(now, owns_from) {
@@ -532,13 +532,13 @@
         }
     }
 
-    /// Tells the facade when what holds changes by itself.
+    /// Tells the decision engine when what holds changes by itself.
     async fn keep_guided(self: Rc<Router>, guides: Rc<Guides>) {
         loop {
             let due = guides.guide.borrow().next_change(self.clock.now());
             let due = due.map(|due| self.clock.instant(due) + Duration::from_micros(100));
             tokio::select! {
-                () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => self.tell_brain(&guides),
+                () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => self.tell_engine(&guides),
                 () = guides.due_changed.notified() => {}
             }
         }
@@ -622,7 +622,7 @@
                             }
                         }
                     }
-                    self.tell_brain(guides);
+                    self.tell_engine(guides);
                     self.note_vouched(guides);
                 }
                 Err(why) => {
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Requests on their way: a task each, the table of all, and the facade that decides. Nothing here knows how
+//! Requests on their way: a task each, the table of all, and the decision engine that decides. Nothing here knows how
 //! anything is written on a connection.
 
 mod clients;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use flaxdeck::facade::{Facade, News, Step};
+use flaxdeck::polled::{News, PolledEngine, Step};
 use flaxdeck::words::*;
 use flaxdeck_terms::{Carriage, Names};
 use tokio::sync::Notify;
@@ -56,7 +56,7 @@
 
 pub struct Router {
     clock: Clock,
-    facade: RefCell<Facade>,
+    engine: RefCell<PolledEngine>,
     table: RefCell<BTreeMap<RequestId, Rc<OpenRequest>>>,
     /// What clients call the requests whose attempts are not all over.
     ids: RefCell<BTreeSet<Bytes>>,
@@ -76,7 +76,7 @@
     /// The listener has been waited at in vain: no connection is left that the system took and this process did not.
     none_waits: Cell<bool>,
     next: Cell<u64>,
-    /// The time at which the facade wants its tick has changed.
+    /// The time at which the decision engine wants its tick has changed.
     due_changed: Notify,
     /// What a later configuration says of the coordinator, until the watch has taken it over.
     later: RefCell<Option<(Watch, Numbered)>>,
@@ -105,7 +105,7 @@
         let (zone, settles) = (terms.zone, terms.purge_settles);
         Rc::new(Router {
             clock,
-            facade: RefCell::new(Facade::start(clock.now(), seed, terms)),
+            engine: RefCell::new(PolledEngine::start(clock.now(), seed, terms)),
             table: RefCell::new(BTreeMap::new()),
             ids: RefCell::new(BTreeSet::new()),
             pool: Pool::new(names.clone(), carriage, bounds.hosts, answered.clone()),
@@ -152,10 +152,10 @@
 
     fn report(&self, news: News) {
         let (before, named, after) = {
-            let mut facade = self.facade.borrow_mut();
-            let before = facade.due();
-            let named = facade.report(self.clock.now(), news);
-            (before, named, facade.due())
+            let mut engine = self.engine.borrow_mut();
+            let before = engine.due();
+            let named = engine.report(self.clock.now(), news);
+            (before, named, engine.due())
         };
         if before != after {
             self.due_changed.notify_one();
@@ -164,12 +164,12 @@
     }
 
     fn pick(&self, request: RequestId) -> Step {
-        self.facade.borrow_mut().pick(request)
+        self.engine.borrow_mut().pick(request)
     }
 
     /// Whether an attempt may still be sent, and what it may ask for by now.
     fn clear(&self, request: RequestId, index: AttemptIndex) -> Option<Clearance> {
-        self.facade
+        self.engine
             .borrow_mut()
             .clear(self.clock.now(), request, index)
     }
@@ -180,7 +180,7 @@
 
     /// When a client that finds no room may come back.
     fn retry_after(&self) -> Option<Span> {
-        self.facade.borrow().retry_after()
+        self.engine.borrow().retry_after()
     }
 
     fn notify(&self, requests: &[RequestId]) {
@@ -314,17 +314,17 @@
         self.reloaded.notify_one();
     }
 
-    /// Gives the facade its ticks.
+    /// Gives the decision engine its ticks.
     pub async fn keep_time(self: Rc<Router>) {
         loop {
             let due = self
-                .facade
+                .engine
                 .borrow()
                 .due()
                 .map(|due| self.clock.instant(due));
             tokio::select! {
                 () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
-                    let named = self.facade.borrow_mut().tick(self.clock.now());
+                    let named = self.engine.borrow_mut().tick(self.clock.now());
                     self.notify(&named);
                 }
                 () = self.due_changed.notified() => {}
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use flaxdeck::facade::{News, Step};
+use flaxdeck::polled::{News, Step};
 use flaxdeck::words::*;
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, JoinSet, spawn_local};
--- a/crates/flaxdeck-dispatcher/src/routing/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/subscription.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use flaxdeck::facade::News;
+use flaxdeck::polled::News;
 use flaxdeck::words::*;
 use flaxdeck_channel::messages::FromForwarder;
 use flaxdeck_channel::watch::Event;
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use flaxdeck::facade::{Facade, News, Step};
+use flaxdeck::polled::{News, PolledEngine, Step};
 use flaxdeck::words::*;
 use flaxdeck_terms::fields::Fields;
 use flaxdeck_toy::Answer;
@@ -115,7 +115,7 @@
             flaxdeck_terms::read(&Fields::of(&settings, "settings").unwrap()).unwrap();
         let (tick, classes, cancels) = (terms.tick, names.classes.len(), terms.may_cancel);
         let start = Time::at_ms(1e9);
-        let mut facade = Facade::start(start, seed, terms);
+        let mut engine = PolledEngine::start(start, seed, terms);
         let parents = seed % 3; // none at every third
         let mut hosts = vec![
             listed("s-0000ca00", Role::Cache, 0, None),
@@ -125,7 +125,7 @@
         hosts.extend(
             (0..parents).map(|n| listed(&format!("s-00009a0{n}"), Role::Parent, 0, Some(start))),
         );
-        facade.report(start, News::Hosts(ListKind::Full, hosts));
+        engine.report(start, News::Hosts(ListKind::Full, hosts));
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let mut open: BTreeMap<RequestId, (Time, u32)> = BTreeMap::new();
         let mut out: Vec<(Time, RequestId, AttemptIndex, HostId)> = Vec::new();
@@ -159,13 +159,13 @@
                     again: false,
                 };
                 open.insert(id, (deadline, 0));
-                facade.report(now, News::Arrived(request));
+                engine.report(now, News::Arrived(request));
                 next += 1;
             }
-            facade.tick(now);
+            engine.tick(now);
             for id in (0..next).map(RequestId) {
                 loop {
-                    match facade.pick(id) {
+                    match engine.pick(id) {
                         Step::Wait => break,
                         Step::Attempt(index, attempt) => {
                             assert!(open.contains_key(&id), "seed {seed}: sent on after its end");
@@ -181,7 +181,7 @@
                             out.retain(|(_, of, at, _)| (*of, *at) != (id, index));
                             if open.contains_key(&id) {
                                 let host = HostId("s-0000ca00".into());
-                                facade.report(
+                                engine.report(
                                     now,
                                     News::Ended(end(id, index, host, Ending::Cancelled)),
                                 );
@@ -215,7 +215,7 @@
                     if ending == Ending::Answered {
                         open.remove(&id);
                     }
-                    facade.report(now, News::Ended(end(id, index, host, ending)));
+                    engine.report(now, News::Ended(end(id, index, host, ending)));
                 }
             }
             now = now + Span::of_ms(1.0);
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck::brain::Brain;
+use flaxdeck::decision::DecisionEngine;
 use flaxdeck::words::*;
 use flaxdeck_control::forwarder::{Guide, Stance};
 use flaxdeck_control::messages::{Epoch, SeatId};
@@ -23,7 +23,7 @@
 
 /// One forwarder.
 pub(super) struct Forwarder {
-    pub(super) engine: Brain,
+    pub(super) engine: DecisionEngine,
     /// None without planners.
     pub(super) guide: Option<Guide>,
     /// Counts its starts.
@@ -79,7 +79,7 @@
     pub(super) fn forwarder(&mut self, n: usize, run: u32) -> Forwarder {
         let (zone, now) = (n / self.shape.forwarders, time(self.now));
         let seed = self.chance.random();
-        let (engine, _) = Brain::start(now, seed, terms(self.shape, zone));
+        let (engine, _) = DecisionEngine::start(now, seed, terms(self.shape, zone));
         let guide = (self.shape.planners > 0).then(|| self.guide(n, run));
         let last_event = self.coordinator_events.len() as u64;
         Forwarder {
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::time::Instant;
 
-use flaxdeck::brain::Brain;
+use flaxdeck::decision::DecisionEngine;
 use flaxdeck::words::{Role as HostRole, *};
 use flaxdeck_scale::files;
 use flaxdeck_scale::fit::NO_FAULT;
@@ -96,7 +96,7 @@
 /// The mean over requests at the mean rate of a dispatcher, from arrival to end, every one a hit.
 fn decision_micros(target: &Target, hosts: u64, purges_per_s: f64, seed: u64) -> f64 {
     let settles_ms = 1e3 * target.purge_within_s;
-    let (mut engine, _) = Brain::start(at(0.0), seed, terms(settles_ms));
+    let (mut engine, _) = DecisionEngine::start(at(0.0), seed, terms(settles_ms));
     engine.list(at(0.0), ListKind::Full, listed(hosts));
     let mut purges = Schedule::new(purges_per_s);
     let mut ticks = Schedule::new(1.0);
@@ -125,7 +125,7 @@
 }
 
 /// Seconds that the decisions of one request take.
-fn timed_request(engine: &mut Brain, now: Time, number: u64) -> f64 {
+fn timed_request(engine: &mut DecisionEngine, now: Time, number: u64) -> f64 {
     let request = Request {
         id: RequestId(number),
         class: ClassId(0),
--- a/src/brain.rs
+++ b/src/decision/mod.rs
@@ -1,4 +1,4 @@
-//! Every decision of one dispatcher. A caller makes a [`Brain`] with `start` and tells it each fact by a
+//! Every decision of one dispatcher. A caller makes a [`DecisionEngine`] with `start` and tells it each fact by a
 //! call: `list`, `request`, `attempt_ended`, `purge`, `guided`, `wake`, `client_left`, `ends_at`. Each call
 //! returns [`Decisions`], applied in the order of its fields: cancels, attempts, final answers, next wake.
 //! An answered attempt is its request's final answer. The interface: `words.rs`; reasons: `docs/design.md`.
@@ -9,9 +9,12 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::hash::{mix, of_name};
-use crate::state::{Held, Host, Out};
 use crate::words::{Ending::*, Told::*, *};
 
+mod state;
+
+use state::{Held, Host, Out};
+
 // Ratings (the design page's open values).
 const LARGE_KB: f64 = 1000.0; // KB; from here bandwidth decides: the page's start
 const NEW_WEIGHT: f64 = 0.2; // share of a new sample in a measure: the page's start
@@ -55,13 +58,13 @@
 const HAIR: Span = Span::from_ms(1); // taken off an age limit, and its least: the wire rounds
 
 /// The rules for a request, in order; each tells whether it fired.
-const RULES: [fn(&mut Brain, RequestId) -> bool; 6] = [
-    Brain::drop_what_is_done,
-    Brain::answer_before_the_deadline,
-    Brain::give_up_when_nothing_may_follow,
-    Brain::attempt_what_waits,
-    Brain::note_what_is_overdue,
-    Brain::attempt_beside_the_silent,
+const RULES: [fn(&mut DecisionEngine, RequestId) -> bool; 6] = [
+    DecisionEngine::drop_what_is_done,
+    DecisionEngine::answer_before_the_deadline,
+    DecisionEngine::give_up_when_nothing_may_follow,
+    DecisionEngine::attempt_what_waits,
+    DecisionEngine::note_what_is_overdue,
+    DecisionEngine::attempt_beside_the_silent,
 ];
 
 /// A cold host's least rise, what such a host can be asked for, and this dispatcher's equal part of it.
@@ -183,7 +186,7 @@
     }
 }
 
-pub struct Brain {
+pub struct DecisionEngine {
     now: Time,
     born: Time,
     chance: Pcg64Mcg,
@@ -223,9 +226,9 @@
     STAYS[0] + (STAYS[1] - STAYS[0]) * draw(host, request)
 }
 
-impl Brain {
+impl DecisionEngine {
     /// A new instance; the seed is its only source of chance.
-    pub fn start(now: Time, seed: u64, mut terms: Terms) -> (Brain, Decisions) {
+    pub fn start(now: Time, seed: u64, mut terms: Terms) -> (DecisionEngine, Decisions) {
         let mates = terms
             .zone_dispatchers
             .get(terms.zone.0)
@@ -283,13 +286,13 @@
         let (owed, due, agenda, wake_at) =
             (BTreeMap::new(), BTreeSet::new(), BTreeSet::new(), None);
         #[rustfmt::skip]
-        let mut brain = Brain {
+        let mut engine = DecisionEngine {
             now, born: now, chance, kinds, zone_mates: mates, link, ramps, early, ends, retry_after, terms,
             vouched, by_right, mean_work, next_look, hosts, requests, purges, seen, owed, due, agenda,
             next_tidy: now + TIDY, wake_at, out: Decisions::default(),
         };
-        let decisions = brain.wake(now);
-        (brain, decisions)
+        let decisions = engine.wake(now);
+        (engine, decisions)
     }
 
     /// Lines of the list of hosts; with the whole list, what it leaves out is gone.
--- a/src/state.rs
+++ b/src/decision/state.rs
@@ -1,4 +1,4 @@
-//! What the brain keeps of hosts, requests and their attempts. Fields only: every decision is in `brain.rs`.
+//! What the decision engine keeps of hosts, requests and their attempts. Fields only: every decision is in `decision engine.rs`.
 
 use std::cell::Cell;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,9 @@
 //! flaxdeck: which cache gets a request, which source fills a miss, and when to stop trying.
 //!
-//! [`brain::Brain`] holds every decision of one dispatcher; [`words`] holds the plain types that
-//! go in and come out; [`facade`] is the brain for callers that give each request a task.
+//! [`decision::DecisionEngine`] holds every decision of one dispatcher; [`words`] holds the plain types that go in and
+//! come out; [`polled::PolledEngine`] serves callers that give each request a task of its own.
 
-pub mod brain;
-pub mod facade;
+pub mod decision;
 pub mod hash;
-mod state;
+pub mod polled;
 pub mod words;
--- a/src/facade.rs
+++ b/src/polled.rs
@@ -1,10 +1,10 @@
-//! The brain in blocking style, for callers that give each request a task of its own: `report` what became
+//! The decision engine in blocking style, for callers that give each request a task of its own: `report` what became
 //! known, `pick` a request's next step until it says wait, `tick` at the time that `due` names. It only keeps in order
-//! what the brain returns; nothing here decides.
+//! what the decision engine returns; nothing here decides.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::brain::Brain;
+use crate::decision::DecisionEngine;
 use crate::words::*;
 
 /// What became known.
@@ -45,49 +45,49 @@
 }
 
 /// One dispatcher's decisions, asked for request by request.
-pub struct Facade {
-    brain: Brain,
+pub struct PolledEngine {
+    engine: DecisionEngine,
     lines: BTreeMap<RequestId, Line>,
-    /// All wishes of the brain that have not come: earlier ones stand beside later ones.
+    /// All wishes of the decision engine that have not come: earlier ones stand beside later ones.
     due: BTreeSet<Time>,
 }
 
-impl Facade {
-    pub fn start(now: Time, seed: u64, terms: Terms) -> Facade {
-        let (brain, decisions) = Brain::start(now, seed, terms);
-        let mut facade = Facade {
-            brain,
+impl PolledEngine {
+    pub fn start(now: Time, seed: u64, terms: Terms) -> PolledEngine {
+        let (engine, decisions) = DecisionEngine::start(now, seed, terms);
+        let mut engine = PolledEngine {
+            engine,
             lines: BTreeMap::new(),
             due: BTreeSet::new(),
         };
-        facade.sort(decisions);
-        facade
+        engine.sort(decisions);
+        engine
     }
 
     /// Takes in what became known; gives the requests that have a step to pick.
     pub fn report(&mut self, now: Time, news: News) -> Vec<RequestId> {
         let decisions = match news {
-            News::Hosts(list_kind, lines) => self.brain.list(now, list_kind, lines),
+            News::Hosts(list_kind, lines) => self.engine.list(now, list_kind, lines),
             News::Purged {
                 object,
                 group,
                 made,
-            } => self.brain.purge(now, object, group, made),
+            } => self.engine.purge(now, object, group, made),
             News::Arrived(request) => {
                 self.lines.insert(request.id, Line::default());
-                self.brain.request(now, request)
+                self.engine.request(now, request)
             }
             News::Ended(ended) => {
                 if ended.ending == Ending::Answered {
                     self.end(ended.request);
                 }
-                self.brain.attempt_ended(now, ended)
+                self.engine.attempt_ended(now, ended)
             }
-            News::Guided(guided) => self.brain.guided(now, guided),
-            News::Ending(ends) => self.brain.ends_at(now, ends),
+            News::Guided(guided) => self.engine.guided(now, guided),
+            News::Ending(ends) => self.engine.ends_at(now, ends),
             News::Left(request) => {
                 self.end(request);
-                self.brain.client_left(now, request)
+                self.engine.client_left(now, request)
             }
         };
         self.sort(decisions)
@@ -99,7 +99,7 @@
             return Vec::new();
         }
         self.due.retain(|due| *due > now);
-        let decisions = self.brain.wake(now);
+        let decisions = self.engine.wake(now);
         self.sort(decisions)
     }
 
@@ -110,22 +110,22 @@
         request: RequestId,
         index: AttemptIndex,
     ) -> Option<Clearance> {
-        self.brain.clear(now, request, index)
+        self.engine.clear(now, request, index)
     }
 
     /// What was seen of each host here, for others to hear.
     pub fn observations(&self, now: Time) -> Vec<Observation> {
-        self.brain.observations(now)
+        self.engine.observations(now)
     }
 
     /// How full the location's link was when last heard.
     pub fn link(&self) -> Option<(f64, Time)> {
-        self.brain.link
+        self.engine.link
     }
 
     /// When a client may come back whose request was not even reported.
     pub fn retry_after(&self) -> Option<Span> {
-        self.brain.retry_after
+        self.engine.retry_after
     }
 
     pub fn due(&self) -> Option<Time> {
--- a/src/words.rs
+++ b/src/words.rs
@@ -1,4 +1,4 @@
-//! The words that callers and the brain share: points in time, spans, ids, the facts that go in
+//! The words that callers and the decision engine share: points in time, spans, ids, the facts that go in
 //! and the decisions that come out. Nothing here decides.
 
 use std::ops::{Add, Mul, Sub};
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -1,10 +1,10 @@
-//! One tiny fake location: a dispatcher's brain, a clock and the hosts that answer it.
+//! One tiny fake location: a dispatcher's decision engine, a clock and the hosts that answer it.
 
-use flaxdeck::brain::Brain;
+use flaxdeck::decision::DecisionEngine;
 use flaxdeck::words::*;
 
 pub struct Fake {
-    pub brain: Brain,
+    pub engine: DecisionEngine,
     pub now: Time,
     pub finals: Vec<Final>,
     pub cancels: Vec<Cancel>,
@@ -104,10 +104,10 @@
 impl Fake {
     pub fn new(terms: Terms, hosts: Vec<Endpoint>) -> Fake {
         let now = Time::at_ms(100_000.0);
-        let (brain, _) = Brain::start(now, 7, terms);
+        let (engine, _) = DecisionEngine::start(now, 7, terms);
         let (finals, cancels, sent, looks) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         let mut fake = Fake {
-            brain,
+            engine,
             now,
             finals,
             cancels,
@@ -139,15 +139,15 @@
     }
 
     pub fn list(&mut self, hosts: Vec<Endpoint>) {
-        let decisions = self.brain.list(self.now, ListKind::Delta, hosts);
+        let decisions = self.engine.list(self.now, ListKind::Delta, hosts);
         self.apply(decisions);
     }
 
-    /// Lets so many milliseconds pass, waking the brain at each.
+    /// Lets so many milliseconds pass, waking the decision engine at each.
     pub fn pass(&mut self, ms: u64) {
         for _ in 0..ms {
             self.now = self.now + Span::from_ms(1);
-            let decisions = self.brain.wake(self.now);
+            let decisions = self.engine.wake(self.now);
             self.apply(decisions);
         }
     }
@@ -188,7 +188,7 @@
             deadline,
             again: self.again,
         };
-        let decisions = self.brain.request(self.now, request);
+        let decisions = self.engine.request(self.now, request);
         self.apply(decisions);
         at
     }
@@ -221,7 +221,7 @@
     }
 
     pub fn seen(&mut self, name: &str, link: Option<f64>) {
-        let decisions = self.brain.seen(
+        let decisions = self.engine.seen(
             self.now,
             &host(name),
             LoadReport {
@@ -265,7 +265,7 @@
                 busy,
             },
         };
-        let decisions = self.brain.attempt_ended(self.now, ended);
+        let decisions = self.engine.attempt_ended(self.now, ended);
         self.apply(decisions);
     }
 
--- a/tests/guided.rs
+++ b/tests/guided.rs
@@ -1,10 +1,10 @@
-//! The brain with guidance: what others tell changes what it does, and no more than it should.
+//! The decision engine with guidance: what others tell changes what it does, and no more than it should.
 
 #[allow(dead_code)]
 mod fake;
 
 use fake::{host, line, terms};
-use flaxdeck::brain::Brain;
+use flaxdeck::decision::DecisionEngine;
 use flaxdeck::words::*;
 
 fn at(ms: u64) -> Time {
@@ -35,10 +35,10 @@
     }
 }
 
-fn brain(lines: Vec<Endpoint>) -> Brain {
-    let (mut brain, _) = Brain::start(at(0), 1, terms());
-    brain.list(at(0), ListKind::Full, lines);
-    brain
+fn engine(lines: Vec<Endpoint>) -> DecisionEngine {
+    let (mut engine, _) = DecisionEngine::start(at(0), 1, terms());
+    engine.list(at(0), ListKind::Full, lines);
+    engine
 }
 
 fn lines() -> Vec<Endpoint> {
@@ -63,8 +63,8 @@
     }
 }
 
-fn sources(brain: &mut Brain, now: Time, ids: std::ops::Range<u64>) -> Vec<HostId> {
-    ids.flat_map(|id| brain.request(now, request(id, now, 0)).attempts)
+fn sources(engine: &mut DecisionEngine, now: Time, ids: std::ops::Range<u64>) -> Vec<HostId> {
+    ids.flat_map(|id| engine.request(now, request(id, now, 0)).attempts)
         .map(|attempt| attempt.source)
         .collect()
 }
@@ -85,35 +85,35 @@
 
 #[test]
 fn a_parent_that_several_others_found_down_gets_nothing_before_its_trial() {
-    let mut brain = brain(lines());
-    assert!(sources(&mut brain, at(10), 1..9).contains(&host("p")));
-    brain.guided(
+    let mut engine = engine(lines());
+    assert!(sources(&mut engine, at(10), 1..9).contains(&host("p")));
+    engine.guided(
         at(20),
         told(vec![Hint {
             down: Some(at(15)),
             ..hint("p")
         }]),
     );
-    assert!(!sources(&mut brain, at(30), 10..20).contains(&host("p")));
+    assert!(!sources(&mut engine, at(30), 10..20).contains(&host("p")));
 }
 
 #[test]
 fn an_own_success_outweighs_older_words_of_a_failure() {
-    let mut brain = brain(lines());
+    let mut engine = engine(lines());
     let offs: Vec<Attempt> = (1..9)
-        .flat_map(|id| brain.request(at(10), request(id, at(10), 0)).attempts)
+        .flat_map(|id| engine.request(at(10), request(id, at(10), 0)).attempts)
         .collect();
     let of = offs.iter().find(|off| off.source == host("p")).unwrap();
-    brain.attempt_ended(at(100), ended(of, Ending::Answered, Told::Filled, 5.0));
-    brain.guided(
+    engine.attempt_ended(at(100), ended(of, Ending::Answered, Told::Filled, 5.0));
+    engine.guided(
         at(110),
         told(vec![Hint {
             down: Some(at(90)),
             ..hint("p")
         }]),
     );
-    assert!(sources(&mut brain, at(120), 20..30).contains(&host("p")));
-    brain.guided(
+    assert!(sources(&mut engine, at(120), 20..30).contains(&host("p")));
+    engine.guided(
         at(130),
         told(vec![Hint {
             down: Some(at(125)),
@@ -122,30 +122,30 @@
         }]),
     );
     assert!(
-        sources(&mut brain, at(140), 30..40).contains(&host("p")),
+        sources(&mut engine, at(140), 30..40).contains(&host("p")),
         "somebody has succeeded since"
     );
 }
 
 #[test]
 fn a_parent_out_of_use_is_tried_at_once_when_others_reach_it_again() {
-    let mut brain = brain(lines());
-    brain.guided(
+    let mut engine = engine(lines());
+    engine.guided(
         at(20),
         told(vec![Hint {
             down: Some(at(15)),
             ..hint("p")
         }]),
     );
-    assert!(!sources(&mut brain, at(30), 1..20).contains(&host("p")));
-    brain.guided(
+    assert!(!sources(&mut engine, at(30), 1..20).contains(&host("p")));
+    engine.guided(
         at(40),
         told(vec![Hint {
             good: Some(at(35)),
             ..hint("p")
         }]),
     );
-    let tried = sources(&mut brain, at(50), 20..60)
+    let tried = sources(&mut engine, at(50), 20..60)
         .into_iter()
         .filter(|source| *source == host("p"))
         .count();
@@ -154,7 +154,7 @@
 
 #[test]
 fn peer_observations_of_latency_move_the_choice_only_until_own_samples_speak() {
-    let mut brain = brain(lines());
+    let mut engine = engine(lines());
     let slow = |now| Hint {
         measures: [Some(900.0), None],
         measured: Some(now),
@@ -166,15 +166,15 @@
         ..hint("o")
     };
     for n in 0..6 {
-        brain.guided(at(20 + n), told(vec![quick(at(10 + n)), slow(at(10 + n))]));
+        engine.guided(at(20 + n), told(vec![quick(at(10 + n)), slow(at(10 + n))]));
     }
-    let before = sources(&mut brain, at(40), 1..40);
+    let before = sources(&mut engine, at(40), 1..40);
     assert!(
         !before.contains(&host("p")) && before.contains(&host("q")),
         "{before:?}"
     );
     let own = Observation {
-        ..brain
+        ..engine
             .observations(at(41))
             .into_iter()
             .find(|observation| observation.host == host("p"))
@@ -193,10 +193,10 @@
     cold.started = Some(at(0));
     let lines = vec![cold, line("p", Role::Parent), line("o", Role::Origin)];
     let count = |share: Option<(Option<Time>, f64)>, by_right: f64| {
-        let mut brain = brain(lines.clone());
+        let mut engine = engine(lines.clone());
         let now = at(2_500);
         let hints = vec![Hint { share, ..hint("a") }];
-        brain.guided(
+        engine.guided(
             now,
             Guided {
                 hints,
@@ -205,7 +205,7 @@
                 vouched: true,
             },
         );
-        let offs = (1..200).flat_map(|id| brain.request(now, request(id, now, 0)).attempts);
+        let offs = (1..200).flat_map(|id| engine.request(now, request(id, now, 0)).attempts);
         offs.filter(|off| off.host == host("a")).count()
     };
     let (plain, none, double) = (
@@ -231,17 +231,17 @@
 fn what_was_turned_away_for_want_of_a_share_is_shown_once() {
     let mut cold = line("a", Role::Cache);
     cold.started = Some(at(0));
-    let mut brain = brain(vec![cold, line("p", Role::Parent), line("o", Role::Origin)]);
-    brain.guided(
+    let mut engine = engine(vec![cold, line("p", Role::Parent), line("o", Role::Origin)]);
+    engine.guided(
         at(2_500),
         told(vec![Hint {
             share: Some((Some(at(0)), 0.0)),
             ..hint("a")
         }]),
     );
-    sources(&mut brain, at(2_500), 1..5);
-    let used = |brain: &Brain| {
-        let observations = brain.observations(at(2_500));
+    sources(&mut engine, at(2_500), 1..5);
+    let used = |engine: &DecisionEngine| {
+        let observations = engine.observations(at(2_500));
         observations
             .into_iter()
             .find(|observation| observation.host == host("a"))
@@ -249,26 +249,26 @@
             .cold
             .unwrap()
     };
-    let first = used(&brain);
+    let first = used(&engine);
     assert!(first.wished > 0.0 && first.spent == 0.0, "{first:?}");
-    assert_eq!(used(&brain).wished, 0.0);
+    assert_eq!(used(&engine).wished, 0.0);
 }
 
 #[test]
 fn with_nobody_to_vouch_for_the_hosts_new_requests_are_rejected_at_once_and_what_is_out_goes_on() {
-    let mut brain = brain(lines());
-    let out = brain
+    let mut engine = engine(lines());
+    let out = engine
         .request(at(10), request(1, at(10), 0))
         .attempts
         .remove(0);
-    brain.guided(
+    engine.guided(
         at(20),
         Guided {
             vouched: false,
             ..told(vec![])
         },
     );
-    let decisions = brain.request(at(30), request(2, at(30), 0));
+    let decisions = engine.request(at(30), request(2, at(30), 0));
     assert!(decisions.attempts.is_empty());
     assert!(matches!(
         decisions.finals[..],
@@ -277,19 +277,19 @@
             retry_after: Some(_)
         }]
     ));
-    let decisions = brain.attempt_ended(at(40), ended(&out, Ending::Answered, Told::Held, 1.0));
+    let decisions = engine.attempt_ended(at(40), ended(&out, Ending::Answered, Told::Held, 1.0));
     assert!(decisions.finals.is_empty(), "answered by its host");
-    brain.guided(at(50), told(vec![]));
+    engine.guided(at(50), told(vec![]));
     assert_eq!(
-        brain.request(at(60), request(3, at(60), 0)).attempts.len(),
+        engine.request(at(60), request(3, at(60), 0)).attempts.len(),
         1
     );
 }
 
 #[test]
 fn hints_about_hosts_that_nobody_listed_change_nothing() {
-    let mut brain = brain(lines());
-    brain.guided(
+    let mut engine = engine(lines());
+    engine.guided(
         at(10),
         told(vec![Hint {
             share: Some((None, 1.0)),
@@ -297,36 +297,36 @@
             ..hint("nobody")
         }]),
     );
-    assert_eq!(brain.observations(at(10)).len(), 4);
+    assert_eq!(engine.observations(at(10)).len(), 4);
 }
 
 #[test]
 fn a_full_link_that_others_heard_of_holds_back_misses_here_until_the_word_is_old() {
-    let mut brain = brain(lines());
+    let mut engine = engine(lines());
     let now = at(100);
-    brain.guided(
+    engine.guided(
         now,
         Guided {
             link: Some((50.0, at(90))),
             ..told(vec![])
         },
     );
-    let off = brain.request(now, request(1, now, 0)).attempts.remove(0);
+    let off = engine.request(now, request(1, now, 0)).attempts.remove(0);
     assert_eq!(off.source, off.host, "only a hit is asked for");
-    brain.guided(
+    engine.guided(
         at(110),
         Guided {
             link: Some((0.1, at(20))),
             ..told(vec![])
         },
     );
-    let off = brain
+    let off = engine
         .request(at(110), request(2, at(110), 0))
         .attempts
         .remove(0);
     assert_eq!(off.source, off.host, "older word changes nothing");
     let later = at(5_000);
-    let off = brain
+    let off = engine
         .request(later, request(3, later, 0))
         .attempts
         .remove(0);
--- a/tests/same.rs
+++ b/tests/same.rs
@@ -1,4 +1,4 @@
-//! Without guidance the brain decides as it did before it could be guided: generated days are played through it,
+//! Without guidance the decision engine decides as it did before it could be guided: generated days are played through it,
 //! and all that it decides is compared, bit by bit, with what commit 2d87754 decided on the same days.
 
 #[allow(dead_code)]
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use fake::{line, terms};
-use flaxdeck::brain::Brain;
+use flaxdeck::decision::DecisionEngine;
 use flaxdeck::words::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -32,7 +32,7 @@
 }
 
 struct Day {
-    brain: Brain,
+    engine: DecisionEngine,
     chance: Pcg64Mcg,
     later: BTreeMap<(Time, u64), Later>,
     wake: Option<Time>,
@@ -128,7 +128,7 @@
     let mut terms = terms();
     (terms.zone_dispatchers, terms.dispatchers) =
         (vec![1 + (seed % 4) as u32, 2], 3 + (seed % 4) as u32);
-    let (brain, decisions) = Brain::start(start, seed, terms);
+    let (engine, decisions) = DecisionEngine::start(start, seed, terms);
     let roles = [
         (Role::Cache, 6, "c"),
         (Role::Parent, 3, "p"),
@@ -163,7 +163,7 @@
     }
     let (later, attempts_of) = (BTreeMap::new(), BTreeMap::new());
     let mut day = Day {
-        brain,
+        engine,
         chance,
         later,
         wake: None,
@@ -174,19 +174,19 @@
         trouble,
     };
     day.take(start, decisions);
-    let decisions = day.brain.list(start, ListKind::Full, lines.clone());
+    let decisions = day.engine.list(start, ListKind::Full, lines.clone());
     day.take(start, decisions);
     for ms in 0..MS {
         let now = Time::at_ms(100_000.0 + ms as f64);
         while let Some(entry) = day.later.first_entry().filter(|entry| entry.key().0 <= now) {
             let decisions = match entry.remove() {
-                Later::Ended(ended) => day.brain.attempt_ended(now, ended),
-                Later::Leaves(request) => day.brain.client_left(now, request),
+                Later::Ended(ended) => day.engine.attempt_ended(now, ended),
+                Later::Leaves(request) => day.engine.client_left(now, request),
             };
             day.take(now, decisions);
         }
         if day.wake.is_some_and(|wake| wake <= now) {
-            let decisions = day.brain.wake(now);
+            let decisions = day.engine.wake(now);
             day.take(now, decisions);
         }
         if day.chance.random_bool(0.25) {
@@ -206,7 +206,7 @@
                 deadline: now + Span::from_ms(2_500),
                 again: day.chance.random_bool(0.1),
             };
-            let decisions = day.brain.request(now, request);
+            let decisions = day.engine.request(now, request);
             day.take(now, decisions);
             if day.chance.random_bool(0.03) {
                 day.later
@@ -226,7 +226,7 @@
                 lines[at].started = Some(now);
             }
             let decisions = day
-                .brain
+                .engine
                 .list(now, ListKind::Delta, vec![lines[at].clone()]);
             day.take(now, decisions);
         }
@@ -236,7 +236,7 @@
                 .random_bool(0.5)
                 .then(|| ObjectId(day.chance.random_range(1..20)));
             let decisions = day
-                .brain
+                .engine
                 .purge(now, object, GroupId(1), now - Span::from_ms(20));
             day.take(now, decisions);
         }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -3,7 +3,7 @@
 mod fake;
 
 use fake::*;
-use flaxdeck::facade::{Facade, News, Step};
+use flaxdeck::polled::{News, PolledEngine, Step};
 use flaxdeck::words::*;
 
 fn is_parent(id: &HostId) -> bool {
@@ -364,9 +364,9 @@
     let mut fake = Fake::new(terms(), usual());
     let made = fake.now;
     fake.pass(50);
-    fake.brain
+    fake.engine
         .purge(fake.now, Some(ObjectId(1)), GroupId(1), made);
-    fake.brain.purge(fake.now, None, GroupId(2), made);
+    fake.engine.purge(fake.now, None, GroupId(2), made);
     fake.pass(200);
     for (object, held_to) in [(1, true), (2, true), (6, true), (5, false)] {
         let at = fake.request(0, object);
@@ -788,7 +788,7 @@
     let (index, sent) = fake.sent[at].clone();
     let now = fake.now;
     assert!(
-        fake.brain.clear(now, sent.request, index).is_some(),
+        fake.engine.clear(now, sent.request, index).is_some(),
         "it stands as long as nothing has changed"
     );
     for id in [&sent.host, &sent.source] {
@@ -798,7 +798,7 @@
             ..was.clone()
         }]);
         assert_eq!(
-            fake.brain.clear(now, sent.request, index),
+            fake.engine.clear(now, sent.request, index),
             None,
             "{id:?} is another process"
         );
@@ -824,7 +824,7 @@
     let mut fake = Fake::new(terms(), usual());
     fake.request(0, 1);
     let now = fake.now;
-    let decisions = fake.brain.ends_at(now, now + Span::from_ms(300));
+    let decisions = fake.engine.ends_at(now, now + Span::from_ms(300));
     assert_eq!(decisions.finals, []);
     fake.request(0, 2);
     fake.pass(299);
@@ -886,8 +886,8 @@
 fn what_was_decided_but_not_picked_has_no_use_once_a_request_is_answered_or_its_client_has_left() {
     for answered in [true, false] {
         let now = Time::at_ms(100_000.0);
-        let mut facade = Facade::start(now, 7, terms());
-        facade.report(now, News::Hosts(ListKind::Full, usual()));
+        let mut engine = PolledEngine::start(now, 7, terms());
+        engine.report(now, News::Hosts(ListKind::Full, usual()));
         let (request, deadline, group) = (RequestId(1), now + Span::from_ms(900), GroupId(1));
         let (class, object, size_kb) = (ClassId(0), ObjectId(1), Some(100.0));
         let asked = Request {
@@ -900,13 +900,13 @@
             deadline,
             again: false,
         };
-        assert_eq!(facade.report(now, News::Arrived(asked)), [request]);
-        let Step::Attempt(index, sent) = facade.pick(request) else {
+        assert_eq!(engine.report(now, News::Arrived(asked)), [request]);
+        let Step::Attempt(index, sent) = engine.pick(request) else {
             panic!("it is handed off")
         };
         let late = now + Span::from_ms(899);
         assert_eq!(
-            facade.tick(late),
+            engine.tick(late),
             [request],
             "given up, but nobody has asked yet"
         );
@@ -923,7 +923,7 @@
             waited: None,
             report: LoadReport::default(),
         };
-        facade.report(
+        engine.report(
             late,
             if answered {
                 News::Ended(ended)
@@ -932,7 +932,7 @@
             },
         );
         assert_eq!(
-            (facade.pick(request), facade.pick(request)),
+            (engine.pick(request), engine.pick(request)),
             (Step::TakeBack(index), Step::Wait)
         );
     }
@@ -941,10 +941,10 @@
 #[test]
 fn a_report_just_before_a_late_tick_loses_no_later_one() {
     let now = Time::at_ms(100_000.0);
-    let mut facade = Facade::start(now, 7, terms());
-    let first = facade.due().unwrap();
+    let mut engine = PolledEngine::start(now, 7, terms());
+    let first = engine.due().unwrap();
     let late = first + Span::from_ms(3);
-    facade.report(
+    engine.report(
         late,
         News::Purged {
             object: None,
@@ -952,10 +952,10 @@
             made: late,
         },
     );
-    facade.tick(late);
+    engine.tick(late);
     assert!(
-        facade.due().is_some_and(|due| due > late),
-        "the brain has named its next time to the report"
+        engine.due().is_some_and(|due| due > late),
+        "the engine has named its next time to the report"
     );
 }
 
@@ -1200,7 +1200,7 @@
     );
     assert_eq!(fake.sent[at].1.oldest, Some(Span::from_ms(28_000)));
     let made = fake.now - Span::from_ms(40);
-    fake.brain
+    fake.engine
         .purge(fake.now, Some(ObjectId(3)), GroupId(3), made);
     let at = fake.request(0, 3);
     assert_eq!(fake.sent[at].1.oldest, Some(Span::from_ms(39)));
