--- a/crates/flaxdeck-adapter/src/wire.rs
+++ b/crates/flaxdeck-adapter/src/wire.rs
@@ -5,7 +5,10 @@
 use std::rc::Rc;
 
 use flaxdeck::decision::DecisionEngine;
-use flaxdeck::words::*;
+use flaxdeck::{
+    AttemptIndex, CellId, Decisions, Ended, Ending, Endpoint, Final, GroupId, Health, HostId,
+    ListKind, LoadReport, ObjectId, Request, RequestId, Span, Time, ZoneId,
+};
 use flaxdeck_terms::fields::Fields;
 use flaxdeck_terms::{Names, place, told};
 use serde_json::{Value, json};
--- a/crates/flaxdeck-channel/src/watch.rs
+++ b/crates/flaxdeck-channel/src/watch.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use flaxdeck_recovery::numbering::{Doubt, Next, Numbering, Why};
 use flaxdeck_recovery::{LiveEdge, Mark, Pace};
 use flaxdeck_terms::Names;
--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use flaxdeck::words::Span;
+use flaxdeck::Span;
 use flaxdeck_channel::seal::Key;
 use flaxdeck_channel::watch::{Numbered, Watch};
 use flaxdeck_control::Pledges;
--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use clap::{Args, Parser, Subcommand};
-use flaxdeck::words::Span;
+use flaxdeck::Span;
 use flaxdeck_channel::seal::Key;
 use flaxdeck_control::Parts;
 use flaxdeck_control::forwarder::Stance;
--- a/crates/flaxdeck-cli/src/state.rs
+++ b/crates/flaxdeck-cli/src/state.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use flaxdeck::words::Span;
+use flaxdeck::Span;
 use flaxdeck_net::clock::since_boot;
 use flaxdeck_recovery::Mark;
 use flaxdeck_recovery::belief::{self, Kept, Now, Uptime};
--- a/crates/flaxdeck-control/examples/size.rs
+++ b/crates/flaxdeck-control/examples/size.rs
@@ -4,7 +4,11 @@
 use std::time::Instant;
 
 use flaxdeck::decision::DecisionEngine;
-use flaxdeck::words::*;
+use flaxdeck::{
+    AttemptIndex, CellId, ClassId, Ended, Ending, Endpoint, GroupId, Guided, Health, Hint, HostId,
+    ListKind, LoadReport, ObjectId, Repeats, Request, RequestClass, RequestId, Role, Span, Terms,
+    Time, Told, ZoneId,
+};
 use flaxdeck_control::forwarder::{Guide, Stance};
 use flaxdeck_control::membership::PlannerId;
 use flaxdeck_control::messages::{Envelope, Epoch, Life, Report, Sample, Trade};
--- a/crates/flaxdeck-control/src/forwarder.rs
+++ b/crates/flaxdeck-control/src/forwarder.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck::words::*;
+use flaxdeck::{Guided, Hint, HostId, Observation, Span, Time, ZoneId};
 use flaxdeck_recovery::Mark;
 
 use crate::membership::{self, Known, PlannerId, Refused};
--- a/crates/flaxdeck-control/src/lib.rs
+++ b/crates/flaxdeck-control/src/lib.rs
@@ -21,7 +21,7 @@
 
 pub use staircase::Staircase;
 
-use flaxdeck::words::Span;
+use flaxdeck::Span;
 use serde::{Deserialize, Serialize};
 
 /// A share of what a host bears, in millionths of the whole.
--- a/crates/flaxdeck-control/src/membership.rs
+++ b/crates/flaxdeck-control/src/membership.rs
@@ -2,7 +2,7 @@
 //! may differ for a while, and [`crate::shares`] keeps the sum right all the same.
 
 use flaxdeck::hash::{mix, of_name};
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 
 use crate::messages::{Epoch, Life};
 
--- a/crates/flaxdeck-control/src/messages.rs
+++ b/crates/flaxdeck-control/src/messages.rs
@@ -1,7 +1,7 @@
 //! What forwarders and planners say to each other. Times are opaque stamps of the one who wrote them, or spans;
 //! nobody reads another's clock.
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use flaxdeck_recovery::Mark;
 use serde::{Deserialize, Serialize};
 
--- a/crates/flaxdeck-control/src/planner.rs
+++ b/crates/flaxdeck-control/src/planner.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use flaxdeck_recovery::Mark;
 
 use crate::membership::Refused;
--- a/crates/flaxdeck-control/src/pool.rs
+++ b/crates/flaxdeck-control/src/pool.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 
 use crate::messages::Epoch;
 use crate::{Parts, Pledges, Staircase};
--- a/crates/flaxdeck-control/src/ratings.rs
+++ b/crates/flaxdeck-control/src/ratings.rs
@@ -1,6 +1,6 @@
 //! Everybody's samples of a host weighed into one picture, in memory that does not grow with the forwarders.
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 
 use crate::messages::{Epoch, Fullness, Rating, Sample, ms_up};
 
--- a/crates/flaxdeck-control/src/seats.rs
+++ b/crates/flaxdeck-control/src/seats.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 
 use crate::Pledges;
 use crate::messages::{Epoch, SeatId};
--- a/crates/flaxdeck-control/src/shares.rs
+++ b/crates/flaxdeck-control/src/shares.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 
 use crate::messages::{Epoch, Grant, LIVES_MOST, Life, Trade};
 use crate::{Parts, Pledges, Staircase};
--- a/crates/flaxdeck-control/src/staircase.rs
+++ b/crates/flaxdeck-control/src/staircase.rs
@@ -1,7 +1,7 @@
 //! An amount promised until a time, with smaller amounts for longer: what several promises of one party to the same
 //! other come to when the largest one counts.
 
-use flaxdeck::words::Time;
+use flaxdeck::Time;
 
 use crate::Parts;
 
--- a/crates/flaxdeck-control/tests/lending_model.rs
+++ b/crates/flaxdeck-control/tests/lending_model.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeSet;
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use flaxdeck_control::messages::{Epoch, Grant, Life};
 use flaxdeck_control::pool::Pool;
 use flaxdeck_control::shares::{Cold, Shares};
--- a/crates/flaxdeck-control/tests/membership.rs
+++ b/crates/flaxdeck-control/tests/membership.rs
@@ -1,6 +1,6 @@
 //! Which planner is in charge of a host's life, and whose word is taken.
 
-use flaxdeck::words::Time;
+use flaxdeck::Time;
 use flaxdeck_control::membership::{Known, PlannerId, Refused, in_charge};
 use flaxdeck_control::messages::{Epoch, Life};
 
--- a/crates/flaxdeck-control/tests/ratings.rs
+++ b/crates/flaxdeck-control/tests/ratings.rs
@@ -1,6 +1,6 @@
 //! Samples of many forwarders weighed into one picture of a host.
 
-use flaxdeck::words::Time;
+use flaxdeck::Time;
 use flaxdeck_control::messages::{Epoch, Sample};
 use flaxdeck_control::ratings::Health;
 
--- a/crates/flaxdeck-control/tests/seats.rs
+++ b/crates/flaxdeck-control/tests/seats.rs
@@ -1,6 +1,6 @@
 //! A planner's memory of seats: what an earlier run may have lent, and whose word is taken.
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use flaxdeck_control::Pledges;
 use flaxdeck_control::messages::{Epoch, SeatId};
 use flaxdeck_control::seats::Seats;
--- a/crates/flaxdeck-control/tests/sparing.rs
+++ b/crates/flaxdeck-control/tests/sparing.rs
@@ -1,7 +1,7 @@
 //! Reports and guidance of a forwarder that hears of events by a subscription: only as often, and as much, as there is
 //! something to say.
 
-use flaxdeck::words::*;
+use flaxdeck::{HostId, Observation, Span, Time, Used};
 use flaxdeck_control::forwarder::{Guide, Stance};
 use flaxdeck_control::membership::PlannerId;
 use flaxdeck_control::messages::{Epoch, RARE_MOST, Relayed, SeatId};
--- a/crates/flaxdeck-control/tests/staircase.rs
+++ b/crates/flaxdeck-control/tests/staircase.rs
@@ -1,6 +1,6 @@
 //! An amount promised until a time, against the plain maximum of all promises.
 
-use flaxdeck::words::Time;
+use flaxdeck::Time;
 use flaxdeck_control::{Parts, Staircase};
 use proptest::prelude::*;
 
--- a/crates/flaxdeck-control/tests/two_levels.rs
+++ b/crates/flaxdeck-control/tests/two_levels.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck::words::*;
+use flaxdeck::{HostId, Observation, Span, Time, Used, ZoneId};
 use flaxdeck_control::forwarder::{Guide, Informed, Stance};
 use flaxdeck_control::membership::{PlannerId, Refused};
 use flaxdeck_control::messages::{Epoch, Grant, Guidance, Life, Rating, Relayed, Report, SeatId};
--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -13,7 +13,7 @@
 use crate::program::start::{self, Start};
 use crate::routing::{Guidelines, Keeps, Router, recall};
 pub use crate::routing::{InForce, Watcher};
-use flaxdeck::words::Span;
+use flaxdeck::Span;
 
 /// The control side of a forwarder that takes no clients, on the `LocalSet` of the thread that started it. It goes on
 /// until the runtime ends, also when the handle is dropped.
--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use flaxdeck::words::Span;
+use flaxdeck::Span;
 use serde_json::Value;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::{LocalSet, spawn_local};
--- a/crates/flaxdeck-dispatcher/src/program/start.rs
+++ b/crates/flaxdeck-dispatcher/src/program/start.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use flaxdeck::words::Terms;
+use flaxdeck::Terms;
 use flaxdeck_terms::fields::Fields;
 use flaxdeck_terms::{Carriage, Names};
 use serde_json::Value;
--- a/crates/flaxdeck-dispatcher/src/protocol/pool.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/pool.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use flaxdeck::words::{Ending, Health, HostId, ListKind};
+use flaxdeck::{Ending, Health, HostId, ListKind};
 use flaxdeck_terms::{Carriage, Names};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout, timeout_at};
--- a/crates/flaxdeck-dispatcher/src/protocol/session.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/session.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Buf;
-use flaxdeck::words::Span;
+use flaxdeck::Span;
 use flaxdeck_terms::Names;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until};
--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -5,7 +5,7 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use flaxdeck::words::RequestId;
+use flaxdeck::RequestId;
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep, timeout};
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use flaxdeck::polled::News;
-use flaxdeck::words::*;
+use flaxdeck::{Endpoint, GroupId, HostId, ListKind, Observation, Span, Time};
 use flaxdeck_channel::line::{self, Hearer, Over, Speaker};
 use flaxdeck_channel::messages::{FromForwarder, FromPlanner};
 use flaxdeck_channel::seal::Key;
--- a/crates/flaxdeck-dispatcher/src/routing/keep.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/keep.rs
@@ -9,7 +9,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use flaxdeck::words::*;
+use flaxdeck::{
+    CellId, Endpoint, GroupId, Health, Hint, HostId, ListKind, ObjectId, Observation, Role, Span,
+    Time, ZoneId,
+};
 use flaxdeck_channel::watch::Event;
 use flaxdeck_net::clock::{Clock, since_boot};
 use flaxdeck_net::tally::{Count, count};
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -14,7 +14,7 @@
 
 use bytes::Bytes;
 use flaxdeck::polled::{News, PolledEngine, Step};
-use flaxdeck::words::*;
+use flaxdeck::{AttemptIndex, Clearance, ListKind, ObjectId, RequestId, Span, Terms, Time, ZoneId};
 use flaxdeck_terms::{Carriage, Names};
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use flaxdeck::polled::{News, Step};
-use flaxdeck::words::*;
+use flaxdeck::{Attempt, AttemptIndex, Clearance, Ended, Ending, HostId, Request, RequestId, Span};
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, JoinSet, spawn_local};
 use tokio::time::Instant;
--- a/crates/flaxdeck-dispatcher/src/routing/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/subscription.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use flaxdeck::polled::News;
-use flaxdeck::words::*;
+use flaxdeck::{GroupId, ObjectId, Span, Time};
 use flaxdeck_channel::messages::FromForwarder;
 use flaxdeck_channel::watch::Event;
 use flaxdeck_distribution::messages::{Delivery, FullEvent};
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -8,7 +8,10 @@
 use std::time::{Duration, Instant};
 
 use flaxdeck::polled::{News, PolledEngine, Step};
-use flaxdeck::words::*;
+use flaxdeck::{
+    AttemptIndex, CellId, ClassId, Ended, Ending, Endpoint, GroupId, Health, HostId, ListKind,
+    LoadReport, ObjectId, Request, RequestId, Role, Span, Time, Told, ZoneId,
+};
 use flaxdeck_terms::fields::Fields;
 use flaxdeck_toy::Answer;
 use rand::{Rng, SeedableRng};
--- a/crates/flaxdeck-distribution/src/cadence.rs
+++ b/crates/flaxdeck-distribution/src/cadence.rs
@@ -1,6 +1,6 @@
 //! How often a planner speaks to its subscribers, and what follows from that for when it counts as silent.
 
-use flaxdeck::words::Span;
+use flaxdeck::Span;
 
 /// How many batches a planner may miss before another is asked, and the least time that this takes.
 const MISSED_BATCHES: f64 = 2.0;
--- a/crates/flaxdeck-distribution/src/event_log.rs
+++ b/crates/flaxdeck-distribution/src/event_log.rs
@@ -6,7 +6,7 @@
 
 use std::collections::VecDeque;
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use flaxdeck_recovery::Mark;
 
 use crate::fingerprint::Fingerprint;
--- a/crates/flaxdeck-distribution/src/fingerprint.rs
+++ b/crates/flaxdeck-distribution/src/fingerprint.rs
@@ -1,7 +1,7 @@
 //! Short names of objects in purges.
 
+use flaxdeck::ObjectId;
 use flaxdeck::hash::mix;
-use flaxdeck::words::ObjectId;
 
 /// Bits of a fingerprint. With 3,300 unsettled purges a request's object matches one by chance in one of 81,000 cases;
 /// `docs/distribution.md` weighs other widths.
--- a/crates/flaxdeck-distribution/src/publisher.rs
+++ b/crates/flaxdeck-distribution/src/publisher.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use flaxdeck_recovery::Mark;
 
 use crate::cadence::Cadence;
--- a/crates/flaxdeck-distribution/src/purge_index.rs
+++ b/crates/flaxdeck-distribution/src/purge_index.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use flaxdeck::words::{ObjectId, Span, Time};
+use flaxdeck::{ObjectId, Span, Time};
 
 use crate::fingerprint::Fingerprint;
 
--- a/crates/flaxdeck-distribution/src/subscriber.rs
+++ b/crates/flaxdeck-distribution/src/subscriber.rs
@@ -16,7 +16,7 @@
 mod coordinator_need;
 
 use flaxdeck::hash::mix;
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use flaxdeck_recovery::Mark;
 
 use crate::cadence::Cadence;
--- a/crates/flaxdeck-distribution/src/subscriber/coordinator_need.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/coordinator_need.rs
@@ -1,7 +1,7 @@
 //! When a forwarder has to hear the coordinator itself, because no planner delivers events.
 
 use flaxdeck::hash::mix;
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 
 use crate::cadence::Cadence;
 
--- a/crates/flaxdeck-distribution/tests/distribution_model.rs
+++ b/crates/flaxdeck-distribution/tests/distribution_model.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use flaxdeck_distribution::messages::*;
 use flaxdeck_distribution::{
     Applied, Cadence, Content, Fingerprint, PlannerNumber, Publisher, Retention, Subscriber,
--- a/crates/flaxdeck-distribution/tests/event_log.rs
+++ b/crates/flaxdeck-distribution/tests/event_log.rs
@@ -1,6 +1,6 @@
 //! What a planner keeps: by time, in order, without a gap, and nothing dropped unsaid.
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use flaxdeck_distribution::messages::*;
 use flaxdeck_distribution::{Content, EventLog, Fingerprint, NotKept, Retention};
 use flaxdeck_recovery::Mark;
--- a/crates/flaxdeck-distribution/tests/figures.rs
+++ b/crates/flaxdeck-distribution/tests/figures.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use flaxdeck_distribution::messages::*;
 use flaxdeck_distribution::{
     Applied, Cadence, Content, Fingerprint, PlannerNumber, Publisher, Retention, Subscriber,
--- a/crates/flaxdeck-distribution/tests/publisher.rs
+++ b/crates/flaxdeck-distribution/tests/publisher.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck::words::Time;
+use flaxdeck::Time;
 use flaxdeck_distribution::messages::*;
 use flaxdeck_distribution::{Cadence, Content, Fingerprint, Publisher, Retention, SubscriberId};
 use flaxdeck_recovery::Mark;
--- a/crates/flaxdeck-distribution/tests/purge_index.rs
+++ b/crates/flaxdeck-distribution/tests/purge_index.rs
@@ -1,6 +1,6 @@
 //! The purges that a forwarder has to heed: none is forgotten before it has settled, and few objects match by chance.
 
-use flaxdeck::words::{ObjectId, Span, Time};
+use flaxdeck::{ObjectId, Span, Time};
 use flaxdeck_distribution::{Fingerprint, PurgeIndex};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
--- a/crates/flaxdeck-distribution/tests/safe_side.rs
+++ b/crates/flaxdeck-distribution/tests/safe_side.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use flaxdeck::words::{ObjectId, Span, Time};
+use flaxdeck::{ObjectId, Span, Time};
 use flaxdeck_distribution::messages::*;
 use flaxdeck_distribution::{
     Applied, Cadence, Content, Fingerprint, PlannerNumber, Publisher, PurgeIndex, Retention,
--- a/crates/flaxdeck-distribution/tests/subscriber.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber.rs
@@ -1,6 +1,6 @@
 //! The forwarder's side: what is applied, what is refused, and whom it follows.
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use flaxdeck_distribution::messages::*;
 use flaxdeck_distribution::subscriber::{Counted, Invalid};
 use flaxdeck_distribution::{
--- a/crates/flaxdeck-fleet/src/model.rs
+++ b/crates/flaxdeck-fleet/src/model.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use flaxdeck::words::Time;
+use flaxdeck::Time;
 use flaxdeck_control::planner::Planner;
 use flaxdeck_invariants::Seen;
 use rand_pcg::Pcg64Mcg;
--- a/crates/flaxdeck-fleet/src/model/attempts.rs
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts: a request handed to one host, from the decision to the word of its end.
 
-use flaxdeck::words::*;
+use flaxdeck::{AttemptIndex, Ended, Ending, HostId, LoadReport, RequestId, Span, Told};
 use flaxdeck_invariants::{Answer, Seen};
 
 use super::events::Event;
--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -1,6 +1,6 @@
 //! Clients: what they want, their tries for it, and how each try ends for them.
 
-use flaxdeck::words::*;
+use flaxdeck::{ClassId, GroupId, ObjectId, Request, RequestId, Span};
 use flaxdeck_invariants::{Answer, Seen};
 use rand::Rng;
 
--- a/crates/flaxdeck-fleet/src/model/coordinator.rs
+++ b/crates/flaxdeck-fleet/src/model/coordinator.rs
@@ -1,6 +1,8 @@
 //! The coordinator, whose events reach everybody late, and what changes about hosts.
 
-use flaxdeck::words::*;
+use flaxdeck::{
+    CellId, Ending, Endpoint, GroupId, Health, HostId, ListKind, Role, Time, Told, ZoneId,
+};
 use flaxdeck_invariants::Seen;
 use rand::Rng;
 
--- a/crates/flaxdeck-fleet/src/model/decisions.rs
+++ b/crates/flaxdeck-fleet/src/model/decisions.rs
@@ -1,6 +1,6 @@
 //! What a forwarder's decisions ask for is carried out.
 
-use flaxdeck::words::*;
+use flaxdeck::{Attempt, Cancel, Decisions, Ending, Final, Told};
 use flaxdeck_invariants::Answer;
 
 use super::attempts::OpenAttempt;
--- a/crates/flaxdeck-fleet/src/model/events.rs
+++ b/crates/flaxdeck-fleet/src/model/events.rs
@@ -1,6 +1,6 @@
 //! What can happen in a run, and who handles it.
 
-use flaxdeck::words::{Ending, Told};
+use flaxdeck::{Ending, Told};
 use flaxdeck_control::messages::{Guidance, Report};
 
 use super::{Model, time};
--- a/crates/flaxdeck-fleet/src/model/fills.rs
+++ b/crates/flaxdeck-fleet/src/model/fills.rs
@@ -1,6 +1,6 @@
 //! Fills: what a host that lacks a copy does about it, until the copy has come or the fill has failed.
 
-use flaxdeck::words::{Ending, Told};
+use flaxdeck::{Ending, Told};
 
 use super::Model;
 use super::events::Event;
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use flaxdeck::decision::DecisionEngine;
-use flaxdeck::words::*;
+use flaxdeck::{ListKind, Repeats, RequestClass, RequestId, Span, Terms, ZoneId};
 use flaxdeck_control::forwarder::{Guide, Stance};
 use flaxdeck_control::messages::{Epoch, SeatId};
 use flaxdeck_invariants::Seen;
--- a/crates/flaxdeck-fleet/src/model/planners.rs
+++ b/crates/flaxdeck-fleet/src/model/planners.rs
@@ -1,6 +1,6 @@
 //! Planners: the coordinator's events that reach them, the reports that reach them and the guidance that they send.
 
-use flaxdeck::words::{Health, Span, ZoneId};
+use flaxdeck::{Health, Span, ZoneId};
 use flaxdeck_control::Pledges;
 use flaxdeck_control::membership::PlannerId;
 use flaxdeck_control::messages::{Guidance, Relayed, Report};
--- a/crates/flaxdeck-fleet/src/model/service.rs
+++ b/crates/flaxdeck-fleet/src/model/service.rs
@@ -1,6 +1,6 @@
 //! What hosts do: they take work in or refuse it, give it places, and are done with it.
 
-use flaxdeck::words::{Ending, Told};
+use flaxdeck::{Ending, Told};
 use flaxdeck_invariants::Seen;
 
 use super::Model;
--- a/crates/flaxdeck-net/src/clock.rs
+++ b/crates/flaxdeck-net/src/clock.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use tokio::time::Instant;
 
 /// By how much this process's wall clock is taken to differ, in milliseconds.
--- a/crates/flaxdeck-planner/src/events.rs
+++ b/crates/flaxdeck-planner/src/events.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use flaxdeck::words::{Health, HostId, ListKind, Time};
+use flaxdeck::{Health, HostId, ListKind, Time};
 use flaxdeck_distribution::messages::{Delivery, Subscription};
 use flaxdeck_distribution::publisher::Counted;
 use flaxdeck_distribution::{Cadence, Content, Fingerprint, Publisher, Retention, SubscriberId};
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use flaxdeck::words::{Health, ListKind};
+use flaxdeck::{Health, ListKind};
 use flaxdeck_channel::line::{self, Hearer, Over, Speaker};
 use flaxdeck_channel::messages::{FromForwarder, FromPlanner};
 use flaxdeck_channel::seal::Key;
--- a/crates/flaxdeck-recovery/src/belief.rs
+++ b/crates/flaxdeck-recovery/src/belief.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck::words::{GroupId, Span, Time};
+use flaxdeck::{GroupId, Span, Time};
 use serde::{Deserialize, Serialize};
 
 use crate::numbering::Mark;
--- a/crates/flaxdeck-recovery/src/clocks.rs
+++ b/crates/flaxdeck-recovery/src/clocks.rs
@@ -14,7 +14,7 @@
 
 use std::collections::VecDeque;
 
-use flaxdeck::words::{Endpoint, Observation, Span, Time};
+use flaxdeck::{Endpoint, Observation, Span, Time};
 
 /// How late a purge may come by a clock that is right: its way to the coordinator and from there.
 pub const PURGE_LATE: Span = Span::from_ms(1_000);
--- a/crates/flaxdeck-recovery/src/doubt.rs
+++ b/crates/flaxdeck-recovery/src/doubt.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck::words::{Endpoint, Health, HostId, Span, Time};
+use flaxdeck::{Endpoint, Health, HostId, Span, Time};
 
 use crate::numbering::Doubt;
 
--- a/crates/flaxdeck-recovery/src/live_edge.rs
+++ b/crates/flaxdeck-recovery/src/live_edge.rs
@@ -3,7 +3,7 @@
 //! there is none. But what happened before comes faster than it happened: once the coordinator's time, as its events
 //! tell it, passes no faster than the time here, they are told as they happen. No clock is compared with another's.
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 
 /// Over how long the two are compared: many events of a busy stream, and longer than one network trip.
 const COMPARED_OVER: Span = Span::from_ms(300);
--- a/crates/flaxdeck-recovery/src/numbering.rs
+++ b/crates/flaxdeck-recovery/src/numbering.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use serde::{Deserialize, Serialize};
 
 /// With nothing more for so long after what followed, all that the coordinator has is taken to have come. Its protocol
--- a/crates/flaxdeck-recovery/src/pace.rs
+++ b/crates/flaxdeck-recovery/src/pace.rs
@@ -2,7 +2,7 @@
 //! a range that depends on its last one (decorrelated jitter), so that those that failed together do not come back
 //! together, and those that fail for long come seldom.
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/flaxdeck-recovery/src/phase.rs
+++ b/crates/flaxdeck-recovery/src/phase.rs
@@ -2,7 +2,7 @@
 //! its list is true would give each client a rejection or a guess; a client that finds nobody listening turns to another
 //! dispatcher at once.
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 
 /// How far an instance has come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/flaxdeck-recovery/tests/belief.rs
+++ b/crates/flaxdeck-recovery/tests/belief.rs
@@ -1,6 +1,6 @@
 //! What of stored state may be believed, item by item.
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use flaxdeck_recovery::Mark;
 use flaxdeck_recovery::belief::{
     Believed, Kept, KeptLine, KeptPurge, KeptRating, Later, Now, Uptime, bytes, judge,
--- a/crates/flaxdeck-recovery/tests/brought_by_others.rs
+++ b/crates/flaxdeck-recovery/tests/brought_by_others.rs
@@ -1,6 +1,6 @@
 //! Events that somebody else brought move the numbering on, from its last event and not at any other place.
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use flaxdeck_recovery::Mark;
 use flaxdeck_recovery::numbering::{Doubt, Next, Numbering, Why};
 
--- a/crates/flaxdeck-recovery/tests/clocks.rs
+++ b/crates/flaxdeck-recovery/tests/clocks.rs
@@ -1,6 +1,6 @@
 //! What told Unix times mean by a clock of one's own that may be wrong.
 
-use flaxdeck::words::Time;
+use flaxdeck::Time;
 use flaxdeck_recovery::clocks::{Clocks, PURGE_LATE, START_LATE, WINDOW};
 
 fn at(ms: f64) -> Time {
--- a/crates/flaxdeck-recovery/tests/doubt.rs
+++ b/crates/flaxdeck-recovery/tests/doubt.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck::words::Health::{Draining, InService, Removed};
-use flaxdeck::words::{CellId, Endpoint, Health, HostId, Role, Span, Time};
+use flaxdeck::Health::{Draining, InService, Removed};
+use flaxdeck::{CellId, Endpoint, Health, HostId, Role, Span, Time};
 use flaxdeck_recovery::doubt::{Doubted, copies_from};
 use flaxdeck_recovery::numbering::Doubt;
 
--- a/crates/flaxdeck-recovery/tests/live_edge.rs
+++ b/crates/flaxdeck-recovery/tests/live_edge.rs
@@ -1,6 +1,6 @@
 //! What happened before is told apart from what happens now by how fast it comes.
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use flaxdeck_recovery::LiveEdge;
 
 fn at(ms: f64) -> Time {
--- a/crates/flaxdeck-recovery/tests/numbering.rs
+++ b/crates/flaxdeck-recovery/tests/numbering.rs
@@ -1,6 +1,6 @@
 //! Whether the coordinator still speaks the numbering that is known, case by case.
 
-use flaxdeck::words::Time;
+use flaxdeck::Time;
 use flaxdeck_recovery::Mark;
 use flaxdeck_recovery::numbering::{Doubt, Next, Numbering, Why};
 
--- a/crates/flaxdeck-recovery/tests/numbering_model.rs
+++ b/crates/flaxdeck-recovery/tests/numbering_model.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use flaxdeck::words::{CellId, Endpoint, Health, HostId, Role, Time};
+use flaxdeck::{CellId, Endpoint, Health, HostId, Role, Time};
 use flaxdeck_recovery::Mark;
 use flaxdeck_recovery::doubt::Doubted;
 use flaxdeck_recovery::numbering::{Next, Numbering};
--- a/crates/flaxdeck-recovery/tests/overtaken.rs
+++ b/crates/flaxdeck-recovery/tests/overtaken.rs
@@ -1,6 +1,6 @@
 //! Planners bring events between the forwarder's question and the coordinator's answer.
 
-use flaxdeck::words::Time;
+use flaxdeck::Time;
 use flaxdeck_recovery::Mark;
 use flaxdeck_recovery::numbering::{Next, Numbering, Why};
 
--- a/crates/flaxdeck-recovery/tests/pace.rs
+++ b/crates/flaxdeck-recovery/tests/pace.rs
@@ -1,6 +1,6 @@
 //! Pauses between calls stay within their bounds and out of step with others'.
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use flaxdeck_recovery::Pace;
 use flaxdeck_recovery::pace::{CALM, FIRST, GROWS};
 
--- a/crates/flaxdeck-recovery/tests/phase.rs
+++ b/crates/flaxdeck-recovery/tests/phase.rs
@@ -1,6 +1,6 @@
 //! How far an instance has come back, and when it takes clients.
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use flaxdeck_recovery::phase::{Phase, Return, Unheard};
 
 fn at(ms: u64) -> Time {
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 use flaxdeck::decision::DecisionEngine;
-use flaxdeck::words::{Role as HostRole, *};
+use flaxdeck::{Role as HostRole, *};
 use flaxdeck_scale::files;
 use flaxdeck_scale::fit::NO_FAULT;
 use flaxdeck_scale::measurement::{DECISIONS_RUN, Distribution, Measurement, Metric, Role};
--- a/crates/flaxdeck-terms/src/fields.rs
+++ b/crates/flaxdeck-terms/src/fields.rs
@@ -1,6 +1,6 @@
 //! Typed access to the fields of one JSON object, with faults that name the field.
 
-use flaxdeck::words::{Span, Time};
+use flaxdeck::{Span, Time};
 use serde_json::{Map, Value};
 
 pub struct Fields<'a>(pub &'a Map<String, Value>);
--- a/crates/flaxdeck-terms/src/lib.rs
+++ b/crates/flaxdeck-terms/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub mod fields;
 
-use flaxdeck::words::*;
+use flaxdeck::{ClassId, Repeats, RequestClass, Role, Scope, Span, Terms, Told, ZoneId};
 
 use fields::Fields;
 
--- a/crates/flaxdeck-wire/src/frames.rs
+++ b/crates/flaxdeck-wire/src/frames.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use bytes::{Bytes, BytesMut};
-use flaxdeck::words::*;
+use flaxdeck::{CellId, Endpoint, GroupId, Health, HostId, ListKind, ObjectId, Time, ZoneId};
 use flaxdeck_terms::Names;
 use flaxdeck_terms::fields::Fields;
 use serde_json::Value;
--- a/crates/flaxdeck-wire/src/lib.rs
+++ b/crates/flaxdeck-wire/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod rpc;
 
 use bytes::Bytes;
-use flaxdeck::words::*;
+use flaxdeck::{ClassId, Ending, GroupId, LoadReport, ObjectId, Span, Told};
 
 pub use lines::Wish;
 
--- a/crates/flaxdeck-wire/src/lines.rs
+++ b/crates/flaxdeck-wire/src/lines.rs
@@ -4,7 +4,7 @@
 use std::fmt::{Arguments, Write};
 
 use bytes::{BufMut, Bytes, BytesMut};
-use flaxdeck::words::*;
+use flaxdeck::{Ending, HostId, Span, Told};
 use flaxdeck_terms::{Names, place, told};
 
 use crate::{Asked, Malformed, Outcome, Parsed};
--- a/crates/flaxdeck-wire/src/rpc.rs
+++ b/crates/flaxdeck-wire/src/rpc.rs
@@ -3,7 +3,7 @@
 use std::ops::Range;
 
 use bytes::{BufMut, Bytes, BytesMut};
-use flaxdeck::words::*;
+use flaxdeck::{ClassId, GroupId, ObjectId, Span};
 use flaxdeck_terms::{NAME_MOST, Names};
 
 use crate::msgpack::{Reader, Stop, put_binary_head, put_text, put_whole};
--- a/crates/flaxdeck-wire/tests/frames.rs
+++ b/crates/flaxdeck-wire/tests/frames.rs
@@ -3,7 +3,7 @@
 mod names;
 
 use bytes::BytesMut;
-use flaxdeck::words::*;
+use flaxdeck::{CellId, Endpoint, GroupId, Health, ListKind, ObjectId, Role, Time, ZoneId};
 use flaxdeck_terms::fields::Fields;
 use flaxdeck_wire::Parsed;
 use flaxdeck_wire::frames::{Event, FIXED, FRAME_MOST, known, parse, record};
--- a/crates/flaxdeck-wire/tests/lines.rs
+++ b/crates/flaxdeck-wire/tests/lines.rs
@@ -3,7 +3,7 @@
 mod names;
 
 use bytes::{BufMut, Bytes, BytesMut};
-use flaxdeck::words::*;
+use flaxdeck::{ClassId, Ending, GroupId, HostId, ObjectId, Span, Told};
 use flaxdeck_wire::lines::{HEAD_MOST, Line, Wish, parse, want};
 use flaxdeck_wire::{Asked, Parsed};
 use names::names;
--- a/crates/flaxdeck-wire/tests/recorded_bytes.rs
+++ b/crates/flaxdeck-wire/tests/recorded_bytes.rs
@@ -4,7 +4,10 @@
 mod names;
 
 use bytes::{Bytes, BytesMut};
-use flaxdeck::words::*;
+use flaxdeck::{
+    CellId, ClassId, Ending, Endpoint, GroupId, Health, HostId, ListKind, ObjectId, Role, Span,
+    Time, Told, ZoneId,
+};
 use flaxdeck_terms::fields::Fields;
 use flaxdeck_wire::frames::{AddressedEndpoint, Event};
 use flaxdeck_wire::lines::{self, Wish};
--- a/crates/flaxdeck-wire/tests/whole_list.rs
+++ b/crates/flaxdeck-wire/tests/whole_list.rs
@@ -2,7 +2,7 @@
 
 mod names;
 
-use flaxdeck::words::*;
+use flaxdeck::{CellId, Endpoint, Health, HostId, ListKind, Role, Time, ZoneId};
 use flaxdeck_wire::frames::{AddressedEndpoint, Event, read, whole_list};
 use names::names;
 
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,7 +1,7 @@
 //! Every decision of one dispatcher. A caller makes a [`DecisionEngine`] with `start` and tells it each fact by a
 //! call: `list`, `request`, `attempt_ended`, `purge`, `guided`, `wake`, `client_left`, `ends_at`. Each call
 //! returns [`Decisions`], applied in the order of its fields: cancels, attempts, final answers, next wake.
-//! An answered attempt is its request's final answer. The interface: `words.rs`; reasons: `docs/design.md`.
+//! An answered attempt is its request's final answer. Reasons: `docs/design.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,11 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::hash::{mix, of_name};
-use crate::words::{Ending::*, Told::*, *};
+use crate::{
+    Attempt, AttemptIndex, Cancel, CellId, ClassId, Clearance, Decisions, Ended, Ending, Endpoint,
+    Final, GroupId, Guided, Health, HostId, ListKind, LoadReport, ObjectId, Observation, Repeats,
+    Request, RequestClass, RequestId, Role, Scope, Span, Terms, Time, Told, Used,
+};
 
 mod state;
 
@@ -510,14 +514,14 @@
     pub fn attempt_ended(&mut self, now: Time, ended: Ended) -> Decisions {
         self.now = now;
         let well = |origin: &Host| origin.usable() && origin.window >= WINDOW;
-        let origin_well = ended.told == SourceRefused && self.origin().is_some_and(well);
+        let origin_well = ended.told == Told::SourceRefused && self.origin().is_some_and(well);
         let Some(held) = self.requests.get_mut(&ended.request) else {
             return self.wake(now);
         };
         let at = held.out.iter().position(|out| out.index == ended.index);
         let Some(at) = at else { return self.wake(now) };
         let out = held.out.remove(at);
-        let lacking = ended.ending == Ending::NoCopy || ended.told == NoPlace;
+        let lacking = ended.ending == Ending::NoCopy || ended.told == Told::NoPlace;
         held.done |= ended.ending == Ending::Answered || ended.closed;
         held.missed |= lacking;
         let ran = (!ended.ending.never_ran()).then(|| (out.sent, out.host.clone()));
@@ -528,24 +532,24 @@
             .hosts
             .get(&out.source)
             .is_some_and(|host| host.is(Role::Parent));
-        let full = parent && ended.told == SourceRefused;
+        let full = parent && ended.told == Told::SourceRefused;
         // Guards against a full link being filled again elsewhere: what failed is moved past, nothing else.
         if matches!(
             ended.told,
-            SourceRefused | SourceUnreached | SourceLacks | OriginFailed
+            Told::SourceRefused | Told::SourceUnreached | Told::SourceLacks | Told::OriginFailed
         ) && (!full || origin_well)
         {
             held.tried.push(out.source.clone());
-        } else if !lacking && !full && !matches!(ended.ending, Stale | Superseded) {
+        } else if !lacking && !full && !matches!(ended.ending, Ending::Stale | Ending::Superseded) {
             held.tried.push(out.host.clone());
         }
         let cached = self
             .hosts
             .get(&out.host)
             .is_none_or(|host| host.is(Role::Cache));
-        let failed = ended.ending == Errored && ended.told == Nothing;
+        let failed = ended.ending == Ending::Errored && ended.told == Told::Nothing;
         held.failed_by.extend(failed.then(|| out.host.clone()));
-        if lacking || !cached || matches!(ended.told, SourceRefused | OriginFailed) {
+        if lacking || !cached || matches!(ended.told, Told::SourceRefused | Told::OriginFailed) {
             held.pauses += 1;
             held.not_before = now + AGAIN * f64::from(1 << held.pauses.min(MOST_DOUBLED));
             self.due.insert((held.not_before, ended.request));
@@ -556,7 +560,7 @@
             .waited
             .is_none_or(|waited| waited <= kind.of.objective);
         self.agenda.insert(ended.request);
-        if cached && ended.ending == Answered {
+        if cached && ended.ending == Ending::Answered {
             let (work, class, sized) = (
                 held.work,
                 held.request.class,
@@ -570,7 +574,7 @@
             .filter(|_| full)
             .into_iter()
             .for_each(|parent| parent.widen(false));
-        if parent && ended.told == FilledThroughOrigin {
+        if parent && ended.told == Told::FilledThroughOrigin {
             let origin = self.hosts.values_mut().find(|host| host.is(Role::Origin));
             origin.into_iter().for_each(|origin| origin.reach(prompt));
         }
@@ -582,9 +586,10 @@
     fn time(&mut self, out: &Out, ended: &Ended, work: f64, untold: Option<ClassId>) {
         let (now, through) = (
             self.now,
-            self.origin().filter(|_| ended.told == FilledThroughOrigin),
+            self.origin()
+                .filter(|_| ended.told == Told::FilledThroughOrigin),
         );
-        let filled = Some(&out.source).filter(|_| ended.told == Filled);
+        let filled = Some(&out.source).filter(|_| ended.told == Told::Filled);
         let source = through.map(|origin| &origin.line.host).or(filled).cloned();
         let Some(cache) = self.hosts.get_mut(&out.host) else {
             return;
@@ -610,7 +615,11 @@
     fn release(&mut self, out: &Out, ended: &Ended, cached: bool) {
         let alive = !matches!(
             ended.ending,
-            TimedOut | NotConnected | Cancelled | NotSent | Superseded
+            Ending::TimedOut
+                | Ending::NotConnected
+                | Ending::Cancelled
+                | Ending::NotSent
+                | Ending::Superseded
         );
         self.hear_link(ended.report.link.filter(|_| cached));
         for id in BTreeSet::from([&out.host, &out.source]) {
@@ -635,10 +644,10 @@
 
     // The measures of the paper's tables: latency and bandwidth of each source, reputation of all.
     fn rate(&mut self, out: &Out, ended: &Ended, large: Option<f64>, cached: bool) {
-        let filled = matches!(ended.told, Filled | FilledThroughOrigin);
-        let (own, errored) = (out.source == out.host, ended.ending == Errored);
+        let filled = matches!(ended.told, Told::Filled | Told::FilledThroughOrigin);
+        let (own, errored) = (out.source == out.host, ended.ending == Ending::Errored);
         let (behind, excused) = (cached && !own, errored && own && !cached); // a write: its client's fault?
-        if ended.ending == Answered {
+        if ended.ending == Ending::Answered {
             let source = Some(&out.source).filter(|_| filled && behind);
             for id in [&out.host].into_iter().chain(source) {
                 self.hosts
@@ -651,17 +660,19 @@
                 .for_each(|_| self.measure(out, ended, large));
         }
         let culprit = match (ended.ending, ended.told) {
-            (Answered, _) => None,
+            (Ending::Answered, _) => None,
             // A parent that the origin fails is no worse for it: the origin's reputation pays.
             (_, Told::OriginFailed) => self.origin().map(|origin| origin.line.host.clone()),
             (_, Told::SourceRefused | Told::SourceUnreached) if behind => Some(out.source.clone()),
-            (Errored | NotConnected | Broken, _) if !excused => Some(out.host.clone()),
+            (Ending::Errored | Ending::NotConnected | Ending::Broken, _) if !excused => {
+                Some(out.host.clone())
+            }
             _ => None,
         };
         // Guards against all dispatchers losing requests to each dead host: one not reached is out at once.
         let dead = matches!(
             (ended.ending, ended.told),
-            (NotConnected, _) | (TurnedAway, SourceUnreached)
+            (Ending::NotConnected, _) | (Ending::TurnedAway, Told::SourceUnreached)
         );
         culprit
             .into_iter()
--- a/src/decision/state.rs
+++ b/src/decision/state.rs
@@ -2,7 +2,7 @@
 
 use std::cell::Cell;
 
-use crate::words::*;
+use crate::{AttemptIndex, Endpoint, HostId, Request, RequestId, Time};
 
 /// A host with its ratings and what this dispatcher has at it.
 #[derive(Default)]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,25 @@
 //! flaxdeck: which cache gets a request, which source fills a miss, and when to stop trying.
 //!
-//! [`decision::DecisionEngine`] holds every decision of one dispatcher; [`words`] holds the plain types that go in and
-//! come out; [`polled::PolledEngine`] serves callers that give each request a task of its own.
+//! [`decision::DecisionEngine`] holds every decision of one dispatcher; [`polled::PolledEngine`] serves callers that give
+//! each request a task of its own. The types that go in and come out are re-exported at the root of the crate.
 
+mod attempt;
 pub mod decision;
+mod decisions;
+mod deployment;
+mod endpoint;
 pub mod hash;
+mod id;
+mod peers;
 pub mod polled;
-pub mod words;
+mod request;
+mod time;
+
+pub use attempt::{Attempt, Cancel, Clearance, Ended, Ending, Told};
+pub use decisions::Decisions;
+pub use deployment::Terms;
+pub use endpoint::{Endpoint, Health, ListKind, LoadReport, Role};
+pub use id::{AttemptIndex, CellId, ClassId, GroupId, HostId, ObjectId, RequestId, ZoneId};
+pub use peers::{Guided, Hint, Observation, Used};
+pub use request::{Final, Repeats, Request, RequestClass, Scope};
+pub use time::{Span, Time};
--- a/src/polled.rs
+++ b/src/polled.rs
@@ -5,7 +5,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::decision::DecisionEngine;
-use crate::words::*;
+use crate::{
+    Attempt, AttemptIndex, Clearance, Decisions, Ended, Ending, Endpoint, Final, GroupId, Guided,
+    ListKind, ObjectId, Observation, Request, RequestId, Span, Terms, Time,
+};
 
 /// What became known.
 #[derive(Debug)]
--- /dev/null
+++ b/src/time.rs
@@ -0,0 +1,69 @@
+//! Points in time and spans of time, as two types that can't be mixed up.
+
+use std::ops::{Add, Mul, Sub};
+
+/// A point in time, in microseconds of the caller's clock.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Time(u64);
+
+/// A length of time, in microseconds; never negative.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Span(u64);
+
+impl Time {
+    pub const NEVER: Time = Time(u64::MAX);
+    pub fn at_ms(ms: f64) -> Time {
+        Time((ms.max(0.0) * 1000.0).round() as u64)
+    }
+    pub fn ms(self) -> f64 {
+        self.0 as f64 / 1000.0
+    }
+    /// How long `earlier` lies back; zero if it does not.
+    pub fn since(self, earlier: Time) -> Span {
+        Span(self.0.saturating_sub(earlier.0))
+    }
+}
+
+impl Span {
+    pub const ZERO: Span = Span(0);
+    pub const fn from_ms(ms: u64) -> Span {
+        Span(ms * 1000)
+    }
+    pub fn of_ms(ms: f64) -> Span {
+        Span((ms.max(0.0) * 1000.0).round() as u64)
+    }
+    pub fn ms(self) -> f64 {
+        self.0 as f64 / 1000.0
+    }
+    pub fn less(self, other: Span) -> Span {
+        Span(self.0.saturating_sub(other.0))
+    }
+}
+
+impl Add<Span> for Time {
+    type Output = Time;
+    fn add(self, span: Span) -> Time {
+        Time(self.0.saturating_add(span.0))
+    }
+}
+
+impl Sub<Span> for Time {
+    type Output = Time;
+    fn sub(self, span: Span) -> Time {
+        Time(self.0.saturating_sub(span.0))
+    }
+}
+
+impl Add for Span {
+    type Output = Span;
+    fn add(self, other: Span) -> Span {
+        Span(self.0.saturating_add(other.0))
+    }
+}
+
+impl Mul<f64> for Span {
+    type Output = Span;
+    fn mul(self, by: f64) -> Span {
+        Span((self.0 as f64 * by.max(0.0)) as u64)
+    }
+}
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -1,7 +1,11 @@
 //! One tiny fake location: a dispatcher's decision engine, a clock and the hosts that answer it.
 
 use flaxdeck::decision::DecisionEngine;
-use flaxdeck::words::*;
+use flaxdeck::{
+    Attempt, AttemptIndex, Cancel, CellId, ClassId, Decisions, Ended, Ending, Endpoint, Final,
+    GroupId, Health, HostId, ListKind, LoadReport, ObjectId, Repeats, Request, RequestClass,
+    RequestId, Role, Scope, Span, Terms, Time, Told, ZoneId,
+};
 
 pub struct Fake {
     pub engine: DecisionEngine,
--- a/tests/guided.rs
+++ b/tests/guided.rs
@@ -5,7 +5,10 @@
 
 use fake::{host, line, terms};
 use flaxdeck::decision::DecisionEngine;
-use flaxdeck::words::*;
+use flaxdeck::{
+    Attempt, AttemptIndex, ClassId, Ended, Ending, Endpoint, Final, GroupId, Guided, Hint, HostId,
+    ListKind, LoadReport, ObjectId, Observation, Request, RequestId, Role, Span, Time, Told,
+};
 
 fn at(ms: u64) -> Time {
     Time::at_ms(100_000.0 + ms as f64)
--- a/tests/same.rs
+++ b/tests/same.rs
@@ -8,7 +8,10 @@
 
 use fake::{line, terms};
 use flaxdeck::decision::DecisionEngine;
-use flaxdeck::words::*;
+use flaxdeck::{
+    AttemptIndex, ClassId, Decisions, Ended, Ending, Endpoint, GroupId, Health, HostId, ListKind,
+    LoadReport, ObjectId, Request, RequestId, Role, Span, Time, Told,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -4,7 +4,11 @@
 
 use fake::*;
 use flaxdeck::polled::{News, PolledEngine, Step};
-use flaxdeck::words::*;
+use flaxdeck::{
+    Attempt, AttemptIndex, Cancel, ClassId, Ended, Ending, Endpoint, Final, GroupId, Health,
+    HostId, ListKind, LoadReport, ObjectId, Request, RequestClass, RequestId, Role, Span, Terms,
+    Time, Told,
+};
 
 fn is_parent(id: &HostId) -> bool {
     [host("p"), host("q")].contains(id)
