--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use flaxdeck::polled::News;
+use flaxdeck::polled::Input;
 use flaxdeck::{Endpoint, GroupId, HostId, ListKind, Observation, Span, Time};
 use flaxdeck_channel::line::{self, Hearer, Over, Speaker};
 use flaxdeck_channel::messages::{FromForwarder, FromPlanner};
@@ -200,7 +200,7 @@
             let mut guided = guide.hints(now);
             guided.hints.extend(recalled.hints);
             drop(guide);
-            self.report(News::Guided(guided));
+            self.report(Input::PeerHints(guided));
         }
         let keeper = Keeper::begin(keeps, self.clock, self.settles, first, last);
         if let Some(wrote) = keeper.wrote() {
@@ -307,7 +307,7 @@
             .borrow()
             .iter()
             .for_each(|guides| guides.clocks.borrow().lines(&mut lines));
-        self.report(News::Hosts(list_kind, lines));
+        self.report(Input::EndpointList(list_kind, lines));
     }
 
     /// When a purge counts as made. Guards against a clock that makes it older than it is: beside others it counts from
@@ -377,7 +377,7 @@
         }
         self.apply(event);
         if let Some(made) = copies {
-            self.report(News::Purged {
+            self.report(Input::Purged {
                 object: None,
                 group: GroupId::ALL,
                 made,
@@ -467,7 +467,7 @@
             };
             log::log!(level, "guidance is now {informed:?}, was {before:?}");
         }
-        self.report(News::Guided(guided));
+        self.report(Input::PeerHints(guided));
         guides.due_changed.notify_one();
     }
 
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use flaxdeck::polled::{News, PolledEngine, Step};
+use flaxdeck::polled::{Input, PolledEngine, Step};
 use flaxdeck::{AttemptIndex, Clearance, ListKind, ObjectId, RequestId, Span, Terms, Time, ZoneId};
 use flaxdeck_terms::{Carriage, Names};
 use tokio::sync::Notify;
@@ -147,10 +147,10 @@
 
     /// No request outlasts this time.
     pub fn end_by(&self, time: Time) {
-        self.report(News::Ending(time));
+        self.report(Input::ShutdownAt(time));
     }
 
-    fn report(&self, news: News) {
+    fn report(&self, news: Input) {
         let (before, named, after) = {
             let mut engine = self.engine.borrow_mut();
             let before = engine.due();
@@ -248,7 +248,7 @@
                 made,
             } => {
                 log::debug!("told: a purge of {object:?} in {group:?}");
-                self.report(News::Purged {
+                self.report(Input::Purged {
                     object,
                     group,
                     made: self.purged_at(made),
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use flaxdeck::polled::{News, Step};
+use flaxdeck::polled::{Input, Step};
 use flaxdeck::{Attempt, AttemptIndex, Clearance, Ended, Ending, HostId, Request, RequestId, Span};
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, JoinSet, spawn_local};
@@ -71,7 +71,7 @@
             "open requests differ by their ids",
         );
         self.asked_for(asked.object);
-        self.report(News::Arrived(request));
+        self.report(Input::RequestArrived(request));
         let (router, asked, reply) = (self.clone(), Rc::from(asked), Some(reply));
         let (out, tasks) = (Vec::new(), JoinSet::new());
         let task = RequestTask {
@@ -110,7 +110,7 @@
                 log::debug!("left: request {}", self.id.0);
                 self.close();
                 self.drop_unsent();
-                self.router.report(News::Left(self.id));
+                self.router.report(Input::ClientLeft(self.id));
             }
             self.steps();
             if self.reply.is_none() && self.out.is_empty() {
@@ -166,7 +166,7 @@
         loop {
             match self.router.pick(self.id) {
                 Step::Attempt(index, attempt) => self.attempt(index, attempt),
-                Step::TakeBack(index) => self.take_back(index),
+                Step::Cancel(index) => self.take_back(index),
                 Step::Reject(retry_after) => self.answer(Answer::Rejected(retry_after), None),
                 Step::Fail => self.answer(Answer::Failed, None),
                 Step::Wait => return,
@@ -296,7 +296,7 @@
         );
         let (request, closed) = (self.id, self.reply.is_none());
         let took = Span::of_ms(sent.elapsed().as_secs_f64() * 1000.0);
-        self.router.report(News::Ended(Ended {
+        self.router.report(Input::AttemptEnded(Ended {
             request,
             index,
             host,
--- a/crates/flaxdeck-dispatcher/src/routing/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/subscription.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use flaxdeck::polled::News;
+use flaxdeck::polled::Input;
 use flaxdeck::{GroupId, ObjectId, Span, Time};
 use flaxdeck_channel::messages::FromForwarder;
 use flaxdeck_channel::watch::Event;
@@ -332,7 +332,7 @@
         subscription.coordinator_change.notify_one();
         for (_, event) in groups {
             if let Event::Purged { object, group, .. } = event {
-                self.report(News::Purged {
+                self.report(Input::Purged {
                     object,
                     group,
                     made: now,
@@ -353,7 +353,7 @@
 
     /// No copy from before now is handed out until purges have settled.
     fn doubt_copies(&self, now: Time) {
-        self.report(News::Purged {
+        self.report(Input::Purged {
             object: None,
             group: GroupId::ALL,
             made: now,
@@ -396,7 +396,7 @@
         told.retain(|_, made| now.since(*made) < subscription.settles * 2.0);
         told.insert(object, made);
         drop(told);
-        self.report(News::Purged {
+        self.report(Input::Purged {
             object: Some(object),
             group: GroupId(0),
             made,
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use flaxdeck::polled::{News, PolledEngine, Step};
+use flaxdeck::polled::{Input, PolledEngine, Step};
 use flaxdeck::{
     AttemptIndex, CellId, ClassId, Ended, Ending, Endpoint, GroupId, Health, HostId, ListKind,
     LoadReport, ObjectId, Request, RequestId, Role, Span, Time, Told, ZoneId,
@@ -128,7 +128,7 @@
         hosts.extend(
             (0..parents).map(|n| listed(&format!("s-00009a0{n}"), Role::Parent, 0, Some(start))),
         );
-        engine.report(start, News::Hosts(ListKind::Full, hosts));
+        engine.report(start, Input::EndpointList(ListKind::Full, hosts));
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let mut open: BTreeMap<RequestId, (Time, u32)> = BTreeMap::new();
         let mut out: Vec<(Time, RequestId, AttemptIndex, HostId)> = Vec::new();
@@ -162,7 +162,7 @@
                     again: false,
                 };
                 open.insert(id, (deadline, 0));
-                engine.report(now, News::Arrived(request));
+                engine.report(now, Input::RequestArrived(request));
                 next += 1;
             }
             engine.tick(now);
@@ -179,14 +179,14 @@
                                 attempt.host,
                             ));
                         }
-                        Step::TakeBack(index) => {
+                        Step::Cancel(index) => {
                             assert!(cancels, "seed {seed}: cancelled where that is not allowed");
                             out.retain(|(_, of, at, _)| (*of, *at) != (id, index));
                             if open.contains_key(&id) {
                                 let host = HostId("s-0000ca00".into());
                                 engine.report(
                                     now,
-                                    News::Ended(end(id, index, host, Ending::Cancelled)),
+                                    Input::AttemptEnded(end(id, index, host, Ending::Cancelled)),
                                 );
                             }
                         }
@@ -218,7 +218,7 @@
                     if ending == Ending::Answered {
                         open.remove(&id);
                     }
-                    engine.report(now, News::Ended(end(id, index, host, ending)));
+                    engine.report(now, Input::AttemptEnded(end(id, index, host, ending)));
                 }
             }
             now = now + Span::of_ms(1.0);
--- a/src/polled.rs
+++ b/src/polled.rs
@@ -12,28 +12,28 @@
 
 /// What became known.
 #[derive(Debug)]
-pub enum News {
-    Hosts(ListKind, Vec<Endpoint>),
+pub enum Input {
+    EndpointList(ListKind, Vec<Endpoint>),
     Purged {
         object: Option<ObjectId>,
         group: GroupId,
         made: Time,
     },
-    Arrived(Request),
+    RequestArrived(Request),
     /// An answered attempt is its request's final answer.
-    Ended(Ended),
-    Left(RequestId),
+    AttemptEnded(Ended),
+    ClientLeft(RequestId),
     /// What other dispatchers tell.
-    Guided(Guided),
+    PeerHints(Guided),
     /// This process ends at that time.
-    Ending(Time),
+    ShutdownAt(Time),
 }
 
 /// A request's next step.
 #[derive(Debug, PartialEq)]
 pub enum Step {
     Attempt(AttemptIndex, Attempt),
-    TakeBack(AttemptIndex),
+    Cancel(AttemptIndex),
     Reject(Option<Span>),
     Fail,
     /// Nothing now; ask again when the request is named by `report` or `tick`.
@@ -68,27 +68,27 @@
     }
 
     /// Takes in what became known; gives the requests that have a step to pick.
-    pub fn report(&mut self, now: Time, news: News) -> Vec<RequestId> {
-        let decisions = match news {
-            News::Hosts(list_kind, lines) => self.engine.list(now, list_kind, lines),
-            News::Purged {
+    pub fn report(&mut self, now: Time, input: Input) -> Vec<RequestId> {
+        let decisions = match input {
+            Input::EndpointList(list_kind, lines) => self.engine.list(now, list_kind, lines),
+            Input::Purged {
                 object,
                 group,
                 made,
             } => self.engine.purge(now, object, group, made),
-            News::Arrived(request) => {
+            Input::RequestArrived(request) => {
                 self.lines.insert(request.id, Line::default());
                 self.engine.request(now, request)
             }
-            News::Ended(ended) => {
+            Input::AttemptEnded(ended) => {
                 if ended.ending == Ending::Answered {
                     self.end(ended.request);
                 }
                 self.engine.attempt_ended(now, ended)
             }
-            News::Guided(guided) => self.engine.guided(now, guided),
-            News::Ending(ends) => self.engine.ends_at(now, ends),
-            News::Left(request) => {
+            Input::PeerHints(guided) => self.engine.guided(now, guided),
+            Input::ShutdownAt(ends) => self.engine.ends_at(now, ends),
+            Input::ClientLeft(request) => {
                 self.end(request);
                 self.engine.client_left(now, request)
             }
@@ -151,7 +151,7 @@
     fn end(&mut self, request: RequestId) {
         if let Some(line) = self.lines.get_mut(&request) {
             line.over = true;
-            line.steps.retain(|step| matches!(step, Step::TakeBack(_)));
+            line.steps.retain(|step| matches!(step, Step::Cancel(_)));
         }
     }
 
@@ -167,7 +167,7 @@
         } = decisions;
         let mut named = Vec::new();
         for cancel in cancels {
-            named.extend(self.add(cancel.request, |_| Step::TakeBack(cancel.index)));
+            named.extend(self.add(cancel.request, |_| Step::Cancel(cancel.index)));
         }
         for attempt in attempts {
             named.extend(self.add(attempt.request, |line| {
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -3,7 +3,7 @@
 mod fake;
 
 use fake::*;
-use flaxdeck::polled::{News, PolledEngine, Step};
+use flaxdeck::polled::{Input, PolledEngine, Step};
 use flaxdeck::{
     Attempt, AttemptIndex, Cancel, ClassId, Ended, Ending, Endpoint, Final, GroupId, Health,
     HostId, ListKind, LoadReport, ObjectId, Request, RequestClass, RequestId, Role, Span, Terms,
@@ -891,7 +891,7 @@
     for answered in [true, false] {
         let now = Time::at_ms(100_000.0);
         let mut engine = PolledEngine::start(now, 7, terms());
-        engine.report(now, News::Hosts(ListKind::Full, usual()));
+        engine.report(now, Input::EndpointList(ListKind::Full, usual()));
         let (request, deadline, group) = (RequestId(1), now + Span::from_ms(900), GroupId(1));
         let (class, object, size_kb) = (ClassId(0), ObjectId(1), Some(100.0));
         let asked = Request {
@@ -904,7 +904,7 @@
             deadline,
             again: false,
         };
-        assert_eq!(engine.report(now, News::Arrived(asked)), [request]);
+        assert_eq!(engine.report(now, Input::RequestArrived(asked)), [request]);
         let Step::Attempt(index, sent) = engine.pick(request) else {
             panic!("it is handed off")
         };
@@ -930,14 +930,14 @@
         engine.report(
             late,
             if answered {
-                News::Ended(ended)
+                Input::AttemptEnded(ended)
             } else {
-                News::Left(request)
+                Input::ClientLeft(request)
             },
         );
         assert_eq!(
             (engine.pick(request), engine.pick(request)),
-            (Step::TakeBack(index), Step::Wait)
+            (Step::Cancel(index), Step::Wait)
         );
     }
 }
@@ -950,7 +950,7 @@
     let late = first + Span::from_ms(3);
     engine.report(
         late,
-        News::Purged {
+        Input::Purged {
             object: None,
             group: GroupId(1),
             made: late,
