--- a/crates/flaxdeck-adapter/src/wire.rs
+++ b/crates/flaxdeck-adapter/src/wire.rs
@@ -6,8 +6,8 @@
 
 use flaxdeck::decision::DecisionEngine;
 use flaxdeck::{
-    AttemptIndex, CellId, Decisions, Ended, Ending, Endpoint, Final, GroupId, Health, HostId,
-    ListKind, LoadReport, ObjectId, Request, RequestId, Span, Time, ZoneId,
+    AttemptEnded, AttemptIndex, AttemptOutcome, CellId, Decisions, Endpoint, Final, GroupId,
+    Health, HostId, ListKind, LoadReport, ObjectId, Request, RequestId, Span, Time, ZoneId,
 };
 use flaxdeck_terms::fields::Fields;
 use flaxdeck_terms::{Names, place, told};
@@ -258,26 +258,26 @@
         })
     }
 
-    fn ended(&self, fields: &Fields) -> Result<Ended, String> {
-        Ok(Ended {
+    fn ended(&self, fields: &Fields) -> Result<AttemptEnded, String> {
+        Ok(AttemptEnded {
             request: RequestId(fields.whole("request_id")?),
             index: AttemptIndex(fields.whole("leg")? as u32),
             host: HostId(fields.text("host")?.into()),
-            ending: match fields.text("reason")? {
-                "S" => Ending::Answered,
-                "E" => Ending::Errored,
-                "F" => Ending::TurnedAway,
-                "T" => Ending::TimedOut,
-                "C" => Ending::NotConnected,
-                "R" => Ending::Broken,
-                "X" => Ending::Cancelled,
-                "N" => Ending::NotSent,
-                "M" => Ending::NoCopy,
+            outcome: match fields.text("reason")? {
+                "S" => AttemptOutcome::Answered,
+                "E" => AttemptOutcome::Errored,
+                "F" => AttemptOutcome::Rejected,
+                "T" => AttemptOutcome::TimedOut,
+                "C" => AttemptOutcome::NotConnected,
+                "R" => AttemptOutcome::Broken,
+                "X" => AttemptOutcome::Cancelled,
+                "N" => AttemptOutcome::NotSent,
+                "M" => AttemptOutcome::NoCopy,
                 other => return Err(format!("unknown outcome {other}")),
             },
             took: fields.span_or_zero("latency_ms")?,
             closed: fields.flag_or_false("no_more")?,
-            told: told(fields.whole_or_none("detail")?.unwrap_or(0)),
+            fill: told(fields.whole_or_none("detail")?.unwrap_or(0)),
             waited: fields.number_or_none("waited_ms")?.map(Span::of_ms),
             report: self.report(fields)?,
         })
--- a/crates/flaxdeck-control/examples/size.rs
+++ b/crates/flaxdeck-control/examples/size.rs
@@ -5,9 +5,9 @@
 
 use flaxdeck::decision::DecisionEngine;
 use flaxdeck::{
-    AttemptIndex, CellId, ClassId, Ended, Ending, Endpoint, GroupId, Guided, Health, Hint, HostId,
-    ListKind, LoadReport, ObjectId, Repeats, Request, RequestClass, RequestId, Role, Span, Terms,
-    Time, Told, ZoneId,
+    AttemptEnded, AttemptIndex, AttemptOutcome, CellId, ClassId, Endpoint, FillOutcome, GroupId,
+    Guided, Health, Hint, HostId, ListKind, LoadReport, ObjectId, Repeats, Request, RequestClass,
+    RequestId, Role, Span, Terms, Time, ZoneId,
 };
 use flaxdeck_control::forwarder::{Guide, Stance};
 use flaxdeck_control::membership::PlannerId;
@@ -239,14 +239,14 @@
         let begun = Instant::now();
         let offs = engine.request(now, request).attempts;
         for (index, off) in offs.into_iter().enumerate() {
-            let ended = Ended {
+            let ended = AttemptEnded {
                 request: off.request,
                 index: AttemptIndex(index as u32),
                 host: off.host,
-                ending: Ending::Answered,
+                outcome: AttemptOutcome::Answered,
                 took: Span::from_ms(5),
                 closed: true,
-                told: Told::Held,
+                fill: FillOutcome::Hit,
                 waited: None,
                 report: LoadReport::default(),
             };
--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -112,7 +112,7 @@
             .into_iter()
             .map(|event| (last.number, event)),
     );
-    // Told before the hints about hosts, and kept as the first snapshot.
+    // FillOutcome before the hints about hosts, and kept as the first snapshot.
     let events: Vec<Event> = std::mem::take(known)
         .into_iter()
         .map(|(_, event)| event)
--- a/crates/flaxdeck-dispatcher/src/protocol/pool.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/pool.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use flaxdeck::{Ending, Health, HostId, ListKind};
+use flaxdeck::{AttemptOutcome, Health, HostId, ListKind};
 use flaxdeck_terms::{Carriage, Names};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout, timeout_at};
@@ -19,7 +19,7 @@
 use flaxdeck_net::tally::{Count, count};
 use flaxdeck_wire::frames::AddressedEndpoint;
 use flaxdeck_wire::lines::{self, Line, Wish};
-use flaxdeck_wire::{Asked, Outcome, Parsed};
+use flaxdeck_wire::{Asked, HostReply, Parsed};
 
 /// The part of the hosts' idle time after which a connection is closed here, so that both ends never race.
 const IDLE_PART: f64 = 0.7;
@@ -39,17 +39,17 @@
 impl Conn {
     /// The answer to that id; none if the connection broke or made no sense. Answers that nobody asked for here
     /// are passed over: the own one may stand behind them.
-    async fn answer(&mut self, id: &Bytes, pool: &Pool) -> Option<(Outcome, Option<Place>)> {
+    async fn answer(&mut self, id: &Bytes, pool: &Pool) -> Option<(HostReply, Option<Place>)> {
         loop {
             match self.line(pool).await? {
                 (
                     Line {
                         id: Some(answered),
-                        outcome,
+                        host_reply,
                     },
                     held,
                 ) if answered == id => {
-                    return Some((outcome, held));
+                    return Some((host_reply, held));
                 }
                 _ => count(Count::hosts_strays),
             }
@@ -177,10 +177,10 @@
         until: Instant,
         clear: impl Fn() -> Option<(Wish<'a>, Instant)>,
         begun: &Cell<bool>,
-    ) -> (Outcome, Option<Place>) {
-        let bare = |ending| (Outcome::bare(ending), None);
+    ) -> (HostReply, Option<Place>) {
+        let bare = |outcome| (HostReply::bare(outcome), None);
         let Some((wish, sent_by)) = clear() else {
-            return bare(Ending::Superseded);
+            return bare(AttemptOutcome::Superseded);
         };
         let kept = if wish.fresh {
             None
@@ -191,7 +191,7 @@
             Some(conn) => conn,
             None => match self.connect(host, sent_by).await {
                 Ok(conn) => conn,
-                Err(ending) => return bare(ending),
+                Err(outcome) => return bare(outcome),
             },
         };
         let Some((wish, sent_by)) = clear() else {
@@ -202,7 +202,7 @@
                 host.0
             );
             self.keep(host, conn);
-            return bare(Ending::Superseded);
+            return bare(AttemptOutcome::Superseded);
         };
         let mut open = Open {
             pool: self,
@@ -221,14 +221,14 @@
             let reused = open.conn.take().is_some_and(|conn| conn.reused);
             if reused {
                 self.forget_idle(host);
-                return bare(Ending::NotSent);
+                return bare(AttemptOutcome::NotSent);
             }
             if flushed.is_err() && sent_by < until {
                 count(Count::superseded);
-                return bare(Ending::Superseded);
+                return bare(AttemptOutcome::Superseded);
             }
             count(Count::hosts_unreached);
-            return bare(Ending::NotConnected);
+            return bare(AttemptOutcome::NotConnected);
         }
         open.written = true;
         let conn = open.conn.as_mut().expect("just put");
@@ -244,14 +244,14 @@
                     .is_some_and(|conn| conn.reused && conn.inbound.bytes.is_empty())
                 {
                     self.forget_idle(host);
-                    return bare(Ending::Stale);
+                    return bare(AttemptOutcome::Stale);
                 }
                 count(Count::hosts_broken);
-                bare(Ending::Broken)
+                bare(AttemptOutcome::Broken)
             }
             Err(_) => {
                 count(Count::hosts_timed_out);
-                bare(Ending::TimedOut)
+                bare(AttemptOutcome::TimedOut)
             }
         }
     }
@@ -281,16 +281,16 @@
             .for_each(|kept| kept.idle.clear());
     }
 
-    async fn connect(&self, host: &HostId, sent_by: Instant) -> Result<Conn, Ending> {
+    async fn connect(&self, host: &HostId, sent_by: Instant) -> Result<Conn, AttemptOutcome> {
         let address = self
             .kept
             .borrow()
             .get(host)
             .map(|kept| kept.address)
-            .ok_or(Ending::NotSent)?;
+            .ok_or(AttemptOutcome::NotSent)?;
         let place = self.place().ok_or_else(|| {
             count(Count::hosts_no_room);
-            Ending::NotSent
+            AttemptOutcome::NotSent
         })?;
         let by = Instant::now() + self.connect_within;
         match timeout_at(by.min(sent_by), link::connect(address)).await {
@@ -309,17 +309,17 @@
             Ok(Err(error)) => {
                 count(Count::hosts_refused);
                 log::debug!("{} at {address}: {error}", host.0);
-                Err(Ending::NotConnected)
+                Err(AttemptOutcome::NotConnected)
             }
             Err(_) if sent_by < by => {
                 // The host is no worse for it: it had less time than a connection may take.
                 count(Count::superseded);
-                Err(Ending::Superseded)
+                Err(AttemptOutcome::Superseded)
             }
             Err(_) => {
                 count(Count::hosts_unreached);
                 log::debug!("{} at {address}: no connection in time", host.0);
-                Err(Ending::NotConnected)
+                Err(AttemptOutcome::NotConnected)
             }
         }
     }
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -51,7 +51,7 @@
     Anew { upto: Mark },
 }
 
-/// Told at once whenever events have come into force.
+/// FillOutcome at once whenever events have come into force.
 pub type Watcher = Box<dyn Fn(InForce)>;
 
 pub struct Router {
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -4,7 +4,10 @@
 use std::rc::Rc;
 
 use flaxdeck::polled::{Input, Step};
-use flaxdeck::{Attempt, AttemptIndex, Clearance, Ended, Ending, HostId, Request, RequestId, Span};
+use flaxdeck::{
+    Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, Clearance, HostId, Request, RequestId,
+    Span,
+};
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, JoinSet, spawn_local};
 use tokio::time::Instant;
@@ -14,7 +17,7 @@
 use flaxdeck_net::clock::length;
 use flaxdeck_net::room::Place;
 use flaxdeck_net::tally::{Count, count, must};
-use flaxdeck_wire::{Answer, Asked, Outcome, Wish};
+use flaxdeck_wire::{Answer, Asked, HostReply, Wish};
 
 /// An attempt that is out.
 struct Out {
@@ -36,7 +39,7 @@
     /// Until the request has its answer.
     reply: Option<Reply>,
     out: Vec<Out>,
-    tasks: JoinSet<(AttemptIndex, (Outcome, Option<Place>))>,
+    tasks: JoinSet<(AttemptIndex, (HostReply, Option<Place>))>,
 }
 
 impl Router {
@@ -119,8 +122,8 @@
             tokio::select! {
                 () = self.entry.notify.notified() => {}
                 Some(ended) = self.tasks.join_next() => {
-                    if let Ok((index, (outcome, held))) = ended {
-                        self.ended(index, outcome, held);
+                    if let Ok((index, (host_reply, held))) = ended {
+                        self.ended(index, host_reply, held);
                     }
                 }
             }
@@ -237,19 +240,24 @@
             task.abort();
             // Guards against a request that waits for ever for the end of what it took back itself.
             if self.reply.is_some() {
-                self.report_end(index, host, sent, Outcome::bare(Ending::Cancelled));
+                self.report_end(
+                    index,
+                    host,
+                    sent,
+                    HostReply::bare(AttemptOutcome::Cancelled),
+                );
             }
         }
     }
 
-    fn ended(&mut self, index: AttemptIndex, outcome: Outcome, held: Option<Place>) {
+    fn ended(&mut self, index: AttemptIndex, host_reply: HostReply, held: Option<Place>) {
         let Some(at) = self.out.iter().position(|out| out.index == index) else {
             return;
         };
         let Out { host, sent, .. } = self.out.remove(at);
         // Guards against a client that keeps an old copy: one that is not named by its own tag is no answer, and
         // from then on the whole object is asked for.
-        let other = outcome.is_of_another_copy(&self.asked);
+        let other = host_reply.is_of_another_copy(&self.asked);
         if other {
             count(Count::unchanged_of_another);
             self.asked = Rc::new(Asked {
@@ -257,18 +265,18 @@
                 ..(*self.asked).clone()
             });
         }
-        let outcome = Outcome {
-            ending: if other {
-                Ending::Errored
+        let host_reply = HostReply {
+            outcome: if other {
+                AttemptOutcome::Errored
             } else {
-                outcome.ending
+                host_reply.outcome
             },
-            ..outcome
+            ..host_reply
         };
-        if outcome.ending == Ending::Answered && self.reply.is_some() {
-            let body = outcome.body.clone();
+        if host_reply.outcome == AttemptOutcome::Answered && self.reply.is_some() {
+            let body = host_reply.body.clone();
             self.answer(
-                if outcome.unchanged {
+                if host_reply.unchanged {
                     Answer::Unchanged
                 } else {
                     Answer::Served(body)
@@ -276,34 +284,34 @@
                 held,
             );
         }
-        self.report_end(index, host, sent, outcome);
+        self.report_end(index, host, sent, host_reply);
     }
 
-    fn report_end(&self, index: AttemptIndex, host: HostId, sent: Instant, outcome: Outcome) {
-        let Outcome {
-            ending,
-            told,
+    fn report_end(&self, index: AttemptIndex, host: HostId, sent: Instant, host_reply: HostReply) {
+        let HostReply {
+            outcome,
+            fill,
             waited,
             report,
             ..
-        } = outcome;
+        } = host_reply;
         let link = report.link;
         log::debug!(
-            "request {} attempt {} at {}: {ending:?} {told:?} {link:?}",
+            "request {} attempt {} at {}: {outcome:?} {fill:?} {link:?}",
             self.id.0,
             index.0,
             host.0
         );
         let (request, closed) = (self.id, self.reply.is_none());
         let took = Span::of_ms(sent.elapsed().as_secs_f64() * 1000.0);
-        self.router.report(Input::AttemptEnded(Ended {
+        self.router.report(Input::AttemptEnded(AttemptEnded {
             request,
             index,
             host,
-            ending,
+            outcome,
             took,
             closed,
-            told,
+            fill,
             waited,
             report,
         }));
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -9,8 +9,8 @@
 
 use flaxdeck::polled::{Input, PolledEngine, Step};
 use flaxdeck::{
-    AttemptIndex, CellId, ClassId, Ended, Ending, Endpoint, GroupId, Health, HostId, ListKind,
-    LoadReport, ObjectId, Request, RequestId, Role, Span, Time, Told, ZoneId,
+    AttemptEnded, AttemptIndex, AttemptOutcome, CellId, ClassId, Endpoint, FillOutcome, GroupId,
+    Health, HostId, ListKind, LoadReport, ObjectId, Request, RequestId, Role, Span, Time, ZoneId,
 };
 use flaxdeck_terms::fields::Fields;
 use flaxdeck_toy::Answer;
@@ -186,7 +186,12 @@
                                 let host = HostId("s-0000ca00".into());
                                 engine.report(
                                     now,
-                                    Input::AttemptEnded(end(id, index, host, Ending::Cancelled)),
+                                    Input::AttemptEnded(end(
+                                        id,
+                                        index,
+                                        host,
+                                        AttemptOutcome::Cancelled,
+                                    )),
                                 );
                             }
                         }
@@ -203,22 +208,22 @@
                 .extract_if(.., |(at, ..)| *at <= now)
                 .collect::<Vec<_>>()
             {
-                let ending = [
-                    Ending::Answered,
-                    Ending::Errored,
-                    Ending::TurnedAway,
-                    Ending::TimedOut,
-                    Ending::NotConnected,
-                    Ending::Broken,
-                    Ending::Stale,
-                    Ending::NotSent,
-                    Ending::NoCopy,
+                let outcome = [
+                    AttemptOutcome::Answered,
+                    AttemptOutcome::Errored,
+                    AttemptOutcome::Rejected,
+                    AttemptOutcome::TimedOut,
+                    AttemptOutcome::NotConnected,
+                    AttemptOutcome::Broken,
+                    AttemptOutcome::Stale,
+                    AttemptOutcome::NotSent,
+                    AttemptOutcome::NoCopy,
                 ][chance.random_range(0..9)];
                 if open.contains_key(&id) {
-                    if ending == Ending::Answered {
+                    if outcome == AttemptOutcome::Answered {
                         open.remove(&id);
                     }
-                    engine.report(now, Input::AttemptEnded(end(id, index, host, ending)));
+                    engine.report(now, Input::AttemptEnded(end(id, index, host, outcome)));
                 }
             }
             now = now + Span::of_ms(1.0);
@@ -227,16 +232,25 @@
     }
 }
 
-fn end(request: RequestId, index: AttemptIndex, host: HostId, ending: Ending) -> Ended {
-    let (took, told, report) = (Span::of_ms(5.0), Told::Nothing, LoadReport::default());
-    Ended {
+fn end(
+    request: RequestId,
+    index: AttemptIndex,
+    host: HostId,
+    outcome: AttemptOutcome,
+) -> AttemptEnded {
+    let (took, fill, report) = (
+        Span::of_ms(5.0),
+        FillOutcome::Nothing,
+        LoadReport::default(),
+    );
+    AttemptEnded {
         request,
         index,
         host,
-        ending,
+        outcome,
         took,
         closed: false,
-        told,
+        fill,
         waited: None,
         report,
     }
--- a/crates/flaxdeck-fleet/src/model/attempts.rs
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -1,6 +1,8 @@
 //! Attempts: a request handed to one host, from the decision to the word of its end.
 
-use flaxdeck::{AttemptIndex, Ended, Ending, HostId, LoadReport, RequestId, Span, Told};
+use flaxdeck::{
+    AttemptEnded, AttemptIndex, AttemptOutcome, FillOutcome, HostId, LoadReport, RequestId, Span,
+};
 use flaxdeck_invariants::{Answer, Seen};
 
 use super::events::Event;
@@ -30,8 +32,8 @@
     pub(super) fill_begun: f64,
     /// Milliseconds that its fill took.
     pub(super) waited: Option<f64>,
-    pub(super) told: Told,
-    pub(super) ending: Option<Ending>,
+    pub(super) fill: FillOutcome,
+    pub(super) outcome: Option<AttemptOutcome>,
     /// When the copy that it answers with was made.
     pub(super) made: f64,
     /// The parent that asks the origin for it.
@@ -53,36 +55,36 @@
         let Some(attempt) = self
             .attempts
             .get(&id)
-            .filter(|attempt| attempt.ending.is_none())
+            .filter(|attempt| attempt.outcome.is_none())
         else {
             return;
         };
         let (host, kb) = (attempt.host, self.wants[attempt.want as usize].kb);
         match self.admit(host, Job::Answer(id), kb) {
-            None | Some(Ending::TimedOut) => {}
-            Some(ending) => self.end(id, ending, Told::Nothing),
+            None | Some(AttemptOutcome::TimedOut) => {}
+            Some(outcome) => self.end(id, outcome, FillOutcome::Nothing),
         }
     }
 
     /// An attempt has ended where it was; word of it goes back.
-    pub(super) fn end(&mut self, id: u64, ending: Ending, told: Told) {
+    pub(super) fn end(&mut self, id: u64, outcome: AttemptOutcome, fill: FillOutcome) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        if attempt.ending.is_some() {
+        if attempt.outcome.is_some() {
             return self.forget(id);
         }
-        attempt.ending = Some(ending);
-        if told != Told::Nothing || ending != Ending::Answered {
-            attempt.told = told;
+        attempt.outcome = Some(outcome);
+        if fill != FillOutcome::Nothing || outcome != AttemptOutcome::Answered {
+            attempt.fill = fill;
         }
         let host = attempt.host;
-        let near = if ending == Ending::TimedOut {
+        let near = if outcome == AttemptOutcome::TimedOut {
             0.0
         } else {
             self.distance(host)
         };
-        self.after(near, Event::Ended { attempt: id });
+        self.after(near, Event::AttemptEnded { attempt: id });
     }
 
     /// Nobody waits for it any more, unless a place still works on it.
@@ -95,18 +97,20 @@
         let Some(attempt) = self.attempts.get(&id).cloned() else {
             return;
         };
-        let Some(ending) = attempt.ending else { return };
+        let Some(outcome) = attempt.outcome else {
+            return;
+        };
         // A cancelled or timed out one may still be worked on where it is.
-        if ending != Ending::TimedOut {
+        if outcome != AttemptOutcome::TimedOut {
             self.forget(id);
         }
         if self.forwarders[attempt.forwarder].run != attempt.run {
             return;
         }
-        if ending == Ending::Answered {
+        if outcome == AttemptOutcome::Answered {
             self.hand_out(&attempt);
         }
-        let ended = self.end_as_told(&attempt, ending);
+        let ended = self.end_as_told(&attempt, outcome);
         let decisions = self.forwarders[attempt.forwarder]
             .engine
             .attempt_ended(time(self.now), ended);
@@ -115,7 +119,7 @@
 
     /// A forwarder hands an attempt's answer to the client.
     fn hand_out(&mut self, attempt: &OpenAttempt) {
-        self.outcome.hits += u64::from(attempt.told == Told::Held);
+        self.outcome.hits += u64::from(attempt.fill == FillOutcome::Hit);
         let want = &self.wants[attempt.want as usize];
         if !want.write && want.out.is_some() {
             let object = want.object.to_string();
@@ -129,18 +133,18 @@
     }
 
     /// An attempt's end as its forwarder's decision engine learns of it.
-    fn end_as_told(&self, attempt: &OpenAttempt, ending: Ending) -> Ended {
+    fn end_as_told(&self, attempt: &OpenAttempt, outcome: AttemptOutcome) -> AttemptEnded {
         let host = &self.hosts[attempt.host];
-        let answered = ending == Ending::Answered;
+        let answered = outcome == AttemptOutcome::Answered;
         let over_link = answered && host.kind == Kind::Cache;
-        Ended {
+        AttemptEnded {
             request: attempt.request,
             index: AttemptIndex(attempt.index),
             host: HostId(host.id.as_str().into()),
-            ending,
+            outcome: outcome,
             took: Span::of_ms(self.now - attempt.sent),
             closed: answered,
-            told: attempt.told,
+            fill: attempt.fill,
             waited: attempt
                 .waited
                 .filter(|_| attempt.source != attempt.host)
--- a/crates/flaxdeck-fleet/src/model/coordinator.rs
+++ b/crates/flaxdeck-fleet/src/model/coordinator.rs
@@ -1,7 +1,8 @@
 //! The coordinator, whose events reach everybody late, and what changes about hosts.
 
 use flaxdeck::{
-    CellId, Ending, Endpoint, GroupId, Health, HostId, ListKind, Role, Time, Told, ZoneId,
+    AttemptOutcome, CellId, Endpoint, FillOutcome, GroupId, Health, HostId, ListKind, Role, Time,
+    ZoneId,
 };
 use flaxdeck_invariants::Seen;
 use rand::Rng;
@@ -79,8 +80,10 @@
     pub(super) fn kill(&mut self, at: usize) {
         for job in self.hosts[at].die() {
             match job {
-                Job::Answer(id) => self.end(id, Ending::Broken, Told::Nothing),
-                Job::Fill(id) | Job::Behind(id) => self.fill_failed(id, Told::SourceUnreached),
+                Job::Answer(id) => self.end(id, AttemptOutcome::Broken, FillOutcome::Nothing),
+                Job::Fill(id) | Job::Behind(id) => {
+                    self.fill_failed(id, FillOutcome::SourceUnreached)
+                }
             }
         }
         let endpoint = Endpoint {
--- a/crates/flaxdeck-fleet/src/model/decisions.rs
+++ b/crates/flaxdeck-fleet/src/model/decisions.rs
@@ -1,6 +1,6 @@
 //! What a forwarder's decisions ask for is carried out.
 
-use flaxdeck::{Attempt, Cancel, Decisions, Ending, Final, Told};
+use flaxdeck::{Attempt, AttemptOutcome, Cancel, Decisions, FillOutcome, Final};
 use flaxdeck_invariants::Answer;
 
 use super::attempts::OpenAttempt;
@@ -48,7 +48,7 @@
                 continue;
             };
             if (attempt.request, attempt.index) == (cancel.request, cancel.index.0) {
-                attempt.ending = Some(Ending::Cancelled);
+                attempt.outcome = Some(AttemptOutcome::Cancelled);
             }
         }
     }
@@ -80,8 +80,8 @@
             sent: self.now,
             fill_begun: self.now,
             waited: None,
-            told: Told::Nothing,
-            ending: None,
+            fill: FillOutcome::Nothing,
+            outcome: None,
             made: self.now,
             through: None,
         };
--- a/crates/flaxdeck-fleet/src/model/events.rs
+++ b/crates/flaxdeck-fleet/src/model/events.rs
@@ -1,6 +1,6 @@
 //! What can happen in a run, and who handles it.
 
-use flaxdeck::{Ending, Told};
+use flaxdeck::{AttemptOutcome, FillOutcome};
 use flaxdeck_control::messages::{Guidance, Report};
 
 use super::{Model, time};
@@ -36,7 +36,7 @@
     /// The next transfer of a location's link ends, unless another came or went since that turn.
     TransferEnds { zone: usize, turn: u64 },
     /// Word that an attempt has ended reaches its forwarder.
-    Ended { attempt: u64 },
+    AttemptEnded { attempt: u64 },
     /// The coordinator's event of that number reaches a forwarder.
     ForwarderHears { forwarder: usize, number: u64 },
     /// The coordinator's event of that number reaches a planner.
@@ -93,14 +93,16 @@
                 };
                 self.fill_at(attempt, source, job);
             }
-            Event::SourceSilent { attempt } => self.fill_failed(attempt, Told::SourceUnreached),
+            Event::SourceSilent { attempt } => {
+                self.fill_failed(attempt, FillOutcome::SourceUnreached)
+            }
             Event::Served { host, run, job } => {
                 if self.hosts[host].run == run {
                     self.served(host, job);
                 }
             }
             Event::TransferEnds { zone, turn } => self.transfer_ends(zone, turn),
-            Event::Ended { attempt } => self.ended(attempt),
+            Event::AttemptEnded { attempt } => self.ended(attempt),
             Event::ForwarderHears { forwarder, number } => self.forwarder_hears(forwarder, number),
             Event::PlannerHears { planner, number } => self.planner_hears(planner, number),
             Event::Report { forwarder, run } => self.report(forwarder, run),
@@ -140,9 +142,9 @@
         if self
             .attempts
             .get(&attempt)
-            .is_some_and(|attempt| attempt.ending.is_none())
+            .is_some_and(|attempt| attempt.outcome.is_none())
         {
-            self.end(attempt, Ending::TimedOut, Told::Nothing);
+            self.end(attempt, AttemptOutcome::TimedOut, FillOutcome::Nothing);
         }
     }
 }
--- a/crates/flaxdeck-fleet/src/model/fills.rs
+++ b/crates/flaxdeck-fleet/src/model/fills.rs
@@ -1,6 +1,6 @@
 //! Fills: what a host that lacks a copy does about it, until the copy has come or the fill has failed.
 
-use flaxdeck::{Ending, Told};
+use flaxdeck::{AttemptOutcome, FillOutcome};
 
 use super::Model;
 use super::events::Event;
@@ -28,12 +28,12 @@
             }
             Job::Answer(_) => {
                 self.leave(at, job);
-                self.end(id, Ending::NoCopy, Told::Nothing);
+                self.end(id, AttemptOutcome::NoCopy, FillOutcome::Nothing);
             }
             Job::Fill(_) if !attempt.only_held => self.fill_behind(id, at),
             Job::Fill(_) | Job::Behind(_) => {
                 self.leave(at, job);
-                self.fill_failed(id, Told::SourceLacks);
+                self.fill_failed(id, FillOutcome::SourceLacks);
             }
         }
     }
@@ -44,7 +44,7 @@
             return;
         };
         attempt.fill_begun = self.now;
-        attempt.told = Told::Filled;
+        attempt.fill = FillOutcome::Filled;
         let source = attempt.source;
         match self.hosts[source].kind {
             Kind::Origin => self.outcome.origin_fills += 1,
@@ -66,7 +66,7 @@
             return;
         };
         attempt.through = Some(parent);
-        attempt.told = Told::FilledThroughOrigin;
+        attempt.fill = FillOutcome::FilledThroughOrigin;
         let source = self.hosts.len() - 1;
         self.after(
             self.shape.far_ms,
@@ -89,13 +89,13 @@
         }
         match self.admit(source, job, kb) {
             None => {}
-            Some(Ending::TimedOut) => {
+            Some(AttemptOutcome::TimedOut) => {
                 self.after(SOURCE_SILENT_MS, Event::SourceSilent { attempt: id })
             }
-            Some(Ending::NotConnected | Ending::Broken) => {
-                self.fill_failed(id, Told::SourceUnreached)
+            Some(AttemptOutcome::NotConnected | AttemptOutcome::Broken) => {
+                self.fill_failed(id, FillOutcome::SourceUnreached)
             }
-            Some(_) => self.fill_failed(id, Told::SourceRefused),
+            Some(_) => self.fill_failed(id, FillOutcome::SourceRefused),
         }
     }
 
@@ -173,7 +173,7 @@
     }
 
     /// A fill came to nothing: its places are free, and its attempt has ended.
-    pub(super) fn fill_failed(&mut self, id: u64, told: Told) {
+    pub(super) fn fill_failed(&mut self, id: u64, fill: FillOutcome) {
         let now = self.now;
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -185,18 +185,18 @@
             self.leave(parent, Job::Fill(id));
             self.start(parent);
         }
-        let told = if parent.is_some() {
-            Told::OriginFailed
+        let fill = if parent.is_some() {
+            FillOutcome::OriginFailed
         } else {
-            told
+            fill
         };
         self.leave(at, Job::Answer(id));
-        let ending = if told == Told::OriginFailed {
-            Ending::Errored
+        let outcome = if fill == FillOutcome::OriginFailed {
+            AttemptOutcome::Errored
         } else {
-            Ending::TurnedAway
+            AttemptOutcome::Rejected
         };
-        self.end(id, ending, told);
+        self.end(id, outcome, fill);
         self.start(at);
     }
 }
--- a/crates/flaxdeck-fleet/src/model/service.rs
+++ b/crates/flaxdeck-fleet/src/model/service.rs
@@ -1,6 +1,6 @@
 //! What hosts do: they take work in or refuse it, give it places, and are done with it.
 
-use flaxdeck::{Ending, Told};
+use flaxdeck::{AttemptOutcome, FillOutcome};
 use flaxdeck_invariants::Seen;
 
 use super::Model;
@@ -38,26 +38,26 @@
     }
 
     /// A host takes in work; what it says to it at once, if it does not take it.
-    pub(super) fn admit(&mut self, at: usize, job: Job, kb: f64) -> Option<Ending> {
+    pub(super) fn admit(&mut self, at: usize, job: Job, kb: f64) -> Option<AttemptOutcome> {
         if !self.hosts[at].up {
-            return Some(Ending::NotConnected);
+            return Some(AttemptOutcome::NotConnected);
         }
         self.see(Seen::Arrived {
             host: self.hosts[at].id.clone(),
         });
         match self.hosts[at].manner {
-            Manner::Silent => return Some(Ending::TimedOut),
-            Manner::Fail => return Some(Ending::Errored),
+            Manner::Silent => return Some(AttemptOutcome::TimedOut),
+            Manner::Fail => return Some(AttemptOutcome::Errored),
             Manner::Serve | Manner::Slow(_) => {}
         }
         if self.hosts[at].waiting.len() >= self.capacity(at) * WAITING_A_PLACE {
-            return Some(Ending::TurnedAway);
+            return Some(AttemptOutcome::Rejected);
         }
         if self.falls_over(at, self.cost(kb)) {
             self.outcome.fell_over += 1;
             self.kill(at);
             self.after(FALLEN_MS, Event::Restart { host: at });
-            return Some(Ending::Broken);
+            return Some(AttemptOutcome::Broken);
         }
         self.hosts[at].waiting.push_back(job);
         self.start(at);
@@ -93,7 +93,7 @@
         let Some(attempt) = self.attempts.get(&id) else {
             return;
         };
-        if attempt.ending.is_some() && matches!(job, Job::Answer(_)) {
+        if attempt.outcome.is_some() && matches!(job, Job::Answer(_)) {
             return self.forget(id);
         }
         let (want, oldest) = (attempt.want, attempt.oldest);
@@ -122,7 +122,11 @@
         let want = &self.wants[attempt.want as usize];
         let kb = want.kb;
         if matches!(job, Job::Answer(_)) {
-            attempt.told = if is_origin { Told::Filled } else { Told::Held };
+            attempt.fill = if is_origin {
+                FillOutcome::Filled
+            } else {
+                FillOutcome::Hit
+            };
             if want.write {
                 let effect = attempt.request.0.to_string();
                 self.see(Seen::Ran { effect });
@@ -148,7 +152,7 @@
     pub(super) fn served(&mut self, at: usize, job: Job) {
         self.leave(at, job);
         match job {
-            Job::Answer(id) => self.end(id, Ending::Answered, Told::Nothing),
+            Job::Answer(id) => self.end(id, AttemptOutcome::Answered, FillOutcome::Nothing),
             Job::Behind(id) => self.filled_parent(id),
             Job::Fill(id) => self.fill_sent(id),
         }
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -144,15 +144,15 @@
     begun.elapsed().as_secs_f64()
 }
 
-fn hit(attempt: Attempt, index: u32) -> Ended {
-    Ended {
+fn hit(attempt: Attempt, index: u32) -> AttemptEnded {
+    AttemptEnded {
         request: attempt.request,
         index: AttemptIndex(index),
         host: attempt.host,
-        ending: Ending::Answered,
+        outcome: AttemptOutcome::Answered,
         took: Span::from_ms(5),
         closed: true,
-        told: Told::Held,
+        fill: FillOutcome::Hit,
         waited: None,
         report: LoadReport::default(),
     }
--- a/crates/flaxdeck-terms/src/lib.rs
+++ b/crates/flaxdeck-terms/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub mod fields;
 
-use flaxdeck::{ClassId, Repeats, RequestClass, Role, Scope, Span, Terms, Told, ZoneId};
+use flaxdeck::{ClassId, FillOutcome, Repeats, RequestClass, Role, Scope, Span, Terms, ZoneId};
 
 use fields::Fields;
 
@@ -67,19 +67,19 @@
 }
 
 /// What a note on an answer tells, by its number from 1 up.
-pub fn told(number: u64) -> Told {
+pub fn told(number: u64) -> FillOutcome {
     match number {
-        1 => Told::Held,
-        2 => Told::Filled,
-        3 => Told::FilledThroughOrigin,
-        4 => Told::Joined,
-        5 => Told::Aged,
-        6 => Told::SourceRefused,
-        7 => Told::SourceUnreached,
-        8 => Told::SourceLacks,
-        9 => Told::NoPlace,
-        10 => Told::OriginFailed,
-        _ => Told::Nothing,
+        1 => FillOutcome::Hit,
+        2 => FillOutcome::Filled,
+        3 => FillOutcome::FilledThroughOrigin,
+        4 => FillOutcome::Joined,
+        5 => FillOutcome::Stale,
+        6 => FillOutcome::SourceRefused,
+        7 => FillOutcome::SourceUnreached,
+        8 => FillOutcome::SourceLacks,
+        9 => FillOutcome::NoSlot,
+        10 => FillOutcome::OriginFailed,
+        _ => FillOutcome::Nothing,
     }
 }
 
--- a/crates/flaxdeck-wire/src/lib.rs
+++ b/crates/flaxdeck-wire/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod rpc;
 
 use bytes::Bytes;
-use flaxdeck::{ClassId, Ending, GroupId, LoadReport, ObjectId, Span, Told};
+use flaxdeck::{AttemptOutcome, ClassId, FillOutcome, GroupId, LoadReport, ObjectId, Span};
 
 pub use lines::Wish;
 
@@ -62,27 +62,31 @@
 
 /// How an attempt ended, with all that its answer tells.
 #[derive(Debug, PartialEq)]
-pub struct Outcome {
-    pub ending: Ending,
+pub struct HostReply {
+    pub outcome: AttemptOutcome,
     pub body: Bytes,
     pub unchanged: bool,
     /// The tag that an answer without bytes names.
     pub named: Option<Bytes>,
-    pub told: Told,
+    pub fill: FillOutcome,
     pub waited: Option<Span>,
     pub report: LoadReport,
 }
 
-impl Outcome {
-    pub fn bare(ending: Ending) -> Outcome {
-        let (body, named, told, report) =
-            (Bytes::new(), None, Told::Nothing, LoadReport::default());
-        Outcome {
-            ending,
+impl HostReply {
+    pub fn bare(outcome: AttemptOutcome) -> HostReply {
+        let (body, named, fill, report) = (
+            Bytes::new(),
+            None,
+            FillOutcome::Nothing,
+            LoadReport::default(),
+        );
+        HostReply {
+            outcome,
             body,
             unchanged: false,
             named,
-            told,
+            fill,
             waited: None,
             report,
         }
--- a/crates/flaxdeck-wire/src/lines.rs
+++ b/crates/flaxdeck-wire/src/lines.rs
@@ -4,10 +4,10 @@
 use std::fmt::{Arguments, Write};
 
 use bytes::{BufMut, Bytes, BytesMut};
-use flaxdeck::{Ending, HostId, Span, Told};
+use flaxdeck::{AttemptOutcome, FillOutcome, HostId, Span};
 use flaxdeck_terms::{Names, place, told};
 
-use crate::{Asked, Malformed, Outcome, Parsed};
+use crate::{Asked, HostReply, Malformed, Parsed};
 use flaxdeck_net::room::OBJECT_MOST;
 
 /// Bytes of an answer's first line; real ones have some 150.
@@ -105,7 +105,7 @@
 pub struct Line {
     /// The id it answers; none for the sign asked for by `never_mind`.
     pub id: Option<Bytes>,
-    pub outcome: Outcome,
+    pub host_reply: HostReply,
 }
 
 /// Parses one answer at the head of the buffer and takes its bytes out.
@@ -130,24 +130,24 @@
             .filter(|word| !word.is_empty())
             .ok_or(Malformed("a word is missing"))
     };
-    let (id, ending) = (word()?, word()?);
+    let (id, outcome) = (word()?, word()?);
     let sign = id.as_bytes() == FENCE;
-    let (ending, unchanged) = match ending {
-        "data" => (Ending::Answered, false),
-        "unchanged" => (Ending::Answered, true),
-        "absent" => (Ending::NoCopy, false),
-        "full" => (Ending::TurnedAway, false),
-        "failed" => (Ending::Errored, false),
-        "moot" => (Ending::NotSent, false),
+    let (outcome, unchanged) = match outcome {
+        "data" => (AttemptOutcome::Answered, false),
+        "unchanged" => (AttemptOutcome::Answered, true),
+        "absent" => (AttemptOutcome::NoCopy, false),
+        "full" => (AttemptOutcome::Rejected, false),
+        "failed" => (AttemptOutcome::Errored, false),
+        "moot" => (AttemptOutcome::NotSent, false),
         // Whatever the sign says, it shows that the host has read what came before it.
-        _ if sign => (Ending::NotSent, false),
+        _ if sign => (AttemptOutcome::NotSent, false),
         _ => return Err(Malformed("an unknown answer")),
     };
     if sign && head.split(' ').count() == 2 {
         let _ = buffer.split_to(end + 2);
         return Ok(Parsed::Whole(Line {
             id: None,
-            outcome: Outcome::bare(ending),
+            host_reply: HostReply::bare(outcome),
         }));
     }
     let fields = word()?;
@@ -157,7 +157,7 @@
     if length > OBJECT_MOST {
         return Err(Malformed("an answer over the bound"));
     }
-    let (id, mut outcome) = (id.len(), read(fields, ending, unchanged, names)?);
+    let (id, mut host_reply) = (id.len(), read(fields, outcome, unchanged, names)?);
     let (start, used) = (end + 2, end + 2 + length + 2);
     if buffer.len() < used {
         return Ok(Parsed::Short(used - buffer.len()));
@@ -166,14 +166,14 @@
         return Err(Malformed("a body does not end where it should"));
     }
     let message = buffer.split_to(used).freeze();
-    outcome.body = message.slice(start..start + length);
+    host_reply.body = message.slice(start..start + length);
     Ok(Parsed::Whole(Line {
         id: Some(message.slice(..id)).filter(|_| !sign),
-        outcome,
+        host_reply,
     }))
 }
 
-fn note(word: &str) -> Told {
+fn note(word: &str) -> FillOutcome {
     const NOTES: [&str; 10] = [
         "hit",
         "filled",
@@ -196,13 +196,13 @@
 
 fn read(
     fields: &str,
-    ending: Ending,
+    outcome: AttemptOutcome,
     unchanged: bool,
     names: &Names,
-) -> Result<Outcome, Malformed> {
-    let mut outcome = Outcome {
+) -> Result<HostReply, Malformed> {
+    let mut host_reply = HostReply {
         unchanged,
-        ..Outcome::bare(ending)
+        ..HostReply::bare(outcome)
     };
     let number = |text: &str| {
         text.parse()
@@ -215,17 +215,17 @@
             .ok_or(Malformed("a field without a value"))?;
         match name {
             "version" if unchanged => {
-                outcome.named = Some(Bytes::copy_from_slice(value.as_bytes()))
+                host_reply.named = Some(Bytes::copy_from_slice(value.as_bytes()))
             }
-            "how" => outcome.told = note(value),
-            "took" => outcome.waited = number(value).map(Span::of_ms),
+            "how" => host_reply.fill = note(value),
+            "took" => host_reply.waited = number(value).map(Span::of_ms),
             "stats" => {
                 for (name, value) in value.split(';').filter_map(|value| value.split_once(':')) {
                     match place(&names.report, name) {
                         None => {}
-                        at if at == names.link_at => outcome.report.link = number(value),
-                        at if at == names.in_hand_at => outcome.report.in_hand = number(value),
-                        at if at == names.busy_at => outcome.report.busy = number(value),
+                        at if at == names.link_at => host_reply.report.link = number(value),
+                        at if at == names.in_hand_at => host_reply.report.in_hand = number(value),
+                        at if at == names.busy_at => host_reply.report.busy = number(value),
                         Some(_) => {}
                     }
                 }
@@ -233,5 +233,5 @@
             _ => {}
         }
     }
-    Ok(outcome)
+    Ok(host_reply)
 }
--- a/crates/flaxdeck-wire/tests/lines.rs
+++ b/crates/flaxdeck-wire/tests/lines.rs
@@ -3,7 +3,7 @@
 mod names;
 
 use bytes::{BufMut, Bytes, BytesMut};
-use flaxdeck::{ClassId, Ending, GroupId, HostId, ObjectId, Span, Told};
+use flaxdeck::{AttemptOutcome, ClassId, FillOutcome, GroupId, HostId, ObjectId, Span};
 use flaxdeck_wire::lines::{HEAD_MOST, Line, Wish, parse, want};
 use flaxdeck_wire::{Asked, Parsed};
 use names::names;
@@ -78,18 +78,18 @@
         panic!("it is whole")
     };
     assert_eq!(line.id.as_deref(), Some(&b"9b1f03aa5c7e2d41"[..]));
-    let outcome = line.outcome;
+    let host_reply = line.host_reply;
     assert_eq!(
-        (outcome.ending, outcome.told),
-        (Ending::Answered, Told::FilledThroughOrigin)
+        (host_reply.outcome, host_reply.fill),
+        (AttemptOutcome::Answered, FillOutcome::FilledThroughOrigin)
     );
-    assert_eq!(&outcome.body[..], b"a\r\nbc");
+    assert_eq!(&host_reply.body[..], b"a\r\nbc");
     assert_eq!(
-        (outcome.waited, outcome.report.link),
+        (host_reply.waited, host_reply.report.link),
         (Some(Span::of_ms(85.8)), Some(1.25))
     );
     assert_eq!(
-        (outcome.report.in_hand, outcome.unchanged),
+        (host_reply.report.in_hand, host_reply.unchanged),
         (Some(7.0), false)
     );
     for _ in 0..2 {
@@ -104,24 +104,39 @@
 #[test]
 fn each_word_and_note_of_the_page_is_known() {
     let rows = [
-        ("data", "hit", Ending::Answered, Told::Held),
-        ("unchanged", "stale", Ending::Answered, Told::Aged),
-        ("absent", "joined", Ending::NoCopy, Told::Joined),
+        ("data", "hit", AttemptOutcome::Answered, FillOutcome::Hit),
+        (
+            "unchanged",
+            "stale",
+            AttemptOutcome::Answered,
+            FillOutcome::Stale,
+        ),
+        (
+            "absent",
+            "joined",
+            AttemptOutcome::NoCopy,
+            FillOutcome::Joined,
+        ),
         (
             "full",
             "src_refused",
-            Ending::TurnedAway,
-            Told::SourceRefused,
+            AttemptOutcome::Rejected,
+            FillOutcome::SourceRefused,
         ),
         (
             "failed",
             "origin_failed",
-            Ending::Errored,
-            Told::OriginFailed,
+            AttemptOutcome::Errored,
+            FillOutcome::OriginFailed,
+        ),
+        (
+            "moot",
+            "what is new",
+            AttemptOutcome::NotSent,
+            FillOutcome::Nothing,
         ),
-        ("moot", "what is new", Ending::NotSent, Told::Nothing),
     ];
-    for (word, note, ending, told) in rows {
+    for (word, note, outcome, told) in rows {
         let mut buffer = BytesMut::from(&*format!(
             "1 {word} how={} 0\r\n\r\n",
             note.replace(' ', "_")
@@ -129,8 +144,11 @@
         let Ok(Parsed::Whole(line)) = parse(&mut buffer, &names()) else {
             panic!("{word} is whole")
         };
-        assert_eq!((line.outcome.ending, line.outcome.told), (ending, told));
-        assert_eq!(line.outcome.unchanged, word == "unchanged");
+        assert_eq!(
+            (line.host_reply.outcome, line.host_reply.fill),
+            (outcome, told)
+        );
+        assert_eq!(line.host_reply.unchanged, word == "unchanged");
     }
 }
 
@@ -141,7 +159,7 @@
         let Ok(Parsed::Whole(line)) = parse(&mut buffer, &names()) else {
             panic!("it is whole")
         };
-        line.outcome.is_of_another_copy(&Asked {
+        line.host_reply.is_of_another_copy(&Asked {
             holds: holds.map(Bytes::from),
             ..asked()
         })
--- a/crates/flaxdeck-wire/tests/recorded_bytes.rs
+++ b/crates/flaxdeck-wire/tests/recorded_bytes.rs
@@ -5,14 +5,14 @@
 
 use bytes::{Bytes, BytesMut};
 use flaxdeck::{
-    CellId, ClassId, Ending, Endpoint, GroupId, Health, HostId, ListKind, ObjectId, Role, Span,
-    Time, Told, ZoneId,
+    AttemptOutcome, CellId, ClassId, Endpoint, FillOutcome, GroupId, Health, HostId, ListKind,
+    ObjectId, Role, Span, Time, ZoneId,
 };
 use flaxdeck_terms::fields::Fields;
 use flaxdeck_wire::frames::{AddressedEndpoint, Event};
 use flaxdeck_wire::lines::{self, Wish};
 use flaxdeck_wire::rpc::{self, Said};
-use flaxdeck_wire::{Answer, Asked, Outcome, Parsed, frames};
+use flaxdeck_wire::{Answer, Asked, HostReply, Parsed, frames};
 use names::names;
 
 use flaxdeck_toy::request_message;
@@ -217,34 +217,34 @@
             Parsed::Short(more) => panic!("{more} bytes are missing"),
         }
     }
-    let endings: Vec<Ending> = read.iter().map(|line| line.outcome.ending).collect();
+    let endings: Vec<AttemptOutcome> = read.iter().map(|line| line.host_reply.outcome).collect();
     let wanted = [
-        Ending::Answered,
-        Ending::Answered,
-        Ending::NoCopy,
-        Ending::TurnedAway,
-        Ending::Errored,
-        Ending::NotSent,
-        Ending::Answered,
-        Ending::NotSent,
+        AttemptOutcome::Answered,
+        AttemptOutcome::Answered,
+        AttemptOutcome::NoCopy,
+        AttemptOutcome::Rejected,
+        AttemptOutcome::Errored,
+        AttemptOutcome::NotSent,
+        AttemptOutcome::Answered,
+        AttemptOutcome::NotSent,
     ];
     assert_eq!(endings, wanted);
-    let told: Vec<Told> = read.iter().map(|line| line.outcome.told).collect();
+    let told: Vec<FillOutcome> = read.iter().map(|line| line.host_reply.fill).collect();
     let wanted = [
-        Told::Held,
-        Told::Nothing,
-        Told::Nothing,
-        Told::NoPlace,
-        Told::SourceUnreached,
-        Told::Nothing,
-        Told::FilledThroughOrigin,
-        Told::Nothing,
+        FillOutcome::Hit,
+        FillOutcome::Nothing,
+        FillOutcome::Nothing,
+        FillOutcome::NoSlot,
+        FillOutcome::SourceUnreached,
+        FillOutcome::Nothing,
+        FillOutcome::FilledThroughOrigin,
+        FillOutcome::Nothing,
     ];
     assert_eq!(told, wanted);
-    let Outcome { body, waited, .. } = &read[0].outcome;
+    let HostReply { body, waited, .. } = &read[0].host_reply;
     assert_eq!((&body[..], *waited), (&b"abc"[..], Some(Span::of_ms(12.5))));
-    assert!(read[1].outcome.unchanged);
-    assert_eq!(read[1].outcome.named.as_deref(), Some(&b"tag-1"[..]));
+    assert!(read[1].host_reply.unchanged);
+    assert_eq!(read[1].host_reply.named.as_deref(), Some(&b"tag-1"[..]));
     assert_eq!(
         (read[6].id.as_deref(), &read[7].id),
         (Some(&b"a7"[..]), &None)
--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -4,10 +4,10 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     Answered,
     Errored,
-    TurnedAway,
+    Rejected,
     TimedOut,
     NotConnected,
     Broken,
@@ -20,47 +20,47 @@
     NoCopy,
 }
 
-impl Ending {
+impl AttemptOutcome {
     /// Proof that nothing ran.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Ending::TurnedAway
-                | Ending::NotConnected
-                | Ending::NotSent
-                | Ending::Superseded
-                | Ending::NoCopy
+            AttemptOutcome::Rejected
+                | AttemptOutcome::NotConnected
+                | AttemptOutcome::NotSent
+                | AttemptOutcome::Superseded
+                | AttemptOutcome::NoCopy
         )
     }
 }
 
 /// What the answer tells of the copy or of the fill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum FillOutcome {
     Nothing,
-    Held,
+    Hit,
     Filled,
     FilledThroughOrigin,
     Joined,
-    Aged,
+    Stale,
     SourceRefused,
     SourceUnreached,
     SourceLacks,
-    NoPlace,
+    NoSlot,
     OriginFailed,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct AttemptEnded {
     pub request: RequestId,
     pub index: AttemptIndex,
     pub host: HostId,
-    pub ending: Ending,
+    pub outcome: AttemptOutcome,
     pub took: Span,
     /// The request has its final answer.
     pub closed: bool,
-    pub told: Told,
+    pub fill: FillOutcome,
     /// The fill's wait for the source's first byte, or until it failed.
     pub waited: Option<Span>,
     pub report: LoadReport,
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -10,9 +10,10 @@
 
 use crate::hash::{mix, of_name};
 use crate::{
-    Attempt, AttemptIndex, Cancel, CellId, ClassId, Clearance, Decisions, Ended, Ending, Endpoint,
-    Final, GroupId, Guided, Health, HostId, ListKind, LoadReport, ObjectId, Observation, Repeats,
-    Request, RequestClass, RequestId, Role, Scope, Span, Terms, Time, Told, Used,
+    Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, Cancel, CellId, ClassId, Clearance,
+    Decisions, Endpoint, FillOutcome, Final, GroupId, Guided, Health, HostId, ListKind, LoadReport,
+    ObjectId, Observation, Repeats, Request, RequestClass, RequestId, Role, Scope, Span, Terms,
+    Time, Used,
 };
 
 mod state;
@@ -511,20 +512,21 @@
     }
 
     /// An attempt has ended.
-    pub fn attempt_ended(&mut self, now: Time, ended: Ended) -> Decisions {
+    pub fn attempt_ended(&mut self, now: Time, ended: AttemptEnded) -> Decisions {
         self.now = now;
         let well = |origin: &Host| origin.usable() && origin.window >= WINDOW;
-        let origin_well = ended.told == Told::SourceRefused && self.origin().is_some_and(well);
+        let origin_well =
+            ended.fill == FillOutcome::SourceRefused && self.origin().is_some_and(well);
         let Some(held) = self.requests.get_mut(&ended.request) else {
             return self.wake(now);
         };
         let at = held.out.iter().position(|out| out.index == ended.index);
         let Some(at) = at else { return self.wake(now) };
         let out = held.out.remove(at);
-        let lacking = ended.ending == Ending::NoCopy || ended.told == Told::NoPlace;
-        held.done |= ended.ending == Ending::Answered || ended.closed;
+        let lacking = ended.outcome == AttemptOutcome::NoCopy || ended.fill == FillOutcome::NoSlot;
+        held.done |= ended.outcome == AttemptOutcome::Answered || ended.closed;
         held.missed |= lacking;
-        let ran = (!ended.ending.never_ran()).then(|| (out.sent, out.host.clone()));
+        let ran = (!ended.outcome.never_ran()).then(|| (out.sent, out.host.clone()));
         held.ran = held.ran.take().or(ran);
         // Guards against full parents scattering their objects: one that refuses has not failed. Its request
         // goes on to the origin only while that is well; another parent would fetch the object there anew.
@@ -532,24 +534,39 @@
             .hosts
             .get(&out.source)
             .is_some_and(|host| host.is(Role::Parent));
-        let full = parent && ended.told == Told::SourceRefused;
+        let full = parent && ended.fill == FillOutcome::SourceRefused;
         // Guards against a full link being filled again elsewhere: what failed is moved past, nothing else.
         if matches!(
-            ended.told,
-            Told::SourceRefused | Told::SourceUnreached | Told::SourceLacks | Told::OriginFailed
+            ended.fill,
+            FillOutcome::SourceRefused
+                | FillOutcome::SourceUnreached
+                | FillOutcome::SourceLacks
+                | FillOutcome::OriginFailed
         ) && (!full || origin_well)
         {
             held.tried.push(out.source.clone());
-        } else if !lacking && !full && !matches!(ended.ending, Ending::Stale | Ending::Superseded) {
+        } else if !lacking
+            && !full
+            && !matches!(
+                ended.outcome,
+                AttemptOutcome::Stale | AttemptOutcome::Superseded
+            )
+        {
             held.tried.push(out.host.clone());
         }
         let cached = self
             .hosts
             .get(&out.host)
             .is_none_or(|host| host.is(Role::Cache));
-        let failed = ended.ending == Ending::Errored && ended.told == Told::Nothing;
+        let failed = ended.outcome == AttemptOutcome::Errored && ended.fill == FillOutcome::Nothing;
         held.failed_by.extend(failed.then(|| out.host.clone()));
-        if lacking || !cached || matches!(ended.told, Told::SourceRefused | Told::OriginFailed) {
+        if lacking
+            || !cached
+            || matches!(
+                ended.fill,
+                FillOutcome::SourceRefused | FillOutcome::OriginFailed
+            )
+        {
             held.pauses += 1;
             held.not_before = now + AGAIN * f64::from(1 << held.pauses.min(MOST_DOUBLED));
             self.due.insert((held.not_before, ended.request));
@@ -560,7 +577,7 @@
             .waited
             .is_none_or(|waited| waited <= kind.of.objective);
         self.agenda.insert(ended.request);
-        if cached && ended.ending == Ending::Answered {
+        if cached && ended.outcome == AttemptOutcome::Answered {
             let (work, class, sized) = (
                 held.work,
                 held.request.class,
@@ -574,7 +591,7 @@
             .filter(|_| full)
             .into_iter()
             .for_each(|parent| parent.widen(false));
-        if parent && ended.told == Told::FilledThroughOrigin {
+        if parent && ended.fill == FillOutcome::FilledThroughOrigin {
             let origin = self.hosts.values_mut().find(|host| host.is(Role::Origin));
             origin.into_iter().for_each(|origin| origin.reach(prompt));
         }
@@ -583,19 +600,19 @@
     }
 
     // How much longer than its sending time an answer of a cache took, and what that tells of whom.
-    fn time(&mut self, out: &Out, ended: &Ended, work: f64, untold: Option<ClassId>) {
+    fn time(&mut self, out: &Out, ended: &AttemptEnded, work: f64, untold: Option<ClassId>) {
         let (now, through) = (
             self.now,
             self.origin()
-                .filter(|_| ended.told == Told::FilledThroughOrigin),
+                .filter(|_| ended.fill == FillOutcome::FilledThroughOrigin),
         );
-        let filled = Some(&out.source).filter(|_| ended.told == Told::Filled);
+        let filled = Some(&out.source).filter(|_| ended.fill == FillOutcome::Filled);
         let source = through.map(|origin| &origin.line.host).or(filled).cloned();
         let Some(cache) = self.hosts.get_mut(&out.host) else {
             return;
         };
         let pace = cache.pace(now);
-        if ended.told == Told::Held {
+        if ended.fill == FillOutcome::Hit {
             cache.time(now, ended.took.ms() / work);
             let learnt = untold.filter(|_| cache.in_hand <= cache.line.weight);
             learnt
@@ -612,14 +629,14 @@
     }
 
     // What the ended attempt gives back: places, and a cold source's budget that a hit left alone.
-    fn release(&mut self, out: &Out, ended: &Ended, cached: bool) {
+    fn release(&mut self, out: &Out, ended: &AttemptEnded, cached: bool) {
         let alive = !matches!(
-            ended.ending,
-            Ending::TimedOut
-                | Ending::NotConnected
-                | Ending::Cancelled
-                | Ending::NotSent
-                | Ending::Superseded
+            ended.outcome,
+            AttemptOutcome::TimedOut
+                | AttemptOutcome::NotConnected
+                | AttemptOutcome::Cancelled
+                | AttemptOutcome::NotSent
+                | AttemptOutcome::Superseded
         );
         self.hear_link(ended.report.link.filter(|_| cached));
         for id in BTreeSet::from([&out.host, &out.source]) {
@@ -634,7 +651,12 @@
             } else {
                 (host.heard, host.mute)
             };
-            if id != &out.host && matches!(ended.told, Told::Held | Told::Aged | Told::Joined) {
+            if id != &out.host
+                && matches!(
+                    ended.fill,
+                    FillOutcome::Hit | FillOutcome::Stale | FillOutcome::Joined
+                )
+            {
                 host.spent
                     .retain(|(_, of, index, _)| (*of, *index) != (ended.request, ended.index));
                 host.next_trial = if out.trial { self.now } else { host.next_trial };
@@ -643,11 +665,17 @@
     }
 
     // The measures of the paper's tables: latency and bandwidth of each source, reputation of all.
-    fn rate(&mut self, out: &Out, ended: &Ended, large: Option<f64>, cached: bool) {
-        let filled = matches!(ended.told, Told::Filled | Told::FilledThroughOrigin);
-        let (own, errored) = (out.source == out.host, ended.ending == Ending::Errored);
+    fn rate(&mut self, out: &Out, ended: &AttemptEnded, large: Option<f64>, cached: bool) {
+        let filled = matches!(
+            ended.fill,
+            FillOutcome::Filled | FillOutcome::FilledThroughOrigin
+        );
+        let (own, errored) = (
+            out.source == out.host,
+            ended.outcome == AttemptOutcome::Errored,
+        );
         let (behind, excused) = (cached && !own, errored && own && !cached); // a write: its client's fault?
-        if ended.ending == Ending::Answered {
+        if ended.outcome == AttemptOutcome::Answered {
             let source = Some(&out.source).filter(|_| filled && behind);
             for id in [&out.host].into_iter().chain(source) {
                 self.hosts
@@ -659,20 +687,24 @@
                 .into_iter()
                 .for_each(|_| self.measure(out, ended, large));
         }
-        let culprit = match (ended.ending, ended.told) {
-            (Ending::Answered, _) => None,
+        let culprit = match (ended.outcome, ended.fill) {
+            (AttemptOutcome::Answered, _) => None,
             // A parent that the origin fails is no worse for it: the origin's reputation pays.
-            (_, Told::OriginFailed) => self.origin().map(|origin| origin.line.host.clone()),
-            (_, Told::SourceRefused | Told::SourceUnreached) if behind => Some(out.source.clone()),
-            (Ending::Errored | Ending::NotConnected | Ending::Broken, _) if !excused => {
-                Some(out.host.clone())
+            (_, FillOutcome::OriginFailed) => self.origin().map(|origin| origin.line.host.clone()),
+            (_, FillOutcome::SourceRefused | FillOutcome::SourceUnreached) if behind => {
+                Some(out.source.clone())
             }
+            (
+                AttemptOutcome::Errored | AttemptOutcome::NotConnected | AttemptOutcome::Broken,
+                _,
+            ) if !excused => Some(out.host.clone()),
             _ => None,
         };
         // Guards against all dispatchers losing requests to each dead host: one not reached is out at once.
         let dead = matches!(
-            (ended.ending, ended.told),
-            (Ending::NotConnected, _) | (Ending::TurnedAway, Told::SourceUnreached)
+            (ended.outcome, ended.fill),
+            (AttemptOutcome::NotConnected, _)
+                | (AttemptOutcome::Rejected, FillOutcome::SourceUnreached)
         );
         culprit
             .into_iter()
@@ -698,13 +730,13 @@
         }
     }
 
-    fn measure(&mut self, out: &Out, ended: &Ended, large: Option<f64>) {
+    fn measure(&mut self, out: &Out, ended: &AttemptEnded, large: Option<f64>) {
         let Some(waited) = ended.waited else { return };
         let Some(source) = self.hosts.get_mut(&out.source) else {
             return;
         };
-        let latency =
-            Some(waited.ms()).filter(|_| source.is(Role::Origin) || ended.told == Told::Filled);
+        let latency = Some(waited.ms())
+            .filter(|_| source.is(Role::Origin) || ended.fill == FillOutcome::Filled);
         let bandwidth = large.map(|kb| kb / ended.took.less(waited).ms().max(1.0));
         (source.sampled, source.measured[0]) = ([latency, bandwidth], Some(self.now));
         self.weigh(&out.source, 0, latency);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,7 +15,7 @@
 mod request;
 mod time;
 
-pub use attempt::{Attempt, Cancel, Clearance, Ended, Ending, Told};
+pub use attempt::{Attempt, AttemptEnded, AttemptOutcome, Cancel, Clearance, FillOutcome};
 pub use decisions::Decisions;
 pub use deployment::Terms;
 pub use endpoint::{Endpoint, Health, ListKind, LoadReport, Role};
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -54,7 +54,7 @@
     pub hints: Vec<Hint>,
     /// The part of its equal share that holds for a host whose share no hint tells.
     pub by_right: f64,
-    /// How full the location's link is, as [`Ended::link`] tells it, and when that was true.
+    /// How full the location's link is, as [`LoadReport::link`] tells it, and when that was true.
     pub link: Option<(f64, Time)>,
     /// Whether the list of hosts can be trusted; if not, nothing is handed off.
     pub vouched: bool,
--- a/src/polled.rs
+++ b/src/polled.rs
@@ -6,8 +6,8 @@
 
 use crate::decision::DecisionEngine;
 use crate::{
-    Attempt, AttemptIndex, Clearance, Decisions, Ended, Ending, Endpoint, Final, GroupId, Guided,
-    ListKind, ObjectId, Observation, Request, RequestId, Span, Terms, Time,
+    Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, Clearance, Decisions, Endpoint, Final,
+    GroupId, Guided, ListKind, ObjectId, Observation, Request, RequestId, Span, Terms, Time,
 };
 
 /// What became known.
@@ -21,7 +21,7 @@
     },
     RequestArrived(Request),
     /// An answered attempt is its request's final answer.
-    AttemptEnded(Ended),
+    AttemptEnded(AttemptEnded),
     ClientLeft(RequestId),
     /// What other dispatchers tell.
     PeerHints(Guided),
@@ -81,7 +81,7 @@
                 self.engine.request(now, request)
             }
             Input::AttemptEnded(ended) => {
-                if ended.ending == Ending::Answered {
+                if ended.outcome == AttemptOutcome::Answered {
                     self.end(ended.request);
                 }
                 self.engine.attempt_ended(now, ended)
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -2,9 +2,9 @@
 
 use flaxdeck::decision::DecisionEngine;
 use flaxdeck::{
-    Attempt, AttemptIndex, Cancel, CellId, ClassId, Decisions, Ended, Ending, Endpoint, Final,
-    GroupId, Health, HostId, ListKind, LoadReport, ObjectId, Repeats, Request, RequestClass,
-    RequestId, Role, Scope, Span, Terms, Time, Told, ZoneId,
+    Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, Cancel, CellId, ClassId, Decisions,
+    Endpoint, FillOutcome, Final, GroupId, Health, HostId, ListKind, LoadReport, ObjectId, Repeats,
+    Request, RequestClass, RequestId, Role, Scope, Span, Terms, Time, ZoneId,
 };
 
 pub struct Fake {
@@ -197,27 +197,27 @@
         at
     }
 
-    pub fn end(&mut self, at: usize, ending: Ending, told: Told, waited: u64) {
-        self.end_with(at, ending, told, waited, None);
+    pub fn end(&mut self, at: usize, outcome: AttemptOutcome, fill: FillOutcome, waited: u64) {
+        self.end_with(at, outcome, fill, waited, None);
     }
 
     /// An attempt that took so many milliseconds.
-    pub fn end_after(&mut self, at: usize, ending: Ending, told: Told, took: u64) {
-        self.ended(at, ending, told, Span::ZERO, Span::from_ms(took), None);
+    pub fn end_after(&mut self, at: usize, outcome: AttemptOutcome, fill: FillOutcome, took: u64) {
+        self.ended(at, outcome, fill, Span::ZERO, Span::from_ms(took), None);
     }
 
     pub fn end_with(
         &mut self,
         at: usize,
-        ending: Ending,
-        told: Told,
+        outcome: AttemptOutcome,
+        fill: FillOutcome,
         waited: u64,
         link: Option<f64>,
     ) {
         self.ended(
             at,
-            ending,
-            told,
+            outcome,
+            fill,
             Span::from_ms(waited),
             Span::from_ms(self.took),
             link,
@@ -239,14 +239,14 @@
     fn ended(
         &mut self,
         at: usize,
-        ending: Ending,
-        told: Told,
+        outcome: AttemptOutcome,
+        fill: FillOutcome,
         waited: Span,
         took: Span,
         link: Option<f64>,
     ) {
         let (index, sent) = self.sent[at].clone();
-        let (waited, closed) = (Some(waited), ending == Ending::Answered);
+        let (waited, closed) = (Some(waited), outcome == AttemptOutcome::Answered);
         let in_hand = Some(if sent.host == host("a") {
             self.at_a
         } else {
@@ -254,14 +254,14 @@
         });
         let busy = self.busy.filter(|_| sent.host == host("a"));
         let (request, host) = (sent.request, sent.host);
-        let ended = Ended {
+        let ended = AttemptEnded {
             request,
             index,
             host,
-            ending,
+            outcome,
             took,
             closed,
-            told,
+            fill,
             waited,
             report: LoadReport {
                 link,
@@ -278,12 +278,12 @@
         &mut self,
         object: u64,
         kb: f64,
-        told: Told,
+        fill: FillOutcome,
         waited: impl Fn(&HostId) -> u64,
     ) -> HostId {
         let at = self.request_of(0, object, kb);
         let source = self.sent[at].1.source.clone();
-        self.end(at, Ending::Answered, told, waited(&source));
+        self.end(at, AttemptOutcome::Answered, fill, waited(&source));
         source
     }
 }
--- a/tests/guided.rs
+++ b/tests/guided.rs
@@ -6,8 +6,9 @@
 use fake::{host, line, terms};
 use flaxdeck::decision::DecisionEngine;
 use flaxdeck::{
-    Attempt, AttemptIndex, ClassId, Ended, Ending, Endpoint, Final, GroupId, Guided, Hint, HostId,
-    ListKind, LoadReport, ObjectId, Observation, Request, RequestId, Role, Span, Time, Told,
+    Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, ClassId, Endpoint, FillOutcome, Final,
+    GroupId, Guided, Hint, HostId, ListKind, LoadReport, ObjectId, Observation, Request, RequestId,
+    Role, Span, Time,
 };
 
 fn at(ms: u64) -> Time {
@@ -72,15 +73,15 @@
         .collect()
 }
 
-fn ended(of: &Attempt, ending: Ending, told: Told, waited: f64) -> Ended {
-    Ended {
+fn ended(of: &Attempt, outcome: AttemptOutcome, fill: FillOutcome, waited: f64) -> AttemptEnded {
+    AttemptEnded {
         request: of.request,
         index: AttemptIndex(0),
         host: of.host.clone(),
-        ending,
+        outcome,
         took: Span::of_ms(waited + 5.0),
         closed: false,
-        told,
+        fill,
         waited: Some(Span::of_ms(waited)),
         report: LoadReport::default(),
     }
@@ -107,7 +108,10 @@
         .flat_map(|id| engine.request(at(10), request(id, at(10), 0)).attempts)
         .collect();
     let of = offs.iter().find(|off| off.source == host("p")).unwrap();
-    engine.attempt_ended(at(100), ended(of, Ending::Answered, Told::Filled, 5.0));
+    engine.attempt_ended(
+        at(100),
+        ended(of, AttemptOutcome::Answered, FillOutcome::Filled, 5.0),
+    );
     engine.guided(
         at(110),
         told(vec![Hint {
@@ -280,7 +284,10 @@
             retry_after: Some(_)
         }]
     ));
-    let decisions = engine.attempt_ended(at(40), ended(&out, Ending::Answered, Told::Held, 1.0));
+    let decisions = engine.attempt_ended(
+        at(40),
+        ended(&out, AttemptOutcome::Answered, FillOutcome::Hit, 1.0),
+    );
     assert!(decisions.finals.is_empty(), "answered by its host");
     engine.guided(at(50), told(vec![]));
     assert_eq!(
--- a/tests/same.rs
+++ b/tests/same.rs
@@ -9,8 +9,8 @@
 use fake::{line, terms};
 use flaxdeck::decision::DecisionEngine;
 use flaxdeck::{
-    AttemptIndex, ClassId, Decisions, Ended, Ending, Endpoint, GroupId, Health, HostId, ListKind,
-    LoadReport, ObjectId, Request, RequestId, Role, Span, Time, Told,
+    AttemptEnded, AttemptIndex, AttemptOutcome, ClassId, Decisions, Endpoint, FillOutcome, GroupId,
+    Health, HostId, ListKind, LoadReport, ObjectId, Request, RequestId, Role, Span, Time,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -30,7 +30,7 @@
 
 /// What comes to be known later, by its time.
 enum Later {
-    Ended(Ended),
+    AttemptEnded(AttemptEnded),
     Leaves(RequestId),
 }
 
@@ -44,7 +44,7 @@
     digest: u64,
     attempts: u64,
     /// Hosts that fail, by name, and from when to when.
-    trouble: Vec<(HostId, u64, u64, Ending, Told)>,
+    trouble: Vec<(HostId, u64, u64, AttemptOutcome, FillOutcome)>,
 }
 
 /// Names that types and fields had when the decisions were recorded, by those that they have now.
@@ -81,7 +81,7 @@
             let index = AttemptIndex(*attempts);
             *attempts += 1;
             let ms = now.ms() as u64;
-            let bad = |(id, from, to, ..): &&(HostId, u64, u64, Ending, Told)| {
+            let bad = |(id, from, to, ..): &&(HostId, u64, u64, AttemptOutcome, FillOutcome)| {
                 (*from..*to).contains(&ms) && [&attempt.host, &attempt.source].contains(&id)
             };
             let (took, waited) = (
@@ -89,23 +89,25 @@
                 self.chance.random_range(0.5..60.0),
             );
             let hit = self.chance.random_bool(0.6) || attempt.source == attempt.host;
-            let (ending, told, took) = match self.trouble.iter().find(bad) {
-                Some((.., Ending::TimedOut, _)) => {
-                    (Ending::TimedOut, Told::Nothing, attempt.allow.ms())
-                }
-                Some((.., ending, told)) => (*ending, *told, 2.0),
-                None if hit => (Ending::Answered, Told::Held, took),
-                None => (Ending::Answered, Told::Filled, took + waited),
+            let (outcome, fill, took) = match self.trouble.iter().find(bad) {
+                Some((.., AttemptOutcome::TimedOut, _)) => (
+                    AttemptOutcome::TimedOut,
+                    FillOutcome::Nothing,
+                    attempt.allow.ms(),
+                ),
+                Some((.., outcome, fill)) => (*outcome, *fill, 2.0),
+                None if hit => (AttemptOutcome::Answered, FillOutcome::Hit, took),
+                None => (AttemptOutcome::Answered, FillOutcome::Filled, took + waited),
             };
-            let ended = Ended {
+            let ended = AttemptEnded {
                 request: attempt.request,
                 index,
                 host: attempt.host,
-                ending,
+                outcome,
                 took: Span::of_ms(took),
                 closed: false,
-                told,
-                waited: (told == Told::Filled).then(|| Span::of_ms(waited)),
+                fill,
+                waited: (fill == FillOutcome::Filled).then(|| Span::of_ms(waited)),
                 report: LoadReport {
                     link: self
                         .chance
@@ -119,8 +121,10 @@
                 },
             };
             self.next += 1;
-            self.later
-                .insert((now + Span::of_ms(took), self.next), Later::Ended(ended));
+            self.later.insert(
+                (now + Span::of_ms(took), self.next),
+                Later::AttemptEnded(ended),
+            );
         }
     }
 }
@@ -142,26 +146,26 @@
         lines.extend((0..count).map(|n| line(&format!("{name}{n}"), role)));
     }
     let endings = [
-        (Ending::TimedOut, Told::Nothing),
-        (Ending::NotConnected, Told::Nothing),
-        (Ending::Errored, Told::Nothing),
-        (Ending::TurnedAway, Told::SourceRefused),
-        (Ending::Broken, Told::Nothing),
-        (Ending::NoCopy, Told::NoPlace),
-        (Ending::Errored, Told::OriginFailed),
-        (Ending::Stale, Told::Nothing),
+        (AttemptOutcome::TimedOut, FillOutcome::Nothing),
+        (AttemptOutcome::NotConnected, FillOutcome::Nothing),
+        (AttemptOutcome::Errored, FillOutcome::Nothing),
+        (AttemptOutcome::Rejected, FillOutcome::SourceRefused),
+        (AttemptOutcome::Broken, FillOutcome::Nothing),
+        (AttemptOutcome::NoCopy, FillOutcome::NoSlot),
+        (AttemptOutcome::Errored, FillOutcome::OriginFailed),
+        (AttemptOutcome::Stale, FillOutcome::Nothing),
     ];
     let mut trouble = Vec::new();
     for _ in 0..6 {
         let from = 100_000 + chance.random_range(0..MS);
-        let (ending, told) = endings[chance.random_range(0..endings.len())];
+        let (outcome, fill) = endings[chance.random_range(0..endings.len())];
         let id = lines[chance.random_range(0..lines.len())].host.clone();
         trouble.push((
             id,
             from,
             from + chance.random_range(500..9_000),
-            ending,
-            told,
+            outcome,
+            fill,
         ));
     }
     let (later, attempts_of) = (BTreeMap::new(), BTreeMap::new());
@@ -183,7 +187,7 @@
         let now = Time::at_ms(100_000.0 + ms as f64);
         while let Some(entry) = day.later.first_entry().filter(|entry| entry.key().0 <= now) {
             let decisions = match entry.remove() {
-                Later::Ended(ended) => day.engine.attempt_ended(now, ended),
+                Later::AttemptEnded(ended) => day.engine.attempt_ended(now, ended),
                 Later::Leaves(request) => day.engine.client_left(now, request),
             };
             day.take(now, decisions);
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -5,9 +5,9 @@
 use fake::*;
 use flaxdeck::polled::{Input, PolledEngine, Step};
 use flaxdeck::{
-    Attempt, AttemptIndex, Cancel, ClassId, Ended, Ending, Endpoint, Final, GroupId, Health,
-    HostId, ListKind, LoadReport, ObjectId, Request, RequestClass, RequestId, Role, Span, Terms,
-    Time, Told,
+    Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, Cancel, ClassId, Endpoint, FillOutcome,
+    Final, GroupId, Health, HostId, ListKind, LoadReport, ObjectId, Request, RequestClass,
+    RequestId, Role, Span, Terms, Time,
 };
 
 fn is_parent(id: &HostId) -> bool {
@@ -22,8 +22,8 @@
         assert_eq!(one.sent[at].1.host, other.sent[there].1.host);
         assert_eq!(one.sent[at].1.source, other.sent[there].1.source);
         assert!(is_parent(&one.sent[at].1.source));
-        one.end(at, Ending::Answered, Told::Held, 0);
-        other.end(there, Ending::Answered, Told::Held, 0);
+        one.end(at, AttemptOutcome::Answered, FillOutcome::Hit, 0);
+        other.end(there, AttemptOutcome::Answered, FillOutcome::Hit, 0);
     }
 }
 
@@ -33,18 +33,18 @@
     for object in 0..40 {
         let at = fake.request(0, object);
         let bad = fake.sent[at].1.source == host("p");
-        let ending = if bad {
-            Ending::TurnedAway
+        let outcome = if bad {
+            AttemptOutcome::Rejected
         } else {
-            Ending::Answered
+            AttemptOutcome::Answered
         };
         fake.end(
             at,
-            ending,
+            outcome,
             if bad {
-                Told::SourceUnreached
+                FillOutcome::SourceUnreached
             } else {
-                Told::Filled
+                FillOutcome::Filled
             },
             20,
         );
@@ -52,7 +52,7 @@
     fake.pass(200);
     let before = fake.sent.len();
     for object in 0..40 {
-        fake.fill(object, 100.0, Told::Filled, |_| 20);
+        fake.fill(object, 100.0, FillOutcome::Filled, |_| 20);
     }
     assert!(
         fake.sent[before..]
@@ -62,7 +62,7 @@
     fake.pass(6000);
     let used = |fake: &mut Fake| {
         (0..40)
-            .filter(|o| fake.fill(*o, 100.0, Told::Filled, |_| 20) == host("p"))
+            .filter(|o| fake.fill(*o, 100.0, FillOutcome::Filled, |_| 20) == host("p"))
             .count()
     };
     assert!(
@@ -77,11 +77,11 @@
         let mut fake = Fake::new(terms(), usual());
         let waited = |id: &HostId| if *id == host("o") { origin_ms } else { 20 };
         for object in 0..100 {
-            fake.fill(object, 100.0, Told::Filled, waited);
+            fake.fill(object, 100.0, FillOutcome::Filled, waited);
             fake.pass(100);
         }
         let late = (0..40)
-            .filter(|o| fake.fill(*o, 100.0, Told::Filled, waited) == host("o"))
+            .filter(|o| fake.fill(*o, 100.0, FillOutcome::Filled, waited) == host("o"))
             .count();
         assert_eq!(
             late > 30,
@@ -102,14 +102,14 @@
     // All take 1100 ms: the wait of the origin is long, so its transfers are the quicker.
     let waited = |id: &HostId| if *id == host("o") { 800 } else { 20 };
     for object in 0..100 {
-        fake.fill(object, 1500.0, Told::Filled, waited);
+        fake.fill(object, 1500.0, FillOutcome::Filled, waited);
         fake.pass(100);
     }
     let large = (0..40)
-        .filter(|o| fake.fill(*o, 1500.0, Told::Filled, waited) == host("o"))
+        .filter(|o| fake.fill(*o, 1500.0, FillOutcome::Filled, waited) == host("o"))
         .count();
     let small = (0..40)
-        .filter(|o| fake.fill(*o, 100.0, Told::Filled, waited) == host("o"))
+        .filter(|o| fake.fill(*o, 100.0, FillOutcome::Filled, waited) == host("o"))
         .count();
     assert!(
         large > 30 && small < 3,
@@ -125,7 +125,7 @@
     fake.pass(1500);
     assert_eq!(fake.sent.len(), 2, "a second copy beside the silent one");
     assert_ne!(fake.sent[1].1.host, cache);
-    fake.end(1, Ending::Answered, Told::Held, 0);
+    fake.end(1, AttemptOutcome::Answered, FillOutcome::Hit, 0);
     assert_eq!(
         fake.cancels,
         vec![Cancel {
@@ -138,7 +138,7 @@
     fake.request(0, 1);
     for _ in 0..15 {
         fake.pass(100);
-        fake.fill(1, 100.0, Told::Filled, |_| 20);
+        fake.fill(1, 100.0, FillOutcome::Filled, |_| 20);
     }
     assert_eq!(
         fake.sent.len(),
@@ -153,17 +153,17 @@
     for object in 0..6 {
         let at = fake.request(0, object);
         let cache = fake.sent[at].1.host.clone();
-        fake.end(at, Ending::Stale, Told::Nothing, 0);
+        fake.end(at, AttemptOutcome::Stale, FillOutcome::Nothing, 0);
         assert_eq!(
             fake.sent[at + 1].1.host,
             cache,
             "at once, to the same cache"
         );
-        fake.end(at + 1, Ending::Answered, Told::Held, 0);
+        fake.end(at + 1, AttemptOutcome::Answered, FillOutcome::Hit, 0);
     }
     let at = fake.request(1, 1);
     assert!(fake.sent[at].1.fresh);
-    fake.end(at, Ending::Stale, Told::Nothing, 0);
+    fake.end(at, AttemptOutcome::Stale, FillOutcome::Nothing, 0);
     assert_eq!(
         fake.finals,
         vec![Final::Failed {
@@ -179,7 +179,7 @@
     for object in 0..4 {
         let at = fake.request(1, object);
         assert_eq!(fake.sent[at].1.host, host("o"));
-        fake.end(at, Ending::Errored, Told::Nothing, 0);
+        fake.end(at, AttemptOutcome::Errored, FillOutcome::Nothing, 0);
     }
     let at = fake.request(0, 9);
     assert!(!fake.sent[at].1.only_held, "the fault may be the client's");
@@ -192,7 +192,7 @@
     let mut fake = Fake::new(terms(), hosts);
     let homes = |fake: &mut Fake| -> Vec<HostId> {
         let first = fake.sent.len();
-        (0..40).for_each(|object| drop(fake.fill(object, 100.0, Told::Held, |_| 20)));
+        (0..40).for_each(|object| drop(fake.fill(object, 100.0, FillOutcome::Hit, |_| 20)));
         fake.sent[first..]
             .iter()
             .map(|(_, sent)| sent.host.clone())
@@ -204,7 +204,7 @@
         let finals = fake.finals.len();
         while fake.finals.len() == finals {
             while at < fake.sent.len() {
-                fake.end(at, Ending::Errored, Told::Nothing, 0);
+                fake.end(at, AttemptOutcome::Errored, FillOutcome::Nothing, 0);
                 at += 1;
             }
             fake.pass(1);
@@ -216,19 +216,19 @@
 #[test]
 fn caches_that_fail_every_request_are_put_out_of_use() {
     let mut fake = Fake::new(terms(), usual());
-    (0..40).for_each(|object| drop(fake.fill(object, 100.0, Told::Held, |_| 20)));
+    (0..40).for_each(|object| drop(fake.fill(object, 100.0, FillOutcome::Hit, |_| 20)));
     let mut at = fake.sent.len();
     for object in 0..10 {
         fake.request(0, object);
         for _ in 0..1000 {
             while at < fake.sent.len() {
                 let cache = [host("a"), host("bb")].contains(&fake.sent[at].1.host);
-                let ending = if cache {
-                    Ending::Errored
+                let outcome = if cache {
+                    AttemptOutcome::Errored
                 } else {
-                    Ending::Answered
+                    AttemptOutcome::Answered
                 };
-                fake.end(at, ending, Told::Nothing, 0);
+                fake.end(at, outcome, FillOutcome::Nothing, 0);
                 at += 1;
             }
             fake.pass(1);
@@ -246,12 +246,16 @@
 
 #[test]
 fn an_at_most_once_request_that_may_have_run_is_never_sent_again_nor_rejected() {
-    for ending in [Ending::TimedOut, Ending::Errored, Ending::Broken] {
+    for outcome in [
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::Errored,
+        AttemptOutcome::Broken,
+    ] {
         let mut fake = Fake::new(terms(), usual());
         let at = fake.request(1, 1);
         assert_eq!(fake.sent[at].1.host, host("o"));
         fake.pass(2000);
-        fake.end(at, ending, Told::Nothing, 0);
+        fake.end(at, outcome, FillOutcome::Nothing, 0);
         fake.pass(3000);
         assert_eq!(fake.sent.len(), 1);
         assert_eq!(
@@ -263,7 +267,7 @@
     }
     let mut fake = Fake::new(terms(), usual());
     let at = fake.request(1, 1);
-    fake.end(at, Ending::TurnedAway, Told::Nothing, 0);
+    fake.end(at, AttemptOutcome::Rejected, FillOutcome::Nothing, 0);
     fake.pass(200);
     assert_eq!(fake.sent.len(), 2, "a refusal proves that nothing ran");
 }
@@ -276,7 +280,7 @@
     for object in 0..20 {
         let at = fake.request(2, object);
         let first = fake.sent[at].1.host.clone();
-        fake.end(at, Ending::Errored, Told::Nothing, 0);
+        fake.end(at, AttemptOutcome::Errored, FillOutcome::Nothing, 0);
         for (_, again) in &fake.sent[at + 1..] {
             assert_eq!(
                 again.host.0.len(),
@@ -310,7 +314,7 @@
         draining("p", Role::Parent),
     ]);
     for object in 0..40 {
-        fake.fill(object, 100.0, Told::Filled, |_| 20);
+        fake.fill(object, 100.0, FillOutcome::Filled, |_| 20);
     }
     assert!(
         fake.sent
@@ -329,7 +333,7 @@
     };
     fake.list(vec![cold("a", Role::Cache), cold("p", Role::Parent)]);
     for object in 0..400 {
-        fake.fill(object, 100.0, Told::Filled, |_| 20);
+        fake.fill(object, 100.0, FillOutcome::Filled, |_| 20);
     }
     let at_cache = fake
         .sent
@@ -377,7 +381,7 @@
         let oldest = fake.sent[at].1.oldest;
         assert_eq!(oldest.is_some(), held_to, "object {object}");
         assert!(oldest.is_none_or(|oldest| oldest < fake.now.since(made)));
-        fake.end(at, Ending::Answered, Told::Held, 0);
+        fake.end(at, AttemptOutcome::Answered, FillOutcome::Hit, 0);
     }
     fake.pass(8000);
     let at = fake.request(0, 1);
@@ -408,10 +412,22 @@
 fn while_the_link_is_full_only_hits_are_asked_for_and_known_misses_are_rejected() {
     let mut fake = Fake::new(terms(), usual());
     let at = fake.request(0, 1);
-    fake.end_with(at, Ending::Answered, Told::Held, 0, Some(20.0));
+    fake.end_with(
+        at,
+        AttemptOutcome::Answered,
+        FillOutcome::Hit,
+        0,
+        Some(20.0),
+    );
     let at = fake.request(0, 2);
     assert_eq!(fake.sent[at].1.source, fake.sent[at].1.host, "no fill");
-    fake.end_with(at, Ending::NoCopy, Told::Nothing, 0, Some(20.0));
+    fake.end_with(
+        at,
+        AttemptOutcome::NoCopy,
+        FillOutcome::Nothing,
+        0,
+        Some(20.0),
+    );
     fake.pass(150);
     assert_eq!(fake.sent.len(), at + 1, "the known miss goes nowhere");
     assert!(
@@ -425,7 +441,13 @@
         "its client is told at once"
     );
     let hit = fake.request(0, 3);
-    fake.end_with(hit, Ending::Answered, Told::Held, 0, Some(0.5));
+    fake.end_with(
+        hit,
+        AttemptOutcome::Answered,
+        FillOutcome::Hit,
+        0,
+        Some(0.5),
+    );
     fake.request(0, 2);
     assert!(
         is_parent(&fake.sent.last().unwrap().1.source),
@@ -438,7 +460,7 @@
     let mut fake = Fake::new(terms(), usual());
     for object in 0..3 {
         let at = fake.request(0, object);
-        fake.end(at, Ending::TurnedAway, Told::OriginFailed, 900);
+        fake.end(at, AttemptOutcome::Rejected, FillOutcome::OriginFailed, 900);
     }
     let at = fake.request(0, 9);
     assert!(
@@ -446,7 +468,7 @@
         "and no parent is blamed"
     );
     let request = fake.sent[at].1.request;
-    fake.end(at, Ending::NoCopy, Told::SourceLacks, 20);
+    fake.end(at, AttemptOutcome::NoCopy, FillOutcome::SourceLacks, 20);
     fake.pass(150);
     assert!(
         fake.sent[at + 1..]
@@ -534,7 +556,7 @@
 fn small_requests_without_a_fill_weigh_the_mean_at_a_cold_cache() {
     let mut fake = Fake::new(terms(), usual());
     for object in 0..200 {
-        fake.fill(object, 100.0, Told::Held, |_| 0);
+        fake.fill(object, 100.0, FillOutcome::Hit, |_| 0);
     }
     fake.pass(3000);
     fake.list(vec![Endpoint {
@@ -544,7 +566,13 @@
     let before = fake.sent.len();
     for object in 0..400 {
         let at = fake.request_of(0, object, 10.0);
-        fake.end_with(at, Ending::Answered, Told::Held, 0, Some(20.0));
+        fake.end_with(
+            at,
+            AttemptOutcome::Answered,
+            FillOutcome::Hit,
+            0,
+            Some(20.0),
+        );
     }
     let at_cache = fake.sent[before..]
         .iter()
@@ -588,7 +616,7 @@
     );
     (fake.at_a, fake.elsewhere, fake.took) = (at_a, elsewhere, 20);
     let mut host_of = |object| {
-        fake.fill(object, 20.0, Told::Held, |_| 0);
+        fake.fill(object, 20.0, FillOutcome::Hit, |_| 0);
         fake.sent.last().unwrap().1.host.clone()
     };
     (0..10).for_each(|object| _ = host_of(object));
@@ -640,15 +668,20 @@
     let mut fake = Fake::new(terms(), usual());
     let at = fake.request(0, 1);
     let dead = fake.sent[at].1.source.clone();
-    fake.end(at, Ending::TurnedAway, Told::SourceUnreached, 400);
+    fake.end(
+        at,
+        AttemptOutcome::Rejected,
+        FillOutcome::SourceUnreached,
+        400,
+    );
     assert_eq!(
         fake.sent[at + 1].1.source,
         host("o"),
         "at once, without a pause"
     );
-    fake.end(at + 1, Ending::Answered, Told::Filled, 20);
+    fake.end(at + 1, AttemptOutcome::Answered, FillOutcome::Filled, 20);
     let used = (2..40)
-        .filter(|object| fake.fill(*object, 100.0, Told::Filled, |_| 20) == dead)
+        .filter(|object| fake.fill(*object, 100.0, FillOutcome::Filled, |_| 20) == dead)
         .count();
     assert_eq!(used, 0, "one failure is enough");
 }
@@ -667,17 +700,17 @@
     for refusals in 1..3 {
         fake.end(
             at + refusals - 1,
-            Ending::TurnedAway,
-            Told::SourceRefused,
+            AttemptOutcome::Rejected,
+            FillOutcome::SourceRefused,
             20,
         );
         assert_eq!(fake.sent.len(), at + refusals, "not at once");
         fake.pass(250);
         assert_eq!(fake.sent[at + refusals].1.source, full);
     }
-    fake.end(at + 2, Ending::Answered, Told::Filled, 20);
+    fake.end(at + 2, AttemptOutcome::Answered, FillOutcome::Filled, 20);
     let used = (2..40)
-        .filter(|object| fake.fill(*object, 100.0, Told::Filled, |_| 20) == full)
+        .filter(|object| fake.fill(*object, 100.0, FillOutcome::Filled, |_| 20) == full)
         .count();
     assert!(used > 8, "{used} of 38: its other objects stay as well");
 }
@@ -690,15 +723,20 @@
     for object in 2..6 {
         fake.end(
             fake.sent.len() - 1,
-            Ending::TurnedAway,
-            Told::SourceRefused,
+            AttemptOutcome::Rejected,
+            FillOutcome::SourceRefused,
             20,
         );
         fake.pass(250);
         assert_eq!(fake.sent.last().unwrap().1.source, host("o"));
-        fake.end(fake.sent.len() - 1, Ending::Answered, Told::Filled, 20);
+        fake.end(
+            fake.sent.len() - 1,
+            AttemptOutcome::Answered,
+            FillOutcome::Filled,
+            20,
+        );
         let next = (object * 100..object * 100 + 40)
-            .find(|object| fake.fill(*object, 100.0, Told::Filled, |_| 20) == full);
+            .find(|object| fake.fill(*object, 100.0, FillOutcome::Filled, |_| 20) == full);
         fake.request(0, next.unwrap());
         assert_eq!(fake.sent.last().unwrap().1.source, full);
     }
@@ -715,7 +753,7 @@
     );
     for object in 0..20 {
         let at = fake.request(0, object);
-        fake.end(at, Ending::TurnedAway, Told::SourceRefused, 20);
+        fake.end(at, AttemptOutcome::Rejected, FillOutcome::SourceRefused, 20);
     }
     let before = fake.sent.len();
     (100..110).for_each(|object| _ = fake.request(0, object));
@@ -740,7 +778,7 @@
         for object in 0..30 {
             let at = fake.request(0, object);
             fake.pass(slow);
-            fake.end(at, Ending::Answered, Told::Filled, 20);
+            fake.end(at, AttemptOutcome::Answered, FillOutcome::Filled, 20);
         }
         let before = fake.sent.len();
         (100..130).for_each(|object| _ = fake.request(0, object));
@@ -764,7 +802,7 @@
     let mut first = 0;
     let mut fetched_after = |waited: u64| {
         (first..first + 30)
-            .for_each(|n| _ = fake.fill(n, 100.0, Told::FilledThroughOrigin, |_| waited));
+            .for_each(|n| _ = fake.fill(n, 100.0, FillOutcome::FilledThroughOrigin, |_| waited));
         let before = fake.sent.len();
         (first + 100..first + 120).for_each(|object| _ = fake.request(0, object));
         let (leave, sent) = (fake.sent.len() - before, &fake.sent[before..]);
@@ -772,7 +810,8 @@
             .iter()
             .filter(|(_, sent)| is_parent(&sent.source) && !sent.only_held)
             .count();
-        (0..leave).for_each(|n| fake.end(before + n, Ending::Answered, Told::Held, 20));
+        (0..leave)
+            .for_each(|n| fake.end(before + n, AttemptOutcome::Answered, FillOutcome::Hit, 20));
         first += 1000;
         fetched
     };
@@ -848,7 +887,7 @@
         let answered: Vec<usize> = (from..fake.sent.len()).filter(elsewhere).collect();
         answered
             .into_iter()
-            .for_each(|at| fake.end(at, Ending::Answered, Told::Held, 0));
+            .for_each(|at| fake.end(at, AttemptOutcome::Answered, FillOutcome::Hit, 0));
         fake.sent.len()
     };
     for object in 2..20 {
@@ -862,7 +901,7 @@
     );
     let mut seen = answer_elsewhere(&mut fake, 1);
     fake.pass(5);
-    fake.end(one, Ending::Answered, Told::Held, 0); // its last word
+    fake.end(one, AttemptOutcome::Answered, FillOutcome::Hit, 0); // its last word
     for _ in 0..1500 {
         fake.pass(1);
         seen = answer_elsewhere(&mut fake, seen);
@@ -914,16 +953,21 @@
             [request],
             "given up, but nobody has asked yet"
         );
-        let (ending, closed, told, took) = (Ending::Answered, true, Told::Held, Span::from_ms(899));
+        let (outcome, closed, fill, took) = (
+            AttemptOutcome::Answered,
+            true,
+            FillOutcome::Hit,
+            Span::from_ms(899),
+        );
         let host = sent.host;
-        let ended = Ended {
+        let ended = AttemptEnded {
             request,
             index,
             host,
-            ending,
+            outcome,
             took,
             closed,
-            told,
+            fill,
             waited: None,
             report: LoadReport::default(),
         };
@@ -985,7 +1029,7 @@
             index: AttemptIndex(0)
         }]
     );
-    fake.end(at, Ending::Cancelled, Told::Nothing, 0);
+    fake.end(at, AttemptOutcome::Cancelled, FillOutcome::Nothing, 0);
     assert_ne!(fake.sent[1].1.host, cache, "at once, elsewhere");
 
     let mut fake = Fake::new(single(), usual());
@@ -996,7 +1040,7 @@
     );
     for _ in 0..30 {
         fake.pass(100);
-        fake.fill(1, 100.0, Told::Filled, |_| 20);
+        fake.fill(1, 100.0, FillOutcome::Filled, |_| 20);
     }
     assert_eq!(
         fake.cancels,
@@ -1015,7 +1059,7 @@
         let mut fake = Fake::new(single(), usual().into_iter().map(wide).collect());
         for object in 0..200 {
             let at = fake.untold(object);
-            fake.end_after(at, Ending::Answered, Told::Held, took);
+            fake.end_after(at, AttemptOutcome::Answered, FillOutcome::Hit, took);
         }
         fake.list(vec![Endpoint {
             started: Some(fake.now),
@@ -1085,8 +1129,8 @@
             there += u32::from(slow);
             fake.end_after(
                 at,
-                Ending::Answered,
-                Told::Held,
+                AttemptOutcome::Answered,
+                FillOutcome::Hit,
                 if slow { took } else { 100 },
             );
         }
@@ -1119,7 +1163,7 @@
         );
         for object in 0..20 {
             let at = fake.request(0, object);
-            fake.end_after(at, Ending::Answered, Told::Filled, took);
+            fake.end_after(at, AttemptOutcome::Answered, FillOutcome::Filled, took);
         }
         let before = fake.sent.len();
         (100..140).for_each(|object| _ = fake.request(0, object));
@@ -1196,7 +1240,13 @@
         fake.sent[at].1.oldest, None,
         "a miss would be filled: the class's fresh time"
     );
-    fake.end_with(at, Ending::Answered, Told::Held, 0, Some(30.0));
+    fake.end_with(
+        at,
+        AttemptOutcome::Answered,
+        FillOutcome::Hit,
+        0,
+        Some(30.0),
+    );
     let at = fake.request(0, 2);
     assert_eq!(
         fake.sent[at].1.source, fake.sent[at].1.host,
@@ -1244,7 +1294,7 @@
         );
         (fake.at_a, fake.busy) = (14.0, Some(busy));
         let at = |fake: &mut Fake, object| {
-            fake.fill(object, 100.0, Told::Held, |_| 0);
+            fake.fill(object, 100.0, FillOutcome::Hit, |_| 0);
             fake.sent.last().unwrap().1.host == host("a")
         };
         (0..60).for_each(|object| _ = at(&mut fake, object));
