--- a/crates/flaxdeck-cli/src/levels.rs
+++ b/crates/flaxdeck-cli/src/levels.rs
@@ -5,7 +5,7 @@
 
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
 use flaxdeck_emulator::{Kind, Layout, Load, Manner, World};
-use flaxdeck_invariants::Seen;
+use flaxdeck_invariants::RecordedEvent;
 
 use crate::Stop;
 
@@ -147,8 +147,8 @@
             .unwrap_or(0.0)
     };
     let failing = (begins + FAILS_AT)..(begins + MENDED_AT);
-    let arrived = |(at, seen): &&(f64, Seen)| {
-        failing.contains(at) && matches!(seen, Seen::Arrived { host } if *host == parent)
+    let arrived = |(at, seen): &&(f64, RecordedEvent)| {
+        failing.contains(at) && matches!(seen, RecordedEvent::Arrived { host } if *host == parent)
     };
     let offs: Vec<f64> = record
         .iter()
--- a/crates/flaxdeck-control/examples/size.rs
+++ b/crates/flaxdeck-control/examples/size.rs
@@ -5,9 +5,10 @@
 
 use flaxdeck::decision::DecisionEngine;
 use flaxdeck::{
-    AttemptEnded, AttemptIndex, AttemptOutcome, CellId, ClassId, Endpoint, FillOutcome, GroupId,
-    Guided, Health, Hint, HostId, ListKind, LoadReport, ObjectId, Repeats, Request, RequestClass,
-    RequestId, Role, Span, Terms, Time, ZoneId,
+    AttemptEnded, AttemptIndex, AttemptOutcome, CellId, ClassId, DeploymentTerms, Endpoint,
+    FillOutcome, GroupId, Health, HostId, ListKind, LoadReport, ObjectId, PeerHint, PeerHints,
+    Repeats, Request, RequestClass, RequestId, Role, Sampled, SourceMeasurements, Span, Time,
+    WarmupQuota, ZoneId,
 };
 use flaxdeck_control::forwarder::{Guide, Stance};
 use flaxdeck_control::membership::PlannerId;
@@ -141,7 +142,7 @@
     );
 }
 
-fn terms() -> Terms {
+fn terms() -> DeploymentTerms {
     let class = RequestClass {
         objective: Span::from_ms(500),
         stretch: 2.0,
@@ -151,7 +152,7 @@
         fresh: None,
         older: Span::ZERO,
     };
-    Terms {
+    DeploymentTerms {
         classes: vec![class],
         zone: ZoneId(0),
         zone_dispatchers: vec![8, 0],
@@ -206,23 +207,32 @@
     for n in 0..PULLS {
         let now = at(5_000 + n);
         if guided && n.is_multiple_of(200) {
-            let hint = |n: u64| Hint {
+            let hint = |n: u64| PeerHint {
                 host: HostId(format!("s-{n:08x}").into()),
-                share: n.is_multiple_of(20).then(|| (Some(at(0)), 0.3)),
-                measures: [Some(8.0), None],
-                measured: Some(now - Span::from_ms(100)),
-                down: None,
-                good: Some(now - Span::from_ms(50)),
+                quota: n.is_multiple_of(20).then(|| WarmupQuota {
+                    started: Some(at(0)),
+                    fraction: 0.3,
+                }),
+                measurements: SourceMeasurements {
+                    latency: Some(8.0),
+                    bandwidth: None,
+                },
+                measured_at: Some(now - Span::from_ms(100)),
+                down_at: None,
+                last_success: Some(now - Span::from_ms(50)),
                 window: None,
-                others: Some((3.0, now)),
+                others_in_flight: Some(Sampled {
+                    value: 3.0,
+                    at: now,
+                }),
             };
             engine.guided(
                 now,
-                Guided {
+                PeerHints {
                     hints: (0..hosts).map(hint).collect(),
-                    by_right: 1.0,
+                    unhinted_share: 1.0,
                     link: None,
-                    vouched: true,
+                    list_trusted: true,
                 },
             );
         }
--- a/crates/flaxdeck-control/src/forwarder.rs
+++ b/crates/flaxdeck-control/src/forwarder.rs
@@ -4,7 +4,10 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck::{Guided, Hint, HostId, Observation, Span, Time, ZoneId};
+use flaxdeck::{
+    HostId, Observation, PeerHint, PeerHints, Sampled, SourceMeasurements, Span, Time, WarmupQuota,
+    ZoneId,
+};
 use flaxdeck_recovery::Mark;
 
 use crate::membership::{self, Known, PlannerId, Refused};
@@ -92,11 +95,11 @@
     /// Ratings that the decision engine has not heard, with the time at which they were true.
     news: BTreeMap<String, (Time, Rating)>,
     /// What others have out at cold hosts, and when that was true.
-    others: BTreeMap<Life, (f64, Time)>,
+    others: BTreeMap<Life, Sampled<f64>>,
     /// This location's link as heard here, and as heard by others.
     zone: u32,
-    link: Option<(f64, Time)>,
-    link_told: Option<(f64, Time)>,
+    link: Option<Sampled<f64>>,
+    link_told: Option<Sampled<f64>>,
     /// When the coordinator itself was last heard and known to be followed; none since the start.
     coordinator: Option<Time>,
     /// None while every report is due at each tick and tells all.
@@ -177,7 +180,7 @@
             return true;
         };
         let urgent = |observation: &Observation| {
-            observation.cold.is_some() || observation.bad.is_some_and(|bad| bad > last)
+            observation.warmup.is_some() || observation.last_failure.is_some_and(|bad| bad > last)
         };
         side.echo.is_none()
             || now.since(last) >= sparing.idle_every
@@ -220,14 +223,17 @@
     pub fn stand(&mut self, now: Time, observations: &[Observation]) {
         let by_right = self.by_right();
         let cold = observations.iter().filter_map(|observation| {
-            let used = observation.cold.as_ref()?;
-            let (right, life) = (Parts::below(used.right * by_right), life_of(observation));
-            let (spent, wished) = (Parts::above(used.spent), Parts::above(used.wished));
+            let used = observation.warmup.as_ref()?;
+            let (right, life) = (
+                Parts::below(used.equal_share * by_right),
+                life_of(observation),
+            );
+            let (spent, wished) = (Parts::above(used.used), Parts::above(used.unmet));
             Some(Cold {
                 life,
                 right,
                 spent,
-                in_hand: observation.in_hand.clamp(0.0, 65_535.0) as u16,
+                in_hand: observation.in_flight.clamp(0.0, 65_535.0) as u16,
                 wished,
             })
         });
@@ -235,7 +241,7 @@
     }
 
     /// Takes in how full the location's link was when last heard here.
-    pub fn link(&mut self, zone: ZoneId, link: Option<(f64, Time)>) {
+    pub fn link(&mut self, zone: ZoneId, link: Option<Sampled<f64>>) {
         (self.zone, self.link) = (zone.0 as u32, link);
     }
 
@@ -259,18 +265,22 @@
         let last = side.reported.replace(now);
         let newer = |at: Option<Time>| at.is_some_and(|at| last.is_none_or(|last| at > last));
         let news = |observation: &&Observation| {
-            [observation.measured, observation.good, observation.bad]
-                .into_iter()
-                .any(newer)
+            [
+                observation.measured_at,
+                observation.last_success,
+                observation.last_failure,
+            ]
+            .into_iter()
+            .any(newer)
         };
         let mut told: Vec<&Observation> = observations.iter().filter(news).collect();
         told.sort_by_key(|observation| {
-            std::cmp::Reverse(observation.bad.filter(|bad| newer(Some(*bad))))
+            std::cmp::Reverse(observation.last_failure.filter(|bad| newer(Some(*bad))))
         });
         if let Some(sparing) = &self.sparing {
             let failed = told
                 .iter()
-                .take_while(|observation| newer(observation.bad))
+                .take_while(|observation| newer(observation.last_failure))
                 .count();
             let others = if sparing.subscribed_to == Some(to) {
                 RARE_MOST
@@ -286,15 +296,16 @@
         let ago = |at: Time| ms_up(now.since(at));
         let sample = |observation: &Observation| Sample {
             host: observation.host.0.to_string(),
-            measures: if newer(observation.measured) {
-                observation.measures.map(|m| m.map(|m| m as f32))
+            measures: if newer(observation.measured_at) {
+                let SourceMeasurements { latency, bandwidth } = observation.measurements;
+                [latency, bandwidth].map(|measure| measure.map(|measure| measure as f32))
             } else {
                 [None; 2]
             },
-            measured_ago_ms: observation.measured.map_or(0, ago),
-            good_ago_ms: observation.good.map(ago),
-            bad_ago_ms: observation.bad.map(ago),
-            in_hand: observation.in_hand.clamp(0.0, 65_535.0) as u16,
+            measured_ago_ms: observation.measured_at.map_or(0, ago),
+            good_ago_ms: observation.last_success.map(ago),
+            bad_ago_ms: observation.last_failure.map(ago),
+            in_hand: observation.in_flight.clamp(0.0, 65_535.0) as u16,
         };
         self.counted.reports += 1;
         let (from, sent) = (self.epoch, Stamp::of(now));
@@ -311,7 +322,7 @@
             subscribes: self.sparing.is_some(),
             version: side.version,
             zone: self.zone,
-            link: self.link.map(|(full, at)| Fullness {
+            link: self.link.map(|Sampled { value: full, at }| Fullness {
                 full: full as f32,
                 ago_ms: ago(at),
             }),
@@ -358,11 +369,14 @@
             .filter(|_| guidance.upto == Some(last));
         self.sides[from.0 as usize].vouched = followed.map(|told| true_at - ago(told));
         let ago = |link: Fullness| true_at - Span::from_ms(u64::from(link.ago_ms));
-        let told = guidance.link.map(|link| (f64::from(link.full), ago(link)));
+        let told = guidance.link.map(|link| Sampled {
+            value: f64::from(link.full),
+            at: ago(link),
+        });
         self.link_told = [self.link_told, told]
             .into_iter()
             .flatten()
-            .max_by_key(|(_, at)| *at);
+            .max_by_key(|link| link.at);
         for rating in guidance.ratings {
             self.news.insert(rating.host.clone(), (true_at, rating));
         }
@@ -409,8 +423,13 @@
             if word.wanted {
                 self.shares.wanted(now, echo, &word.life);
             }
-            self.others
-                .insert(word.life.clone(), (f64::from(word.others), echo));
+            self.others.insert(
+                word.life.clone(),
+                Sampled {
+                    value: f64::from(word.others),
+                    at: echo,
+                },
+            );
         }
         // Once it has lent itself, what an earlier run lent is of no more interest.
         let owes = guidance
@@ -435,34 +454,38 @@
     }
 
     /// What the decision engine is to be told now.
-    pub fn hints(&mut self, now: Time) -> Guided {
-        let bare = |host: &str| Hint {
+    pub fn hints(&mut self, now: Time) -> PeerHints {
+        let bare = |host: &str| PeerHint {
             host: HostId(host.into()),
-            share: None,
-            measures: [None; 2],
-            measured: None,
-            down: None,
-            good: None,
+            quota: None,
+            measurements: SourceMeasurements::default(),
+            measured_at: None,
+            down_at: None,
+            last_success: None,
             window: None,
-            others: None,
+            others_in_flight: None,
         };
         let start = |life: &Life| (life.started > 0).then(|| Time::at_ms(life.started as f64));
         self.others
-            .retain(|_, (_, true_at)| now.since(*true_at) < membership::SILENT);
-        let shares = self.shares.uses(now).map(|(life, parts)| Hint {
-            share: Some((start(life), parts.share())),
-            others: self.others.get(life).copied(),
+            .retain(|_, others| now.since(others.at) < membership::SILENT);
+        let shares = self.shares.uses(now).map(|(life, parts)| PeerHint {
+            quota: Some(WarmupQuota {
+                started: start(life),
+                fraction: parts.share(),
+            }),
+            others_in_flight: self.others.get(life).copied(),
             ..bare(&life.host)
         });
-        let mut hints: Vec<Hint> = shares.collect();
+        let mut hints: Vec<PeerHint> = shares.collect();
         for (true_at, rating) in std::mem::take(&mut self.news).into_values() {
             if now.since(true_at) < STALE {
                 let ago = |ms: u32| true_at - Span::from_ms(u64::from(ms));
-                hints.push(Hint {
-                    measures: rating.measures.map(|measure| measure.map(f64::from)),
-                    measured: Some(ago(rating.measured_ago_ms)),
-                    down: rating.down_ago_ms.map(ago),
-                    good: rating.good_ago_ms.map(ago),
+                let [latency, bandwidth] = rating.measures.map(|measure| measure.map(f64::from));
+                hints.push(PeerHint {
+                    measurements: SourceMeasurements { latency, bandwidth },
+                    measured_at: Some(ago(rating.measured_ago_ms)),
+                    down_at: rating.down_ago_ms.map(ago),
+                    last_success: rating.good_ago_ms.map(ago),
                     window: rating.window.map(f64::from),
                     ..bare(&rating.host)
                 });
@@ -473,11 +496,11 @@
         } else {
             0.0
         };
-        Guided {
+        PeerHints {
             hints,
-            by_right,
+            unhinted_share: by_right,
             link: self.link_told,
-            vouched: self.informed(now) != Informed::Blind,
+            list_trusted: self.informed(now) != Informed::Blind,
         }
     }
 
--- a/crates/flaxdeck-control/tests/sparing.rs
+++ b/crates/flaxdeck-control/tests/sparing.rs
@@ -1,7 +1,7 @@
 //! Reports and guidance of a forwarder that hears of events by a subscription: only as often, and as much, as there is
 //! something to say.
 
-use flaxdeck::{HostId, Observation, Span, Time, Used};
+use flaxdeck::{HostId, Observation, SourceMeasurements, Span, Time, WarmupUsage};
 use flaxdeck_control::forwarder::{Guide, Stance};
 use flaxdeck_control::membership::PlannerId;
 use flaxdeck_control::messages::{Epoch, RARE_MOST, Relayed, SeatId};
@@ -42,16 +42,18 @@
 }
 
 fn observation(n: u32, measured: Option<Time>, bad: Option<Time>) -> Observation {
-    let measures = [measured.map(|_| 10.0 + f64::from(n)), None];
     Observation {
         host: host(n),
         started: None,
-        measures,
-        measured,
-        good: measured,
-        bad,
-        in_hand: 0.0,
-        cold: None,
+        measurements: SourceMeasurements {
+            latency: measured.map(|_| 10.0 + f64::from(n)),
+            bandwidth: None,
+        },
+        measured_at: measured,
+        last_success: measured,
+        last_failure: bad,
+        in_flight: 0.0,
+        warmup: None,
     }
 }
 
@@ -96,13 +98,13 @@
     assert!(guide.is_report_due(at(1_500), FOLLOWED, &well));
     let failed = [observation(3, None, Some(at(150)))];
     assert!(guide.is_report_due(at(200), FOLLOWED, &failed));
-    let used = Used {
-        right: 0.5,
-        spent: 0.0,
-        wished: 0.0,
+    let used = WarmupUsage {
+        equal_share: 0.5,
+        used: 0.0,
+        unmet: 0.0,
     };
     let cold = [Observation {
-        cold: Some(used),
+        warmup: Some(used),
         ..observation(3, None, None)
     }];
     assert!(guide.is_report_due(at(200), FOLLOWED, &cold));
@@ -134,7 +136,7 @@
     assert_eq!(told.len(), HOSTS as usize, "each has its turn");
     let now = at(20_000);
     let mut observations = measured(now);
-    observations[7].bad = Some(now);
+    observations[7].last_failure = Some(now);
     let report = guide.report(now, OTHER, &observations, Mark::NONE);
     assert_eq!(
         report
--- a/crates/flaxdeck-control/tests/two_levels.rs
+++ b/crates/flaxdeck-control/tests/two_levels.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck::{HostId, Observation, Span, Time, Used, ZoneId};
+use flaxdeck::{HostId, Observation, Sampled, SourceMeasurements, Span, Time, WarmupUsage, ZoneId};
 use flaxdeck_control::forwarder::{Guide, Informed, Stance};
 use flaxdeck_control::membership::{PlannerId, Refused};
 use flaxdeck_control::messages::{Epoch, Grant, Guidance, Life, Rating, Relayed, Report, SeatId};
@@ -43,24 +43,24 @@
 }
 
 /// A host as a forwarder sees it.
-fn observation(cold: Option<Used>) -> Observation {
+fn observation(cold: Option<WarmupUsage>) -> Observation {
     Observation {
         host: HostId("s-1".into()),
         started: Some(at(0)),
-        measures: [None; 2],
-        measured: None,
-        good: None,
-        bad: None,
-        in_hand: 0.0,
-        cold,
+        measurements: SourceMeasurements::default(),
+        measured_at: None,
+        last_success: None,
+        last_failure: None,
+        in_flight: 0.0,
+        warmup: cold,
     }
 }
 
-fn cold(right: f64, spent: f64, wished: f64) -> Option<Used> {
-    Some(Used {
-        right,
-        spent,
-        wished,
+fn cold(right: f64, spent: f64, wished: f64) -> Option<WarmupUsage> {
+    Some(WarmupUsage {
+        equal_share: right,
+        used: spent,
+        unmet: wished,
     })
 }
 
@@ -89,8 +89,8 @@
         .hints(now)
         .hints
         .iter()
-        .find_map(|hint| hint.share)
-        .map(|(_, share)| share)
+        .find_map(|hint| hint.quota)
+        .map(|quota| quota.fraction)
 }
 
 /// Past the time for which a forwarder that starts leaves its share alone.
@@ -170,7 +170,7 @@
     );
     let pressed = [observation(cold(0.5, 0.0, 0.1))];
     let now = at(20_000);
-    assert_eq!(guest.hints(now).by_right, 0.0);
+    assert_eq!(guest.hints(now).unhinted_share, 0.0);
     trip(now, &mut guest, &mut planner, &pressed);
     assert_eq!(
         share(&mut guest, now),
@@ -226,10 +226,10 @@
     idle.stand(at(OWNS + 500), &[again]);
     let hints = idle.hints(at(OWNS + 500)).hints;
     let new = hints.iter().find_map(|hint| {
-        hint.share
-            .filter(|(started, _)| *started == Some(at(OWNS + 450)))
+        hint.quota
+            .filter(|quota| quota.started == Some(at(OWNS + 450)))
     });
-    assert_eq!(new.map(|(_, share)| share), Some(0.5));
+    assert_eq!(new.map(|quota| quota.fraction), Some(0.5));
 }
 
 #[test]
@@ -327,11 +327,9 @@
         }
         let now = at(OWNS + 500);
         let told = guide.hints(now);
-        assert!(
-            told.hints
-                .iter()
-                .all(|hint| hint.measures == [None; 2] && hint.window.is_none())
-        );
+        assert!(told.hints.iter().all(
+            |hint| hint.measurements == SourceMeasurements::default() && hint.window.is_none()
+        ));
         assert!(share(&mut guide, now).unwrap() <= 1.0);
         let report = guide.report(now, P, &pressed, mark(0));
         let sane = planner.report(now, &report).unwrap();
@@ -346,7 +344,7 @@
     let mut guide = Guide::start(at(0), Epoch(10), stance(), 1);
     let unlisted = Observation {
         host: HostId("s-2".into()),
-        good: Some(at(5_900)),
+        last_success: Some(at(5_900)),
         ..observation(cold(0.5, 0.4, 0.5))
     };
     (0..2).for_each(|n| {
@@ -445,10 +443,10 @@
     guide.coordinator_heard(at(1_500));
     assert_eq!(guide.informed(at(1_500)), Informed::Ageing);
     assert_eq!(guide.informed(at(4_000)), Informed::Blind);
-    assert!(!guide.hints(at(4_000)).vouched);
+    assert!(!guide.hints(at(4_000)).list_trusted);
     guide.coordinator_heard(at(10_500));
     assert_eq!(guide.informed(at(10_500)), Informed::Alone);
-    assert!(guide.hints(at(10_500)).vouched);
+    assert!(guide.hints(at(10_500)).list_trusted);
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -466,8 +464,20 @@
     let mut guides: Vec<Guide> = (10..13)
         .map(|n| Guide::start(at(0), Epoch(n), stance(), 1))
         .collect();
-    guides[0].link(ZoneId(4), Some((7.5, at(90))));
-    guides[1].link(ZoneId(4), Some((2.0, at(50))));
+    guides[0].link(
+        ZoneId(4),
+        Some(Sampled {
+            value: 7.5,
+            at: at(90),
+        }),
+    );
+    guides[1].link(
+        ZoneId(4),
+        Some(Sampled {
+            value: 2.0,
+            at: at(50),
+        }),
+    );
     guides[2].link(ZoneId(5), None);
     // The first answers bring the stamps by which ages are told.
     for ms in [100, 200] {
@@ -476,10 +486,19 @@
             .for_each(|guide| drop(trip(at(ms), guide, &mut planner, &[])));
     }
     let told = |guide: &mut Guide| guide.hints(at(200)).link;
-    let (full, heard) = told(&mut guides[1]).unwrap();
+    let Sampled {
+        value: full,
+        at: heard,
+    } = told(&mut guides[1]).unwrap();
     assert!(full == 7.5 && heard <= at(90), "{full} {heard:?}");
     assert_eq!(told(&mut guides[2]), None, "another location's link");
-    guides[0].link(ZoneId(4), Some((f64::NAN, at(190))));
+    guides[0].link(
+        ZoneId(4),
+        Some(Sampled {
+            value: f64::NAN,
+            at: at(190),
+        }),
+    );
     let report = guides[0].report(at(300), P, &[], mark(0));
     planner.report(at(300), &report).unwrap();
     assert_eq!(planner.counted.nonsense, 1);
@@ -554,11 +573,11 @@
             let may = told
                 .hints
                 .iter()
-                .find_map(|hint| hint.share.map(|(_, share)| share));
+                .find_map(|hint| hint.quota.map(|quota| quota.fraction));
             let may = if ms < born[who] + WINDOW {
                 0.0
             } else {
-                may.unwrap_or(right * told.by_right)
+                may.unwrap_or(right * told.unhinted_share)
             };
             let wants = demand(who, ms) * STEP as f64 / WINDOW as f64;
             if own + wants <= may {
--- a/crates/flaxdeck-dispatcher/src/program/start.rs
+++ b/crates/flaxdeck-dispatcher/src/program/start.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use flaxdeck::Terms;
+use flaxdeck::DeploymentTerms;
 use flaxdeck_terms::fields::Fields;
 use flaxdeck_terms::{Carriage, Names};
 use serde_json::Value;
@@ -16,7 +16,7 @@
     pub address: SocketAddr,
     pub watch: Watch,
     pub known: Numbered,
-    pub terms: Terms,
+    pub terms: DeploymentTerms,
     pub names: Rc<Names>,
     pub carriage: Carriage,
     pub bounds: Bounds,
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -449,12 +449,14 @@
             let mut guide = guides.guide.borrow_mut();
             (guide.hints(now), guide.informed(now))
         };
-        for (started, _) in guided
+        for quota in guided
             .hints
             .iter_mut()
-            .filter_map(|hint| hint.share.as_mut())
+            .filter_map(|hint| hint.quota.as_mut())
         {
-            *started = started.map(|told| guides.clocks.borrow().own(told));
+            quota.started = quota
+                .started
+                .map(|started| guides.clocks.borrow().own(started));
         }
         let before = guides.informed.replace(informed);
         if before != informed {
--- a/crates/flaxdeck-dispatcher/src/routing/keep.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/keep.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use flaxdeck::{
-    CellId, Endpoint, GroupId, Health, Hint, HostId, ListKind, ObjectId, Observation, Role, Span,
-    Time, ZoneId,
+    CellId, Endpoint, GroupId, Health, HostId, ListKind, ObjectId, Observation, PeerHint, Role,
+    SourceMeasurements, Span, Time, ZoneId,
 };
 use flaxdeck_channel::watch::Event;
 use flaxdeck_net::clock::{Clock, since_boot};
@@ -125,7 +125,7 @@
 pub struct Recalled {
     pub event: Option<Mark>,
     pub events: Vec<Event>,
-    pub hints: Vec<Hint>,
+    pub hints: Vec<PeerHint>,
     pub waits: Option<Span>,
 }
 
@@ -227,15 +227,18 @@
                  good_ago,
                  bad_ago,
                  ..
-             }| Hint {
+             }| PeerHint {
                 host: HostId(host.as_str().into()),
-                share: None,
-                measures,
-                measured: ago(measured_ago),
-                down: ago(bad_ago),
-                good: ago(good_ago),
+                quota: None,
+                measurements: SourceMeasurements {
+                    latency: measures[0],
+                    bandwidth: measures[1],
+                },
+                measured_at: ago(measured_ago),
+                down_at: ago(bad_ago),
+                last_success: ago(good_ago),
                 window: None,
-                others: None,
+                others_in_flight: None,
             },
         )
         .collect();
@@ -330,17 +333,24 @@
         let now = self.clock.now();
         let ago = |at: Option<Time>| at.map(|at| now.since(at).ms() as u64);
         let seen = observations.iter().filter(|observation| {
-            [observation.measured, observation.good, observation.bad]
-                .iter()
-                .any(Option::is_some)
+            [
+                observation.measured_at,
+                observation.last_success,
+                observation.last_failure,
+            ]
+            .iter()
+            .any(Option::is_some)
         });
         let rating = |observation: &Observation| KeptRating {
             host: observation.host.0.to_string(),
             started: observation.started.map_or(0, |at| at.ms() as u64),
-            measures: observation.measures,
-            measured_ago: ago(observation.measured),
-            good_ago: ago(observation.good),
-            bad_ago: ago(observation.bad),
+            measures: [
+                observation.measurements.latency,
+                observation.measurements.bandwidth,
+            ],
+            measured_ago: ago(observation.measured_at),
+            good_ago: ago(observation.last_success),
+            bad_ago: ago(observation.last_failure),
         };
         let mut kept = self.kept.borrow_mut();
         kept.forget_settled(now, self.settles);
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -14,7 +14,9 @@
 
 use bytes::Bytes;
 use flaxdeck::polled::{Input, PolledEngine, Step};
-use flaxdeck::{AttemptIndex, Clearance, ListKind, ObjectId, RequestId, Span, Terms, Time, ZoneId};
+use flaxdeck::{
+    AttemptIndex, Clearance, DeploymentTerms, ListKind, ObjectId, RequestId, Span, Time, ZoneId,
+};
 use flaxdeck_terms::{Carriage, Names};
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
@@ -93,7 +95,7 @@
     pub fn new(
         clock: Clock,
         seed: u64,
-        terms: Terms,
+        terms: DeploymentTerms,
         names: Rc<Names>,
         carriage: Carriage,
         bounds: Bounds,
--- a/crates/flaxdeck-emulator/src/clients.rs
+++ b/crates/flaxdeck-emulator/src/clients.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use flaxdeck_invariants::{Answer, Seen};
+use flaxdeck_invariants::{Answer, RecordedEvent};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rmpv::Value;
@@ -205,7 +205,7 @@
             } = planned.next().expect("just seen");
             call += 1;
             let (now, request) = (world.now(), format!("{name:08x}{call:08x}"));
-            world.see(Seen::Asked {
+            world.see(RecordedEvent::Asked {
                 request: request.clone(),
                 by: now + wait as f64,
             });
@@ -240,7 +240,7 @@
             tally.lock().expect("no holder panics").broken += 1;
             // Only who lost his connection has left; one that waits in vain on a whole one is a breach.
             left.into_keys().for_each(|call| {
-                world.see(Seen::Left {
+                world.see(RecordedEvent::Left {
                     request: format!("{name:08x}{call:08x}"),
                 })
             });
@@ -360,7 +360,7 @@
     if let Some(asked) = asked.filter(|_| spoken.how == Answer::Served) {
         match made_of(&asked.object, &spoken.body) {
             Some(_) if asked.write => {}
-            Some(made) => world.see(Seen::Copy {
+            Some(made) => world.see(RecordedEvent::Copy {
                 object: asked.object.clone(),
                 sent: asked.sent,
                 made,
@@ -373,7 +373,7 @@
             .took
             .push(now - asked.sent);
     }
-    world.see(Seen::Answered {
+    world.see(RecordedEvent::Answered {
         request: format!("{name:08x}{:08x}", spoken.call),
         how: spoken.how,
     });
--- a/crates/flaxdeck-emulator/src/hosts.rs
+++ b/crates/flaxdeck-emulator/src/hosts.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use flaxdeck_invariants::Seen;
+use flaxdeck_invariants::RecordedEvent;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::net::{TcpListener, TcpStream};
@@ -166,7 +166,7 @@
     let work = kb / KB_PER_MS + START;
     state.record.push((
         now,
-        Seen::Arrived {
+        RecordedEvent::Arrived {
             host: id.to_owned(),
         },
     ));
@@ -208,7 +208,7 @@
     }
     state.record.push((
         now,
-        Seen::Work {
+        RecordedEvent::Work {
             host: id.to_owned(),
             cost: work,
         },
@@ -243,7 +243,7 @@
     let ended = match taken {
         Taken::Until(until) => {
             let made = if field("class") == "submit" {
-                world.see(Seen::Ran {
+                world.see(RecordedEvent::Ran {
                     effect: format!("{request} {object}"),
                 });
                 Ok(world.now())
--- a/crates/flaxdeck-emulator/src/lib.rs
+++ b/crates/flaxdeck-emulator/src/lib.rs
@@ -1,5 +1,5 @@
 //! One world on loopback, in one process: hosts, a coordinator, clients, wires between programs; and a fleet of real
-//! programs among them. What happens is written down for `flaxdeck-invariants` to judge.
+//! programs among them. What happens is written down for `flaxdeck-invariants` to check.
 
 mod clients;
 mod coordinator;
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 pub use clients::{Clients, Load, Told, object_of_rank};
-use flaxdeck_invariants::{Seen, Terms, Verdict};
+use flaxdeck_invariants::{InvariantTerms, RecordedEvent, Verdict};
 pub use proxy::{Proxy, Wire};
 pub use seekers::{End, Fate, Patience, Seekers};
 use serde_json::{Value, json};
@@ -154,7 +154,7 @@
         state.purged.insert(object.to_owned(), now);
         state.record.push((
             now,
-            Seen::Purged {
+            RecordedEvent::Purged {
                 object: object.to_owned(),
             },
         ));
@@ -243,7 +243,7 @@
     }
 
     /// The coordinator says how a host stands now, and the record knows of it from then on.
-    fn tell(&self, id: &str, seen: Option<Seen>) {
+    fn tell(&self, id: &str, seen: Option<RecordedEvent>) {
         let now = self.now();
         {
             let mut state = self.inside.lock();
@@ -279,7 +279,7 @@
         self.set_state(id, 1);
         self.tell(
             id,
-            Some(Seen::Withdrawn {
+            Some(RecordedEvent::Withdrawn {
                 host: id.to_owned(),
             }),
         );
@@ -290,7 +290,7 @@
         self.set_state(id, 0);
         self.tell(
             id,
-            Some(Seen::Announced {
+            Some(RecordedEvent::Announced {
                 host: id.to_owned(),
             }),
         );
@@ -316,7 +316,7 @@
             let mut state = self.inside.lock();
             state.record.push((
                 now,
-                Seen::Started {
+                RecordedEvent::Started {
                     host: id.to_owned(),
                 },
             ));
@@ -337,7 +337,7 @@
         ));
         self.tell(
             id,
-            Some(Seen::Announced {
+            Some(RecordedEvent::Announced {
                 host: id.to_owned(),
             }),
         );
@@ -372,7 +372,7 @@
             state.purged.insert(object.to_owned(), now);
             state.record.push((
                 now,
-                Seen::Purged {
+                RecordedEvent::Purged {
                     object: object.to_owned(),
                 },
             ));
@@ -396,14 +396,14 @@
         self.inside.lock().fell_over
     }
 
-    pub fn terms(&self) -> Terms {
+    pub fn terms(&self) -> InvariantTerms {
         let layout = &self.inside.layout;
         let state = self.inside.lock();
         let cold = state
             .hosts
             .iter()
             .filter(|(_, host)| host.kind != Kind::Origin);
-        Terms {
+        InvariantTerms {
             grace: 1000.0,
             purge_grace: layout.purge_grace_ms,
             slack: 50.0,
@@ -414,11 +414,11 @@
         }
     }
 
-    pub fn record(&self) -> Vec<(f64, Seen)> {
+    pub fn record(&self) -> Vec<(f64, RecordedEvent)> {
         self.inside.lock().record.clone()
     }
 
     pub fn verdict(&self) -> Verdict {
-        flaxdeck_invariants::judge(&self.terms(), &self.record())
+        flaxdeck_invariants::check(&self.terms(), &self.record())
     }
 }
--- a/crates/flaxdeck-emulator/src/seekers.rs
+++ b/crates/flaxdeck-emulator/src/seekers.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use flaxdeck_invariants::{Answer, Seen};
+use flaxdeck_invariants::{Answer, RecordedEvent};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -204,7 +204,7 @@
                     _ => {}
                 },
                 () = sleep_until(next.unwrap_or_else(none)), if next.is_some() => self.send().await,
-                // Past that nobody answers: the record's judge says so.
+                // Past that nobody answers: the record's check says so.
                 () = sleep_until(late.unwrap_or_else(none)), if late.is_some() => self.give_up_late(),
             }
         }
@@ -239,7 +239,7 @@
         let (call, now) = (self.call, self.world.now());
         (want.tries, want.sent) = (want.tries + 1, now);
         let request = self.request(call);
-        self.world.see(Seen::Asked {
+        self.world.see(RecordedEvent::Asked {
             request: request.clone(),
             by: now + self.wait as f64,
         });
@@ -314,7 +314,7 @@
         self.hang_up();
         self.away_since = Some(self.world.now());
         for (call, mut want) in std::mem::take(&mut self.open) {
-            self.world.see(Seen::Left {
+            self.world.see(RecordedEvent::Left {
                 request: self.request(call),
             });
             want.broken = true;
@@ -330,12 +330,12 @@
     fn answered(&mut self, spoken: Spoken) {
         let Some(want) = self.open.remove(&spoken.call) else {
             let request = self.request(spoken.call);
-            return self.world.see(Seen::Answered {
+            return self.world.see(RecordedEvent::Answered {
                 request,
                 how: spoken.how,
             });
         };
-        self.world.see(Seen::Answered {
+        self.world.see(RecordedEvent::Answered {
             request: self.request(spoken.call),
             how: spoken.how,
         });
@@ -345,7 +345,7 @@
                     Some(_) if want.write => {}
                     Some(made) => {
                         let (object, sent) = (want.object.clone(), want.sent);
-                        self.world.see(Seen::Copy { object, sent, made });
+                        self.world.see(RecordedEvent::Copy { object, sent, made });
                     }
                     None => self.tally.lock().expect("no holder panics").wrong_bytes += 1,
                 }
--- a/crates/flaxdeck-emulator/src/world.rs
+++ b/crates/flaxdeck-emulator/src/world.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use flaxdeck_invariants::{Ramp, Seen};
+use flaxdeck_invariants::{Ramp, RecordedEvent};
 use serde_json::{Value, json};
 use tokio::sync::Notify;
 
@@ -141,7 +141,7 @@
 /// What stands still or moves in one world.
 pub struct State {
     pub hosts: BTreeMap<String, HostState>,
-    pub record: Vec<(f64, Seen)>,
+    pub record: Vec<(f64, RecordedEvent)>,
     /// The coordinator's numbered frames, and the same as configurations hold them.
     pub frames: Vec<(u64, Vec<u8>)>,
     pub events: Vec<(u64, Value)>,
@@ -218,7 +218,7 @@
         self.state.lock().expect("no holder panics")
     }
 
-    pub fn see(&self, seen: Seen) {
+    pub fn see(&self, seen: RecordedEvent) {
         let at = self.now();
         self.lock().record.push((at, seen));
     }
--- a/crates/flaxdeck-fleet/src/model.rs
+++ b/crates/flaxdeck-fleet/src/model.rs
@@ -8,7 +8,7 @@
 
 use flaxdeck::Time;
 use flaxdeck_control::planner::Planner;
-use flaxdeck_invariants::Seen;
+use flaxdeck_invariants::RecordedEvent;
 use rand_pcg::Pcg64Mcg;
 
 pub use crate::outcome::Outcome;
@@ -70,7 +70,7 @@
     conditions: Conditions,
     outcome: Outcome,
     /// What was seen, with its time, if the run is judged.
-    record: Vec<(f64, Seen)>,
+    record: Vec<(f64, RecordedEvent)>,
 }
 
 /// A time of the run as the decisions know it.
--- a/crates/flaxdeck-fleet/src/model/attempts.rs
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -3,7 +3,7 @@
 use flaxdeck::{
     AttemptEnded, AttemptIndex, AttemptOutcome, FillOutcome, HostId, LoadReport, RequestId, Span,
 };
-use flaxdeck_invariants::{Answer, Seen};
+use flaxdeck_invariants::{Answer, RecordedEvent};
 
 use super::events::Event;
 use super::{Model, time};
@@ -123,7 +123,7 @@
         let want = &self.wants[attempt.want as usize];
         if !want.write && want.out.is_some() {
             let object = want.object.to_string();
-            self.see(Seen::Copy {
+            self.see(RecordedEvent::Copy {
                 object,
                 sent: attempt.sent,
                 made: attempt.made,
--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: what they want, their tries for it, and how each try ends for them.
 
 use flaxdeck::{ClassId, GroupId, ObjectId, Request, RequestId, Span};
-use flaxdeck_invariants::{Answer, Seen};
+use flaxdeck_invariants::{Answer, RecordedEvent};
 use rand::Rng;
 
 use super::events::Event;
@@ -119,7 +119,7 @@
         });
         self.outcome.requests += 1;
         let by = self.now + self.shape.wait_ms;
-        self.see(Seen::Asked {
+        self.see(RecordedEvent::Asked {
             request: request.0.to_string(),
             by,
         });
@@ -217,7 +217,7 @@
         let Some(OpenRequest { want, .. }) = self.forwarders[n].open.remove(&request) else {
             return;
         };
-        self.see(Seen::Answered {
+        self.see(RecordedEvent::Answered {
             request: request.0.to_string(),
             how,
         });
--- a/crates/flaxdeck-fleet/src/model/coordinator.rs
+++ b/crates/flaxdeck-fleet/src/model/coordinator.rs
@@ -4,7 +4,7 @@
     AttemptOutcome, CellId, Endpoint, FillOutcome, GroupId, Health, HostId, ListKind, Role, Time,
     ZoneId,
 };
-use flaxdeck_invariants::Seen;
+use flaxdeck_invariants::RecordedEvent;
 use rand::Rng;
 
 use super::events::Event;
@@ -69,7 +69,7 @@
             health: Health::Draining,
             ..self.endpoint(at)
         };
-        self.see(Seen::Withdrawn {
+        self.see(RecordedEvent::Withdrawn {
             host: self.hosts[at].id.clone(),
         });
         self.publish(CoordinatorEvent::Endpoint(endpoint));
@@ -101,8 +101,8 @@
         let host = &mut self.hosts[at];
         (host.up, host.started, host.manner) = (true, Some(self.now), Manner::Serve);
         let id = host.id.clone();
-        self.see(Seen::Started { host: id.clone() });
-        self.see(Seen::Announced { host: id });
+        self.see(RecordedEvent::Started { host: id.clone() });
+        self.see(RecordedEvent::Announced { host: id });
         let endpoint = self.endpoint(at);
         self.publish(CoordinatorEvent::Endpoint(endpoint));
     }
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 use flaxdeck::decision::DecisionEngine;
-use flaxdeck::{ListKind, Repeats, RequestClass, RequestId, Span, Terms, ZoneId};
+use flaxdeck::{DeploymentTerms, ListKind, Repeats, RequestClass, RequestId, Span, ZoneId};
 use flaxdeck_control::forwarder::{Guide, Stance};
 use flaxdeck_control::messages::{Epoch, SeatId};
-use flaxdeck_invariants::Seen;
+use flaxdeck_invariants::RecordedEvent;
 use rand::Rng;
 
 use super::clients::{OBJECTIVE_MS, RETRY_AFTER_LOST_FORWARDER_MS, STRETCH};
@@ -34,7 +34,7 @@
 }
 
 /// The terms of a location's forwarders: reads are the first class, writes the second.
-fn terms(shape: &Shape, zone: usize) -> Terms {
+fn terms(shape: &Shape, zone: usize) -> DeploymentTerms {
     let class = |repeats, goes_through| RequestClass {
         objective: Span::from_ms(OBJECTIVE_MS),
         stretch: STRETCH,
@@ -44,7 +44,7 @@
         fresh: None,
         older: Span::ZERO,
     };
-    Terms {
+    DeploymentTerms {
         classes: vec![
             class(Repeats::Idempotent, false),
             class(Repeats::AtMostOnce, true),
@@ -139,7 +139,7 @@
         for n in 0..count {
             let open = std::mem::take(&mut self.forwarders[n].open);
             for (request, OpenRequest { want, .. }) in open {
-                self.see(Seen::Left {
+                self.see(RecordedEvent::Left {
                     request: request.0.to_string(),
                 });
                 self.retry_unless_write(want, RETRY_AFTER_LOST_FORWARDER_MS);
--- a/crates/flaxdeck-fleet/src/model/record.rs
+++ b/crates/flaxdeck-fleet/src/model/record.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck_invariants::{Ramp, Seen, Terms, Verdict, judge};
+use flaxdeck_invariants::{InvariantTerms, Ramp, RecordedEvent, Verdict, check};
 
 use super::clients::Want;
 use super::{Model, Outcome};
@@ -17,7 +17,7 @@
 
 impl Model<'_> {
     /// Puts what was seen into the record, if the run is judged.
-    pub(super) fn see(&mut self, seen: Seen) {
+    pub(super) fn see(&mut self, seen: RecordedEvent) {
         if self.shape.judged {
             self.record.push((self.now, seen));
         }
@@ -40,14 +40,14 @@
 
     fn verdict(&self) -> Verdict {
         // The coordinator's own lateness is no dispatcher's fault.
-        let terms = Terms {
+        let terms = InvariantTerms {
             grace: GRACE_MS + self.shape.coordinator_delay_ms,
             purge_grace: PURGE_GRACE_MS + self.shape.coordinator_delay_ms,
             slack: SLACK_MS,
             window: self.shape.window_ms,
             ramps: self.ramps(),
         };
-        judge(&terms, &self.record)
+        check(&terms, &self.record)
     }
 
     fn ramps(&self) -> BTreeMap<String, Ramp> {
--- a/crates/flaxdeck-fleet/src/model/service.rs
+++ b/crates/flaxdeck-fleet/src/model/service.rs
@@ -1,7 +1,7 @@
 //! What hosts do: they take work in or refuse it, give it places, and are done with it.
 
 use flaxdeck::{AttemptOutcome, FillOutcome};
-use flaxdeck_invariants::Seen;
+use flaxdeck_invariants::RecordedEvent;
 
 use super::Model;
 use super::events::Event;
@@ -42,7 +42,7 @@
         if !self.hosts[at].up {
             return Some(AttemptOutcome::NotConnected);
         }
-        self.see(Seen::Arrived {
+        self.see(RecordedEvent::Arrived {
             host: self.hosts[at].id.clone(),
         });
         match self.hosts[at].manner {
@@ -68,7 +68,7 @@
     fn falls_over(&mut self, at: usize, cost: f64) -> bool {
         let shape = self.shape;
         let asked = self.hosts[at].book(self.now, cost, shape.window_ms);
-        self.see(Seen::Work {
+        self.see(RecordedEvent::Work {
             host: self.hosts[at].id.clone(),
             cost,
         });
@@ -129,7 +129,7 @@
             };
             if want.write {
                 let effect = attempt.request.0.to_string();
-                self.see(Seen::Ran { effect });
+                self.see(RecordedEvent::Ran { effect });
             }
         }
         let mut wait = self.work(at, kb);
--- a/crates/flaxdeck-fleet/src/model/troubles.rs
+++ b/crates/flaxdeck-fleet/src/model/troubles.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use flaxdeck_invariants::Seen;
+use flaxdeck_invariants::RecordedEvent;
 use rand::Rng;
 
 use super::coordinator::CoordinatorEvent;
@@ -169,7 +169,7 @@
         if self.shape.judged {
             let objects: BTreeSet<u64> = self.wants.iter().map(|want| want.object).collect();
             for object in objects {
-                self.see(Seen::Purged {
+                self.see(RecordedEvent::Purged {
                     object: object.to_string(),
                 });
             }
--- a/crates/flaxdeck-invariants/src/lib.rs
+++ b/crates/flaxdeck-invariants/src/lib.rs
@@ -1,4 +1,4 @@
-//! The five rules, judged from outside: clients, hosts and the coordinator write down what they saw, and [`judge`]
+//! The five rules, judged from outside: clients, hosts and the coordinator write down what they saw, and [`check`]
 //! goes through it. It knows nothing of how anything was decided. All times are milliseconds of one clock.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -13,7 +13,7 @@
 
 /// One thing that somebody saw.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum RecordedEvent {
     /// A client asked, and waits until `by`.
     Asked {
         request: String,
@@ -84,7 +84,7 @@
 
 /// What the rules are judged by.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
+pub struct InvariantTerms {
     /// After an announcement until nothing new may arrive.
     pub grace: f64,
     /// After a purge until no older copy may be given.
@@ -98,7 +98,7 @@
 
 /// One breach.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
+pub struct Violation {
     pub rule: u8,
     pub at: f64,
     pub what: String,
@@ -107,7 +107,7 @@
 /// What came of it all.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
     pub asked: u64,
     pub served: u64,
     pub rejected: u64,
@@ -135,8 +135,8 @@
 }
 
 /// Goes through a record in the order of its times.
-pub fn judge(terms: &Terms, record: &[(f64, Seen)]) -> Verdict {
-    let mut record: Vec<&(f64, Seen)> = record.iter().collect();
+pub fn check(terms: &InvariantTerms, record: &[(f64, RecordedEvent)]) -> Verdict {
+    let mut record: Vec<&(f64, RecordedEvent)> = record.iter().collect();
     record.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut verdict = Verdict::default();
     let mut open: BTreeMap<&str, f64> = BTreeMap::new();
@@ -146,15 +146,15 @@
     let mut purged: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     for (at, seen) in record {
         let at = *at;
-        let mut breach = |rule, what: String| verdict.breaches.push(Breach { rule, at, what });
+        let mut breach = |rule, what: String| verdict.breaches.push(Violation { rule, at, what });
         match seen {
-            Seen::Asked { request, by } => {
+            RecordedEvent::Asked { request, by } => {
                 verdict.asked += 1;
                 if open.insert(request, *by).is_some() || over.contains_key(&**request) {
                     breach(1, format!("{request} was asked twice under one name"));
                 }
             }
-            Seen::Answered { request, how } => {
+            RecordedEvent::Answered { request, how } => {
                 match open.remove(&**request) {
                     None => breach(
                         1,
@@ -176,13 +176,13 @@
                     }
                 };
             }
-            Seen::Left { request } => {
+            RecordedEvent::Left { request } => {
                 if open.remove(&**request).is_some() {
                     over.insert(request, at);
                     verdict.left += 1;
                 }
             }
-            Seen::Arrived { host } => {
+            RecordedEvent::Arrived { host } => {
                 if let Some(since) = hosts.entry(host).or_default().withdrawn {
                     verdict.latest_arrival = verdict.latest_arrival.max(at - since);
                     if at > since + terms.grace {
@@ -196,23 +196,23 @@
                     }
                 }
             }
-            Seen::Ran { effect } => {
+            RecordedEvent::Ran { effect } => {
                 let times = ran.entry(effect).or_default();
                 *times += 1;
                 if *times > 1 {
                     breach(2, format!("{effect} happened {times} times"));
                 }
             }
-            Seen::Withdrawn { host } => {
+            RecordedEvent::Withdrawn { host } => {
                 hosts.entry(host).or_default().withdrawn.get_or_insert(at);
             }
-            Seen::Announced { host } => hosts.entry(host).or_default().withdrawn = None,
-            Seen::Started { host } => {
+            RecordedEvent::Announced { host } => hosts.entry(host).or_default().withdrawn = None,
+            RecordedEvent::Started { host } => {
                 let host = hosts.entry(host).or_default();
                 (host.started, host.sum) = (Some(at), 0.0);
                 host.recent.clear();
             }
-            Seen::Work { host: name, cost } => {
+            RecordedEvent::Work { host: name, cost } => {
                 let host = hosts.entry(name).or_default();
                 host.recent.push_back((at, *cost));
                 host.sum += cost;
@@ -243,8 +243,8 @@
                     }
                 }
             }
-            Seen::Purged { object } => purged.entry(object).or_default().push(at),
-            Seen::Copy { object, sent, made } => {
+            RecordedEvent::Purged { object } => purged.entry(object).or_default().push(at),
+            RecordedEvent::Copy { object, sent, made } => {
                 let times = purged.get(&**object).into_iter().flatten();
                 let old =
                     times.filter(|purge| *made < **purge && *sent >= **purge + terms.purge_grace);
@@ -261,7 +261,7 @@
         }
     }
     for (request, by) in open {
-        verdict.breaches.push(Breach {
+        verdict.breaches.push(Violation {
             rule: 1,
             at: by,
             what: format!("{request} was never answered"),
@@ -273,8 +273,8 @@
 /// The mean part of what a cold host could be asked for that was asked of it, over a time after its start: the
 /// window's sum beside the bound, looked at every `step` milliseconds.
 pub fn use_while_cold(
-    terms: &Terms,
-    record: &[(f64, Seen)],
+    terms: &InvariantTerms,
+    record: &[(f64, RecordedEvent)],
     name: &str,
     from: f64,
     to: f64,
@@ -284,8 +284,8 @@
     let mut started = None;
     for (at, seen) in record {
         match seen {
-            Seen::Started { host } if host == name && *at <= to => started = Some(*at),
-            Seen::Work { host, cost } if host == name => work.push((*at, *cost)),
+            RecordedEvent::Started { host } if host == name && *at <= to => started = Some(*at),
+            RecordedEvent::Work { host, cost } if host == name => work.push((*at, *cost)),
             _ => {}
         }
     }
--- a/crates/flaxdeck-invariants/tests/rules.rs
+++ b/crates/flaxdeck-invariants/tests/rules.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck_invariants::{Answer, Ramp, Seen, Terms, judge};
+use flaxdeck_invariants::{Answer, InvariantTerms, Ramp, RecordedEvent, check};
 
-fn terms() -> Terms {
+fn terms() -> InvariantTerms {
     let ramp = Ramp {
         places: 2.0,
         from: 0.1,
@@ -12,7 +12,7 @@
         factor: 2.0,
     };
     let ramps = BTreeMap::from([("a".to_owned(), ramp)]);
-    Terms {
+    InvariantTerms {
         grace: 1000.0,
         purge_grace: 500.0,
         slack: 10.0,
@@ -21,8 +21,8 @@
     }
 }
 
-fn rules(record: &[(f64, Seen)]) -> Vec<u8> {
-    judge(&terms(), record)
+fn rules(record: &[(f64, RecordedEvent)]) -> Vec<u8> {
+    check(&terms(), record)
         .breaches
         .iter()
         .map(|breach| breach.rule)
@@ -35,11 +35,11 @@
 
 #[test]
 fn each_rule_is_found_broken_and_found_kept() {
-    let asked = |by| Seen::Asked {
+    let asked = |by| RecordedEvent::Asked {
         request: s("p"),
         by,
     };
-    let answered = Seen::Answered {
+    let answered = RecordedEvent::Answered {
         request: s("p"),
         how: Answer::Served,
     };
@@ -58,29 +58,31 @@
     );
     assert_eq!(rules(&[(0.0, asked(100.0))]), [1]);
     assert_eq!(
-        rules(&[(0.0, asked(100.0)), (1.0, Seen::Left { request: s("p") })]),
+        rules(&[
+            (0.0, asked(100.0)),
+            (1.0, RecordedEvent::Left { request: s("p") })
+        ]),
         []
     );
 
-    let ran = Seen::Ran { effect: s("e") };
+    let ran = RecordedEvent::Ran { effect: s("e") };
     assert_eq!(rules(&[(0.0, ran.clone())]), []);
     assert_eq!(rules(&[(0.0, ran.clone()), (9.0, ran)]), [2]);
 
     let (gone, arrived) = (
-        Seen::Withdrawn { host: s("a") },
-        Seen::Arrived { host: s("a") },
+        RecordedEvent::Withdrawn { host: s("a") },
+        RecordedEvent::Arrived { host: s("a") },
     );
     assert_eq!(rules(&[(0.0, gone.clone()), (900.0, arrived.clone())]), []);
     assert_eq!(
         rules(&[(0.0, gone.clone()), (1100.0, arrived.clone())]),
         [3]
     );
-    let back = Seen::Announced { host: s("a") };
+    let back = RecordedEvent::Announced { host: s("a") };
     assert_eq!(rules(&[(0.0, gone), (500.0, back), (1100.0, arrived)]), []);
 
-    let (starts, work) = (Seen::Started { host: s("a") }, |cost| Seen::Work {
-        host: s("a"),
-        cost,
+    let (starts, work) = (RecordedEvent::Started { host: s("a") }, |cost| {
+        RecordedEvent::Work { host: s("a"), cost }
     });
     assert_eq!(rules(&[(0.0, starts.clone()), (1.0, work(390.0))]), []);
     assert_eq!(
@@ -96,10 +98,12 @@
         []
     );
 
-    let (purge, copy) = (Seen::Purged { object: s("o") }, |sent, made| Seen::Copy {
-        object: s("o"),
-        sent,
-        made,
+    let (purge, copy) = (RecordedEvent::Purged { object: s("o") }, |sent, made| {
+        RecordedEvent::Copy {
+            object: s("o"),
+            sent,
+            made,
+        }
     });
     assert_eq!(
         rules(&[(10.0, purge.clone()), (600.0, copy(400.0, 5.0))]),
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -180,7 +180,7 @@
 }
 
 /// Those of `flaxdeck-control`'s example `size`, but for the time in which a purge settles.
-fn terms(settles_ms: f64) -> Terms {
+fn terms(settles_ms: f64) -> DeploymentTerms {
     let class = RequestClass {
         objective: Span::from_ms(500),
         stretch: 2.0,
@@ -190,7 +190,7 @@
         fresh: None,
         older: Span::ZERO,
     };
-    Terms {
+    DeploymentTerms {
         classes: vec![class],
         zone: ZoneId(0),
         zone_dispatchers: vec![8, 0],
--- a/crates/flaxdeck-terms/src/lib.rs
+++ b/crates/flaxdeck-terms/src/lib.rs
@@ -1,9 +1,11 @@
 //! Reads the settings object that every dispatcher is handed at start: the figures that decisions use become
-//! [`Terms`], the names that stand for places in lists become [`Names`], what connections need [`Carriage`].
+//! [`DeploymentTerms`], the names that stand for places in lists become [`Names`], what connections need [`Carriage`].
 
 pub mod fields;
 
-use flaxdeck::{ClassId, FillOutcome, Repeats, RequestClass, Role, Scope, Span, Terms, ZoneId};
+use flaxdeck::{
+    ClassId, DeploymentTerms, FillOutcome, Repeats, RequestClass, Role, Scope, Span, ZoneId,
+};
 
 use fields::Fields;
 
@@ -100,7 +102,7 @@
     })
 }
 
-pub fn read(settings: &Fields) -> Result<(Terms, Names), String> {
+pub fn read(settings: &Fields) -> Result<(DeploymentTerms, Names), String> {
     let family = settings.inner("family_info")?;
     let allowed = settings.inner("allowed")?;
     let rules = settings.inner("rules")?;
@@ -145,7 +147,7 @@
     if names.is_empty() {
         return Err("field request_classes names no class".to_owned());
     }
-    let terms = Terms {
+    let terms = DeploymentTerms {
         classes,
         zone: ZoneId(zone),
         zone_dispatchers: family
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -11,9 +11,9 @@
 use crate::hash::{mix, of_name};
 use crate::{
     Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, Cancel, CellId, ClassId, Clearance,
-    Decisions, Endpoint, FillOutcome, Final, GroupId, Guided, Health, HostId, ListKind, LoadReport,
-    ObjectId, Observation, Repeats, Request, RequestClass, RequestId, Role, Scope, Span, Terms,
-    Time, Used,
+    Decisions, DeploymentTerms, Endpoint, FillOutcome, Final, GroupId, Health, HostId, ListKind,
+    LoadReport, ObjectId, Observation, PeerHints, Repeats, Request, RequestClass, RequestId, Role,
+    Sampled, Scope, SourceMeasurements, Span, Time, WarmupUsage,
 };
 
 mod state;
@@ -197,15 +197,15 @@
     chance: Pcg64Mcg,
     kinds: Vec<Kind>,
     zone_mates: f64,
-    pub link: Option<(f64, Time)>, // the location's by the last report, and when that came
-    ramps: [Ramp; 2],              // of caches and of parents
+    pub link: Option<Sampled<f64>>, // the location's by the last report, and when that came
+    ramps: [Ramp; 2],               // of caches and of parents
     early: Span,
     ends: Time,
     pub retry_after: Option<Span>, // also for clients that the caller has no room for
-    terms: Terms,
-    vouched: bool,  // the list of hosts can be trusted
-    by_right: f64,  // the part of the equal share that holds where none was told
-    mean_work: f64, // of all requests
+    terms: DeploymentTerms,
+    list_trusted: bool,  // the list of hosts can be trusted
+    unhinted_share: f64, // the part of the equal share that holds where none was told
+    mean_work: f64,      // of all requests
     next_look: Time,
     hosts: BTreeMap<HostId, Host>,
     requests: BTreeMap<RequestId, Held>,
@@ -233,7 +233,7 @@
 
 impl DecisionEngine {
     /// A new instance; the seed is its only source of chance.
-    pub fn start(now: Time, seed: u64, mut terms: Terms) -> (DecisionEngine, Decisions) {
+    pub fn start(now: Time, seed: u64, mut terms: DeploymentTerms) -> (DecisionEngine, Decisions) {
         let mates = terms
             .zone_dispatchers
             .get(terms.zone.0)
@@ -281,7 +281,7 @@
         } else {
             Time::NEVER
         };
-        let (link, vouched, by_right, mean_work) = (None, true, 1.0, 0.0);
+        let (link, list_trusted, unhinted_share, mean_work) = (None, true, 1.0, 0.0);
         let (hosts, requests, purges, seen) = (
             BTreeMap::new(),
             BTreeMap::new(),
@@ -293,7 +293,7 @@
         #[rustfmt::skip]
         let mut engine = DecisionEngine {
             now, born: now, chance, kinds, zone_mates: mates, link, ramps, early, ends, retry_after, terms,
-            vouched, by_right, mean_work, next_look, hosts, requests, purges, seen, owed, due, agenda,
+            list_trusted, unhinted_share, mean_work, next_look, hosts, requests, purges, seen, owed, due, agenda,
             next_tidy: now + TIDY, wake_at, out: Decisions::default(),
         };
         let decisions = engine.wake(now);
@@ -396,40 +396,44 @@
     }
 
     /// What other dispatchers tell, each time all of it that holds. Own samples outweigh theirs of that age.
-    pub fn guided(&mut self, now: Time, guided: Guided) -> Decisions {
-        (self.now, self.vouched, self.by_right) =
-            (now, guided.vouched, guided.by_right.clamp(0.0, 1.0));
-        self.link = [self.link, guided.link]
+    pub fn guided(&mut self, now: Time, peer_hints: PeerHints) -> Decisions {
+        self.now = now;
+        self.list_trusted = peer_hints.list_trusted;
+        self.unhinted_share = peer_hints.unhinted_share.clamp(0.0, 1.0);
+        self.link = [self.link, peer_hints.link]
             .into_iter()
             .flatten()
-            .max_by_key(|(_, at)| *at);
+            .max_by_key(|link| link.at);
         self.hosts.values_mut().for_each(|host| host.share = None);
-        for hint in guided.hints {
+        for hint in peer_hints.hints {
             let Some(host) = self.hosts.get_mut(&hint.host) else {
                 continue;
             };
-            let told = hint
-                .share
-                .filter(|(started, _)| *started == host.line.started);
-            host.share = told.map_or(host.share, |(_, share)| Some(share.clamp(0.0, 1.0)));
-            host.elsewhere = hint.others.or(host.elsewhere);
+            if let Some(quota) = hint
+                .quota
+                .filter(|quota| quota.started == host.line.started)
+            {
+                host.share = Some(quota.fraction.clamp(0.0, 1.0));
+            }
+            host.others_in_flight = hint.others_in_flight.or(host.others_in_flight);
             host.window = hint
                 .window
                 .map_or(host.window, |most| host.window.min(most.max(1.0)));
             let (newer, out) = (
-                hint.measured > host.measured[0].max(host.measured[1]),
+                hint.measured_at > host.measured[0].max(host.measured[1]),
                 !host.usable(),
             );
-            let down = hint.down > hint.good && hint.down > host.good.max(host.bad);
+            let down = hint.down_at > hint.last_success && hint.down_at > host.good.max(host.bad);
             // What others reach again is tried at once, and trusted by what comes of it.
-            host.next_trial = if out && hint.good > host.bad {
+            host.next_trial = if out && hint.last_success > host.bad {
                 now
             } else {
                 host.next_trial
             };
             if newer {
-                host.measured[1] = hint.measured;
-                (0..2).for_each(|at| self.weigh(&hint.host, at, hint.measures[at]));
+                host.measured[1] = hint.measured_at;
+                self.weigh(&hint.host, 0, hint.measurements.latency);
+                self.weigh(&hint.host, 1, hint.measurements.bandwidth);
             }
             (down && !out).then(|| self.cut(&hint.host, 1.0));
         }
@@ -445,23 +449,22 @@
             let whole = (ramp.whole * part * host.line.weight * ramp.window.ms()).max(1.0);
             let (right, wished) = (ramp.share / ramp.whole, host.wished.take() / whole);
             let spent = spent / whole;
-            let cold = (part < 1.0 && !host.is(Role::Origin)).then_some(Used {
-                right,
-                spent,
-                wished,
+            let cold = (part < 1.0 && !host.is(Role::Origin)).then_some(WarmupUsage {
+                equal_share: right,
+                used: spent,
+                unmet: wished,
             });
             let (id, started) = (host.line.host.clone(), host.line.started);
-            let (good, bad, in_hand, measured) =
-                (host.good, host.bad, host.in_hand, host.measured[0]);
+            let [latency, bandwidth] = host.sampled;
             Observation {
                 host: id,
                 started,
-                measures: host.sampled,
-                measured,
-                good,
-                bad,
-                in_hand,
-                cold,
+                measurements: SourceMeasurements { latency, bandwidth },
+                measured_at: host.measured[0],
+                last_success: host.good,
+                last_failure: host.bad,
+                in_flight: host.in_hand,
+                warmup: cold,
             }
         };
         self.hosts.values().map(observation).collect()
@@ -474,7 +477,7 @@
         let held = self
             .requests
             .get(&id)
-            .filter(|held| !held.done && self.vouched)?;
+            .filter(|held| !held.done && self.list_trusted)?;
         let out = held.out.iter().find(|out| out.index == index)?;
         let (kind, ids) = (
             &self.kinds[held.request.class.0],
@@ -820,21 +823,28 @@
     }
 
     fn hear_link(&mut self, link: Option<f64>) {
-        self.link = link.map(|link| (link, self.now)).or(self.link);
+        let heard = link.map(|value| Sampled {
+            value,
+            at: self.now,
+        });
+        self.link = heard.or(self.link);
     }
 
     // Guards against a full link that no report tells of: a fill outruns its answer unless that holds it up.
     fn guess_link(&mut self, slow: f64) {
         let fresh = self
             .link
-            .filter(|(_, at)| self.now.since(*at) < OLD)
-            .map(|(full, _)| full);
+            .filter(|link| self.now.since(link.at) < OLD)
+            .map(|link| link.value);
         let full = LINK_FULL * (slow - 1.0).max(0.0);
         let guess = fresh.map_or(full, |old| old + NEW_WEIGHT * (full - old));
         self.link = if self.terms.tells_link {
             self.link
         } else {
-            Some((guess, self.now))
+            Some(Sampled {
+                value: guess,
+                at: self.now,
+            })
         };
     }
 
@@ -939,7 +949,7 @@
                 self.now + self.early < at + remembered
             }
         };
-        self.vouched && held.attempts < self.terms.most_attempts.max(1) && allowed
+        self.list_trusted && held.attempts < self.terms.most_attempts.max(1) && allowed
     }
 
     fn attempt_what_waits(&mut self, id: RequestId) -> bool {
@@ -1032,7 +1042,7 @@
         let (ramp, (part, spent)) = (self.ramp(host), self.asked(host, self.now));
         let share = host
             .share
-            .map_or(ramp.share * self.by_right, |share| share * ramp.whole);
+            .map_or(ramp.share * self.unhinted_share, |share| share * ramp.whole);
         let bears = share * part * host.line.weight * ramp.window.ms();
         part >= 1.0 || host.is(Role::Origin) || spent + cost <= bears
     }
@@ -1066,9 +1076,9 @@
         );
         let guess = host.in_hand * mates;
         let known = host
-            .elsewhere
-            .filter(|(_, at)| self.now.since(*at) < OLD)
-            .map(|(others, _)| others);
+            .others_in_flight
+            .filter(|others| self.now.since(others.at) < OLD)
+            .map(|others| others.value);
         let mixed = told.map_or(guess, |(told, _)| {
             (guess * DOUBT + told * mates) / (DOUBT + mates)
         });
@@ -1105,7 +1115,7 @@
         let bias =
             if late { 0.0 } else { mean / held.work.max(1.0) }.clamp(1.0 / LINK_BIAS, LINK_BIAS);
         self.link
-            .is_none_or(|(full, at)| full < LINK_FULL * bias || self.now.since(at) >= OLD)
+            .is_none_or(|link| link.value < LINK_FULL * bias || self.now.since(link.at) >= OLD)
     }
 
     /// Hosts of a role in the order of the shared hash (weighted rendezvous).
@@ -1233,7 +1243,7 @@
         let (through, work) = (kind.of.goes_through, held.work);
         let open = through || self.link_open(held, kind.mean_work);
         // With no cache up, or none with room while the link has some, a request goes past the caches.
-        let idle = self.link.is_some_and(|(full, _)| full < LINK_IDLE) && work < kind.mean_work;
+        let idle = self.link.is_some_and(|link| link.value < LINK_IDLE) && work < kind.mean_work;
         let lost = !self.hosts.values().any(|h| self.mine(h) && h.usable());
         let straight = self.terms.direct && (through || lost || (open && idle));
         let cache = if through && self.terms.direct {
--- a/src/decision/state.rs
+++ b/src/decision/state.rs
@@ -1,8 +1,8 @@
-//! What the decision engine keeps of hosts, requests and their attempts. Fields only: every decision is in `decision engine.rs`.
+//! What the decision engine keeps of hosts, requests and their attempts. Fields only: the decisions are in the modules beside this one.
 
 use std::cell::Cell;
 
-use crate::{AttemptIndex, Endpoint, HostId, Request, RequestId, Time};
+use crate::{AttemptIndex, Endpoint, HostId, Request, RequestId, Sampled, Time};
 
 /// A host with its ratings and what this dispatcher has at it.
 #[derive(Default)]
@@ -21,7 +21,7 @@
     pub(crate) window: f64, // how many attempts may be out at it at once, as a source or past the caches
     pub(crate) reach: f64,  // of the origin: the share of objects that parents may fetch there
     pub(crate) spent: Vec<(Time, RequestId, AttemptIndex, f64)>,
-    pub(crate) elsewhere: Option<(f64, Time)>, // what others have out there, by their own word
+    pub(crate) others_in_flight: Option<Sampled<f64>>, // what others have out there, by their own word
     pub(crate) share: Option<f64>, // of a cold host's whole, by what others left to this dispatcher
     pub(crate) wished: Cell<f64>,  // what it turned away for want of that since the last look
     pub(crate) sampled: [Option<f64>; 2], // the last own samples, and when they and the last of others were taken
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -4,7 +4,7 @@
 
 /// What an instance is handed at start.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct DeploymentTerms {
     pub classes: Vec<RequestClass>,
     pub zone: ZoneId,
     /// Dispatchers in each zone, and in all.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,9 +17,9 @@
 
 pub use attempt::{Attempt, AttemptEnded, AttemptOutcome, Cancel, Clearance, FillOutcome};
 pub use decisions::Decisions;
-pub use deployment::Terms;
+pub use deployment::DeploymentTerms;
 pub use endpoint::{Endpoint, Health, ListKind, LoadReport, Role};
 pub use id::{AttemptIndex, CellId, ClassId, GroupId, HostId, ObjectId, RequestId, ZoneId};
-pub use peers::{Guided, Hint, Observation, Used};
+pub use peers::{Observation, PeerHint, PeerHints, SourceMeasurements, WarmupQuota, WarmupUsage};
 pub use request::{Final, Repeats, Request, RequestClass, Scope};
-pub use time::{Span, Time};
+pub use time::{Sampled, Span, Time};
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,61 +1,87 @@
-//! What dispatchers tell each other of hosts.
+//! What dispatchers tell each other of hosts: observations go out, hints come in.
 
-use crate::{HostId, Time};
+use crate::{HostId, Sampled, Time};
 
-/// What one dispatcher has seen of a host itself, for others to hear.
+/// Mean measurements of a host as a source of fills; a measurement without a sample is absent.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct SourceMeasurements {
+    /// Milliseconds to a fill's first byte.
+    pub latency: Option<f64>,
+    /// Kilobytes per millisecond.
+    pub bandwidth: Option<f64>,
+}
+
+/// What one dispatcher has seen of a host itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
+    /// The host.
     pub host: HostId,
+    /// Its latest start; absent if that is long past.
     pub started: Option<Time>,
-    /// Latency in ms, bandwidth in KB a ms.
-    pub measures: [Option<f64>; 2],
-    /// When it was last measured, succeeded and failed here.
-    pub measured: Option<Time>,
-    pub good: Option<Time>,
-    pub bad: Option<Time>,
-    pub in_hand: f64,
-    /// While it is cold.
-    pub cold: Option<Used>,
+    /// This dispatcher's own latest samples.
+    pub measurements: SourceMeasurements,
+    /// When those were taken.
+    pub measured_at: Option<Time>,
+    /// This dispatcher's last success at the host.
+    pub last_success: Option<Time>,
+    /// This dispatcher's last failure at the host.
+    pub last_failure: Option<Time>,
+    /// This dispatcher's attempts in flight there.
+    pub in_flight: f64,
+    /// Present while the host warms up.
+    pub warmup: Option<WarmupUsage>,
+}
+
+/// A dispatcher's use of a host that warms up, as fractions of all that the host can take within a window.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct WarmupUsage {
+    /// The fraction that each dispatcher gets if all get the same.
+    pub equal_share: f64,
+    /// What this dispatcher has used within the window.
+    pub used: f64,
+    /// What it could not send to the host for want of quota since the last observation.
+    pub unmet: f64,
 }
 
-/// A dispatcher's use of a cold host, as shares of all that such a host can be asked for.
+/// A dispatcher's quota of a host that warms up, granted for one start of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Used {
-    /// This dispatcher's equal share.
-    pub right: f64,
-    /// What it has spent within the window.
-    pub spent: f64,
-    /// What it turned away for want of a share since the last look.
-    pub wished: f64,
+pub struct WarmupQuota {
+    /// The start that the quota belongs to; it is void after another.
+    pub started: Option<Time>,
+    /// A fraction of all that the host can take within a window, 0 to 1.
+    pub fraction: f64,
 }
 
-/// What others tell of a host.
+/// What others know of a host.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Hint {
+pub struct PeerHint {
+    /// The host.
     pub host: HostId,
-    /// The share of all that the host can be asked for while cold after that start; none for the equal one.
-    pub share: Option<(Option<Time>, f64)>,
-    /// Latency in ms, bandwidth in KB a ms, and when the youngest sample in them was taken.
-    pub measures: [Option<f64>; 2],
-    pub measured: Option<Time>,
+    /// The quota while it warms up; the equal share if absent.
+    pub quota: Option<WarmupQuota>,
+    /// Measurements weighed over several dispatchers.
+    pub measurements: SourceMeasurements,
+    /// When the youngest sample in them was taken.
+    pub measured_at: Option<Time>,
     /// When the last of several dispatchers failed there, with no success of any since.
-    pub down: Option<Time>,
+    pub down_at: Option<Time>,
     /// When any dispatcher last succeeded there.
-    pub good: Option<Time>,
-    /// Attempts that one dispatcher should have out there at most.
+    pub last_success: Option<Time>,
+    /// The most attempts that one dispatcher should have in flight there.
     pub window: Option<f64>,
-    /// Attempts that other dispatchers have out there, and when that was true.
-    pub others: Option<(f64, Time)>,
+    /// Attempts that other dispatchers have in flight there.
+    pub others_in_flight: Option<Sampled<f64>>,
 }
 
-/// All that is heard from others at a time.
+/// All that holds of what others told at a time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Guided {
-    pub hints: Vec<Hint>,
-    /// The part of its equal share that holds for a host whose share no hint tells.
-    pub by_right: f64,
-    /// How full the location's link is, as [`LoadReport::link`] tells it, and when that was true.
-    pub link: Option<(f64, Time)>,
-    /// Whether the list of hosts can be trusted; if not, nothing is handed off.
-    pub vouched: bool,
+pub struct PeerHints {
+    /// Hints by host; a host without one is decided by own knowledge.
+    pub hints: Vec<PeerHint>,
+    /// The part of its equal share that a dispatcher may use of a host whose quota no hint names, 0 to 1.
+    pub unhinted_share: f64,
+    /// Load of the location's link, as [`LoadReport::link`](crate::LoadReport::link) tells it.
+    pub link: Option<Sampled<f64>>,
+    /// Whether the endpoint list can be trusted; if not, no new attempt is made.
+    pub list_trusted: bool,
 }
--- a/src/polled.rs
+++ b/src/polled.rs
@@ -6,8 +6,9 @@
 
 use crate::decision::DecisionEngine;
 use crate::{
-    Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, Clearance, Decisions, Endpoint, Final,
-    GroupId, Guided, ListKind, ObjectId, Observation, Request, RequestId, Span, Terms, Time,
+    Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, Clearance, Decisions, DeploymentTerms,
+    Endpoint, Final, GroupId, ListKind, ObjectId, Observation, PeerHints, Request, RequestId,
+    Sampled, Span, Time,
 };
 
 /// What became known.
@@ -24,7 +25,7 @@
     AttemptEnded(AttemptEnded),
     ClientLeft(RequestId),
     /// What other dispatchers tell.
-    PeerHints(Guided),
+    PeerHints(PeerHints),
     /// This process ends at that time.
     ShutdownAt(Time),
 }
@@ -56,7 +57,7 @@
 }
 
 impl PolledEngine {
-    pub fn start(now: Time, seed: u64, terms: Terms) -> PolledEngine {
+    pub fn start(now: Time, seed: u64, terms: DeploymentTerms) -> PolledEngine {
         let (engine, decisions) = DecisionEngine::start(now, seed, terms);
         let mut engine = PolledEngine {
             engine,
@@ -122,7 +123,7 @@
     }
 
     /// How full the location's link was when last heard.
-    pub fn link(&self) -> Option<(f64, Time)> {
+    pub fn link(&self) -> Option<Sampled<f64>> {
         self.engine.link
     }
 
--- a/src/time.rs
+++ b/src/time.rs
@@ -10,6 +10,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Span(u64);
 
+/// A value with the time at which it was true.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Sampled<T> {
+    /// The value.
+    pub value: T,
+    /// When it was true.
+    pub at: Time,
+}
+
 impl Time {
     pub const NEVER: Time = Time(u64::MAX);
     pub fn at_ms(ms: f64) -> Time {
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -3,8 +3,8 @@
 use flaxdeck::decision::DecisionEngine;
 use flaxdeck::{
     Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, Cancel, CellId, ClassId, Decisions,
-    Endpoint, FillOutcome, Final, GroupId, Health, HostId, ListKind, LoadReport, ObjectId, Repeats,
-    Request, RequestClass, RequestId, Role, Scope, Span, Terms, Time, ZoneId,
+    DeploymentTerms, Endpoint, FillOutcome, Final, GroupId, Health, HostId, ListKind, LoadReport,
+    ObjectId, Repeats, Request, RequestClass, RequestId, Role, Scope, Span, Time, ZoneId,
 };
 
 pub struct Fake {
@@ -55,12 +55,12 @@
     }
 }
 
-pub fn terms() -> Terms {
+pub fn terms() -> DeploymentTerms {
     let deduplicated = Repeats::Deduplicated {
         scope: Scope::Cell,
         remembered: Span::from_ms(2000),
     };
-    Terms {
+    DeploymentTerms {
         classes: [Repeats::Idempotent, Repeats::AtMostOnce, deduplicated]
             .map(class)
             .to_vec(),
@@ -106,7 +106,7 @@
 }
 
 impl Fake {
-    pub fn new(terms: Terms, hosts: Vec<Endpoint>) -> Fake {
+    pub fn new(terms: DeploymentTerms, hosts: Vec<Endpoint>) -> Fake {
         let now = Time::at_ms(100_000.0);
         let (engine, _) = DecisionEngine::start(now, 7, terms);
         let (finals, cancels, sent, looks) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
--- a/tests/guided.rs
+++ b/tests/guided.rs
@@ -7,38 +7,47 @@
 use flaxdeck::decision::DecisionEngine;
 use flaxdeck::{
     Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, ClassId, Endpoint, FillOutcome, Final,
-    GroupId, Guided, Hint, HostId, ListKind, LoadReport, ObjectId, Observation, Request, RequestId,
-    Role, Span, Time,
+    GroupId, HostId, ListKind, LoadReport, ObjectId, Observation, PeerHint, PeerHints, Request,
+    RequestId, Role, Sampled, SourceMeasurements, Span, Time, WarmupQuota,
 };
 
 fn at(ms: u64) -> Time {
     Time::at_ms(100_000.0 + ms as f64)
 }
 
-fn hint(name: &str) -> Hint {
-    let (share, measures, measured, down, good) = (None, [None; 2], None, None, None);
-    let (window, others) = (None, None);
-    Hint {
+fn hint(name: &str) -> PeerHint {
+    PeerHint {
         host: host(name),
-        share,
-        measures,
-        measured,
-        down,
-        good,
-        window,
-        others,
+        quota: None,
+        measurements: SourceMeasurements::default(),
+        measured_at: None,
+        down_at: None,
+        last_success: None,
+        window: None,
+        others_in_flight: None,
     }
 }
 
-fn told(hints: Vec<Hint>) -> Guided {
-    Guided {
+fn told(hints: Vec<PeerHint>) -> PeerHints {
+    PeerHints {
         hints,
-        by_right: 1.0,
+        unhinted_share: 1.0,
         link: None,
-        vouched: true,
+        list_trusted: true,
     }
 }
 
+fn latency(ms: f64) -> SourceMeasurements {
+    SourceMeasurements {
+        latency: Some(ms),
+        bandwidth: None,
+    }
+}
+
+fn quota(started: Option<Time>, fraction: f64) -> WarmupQuota {
+    WarmupQuota { started, fraction }
+}
+
 fn engine(lines: Vec<Endpoint>) -> DecisionEngine {
     let (mut engine, _) = DecisionEngine::start(at(0), 1, terms());
     engine.list(at(0), ListKind::Full, lines);
@@ -93,8 +102,8 @@
     assert!(sources(&mut engine, at(10), 1..9).contains(&host("p")));
     engine.guided(
         at(20),
-        told(vec![Hint {
-            down: Some(at(15)),
+        told(vec![PeerHint {
+            down_at: Some(at(15)),
             ..hint("p")
         }]),
     );
@@ -114,17 +123,17 @@
     );
     engine.guided(
         at(110),
-        told(vec![Hint {
-            down: Some(at(90)),
+        told(vec![PeerHint {
+            down_at: Some(at(90)),
             ..hint("p")
         }]),
     );
     assert!(sources(&mut engine, at(120), 20..30).contains(&host("p")));
     engine.guided(
         at(130),
-        told(vec![Hint {
-            down: Some(at(125)),
-            good: Some(at(128)),
+        told(vec![PeerHint {
+            down_at: Some(at(125)),
+            last_success: Some(at(128)),
             ..hint("p")
         }]),
     );
@@ -139,16 +148,16 @@
     let mut engine = engine(lines());
     engine.guided(
         at(20),
-        told(vec![Hint {
-            down: Some(at(15)),
+        told(vec![PeerHint {
+            down_at: Some(at(15)),
             ..hint("p")
         }]),
     );
     assert!(!sources(&mut engine, at(30), 1..20).contains(&host("p")));
     engine.guided(
         at(40),
-        told(vec![Hint {
-            good: Some(at(35)),
+        told(vec![PeerHint {
+            last_success: Some(at(35)),
             ..hint("p")
         }]),
     );
@@ -162,14 +171,14 @@
 #[test]
 fn peer_observations_of_latency_move_the_choice_only_until_own_samples_speak() {
     let mut engine = engine(lines());
-    let slow = |now| Hint {
-        measures: [Some(900.0), None],
-        measured: Some(now),
+    let slow = |now| PeerHint {
+        measurements: latency(900.0),
+        measured_at: Some(now),
         ..hint("p")
     };
-    let quick = |now| Hint {
-        measures: [Some(5.0), None],
-        measured: Some(now),
+    let quick = |now| PeerHint {
+        measurements: latency(5.0),
+        measured_at: Some(now),
         ..hint("o")
     };
     for n in 0..6 {
@@ -188,8 +197,8 @@
             .unwrap()
     };
     assert_eq!(
-        (own.measures, own.measured),
-        ([None; 2], None),
+        (own.measurements, own.measured_at),
+        (SourceMeasurements::default(), None),
         "what others saw is not passed on as an own sample"
     );
 }
@@ -199,17 +208,17 @@
     let mut cold = line("a", Role::Cache);
     cold.started = Some(at(0));
     let lines = vec![cold, line("p", Role::Parent), line("o", Role::Origin)];
-    let count = |share: Option<(Option<Time>, f64)>, by_right: f64| {
+    let count = |quota: Option<WarmupQuota>, unhinted_share: f64| {
         let mut engine = engine(lines.clone());
         let now = at(2_500);
-        let hints = vec![Hint { share, ..hint("a") }];
+        let hints = vec![PeerHint { quota, ..hint("a") }];
         engine.guided(
             now,
-            Guided {
+            PeerHints {
                 hints,
-                by_right,
+                unhinted_share,
                 link: None,
-                vouched: true,
+                list_trusted: true,
             },
         );
         let offs = (1..200).flat_map(|id| engine.request(now, request(id, now, 0)).attempts);
@@ -217,13 +226,13 @@
     };
     let (plain, none, double) = (
         count(None, 1.0),
-        count(Some((Some(at(0)), 0.0)), 1.0),
-        count(Some((Some(at(0)), 1.0)), 1.0),
+        count(Some(quota(Some(at(0)), 0.0)), 1.0),
+        count(Some(quota(Some(at(0)), 1.0)), 1.0),
     );
     assert!(none == 0 && plain > 0, "{none} {plain}");
     assert!(double >= plain, "{double} {plain}");
     assert_eq!(
-        count(Some((Some(at(7)), 0.0)), 1.0),
+        count(Some(quota(Some(at(7)), 0.0)), 1.0),
         plain,
         "another life's share says nothing"
     );
@@ -241,8 +250,8 @@
     let mut engine = engine(vec![cold, line("p", Role::Parent), line("o", Role::Origin)]);
     engine.guided(
         at(2_500),
-        told(vec![Hint {
-            share: Some((Some(at(0)), 0.0)),
+        told(vec![PeerHint {
+            quota: Some(quota(Some(at(0)), 0.0)),
             ..hint("a")
         }]),
     );
@@ -253,12 +262,12 @@
             .into_iter()
             .find(|observation| observation.host == host("a"))
             .unwrap()
-            .cold
+            .warmup
             .unwrap()
     };
     let first = used(&engine);
-    assert!(first.wished > 0.0 && first.spent == 0.0, "{first:?}");
-    assert_eq!(used(&engine).wished, 0.0);
+    assert!(first.unmet > 0.0 && first.used == 0.0, "{first:?}");
+    assert_eq!(used(&engine).unmet, 0.0);
 }
 
 #[test]
@@ -270,8 +279,8 @@
         .remove(0);
     engine.guided(
         at(20),
-        Guided {
-            vouched: false,
+        PeerHints {
+            list_trusted: false,
             ..told(vec![])
         },
     );
@@ -301,8 +310,8 @@
     let mut engine = engine(lines());
     engine.guided(
         at(10),
-        told(vec![Hint {
-            share: Some((None, 1.0)),
+        told(vec![PeerHint {
+            quota: Some(quota(None, 1.0)),
             window: Some(1.0),
             ..hint("nobody")
         }]),
@@ -316,8 +325,11 @@
     let now = at(100);
     engine.guided(
         now,
-        Guided {
-            link: Some((50.0, at(90))),
+        PeerHints {
+            link: Some(Sampled {
+                value: 50.0,
+                at: at(90),
+            }),
             ..told(vec![])
         },
     );
@@ -325,8 +337,11 @@
     assert_eq!(off.source, off.host, "only a hit is asked for");
     engine.guided(
         at(110),
-        Guided {
-            link: Some((0.1, at(20))),
+        PeerHints {
+            link: Some(Sampled {
+                value: 0.1,
+                at: at(20),
+            }),
             ..told(vec![])
         },
     );
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -5,9 +5,9 @@
 use fake::*;
 use flaxdeck::polled::{Input, PolledEngine, Step};
 use flaxdeck::{
-    Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, Cancel, ClassId, Endpoint, FillOutcome,
-    Final, GroupId, Health, HostId, ListKind, LoadReport, ObjectId, Request, RequestClass,
-    RequestId, Role, Span, Terms, Time,
+    Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, Cancel, ClassId, DeploymentTerms,
+    Endpoint, FillOutcome, Final, GroupId, Health, HostId, ListKind, LoadReport, ObjectId, Request,
+    RequestClass, RequestId, Role, Span, Time,
 };
 
 fn is_parent(id: &HostId) -> bool {
@@ -608,7 +608,7 @@
 /// Where 60 objects go in a location of 17 dispatchers whose caches report so many requests.
 fn hosts_under(at_a: f64, elsewhere: f64) -> Vec<HostId> {
     let mut fake = Fake::new(
-        Terms {
+        DeploymentTerms {
             zone_dispatchers: vec![17, 0],
             ..terms()
         },
@@ -1008,8 +1008,8 @@
 }
 
 /// A location where no second copy may be out, and no request tells its size.
-fn single() -> Terms {
-    Terms {
+fn single() -> DeploymentTerms {
+    DeploymentTerms {
         may_duplicate: false,
         ..terms()
     }
@@ -1082,7 +1082,7 @@
 #[test]
 fn caches_that_tell_their_load_only_when_looked_at_are_looked_at_in_turn() {
     let mut fake = Fake::new(
-        Terms {
+        DeploymentTerms {
             may_look: true,
             ..terms()
         },
@@ -1155,7 +1155,7 @@
 fn where_no_report_tells_of_the_link_slow_fills_do() {
     let fills_after = |took: u64| {
         let mut fake = Fake::new(
-            Terms {
+            DeploymentTerms {
                 tells_link: false,
                 ..single()
             },
@@ -1229,7 +1229,7 @@
         ..of.clone()
     };
     let mut fake = Fake::new(
-        Terms {
+        DeploymentTerms {
             classes: terms().classes.iter().map(ageing).collect(),
             ..terms()
         },
@@ -1286,7 +1286,7 @@
 fn requests_that_wait_for_slow_fills_are_not_taken_for_work_that_a_cache_does() {
     let moved_with = |busy: f64| {
         let mut fake = Fake::new(
-            Terms {
+            DeploymentTerms {
                 zone_dispatchers: vec![17, 0],
                 ..single()
             },
