--- a/crates/flaxdeck-channel/tests/recorded_messages.rs
+++ b/crates/flaxdeck-channel/tests/recorded_messages.rs
@@ -4,10 +4,10 @@
 use bytes::BytesMut;
 use flaxdeck_channel::messages::{FromForwarder, FromPlanner};
 use flaxdeck_channel::seal::{Greeting, Key, Opener, Sealer, Side};
-use flaxdeck_control::Parts;
+use flaxdeck_control::QuotaFraction;
 use flaxdeck_control::messages::{
-    Envelope, Epoch, Fullness, Grant, Guidance, Life, PeerSummary, Rating, Relayed, Report, Sample,
-    SeatId, Stamp, Trade,
+    Envelope, Epoch, Grant, Guidance, Incarnation, LeaseReport, LinkLoad, PeerSummary, Rating,
+    RelayedEvent, Report, Sample, SlotId, Stamp,
 };
 use flaxdeck_distribution::messages::{
     Batch, Delivery, FullEvent, PurgeDigest, Snapshot, Subscription, Update,
@@ -64,8 +64,8 @@
     }
 }
 
-fn life() -> Life {
-    Life {
+fn incarnation() -> Incarnation {
+    Incarnation {
         host: "s-00c41f7a".into(),
         started: 1_764_576_000_123,
     }
@@ -81,19 +81,19 @@
 fn report() -> Report {
     Report {
         envelope: envelope(),
-        seat: SeatId(0xfeed_beef),
+        seat: SlotId(0xfeed_beef),
         last_event: mark(41),
         subscribes: true,
         version: 9,
         zone: 3,
-        link: Some(Fullness {
+        link: Some(LinkLoad {
             full: 1.75,
             ago_ms: 210,
         }),
-        trades: vec![Trade {
-            life: life(),
-            lends: Parts(1_000),
-            wishes: Parts(250_000),
+        lease_reports: vec![LeaseReport {
+            incarnation: incarnation(),
+            lends: QuotaFraction(1_000),
+            demand: QuotaFraction(250_000),
             in_hand: 12,
         }],
         samples: vec![Sample {
@@ -115,18 +115,18 @@
         upto: Some(mark(44)),
         version: 10,
         after: mark(42),
-        events: vec![Relayed {
+        events: vec![RelayedEvent {
             mark: mark(43),
             frame: vec![0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 43, 0],
         }],
         link: None,
         grants: vec![Grant {
-            life: life(),
-            amount: Parts(125_000),
+            incarnation: incarnation(),
+            amount: QuotaFraction(125_000),
             lasts_ms: 1_200,
         }],
-        lives: vec![PeerSummary {
-            life: life(),
+        incarnations: vec![PeerSummary {
+            incarnation: incarnation(),
             wanted: true,
             others: 17,
         }],
--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -7,7 +7,7 @@
 use flaxdeck::Span;
 use flaxdeck_channel::seal::Key;
 use flaxdeck_channel::watch::{Numbered, Watch};
-use flaxdeck_control::Pledges;
+use flaxdeck_control::LeaseTerms;
 use flaxdeck_distribution::Cadence;
 use flaxdeck_plan::{Events, Plan};
 use flaxdeck_terms::fields::Fields;
@@ -121,7 +121,7 @@
     batch_every(plan).map_or_else(Cadence::default, Cadence::of_batches)
 }
 
-pub fn pledges(plan: &Plan, window: Span) -> Pledges {
+pub fn lease_terms(plan: &Plan, window: Span) -> LeaseTerms {
     let granted = Span::from_ms(u64::from(plan.granted_ms));
-    Pledges::of(window, granted, (plan.drift * 1000.0).ceil() as u32)
+    LeaseTerms::of(window, granted, (plan.drift * 1000.0).ceil() as u32)
 }
--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -18,9 +18,9 @@
 use clap::{Args, Parser, Subcommand};
 use flaxdeck::Span;
 use flaxdeck_channel::seal::Key;
-use flaxdeck_control::Parts;
-use flaxdeck_control::forwarder::Stance;
-use flaxdeck_control::messages::SeatId;
+use flaxdeck_control::QuotaFraction;
+use flaxdeck_control::forwarder::ForwarderOptions;
+use flaxdeck_control::messages::SlotId;
 use flaxdeck_dispatcher::{Digests, Guidelines, Keeps};
 use flaxdeck_experiments::Limits;
 use flaxdeck_net::clock;
@@ -51,7 +51,7 @@
     /// Reads the platform's JSON (hosts, settings, limits) and the operator's plan, listens where the JSON says, and
     /// runs until SIGTERM, after which every request still gets its answer. SIGHUP has the JSON read again.
     Forward(Files),
-    /// Guide forwarders
+    /// ForwarderSession forwarders
     ///
     /// Listens where the plan says for the planner of that name, and runs until SIGTERM or ctrl-c. It may be killed
     /// at any time: what it has granted runs off by itself.
@@ -289,12 +289,16 @@
     }
 }
 
-fn stance(plan: &Plan, pledges: flaxdeck_control::Pledges, listen: &str) -> Stance {
+fn stance(
+    plan: &Plan,
+    lease_terms: flaxdeck_control::LeaseTerms,
+    listen: &str,
+) -> ForwarderOptions {
     // Where the system chooses the port it is another at each start.
     let hash = listen.bytes().fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3)
     });
-    let seat = SeatId(if listen.ends_with(":0") {
+    let seat = SlotId(if listen.ends_with(":0") {
         0
     } else {
         hash.max(1)
@@ -303,8 +307,8 @@
         Blind::RejectAfter { ms } => Some(Span::of_ms(ms)),
         Blind::GoOn => None,
     };
-    Stance {
-        pledges,
+    ForwarderOptions {
+        lease_terms,
         reserve: plan.reserve,
         seated: plan.seated,
         seat,
@@ -318,7 +322,7 @@
         keeps: None,
         planners: plan.planners.iter().map(|planner| planner.listen).collect(),
         key,
-        stance: stance(plan, files::pledges(plan, window), listen),
+        stance: stance(plan, files::lease_terms(plan, window), listen),
         report_every: Duration::from_millis(u64::from(plan.report_every_ms)),
         digests: files::batch_every(plan).map(|_| Digests {
             cadence: files::cadence(plan),
@@ -374,8 +378,8 @@
     })?;
     let world = files::world(&files.config)?;
     let _log = log::start(&plan.log_levels, plan.log_form)?;
-    let own = Parts::below(plan.reserve / plan.planners.len() as f64);
-    let pledges = files::pledges(&plan, world.window);
+    let own = QuotaFraction::below(plan.reserve / plan.planners.len() as f64);
+    let lease_terms = files::lease_terms(&plan, world.window);
     let (name, listen) = (planner.name.clone(), planner.listen);
     let (cadence, counters) = (files::cadence(&plan), files.counters.clone());
     let start = || {
@@ -384,7 +388,7 @@
             name,
             listen,
             key,
-            pledges,
+            lease_terms,
             own,
             cadence,
             watch,
@@ -427,32 +431,32 @@
         println!("{file}: good");
     }
     if explain {
-        let pledges = files::pledges(&plan, Span::from_ms(window_ms));
+        let lease_terms = files::lease_terms(&plan, Span::from_ms(window_ms));
         let ms = |span: Span| format!("{:.0} ms", span.ms());
         println!("with a window of {window_ms} ms:");
         println!(
             "  a forwarder keeps to what it lent for          {}",
-            ms(pledges.lent)
+            ms(lease_terms.lent)
         );
         println!(
             "  a planner counts on a deposit for              {}",
-            ms(pledges.counted_on())
+            ms(lease_terms.counted_on())
         );
         println!(
             "  a grant may be used for                        {}",
-            ms(pledges.granted)
+            ms(lease_terms.granted)
         );
         println!(
             "  a planner holds a grant as out for             {}",
-            ms(pledges.held_as_out())
+            ms(lease_terms.held_as_out())
         );
         println!(
             "  a forwarder that starts leaves its share for   {}",
-            ms(pledges.forwarder_waits())
+            ms(lease_terms.forwarder_waits())
         );
         println!(
             "  a planner that starts leaves its own part for  {}",
-            ms(pledges.planner_waits())
+            ms(lease_terms.planner_waits())
         );
         println!(
             "  of a cold host the seats divide {:.2}, planners grant {:.2}",
--- a/crates/flaxdeck-cli/src/recovery.rs
+++ b/crates/flaxdeck-cli/src/recovery.rs
@@ -61,7 +61,7 @@
     /// Numbers of forwarders
     #[arg(long, value_delimiter = ',', default_value = "12")]
     forwarders: Vec<usize>,
-    /// Parts of the forwarders that are killed; 1 takes the planners along
+    /// QuotaFraction of the forwarders that are killed; 1 takes the planners along
     #[arg(long, value_delimiter = ',', default_value = "0.7")]
     killed: Vec<f64>,
     /// Numbers of planners
--- a/crates/flaxdeck-control/examples/size.rs
+++ b/crates/flaxdeck-control/examples/size.rs
@@ -10,11 +10,11 @@
     Repeats, Request, RequestClass, RequestId, Role, Sampled, SourceMeasurements, Span, Time,
     WarmupQuota, ZoneId,
 };
-use flaxdeck_control::forwarder::{Guide, Stance};
+use flaxdeck_control::forwarder::{ForwarderOptions, ForwarderSession};
 use flaxdeck_control::membership::PlannerId;
-use flaxdeck_control::messages::{Envelope, Epoch, Life, Report, Sample, Trade};
+use flaxdeck_control::messages::{Envelope, Epoch, Incarnation, LeaseReport, Report, Sample};
 use flaxdeck_control::planner::Planner;
-use flaxdeck_control::{Parts, Pledges, Staircase};
+use flaxdeck_control::{LeaseSchedule, LeaseTerms, QuotaFraction};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -22,8 +22,8 @@
     Time::at_ms(1_000_000.0 + ms as f64)
 }
 
-fn pledges() -> Pledges {
-    Pledges::of(Span::from_ms(3_000), Span::from_ms(1_200), 10)
+fn lease_terms() -> LeaseTerms {
+    LeaseTerms::of(Span::from_ms(3_000), Span::from_ms(1_200), 10)
 }
 
 /// Memory held now in MB; none where the system does not tell.
@@ -40,7 +40,7 @@
 fn planner(forwarders: u64, hosts: u64) {
     let before = memory_mb().unwrap_or(0.0);
     let mut chance = Pcg64Mcg::seed_from_u64(1);
-    let mut planner = Planner::start(at(0), Epoch(1), pledges(), Parts::NONE);
+    let mut planner = Planner::start(at(0), Epoch(1), lease_terms(), QuotaFraction::NONE);
     let name = |n: u64| format!("s-{n:08x}");
     // A twentieth of the hosts is cold, as in a rolling deploy.
     let started = |n: u64| if n.is_multiple_of(20) { 999_000 } else { 0 };
@@ -60,20 +60,20 @@
             let samples = (0..20)
                 .map(|_| sample(chance.random_range(0..hosts)))
                 .collect();
-            let trades = (0..hosts / 20).take(40).map(|n| Trade {
-                life: Life {
+            let lease_reports = (0..hosts / 20).take(40).map(|n| LeaseReport {
+                incarnation: Incarnation {
                     host: name(n * 20),
                     started: 999_000,
                 },
                 lends: if from % 4 > 0 {
-                    Parts(500)
+                    QuotaFraction(500)
                 } else {
-                    Parts::NONE
+                    QuotaFraction::NONE
                 },
-                wishes: if from.is_multiple_of(4) {
-                    Parts(3_000)
+                demand: if from.is_multiple_of(4) {
+                    QuotaFraction(3_000)
                 } else {
-                    Parts::NONE
+                    QuotaFraction::NONE
                 },
                 in_hand: 1,
             });
@@ -94,7 +94,7 @@
                 version: round * 1_000,
                 zone: 0,
                 link: None,
-                trades: trades.collect(),
+                lease_reports: lease_reports.collect(),
                 samples,
             };
             let begun = Instant::now();
@@ -116,14 +116,14 @@
 fn report(hosts: u64) {
     let (mut engine, _) = DecisionEngine::start(at(0), 1, terms());
     engine.list(at(0), ListKind::Full, lines(hosts));
-    let stance = Stance {
-        pledges: pledges(),
+    let options = ForwarderOptions {
+        lease_terms: lease_terms(),
         reserve: 0.0,
         seated: true,
         seat: Default::default(),
         blind_after: None,
     };
-    let mut guide = Guide::start(at(0), Epoch(1), stance, 2);
+    let mut guide = ForwarderSession::start(at(0), Epoch(1), options, 2);
     let begun = Instant::now();
     const TIMES: u64 = 50;
     for n in 0..TIMES {
@@ -269,16 +269,20 @@
 
 /// What the staircase saves over keeping every promise.
 fn staircase() {
-    let renewals = |keep: &mut dyn FnMut(Parts, Time), look: &mut dyn FnMut(Time) -> Parts| {
+    let renewals = |keep: &mut dyn FnMut(QuotaFraction, Time),
+                    look: &mut dyn FnMut(Time) -> QuotaFraction| {
         let begun = Instant::now();
         let mut sum = 0u64;
         for n in 0..100_000u64 {
-            keep(Parts(1_000 + (n * 7 % 13) as u32), at(n * 200 + 4_900));
+            keep(
+                QuotaFraction(1_000 + (n * 7 % 13) as u32),
+                at(n * 200 + 4_900),
+            );
             sum += u64::from(look(at(n * 200)).0);
         }
         (begun.elapsed().as_secs_f64() * 1e4, sum)
     };
-    let stairs = std::cell::RefCell::new(Staircase::default());
+    let stairs = std::cell::RefCell::new(LeaseSchedule::default());
     let made = renewals(
         &mut |amount, until| stairs.borrow_mut().add(amount, until),
         &mut |now| {
--- a/crates/flaxdeck-control/src/forwarder.rs
+++ b/crates/flaxdeck-control/src/forwarder.rs
@@ -12,9 +12,9 @@
 
 use crate::membership::{self, Known, PlannerId, Refused};
 use crate::messages::*;
+use crate::quotas::{Quotas, WarmupReport};
 use crate::ratings::{sensible_link, sensible_rating};
-use crate::shares::{Cold, Shares};
-use crate::{Parts, Pledges};
+use crate::{LeaseTerms, QuotaFraction};
 
 /// Peer observations older than this are not passed to the decision engine: by then its own trials know better.
 const STALE: Span = Span::from_ms(10_000);
@@ -27,21 +27,21 @@
 
 /// What the operator's file says of a forwarder.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stance {
-    pub pledges: Pledges,
-    /// The part of each host that planners have to grant by themselves; the seats divide the rest.
+pub struct ForwarderOptions {
+    pub lease_terms: LeaseTerms,
+    /// The part of each host that planners have to grant by themselves; the instance_slots divide the rest.
     pub reserve: f64,
     /// Whether this forwarder has a seat, and with it a share by right.
     pub seated: bool,
     /// What stays the same over this forwarder's restarts.
-    pub seat: SeatId,
+    pub seat: SlotId,
     /// With no word for this long of the coordinator, or of a planner that hears it, no host is vouched for.
     pub blind_after: Option<Span>,
 }
 
 /// How well informed a forwarder is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Informed {
+pub enum Freshness {
     /// A planner is heard.
     Guided,
     /// None is, but what was heard still counts by its age.
@@ -67,35 +67,35 @@
 
 /// What was refused, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counted {
+pub struct Counters {
     pub reports: u64,
     pub guidance: u64,
     pub old_epoch: u64,
     pub out_of_order: u64,
     pub not_for_us: u64,
-    pub nonsense: u64,
+    pub invalid_message: u64,
     pub shunned: u64,
     pub relayed: u64,
 }
 
 /// How a forwarder reports that hears of events by a subscription.
-struct Sparing {
+struct ReportSuppression {
     /// Between reports while nothing urgent is to be told.
     idle_every: Span,
     /// The planner subscribed to: samples go to it alone, failures to all.
     subscribed_to: Option<PlannerId>,
 }
 
-pub struct Guide {
+pub struct ForwarderSession {
     epoch: Epoch,
-    stance: Stance,
+    options: ForwarderOptions,
     known: Vec<Known>,
     sides: Vec<Side>,
-    shares: Shares,
+    quotas: Quotas,
     /// Ratings that the decision engine has not heard, with the time at which they were true.
     news: BTreeMap<String, (Time, Rating)>,
     /// What others have out at cold hosts, and when that was true.
-    others: BTreeMap<Life, Sampled<f64>>,
+    others: BTreeMap<Incarnation, Sampled<f64>>,
     /// This location's link as heard here, and as heard by others.
     zone: u32,
     link: Option<Sampled<f64>>,
@@ -103,20 +103,25 @@
     /// When the coordinator itself was last heard and known to be followed; none since the start.
     coordinator: Option<Time>,
     /// None while every report is due at each tick and tells all.
-    sparing: Option<Sparing>,
-    pub counted: Counted,
+    report_suppression: Option<ReportSuppression>,
+    pub counters: Counters,
 }
 
-fn life_of(observation: &Observation) -> Life {
-    Life {
+fn incarnation_of(observation: &Observation) -> Incarnation {
+    Incarnation {
         host: observation.host.0.to_string(),
         started: observation.started.map_or(0, |at| at.ms() as u64),
     }
 }
 
-impl Guide {
+impl ForwarderSession {
     /// A forwarder that has just started, with so many planners in its file.
-    pub fn start(now: Time, epoch: Epoch, stance: Stance, planners: u32) -> Guide {
+    pub fn start(
+        now: Time,
+        epoch: Epoch,
+        options: ForwarderOptions,
+        planners: u32,
+    ) -> ForwarderSession {
         let side = |_| Side {
             echo: None,
             version: 0,
@@ -125,15 +130,15 @@
             vouched: None,
             owes_until: None,
         };
-        Guide {
+        ForwarderSession {
             epoch,
-            stance,
+            options,
             known: (0..planners).map(|n| Known::new(PlannerId(n))).collect(),
             sides: (0..planners).map(side).collect(),
-            shares: if planners > 0 {
-                Shares::new(now, stance.pledges)
+            quotas: if planners > 0 {
+                Quotas::new(now, options.lease_terms)
             } else {
-                Shares::lending_nothing(now, stance.pledges)
+                Quotas::lending_nothing(now, options.lease_terms)
             },
             news: BTreeMap::new(),
             others: BTreeMap::new(),
@@ -141,19 +146,19 @@
             link: None,
             link_told: None,
             coordinator: None,
-            sparing: None,
-            counted: Counted::default(),
+            report_suppression: None,
+            counters: Counters::default(),
         }
     }
 
     /// Events come by a subscription from now on, and reports go out only as often as there is something to say: each
     /// tick while a cold host is shared or a failure is to be told, else after `idle_every`.
-    pub fn report_sparingly(&mut self, idle_every: Span) {
+    pub fn suppress_reports(&mut self, idle_every: Span) {
         let silent_after = idle_every * IDLE_REPORTS_MISSED;
         self.known
             .iter_mut()
             .for_each(|known| known.silent_after(silent_after));
-        self.sparing = Some(Sparing {
+        self.report_suppression = Some(ReportSuppression {
             idle_every,
             subscribed_to: None,
         });
@@ -161,9 +166,9 @@
 
     /// The planner that tells the events, if one does.
     pub fn subscribed_to(&mut self, planner: Option<PlannerId>) {
-        self.sparing
+        self.report_suppression
             .iter_mut()
-            .for_each(|sparing| sparing.subscribed_to = planner);
+            .for_each(|report_suppression| report_suppression.subscribed_to = planner);
     }
 
     /// Somebody who follows the coordinator has told all that it had at that time.
@@ -173,7 +178,9 @@
 
     /// Whether a report to that planner is due at this tick.
     pub fn is_report_due(&self, now: Time, to: PlannerId, observations: &[Observation]) -> bool {
-        let (Some(sparing), Some(side)) = (&self.sparing, self.sides.get(to.0 as usize)) else {
+        let (Some(report_suppression), Some(side)) =
+            (&self.report_suppression, self.sides.get(to.0 as usize))
+        else {
             return true;
         };
         let Some(last) = side.reported else {
@@ -183,7 +190,7 @@
             observation.warmup.is_some() || observation.last_failure.is_some_and(|bad| bad > last)
         };
         side.echo.is_none()
-            || now.since(last) >= sparing.idle_every
+            || now.since(last) >= report_suppression.idle_every
             || observations.iter().any(urgent)
     }
 
@@ -195,23 +202,23 @@
             .for_each(Known::met);
     }
 
-    /// What was lent before this start is known: the own shares are its own after so long.
+    /// What was lent before this start is known: the own quotas are its own after so long.
     pub fn owns_after(&mut self, now: Time, waits: Span) {
-        self.shares.owns_after(now, waits);
+        self.quotas.owns_after(now, waits);
     }
 
     /// Nothing is lent without leave from now on, which must be kept before it is given.
     pub fn needs_leave(&mut self, now: Time) {
-        self.shares.needs_leave(now);
+        self.quotas.needs_leave(now);
     }
 
     /// Up to when leave to lend is wanted.
     pub fn asks_leave(&mut self, now: Time) -> Option<Time> {
-        self.shares.asks_leave(now)
+        self.quotas.asks_leave(now)
     }
 
     pub fn has_leave(&mut self, until: Time) {
-        self.shares.has_leave(until);
+        self.quotas.has_leave(until);
     }
 
     /// The coordinator itself has spoken, and all is known here that it had to tell.
@@ -219,25 +226,28 @@
         self.coordinator = Some(now);
     }
 
-    /// Takes in what the decision engine has seen; its wishes count until the next call.
+    /// Takes in what the decision engine has seen; its demand count until the next call.
     pub fn stand(&mut self, now: Time, observations: &[Observation]) {
         let by_right = self.by_right();
         let cold = observations.iter().filter_map(|observation| {
             let used = observation.warmup.as_ref()?;
-            let (right, life) = (
-                Parts::below(used.equal_share * by_right),
-                life_of(observation),
+            let (right, incarnation) = (
+                QuotaFraction::below(used.equal_share * by_right),
+                incarnation_of(observation),
+            );
+            let (spent, unmet) = (
+                QuotaFraction::above(used.used),
+                QuotaFraction::above(used.unmet),
             );
-            let (spent, wished) = (Parts::above(used.used), Parts::above(used.unmet));
-            Some(Cold {
-                life,
+            Some(WarmupReport {
+                incarnation,
                 right,
                 spent,
                 in_hand: observation.in_flight.clamp(0.0, 65_535.0) as u16,
-                wished,
+                unmet,
             })
         });
-        self.shares.stand(now, cold);
+        self.quotas.stand(now, cold);
     }
 
     /// Takes in how full the location's link was when last heard here.
@@ -257,9 +267,11 @@
         let side = &mut self.sides[to.0 as usize];
         side.sent += 1;
         // Without a stamp of the planner's it could not tell from when a deposit counts.
-        let charge = |life: &Life| membership::in_charge(now, &self.known, life) == Some(to);
-        let trades = match side.echo {
-            Some(_) => self.shares.trade(now, known.epoch, charge),
+        let charge = |incarnation: &Incarnation| {
+            membership::lease_holder(now, &self.known, incarnation) == Some(to)
+        };
+        let lease_reports = match side.echo {
+            Some(_) => self.quotas.trade(now, known.epoch, charge),
             None => Vec::new(),
         };
         let last = side.reported.replace(now);
@@ -277,12 +289,12 @@
         told.sort_by_key(|observation| {
             std::cmp::Reverse(observation.last_failure.filter(|bad| newer(Some(*bad))))
         });
-        if let Some(sparing) = &self.sparing {
+        if let Some(report_suppression) = &self.report_suppression {
             let failed = told
                 .iter()
                 .take_while(|observation| newer(observation.last_failure))
                 .count();
-            let others = if sparing.subscribed_to == Some(to) {
+            let others = if report_suppression.subscribed_to == Some(to) {
                 RARE_MOST
             } else {
                 0
@@ -307,7 +319,7 @@
             bad_ago_ms: observation.last_failure.map(ago),
             in_hand: observation.in_flight.clamp(0.0, 65_535.0) as u16,
         };
-        self.counted.reports += 1;
+        self.counters.reports += 1;
         let (from, sent) = (self.epoch, Stamp::of(now));
         Report {
             envelope: Envelope {
@@ -317,16 +329,16 @@
                 sent,
                 echo: side.echo,
             },
-            seat: self.stance.seat,
+            seat: self.options.seat,
             last_event,
-            subscribes: self.sparing.is_some(),
+            subscribes: self.report_suppression.is_some(),
             version: side.version,
             zone: self.zone,
-            link: self.link.map(|Sampled { value: full, at }| Fullness {
+            link: self.link.map(|Sampled { value: full, at }| LinkLoad {
                 full: full as f32,
                 ago_ms: ago(at),
             }),
-            trades,
+            lease_reports,
             samples: told.into_iter().take(RATINGS_MOST).map(sample).collect(),
         }
     }
@@ -339,16 +351,16 @@
         from: PlannerId,
         guidance: Guidance,
         last_event: Mark,
-    ) -> Result<Vec<Relayed>, Refused> {
+    ) -> Result<Vec<RelayedEvent>, Refused> {
         let judged = self.judge(now, from, &guidance);
         if let Err(why) = judged {
-            let counted = &mut self.counted;
+            let counters = &mut self.counters;
             *match why {
-                Refused::OldEpoch => &mut counted.old_epoch,
-                Refused::OutOfOrder => &mut counted.out_of_order,
-                Refused::NotForUs => &mut counted.not_for_us,
-                Refused::Nonsense => &mut counted.nonsense,
-                Refused::Shunned => &mut counted.shunned,
+                Refused::OldEpoch => &mut counters.old_epoch,
+                Refused::OutOfOrder => &mut counters.out_of_order,
+                Refused::NotForUs => &mut counters.not_for_us,
+                Refused::Nonsense => &mut counters.invalid_message,
+                Refused::Shunned => &mut counters.shunned,
             } += 1;
             return Err(why);
         }
@@ -361,14 +373,14 @@
             last = if follows { event.mark } else { last };
             follows
         });
-        self.counted.relayed += events.len() as u64;
+        self.counters.relayed += events.len() as u64;
         // Between two words of the coordinator a planner on a good connection would hear of any change at once.
         let ago = |ago: u32| Span::from_ms(u64::from(ago)).less(COORDINATOR_SILENT);
         let followed = guidance
             .coordinator_ago_ms
             .filter(|_| guidance.upto == Some(last));
         self.sides[from.0 as usize].vouched = followed.map(|told| true_at - ago(told));
-        let ago = |link: Fullness| true_at - Span::from_ms(u64::from(link.ago_ms));
+        let ago = |link: LinkLoad| true_at - Span::from_ms(u64::from(link.ago_ms));
         let told = guidance.link.map(|link| Sampled {
             value: f64::from(link.full),
             at: ago(link),
@@ -405,26 +417,26 @@
             (side.echo, side.version) = (None, 0);
         }
         let echo = echo.map_or(now, Stamp::time);
-        let bounded = guidance.grants.len() <= LIVES_MOST
+        let bounded = guidance.grants.len() <= INCARNATIONS_MOST
             && guidance.ratings.len() <= RATINGS_MOST
             && guidance.events.len() <= EVENTS_MOST
-            && guidance.lives.len() <= LIVES_MOST;
+            && guidance.incarnations.len() <= INCARNATIONS_MOST;
         let mut sensible = bounded && echo <= now && guidance.ratings.iter().all(sensible_rating);
         sensible &= guidance.link.iter().all(sensible_link);
         // What it grants is bounded by what was asked, so the rest of a message with one bad grant does no harm.
         for grant in guidance.grants.iter().filter(|_| bounded && echo <= now) {
-            sensible &= self.shares.granted(now, epoch, echo, grant);
+            sensible &= self.quotas.granted(now, epoch, echo, grant);
         }
         if !sensible {
             known.blame(now);
             return Err(Refused::Nonsense);
         }
-        for word in &guidance.lives {
+        for word in &guidance.incarnations {
             if word.wanted {
-                self.shares.wanted(now, echo, &word.life);
+                self.quotas.wanted(now, echo, &word.incarnation);
             }
             self.others.insert(
-                word.life.clone(),
+                word.incarnation.clone(),
                 Sampled {
                     value: f64::from(word.others),
                     at: echo,
@@ -434,12 +446,12 @@
         // Once it has lent itself, what an earlier run lent is of no more interest.
         let owes = guidance
             .owes_ms
-            .filter(|_| !self.shares.owns(now))
+            .filter(|_| !self.quotas.owns(now))
             .map(|ms| Span::from_ms(u64::from(ms)));
         side.owes_until = owes.map(|owes| now + owes).or(side.owes_until);
         known.true_at = Some(echo);
         (side.echo, side.version) = (Some(sent), guidance.version);
-        self.counted.guidance += 1;
+        self.counters.guidance += 1;
         // All planners that an earlier run may have lent to have said when nothing of it is out any more.
         let all = self
             .sides
@@ -449,7 +461,7 @@
         let until = all.and_then(|all| all.into_iter().max());
         until
             .into_iter()
-            .for_each(|until| self.shares.owns_by(until));
+            .for_each(|until| self.quotas.owns_by(until));
         Ok(())
     }
 
@@ -465,18 +477,20 @@
             window: None,
             others_in_flight: None,
         };
-        let start = |life: &Life| (life.started > 0).then(|| Time::at_ms(life.started as f64));
+        let start = |incarnation: &Incarnation| {
+            (incarnation.started > 0).then(|| Time::at_ms(incarnation.started as f64))
+        };
         self.others
             .retain(|_, others| now.since(others.at) < membership::SILENT);
-        let shares = self.shares.uses(now).map(|(life, parts)| PeerHint {
+        let quotas = self.quotas.uses(now).map(|(incarnation, parts)| PeerHint {
             quota: Some(WarmupQuota {
-                started: start(life),
+                started: start(incarnation),
                 fraction: parts.share(),
             }),
-            others_in_flight: self.others.get(life).copied(),
-            ..bare(&life.host)
+            others_in_flight: self.others.get(incarnation).copied(),
+            ..bare(&incarnation.host)
         });
-        let mut hints: Vec<PeerHint> = shares.collect();
+        let mut hints: Vec<PeerHint> = quotas.collect();
         for (true_at, rating) in std::mem::take(&mut self.news).into_values() {
             if now.since(true_at) < STALE {
                 let ago = |ms: u32| true_at - Span::from_ms(u64::from(ms));
@@ -491,7 +505,7 @@
                 });
             }
         }
-        let by_right = if self.shares.owns(now) {
+        let by_right = if self.quotas.owns(now) {
             self.by_right()
         } else {
             0.0
@@ -500,14 +514,14 @@
             hints,
             unhinted_share: by_right,
             link: self.link_told,
-            list_trusted: self.informed(now) != Informed::Blind,
+            list_trusted: self.informed(now) != Freshness::Blind,
         }
     }
 
     /// The part of an equal share that this forwarder has by right.
     fn by_right(&self) -> f64 {
-        if self.stance.seated {
-            1.0 - self.stance.reserve
+        if self.options.seated {
+            1.0 - self.options.reserve
         } else {
             0.0
         }
@@ -517,11 +531,11 @@
     pub fn next_change(&self, now: Time) -> Option<Time> {
         let until = |after| self.vouched().map(|at| at + after);
         let blind = self
-            .stance
+            .options
             .blind_after
             .and_then(until)
             .filter(|at| *at > now);
-        [blind, self.shares.next_change(now)]
+        [blind, self.quotas.next_change(now)]
             .into_iter()
             .flatten()
             .min()
@@ -551,28 +565,28 @@
 
     /// From when on what it may use of cold hosts is its own.
     pub fn owns_from(&self) -> Time {
-        self.shares.owns_from()
+        self.quotas.owns_from()
     }
 
-    pub fn informed(&self, now: Time) -> Informed {
+    pub fn informed(&self, now: Time) -> Freshness {
         let heard = self.known.iter().filter_map(|known| known.true_at).max();
         if self
-            .stance
+            .options
             .blind_after
             .is_some_and(|after| self.vouched().is_none_or(|at| now.since(at) >= after))
         {
-            Informed::Blind
+            Freshness::Blind
         } else if self.known.iter().any(|known| known.live(now)) {
-            Informed::Guided
+            Freshness::Guided
         } else if heard.is_some_and(|at| now.since(at) < STALE) {
-            Informed::Ageing
+            Freshness::Ageing
         } else {
-            Informed::Alone
+            Freshness::Alone
         }
     }
 
-    /// Shares lent and granted over all cold hosts now, for the log.
+    /// Quotas lent and granted over all cold hosts now, for the log.
     pub fn totals(&self, now: Time) -> [f64; 2] {
-        self.shares.totals(now)
+        self.quotas.totals(now)
     }
 }
--- a/crates/flaxdeck-control/src/seats.rs
+++ b/crates/flaxdeck-control/src/instance_slots.rs
@@ -1,4 +1,4 @@
-//! The planner's memory of seats: which run of a forwarder holds each, and how long something may be out that the seat
+//! The planner's memory of instance_slots: which run of a forwarder holds each, and how long something may be out that the seat
 //! has lent. A forwarder that returns without a store learns from it that nothing is, and uses its share at once.
 //!
 //! That is safe for two reasons. Who has met a later run of a seat takes nothing more from an earlier one, so a report
@@ -9,54 +9,54 @@
 
 use flaxdeck::{Span, Time};
 
-use crate::Pledges;
-use crate::messages::{Epoch, SeatId};
+use crate::LeaseTerms;
+use crate::messages::{Epoch, SlotId};
 
-/// The most seats and ended runs that are remembered; past that a seat is told that nobody can tell.
+/// The most instance_slots and ended runs that are remembered; past that a seat is told that nobody can tell.
 const SEATS_MOST: usize = 4_096;
 
-struct Seat {
+struct Slot {
     run: Epoch,
     /// Nothing that it lent is out after that.
     out_until: Time,
 }
 
-pub struct Seats {
+pub struct InstanceSlots {
     born: Time,
     /// For how long something may be out, from when it was taken.
     pub lasts: Span,
-    seats: BTreeMap<SeatId, Seat>,
+    instance_slots: BTreeMap<SlotId, Slot>,
     /// Runs that a later one has followed, until when they could still lend.
     ended: BTreeMap<Epoch, Time>,
 }
 
-impl Seats {
-    pub fn new(now: Time, pledges: Pledges) -> Seats {
+impl InstanceSlots {
+    pub fn new(now: Time, lease_terms: LeaseTerms) -> InstanceSlots {
         // A loan by the lender's clock, as long as that can be by this one's, and told to a third.
-        let lasts = pledges.lent * (1.0 + f64::from(pledges.drift) / 1000.0 * 5.0);
-        Seats {
+        let lasts = lease_terms.lent * (1.0 + f64::from(lease_terms.drift) / 1000.0 * 5.0);
+        InstanceSlots {
             born: now,
             lasts,
-            seats: BTreeMap::new(),
+            instance_slots: BTreeMap::new(),
             ended: BTreeMap::new(),
         }
     }
 
     /// A run reports from a seat; false if a later one has been met there, and nothing may be taken from it.
-    pub fn met(&mut self, now: Time, seat: SeatId, run: Epoch) -> bool {
+    pub fn met(&mut self, now: Time, seat: SlotId, run: Epoch) -> bool {
         if self.ended.contains_key(&run) {
             return false;
         }
-        if seat == SeatId(0) {
+        if seat == SlotId(0) {
             return true;
         }
-        if !self.seats.contains_key(&seat) && self.seats.len() >= SEATS_MOST {
-            self.seats.retain(|_, seat| seat.out_until > now);
-            if self.seats.len() >= SEATS_MOST {
+        if !self.instance_slots.contains_key(&seat) && self.instance_slots.len() >= SEATS_MOST {
+            self.instance_slots.retain(|_, seat| seat.out_until > now);
+            if self.instance_slots.len() >= SEATS_MOST {
                 return true;
             }
         }
-        let known = self.seats.entry(seat).or_insert(Seat {
+        let known = self.instance_slots.entry(seat).or_insert(Slot {
             run,
             out_until: now,
         });
@@ -74,17 +74,17 @@
     }
 
     /// What a seat lends has been taken.
-    pub fn lent(&mut self, now: Time, seat: SeatId) {
+    pub fn lent(&mut self, now: Time, seat: SlotId) {
         let until = now + self.lasts;
-        self.seats
+        self.instance_slots
             .get_mut(&seat)
             .into_iter()
             .for_each(|seat| seat.out_until = until);
     }
 
     /// For how long something may still be out that the seat lent; none if this planner can't tell.
-    pub fn owes(&self, now: Time, seat: SeatId) -> Option<Span> {
-        let seat = self.seats.get(&seat)?;
+    pub fn owes(&self, now: Time, seat: SlotId) -> Option<Span> {
+        let seat = self.instance_slots.get(&seat)?;
         (now >= self.born + self.lasts).then(|| seat.out_until.since(now))
     }
 }
--- a/crates/flaxdeck-control/src/staircase.rs
+++ b/crates/flaxdeck-control/src/lease_schedule.rs
@@ -3,21 +3,21 @@
 
 use flaxdeck::Time;
 
-use crate::Parts;
+use crate::QuotaFraction;
 
 /// Steps by their ends, rising; amounts fall, so that each step tells the most that holds until its end.
 ///
 /// `add` and `at` take time linear in the steps, of which there are few: a promise renewed with the same amount
 /// replaces its own step, and one that is passed in both by another is forgotten.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Staircase {
-    steps: Vec<(Time, Parts)>,
+pub struct LeaseSchedule {
+    steps: Vec<(Time, QuotaFraction)>,
 }
 
-impl Staircase {
+impl LeaseSchedule {
     /// So much until then, beside all that was promised before: the larger counts at any time.
-    pub fn add(&mut self, amount: Parts, until: Time) {
-        if amount == Parts::NONE || self.at_least(amount, until) {
+    pub fn add(&mut self, amount: QuotaFraction, until: Time) {
+        if amount == QuotaFraction::NONE || self.at_least(amount, until) {
             return;
         }
         self.steps
@@ -26,18 +26,18 @@
         self.steps.insert(place, (until, amount));
     }
 
-    fn at_least(&self, amount: Parts, until: Time) -> bool {
+    fn at_least(&self, amount: QuotaFraction, until: Time) -> bool {
         self.steps
             .iter()
             .any(|(end, other)| *end >= until && *other >= amount)
     }
 
     /// What is promised at that time; an end itself is no part of its promise.
-    pub fn at(&self, time: Time) -> Parts {
+    pub fn at(&self, time: Time) -> QuotaFraction {
         self.steps
             .iter()
             .find(|(end, _)| *end > time)
-            .map_or(Parts::NONE, |(_, amount)| *amount)
+            .map_or(QuotaFraction::NONE, |(_, amount)| *amount)
     }
 
     /// The times at which the amount falls.
--- a/crates/flaxdeck-control/src/lib.rs
+++ b/crates/flaxdeck-control/src/lib.rs
@@ -1,25 +1,25 @@
 //! What forwarders and planners decide beside the decision engine, as state machines without I/O, clocks or tasks: facts and
 //! the time go in, messages and decisions come out. The reasons are in `docs/forwarders-planners.md`.
 //!
-//! - [`Staircase`]: an amount that is promised until some time, and less of it for longer.
-//! - [`shares`]: the forwarder's part of what cold hosts bear: lending what it does not need, borrowing what it does.
-//! - [`pool`]: the planner's side of that: what was lent to it, and to whom it went.
+//! - [`LeaseSchedule`]: an amount that is promised until some time, and less of it for longer.
+//! - [`quotas`]: the forwarder's part of what cold hosts bear: lending what it does not need, borrowing what it does.
+//! - [`quota_pool`]: the planner's side of that: what was lent to it, and to whom it went.
 //! - [`ratings`]: everybody's samples of a host weighed into one picture.
-//! - [`seats`]: what a returning forwarder's earlier run may still have lent.
+//! - [`instance_slots`]: what a returning forwarder's earlier run may still have lent.
 //! - [`membership`]: which planner is in charge, by who was heard.
 //! - [`planner`] and [`forwarder`]: the whole of each side, speaking [`messages`].
 
 pub mod forwarder;
+pub mod instance_slots;
+mod lease_schedule;
 pub mod membership;
 pub mod messages;
 pub mod planner;
-pub mod pool;
+pub mod quota_pool;
+pub mod quotas;
 pub mod ratings;
-pub mod seats;
-pub mod shares;
-mod staircase;
 
-pub use staircase::Staircase;
+pub use lease_schedule::LeaseSchedule;
 
 use flaxdeck::Span;
 use serde::{Deserialize, Serialize};
@@ -28,37 +28,37 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Parts(pub u32);
+pub struct QuotaFraction(pub u32);
 
-impl Parts {
-    pub const WHOLE: Parts = Parts(1_000_000);
-    pub const NONE: Parts = Parts(0);
+impl QuotaFraction {
+    pub const WHOLE: QuotaFraction = QuotaFraction(1_000_000);
+    pub const NONE: QuotaFraction = QuotaFraction(0);
 
     /// Of a share between 0 and 1, rounded down; anything else counts as the nearer end, not a number as none.
-    pub fn below(share: f64) -> Parts {
-        Parts((share.clamp(0.0, 1.0) * 1e6) as u32)
+    pub fn below(share: f64) -> QuotaFraction {
+        QuotaFraction((share.clamp(0.0, 1.0) * 1e6) as u32)
     }
     /// The same rounded up.
-    pub fn above(share: f64) -> Parts {
-        Parts((share.clamp(0.0, 1.0) * 1e6).ceil() as u32)
+    pub fn above(share: f64) -> QuotaFraction {
+        QuotaFraction((share.clamp(0.0, 1.0) * 1e6).ceil() as u32)
     }
     pub fn share(self) -> f64 {
         f64::from(self.0) / 1e6
     }
-    pub fn less(self, other: Parts) -> Parts {
-        Parts(self.0.saturating_sub(other.0))
+    pub fn less(self, other: QuotaFraction) -> QuotaFraction {
+        QuotaFraction(self.0.saturating_sub(other.0))
     }
-    pub fn and(self, other: Parts) -> Parts {
-        Parts(self.0.saturating_add(other.0))
+    pub fn and(self, other: QuotaFraction) -> QuotaFraction {
+        QuotaFraction(self.0.saturating_add(other.0))
     }
 }
 
 /// The spans that lending rests on, the same at all forwarders and planners of an installation.
 ///
-/// Every promise is counted on the clock of who made it, from a moment that both sides can place: clocks need not
+/// Every promise is counters on the clock of who made it, from a moment that both sides can place: clocks need not
 /// agree, but each must run within `drift` of real time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Pledges {
+pub struct LeaseTerms {
     /// The time within which a host's load counts together: the ramp's window.
     pub window: Span,
     /// How long a forwarder keeps to what it has lent, from when it said so.
@@ -69,13 +69,13 @@
     pub drift: u32,
 }
 
-impl Pledges {
-    /// The pledges for a window: loans last for some reports, deposits outlast them by the window.
-    pub fn of(window: Span, granted: Span, drift: u32) -> Pledges {
+impl LeaseTerms {
+    /// The lease_terms for a window: loans last for some reports, deposits outlast them by the window.
+    pub fn of(window: Span, granted: Span, drift: u32) -> LeaseTerms {
         let drift = drift.min(200);
         let late = Span::from_ms(700); // an answer of half that on each way still finds most of a deposit left
         let lent = (window + granted + late) * (1.0 + f64::from(drift) * 0.008);
-        Pledges {
+        LeaseTerms {
             window,
             lent,
             granted,
--- a/crates/flaxdeck-control/src/membership.rs
+++ b/crates/flaxdeck-control/src/membership.rs
@@ -1,10 +1,10 @@
-//! Which planner is in charge of a host's life, by each forwarder's own view of who is alive. No election: two views
-//! may differ for a while, and [`crate::shares`] keeps the sum right all the same.
+//! Which planner is in charge of a host's incarnation, by each forwarder's own view of who is alive. No election: two views
+//! may differ for a while, and [`crate::quotas`] keeps the sum right all the same.
 
 use flaxdeck::hash::{mix, of_name};
 use flaxdeck::{Span, Time};
 
-use crate::messages::{Epoch, Life};
+use crate::messages::{Epoch, Incarnation};
 
 /// A planner not heard from for this long is not asked: three reports and the slowest answer worth waiting for.
 pub const SILENT: Span = Span::from_ms(1_000);
@@ -31,7 +31,7 @@
     heard: Option<Time>,
     /// Since when it has been heard without a silence.
     since: Time,
-    nonsense: u32,
+    invalid_message: u32,
     shunned_until: Time,
     silent_after: Span,
     /// A conversation has begun on which nothing was heard yet: whoever speaks first on it is the present run.
@@ -49,14 +49,15 @@
     NotForUs,
     /// Says what can't be.
     Nonsense,
-    /// Its writer has said too much nonsense lately.
+    /// Its writer has said too much invalid_message lately.
     Shunned,
 }
 
 impl Known {
     pub fn new(id: PlannerId) -> Known {
         let (epoch, number, true_at, heard) = (Epoch(0), 0, None, None);
-        let (since, nonsense, shunned_until, met) = (Time::default(), 0, Time::default(), false);
+        let (since, invalid_message, shunned_until, met) =
+            (Time::default(), 0, Time::default(), false);
         let silent_after = SILENT;
         Known {
             id,
@@ -65,7 +66,7 @@
             true_at,
             heard,
             since,
-            nonsense,
+            invalid_message,
             shunned_until,
             silent_after,
             met,
@@ -83,7 +84,7 @@
         self.met = true;
     }
 
-    /// Whether a message of that run and number is to be taken; what it says may still be nonsense.
+    /// Whether a message of that run and number is to be taken; what it says may still be invalid_message.
     pub fn admit(&mut self, now: Time, epoch: Epoch, number: u64) -> Result<(), Refused> {
         if now < self.shunned_until {
             return Err(Refused::Shunned);
@@ -104,9 +105,9 @@
 
     /// It has said what can't be. The paper's penalty for a peer: after some it is left alone for a while.
     pub fn blame(&mut self, now: Time) {
-        self.nonsense += 1;
-        if self.nonsense >= NONSENSE_MOST {
-            (self.nonsense, self.shunned_until, self.heard) = (0, now + SHUNNED, None);
+        self.invalid_message += 1;
+        if self.invalid_message >= NONSENSE_MOST {
+            (self.invalid_message, self.shunned_until, self.heard) = (0, now + SHUNNED, None);
         }
     }
 
@@ -121,10 +122,10 @@
     }
 }
 
-/// The planner in charge of a life: the first of the live ones in the life's own order (rendezvous), steady ones
+/// The planner in charge of a incarnation: the first of the live ones in the incarnation's own order (rendezvous), steady ones
 /// before those that have just come.
-pub fn in_charge(now: Time, planners: &[Known], life: &Life) -> Option<PlannerId> {
-    let hash = of_name(&life.host, life.started);
+pub fn lease_holder(now: Time, planners: &[Known], incarnation: &Incarnation) -> Option<PlannerId> {
+    let hash = of_name(&incarnation.host, incarnation.started);
     let live = planners.iter().filter(|planner| planner.live(now));
     let draw = |planner: &&Known| {
         (
--- a/crates/flaxdeck-control/src/messages.rs
+++ b/crates/flaxdeck-control/src/messages.rs
@@ -5,7 +5,7 @@
 use flaxdeck_recovery::Mark;
 use serde::{Deserialize, Serialize};
 
-use crate::Parts;
+use crate::QuotaFraction;
 
 /// One run of a forwarder or planner: new with each start. Which of two is the later is told by the conversations that
 /// they hold, not by their numbers: a clock may have been set back between them.
@@ -41,18 +41,18 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct SeatId(pub u64);
+pub struct SlotId(pub u64);
 
-/// A host from one start to the next: what it bears while cold belongs to that life alone.
+/// A host from one start to the next: what it bears while cold belongs to that incarnation alone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct Incarnation {
     pub host: String,
     /// Its start by the coordinator's list, in milliseconds of Unix time.
     pub started: u64,
 }
 
-/// The most of each that one message may hold; what is over the bound makes the message nonsense.
-pub const LIVES_MOST: usize = 256;
+/// The most of each that one message may hold; what is over the bound makes the message invalid_message.
+pub const INCARNATIONS_MOST: usize = 256;
 pub const RATINGS_MOST: usize = 128;
 pub const EVENTS_MOST: usize = 64;
 /// Samples and ratings in one message to or from a forwarder that subscribes, beside those of hosts that failed: what
@@ -73,14 +73,14 @@
     pub echo: Option<Stamp>,
 }
 
-/// What a forwarder lends and would borrow of one life.
+/// What a forwarder lends and would borrow of one incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Trade {
-    pub life: Life,
-    /// Lent from now on for [`crate::Pledges::lent`].
-    pub lends: Parts,
+pub struct LeaseReport {
+    pub incarnation: Incarnation,
+    /// Lent from now on for [`crate::LeaseTerms::lent`].
+    pub lends: QuotaFraction,
     /// Would be used at once beside the own share.
-    pub wishes: Parts,
+    pub demand: QuotaFraction,
     /// Attempts out at the host.
     pub in_hand: u16,
 }
@@ -99,7 +99,7 @@
 
 /// A link's transfers over those that fit, and how long ago that was heard.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Fullness {
+pub struct LinkLoad {
     pub full: f32,
     pub ago_ms: u32,
 }
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     pub envelope: Envelope,
-    pub seat: SeatId,
+    pub seat: SlotId,
     /// The coordinator's last event that it has applied.
     pub last_event: Mark,
     /// Events come to it by a subscription: guidance holds none, and only the ratings that matter most.
@@ -118,23 +118,23 @@
     /// The forwarder's location, by its place in the platform's list.
     pub zone: u32,
     /// How full the location's link is, as hosts report it.
-    pub link: Option<Fullness>,
-    pub trades: Vec<Trade>,
+    pub link: Option<LinkLoad>,
+    pub lease_reports: Vec<LeaseReport>,
     pub samples: Vec<Sample>,
 }
 
-/// What a planner grants of one life, from when the forwarder wrote what is echoed.
+/// What a planner grants of one incarnation, from when the forwarder wrote what is echoed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
-    pub life: Life,
-    pub amount: Parts,
+    pub incarnation: Incarnation,
+    pub amount: QuotaFraction,
     pub lasts_ms: u32,
 }
 
 /// What others do at a cold host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PeerSummary {
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Others wish for more than is their own: worth lending.
     pub wanted: bool,
     /// Attempts that others have out there.
@@ -158,7 +158,7 @@
 
 /// One event of the coordinator, as it came.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Relayed {
+pub struct RelayedEvent {
     pub mark: Mark,
     pub frame: Vec<u8>,
 }
@@ -178,11 +178,11 @@
     pub version: u64,
     /// The event that the first of these follows.
     pub after: Mark,
-    pub events: Vec<Relayed>,
+    pub events: Vec<RelayedEvent>,
     /// Of the link of the forwarder's location: the latest that any forwarder heard.
-    pub link: Option<Fullness>,
+    pub link: Option<LinkLoad>,
     pub grants: Vec<Grant>,
-    pub lives: Vec<PeerSummary>,
+    pub incarnations: Vec<PeerSummary>,
     pub ratings: Vec<Rating>,
 }
 
--- a/crates/flaxdeck-control/src/planner.rs
+++ b/crates/flaxdeck-control/src/planner.rs
@@ -6,18 +6,18 @@
 use flaxdeck::{Span, Time};
 use flaxdeck_recovery::Mark;
 
+use crate::instance_slots::InstanceSlots;
 use crate::membership::Refused;
 use crate::messages::*;
-use crate::pool::Pool;
+use crate::quota_pool::QuotaPool;
 use crate::ratings::{Health, sensible, sensible_link};
-use crate::seats::Seats;
-use crate::{Parts, Pledges};
+use crate::{LeaseTerms, QuotaFraction};
 
 /// A forwarder that says nothing for so long is forgotten; what it lent runs off by itself.
 pub const FORGOTTEN: Span = Span::from_ms(10_000);
 /// The most forwarders that are kept, whatever comes.
 pub const MEMBERS_MOST: usize = 4_096;
-/// The most lives of cold hosts that are kept, whatever comes.
+/// The most incarnations of cold hosts that are kept, whatever comes.
 pub const POOLS_MOST: usize = 16_384;
 /// The most events that are kept to be passed on, whatever comes.
 pub const LOG_MOST: usize = 4_096;
@@ -49,15 +49,15 @@
     told: Time,
 }
 
-/// What was counted since the start.
+/// What was counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counted {
+pub struct Counters {
     pub reports: u64,
     pub out_of_order: u64,
     pub not_for_us: u64,
     /// Reports of runs that a later one has followed.
     pub ended: u64,
-    pub nonsense: u64,
+    pub invalid_message: u64,
     pub unlisted: u64,
     pub grants: u64,
     pub pushes: u64,
@@ -65,12 +65,12 @@
 
 pub struct Planner {
     epoch: Epoch,
-    pledges: Pledges,
-    own: Parts,
+    lease_terms: LeaseTerms,
+    own: QuotaFraction,
     owns_from: Time,
     members: BTreeMap<Epoch, Member>,
-    pools: BTreeMap<Life, Pool>,
-    seats: Seats,
+    pools: BTreeMap<Incarnation, QuotaPool>,
+    instance_slots: InstanceSlots,
     hosts: BTreeMap<String, Host>,
     /// Hosts by the version of their last change, the youngest last.
     changes: BTreeMap<u64, String>,
@@ -79,25 +79,25 @@
     links: BTreeMap<u32, (f32, Time)>,
     /// The event before the first of the log.
     base: Mark,
-    log: VecDeque<Relayed>,
+    log: VecDeque<RelayedEvent>,
     /// When the coordinator was last heard, and whether all is known here that it had to tell.
     coordinator: Option<Time>,
     current: bool,
     next_tidy: Time,
-    pub counted: Counted,
+    pub counters: Counters,
 }
 
 impl Planner {
-    /// A planner that has just started, with `own` of each life to grant beside what is lent to it.
-    pub fn start(now: Time, epoch: Epoch, pledges: Pledges, own: Parts) -> Planner {
+    /// A planner that has just started, with `own` of each incarnation to grant beside what is lent to it.
+    pub fn start(now: Time, epoch: Epoch, lease_terms: LeaseTerms, own: QuotaFraction) -> Planner {
         Planner {
             epoch,
-            pledges,
+            lease_terms,
             own,
-            owns_from: now + pledges.planner_waits(),
+            owns_from: now + lease_terms.planner_waits(),
             members: BTreeMap::new(),
             pools: BTreeMap::new(),
-            seats: Seats::new(now, pledges),
+            instance_slots: InstanceSlots::new(now, lease_terms),
             hosts: BTreeMap::new(),
             changes: BTreeMap::new(),
             version: 0,
@@ -107,7 +107,7 @@
             coordinator: None,
             current: false,
             next_tidy: now,
-            counted: Counted::default(),
+            counters: Counters::default(),
         }
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// The coordinator has spoken; an event is kept to be passed on. `current` if all is known here that it had to tell.
-    pub fn coordinator(&mut self, now: Time, event: Option<Relayed>, current: bool) {
+    pub fn coordinator(&mut self, now: Time, event: Option<RelayedEvent>, current: bool) {
         (self.coordinator, self.current) = (Some(now), current);
         let last = self.last_event();
         if let Some(event) = event.filter(|event| event.mark.number > last.number) {
@@ -185,33 +185,33 @@
             sent,
             echo,
         } = report.envelope;
-        if report.trades.len() > LIVES_MOST || report.samples.len() > RATINGS_MOST {
-            return Err(self.nonsense());
+        if report.lease_reports.len() > INCARNATIONS_MOST || report.samples.len() > RATINGS_MOST {
+            return Err(self.invalid_message());
         }
         if self
             .members
             .get(&from)
             .is_some_and(|member| number <= member.number)
         {
-            self.counted.out_of_order += 1;
+            self.counters.out_of_order += 1;
             return Err(Refused::OutOfOrder);
         }
         if !self.members.contains_key(&from) && self.members.len() >= MEMBERS_MOST {
-            return Err(self.nonsense());
+            return Err(self.invalid_message());
         }
-        if !self.seats.met(now, report.seat, from) {
-            self.counted.ended += 1;
+        if !self.instance_slots.met(now, report.seat, from) {
+            self.counters.ended += 1;
             return Err(Refused::OldEpoch);
         }
         // A stamp is this run's only if the forwarder says so, and none can be from the time to come.
         let seen = echo.filter(|_| to == self.epoch).map(Stamp::time);
         if seen.is_some_and(|seen| seen > now) {
-            return Err(self.nonsense());
+            return Err(self.invalid_message());
         }
         if to != self.epoch && to != Epoch(0) {
-            self.counted.not_for_us += 1;
+            self.counters.not_for_us += 1;
         }
-        self.counted.reports += 1;
+        self.counters.reports += 1;
         let version = if to == self.epoch {
             report.version.min(self.version)
         } else {
@@ -237,27 +237,32 @@
             .iter()
             .for_each(|sample| self.sample(now, from, written.max(now - REFRESH), sample));
         let grants = report
-            .trades
+            .lease_reports
             .iter()
             .filter_map(|trade| self.trade(now, from, seen, trade))
             .collect();
-        if seen.is_some() && report.trades.iter().any(|trade| trade.lends > Parts::NONE) {
-            self.seats.lent(now, report.seat);
+        if seen.is_some()
+            && report
+                .lease_reports
+                .iter()
+                .any(|trade| trade.lends > QuotaFraction::NONE)
+        {
+            self.instance_slots.lent(now, report.seat);
         }
         let mut guidance = self.guidance(now, from);
         guidance.grants = grants;
-        guidance.owes_ms = self.seats.owes(now, report.seat).map(ms_up);
-        let word = |(life, pool): (&Life, &Pool)| PeerSummary {
-            life: life.clone(),
+        guidance.owes_ms = self.instance_slots.owes(now, report.seat).map(ms_up);
+        let word = |(incarnation, pool): (&Incarnation, &QuotaPool)| PeerSummary {
+            incarnation: incarnation.clone(),
             wanted: pool.wanted_by_others(from),
-            others: pool.others_have_out(from),
+            others: pool.others_in_flight(from),
         };
-        // Of the lives that the forwarder has a word in itself.
-        let lives = report
-            .trades
+        // Of the incarnations that the forwarder has a word in itself.
+        let incarnations = report
+            .lease_reports
             .iter()
-            .filter_map(|trade| self.pools.get_key_value(&trade.life));
-        guidance.lives = lives.map(word).collect();
+            .filter_map(|trade| self.pools.get_key_value(&trade.incarnation));
+        guidance.incarnations = incarnations.map(word).collect();
         Ok(guidance)
     }
 
@@ -269,14 +274,14 @@
             return None;
         }
         self.follows(last).filter(|at| *at < self.log.len())?;
-        self.counted.pushes += 1;
+        self.counters.pushes += 1;
         Some(self.guidance(now, to))
     }
 
     fn link(&mut self, now: Time, written: Time, report: &Report) {
         let Some(link) = report.link else { return };
         if !sensible_link(&link) {
-            self.counted.nonsense += 1;
+            self.counters.invalid_message += 1;
             return;
         }
         self.links.retain(|_, (_, at)| now.since(*at) < FORGOTTEN);
@@ -290,18 +295,18 @@
         }
     }
 
-    fn nonsense(&mut self) -> Refused {
-        self.counted.nonsense += 1;
+    fn invalid_message(&mut self) -> Refused {
+        self.counters.invalid_message += 1;
         Refused::Nonsense
     }
 
     fn sample(&mut self, now: Time, from: Epoch, written: Time, sample: &Sample) {
         if !sensible(sample) {
-            self.counted.nonsense += 1;
+            self.counters.invalid_message += 1;
             return;
         }
         let Some(host) = self.hosts.get_mut(&sample.host) else {
-            self.counted.unlisted += 1;
+            self.counters.unlisted += 1;
             return;
         };
         if host.health.take(now, from, written, sample) || now.since(host.told) >= REFRESH {
@@ -317,35 +322,35 @@
         now: Time,
         from: Epoch,
         seen: Option<Time>,
-        trade: &Trade,
+        trade: &LeaseReport,
     ) -> Option<Grant> {
-        let Trade {
-            life,
+        let LeaseReport {
+            incarnation,
             lends,
-            wishes,
+            demand,
             in_hand,
         } = trade;
         let listed = self
             .hosts
-            .get(&life.host)
-            .is_some_and(|host| host.started == life.started);
-        if !listed || (!self.pools.contains_key(life) && self.pools.len() >= POOLS_MOST) {
-            self.counted.unlisted += 1;
+            .get(&incarnation.host)
+            .is_some_and(|host| host.started == incarnation.started);
+        if !listed || (!self.pools.contains_key(incarnation) && self.pools.len() >= POOLS_MOST) {
+            self.counters.unlisted += 1;
             return None;
         }
-        let pool = self.pools.entry(life.clone()).or_default();
+        let pool = self.pools.entry(incarnation.clone()).or_default();
         pool.own(self.own, now, self.owns_from);
-        if let Some(seen) = seen.filter(|_| *lends > Parts::NONE) {
-            pool.lend(self.pledges, now, from, *lends, seen);
+        if let Some(seen) = seen.filter(|_| *lends > QuotaFraction::NONE) {
+            pool.lend(self.lease_terms, now, from, *lends, seen);
         }
-        pool.has_out(now, from, *in_hand);
-        let amount = pool.grant(self.pledges, now, from, *wishes);
-        (amount > Parts::NONE).then(|| {
-            self.counted.grants += 1;
+        pool.in_flight(now, from, *in_hand);
+        let amount = pool.grant(self.lease_terms, now, from, *demand);
+        (amount > QuotaFraction::NONE).then(|| {
+            self.counters.grants += 1;
             Grant {
-                life: life.clone(),
+                incarnation: incarnation.clone(),
                 amount,
-                lasts_ms: self.pledges.granted.ms() as u32,
+                lasts_ms: self.lease_terms.granted.ms() as u32,
             }
         })
     }
@@ -366,7 +371,7 @@
             echo: Some(member.stamp),
         };
         let mut bytes = 0;
-        let fits = |event: &&Relayed| {
+        let fits = |event: &&RelayedEvent| {
             bytes += event.frame.len();
             bytes <= EVENT_BYTES_MOST
         };
@@ -377,7 +382,7 @@
                 .take(EVENTS_MOST)
                 .take_while(fits)
         });
-        let events: Vec<Relayed> = events.into_iter().flatten().cloned().collect();
+        let events: Vec<RelayedEvent> = events.into_iter().flatten().cloned().collect();
         let after = member.last_event;
         member.last_event = events.last().map_or(after, |event| event.mark);
         let later = self.changes.range(member.version + 1..);
@@ -400,7 +405,7 @@
         let link = self.links.get(&member.zone);
         Guidance {
             envelope,
-            link: link.map(|(full, at)| Fullness {
+            link: link.map(|(full, at)| LinkLoad {
                 full: *full,
                 ago_ms: ms_up(now.since(*at)),
             }),
@@ -411,7 +416,7 @@
             after,
             events,
             grants: Vec::new(),
-            lives: Vec::new(),
+            incarnations: Vec::new(),
             ratings: told.iter().filter_map(rating).collect(),
         }
     }
@@ -442,7 +447,7 @@
         }
     }
 
-    /// Forwarders heard from lately, lives with something lent or out, and of all those the shares lent and out.
+    /// Forwarders heard from lately, incarnations with something lent or out, and of all those the quotas lent and out.
     pub fn load(&self, now: Time) -> (usize, usize, [f64; 2]) {
         let sum = |at: usize| {
             self.pools
--- a/crates/flaxdeck-control/src/ratings.rs
+++ b/crates/flaxdeck-control/src/ratings.rs
@@ -2,7 +2,7 @@
 
 use flaxdeck::{Span, Time};
 
-use crate::messages::{Epoch, Fullness, Rating, Sample, ms_up};
+use crate::messages::{Epoch, LinkLoad, Rating, Sample, ms_up};
 
 /// Half of a sample's weight is gone after this: some fills of a quiet forwarder.
 const HALF: Span = Span::from_ms(5_000);
@@ -18,7 +18,7 @@
 /// Attempts at a source that a forwarder's word of them counts for so long.
 const IN_HAND_LASTS: Span = Span::from_ms(1_000);
 
-/// Of what a sample may tell: outside, it is nonsense.
+/// Of what a sample may tell: outside, it is invalid_message.
 const LATENCY_MOST: f32 = 600_000.0;
 const BANDWIDTH_MOST: f32 = 1e7;
 const FULL_MOST: f32 = 1e4;
@@ -71,7 +71,7 @@
 }
 
 /// The same of a link.
-pub fn sensible_link(link: &Fullness) -> bool {
+pub fn sensible_link(link: &LinkLoad) -> bool {
     (0.0..=FULL_MOST).contains(&link.full)
 }
 
--- a/crates/flaxdeck-control/tests/lending_model.rs
+++ b/crates/flaxdeck-control/tests/lease_model.rs
@@ -1,4 +1,4 @@
-//! The lending of shares, model-checked: two forwarders and two planners that both believe to be in charge, messages
+//! The lending of quotas, model-checked: two forwarders and two planners that both believe to be in charge, messages
 //! that are lost, late, doubled and out of order, restarts of either side, and clocks that disagree and run apart by
 //! the stated bound. Whatever happens, what all forwarders spend at a cold host within its window stays within the
 //! whole. The ledgers are the real ones; the checks of epochs and numbers are left out, as nothing may rest on them.
@@ -6,10 +6,10 @@
 use std::collections::BTreeSet;
 
 use flaxdeck::{Span, Time};
-use flaxdeck_control::messages::{Epoch, Grant, Life};
-use flaxdeck_control::pool::Pool;
-use flaxdeck_control::shares::{Cold, Shares};
-use flaxdeck_control::{Parts, Pledges};
+use flaxdeck_control::messages::{Epoch, Grant, Incarnation};
+use flaxdeck_control::quota_pool::QuotaPool;
+use flaxdeck_control::quotas::{Quotas, WarmupReport};
+use flaxdeck_control::{LeaseTerms, QuotaFraction};
 use stateright::{Checker, Model, Property};
 
 /// Milliseconds of real time a step.
@@ -43,8 +43,8 @@
         to: usize,
         planner: Epoch,
         seen: u64,
-        lends: Parts,
-        wishes: Parts,
+        lends: QuotaFraction,
+        demand: QuotaFraction,
         at: u64,
     },
     Grant {
@@ -53,7 +53,7 @@
         planner: Epoch,
         asked: u64,
         sent: u64,
-        amount: Parts,
+        amount: QuotaFraction,
         from: usize,
     },
 }
@@ -61,10 +61,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Forwarder {
     epoch: Epoch,
-    shares: Shares,
+    quotas: Quotas,
     /// The latest stamp seen of each planner, and of which run.
     seen: Vec<(Epoch, u64)>,
-    spent: Vec<(u64, Parts)>,
+    spent: Vec<(u64, QuotaFraction)>,
     reports: u8,
 }
 
@@ -72,7 +72,7 @@
 struct PlannerState {
     epoch: Epoch,
     owns_from: Time,
-    pool: Pool,
+    pool: QuotaPool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -114,13 +114,13 @@
 }
 
 impl Lending {
-    fn pledges(&self) -> Pledges {
+    fn lease_terms(&self) -> LeaseTerms {
         let (window, granted) = (Span::from_ms(self.window * STEP), Span::from_ms(STEP));
         // The time allowed for lateness is set for real networks; here it would only add steps.
         let lent = (window + granted + Span::from_ms(STEP)) * 1.4;
-        Pledges {
+        LeaseTerms {
             lent,
-            ..Pledges::of(window, granted, DRIFT)
+            ..LeaseTerms::of(window, granted, DRIFT)
         }
     }
     /// The reading of a clock in milliseconds; each has a zero of its own.
@@ -133,19 +133,19 @@
     fn planner(&self, at: usize) -> usize {
         2 + at
     }
-    fn right(&self) -> Parts {
-        Parts::below((1.0 - self.reserve) / 2.0)
+    fn right(&self) -> QuotaFraction {
+        QuotaFraction::below((1.0 - self.reserve) / 2.0)
     }
-    fn own(&self) -> Parts {
-        Parts::below(self.reserve / self.planners as f64)
+    fn own(&self) -> QuotaFraction {
+        QuotaFraction::below(self.reserve / self.planners as f64)
     }
-    fn life() -> Life {
-        Life {
+    fn incarnation() -> Incarnation {
+        Incarnation {
             host: "s-1".into(),
             started: 1,
         }
     }
-    fn shares(&self, who: usize, step: u64, first: bool) -> Shares {
+    fn quotas(&self, who: usize, step: u64, first: bool) -> Quotas {
         // The first run of all has nothing behind it that it could have lent.
         let waits = !first && self.broken != Broken::ForwarderWaitsForNothing;
         let from = if waits {
@@ -153,25 +153,25 @@
         } else {
             Time::at_ms(1.0)
         };
-        Shares::new(from, self.pledges())
+        Quotas::new(from, self.lease_terms())
     }
-    fn within(&self, spent: &[(u64, Parts)], step: u64) -> Parts {
+    fn within(&self, spent: &[(u64, QuotaFraction)], step: u64) -> QuotaFraction {
         let recent = spent.iter().filter(|(at, _)| at + self.window > step);
-        recent.fold(Parts::NONE, |sum, (_, amount)| sum.and(*amount))
+        recent.fold(QuotaFraction::NONE, |sum, (_, amount)| sum.and(*amount))
     }
     /// Forgets what can have no effect any more, so that states that differ by nothing else are one.
     fn forget(&self, state: &mut State) {
-        let (step, pledges) = (state.step, self.pledges());
+        let (step, lease_terms) = (state.step, self.lease_terms());
         for (who, forwarder) in state.forwarders.iter_mut().enumerate() {
             let (now, right) = (self.time(who, step), self.right());
-            let cold = Cold {
-                life: Lending::life(),
+            let cold = WarmupReport {
+                incarnation: Lending::incarnation(),
                 right,
-                spent: Parts::NONE,
+                spent: QuotaFraction::NONE,
                 in_hand: 0,
-                wished: Parts::NONE,
+                unmet: QuotaFraction::NONE,
             };
-            forwarder.shares.stand(now, [cold]);
+            forwarder.quotas.stand(now, [cold]);
         }
         for (at, planner) in state.planners.iter_mut().enumerate() {
             planner.pool.prune(self.time(self.planner(at), step));
@@ -191,25 +191,25 @@
                 at,
                 ..
             } => {
-                let deposit =
-                    *lends > Parts::NONE && !past(self.planner(*to), *seen, pledges.counted_on());
-                deposit || !past(*from, *at, pledges.granted)
+                let deposit = *lends > QuotaFraction::NONE
+                    && !past(self.planner(*to), *seen, lease_terms.counted_on());
+                deposit || !past(*from, *at, lease_terms.granted)
             }
-            Message::Grant { to, asked, .. } => !past(*to, *asked, pledges.granted),
+            Message::Grant { to, asked, .. } => !past(*to, *asked, lease_terms.granted),
         });
     }
-    fn stand(&self, state: &mut State, who: usize, wished: Parts) {
+    fn stand(&self, state: &mut State, who: usize, unmet: QuotaFraction) {
         let (now, step) = (self.time(who, state.step), state.step);
         let forwarder = &mut state.forwarders[who];
         let spent = self.within(&forwarder.spent, step);
-        let cold = Cold {
-            life: Lending::life(),
+        let cold = WarmupReport {
+            incarnation: Lending::incarnation(),
             right: self.right(),
             spent,
             in_hand: 0,
-            wished,
+            unmet,
         };
-        forwarder.shares.stand(now, [cold]);
+        forwarder.quotas.stand(now, [cold]);
     }
 }
 
@@ -220,7 +220,7 @@
     fn init_states(&self) -> Vec<State> {
         let forwarder = |who: usize| Forwarder {
             epoch: Epoch(1),
-            shares: self.shares(who, 0, true),
+            quotas: self.quotas(who, 0, true),
             seen: (0..self.planners)
                 .map(|at| (Epoch(1), self.clock(self.planner(at), 0)))
                 .collect(),
@@ -230,7 +230,7 @@
         let planner = |_| PlannerState {
             epoch: Epoch(1),
             owns_from: Time::default(),
-            pool: Pool::default(),
+            pool: QuotaPool::default(),
         };
         let (forwarders, planners) = (
             (0..2).map(forwarder).collect(),
@@ -286,17 +286,21 @@
                 self.stand(
                     &mut state,
                     from,
-                    if wants { Parts::WHOLE } else { Parts::NONE },
+                    if wants {
+                        QuotaFraction::WHOLE
+                    } else {
+                        QuotaFraction::NONE
+                    },
                 );
                 let forwarder = &mut state.forwarders[from];
                 forwarder.reports += 1;
                 let (planner, seen) = forwarder.seen[to];
-                forwarder.shares.wanted(now, now, &Lending::life());
-                let trades = forwarder.shares.trade(now, planner, |_| true);
-                let trade = trades
-                    .first()
-                    .filter(|trade| trade.lends > Parts::NONE || trade.wishes > Parts::NONE)?;
-                let (lends, wishes, epoch) = (trade.lends, trade.wishes, forwarder.epoch);
+                forwarder.quotas.wanted(now, now, &Lending::incarnation());
+                let lease_reports = forwarder.quotas.trade(now, planner, |_| true);
+                let trade = lease_reports.first().filter(|trade| {
+                    trade.lends > QuotaFraction::NONE || trade.demand > QuotaFraction::NONE
+                })?;
+                let (lends, demand, epoch) = (trade.lends, trade.demand, forwarder.epoch);
                 let at = self.clock(from, state.step);
                 state.network.insert(Message::Report {
                     from,
@@ -305,7 +309,7 @@
                     planner,
                     seen,
                     lends,
-                    wishes,
+                    demand,
                     at,
                 });
             }
@@ -316,7 +320,7 @@
                 planner,
                 seen,
                 lends,
-                wishes,
+                demand,
                 at,
             }) => {
                 let now = self.time(self.planner(to), state.step);
@@ -324,22 +328,32 @@
                 known.pool.prune(now);
                 known.pool.own(self.own(), now, known.owns_from);
                 let lender = Epoch(epoch.0 * 10 + from as u64);
-                let pledges = self.pledges();
+                let lease_terms = self.lease_terms();
                 // Stamps are of the run that the forwarder knew.
-                if planner == known.epoch && lends > Parts::NONE {
+                if planner == known.epoch && lends > QuotaFraction::NONE {
                     let late = self.broken == Broken::DepositFromReceipt;
                     let seen = if late { now } else { Time::at_ms(seen as f64) };
-                    known.pool.lend(pledges, now, lender, lends, seen);
+                    known.pool.lend(lease_terms, now, lender, lends, seen);
                 }
                 let forgets = self.broken == Broken::WindowForgotten;
-                let window = if forgets { Span::ZERO } else { pledges.window };
-                let amount = known
-                    .pool
-                    .grant(Pledges { window, ..pledges }, now, lender, wishes);
+                let window = if forgets {
+                    Span::ZERO
+                } else {
+                    lease_terms.window
+                };
+                let amount = known.pool.grant(
+                    LeaseTerms {
+                        window,
+                        ..lease_terms
+                    },
+                    now,
+                    lender,
+                    demand,
+                );
                 let sent = self.clock(self.planner(to), state.step);
                 let planner = known.epoch;
                 let (to, from) = (from, to);
-                if amount == Parts::NONE && !self.stamps {
+                if amount == QuotaFraction::NONE && !self.stamps {
                     return Some(state);
                 }
                 state.network.insert(Message::Grant {
@@ -372,17 +386,17 @@
                 let late = self.broken == Broken::GrantFromReceipt;
                 let asked = if late { now } else { Time::at_ms(asked as f64) };
                 let grant = Grant {
-                    life: Lending::life(),
+                    incarnation: Lending::incarnation(),
                     amount,
                     lasts_ms: STEP as u32,
                 };
-                forwarder.shares.granted(now, planner, asked, &grant);
+                forwarder.quotas.granted(now, planner, asked, &grant);
             }
             Action::RestartPlanner(at) => {
                 state.restarts += 1;
                 let waits = self.broken != Broken::PlannerWaitsForNothing;
                 let wait = if waits {
-                    self.pledges().planner_waits()
+                    self.lease_terms().planner_waits()
                 } else {
                     Span::ZERO
                 };
@@ -391,17 +405,17 @@
                 state.planners[at] = PlannerState {
                     epoch,
                     owns_from: now + wait,
-                    pool: Pool::default(),
+                    pool: QuotaPool::default(),
                 };
             }
             Action::RestartForwarder(who) => {
                 state.restarts += 1;
-                let shares = self.shares(who, state.step, false);
+                let quotas = self.quotas(who, state.step, false);
                 let old = &state.forwarders[who];
                 // What an earlier run spent still counts for the host.
                 let forwarder = Forwarder {
                     epoch: Epoch(old.epoch.0 + 1),
-                    shares,
+                    quotas,
                     ..old.clone()
                 };
                 state.forwarders[who] = forwarder;
@@ -409,27 +423,27 @@
             Action::Spend(who) => {
                 let now = self.time(who, state.step);
                 let forwarder = &mut state.forwarders[who];
-                let told = forwarder.shares.uses(now).next().map(|(_, parts)| parts);
-                let owned = if forwarder.shares.owns(now) {
+                let told = forwarder.quotas.uses(now).next().map(|(_, parts)| parts);
+                let owned = if forwarder.quotas.owns(now) {
                     self.right()
                 } else {
-                    Parts::NONE
+                    QuotaFraction::NONE
                 };
                 let keeps = self.broken == Broken::LenderKeepsUsing;
-                let uses = told
-                    .unwrap_or(owned)
-                    .max(if keeps { owned } else { Parts::NONE });
+                let uses =
+                    told.unwrap_or(owned)
+                        .max(if keeps { owned } else { QuotaFraction::NONE });
                 let amount = uses.less(self.within(&forwarder.spent, state.step));
-                if amount == Parts::NONE {
+                if amount == QuotaFraction::NONE {
                     return None;
                 }
                 forwarder.spent.push((state.step, amount));
             }
         }
         state.forwarders.iter_mut().for_each(|forwarder| {
-            forwarder
-                .spent
-                .retain(|(at, amount)| at + self.window > state.step && *amount > Parts::NONE);
+            forwarder.spent.retain(|(at, amount)| {
+                at + self.window > state.step && *amount > QuotaFraction::NONE
+            });
         });
         Some(state)
     }
@@ -443,7 +457,7 @@
                         .forwarders
                         .iter()
                         .map(|forwarder| model.within(&forwarder.spent, state.step));
-                    spent.fold(Parts::NONE, Parts::and) <= Parts::WHOLE
+                    spent.fold(QuotaFraction::NONE, QuotaFraction::and) <= QuotaFraction::WHOLE
                 },
             ),
             Property::sometimes(
--- a/crates/flaxdeck-control/tests/staircase.rs
+++ b/crates/flaxdeck-control/tests/lease_schedule.rs
@@ -1,7 +1,7 @@
 //! An amount promised until a time, against the plain maximum of all promises.
 
 use flaxdeck::Time;
-use flaxdeck_control::{Parts, Staircase};
+use flaxdeck_control::{LeaseSchedule, QuotaFraction};
 use proptest::prelude::*;
 
 proptest! {
@@ -11,17 +11,17 @@
         looks in prop::collection::vec(0u64..22, 1..10),
     ) {
         let at = |time: u64| Time::at_ms(time as f64);
-        let mut stairs = Staircase::default();
-        promises.iter().for_each(|(amount, until)| stairs.add(Parts(*amount), at(*until)));
+        let mut stairs = LeaseSchedule::default();
+        promises.iter().for_each(|(amount, until)| stairs.add(QuotaFraction(*amount), at(*until)));
         for look in looks {
             let plain = promises.iter().filter(|(_, until)| *until > look).map(|(amount, _)| *amount).max();
-            prop_assert_eq!(stairs.at(at(look)), Parts(plain.unwrap_or(0)));
+            prop_assert_eq!(stairs.at(at(look)), QuotaFraction(plain.unwrap_or(0)));
         }
         // Each step holds from the end before it on, the first one from 0.
         let ends: Vec<Time> = stairs.ends().collect();
         prop_assert!(ends.windows(2).all(|pair| pair[0] < pair[1]));
         let begins = std::iter::once(at(0)).chain(ends.iter().copied());
-        let amounts: Vec<Parts> = begins.take(ends.len()).map(|begin| stairs.at(begin)).collect();
+        let amounts: Vec<QuotaFraction> = begins.take(ends.len()).map(|begin| stairs.at(begin)).collect();
         prop_assert!(amounts.windows(2).all(|pair| pair[0] > pair[1]));
     }
 }
--- a/crates/flaxdeck-control/tests/membership.rs
+++ b/crates/flaxdeck-control/tests/membership.rs
@@ -1,15 +1,15 @@
-//! Which planner is in charge of a host's life, and whose word is taken.
+//! Which planner is in charge of a host's incarnation, and whose word is taken.
 
 use flaxdeck::Time;
-use flaxdeck_control::membership::{Known, PlannerId, Refused, in_charge};
-use flaxdeck_control::messages::{Epoch, Life};
+use flaxdeck_control::membership::{Known, PlannerId, Refused, lease_holder};
+use flaxdeck_control::messages::{Epoch, Incarnation};
 
 fn at(ms: u64) -> Time {
     Time::at_ms(10_000.0 + ms as f64)
 }
 
-fn life(n: u64) -> Life {
-    Life {
+fn incarnation(n: u64) -> Incarnation {
+    Incarnation {
         host: format!("s-{n:08x}"),
         started: n,
     }
@@ -23,7 +23,7 @@
     }
     let charge = |planners: &[Known], now| -> Vec<PlannerId> {
         (0..300)
-            .map(|n| in_charge(now, planners, &life(n)).unwrap())
+            .map(|n| lease_holder(now, planners, &incarnation(n)).unwrap())
             .collect()
     };
     let before = charge(&planners, at(1));
@@ -37,7 +37,7 @@
     for (before, after) in before.iter().zip(after) {
         assert!(
             before.0 == 2 || *before == after,
-            "a life moved from a planner that lives"
+            "a incarnation moved from a planner that incarnations"
         );
     }
 }
@@ -85,25 +85,25 @@
         .iter_mut()
         .for_each(|known| known.admit(at(0), Epoch(1), 1).unwrap());
     let of_second = (0..)
-        .map(life)
-        .find(|life| in_charge(at(1), &planners, life) == Some(PlannerId(1)));
+        .map(incarnation)
+        .find(|incarnation| lease_holder(at(1), &planners, incarnation) == Some(PlannerId(1)));
     let of_second = of_second.unwrap();
     planners[0].admit(at(900), Epoch(1), 2).unwrap();
     planners[0].admit(at(1_500), Epoch(1), 3).unwrap();
     assert_eq!(
-        in_charge(at(1_500), &planners, &of_second),
+        lease_holder(at(1_500), &planners, &of_second),
         Some(PlannerId(0))
     );
     planners[1].admit(at(1_600), Epoch(2), 1).unwrap();
     assert_eq!(
-        in_charge(at(1_600), &planners, &of_second),
+        lease_holder(at(1_600), &planners, &of_second),
         Some(PlannerId(0)),
         "too soon"
     );
     planners[0].admit(at(2_100), Epoch(1), 4).unwrap();
     planners[1].admit(at(2_100), Epoch(2), 2).unwrap();
     assert_eq!(
-        in_charge(at(2_101), &planners, &of_second),
+        lease_holder(at(2_101), &planners, &of_second),
         Some(PlannerId(1))
     );
 }
--- a/crates/flaxdeck-control/tests/pool.rs
+++ b/crates/flaxdeck-control/tests/quota_pool.rs
@@ -1,8 +1,8 @@
 //! The sums of many parties' staircases by slots, against adding all of them up.
 
-use flaxdeck_control::Parts;
+use flaxdeck_control::QuotaFraction;
 use flaxdeck_control::messages::Epoch;
-use flaxdeck_control::pool::{Sums, start_of};
+use flaxdeck_control::quota_pool::{Sums, start_of};
 use proptest::prelude::*;
 
 proptest! {
@@ -13,7 +13,7 @@
         let (mut sums, mut plain, mut now) = (Sums::default(), Vec::new(), 100);
         for (wait, party, amount, lasts) in promises {
             now += wait / 8;
-            sums.promise(now, Epoch(party), Parts(amount), now + lasts);
+            sums.promise(now, Epoch(party), QuotaFraction(amount), now + lasts);
             plain.push((party, now, now + lasts, amount));
             if wait % 5 == 0 {
                 sums.prune(start_of(now));
@@ -24,8 +24,8 @@
                     hold.map(|(.., amount)| *amount).max().unwrap_or(0)
                 };
                 let all: u32 = (0..5).map(of).sum();
-                prop_assert_eq!(sums.at(slot), Parts(all));
-                prop_assert_eq!(sums.of(Epoch(party), slot), Parts(of(party)));
+                prop_assert_eq!(sums.at(slot), QuotaFraction(all));
+                prop_assert_eq!(sums.of(Epoch(party), slot), QuotaFraction(of(party)));
             }
         }
     }
--- a/crates/flaxdeck-control/tests/sparing.rs
+++ b/crates/flaxdeck-control/tests/report_suppression.rs
@@ -2,11 +2,11 @@
 //! something to say.
 
 use flaxdeck::{HostId, Observation, SourceMeasurements, Span, Time, WarmupUsage};
-use flaxdeck_control::forwarder::{Guide, Stance};
+use flaxdeck_control::forwarder::{ForwarderOptions, ForwarderSession};
 use flaxdeck_control::membership::PlannerId;
-use flaxdeck_control::messages::{Epoch, RARE_MOST, Relayed, SeatId};
+use flaxdeck_control::messages::{Epoch, RARE_MOST, RelayedEvent, SlotId};
 use flaxdeck_control::planner::Planner;
-use flaxdeck_control::{Parts, Pledges};
+use flaxdeck_control::{LeaseTerms, QuotaFraction};
 use flaxdeck_recovery::Mark;
 
 const FOLLOWED: PlannerId = PlannerId(0);
@@ -18,21 +18,21 @@
     Time::at_ms(1_000_000.0 + ms as f64)
 }
 
-fn pledges() -> Pledges {
-    Pledges::of(Span::from_ms(3_000), Span::from_ms(1_200), 10)
+fn lease_terms() -> LeaseTerms {
+    LeaseTerms::of(Span::from_ms(3_000), Span::from_ms(1_200), 10)
 }
 
-fn guide(epoch: u64) -> Guide {
-    let (pledges, blind_after) = (pledges(), Some(Span::from_ms(2_500)));
-    let stance = Stance {
-        pledges,
+fn guide(epoch: u64) -> ForwarderSession {
+    let (lease_terms, blind_after) = (lease_terms(), Some(Span::from_ms(2_500)));
+    let options = ForwarderOptions {
+        lease_terms,
         reserve: 0.0,
         seated: true,
-        seat: SeatId(epoch),
+        seat: SlotId(epoch),
         blind_after,
     };
-    let mut guide = Guide::start(at(0), Epoch(epoch), stance, 2);
-    guide.report_sparingly(IDLE);
+    let mut guide = ForwarderSession::start(at(0), Epoch(epoch), options, 2);
+    guide.suppress_reports(IDLE);
     guide.subscribed_to(Some(FOLLOWED));
     guide
 }
@@ -64,7 +64,7 @@
 }
 
 fn planner() -> Planner {
-    let mut planner = Planner::start(at(0), Epoch(1), pledges(), Parts::NONE);
+    let mut planner = Planner::start(at(0), Epoch(1), lease_terms(), QuotaFraction::NONE);
     (0..HOSTS).for_each(|n| planner.listed(at(0), &host(n).0, Some(0)));
     planner
 }
@@ -72,7 +72,7 @@
 /// A report to the planner that is followed, and its answer, without delay; gives how many ratings came.
 fn trip(
     now: Time,
-    guide: &mut Guide,
+    guide: &mut ForwarderSession,
     planner: &mut Planner,
     observations: &[Observation],
 ) -> usize {
@@ -184,20 +184,20 @@
 fn who_subscribes_is_pushed_nothing_and_who_does_not_is() {
     let mut planner = planner();
     let mut subscribed = guide(10);
-    let stance = Stance {
-        pledges: pledges(),
+    let options = ForwarderOptions {
+        lease_terms: lease_terms(),
         reserve: 0.0,
         seated: true,
-        seat: SeatId(11),
+        seat: SlotId(11),
         blind_after: None,
     };
-    let mut told = Guide::start(at(0), Epoch(11), stance, 2);
+    let mut told = ForwarderSession::start(at(0), Epoch(11), options, 2);
     planner.begins_at(Mark { number: 1, hash: 1 });
     for guide in [&mut subscribed, &mut told] {
         let report = guide.report(at(0), FOLLOWED, &[], Mark { number: 1, hash: 1 });
         planner.report(at(0), &report).unwrap();
     }
-    let event = Relayed {
+    let event = RelayedEvent {
         mark: Mark { number: 2, hash: 2 },
         frame: vec![0],
     };
--- a/crates/flaxdeck-control/tests/two_levels.rs
+++ b/crates/flaxdeck-control/tests/two_levels.rs
@@ -3,11 +3,13 @@
 use std::collections::BTreeMap;
 
 use flaxdeck::{HostId, Observation, Sampled, SourceMeasurements, Span, Time, WarmupUsage, ZoneId};
-use flaxdeck_control::forwarder::{Guide, Informed, Stance};
+use flaxdeck_control::forwarder::{ForwarderOptions, ForwarderSession, Freshness};
 use flaxdeck_control::membership::{PlannerId, Refused};
-use flaxdeck_control::messages::{Epoch, Grant, Guidance, Life, Rating, Relayed, Report, SeatId};
+use flaxdeck_control::messages::{
+    Epoch, Grant, Guidance, Incarnation, Rating, RelayedEvent, Report, SlotId,
+};
 use flaxdeck_control::planner::Planner;
-use flaxdeck_control::{Parts, Pledges};
+use flaxdeck_control::{LeaseTerms, QuotaFraction};
 use flaxdeck_recovery::Mark;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -27,17 +29,17 @@
     Time::at_ms(1_000_000.0 + ms as f64)
 }
 
-fn pledges() -> Pledges {
-    Pledges::of(Span::from_ms(WINDOW), Span::from_ms(1_200), 10)
+fn lease_terms() -> LeaseTerms {
+    LeaseTerms::of(Span::from_ms(WINDOW), Span::from_ms(1_200), 10)
 }
 
-fn stance() -> Stance {
-    let (pledges, blind_after) = (pledges(), Some(Span::from_ms(2_500)));
-    Stance {
-        pledges,
+fn options() -> ForwarderOptions {
+    let (lease_terms, blind_after) = (lease_terms(), Some(Span::from_ms(2_500)));
+    ForwarderOptions {
+        lease_terms,
         reserve: 0.0,
         seated: true,
-        seat: SeatId(0),
+        seat: SlotId(0),
         blind_after,
     }
 }
@@ -56,16 +58,16 @@
     }
 }
 
-fn cold(right: f64, spent: f64, wished: f64) -> Option<WarmupUsage> {
+fn cold(right: f64, spent: f64, unmet: f64) -> Option<WarmupUsage> {
     Some(WarmupUsage {
         equal_share: right,
         used: spent,
-        unmet: wished,
+        unmet: unmet,
     })
 }
 
 fn planner(now: Time, epoch: u64, own: f64) -> Planner {
-    let mut planner = Planner::start(now, Epoch(epoch), pledges(), Parts::below(own));
+    let mut planner = Planner::start(now, Epoch(epoch), lease_terms(), QuotaFraction::below(own));
     planner.listed(now, "s-1", Some(at(0).ms() as u64));
     planner
 }
@@ -73,7 +75,7 @@
 /// A round trip without delay.
 fn trip(
     now: Time,
-    guide: &mut Guide,
+    guide: &mut ForwarderSession,
     planner: &mut Planner,
     observations: &[Observation],
 ) -> Report {
@@ -84,7 +86,7 @@
     report
 }
 
-fn share(guide: &mut Guide, now: Time) -> Option<f64> {
+fn share(guide: &mut ForwarderSession, now: Time) -> Option<f64> {
     guide
         .hints(now)
         .hints
@@ -99,8 +101,8 @@
 #[test]
 fn what_one_lends_another_may_use_and_it_runs_off() {
     let mut planner = planner(at(0), 1, 0.0);
-    let mut idle = Guide::start(at(0), Epoch(10), stance(), 1);
-    let mut busy = Guide::start(at(0), Epoch(11), stance(), 1);
+    let mut idle = ForwarderSession::start(at(0), Epoch(10), options(), 1);
+    let mut busy = ForwarderSession::start(at(0), Epoch(11), options(), 1);
     let (calm, pressed) = (
         [observation(cold(0.5, 0.0, 0.0))],
         [observation(cold(0.5, 0.45, 0.3))],
@@ -121,18 +123,18 @@
     // Nobody is heard any more: the grant ends first, then the deposit.
     assert_eq!(share(&mut busy, now + Span::from_ms(1_200)), Some(0.5));
     assert!(share(&mut idle, now + Span::from_ms(1_200)).unwrap() < 0.06);
-    assert_eq!(share(&mut idle, now + pledges().lent), Some(0.5));
+    assert_eq!(share(&mut idle, now + lease_terms().lent), Some(0.5));
 }
 
 #[test]
 fn a_planner_that_restarts_from_nothing_hands_out_nothing_that_is_still_out() {
     let mut planner1 = planner(at(0), 1, 0.4);
-    let reserve = Stance {
+    let reserve = ForwarderOptions {
         reserve: 0.4,
-        ..stance()
+        ..options()
     };
-    let mut busy = Guide::start(at(0), Epoch(11), reserve, 1);
-    let mut late = Guide::start(at(0), Epoch(12), reserve, 1);
+    let mut busy = ForwarderSession::start(at(0), Epoch(11), reserve, 1);
+    let mut late = ForwarderSession::start(at(0), Epoch(12), reserve, 1);
     let pressed = [observation(cold(0.5, 0.3, 0.6))];
     for ms in [0, 200, 400] {
         trip(at(OWNS + ms), &mut busy, &mut planner1, &pressed);
@@ -145,12 +147,12 @@
     let mut planner2 = planner(at(OWNS + 500), 2, 0.4);
     for ms in (500..)
         .step_by(200)
-        .take_while(|ms| at(OWNS + ms) < at(OWNS + 500) + pledges().planner_waits())
+        .take_while(|ms| at(OWNS + ms) < at(OWNS + 500) + lease_terms().planner_waits())
     {
         trip(at(OWNS + ms), &mut late, &mut planner2, &pressed);
         assert_eq!(share(&mut late, at(OWNS + ms)), Some(0.3), "after {ms} ms");
     }
-    let then = at(OWNS + 600) + pledges().planner_waits();
+    let then = at(OWNS + 600) + lease_terms().planner_waits();
     trip(then, &mut late, &mut planner2, &pressed);
     assert!(share(&mut late, then).unwrap() > 0.6);
 }
@@ -158,13 +160,13 @@
 #[test]
 fn a_forwarder_without_a_seat_lives_on_grants_and_has_one_within_a_report() {
     let mut planner = planner(at(0), 1, 0.2);
-    let mut guest = Guide::start(
+    let mut guest = ForwarderSession::start(
         at(20_000),
         Epoch(30),
-        Stance {
+        ForwarderOptions {
             seated: false,
             reserve: 0.2,
-            ..stance()
+            ..options()
         },
         1,
     );
@@ -185,7 +187,7 @@
 #[test]
 fn what_nobody_else_wants_is_not_lent() {
     let mut planner = planner(at(0), 1, 0.0);
-    let mut idle = Guide::start(at(0), Epoch(10), stance(), 1);
+    let mut idle = ForwarderSession::start(at(0), Epoch(10), options(), 1);
     (0..3).for_each(|n| {
         drop(trip(
             at(OWNS + n * 200),
@@ -200,7 +202,7 @@
 #[test]
 fn a_host_that_starts_again_is_another_life_with_nothing_lent_of_it() {
     let mut planner = planner(at(0), 1, 0.0);
-    let mut busy = Guide::start(at(0), Epoch(11), stance(), 1);
+    let mut busy = ForwarderSession::start(at(0), Epoch(11), options(), 1);
     (0..3).for_each(|n| {
         drop(trip(
             at(OWNS + n * 200),
@@ -209,7 +211,7 @@
             &[observation(cold(0.5, 0.4, 0.6))],
         ))
     });
-    let mut idle = Guide::start(at(0), Epoch(10), stance(), 1);
+    let mut idle = ForwarderSession::start(at(0), Epoch(10), options(), 1);
     (0..3).for_each(|n| {
         drop(trip(
             at(OWNS + n * 200),
@@ -235,7 +237,7 @@
 #[test]
 fn late_doubled_and_misaddressed_guidance_is_refused_and_counted() {
     let (mut first, mut second) = (planner(at(0), 1, 0.0), planner(at(50), 2, 0.0));
-    let mut guide = Guide::start(at(0), Epoch(10), stance(), 1);
+    let mut guide = ForwarderSession::start(at(0), Epoch(10), options(), 1);
     let report = guide.report(at(0), P, &[], mark(0));
     let one = first.report(at(0), &report).unwrap();
     let report = guide.report(at(100), P, &[], mark(0));
@@ -259,17 +261,17 @@
         Err(Refused::OldEpoch),
         "a delayed connection"
     );
-    let mut restarted = Guide::start(at(1_000), Epoch(20), stance(), 1);
+    let mut restarted = ForwarderSession::start(at(1_000), Epoch(20), options(), 1);
     assert_eq!(
         restarted.guided(at(1_000), P, new, mark(0)),
         Err(Refused::NotForUs)
     );
-    let counted = guide.counted;
+    let counters = guide.counters;
     assert_eq!(
         (
-            counted.old_epoch,
-            counted.out_of_order,
-            restarted.counted.not_for_us
+            counters.old_epoch,
+            counters.out_of_order,
+            restarted.counters.not_for_us
         ),
         (1, 2, 1)
     );
@@ -277,7 +279,7 @@
 
 #[test]
 fn nonsense_is_bounded_in_effect_and_the_planner_pays_for_it() {
-    let life = || Life {
+    let incarnation = || Incarnation {
         host: "s-1".into(),
         started: at(0).ms() as u64,
     };
@@ -290,8 +292,8 @@
         window,
     };
     let grant = |amount, lasts_ms| Grant {
-        life: life(),
-        amount: Parts(amount),
+        incarnation: incarnation(),
+        amount: QuotaFraction(amount),
         lasts_ms,
     };
     let with = |grants: Vec<Grant>, ratings: Vec<Rating>| Guidance {
@@ -299,7 +301,7 @@
         ratings,
         ..Guidance::default()
     };
-    let nonsense = [
+    let invalid_message = [
         with(vec![], vec![rating(Some(f32::NAN), None)]),
         with(vec![], vec![rating(Some(-1.0), None)]),
         with(vec![], vec![rating(Some(f32::INFINITY), None)]),
@@ -308,9 +310,9 @@
         with(vec![grant(1_000, u32::MAX)], vec![]),
         with(vec![], (0..200).map(|_| rating(None, None)).collect()),
     ];
-    for (n, guidance) in nonsense.into_iter().enumerate() {
+    for (n, guidance) in invalid_message.into_iter().enumerate() {
         let mut planner = planner(at(0), 1, 0.0);
-        let mut guide = Guide::start(at(0), Epoch(10), stance(), 1);
+        let mut guide = ForwarderSession::start(at(0), Epoch(10), options(), 1);
         let pressed = [observation(cold(0.5, 0.4, 0.1))];
         (0..2).for_each(|n| drop(trip(at(OWNS + n * 200), &mut guide, &mut planner, &pressed)));
         for times in 1..=3 {
@@ -334,14 +336,14 @@
         let report = guide.report(now, P, &pressed, mark(0));
         let sane = planner.report(now, &report).unwrap();
         assert_eq!(guide.guided(now, P, sane, mark(0)), Err(Refused::Shunned));
-        assert_ne!(guide.informed(now), Informed::Guided);
+        assert_ne!(guide.informed(now), Freshness::Guided);
     }
 }
 
 #[test]
 fn a_planner_passes_over_what_cannot_be_and_hosts_that_nobody_listed() {
     let mut planner = planner(at(0), 1, 0.0);
-    let mut guide = Guide::start(at(0), Epoch(10), stance(), 1);
+    let mut guide = ForwarderSession::start(at(0), Epoch(10), options(), 1);
     let unlisted = Observation {
         host: HostId("s-2".into()),
         last_success: Some(at(5_900)),
@@ -355,7 +357,7 @@
             std::slice::from_ref(&unlisted),
         ))
     });
-    assert!(planner.counted.unlisted >= 2, "{:?}", planner.counted);
+    assert!(planner.counters.unlisted >= 2, "{:?}", planner.counters);
     assert_eq!(planner.load(at(OWNS + 200)).1, 0, "no pool for it");
     let mut report = guide.report(at(OWNS + 400), P, &[], mark(0));
     report.envelope.echo = Some(flaxdeck_control::messages::Stamp::of(at(OWNS + 90_000)));
@@ -372,7 +374,7 @@
     for number in 1..=4 {
         planner.coordinator(
             at(number),
-            Some(Relayed {
+            Some(RelayedEvent {
                 mark: mark(number),
                 frame: vec![number as u8],
             }),
@@ -381,14 +383,14 @@
     }
     planner.coordinator(
         at(5),
-        Some(Relayed {
+        Some(RelayedEvent {
             mark: mark(4),
             frame: vec![9],
         }),
         true,
     );
-    let mut guide = Guide::start(at(0), Epoch(10), stance(), 1);
-    let numbers = |events: Vec<Relayed>| {
+    let mut guide = ForwarderSession::start(at(0), Epoch(10), options(), 1);
+    let numbers = |events: Vec<RelayedEvent>| {
         events
             .iter()
             .map(|event| event.mark.number)
@@ -424,7 +426,7 @@
     let mut planner = planner(at(35), 2, 0.0);
     planner.coordinator(
         at(36),
-        Some(Relayed {
+        Some(RelayedEvent {
             mark: mark(first + 1),
             frame: vec![],
         }),
@@ -437,15 +439,15 @@
 fn as_guidance_ages_a_forwarder_falls_back_by_steps() {
     let mut planner = planner(at(0), 1, 0.0);
     planner.coordinator(at(0), None, true);
-    let mut guide = Guide::start(at(0), Epoch(10), stance(), 1);
+    let mut guide = ForwarderSession::start(at(0), Epoch(10), options(), 1);
     trip(at(100), &mut guide, &mut planner, &[]);
-    assert_eq!(guide.informed(at(200)), Informed::Guided);
+    assert_eq!(guide.informed(at(200)), Freshness::Guided);
     guide.coordinator_heard(at(1_500));
-    assert_eq!(guide.informed(at(1_500)), Informed::Ageing);
-    assert_eq!(guide.informed(at(4_000)), Informed::Blind);
+    assert_eq!(guide.informed(at(1_500)), Freshness::Ageing);
+    assert_eq!(guide.informed(at(4_000)), Freshness::Blind);
     assert!(!guide.hints(at(4_000)).list_trusted);
     guide.coordinator_heard(at(10_500));
-    assert_eq!(guide.informed(at(10_500)), Informed::Alone);
+    assert_eq!(guide.informed(at(10_500)), Freshness::Alone);
     assert!(guide.hints(at(10_500)).list_trusted);
 }
 
@@ -461,8 +463,8 @@
 #[test]
 fn what_one_hears_of_a_link_the_others_of_its_location_hear() {
     let mut planner = planner(at(0), 1, 0.0);
-    let mut guides: Vec<Guide> = (10..13)
-        .map(|n| Guide::start(at(0), Epoch(n), stance(), 1))
+    let mut guides: Vec<ForwarderSession> = (10..13)
+        .map(|n| ForwarderSession::start(at(0), Epoch(n), options(), 1))
         .collect();
     guides[0].link(
         ZoneId(4),
@@ -485,7 +487,7 @@
             .iter_mut()
             .for_each(|guide| drop(trip(at(ms), guide, &mut planner, &[])));
     }
-    let told = |guide: &mut Guide| guide.hints(at(200)).link;
+    let told = |guide: &mut ForwarderSession| guide.hints(at(200)).link;
     let Sampled {
         value: full,
         at: heard,
@@ -501,7 +503,7 @@
     );
     let report = guides[0].report(at(300), P, &[], mark(0));
     planner.report(at(300), &report).unwrap();
-    assert_eq!(planner.counted.nonsense, 1);
+    assert_eq!(planner.counters.invalid_message, 1);
 }
 
 /// Some forwarders of one cold host among two planners, on a network that loses, delays and doubles; each spends
@@ -512,22 +514,22 @@
     const STEP: u64 = 20;
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let mut planners: Vec<Planner> = (1..=2).map(|n| planner(at(0), n, 0.0)).collect();
-    let seat = |n: usize| SeatId(n as u64 + 1);
+    let seat = |n: usize| SlotId(n as u64 + 1);
     let start = |n: usize, epoch: u64, ms: u64| {
-        Guide::start(
+        ForwarderSession::start(
             at(ms),
             Epoch(epoch * 1_000 + n as u64),
-            Stance {
+            ForwarderOptions {
                 seat: seat(n),
-                ..stance()
+                ..options()
             },
             2,
         )
     };
-    let mut guides: Vec<Guide> = (0..forwarders).map(|n| start(n, 1, 0)).collect();
+    let mut guides: Vec<ForwarderSession> = (0..forwarders).map(|n| start(n, 1, 0)).collect();
     let mut runs = vec![1u64; forwarders];
     let mut spent: Vec<Vec<(u64, f64)>> = vec![Vec::new(); forwarders];
-    let mut wished = vec![0.0; forwarders];
+    let mut unmet = vec![0.0; forwarders];
     let mut born = vec![0u64; forwarders];
     enum Mail {
         Report(usize, Report),
@@ -583,7 +585,7 @@
             if own + wants <= may {
                 spent[who].push((ms, wants));
             } else {
-                wished[who] += wants;
+                unmet[who] += wants;
             }
             if (ms + who as u64 * 37) % REPORT < STEP {
                 let own = if ms < born[who] + WINDOW {
@@ -591,8 +593,8 @@
                 } else {
                     own.min(1.0)
                 };
-                let observations = [observation(cold(right, own, f64::min(wished[who], 1.0)))];
-                wished[who] = 0.0;
+                let observations = [observation(cold(right, own, f64::min(unmet[who], 1.0)))];
+                unmet[who] = 0.0;
                 guides[who].stand(now, &observations);
                 for to in 0..2 {
                     let report =
@@ -654,25 +656,25 @@
 
 #[test]
 fn a_forwarder_that_returns_uses_its_share_as_soon_as_all_planners_say_that_nothing_of_it_is_out() {
-    let seated = Stance {
-        seat: SeatId(7),
-        ..stance()
+    let seated = ForwarderOptions {
+        seat: SlotId(7),
+        ..options()
     };
     let mut planners: Vec<Planner> = (1..=2).map(|n| planner(at(0), n, 0.0)).collect();
-    let tell = |guide: &mut Guide, planners: &mut [Planner], which: usize, ms: u64| {
+    let tell = |guide: &mut ForwarderSession, planners: &mut [Planner], which: usize, ms: u64| {
         let to = PlannerId(which as u32);
         let report = guide.report(at(ms), to, &[], mark(0));
         let guidance = planners[which].report(at(ms), &report).unwrap();
         guide.guided(at(ms + 1), to, guidance, mark(0)).unwrap();
         guide.owns_from()
     };
-    let waits = pledges().forwarder_waits();
+    let waits = lease_terms().forwarder_waits();
     // The planners have just started as well: nobody can tell.
-    let mut first = Guide::start(at(100), Epoch(1), seated, 2);
+    let mut first = ForwarderSession::start(at(100), Epoch(1), seated, 2);
     tell(&mut first, &mut planners, 0, 110);
     assert_eq!(tell(&mut first, &mut planners, 1, 110), at(100) + waits);
     // Later both can; the first word of one of them is not enough.
-    let mut second = Guide::start(at(20_000), Epoch(2), seated, 2);
+    let mut second = ForwarderSession::start(at(20_000), Epoch(2), seated, 2);
     assert_eq!(
         tell(&mut second, &mut planners, 0, 20_010),
         at(20_000) + waits
--- a/crates/flaxdeck-dispatcher/src/program/logger.rs
+++ b/crates/flaxdeck-dispatcher/src/program/logger.rs
@@ -1,5 +1,5 @@
 //! The log: one line an entry on standard error, with the Unix time, the level and the module. A thread writes
-//! it, so that a reader who stops reading holds up no request; lines past the queue are counted and lost.
+//! it, so that a reader who stops reading holds up no request; lines past the queue are counters and lost.
 
 use std::io::Write;
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
--- a/crates/flaxdeck-dispatcher/src/protocol/session.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/session.rs
@@ -331,7 +331,7 @@
             }
         };
         let whole_by = self.begun.map(|begun| begun + WHOLE);
-        // Counted from when something began to wait: a connection may have been up for long by then.
+        // Counters from when something began to wait: a connection may have been up for long by then.
         let stalled = self.outbound.stuck_since().map(|since| since + STALLED);
         let now = Instant::now;
         tokio::select! {
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -14,7 +14,7 @@
 use flaxdeck_channel::messages::{FromForwarder, FromPlanner};
 use flaxdeck_channel::seal::Key;
 use flaxdeck_channel::watch::{Event, Urgency, Watch};
-use flaxdeck_control::forwarder::{Guide, Informed, Stance};
+use flaxdeck_control::forwarder::{ForwarderOptions, ForwarderSession, Freshness};
 use flaxdeck_control::membership::PlannerId;
 use flaxdeck_control::messages::{Epoch, Guidance};
 use flaxdeck_distribution::PlannerNumber;
@@ -43,7 +43,7 @@
 pub struct Guidelines {
     pub planners: Vec<SocketAddr>,
     pub key: Key,
-    pub stance: Stance,
+    pub stance: ForwarderOptions,
     pub report_every: Duration,
     /// Events come by a subscription to one planner; none if each is told by all and by the coordinator.
     pub digests: Option<Digests>,
@@ -54,7 +54,7 @@
 }
 
 pub struct Guides {
-    guide: RefCell<Guide>,
+    guide: RefCell<ForwarderSession>,
     pub(super) speakers: RefCell<Vec<Option<Speaker>>>,
     pub(super) subscription: Option<Rc<EventSubscription>>,
     guidelines: Guidelines,
@@ -71,7 +71,7 @@
     urgency: Rc<Urgency>,
     /// Planners whose last try came to nothing.
     unreached: RefCell<BTreeSet<usize>>,
-    informed: Cell<Informed>,
+    informed: Cell<Freshness>,
     due_changed: Notify,
     vouched: Notify,
     report_now: Notify,
@@ -100,9 +100,9 @@
             watch.urgency(!guidelines.planners.is_empty()),
         );
         let (count, now) = (guidelines.planners.len(), self.clock.now());
-        let mut guide = Guide::start(now, epoch, guidelines.stance, count as u32);
+        let mut guide = ForwarderSession::start(now, epoch, guidelines.stance, count as u32);
         let subscription = guidelines.digests.map(|digests| {
-            guide.report_sparingly(digests.report_idle_every);
+            guide.suppress_reports(digests.report_idle_every);
             let numbering = numbering.clone();
             EventSubscription::start(now, count as u32, seed, digests, self.settles, numbering)
         });
@@ -125,7 +125,7 @@
             seed,
             urgency,
             unreached: RefCell::default(),
-            informed: Cell::new(Informed::Alone),
+            informed: Cell::new(Freshness::Alone),
             due_changed: Notify::new(),
             vouched: Notify::new(),
             report_now: Notify::new(),
@@ -407,7 +407,7 @@
     /// All is known here that the coordinator had at that time.
     pub(super) fn events_known_at(&self, guides: &Guides, at: Time) {
         guides.guide.borrow_mut().events_known_at(at);
-        if guides.informed.get() == Informed::Blind {
+        if guides.informed.get() == Freshness::Blind {
             self.tell_engine(guides);
         }
         self.note_vouched(guides);
@@ -432,14 +432,14 @@
         let guides = self.guides.borrow().clone()?;
         let (guide, now) = (guides.guide.borrow(), self.clock.now());
         let [lent, granted] = guide.totals(now);
-        let (informed, counted) = (guide.informed(now), guide.counted);
+        let (informed, counters) = (guide.informed(now), guide.counters);
         let events = guides
             .subscription
             .as_ref()
             .map(|subscription| format!(" events: {}", subscription.line()));
         let events = events.unwrap_or_default();
         Some(format!(
-            "guidance: {informed:?} lent={lent:.3} granted={granted:.3} {counted:?}{events}"
+            "guidance: {informed:?} lent={lent:.3} granted={granted:.3} {counters:?}{events}"
         ))
     }
 
@@ -461,7 +461,7 @@
         let before = guides.informed.replace(informed);
         if before != informed {
             let worse =
-                matches!(informed, Informed::Blind) && guides.back.borrow().took()[0].is_some();
+                matches!(informed, Freshness::Blind) && guides.back.borrow().took()[0].is_some();
             let level = if worse {
                 log::Level::Error
             } else {
--- a/crates/flaxdeck-dispatcher/src/routing/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/subscription.rs
@@ -100,14 +100,14 @@
         self.subscriber.borrow().followed()
     }
 
-    /// What is counted of deliveries, in words for the log.
+    /// What is counters of deliveries, in words for the log.
     pub fn line(&self) -> String {
         let subscriber = self.subscriber.borrow();
         let unsettled = self.purges.borrow().len();
         format!(
             "followed={:?} unsettled={unsettled} {:?}",
             subscriber.followed(),
-            subscriber.counted
+            subscriber.counters
         )
     }
 
--- a/crates/flaxdeck-dispatcher/tests/descriptors.rs
+++ b/crates/flaxdeck-dispatcher/tests/descriptors.rs
@@ -134,15 +134,18 @@
     let served = busy.join().unwrap();
     assert!(served > 4 * AT_ONCE as usize, "{served} served");
     world.terminate();
-    world.logged(&["counted: "]);
+    world.logged(&["counters: "]);
     let log = world.log.lock().unwrap();
-    let counted = log.iter().rfind(|line| line.contains("counted: ")).unwrap();
+    let counters = log
+        .iter()
+        .rfind(|line| line.contains("counters: "))
+        .unwrap();
     let none_lacked = ["accept_errors", "must_not_happen"]
         .iter()
-        .all(|word| !counted.contains(word));
-    assert!(none_lacked, "{counted}");
+        .all(|word| !counters.contains(word));
+    assert!(none_lacked, "{counters}");
     assert!(
-        counted.contains("clients_closed_silent") && counted.contains("clients_closed_idle"),
-        "{counted}"
+        counters.contains("clients_closed_silent") && counters.contains("clients_closed_idle"),
+        "{counters}"
     );
 }
--- a/crates/flaxdeck-dispatcher/tests/sockets.rs
+++ b/crates/flaxdeck-dispatcher/tests/sockets.rs
@@ -813,7 +813,7 @@
     );
 }
 
-// Counted at their largest, ten requests would fill this memory; at what they hold it takes all of these.
+// Counters at their largest, ten requests would fill this memory; at what they hold it takes all of these.
 #[test]
 fn requests_of_small_objects_fit_where_large_ones_would_not() {
     let world = World::with(1, |config| config["limits"]["memory_mb"] = 5.into());
--- a/crates/flaxdeck-distribution/src/event_log.rs
+++ b/crates/flaxdeck-distribution/src/event_log.rs
@@ -1,7 +1,7 @@
 //! What a planner keeps of the coordinator's events, to pass them on in order to subscribers that are at different
 //! positions.
 //!
-//! Events are kept by time. A bound in bytes is the last resort: what it drops is counted and shortens how far back the
+//! Events are kept by time. A bound in bytes is the last resort: what it drops is counters and shortens how far back the
 //! log says that it reaches, so that whoever needs it is told that it is not there.
 
 use std::collections::VecDeque;
@@ -74,9 +74,9 @@
     pub reach: Span,
 }
 
-/// What was counted since the start.
+/// What was counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Counted {
+pub struct Counters {
     pub events: u64,
     /// Events whose number was not above the last one; they were not taken.
     pub out_of_order: u64,
@@ -113,7 +113,7 @@
     bytes: usize,
     /// All events that came after this moment are kept.
     complete_after: Time,
-    pub counted: Counted,
+    pub counters: Counters,
 }
 
 impl EventLog {
@@ -126,15 +126,15 @@
             urgent: VecDeque::new(),
             bytes: 0,
             complete_after: now,
-            counted: Counted::default(),
+            counters: Counters::default(),
         }
     }
 
     /// The numbering is another, or some events are missing: nothing that was kept leads to `base`.
     pub fn restart(&mut self, now: Time, base: Mark) {
-        let counted = self.counted;
+        let counters = self.counters;
         *self = EventLog {
-            counted,
+            counters,
             ..EventLog::start(now, self.retention, base)
         };
     }
@@ -144,12 +144,12 @@
     pub fn append(&mut self, now: Time, mark: Mark, content: Content) {
         let last = self.last();
         if mark.number <= last.number {
-            self.counted.out_of_order += 1;
+            self.counters.out_of_order += 1;
             return;
         }
-        self.counted.events += 1;
+        self.counters.events += 1;
         if mark.number > last.number + 1 {
-            self.counted.gaps += 1;
+            self.counters.gaps += 1;
             // Nobody has that position, as no event has that hash: it is where the event follows from, no more.
             self.restart(
                 now,
@@ -160,7 +160,7 @@
             );
         }
         if content.frame_len() > FULL_BYTES_MOST {
-            self.counted.oversized += 1;
+            self.counters.oversized += 1;
             self.restart(now, mark);
             return;
         }
@@ -184,7 +184,7 @@
             if !expired && self.bytes <= self.retention.bytes_most {
                 break;
             }
-            self.counted.shortened += u64::from(!expired);
+            self.counters.shortened += u64::from(!expired);
             self.drop_first();
         }
     }
--- a/crates/flaxdeck-distribution/src/messages.rs
+++ b/crates/flaxdeck-distribution/src/messages.rs
@@ -15,7 +15,7 @@
 /// always matches; one that was not matches by chance only, which makes its copy be fetched anew.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PurgeDigest {
-    /// Fingerprints in it, repeated ones counted each time.
+    /// Fingerprints in it, repeated ones counters each time.
     pub count: u32,
     /// Low bits of each difference that are written as they are (the Rice parameter), 0 to 32.
     pub low_bits: u8,
--- a/crates/flaxdeck-distribution/src/publisher.rs
+++ b/crates/flaxdeck-distribution/src/publisher.rs
@@ -32,9 +32,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubscriberId(pub u64);
 
-/// What was counted since the start.
+/// What was counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Counted {
+pub struct Counters {
     pub batches: u64,
     /// Batches that were encoded; the others were shared.
     pub encoded: u64,
@@ -100,7 +100,7 @@
     /// Nobody is due before.
     next_due: Time,
     cache: Cache,
-    pub counted: Counted,
+    pub counters: Counters,
 }
 
 impl Publisher {
@@ -115,7 +115,7 @@
             current: false,
             next_due: now,
             cache: Cache::default(),
-            counted: Counted::default(),
+            counters: Counters::default(),
         }
     }
 
@@ -207,7 +207,7 @@
                 .members
                 .get_mut(id)
                 .and_then(|member| member.offered.replace(now));
-            self.counted.passed_over += u64::from(offered.is_some());
+            self.counters.passed_over += u64::from(offered.is_some());
         }
         self.next_due = next_due;
         due
@@ -334,11 +334,11 @@
             Some(batch) => batch.clone(),
             None => self.encode_after(position)?,
         };
-        let counted = &mut self.counted;
+        let counters = &mut self.counters;
         *if batch.upto == batch.after {
-            &mut counted.heartbeats
+            &mut counters.heartbeats
         } else {
-            &mut counted.batches
+            &mut counters.batches
         } += 1;
         Ok(batch)
     }
@@ -347,7 +347,7 @@
         self.follows(position)?;
         let batch = self.log.batch_after(position)?;
         if batch.upto != batch.after {
-            self.counted.encoded += 1;
+            self.counters.encoded += 1;
             self.cache.batches.truncate(CACHED_MOST - 1);
             self.cache.batches.insert(0, batch.clone());
         }
@@ -355,7 +355,7 @@
     }
 
     fn behind(&mut self) -> Update {
-        self.counted.behind += 1;
+        self.counters.behind += 1;
         Update::Behind {
             upto: self.log.last(),
         }
@@ -367,7 +367,7 @@
         if !self.is_current(now) {
             return self.behind();
         }
-        self.counted.snapshots += 1;
+        self.counters.snapshots += 1;
         let upto = self.log.last();
         if self.cache.snapshot.is_none() {
             self.cache.snapshot = Some(self.take_snapshot(now, list(upto.number)));
--- a/crates/flaxdeck-distribution/src/subscriber.rs
+++ b/crates/flaxdeck-distribution/src/subscriber.rs
@@ -102,9 +102,9 @@
     NotCurrent,
 }
 
-/// What was counted since the start.
+/// What was counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Counted {
+pub struct Counters {
     pub batches: u64,
     pub heartbeats: u64,
     pub snapshots: u64,
@@ -177,7 +177,7 @@
     behind_since: Option<Time>,
     need: CoordinatorNeed,
     vouched: Option<Time>,
-    pub counted: Counted,
+    pub counters: Counters,
 }
 
 impl Subscriber {
@@ -204,7 +204,7 @@
             behind_since: None,
             need: CoordinatorNeed::new(now, cadence, preference),
             vouched: None,
-            counted: Counted::default(),
+            counters: Counters::default(),
         }
     }
 
@@ -245,7 +245,7 @@
         }
         if self.followed == Some(planner) {
             (self.followed, self.candidate) = (None, None);
-            self.counted.failovers += 1;
+            self.counters.failovers += 1;
         }
         if self.connected_planners().next().is_none() {
             self.need.unconnected(now);
@@ -288,7 +288,7 @@
             .get_mut(from.0 as usize)
             .filter(|planner| planner.connected.is_some());
         let Some(planner) = known else {
-            self.counted.not_connected += 1;
+            self.counters.not_connected += 1;
             return Err(Refused::NotConnected);
         };
         let mut unwanted = true;
@@ -316,13 +316,13 @@
     }
 
     fn refused(&mut self, now: Time, from: PlannerNumber, refused: Refused) {
-        let counted = &mut self.counted;
+        let counters = &mut self.counters;
         let (count, again) = match refused {
-            Refused::Gap => (&mut counted.gaps, RESYNC),
-            Refused::OtherNumbering => (&mut counted.other_numbering, RESYNC),
-            Refused::Stale => (&mut counted.stale, RESYNC),
-            Refused::Invalid(_) => (&mut counted.invalid, ASK_AGAIN),
-            Refused::NotConnected => (&mut counted.not_connected, ASK_AGAIN),
+            Refused::Gap => (&mut counters.gaps, RESYNC),
+            Refused::OtherNumbering => (&mut counters.other_numbering, RESYNC),
+            Refused::Stale => (&mut counters.stale, RESYNC),
+            Refused::Invalid(_) => (&mut counters.invalid, ASK_AGAIN),
+            Refused::NotConnected => (&mut counters.not_connected, ASK_AGAIN),
         };
         *count += 1;
         self.ask_again(from, now + again);
@@ -376,12 +376,12 @@
         upto: Mark,
     ) -> Applied {
         if upto == self.position {
-            self.counted.heartbeats += 1;
+            self.counters.heartbeats += 1;
             return Applied::Nothing;
         }
-        self.counted.batches += 1;
-        self.counted.purges += purges.len() as u64;
-        self.counted.events += events.len() as u64;
+        self.counters.batches += 1;
+        self.counters.purges += purges.len() as u64;
+        self.counters.events += events.len() as u64;
         self.move_to(now, upto);
         Applied::Events {
             purges,
@@ -393,7 +393,7 @@
     /// The coordinator itself, or another planner, was faster. What of it is new can't be told apart, as the purges
     /// bear no numbers; the planner is told the position, and goes on from there.
     fn known_already(&mut self, now: Time, from: PlannerNumber, upto: Mark, ago: Option<u32>) {
-        self.counted.duplicates += 1;
+        self.counters.duplicates += 1;
         if ago.is_some() {
             self.delivers(now, from);
         }
@@ -436,8 +436,8 @@
         // The snapshot was written before it came, so what reaches back for that time from then reaches back further
         // from now, and all that came to the planner later comes by batches.
         let copies_in_doubt = reach < self.settles + REACH_MARGIN;
-        self.counted.snapshots += 1;
-        self.counted.doubts += u64::from(copies_in_doubt);
+        self.counters.snapshots += 1;
+        self.counters.doubts += u64::from(copies_in_doubt);
         self.move_to(now, upto);
         self.delivers(now, from);
         self.vouch(now, from, ago);
@@ -461,7 +461,7 @@
     }
 
     fn behind(&mut self, now: Time, from: PlannerNumber) {
-        self.counted.behind += 1;
+        self.counters.behind += 1;
         self.planners[from.0 as usize].behind = true;
         self.behind_since.get_or_insert(now);
     }
@@ -613,7 +613,7 @@
             .or(self.first_connected(now))
             .filter(|other| *other != followed);
         if other.is_some() {
-            self.counted.failovers += 1;
+            self.counters.failovers += 1;
             self.silences += 1;
             (self.followed, self.candidate) = (other, None);
         }
--- a/crates/flaxdeck-distribution/tests/distribution_model.rs
+++ b/crates/flaxdeck-distribution/tests/distribution_model.rs
@@ -718,11 +718,11 @@
         }
         self.settle(&mut state);
         // Counts change nothing that is done.
-        state.subscriber.counted = Default::default();
+        state.subscriber.counters = Default::default();
         state
             .planners
             .iter_mut()
-            .for_each(|planner| planner.publisher.counted = Default::default());
+            .for_each(|planner| planner.publisher.counters = Default::default());
         Some(state).filter(|state| state != last)
     }
 
--- a/crates/flaxdeck-distribution/tests/event_log.rs
+++ b/crates/flaxdeck-distribution/tests/event_log.rs
@@ -102,7 +102,7 @@
     }
     let (entries, _) = log.size();
     assert_eq!(entries, 10_001, "30 s of 333 a second");
-    assert_eq!(log.counted.shortened, 0);
+    assert_eq!(log.counters.shortened, 0);
     assert!(log.batch_after(mark(9_998)).is_ok());
     assert_eq!(log.batch_after(mark(9_997)), Err(NotKept::Unknown));
     log.prune(at(20_000 * 3 + 40_000));
@@ -121,7 +121,7 @@
     }
     let (entries, bytes) = log.size();
     assert!(bytes <= 20_000 && entries > 100);
-    assert_eq!(log.counted.shortened as usize, 1_000 - entries);
+    assert_eq!(log.counters.shortened as usize, 1_000 - entries);
     let kept = log.purges_since(at(1_010), FULL_BYTES_MOST);
     assert_eq!(kept.objects.len(), entries);
     assert_eq!(
@@ -211,7 +211,7 @@
     log.append(at(1), mark(11), purge(1));
     log.append(at(2), mark(14), purge(2));
     assert_eq!(
-        (log.counted.gaps, log.batch_after(mark(11))),
+        (log.counters.gaps, log.batch_after(mark(11))),
         (1, Err(NotKept::Unknown))
     );
     assert_eq!(
@@ -225,11 +225,11 @@
         Content::HostChange(vec![0; FULL_BYTES_MOST + 1]),
     );
     assert_eq!(
-        (log.counted.oversized, log.batch_after(mark(14))),
+        (log.counters.oversized, log.batch_after(mark(14))),
         (1, Err(NotKept::Unknown))
     );
     assert!(log.batch_after(mark(15)).is_ok());
     log.append(at(7), mark(15), purge(1));
     log.append(at(7), mark(3), purge(1));
-    assert_eq!((log.counted.out_of_order, log.last()), (2, mark(15)));
+    assert_eq!((log.counters.out_of_order, log.last()), (2, mark(15)));
 }
--- a/crates/flaxdeck-distribution/tests/publisher.rs
+++ b/crates/flaxdeck-distribution/tests/publisher.rs
@@ -145,9 +145,9 @@
         each_tenth.values().collect::<Vec<_>>()
     );
     assert!(each_tenth.values().all(|count| (350..=450).contains(count)));
-    let counted = publisher.counted;
-    println!("{} batches, {} encoded", counted.batches, counted.encoded);
-    assert!(counted.encoded * 50 < counted.batches);
+    let counters = publisher.counters;
+    println!("{} batches, {} encoded", counters.batches, counters.encoded);
+    assert!(counters.encoded * 50 < counters.batches);
 }
 
 #[test]
@@ -177,7 +177,7 @@
         (40..=60).contains(&named),
         "named {named} times: ten a second"
     );
-    assert_eq!(publisher.counted.passed_over, named - 1);
+    assert_eq!(publisher.counters.passed_over, named - 1);
     assert_eq!(
         (slow_batches[0].after, slow_batches[0].purges.count),
         (BASE, PURGES_MOST)
--- a/crates/flaxdeck-distribution/tests/safe_side.rs
+++ b/crates/flaxdeck-distribution/tests/safe_side.rs
@@ -712,11 +712,11 @@
     }
 
     fn count(&mut self) {
-        let counted = self.forwarder.subscriber.counted;
-        self.seen.batches += counted.batches;
-        self.seen.snapshots += counted.snapshots;
-        self.seen.doubts += counted.doubts;
-        self.seen.duplicates += counted.duplicates;
+        let counters = self.forwarder.subscriber.counters;
+        self.seen.batches += counters.batches;
+        self.seen.snapshots += counters.snapshots;
+        self.seen.doubts += counters.doubts;
+        self.seen.duplicates += counters.duplicates;
     }
 }
 
--- a/crates/flaxdeck-distribution/tests/subscriber.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber.rs
@@ -2,7 +2,7 @@
 
 use flaxdeck::{Span, Time};
 use flaxdeck_distribution::messages::*;
-use flaxdeck_distribution::subscriber::{Counted, Invalid};
+use flaxdeck_distribution::subscriber::{Counters, Invalid};
 use flaxdeck_distribution::{
     Applied, Cadence, Fingerprint, InvalidDigest, PlannerNumber, Refused, Subscriber,
 };
@@ -144,7 +144,7 @@
         Ok(Applied::Nothing)
     );
     assert_eq!(
-        (subscriber.counted.batches, subscriber.counted.heartbeats),
+        (subscriber.counters.batches, subscriber.counters.heartbeats),
         (1, 1)
     );
     assert_eq!(
@@ -171,7 +171,7 @@
         Ok(Applied::Nothing)
     );
     assert_eq!(
-        (subscriber.counted.duplicates, subscriber.position()),
+        (subscriber.counters.duplicates, subscriber.position()),
         (4, mark(15))
     );
 }
@@ -187,7 +187,7 @@
         Err(Refused::Gap)
     );
     assert_eq!(
-        (subscriber.counted.gaps, subscriber.position()),
+        (subscriber.counters.gaps, subscriber.position()),
         (1, mark(15))
     );
     assert_eq!(
@@ -218,7 +218,7 @@
         Ok(Applied::Nothing)
     );
     assert_eq!(
-        (subscriber.counted.duplicates, subscriber.position()),
+        (subscriber.counters.duplicates, subscriber.position()),
         (1, mark(12))
     );
     assert_eq!(
@@ -256,7 +256,7 @@
         );
     }
     assert_eq!(
-        (subscriber.counted.other_numbering, subscriber.position()),
+        (subscriber.counters.other_numbering, subscriber.position()),
         (3, mark(10))
     );
 }
@@ -381,14 +381,14 @@
             before,
             "{what}"
         );
-        assert_eq!(subscriber.counted.invalid, count as u64 + 1, "{what}");
+        assert_eq!(subscriber.counters.invalid, count as u64 + 1, "{what}");
     }
-    let Counted {
+    let Counters {
         batches,
         purges: applied,
         events,
         ..
-    } = subscriber.counted;
+    } = subscriber.counters;
     assert_eq!((batches, applied, events), (0, 0, 0));
     assert!(
         subscriber
@@ -440,7 +440,7 @@
         );
     }
     assert_eq!(
-        (subscriber.position(), subscriber.counted.invalid),
+        (subscriber.position(), subscriber.counters.invalid),
         (mark(10), 7)
     );
 }
@@ -458,7 +458,7 @@
         Err(Refused::NotConnected)
     );
     assert_eq!(
-        (subscriber.position(), subscriber.counted.not_connected),
+        (subscriber.position(), subscriber.counters.not_connected),
         (mark(10), 2)
     );
 }
@@ -555,7 +555,7 @@
         Err(Refused::Stale)
     );
     assert_eq!(
-        (subscriber.counted.stale, subscriber.position()),
+        (subscriber.counters.stale, subscriber.position()),
         (2, mark(15))
     );
     // Its planner knows all that the coordinator has, so the numbering is another: now it is asked for.
@@ -644,7 +644,7 @@
             (OTHER, Subscription::After(mark(11)))
         ]
     );
-    assert_eq!(subscriber.counted.failovers, 1);
+    assert_eq!(subscriber.counters.failovers, 1);
     // Both deliver for a moment; each event is applied once.
     subscriber
         .delivered(at(1_520), OTHER, told(purges(11, 15)))
@@ -773,7 +773,7 @@
         "{applied:?}"
     );
     assert_eq!(
-        (subscriber.position(), subscriber.counted.doubts),
+        (subscriber.position(), subscriber.counters.doubts),
         (mark(30), 1)
     );
 }
--- a/crates/flaxdeck-fleet/src/model/build.rs
+++ b/crates/flaxdeck-fleet/src/model/build.rs
@@ -2,14 +2,14 @@
 
 use std::collections::HashMap;
 
-use flaxdeck_control::Parts;
+use flaxdeck_control::QuotaFraction;
 use flaxdeck_control::messages::Epoch;
 use flaxdeck_control::planner::Planner;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
 use super::events::Event;
-use super::planners::pledges;
+use super::planners::lease_terms;
 use super::sites::{SAMPLE_MS, Site};
 use super::troubles::Conditions;
 use super::{Model, Outcome, Shape, time};
@@ -54,8 +54,8 @@
         Planner::start(
             time(0.0),
             Epoch(n as u64 + 1),
-            pledges(shape.window_ms),
-            Parts::NONE,
+            lease_terms(shape.window_ms),
+            QuotaFraction::NONE,
         )
     };
     let mut planners: Vec<Planner> = (0..shape.planners).map(start).collect();
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -4,14 +4,14 @@
 
 use flaxdeck::decision::DecisionEngine;
 use flaxdeck::{DeploymentTerms, ListKind, Repeats, RequestClass, RequestId, Span, ZoneId};
-use flaxdeck_control::forwarder::{Guide, Stance};
-use flaxdeck_control::messages::{Epoch, SeatId};
+use flaxdeck_control::forwarder::{ForwarderOptions, ForwarderSession};
+use flaxdeck_control::messages::{Epoch, SlotId};
 use flaxdeck_invariants::RecordedEvent;
 use rand::Rng;
 
 use super::clients::{OBJECTIVE_MS, RETRY_AFTER_LOST_FORWARDER_MS, STRETCH};
 use super::events::Event;
-use super::planners::{REPORT_MS, pledges};
+use super::planners::{REPORT_MS, lease_terms};
 use super::{Model, Shape, time};
 
 /// A request that a forwarder has not answered yet.
@@ -25,7 +25,7 @@
 pub(super) struct Forwarder {
     pub(super) engine: DecisionEngine,
     /// None without planners.
-    pub(super) guide: Option<Guide>,
+    pub(super) guide: Option<ForwarderSession>,
     /// Counts its starts.
     pub(super) run: u32,
     /// The number of the coordinator's last event that it knows.
@@ -91,16 +91,16 @@
         }
     }
 
-    fn guide(&self, n: usize, run: u32) -> Guide {
+    fn guide(&self, n: usize, run: u32) -> ForwarderSession {
         let epoch = Epoch((u64::from(run) + 1) << 20 | n as u64);
-        let stance = Stance {
-            pledges: pledges(self.shape.window_ms),
+        let stance = ForwarderOptions {
+            lease_terms: lease_terms(self.shape.window_ms),
             reserve: 0.0,
             seated: true,
-            seat: SeatId(n as u64 + 1),
+            seat: SlotId(n as u64 + 1),
             blind_after: None,
         };
-        Guide::start(time(self.now), epoch, stance, self.shape.planners as u32)
+        ForwarderSession::start(time(self.now), epoch, stance, self.shape.planners as u32)
     }
 
     /// A forwarder that has just started is told all that is known.
--- a/crates/flaxdeck-fleet/src/model/planners.rs
+++ b/crates/flaxdeck-fleet/src/model/planners.rs
@@ -1,9 +1,9 @@
 //! Planners: the coordinator's events that reach them, the reports that reach them and the guidance that they send.
 
 use flaxdeck::{Health, Span, ZoneId};
-use flaxdeck_control::Pledges;
+use flaxdeck_control::LeaseTerms;
 use flaxdeck_control::membership::PlannerId;
-use flaxdeck_control::messages::{Guidance, Relayed, Report};
+use flaxdeck_control::messages::{Guidance, RelayedEvent, Report};
 use flaxdeck_recovery::Mark;
 
 use super::coordinator::CoordinatorEvent;
@@ -16,8 +16,8 @@
 const REPORTS_AFTER_MS: f64 = 5_000.0;
 
 /// What planners and forwarders promise each other, over a cold host's window.
-pub(super) fn pledges(window_ms: f64) -> Pledges {
-    Pledges::of(Span::of_ms(window_ms), Span::from_ms(1_200), 10)
+pub(super) fn lease_terms(window_ms: f64) -> LeaseTerms {
+    LeaseTerms::of(Span::of_ms(window_ms), Span::from_ms(1_200), 10)
 }
 
 /// The coordinator of the model never loses its numbering: a number is its event.
@@ -41,7 +41,7 @@
         let frame = number.to_be_bytes().to_vec();
         self.planners[planner].coordinator(
             now,
-            Some(Relayed {
+            Some(RelayedEvent {
                 mark: mark(number),
                 frame,
             }),
--- a/crates/flaxdeck-planner/src/events.rs
+++ b/crates/flaxdeck-planner/src/events.rs
@@ -6,7 +6,7 @@
 
 use flaxdeck::{Health, HostId, ListKind, Time};
 use flaxdeck_distribution::messages::{Delivery, Subscription};
-use flaxdeck_distribution::publisher::Counted;
+use flaxdeck_distribution::publisher::Counters;
 use flaxdeck_distribution::{Cadence, Content, Fingerprint, Publisher, Retention, SubscriberId};
 use flaxdeck_recovery::Mark;
 use flaxdeck_terms::Names;
@@ -110,8 +110,8 @@
         })
     }
 
-    /// Subscribers, events kept and their bytes, and what was counted since the start.
-    pub fn load(&self) -> ((usize, usize, usize), Counted) {
-        (self.publisher.size(), self.publisher.counted)
+    /// Subscribers, events kept and their bytes, and what was counters since the start.
+    pub fn load(&self) -> ((usize, usize, usize), Counters) {
+        (self.publisher.size(), self.publisher.counters)
     }
 }
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -15,9 +15,9 @@
 use flaxdeck_channel::messages::{FromForwarder, FromPlanner};
 use flaxdeck_channel::seal::Key;
 use flaxdeck_channel::watch::{Event, Numbered, Watch, WatchEvent};
-use flaxdeck_control::messages::{Epoch, Relayed, Report};
+use flaxdeck_control::messages::{Epoch, RelayedEvent, Report};
 use flaxdeck_control::planner::Planner;
-use flaxdeck_control::{Parts, Pledges};
+use flaxdeck_control::{LeaseTerms, QuotaFraction};
 use flaxdeck_distribution::messages::Subscription;
 use flaxdeck_distribution::{Cadence, SubscriberId};
 use flaxdeck_net::clock::Clock;
@@ -46,9 +46,9 @@
     pub name: String,
     pub listen: SocketAddr,
     pub key: Key,
-    pub pledges: Pledges,
+    pub lease_terms: LeaseTerms,
     /// Its own part of each cold host.
-    pub own: Parts,
+    pub own: QuotaFraction,
     /// How often forwarders are told of events that subscribe to them.
     pub cadence: Cadence,
     pub watch: Watch,
@@ -95,7 +95,7 @@
         name,
         listen,
         key,
-        pledges,
+        lease_terms,
         own,
         cadence,
         watch,
@@ -105,7 +105,7 @@
     let epoch = Epoch::new(clock.now(), std::process::id());
     let server = Rc::new(Server {
         clock,
-        planner: RefCell::new(Planner::start(clock.now(), epoch, pledges, own)),
+        planner: RefCell::new(Planner::start(clock.now(), epoch, lease_terms, own)),
         key,
         speakers: RefCell::default(),
         events: RefCell::new(Events::start(clock.now(), cadence, watch.names())),
@@ -132,7 +132,7 @@
     tracing::info!(
         planner = name,
         epoch = epoch.0,
-        "listening at {at}, {pledges:?}"
+        "listening at {at}, {lease_terms:?}"
     );
     tokio::select! {
         _ = terminate.recv() => {}
@@ -194,7 +194,7 @@
                         .borrow_mut()
                         .told(self.clock.now(), mark, &frame, &event);
                     self.told(event);
-                    Some(Relayed {
+                    Some(RelayedEvent {
                         mark,
                         frame: frame.to_vec(),
                     })
@@ -358,10 +358,10 @@
     fn log_line(&self) {
         let planner = self.planner.borrow();
         let (forwarders, lives, [lent, out]) = planner.load(self.clock.now());
-        let (counted, refused) = (planner.counted, self.refused.get());
-        tracing::info!(forwarders, lives, lent, out, refused, ?counted, "counted");
-        let ((subscribers, kept, bytes), counted) = self.events.borrow().load();
-        tracing::info!(subscribers, kept, bytes, ?counted, "events");
+        let (counters, refused) = (planner.counters, self.refused.get());
+        tracing::info!(forwarders, lives, lent, out, refused, ?counters, "counters");
+        let ((subscribers, kept, bytes), counters) = self.events.borrow().load();
+        tracing::info!(subscribers, kept, bytes, ?counters, "events");
         tracing::info!("traffic: {}", tally::line());
     }
 
