--- a/crates/flaxdeck-channel/src/watch.rs
+++ b/crates/flaxdeck-channel/src/watch.rs
@@ -8,8 +8,8 @@
 
 use bytes::Bytes;
 use flaxdeck::{Span, Time};
-use flaxdeck_recovery::numbering::{Doubt, Next, Numbering, Why};
-use flaxdeck_recovery::{LiveEdge, Mark, Pace};
+use flaxdeck_recovery::numbering::{MissedPeriod, Next, Numbering, Why};
+use flaxdeck_recovery::{EventPosition, LiveEdge, ReconnectBackoff};
 use flaxdeck_terms::Names;
 use flaxdeck_terms::fields::Fields;
 use tokio::sync::Notify;
@@ -57,9 +57,9 @@
     /// Nothing new, but it is there.
     Heartbeat,
     /// An event that follows, and the frame that it came in, for who passes it on.
-    Event(Mark, Bytes, Event),
+    Event(EventPosition, Bytes, Event),
     /// A whole list in place of all that was known.
-    Relisted(Mark, Event, Option<Doubt>),
+    Relisted(EventPosition, Event, Option<MissedPeriod>),
 }
 
 pub struct Watch {
@@ -68,7 +68,7 @@
     clock: Clock,
     /// Others may bring events as well, and move it on.
     numbering: Rc<RefCell<Numbering>>,
-    pace: Pace,
+    pace: ReconnectBackoff,
     link: Option<(Inbound, Outbound)>,
     urgency: Rc<Urgency>,
     /// Others may tell the same sooner: the first call waits.
@@ -98,14 +98,17 @@
             .last()
             .filter(|(last, _)| *last == number)
             .map_or(0, |(_, event)| event.hash());
-        let last = Mark { number, hash };
+        let last = EventPosition { number, hash };
         let numbering = if trusts {
             Numbering::trusting(last)
         } else {
             Numbering::new(last)
         };
         let numbering = Rc::new(RefCell::new(numbering));
-        let (pace, clock) = (Pace::new(seed, RETRY[0], RETRY[1]), Clock::start());
+        let (pace, clock) = (
+            ReconnectBackoff::new(seed, RETRY[0], RETRY[1]),
+            Clock::start(),
+        );
         let (urgency, waits, paused) = (Rc::default(), false, false);
         let (heard, told_current, link, live_edge) =
             (Instant::now(), false, None, LiveEdge::default());
@@ -164,7 +167,7 @@
         let mut numbering = self.numbering.borrow_mut();
         let news = known.into_iter().filter_map(|(number, event)| {
             numbering
-                .told_by_file(Mark {
+                .told_by_file(EventPosition {
                     number,
                     hash: event.hash(),
                 })
@@ -232,7 +235,7 @@
                 Ok(Parsed::Whole((number, frame, Some(event)))) => {
                     let (now, whole) = (self.clock.now(), event.is_whole_list());
                     self.note_live(now, &event);
-                    let mark = Mark {
+                    let mark = EventPosition {
                         number,
                         hash: event.hash(),
                     };
--- a/crates/flaxdeck-channel/tests/recorded_messages.rs
+++ b/crates/flaxdeck-channel/tests/recorded_messages.rs
@@ -12,7 +12,7 @@
 use flaxdeck_distribution::messages::{
     Batch, Delivery, FullEvent, PurgeDigest, Snapshot, Subscription, Update,
 };
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 use flaxdeck_wire::Parsed;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -71,8 +71,8 @@
     }
 }
 
-fn mark(number: u64) -> Mark {
-    Mark {
+fn mark(number: u64) -> EventPosition {
+    EventPosition {
         number,
         hash: 0x7f3a_9c21_e0b4_d655 ^ number,
     }
--- a/crates/flaxdeck-cli/src/state.rs
+++ b/crates/flaxdeck-cli/src/state.rs
@@ -4,8 +4,8 @@
 
 use flaxdeck::Span;
 use flaxdeck_net::clock::since_boot;
-use flaxdeck_recovery::Mark;
-use flaxdeck_recovery::belief::{self, Kept, Now, Uptime};
+use flaxdeck_recovery::EventPosition;
+use flaxdeck_recovery::restored_state::{self, Now, StoredState, Uptime};
 use flaxdeck_store::{Folder, look};
 
 use crate::{Stop, faulty};
@@ -21,17 +21,17 @@
     let kept = found
         .snapshot
         .as_ref()
-        .map(|snapshot| Kept::read(snapshot, &found.records));
+        .map(|snapshot| StoredState::read(snapshot, &found.records));
     let (boot, ms) = since_boot();
     let now = Now {
         uptime: Uptime { boot, ms },
-        file: Mark::NONE,
+        file: EventPosition::NONE,
         waits: Span::ZERO,
     };
     let read = kept.as_ref().and_then(|kept| kept.as_ref().ok()).cloned();
     let verdicts = read
         .clone()
-        .map(|kept| belief::judge(kept, now).verdicts)
+        .map(|kept| restored_state::judge(kept, now).verdicts)
         .unwrap_or_default();
     let (event, hosts) = read
         .as_ref()
--- a/crates/flaxdeck-control/src/forwarder.rs
+++ b/crates/flaxdeck-control/src/forwarder.rs
@@ -8,7 +8,7 @@
     HostId, Observation, PeerHint, PeerHints, Sampled, SourceMeasurements, Span, Time, WarmupQuota,
     ZoneId,
 };
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 
 use crate::membership::{self, Known, PlannerId, Refused};
 use crate::messages::*;
@@ -261,7 +261,7 @@
         now: Time,
         to: PlannerId,
         observations: &[Observation],
-        last_event: Mark,
+        last_event: EventPosition,
     ) -> Report {
         let known = &self.known[to.0 as usize];
         let side = &mut self.sides[to.0 as usize];
@@ -350,7 +350,7 @@
         now: Time,
         from: PlannerId,
         guidance: Guidance,
-        last_event: Mark,
+        last_event: EventPosition,
     ) -> Result<Vec<RelayedEvent>, Refused> {
         let judged = self.judge(now, from, &guidance);
         if let Err(why) = judged {
--- a/crates/flaxdeck-control/src/messages.rs
+++ b/crates/flaxdeck-control/src/messages.rs
@@ -2,7 +2,7 @@
 //! nobody reads another's clock.
 
 use flaxdeck::{Span, Time};
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 use serde::{Deserialize, Serialize};
 
 use crate::QuotaFraction;
@@ -110,7 +110,7 @@
     pub envelope: Envelope,
     pub seat: SlotId,
     /// The coordinator's last event that it has applied.
-    pub last_event: Mark,
+    pub last_event: EventPosition,
     /// Events come to it by a subscription: guidance holds none, and only the ratings that matter most.
     pub subscribes: bool,
     /// The version of the planner's ratings that it has.
@@ -159,7 +159,7 @@
 /// One event of the coordinator, as it came.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RelayedEvent {
-    pub mark: Mark,
+    pub mark: EventPosition,
     pub frame: Vec<u8>,
 }
 
@@ -173,11 +173,11 @@
     /// if it can't tell, having started too lately itself.
     pub owes_ms: Option<u32>,
     /// The planner's own last event; none while it can't tell that it is the coordinator's last.
-    pub upto: Option<Mark>,
+    pub upto: Option<EventPosition>,
     /// Ratings of later versions may follow.
     pub version: u64,
     /// The event that the first of these follows.
-    pub after: Mark,
+    pub after: EventPosition,
     pub events: Vec<RelayedEvent>,
     /// Of the link of the forwarder's location: the latest that any forwarder heard.
     pub link: Option<LinkLoad>,
--- a/crates/flaxdeck-control/src/planner.rs
+++ b/crates/flaxdeck-control/src/planner.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use flaxdeck::{Span, Time};
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 
 use crate::instance_slots::InstanceSlots;
 use crate::membership::Refused;
@@ -35,7 +35,7 @@
     heard: Time,
     /// Messages sent to it.
     sent: u64,
-    last_event: Mark,
+    last_event: EventPosition,
     /// Events reach it by a subscription.
     subscribes: bool,
     version: u64,
@@ -78,7 +78,7 @@
     /// Each location's link as last heard by any of its forwarders.
     links: BTreeMap<u32, (f32, Time)>,
     /// The event before the first of the log.
-    base: Mark,
+    base: EventPosition,
     log: VecDeque<RelayedEvent>,
     /// When the coordinator was last heard, and whether all is known here that it had to tell.
     coordinator: Option<Time>,
@@ -102,7 +102,7 @@
             changes: BTreeMap::new(),
             version: 0,
             links: BTreeMap::new(),
-            base: Mark::NONE,
+            base: EventPosition::NONE,
             log: VecDeque::new(),
             coordinator: None,
             current: false,
@@ -152,17 +152,17 @@
 
     /// All that is known here of the coordinator's events ends with that one: at the start, and where its numbering
     /// turned out another. What was passed on before follows from nothing any more.
-    pub fn begins_at(&mut self, mark: Mark) {
+    pub fn begins_at(&mut self, mark: EventPosition) {
         self.log.clear();
         self.base = mark;
     }
 
-    fn last_event(&self) -> Mark {
+    fn last_event(&self) -> EventPosition {
         self.log.back().map_or(self.base, |event| event.mark)
     }
 
     /// The place in the log of what follows that event; none if it is of another numbering, or long past.
-    fn follows(&self, mark: Mark) -> Option<usize> {
+    fn follows(&self, mark: EventPosition) -> Option<usize> {
         if mark == self.base {
             return Some(0);
         }
@@ -222,7 +222,7 @@
             stamp: sent,
             heard: now,
             sent: 0,
-            last_event: Mark::NONE,
+            last_event: EventPosition::NONE,
             subscribes: report.subscribes,
             version,
             zone: report.zone,
--- a/crates/flaxdeck-control/tests/report_suppression.rs
+++ b/crates/flaxdeck-control/tests/report_suppression.rs
@@ -7,7 +7,7 @@
 use flaxdeck_control::messages::{Epoch, RARE_MOST, RelayedEvent, SlotId};
 use flaxdeck_control::planner::Planner;
 use flaxdeck_control::{LeaseTerms, QuotaFraction};
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 
 const FOLLOWED: PlannerId = PlannerId(0);
 const OTHER: PlannerId = PlannerId(1);
@@ -76,11 +76,13 @@
     planner: &mut Planner,
     observations: &[Observation],
 ) -> usize {
-    let report = guide.report(now, FOLLOWED, observations, Mark::NONE);
+    let report = guide.report(now, FOLLOWED, observations, EventPosition::NONE);
     let guidance = planner.report(now, &report).unwrap();
     let ratings = guidance.ratings.len();
     assert!(guidance.events.is_empty());
-    guide.guided(now, FOLLOWED, guidance, Mark::NONE).unwrap();
+    guide
+        .guided(now, FOLLOWED, guidance, EventPosition::NONE)
+        .unwrap();
     ratings
 }
 
@@ -121,12 +123,12 @@
     let mut told: Vec<String> = Vec::new();
     for round in 1..=10 {
         let now = at(round * 1_500);
-        let report = guide.report(now, FOLLOWED, &measured(now), Mark::NONE);
+        let report = guide.report(now, FOLLOWED, &measured(now), EventPosition::NONE);
         assert_eq!(report.samples.len(), RARE_MOST);
         told.extend(report.samples.into_iter().map(|sample| sample.host));
         assert!(
             guide
-                .report(now, OTHER, &measured(now), Mark::NONE)
+                .report(now, OTHER, &measured(now), EventPosition::NONE)
                 .samples
                 .is_empty()
         );
@@ -137,7 +139,7 @@
     let now = at(20_000);
     let mut observations = measured(now);
     observations[7].last_failure = Some(now);
-    let report = guide.report(now, OTHER, &observations, Mark::NONE);
+    let report = guide.report(now, OTHER, &observations, EventPosition::NONE);
     assert_eq!(
         report
             .samples
@@ -168,7 +170,7 @@
     trip(at(9_200), &mut other, &mut planner, &failed);
     // Later changes of others don't push them out.
     trip(at(9_300), &mut one, &mut planner, &measured(at(9_300))[2..]);
-    let report = late.report(at(9_400), FOLLOWED, &[], Mark::NONE);
+    let report = late.report(at(9_400), FOLLOWED, &[], EventPosition::NONE);
     let guidance = planner.report(at(9_400), &report).unwrap();
     let down = |n: u32| {
         guidance
@@ -192,13 +194,13 @@
         blind_after: None,
     };
     let mut told = ForwarderSession::start(at(0), Epoch(11), options, 2);
-    planner.begins_at(Mark { number: 1, hash: 1 });
+    planner.begins_at(EventPosition { number: 1, hash: 1 });
     for guide in [&mut subscribed, &mut told] {
-        let report = guide.report(at(0), FOLLOWED, &[], Mark { number: 1, hash: 1 });
+        let report = guide.report(at(0), FOLLOWED, &[], EventPosition { number: 1, hash: 1 });
         planner.report(at(0), &report).unwrap();
     }
     let event = RelayedEvent {
-        mark: Mark { number: 2, hash: 2 },
+        mark: EventPosition { number: 2, hash: 2 },
         frame: vec![0],
     };
     planner.coordinator(at(10), Some(event), true);
--- a/crates/flaxdeck-control/tests/two_levels.rs
+++ b/crates/flaxdeck-control/tests/two_levels.rs
@@ -10,7 +10,7 @@
 };
 use flaxdeck_control::planner::Planner;
 use flaxdeck_control::{LeaseTerms, QuotaFraction};
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -18,8 +18,8 @@
 const P: PlannerId = PlannerId(0);
 
 /// Here a number is its event.
-fn mark(number: u64) -> Mark {
-    Mark {
+fn mark(number: u64) -> EventPosition {
+    EventPosition {
         number,
         hash: number,
     }
--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -6,7 +6,7 @@
 use flaxdeck_channel::watch::{Event, Numbered, Watch};
 use flaxdeck_control::messages::Epoch;
 use flaxdeck_net::clock::Clock;
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 use serde_json::Value;
 use tokio::task::spawn_local;
 
@@ -84,7 +84,10 @@
         .into_iter()
         .for_each(|(_, event)| router.told(last, event));
     if let Some(watcher) = watcher {
-        router.watch(watcher, Some(last).filter(|last| *last != Mark::NONE));
+        router.watch(
+            watcher,
+            Some(last).filter(|last| *last != EventPosition::NONE),
+        );
     }
     spawn_local(router.clone().follow(watch));
     spawn_local(router.clone().keep_time());
--- a/crates/flaxdeck-dispatcher/src/program/logger.rs
+++ b/crates/flaxdeck-dispatcher/src/program/logger.rs
@@ -24,7 +24,7 @@
 enum Entry {
     Line(String),
     /// All before it are written.
-    Mark(SyncSender<()>),
+    EventPosition(SyncSender<()>),
 }
 
 struct Queue(SyncSender<Entry>);
@@ -56,7 +56,7 @@
 
     fn flush(&self) {
         let (done, written) = sync_channel(1);
-        if self.0.try_send(Entry::Mark(done)).is_ok() {
+        if self.0.try_send(Entry::EventPosition(done)).is_ok() {
             let _ = written.recv_timeout(LAST); // nobody is left to be told
         }
     }
@@ -67,7 +67,7 @@
         // Nobody can be told of a log that can't be written.
         let _ = match entry {
             Entry::Line(line) => std::io::stderr().write_all(line.as_bytes()).ok(),
-            Entry::Mark(done) => done.try_send(()).ok(),
+            Entry::EventPosition(done) => done.try_send(()).ok(),
         };
     }
 }
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -21,9 +21,9 @@
 use flaxdeck_net::clock;
 use flaxdeck_net::tally::{Count, count};
 use flaxdeck_recovery::clocks::{self, Clocks};
-use flaxdeck_recovery::numbering::{Doubt, Numbering};
-use flaxdeck_recovery::phase::{Return, Unheard};
-use flaxdeck_recovery::{Mark, Pace, doubt};
+use flaxdeck_recovery::numbering::{MissedPeriod, Numbering};
+use flaxdeck_recovery::startup::{Startup, WithoutContact};
+use flaxdeck_recovery::{EventPosition, ReconnectBackoff, unconfirmed};
 use flaxdeck_wire::frames;
 use tokio::sync::Notify;
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -65,8 +65,8 @@
     clocks: RefCell<Clocks>,
     /// What is told from now on has happened while this process ran.
     begun: Cell<bool>,
-    doubted: RefCell<doubt::Doubted>,
-    back: RefCell<Return>,
+    doubted: RefCell<unconfirmed::UnconfirmedEndpoints>,
+    back: RefCell<Startup>,
     seed: u64,
     urgency: Rc<Urgency>,
     /// Planners whose last try came to nothing.
@@ -110,7 +110,7 @@
         let unheard = guidelines
             .stance
             .blind_after
-            .map_or(Unheard::GoOn, Unheard::RejectAfter);
+            .map_or(WithoutContact::GoOn, WithoutContact::RejectAfter);
         let guides = Rc::new(Guides {
             guide: RefCell::new(guide),
             speakers: RefCell::new((0..count).map(|_| None).collect()),
@@ -121,7 +121,7 @@
             clocks: RefCell::default(),
             begun: Cell::new(false),
             doubted: RefCell::default(),
-            back: RefCell::new(Return::begin(now, unheard)),
+            back: RefCell::new(Startup::begin(now, unheard)),
             seed,
             urgency,
             unreached: RefCell::default(),
@@ -184,7 +184,7 @@
         recalled: Recalled,
         keeps: &Keeps,
         first: &[Event],
-        last: Mark,
+        last: EventPosition,
     ) {
         let Some(guides) = self.guides.borrow().clone() else {
             return;
@@ -330,7 +330,7 @@
     }
 
     /// A whole list came in place of what should have followed: what can't be vouched for counts as in doubt.
-    pub(super) fn told_anew(&self, mark: Mark, event: Event, doubt: Option<Doubt>) {
+    pub(super) fn told_anew(&self, mark: EventPosition, event: Event, doubt: Option<MissedPeriod>) {
         let (Some(guides), Event::Hosts(list_kind, mut endpoints)) =
             (self.guides.borrow().clone(), event)
         else {
@@ -358,7 +358,7 @@
             .iter()
             .map(|endpoint| (endpoint.listed.host.clone(), endpoint.listed.clone()));
         *guides.lines.borrow_mut() = lines.collect();
-        let copies = doubt.and_then(|doubt| doubt::copies_from(now, doubt, self.settles));
+        let copies = doubt.and_then(|doubt| unconfirmed::copies_from(now, doubt, self.settles));
         if doubt.is_some() {
             (0..withheld).for_each(|_| count(Count::hosts_doubted));
             log::error!(
@@ -548,7 +548,8 @@
 
     async fn listen_to(self: Rc<Router>, guides: Rc<Guides>, at: usize) {
         let address = guides.guidelines.planners[at];
-        let mut pace = Pace::new(guides.seed ^ (at as u64 + 1) << 32, RETRY[0], RETRY[1]);
+        let mut pace =
+            ReconnectBackoff::new(guides.seed ^ (at as u64 + 1) << 32, RETRY[0], RETRY[1]);
         loop {
             count(Count::planners_connects);
             match line::connect(address, &guides.guidelines.key).await {
--- a/crates/flaxdeck-dispatcher/src/routing/keep.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/keep.rs
@@ -1,6 +1,6 @@
 //! What a forwarder keeps over its end, and takes up again: events, what was seen of hosts, and up to when it has
 //! lent. A thread of its own writes it, so no request waits for a disk; whatever is wrong with the store, the forwarder
-//! serves as one that has none. What of it is believed is decided in `flaxdeck_recovery::belief`.
+//! serves as one that has none. What of it is believed is decided in `flaxdeck_recovery::restored_state`.
 
 use std::cell::{Cell, RefCell};
 use std::path::{Path, PathBuf};
@@ -16,9 +16,10 @@
 use flaxdeck_channel::watch::Event;
 use flaxdeck_net::clock::{Clock, since_boot};
 use flaxdeck_net::tally::{Count, count};
-use flaxdeck_recovery::Mark;
-use flaxdeck_recovery::belief::{
-    self, Believed, Kept, KeptLine, KeptPurge, KeptRating, Later, Now, Uptime,
+use flaxdeck_recovery::EventPosition;
+use flaxdeck_recovery::restored_state::{
+    self, Now, RestoredState, StateChange, StoredEndpoint, StoredPurge, StoredRating, StoredState,
+    Uptime,
 };
 use flaxdeck_store::{Folder, Store, look};
 use flaxdeck_wire::frames::AddressedEndpoint;
@@ -55,7 +56,7 @@
 
 pub struct Keeper {
     clock: Clock,
-    kept: RefCell<Kept>,
+    kept: RefCell<StoredState>,
     /// The time that a purge takes to settle at all hosts.
     settles: Span,
     jobs: SyncSender<Job>,
@@ -72,7 +73,7 @@
     Uptime { boot, ms }
 }
 
-fn line(endpoint: &AddressedEndpoint) -> KeptLine {
+fn line(endpoint: &AddressedEndpoint) -> StoredEndpoint {
     let Endpoint {
         host,
         weight,
@@ -82,7 +83,7 @@
         health,
         started,
     } = endpoint.listed.clone();
-    KeptLine {
+    StoredEndpoint {
         host: host.0.to_string(),
         address: endpoint.address,
         weight,
@@ -102,7 +103,7 @@
     }
 }
 
-fn endpoint(line: &KeptLine) -> AddressedEndpoint {
+fn endpoint(line: &StoredEndpoint) -> AddressedEndpoint {
     let listed = Endpoint {
         host: HostId(line.host.as_str().into()),
         weight: line.weight,
@@ -123,14 +124,14 @@
 
 /// What an earlier run left, as far as it is to be believed, in the form of events and of what was seen.
 pub struct Recalled {
-    pub event: Option<Mark>,
+    pub event: Option<EventPosition>,
     pub events: Vec<Event>,
     pub hints: Vec<PeerHint>,
     pub waits: Option<Span>,
 }
 
 /// Reads the store and judges it; a store that can't be read is told of and passed over.
-pub fn recall(keeps: &Keeps, clock: Clock, file: Mark, waits: Span) -> Recalled {
+pub fn recall(keeps: &Keeps, clock: Clock, file: EventPosition, waits: Span) -> Recalled {
     let begun = Instant::now();
     let mut recalled = Recalled {
         event: None,
@@ -167,7 +168,7 @@
         );
         return recalled;
     }
-    let Ok(kept) = Kept::read(snapshot, &found.records) else {
+    let Ok(kept) = StoredState::read(snapshot, &found.records) else {
         count(Count::state_damaged);
         log::error!(
             "the state in {} is of another version: none is used",
@@ -175,14 +176,14 @@
         );
         return recalled;
     };
-    let Believed {
+    let RestoredState {
         event,
         lines,
         purges,
         ratings,
         waits,
         verdicts,
-    } = belief::judge(
+    } = restored_state::judge(
         kept,
         Now {
             uptime: uptime(),
@@ -205,7 +206,7 @@
         ));
     }
     recalled.events.extend(purges.into_iter().map(
-        |KeptPurge {
+        |StoredPurge {
              object,
              group,
              made,
@@ -220,7 +221,7 @@
     recalled.hints = ratings
         .into_iter()
         .map(
-            |KeptRating {
+            |StoredRating {
                  host,
                  measures,
                  measured_ago,
@@ -258,12 +259,12 @@
         clock: Clock,
         settles: Span,
         events: &[Event],
-        event: Mark,
+        event: EventPosition,
     ) -> Rc<Keeper> {
-        let mut kept = Kept {
+        let mut kept = StoredState {
             written: uptime(),
             event,
-            ..Kept::default()
+            ..StoredState::default()
         };
         for told in events {
             kept.add(later(event, told));
@@ -274,7 +275,7 @@
         let (folder, name, first) = (
             keeps.folder.clone(),
             keeps.name.clone(),
-            belief::bytes(&kept),
+            restored_state::bytes(&kept),
         );
         thread::spawn(move || write(&folder, &name, &first, work, &tells));
         Rc::new(Keeper {
@@ -302,9 +303,9 @@
     }
 
     /// An event was applied.
-    pub fn event(&self, mark: Mark, event: &Event) {
+    pub fn event(&self, mark: EventPosition, event: &Event) {
         let later = later(mark, event);
-        self.give(Job::Record(belief::bytes(&later)));
+        self.give(Job::Record(restored_state::bytes(&later)));
         self.kept.borrow_mut().add(later);
     }
 
@@ -320,8 +321,8 @@
             ms: up.ms + until.since(now).ms().ceil() as u64 + 10,
             ..up
         };
-        let later = Later::LendsUntil(until_up);
-        self.give(Job::Leave(belief::bytes(&later), until));
+        let later = StateChange::LendsUntil(until_up);
+        self.give(Job::Leave(restored_state::bytes(&later), until));
         self.kept.borrow_mut().add(later);
     }
 
@@ -341,7 +342,7 @@
             .iter()
             .any(Option::is_some)
         });
-        let rating = |observation: &Observation| KeptRating {
+        let rating = |observation: &Observation| StoredRating {
             host: observation.host.0.to_string(),
             started: observation.started.map_or(0, |at| at.ms() as u64),
             measures: [
@@ -355,7 +356,7 @@
         let mut kept = self.kept.borrow_mut();
         kept.forget_settled(now, self.settles);
         (kept.written, kept.ratings) = (uptime(), seen.map(rating).collect());
-        belief::bytes(&*kept)
+        restored_state::bytes(&*kept)
     }
 
     /// Keeps a whole state if it is time.
@@ -375,13 +376,13 @@
     }
 }
 
-fn later(mark: Mark, event: &Event) -> Later {
+fn later(mark: EventPosition, event: &Event) -> StateChange {
     match event {
         Event::Hosts(ListKind::Full, endpoints) => {
-            Later::Whole(mark, endpoints.iter().map(line).collect())
+            StateChange::Whole(mark, endpoints.iter().map(line).collect())
         }
         Event::Hosts(ListKind::Delta, endpoints) => {
-            Later::Lines(mark, endpoints.iter().map(line).collect())
+            StateChange::Lines(mark, endpoints.iter().map(line).collect())
         }
         Event::Purged {
             object,
@@ -389,9 +390,9 @@
             made,
         } => {
             let object = object.map(|object| object.0);
-            Later::Purged(
+            StateChange::Purged(
                 mark,
-                KeptPurge {
+                StoredPurge {
                     object,
                     group: group.0,
                     made: made.ms() as u64,
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -31,7 +31,7 @@
 use flaxdeck_channel::watch::{Event, Numbered, Watch, WatchEvent};
 use flaxdeck_net::clock::Clock;
 use flaxdeck_net::room::{Bounds, Room};
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 
 /// Between looks for connections that have been idle too long.
 const SWEEP: Duration = Duration::from_secs(1);
@@ -48,9 +48,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InForce {
     /// All events with numbers over the first and up to that mark.
-    Events { after: u64, upto: Mark },
+    Events { after: u64, upto: EventPosition },
     /// A whole list in place of all that was known.
-    Anew { upto: Mark },
+    Anew { upto: EventPosition },
 }
 
 /// FillOutcome at once whenever events have come into force.
@@ -194,7 +194,7 @@
     }
 
     /// An event of the coordinator that follows what is known.
-    pub fn told(&self, mark: Mark, event: Event) {
+    pub fn told(&self, mark: EventPosition, event: Event) {
         self.told_by_others(mark, event);
         self.in_force(InForce::Events {
             after: mark.number.saturating_sub(1),
@@ -203,7 +203,7 @@
     }
 
     /// The same of one among several that come into force together.
-    fn told_by_others(&self, mark: Mark, event: Event) {
+    fn told_by_others(&self, mark: EventPosition, event: Event) {
         self.keep_told(&event);
         if let Some(keeper) = &*self.keeper.borrow() {
             keeper.event(mark, &event);
@@ -212,7 +212,7 @@
     }
 
     /// Has somebody told of events that come into force from now on, and first of what is known.
-    pub fn watch(&self, watcher: Watcher, known: Option<Mark>) {
+    pub fn watch(&self, watcher: Watcher, known: Option<EventPosition>) {
         known
             .into_iter()
             .for_each(|upto| watcher(InForce::Anew { upto }));
--- a/crates/flaxdeck-dispatcher/src/routing/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/subscription.rs
@@ -13,8 +13,8 @@
 use flaxdeck_distribution::messages::{Delivery, FullEvent};
 use flaxdeck_distribution::{Applied, Cadence, Fingerprint, PlannerNumber, PurgeIndex, Subscriber};
 use flaxdeck_net::tally::{Count, count};
-use flaxdeck_recovery::Mark;
-use flaxdeck_recovery::numbering::{Doubt, Numbering};
+use flaxdeck_recovery::EventPosition;
+use flaxdeck_recovery::numbering::{MissedPeriod, Numbering};
 use flaxdeck_wire::frames;
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
@@ -131,7 +131,10 @@
     }
 }
 
-fn read_all(events: &[FullEvent], names: &flaxdeck_terms::Names) -> Option<Vec<(Mark, Event)>> {
+fn read_all(
+    events: &[FullEvent],
+    names: &flaxdeck_terms::Names,
+) -> Option<Vec<(EventPosition, Event)>> {
     let read = |event: &FullEvent| Some((event.mark, frames::read(&event.frame, names).ok()??));
     events.iter().map(read).collect()
 }
@@ -267,8 +270,8 @@
     fn apply_batch(
         &self,
         subscription: &EventSubscription,
-        before: Mark,
-        upto: Mark,
+        before: EventPosition,
+        upto: EventPosition,
         purges: &[Fingerprint],
         events: &[FullEvent],
     ) {
@@ -319,7 +322,7 @@
         subscription.numbering.borrow_mut().replaced_by(now, upto);
         // Hosts that are known to be withdrawn stay so, as the list may be of another numbering. Copies are doubted
         // below, as the snapshot says itself how far back its purges reach.
-        let doubt = since.map(|_| Doubt {
+        let doubt = since.map(|_| MissedPeriod {
             since,
             heard_to_the_end: true,
         });
@@ -343,7 +346,7 @@
     }
 
     /// Nothing of a delivery is applied that holds what can't be read.
-    fn unreadable(&self, subscription: &EventSubscription, now: Time, before: Mark) {
+    fn unreadable(&self, subscription: &EventSubscription, now: Time, before: EventPosition) {
         count(Count::events_unreadable);
         subscription.subscriber.borrow_mut().moved(now, before);
         if subscription.should_tell_refusal(now) {
--- a/crates/flaxdeck-dispatcher/tests/recorded_state.rs
+++ b/crates/flaxdeck-dispatcher/tests/recorded_state.rs
@@ -3,8 +3,10 @@
 
 use std::path::{Path, PathBuf};
 
-use flaxdeck_recovery::Mark;
-use flaxdeck_recovery::belief::{Kept, KeptLine, KeptPurge, KeptRating, Later, Uptime, bytes};
+use flaxdeck_recovery::EventPosition;
+use flaxdeck_recovery::restored_state::{
+    StateChange, StoredEndpoint, StoredPurge, StoredRating, StoredState, Uptime, bytes,
+};
 use flaxdeck_store::{Folder, Store, look};
 
 const INSTANCE: &str = "forwarder-at-127.0.0.1:7400";
@@ -15,15 +17,15 @@
         .join(folder)
 }
 
-fn mark(number: u64) -> Mark {
-    Mark {
+fn mark(number: u64) -> EventPosition {
+    EventPosition {
         number,
         hash: 0x7f3a_9c21_e0b4_d655 ^ number,
     }
 }
 
-fn line(host: &str, role: u8) -> KeptLine {
-    KeptLine {
+fn line(host: &str, role: u8) -> StoredEndpoint {
+    StoredEndpoint {
         host: host.into(),
         address: "127.1.0.9:5050".parse().expect("an address"),
         weight: 1.5,
@@ -35,16 +37,16 @@
     }
 }
 
-fn purge(object: Option<u64>) -> KeptPurge {
-    KeptPurge {
+fn purge(object: Option<u64>) -> StoredPurge {
+    StoredPurge {
         object,
         group: 17,
         made: 1_764_576_000_480,
     }
 }
 
-fn snapshot() -> Kept {
-    Kept {
+fn snapshot() -> StoredState {
+    StoredState {
         written: Uptime {
             boot: 0xb007,
             ms: 123_456,
@@ -52,7 +54,7 @@
         event: mark(40),
         lines: vec![line("s-00000001", 0), line("s-00000002", 1)],
         purges: vec![purge(Some(0x7f3a_9c21_e0b4_d655))],
-        ratings: vec![KeptRating {
+        ratings: vec![StoredRating {
             host: "s-00000002".into(),
             started: 1_764_576_000_123,
             measures: [Some(12.5), Some(0.25)],
@@ -67,20 +69,20 @@
     }
 }
 
-fn records() -> Vec<Later> {
+fn records() -> Vec<StateChange> {
     vec![
-        Later::Lines(mark(41), vec![line("s-00000003", 2)]),
-        Later::Purged(mark(42), purge(None)),
-        Later::LendsUntil(Uptime {
+        StateChange::Lines(mark(41), vec![line("s-00000003", 2)]),
+        StateChange::Purged(mark(42), purge(None)),
+        StateChange::LendsUntil(Uptime {
             boot: 0xb007,
             ms: 140_000,
         }),
-        Later::Whole(mark(43), vec![line("s-00000004", 0)]),
+        StateChange::Whole(mark(43), vec![line("s-00000004", 0)]),
     ]
 }
 
 /// What a reader makes of the snapshot and the first records after it.
-fn state_after(count: usize) -> Kept {
+fn state_after(count: usize) -> StoredState {
     let mut state = snapshot();
     for record in records().into_iter().take(count) {
         state.add(record);
@@ -88,11 +90,11 @@
     state
 }
 
-fn read(folder: &str) -> (flaxdeck_store::Found, Kept) {
+fn read(folder: &str) -> (flaxdeck_store::Found, StoredState) {
     let mut disk = Folder::open(&recorded(folder)).expect("a recorded folder");
     let found = look(&mut disk);
     let body = found.snapshot.as_ref().expect("a snapshot");
-    let kept = Kept::read(body, &found.records).expect("records of this version");
+    let kept = StoredState::read(body, &found.records).expect("records of this version");
     (found, kept)
 }
 
--- a/crates/flaxdeck-distribution/src/event_log.rs
+++ b/crates/flaxdeck-distribution/src/event_log.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 
 use flaxdeck::{Span, Time};
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 
 use crate::fingerprint::Fingerprint;
 use crate::messages::*;
@@ -90,7 +90,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Entry {
-    mark: Mark,
+    mark: EventPosition,
     at: Time,
     content: Content,
 }
@@ -106,7 +106,7 @@
 pub struct EventLog {
     retention: Retention,
     /// The position that the first entry follows.
-    base: Mark,
+    base: EventPosition,
     entries: VecDeque<Entry>,
     /// Numbers of those among them that are passed on at once, with when they came.
     urgent: VecDeque<(u64, Time)>,
@@ -118,7 +118,7 @@
 
 impl EventLog {
     /// A log in which nothing follows `base` yet.
-    pub fn start(now: Time, retention: Retention, base: Mark) -> EventLog {
+    pub fn start(now: Time, retention: Retention, base: EventPosition) -> EventLog {
         EventLog {
             retention,
             base,
@@ -131,7 +131,7 @@
     }
 
     /// The numbering is another, or some events are missing: nothing that was kept leads to `base`.
-    pub fn restart(&mut self, now: Time, base: Mark) {
+    pub fn restart(&mut self, now: Time, base: EventPosition) {
         let counters = self.counters;
         *self = EventLog {
             counters,
@@ -141,7 +141,7 @@
 
     /// Keeps an event. One that does not follow the last has the log begin anew right before it, so that nobody is led
     /// over the gap.
-    pub fn append(&mut self, now: Time, mark: Mark, content: Content) {
+    pub fn append(&mut self, now: Time, mark: EventPosition, content: Content) {
         let last = self.last();
         if mark.number <= last.number {
             self.counters.out_of_order += 1;
@@ -153,7 +153,7 @@
             // Nobody has that position, as no event has that hash: it is where the event follows from, no more.
             self.restart(
                 now,
-                Mark {
+                EventPosition {
                     number: mark.number - 1,
                     hash: 0,
                 },
@@ -200,12 +200,12 @@
     }
 
     /// The last event known.
-    pub fn last(&self) -> Mark {
+    pub fn last(&self) -> EventPosition {
         self.entries.back().map_or(self.base, |entry| entry.mark)
     }
 
     /// Whether events after that position are kept, none of which may have come yet.
-    pub fn follows(&self, position: Mark) -> Result<(), NotKept> {
+    pub fn follows(&self, position: EventPosition) -> Result<(), NotKept> {
         self.index_after(position).map(|_| ())
     }
 
@@ -215,13 +215,13 @@
     }
 
     /// When the first event after a position came; none if none has, or the position is not known.
-    pub fn next_after(&self, position: Mark) -> Option<Time> {
+    pub fn next_after(&self, position: EventPosition) -> Option<Time> {
         let index = self.index_after(position).ok()?;
         self.entries.get(index).map(|entry| entry.at)
     }
 
     /// When the first event after a position came that is to be passed on at once.
-    pub fn next_urgent_after(&self, position: Mark) -> Option<Time> {
+    pub fn next_urgent_after(&self, position: EventPosition) -> Option<Time> {
         self.index_after(position).ok()?;
         let index = self
             .urgent
@@ -229,7 +229,7 @@
         self.urgent.get(index).map(|(_, at)| *at)
     }
 
-    fn index_after(&self, position: Mark) -> Result<usize, NotKept> {
+    fn index_after(&self, position: EventPosition) -> Result<usize, NotKept> {
         if position == self.base {
             return Ok(0);
         }
@@ -247,7 +247,7 @@
     }
 
     /// The events after a position, as many as one batch may hold.
-    pub fn batch_after(&self, position: Mark) -> Result<Batch, NotKept> {
+    pub fn batch_after(&self, position: EventPosition) -> Result<Batch, NotKept> {
         let index = self.index_after(position)?;
         let (mut upto, mut frame_bytes) = (position, 0);
         let (mut objects, mut events) = (Vec::new(), Vec::new());
--- a/crates/flaxdeck-distribution/src/lib.rs
+++ b/crates/flaxdeck-distribution/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`subscriber`]: the forwarder's side: which planner it follows, and what of its messages is applied.
 //! - [`purge_index`]: the purges that a forwarder has to heed until hosts have dropped the copies by themselves.
 //!
-//! Positions in the coordinator's numbering are [`flaxdeck_recovery::Mark`]s: the number of an event and a hash of what
+//! Positions in the coordinator's numbering are [`flaxdeck_recovery::EventPosition`]s: the number of an event and a hash of what
 //! it tells, so that two numberings are told apart.
 
 pub mod cadence;
--- a/crates/flaxdeck-distribution/src/messages.rs
+++ b/crates/flaxdeck-distribution/src/messages.rs
@@ -1,7 +1,7 @@
 //! Messages about events between a forwarder (subscriber) and a planner (publisher). They travel inside the sealed
 //! conversation of the two, beside reports and guidance.
 
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 use serde::{Deserialize, Serialize};
 
 /// The most purges that one [`Batch`] or [`Snapshot`] may hold: over twelve seconds of 330 a second.
@@ -25,16 +25,16 @@
 /// An event in full: the coordinator's own frame.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FullEvent {
-    pub mark: Mark,
+    pub mark: EventPosition,
     pub frame: Vec<u8>,
 }
 
 /// All events after one position up to another. Purges of single objects come as a digest, all others in full.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Batch {
-    pub after: Mark,
+    pub after: EventPosition,
     /// The same as `after` in a heartbeat.
-    pub upto: Mark,
+    pub upto: EventPosition,
     pub purges: PurgeDigest,
     /// In the order of their numbers, each after `after.number` and at most `upto.number`.
     pub events: Vec<FullEvent>,
@@ -43,7 +43,7 @@
 /// The state at a position, for a forwarder whose own position the planner does not keep any more.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
-    pub upto: Mark,
+    pub upto: EventPosition,
     /// A frame of the coordinator's form that tells the whole list of hosts, under the number of `upto`.
     pub list: Vec<u8>,
     /// The single objects purged within `purges_reach_ms` before it.
@@ -62,7 +62,7 @@
     Snapshot(Box<Snapshot>),
     /// The planner does not know the subscriber's position yet; it goes on from there once it does.
     Behind {
-        upto: Mark,
+        upto: EventPosition,
     },
 }
 
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Subscription {
     /// All events after this position.
-    After(Mark),
+    After(EventPosition),
     /// The state as it is: the forwarder knows nothing that could be followed.
     FromSnapshot,
     /// None: another planner tells them.
--- a/crates/flaxdeck-distribution/src/publisher.rs
+++ b/crates/flaxdeck-distribution/src/publisher.rs
@@ -9,7 +9,7 @@
 use std::hash::{Hash, Hasher};
 
 use flaxdeck::{Span, Time};
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 
 use crate::cadence::Cadence;
 use crate::event_log::{Content, EventLog, NotKept, Retention};
@@ -48,7 +48,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Wants {
-    EventsAfter(Mark),
+    EventsAfter(EventPosition),
     Snapshot,
 }
 
@@ -105,7 +105,12 @@
 
 impl Publisher {
     /// A planner that has just started, and knows that the coordinator's last event was `base` or something later.
-    pub fn start(now: Time, cadence: Cadence, retention: Retention, base: Mark) -> Publisher {
+    pub fn start(
+        now: Time,
+        cadence: Cadence,
+        retention: Retention,
+        base: EventPosition,
+    ) -> Publisher {
         Publisher {
             cadence,
             log: EventLog::start(now, retention, base),
@@ -143,7 +148,7 @@
     }
 
     /// The coordinator has told an event.
-    pub fn event(&mut self, now: Time, mark: Mark, content: Content) {
+    pub fn event(&mut self, now: Time, mark: EventPosition, content: Content) {
         let urgent = content.is_urgent();
         self.log.append(now, mark, content);
         self.cache = Cache::default();
@@ -158,7 +163,7 @@
 
     /// The coordinator's numbering turned out another, or the whole list came in place of what should have followed:
     /// nothing that was told before leads to `base`.
-    pub fn renumbered(&mut self, now: Time, base: Mark) {
+    pub fn renumbered(&mut self, now: Time, base: EventPosition) {
         self.abandoned = Some((now, self.log.clone()));
         self.log.restart(now, base);
         self.cache = Cache::default();
@@ -244,7 +249,7 @@
         }
     }
 
-    fn next_batch(&self, id: SubscriberId, member: &Member, position: Mark) -> Time {
+    fn next_batch(&self, id: SubscriberId, member: &Member, position: EventPosition) -> Time {
         let Some(came) = self.log.next_after(position) else {
             return Time::NEVER;
         };
@@ -308,7 +313,7 @@
     }
 
     /// Whether a position is known here, and of which numbering.
-    fn follows(&self, position: Mark) -> Result<(), NotKept> {
+    fn follows(&self, position: EventPosition) -> Result<(), NotKept> {
         let follows = self.log.follows(position);
         let abandoned = |log: &EventLog| log.follows(position).is_ok();
         match follows {
@@ -324,7 +329,7 @@
         }
     }
 
-    fn batch_after(&mut self, position: Mark) -> Result<Batch, NotKept> {
+    fn batch_after(&mut self, position: EventPosition) -> Result<Batch, NotKept> {
         let cached = self
             .cache
             .batches
@@ -343,7 +348,7 @@
         Ok(batch)
     }
 
-    fn encode_after(&mut self, position: Mark) -> Result<Batch, NotKept> {
+    fn encode_after(&mut self, position: EventPosition) -> Result<Batch, NotKept> {
         self.follows(position)?;
         let batch = self.log.batch_after(position)?;
         if batch.upto != batch.after {
--- a/crates/flaxdeck-distribution/src/subscriber.rs
+++ b/crates/flaxdeck-distribution/src/subscriber.rs
@@ -17,7 +17,7 @@
 
 use flaxdeck::hash::mix;
 use flaxdeck::{Span, Time};
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 
 use crate::cadence::Cadence;
 use crate::digest::InvalidDigest;
@@ -56,14 +56,14 @@
     Events {
         purges: Vec<Fingerprint>,
         events: Vec<FullEvent>,
-        upto: Mark,
+        upto: EventPosition,
     },
     /// The state at a position, in place of what was known.
     Snapshot {
         list: Vec<u8>,
         purges: Vec<Fingerprint>,
         group_purges: Vec<FullEvent>,
-        upto: Mark,
+        upto: EventPosition,
         /// Purges may have been missed: no copy from before now is to be handed out until they have settled.
         copies_in_doubt: bool,
     },
@@ -162,7 +162,7 @@
     settles: Span,
     preference: u64,
     planners: Vec<Planner>,
-    position: Mark,
+    position: EventPosition,
     /// When the position last moved; none if nothing was ever applied.
     moved: Option<Time>,
     /// Nobody can go on from the position: the state as a whole is asked for.
@@ -195,7 +195,7 @@
             settles,
             preference,
             planners: (0..planners).map(|_| Planner::default()).collect(),
-            position: Mark::NONE,
+            position: EventPosition::NONE,
             moved: None,
             from_snapshot: true,
             followed: None,
@@ -209,7 +209,7 @@
     }
 
     /// The last event that was applied here.
-    pub fn position(&self) -> Mark {
+    pub fn position(&self) -> EventPosition {
         self.position
     }
 
@@ -255,7 +255,7 @@
 
     /// The position was moved by what the coordinator itself told. Its planner learns of it where that matters: when
     /// its next batch does not follow.
-    pub fn moved(&mut self, now: Time, position: Mark) {
+    pub fn moved(&mut self, now: Time, position: EventPosition) {
         self.move_to(now, position);
     }
 
@@ -268,7 +268,7 @@
         }
     }
 
-    fn move_to(&mut self, now: Time, position: Mark) {
+    fn move_to(&mut self, now: Time, position: EventPosition) {
         (self.position, self.moved) = (position, Some(now));
         (self.from_snapshot, self.behind_since) = (false, None);
         self.planners
@@ -356,7 +356,8 @@
             self.vouch(now, from, ago);
             return Ok(applied);
         }
-        let same_number = |mark: Mark| mark.number == self.position.number && mark != self.position;
+        let same_number =
+            |mark: EventPosition| mark.number == self.position.number && mark != self.position;
         if same_number(after) || same_number(upto) {
             return Err(Refused::OtherNumbering);
         }
@@ -373,7 +374,7 @@
         now: Time,
         purges: Vec<Fingerprint>,
         events: Vec<FullEvent>,
-        upto: Mark,
+        upto: EventPosition,
     ) -> Applied {
         if upto == self.position {
             self.counters.heartbeats += 1;
@@ -392,7 +393,13 @@
 
     /// The coordinator itself, or another planner, was faster. What of it is new can't be told apart, as the purges
     /// bear no numbers; the planner is told the position, and goes on from there.
-    fn known_already(&mut self, now: Time, from: PlannerNumber, upto: Mark, ago: Option<u32>) {
+    fn known_already(
+        &mut self,
+        now: Time,
+        from: PlannerNumber,
+        upto: EventPosition,
+        ago: Option<u32>,
+    ) {
         self.counters.duplicates += 1;
         if ago.is_some() {
             self.delivers(now, from);
--- a/crates/flaxdeck-distribution/tests/distribution_model.rs
+++ b/crates/flaxdeck-distribution/tests/distribution_model.rs
@@ -18,7 +18,7 @@
     Applied, Cadence, Content, Fingerprint, PlannerNumber, Publisher, Retention, Subscriber,
     SubscriberId,
 };
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 use serde::{Deserialize, Serialize};
 use stateright::{Checker, Model, Property, UniformChooser};
 
@@ -58,7 +58,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Event {
-    mark: Mark,
+    mark: EventPosition,
     content: Content,
     made: Time,
 }
@@ -66,17 +66,17 @@
 /// A numbering: the event that told the whole list, and what followed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Numbering {
-    base: Mark,
+    base: EventPosition,
     events: Vec<Event>,
 }
 
 impl Numbering {
-    fn last(&self) -> Mark {
+    fn last(&self) -> EventPosition {
         self.events.last().map_or(self.base, |event| event.mark)
     }
 
     /// The place after a position.
-    fn place_after(&self, position: Mark) -> Option<usize> {
+    fn place_after(&self, position: EventPosition) -> Option<usize> {
         if position == self.base {
             return Some(0);
         }
@@ -298,7 +298,7 @@
             keep_for: self.keep_for,
             bytes_most: 1 << 20,
         };
-        Publisher::start(now, Cadence::default(), retention, Mark::NONE)
+        Publisher::start(now, Cadence::default(), retention, EventPosition::NONE)
     }
 
     fn subscriber(now: Time) -> Subscriber {
@@ -401,7 +401,7 @@
         self.check(state, before);
     }
 
-    fn applies(&self, state: &mut State, before: Mark, applied: Applied) {
+    fn applies(&self, state: &mut State, before: EventPosition, applied: Applied) {
         let now = state.now();
         match applied {
             Applied::Nothing => {}
@@ -440,7 +440,7 @@
         }
     }
 
-    fn check(&self, state: &mut State, before: Mark) {
+    fn check(&self, state: &mut State, before: EventPosition) {
         let position = state.subscriber.position();
         if position.hash < before.hash {
             state.fails("an older state in place of a later one");
@@ -520,7 +520,12 @@
 }
 
 /// Whether what was told is all that follows one position up to the other, and nothing else.
-fn follows_exactly(state: &State, before: Mark, upto: Mark, told: &BTreeSet<u64>) -> bool {
+fn follows_exactly(
+    state: &State,
+    before: EventPosition,
+    upto: EventPosition,
+    told: &BTreeSet<u64>,
+) -> bool {
     state.numberings.iter().any(|numbering| {
         let places = numbering
             .place_after(before)
@@ -570,7 +575,7 @@
         let mut state = State {
             step: 0,
             numberings: vec![Numbering {
-                base: Mark { number: 1, hash: 1 },
+                base: EventPosition { number: 1, hash: 1 },
                 events: Vec::new(),
             }],
             planners: (0..PLANNERS).map(planner).collect(),
@@ -644,7 +649,7 @@
             Action::Event => {
                 state.events += 1;
                 let hash = state.next_hash();
-                let mark = Mark {
+                let mark = EventPosition {
                     number: state.coordinator().last().number + 1,
                     hash,
                 };
@@ -665,7 +670,7 @@
             }
             Action::Renumber => {
                 state.renumberings += 1;
-                let base = Mark {
+                let base = EventPosition {
                     number: 1,
                     hash: state.next_hash(),
                 };
--- a/crates/flaxdeck-distribution/tests/event_log.rs
+++ b/crates/flaxdeck-distribution/tests/event_log.rs
@@ -3,9 +3,9 @@
 use flaxdeck::{Span, Time};
 use flaxdeck_distribution::messages::*;
 use flaxdeck_distribution::{Content, EventLog, Fingerprint, NotKept, Retention};
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 
-const BASE: Mark = Mark {
+const BASE: EventPosition = EventPosition {
     number: 10,
     hash: 1,
 };
@@ -14,8 +14,8 @@
     Time::at_ms(100_000.0 + ms as f64)
 }
 
-fn mark(number: u64) -> Mark {
-    Mark {
+fn mark(number: u64) -> EventPosition {
+    EventPosition {
         number,
         hash: number * 7,
     }
@@ -77,21 +77,21 @@
     log.append(at(1), mark(11), purge(1));
     assert_eq!(log.batch_after(mark(12)), Err(NotKept::Ahead));
     assert_eq!(
-        log.batch_after(Mark {
+        log.batch_after(EventPosition {
             number: 11,
             hash: 5
         }),
         Err(NotKept::Unknown)
     );
     assert_eq!(
-        log.batch_after(Mark {
+        log.batch_after(EventPosition {
             number: 10,
             hash: 5
         }),
         Err(NotKept::Unknown)
     );
     assert_eq!(log.batch_after(mark(9)), Err(NotKept::Unknown));
-    assert_eq!(log.batch_after(Mark::NONE), Err(NotKept::Unknown));
+    assert_eq!(log.batch_after(EventPosition::NONE), Err(NotKept::Unknown));
 }
 
 #[test]
--- a/crates/flaxdeck-distribution/tests/figures.rs
+++ b/crates/flaxdeck-distribution/tests/figures.rs
@@ -9,9 +9,9 @@
     Applied, Cadence, Content, Fingerprint, PlannerNumber, Publisher, Retention, Subscriber,
     SubscriberId,
 };
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 
-const BASE: Mark = Mark { number: 1, hash: 1 };
+const BASE: EventPosition = EventPosition { number: 1, hash: 1 };
 const SETTLES: Span = Span::from_ms(6_000);
 /// One way between a planner and the forwarder.
 const TRANSIT: u64 = 5;
@@ -81,7 +81,7 @@
             contents.push((1, Content::HostChange(vec![7; CHANGE_BYTES])));
         }
         for (kind, content) in contents {
-            last = Mark {
+            last = EventPosition {
                 number: last.number + 1,
                 hash: last.hash + 3,
             };
@@ -172,7 +172,7 @@
 #[test]
 fn one_message_an_event_for_comparison() {
     let purge = FullEvent {
-        mark: Mark {
+        mark: EventPosition {
             number: 1 << 40,
             hash: u64::MAX,
         },
@@ -180,7 +180,7 @@
     };
     let one = Batch {
         events: vec![purge],
-        upto: Mark {
+        upto: EventPosition {
             number: 1 << 40,
             hash: u64::MAX,
         },
--- a/crates/flaxdeck-distribution/tests/publisher.rs
+++ b/crates/flaxdeck-distribution/tests/publisher.rs
@@ -5,9 +5,9 @@
 use flaxdeck::Time;
 use flaxdeck_distribution::messages::*;
 use flaxdeck_distribution::{Cadence, Content, Fingerprint, Publisher, Retention, SubscriberId};
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 
-const BASE: Mark = Mark {
+const BASE: EventPosition = EventPosition {
     number: 10,
     hash: 1,
 };
@@ -16,8 +16,8 @@
     Time::at_ms(100_000.0 + ms as f64)
 }
 
-fn mark(number: u64) -> Mark {
-    Mark {
+fn mark(number: u64) -> EventPosition {
+    EventPosition {
         number,
         hash: number * 7,
     }
@@ -254,7 +254,7 @@
 fn a_position_that_is_not_known_is_answered_by_what_can_be_given() {
     let mut publisher = publisher();
     publisher.event(at(1), mark(11), purge(1));
-    let mut told = |position: Mark| {
+    let mut told = |position: EventPosition| {
         publisher.subscribe(at(2), SubscriberId(1), Subscription::After(position));
         let due = publisher.due(at(2));
         publisher
@@ -265,7 +265,7 @@
     assert_eq!(told(mark(15)), Update::Behind { upto: mark(11) });
     assert!(matches!(told(mark(3)), Update::Snapshot(_)));
     assert!(matches!(
-        told(Mark {
+        told(EventPosition {
             number: 11,
             hash: 3
         }),
@@ -277,9 +277,9 @@
 fn a_position_of_a_numbering_that_is_no_more_is_answered_by_the_state() {
     let mut publisher = publisher();
     publisher.event(at(1), mark(11), purge(1));
-    let base = Mark { number: 2, hash: 9 };
+    let base = EventPosition { number: 2, hash: 9 };
     publisher.renumbered(at(3), base);
-    let mut told = |now: Time, position: Mark| {
+    let mut told = |now: Time, position: EventPosition| {
         publisher.subscribe(now, SubscriberId(1), Subscription::After(position));
         let due = publisher.due(now);
         publisher.coordinator_heard(now, true);
@@ -291,7 +291,7 @@
         Update::Behind { upto: base },
         "never known here"
     );
-    let other = Mark {
+    let other = EventPosition {
         number: 11,
         hash: 3,
     };
@@ -315,7 +315,7 @@
     publisher
         .update_for(at(0), SubscriberId(1), &mut list)
         .unwrap();
-    publisher.renumbered(at(200), Mark { number: 2, hash: 9 });
+    publisher.renumbered(at(200), EventPosition { number: 2, hash: 9 });
     assert_eq!(publisher.due(at(200)), [SubscriberId(1)]);
 }
 
--- a/crates/flaxdeck-distribution/tests/safe_side.rs
+++ b/crates/flaxdeck-distribution/tests/safe_side.rs
@@ -13,7 +13,7 @@
     Applied, Cadence, Content, Fingerprint, PlannerNumber, Publisher, PurgeIndex, Retention,
     Subscriber, SubscriberId,
 };
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -43,7 +43,7 @@
 
 #[derive(Clone, Debug)]
 struct Event {
-    mark: Mark,
+    mark: EventPosition,
     told: Told,
     made: u64,
     /// The list after it.
@@ -88,7 +88,7 @@
             _ => self.last().hosts,
         };
         self.hashes += 1;
-        let mark = Mark {
+        let mark = EventPosition {
             number: self.events.last().map_or(1, |last| last.mark.number + 1),
             hash: self.hashes,
         };
@@ -128,7 +128,7 @@
     }
 
     /// The place of an event; the last ones are asked for.
-    fn place_of(&self, mark: Mark) -> Option<usize> {
+    fn place_of(&self, mark: EventPosition) -> Option<usize> {
         self.events.iter().rposition(|event| event.mark == mark)
     }
 
@@ -216,7 +216,7 @@
             bytes_most: play.bytes_most,
         };
         Planner {
-            publisher: Publisher::start(at(ms), Cadence::default(), retention, Mark::NONE),
+            publisher: Publisher::start(at(ms), Cadence::default(), retention, EventPosition::NONE),
             follows: None,
             hosts: [false; HOSTS],
             deaf_until: 0,
@@ -680,7 +680,7 @@
         self.check_hosts(ms, position)
     }
 
-    fn check_hosts(&self, ms: u64, position: Mark) -> Result<(), String> {
+    fn check_hosts(&self, ms: u64, position: EventPosition) -> Result<(), String> {
         let Some(event) = self.coordinator.known.get(&position.hash) else {
             return Ok(());
         };
@@ -735,7 +735,7 @@
         seen: Seen::default(),
     };
     (0..PLANNERS).for_each(|planner| world.connect(0, planner));
-    let mut checked = Mark::NONE;
+    let mut checked = EventPosition::NONE;
     for ms in (0..LASTS).step_by(STEP as usize) {
         world.coordinator.acts(ms, play, &mut world.chance);
         world.faults(ms);
--- a/crates/flaxdeck-distribution/tests/subscriber.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber.rs
@@ -6,7 +6,7 @@
 use flaxdeck_distribution::{
     Applied, Cadence, Fingerprint, InvalidDigest, PlannerNumber, Refused, Subscriber,
 };
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 
 const SETTLES: Span = Span::from_ms(6_000);
 const ONE: PlannerNumber = PlannerNumber(0);
@@ -16,8 +16,8 @@
     Time::at_ms(100_000.0 + ms as f64)
 }
 
-fn mark(number: u64) -> Mark {
-    Mark {
+fn mark(number: u64) -> EventPosition {
+    EventPosition {
         number,
         hash: number.wrapping_mul(7),
     }
@@ -230,7 +230,7 @@
 #[test]
 fn a_number_with_another_event_is_another_numbering() {
     let mut subscriber = connected(10);
-    let other = Mark {
+    let other = EventPosition {
         number: 10,
         hash: 1,
     };
@@ -288,7 +288,7 @@
         (
             "a heartbeat of another event",
             Batch {
-                upto: Mark {
+                upto: EventPosition {
                     number: 10,
                     hash: 9,
                 },
@@ -334,7 +334,7 @@
         (
             "another event at its end",
             Batch {
-                upto: Mark {
+                upto: EventPosition {
                     number: 15,
                     hash: 1,
                 },
--- a/crates/flaxdeck-fleet/src/model/planners.rs
+++ b/crates/flaxdeck-fleet/src/model/planners.rs
@@ -4,7 +4,7 @@
 use flaxdeck_control::LeaseTerms;
 use flaxdeck_control::membership::PlannerId;
 use flaxdeck_control::messages::{Guidance, RelayedEvent, Report};
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 
 use super::coordinator::CoordinatorEvent;
 use super::events::Event;
@@ -21,8 +21,8 @@
 }
 
 /// The coordinator of the model never loses its numbering: a number is its event.
-fn mark(number: u64) -> Mark {
-    Mark {
+fn mark(number: u64) -> EventPosition {
+    EventPosition {
         number,
         hash: number,
     }
--- a/crates/flaxdeck-planner/src/events.rs
+++ b/crates/flaxdeck-planner/src/events.rs
@@ -8,7 +8,7 @@
 use flaxdeck_distribution::messages::{Delivery, Subscription};
 use flaxdeck_distribution::publisher::Counters;
 use flaxdeck_distribution::{Cadence, Content, Fingerprint, Publisher, Retention, SubscriberId};
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 use flaxdeck_terms::Names;
 use flaxdeck_wire::frames::{AddressedEndpoint, Event, whole_list};
 
@@ -22,7 +22,7 @@
 impl Events {
     /// A planner that has just started and has heard nothing of the coordinator.
     pub fn start(now: Time, cadence: Cadence, names: Rc<Names>) -> Events {
-        let publisher = Publisher::start(now, cadence, Retention::default(), Mark::NONE);
+        let publisher = Publisher::start(now, cadence, Retention::default(), EventPosition::NONE);
         Events {
             publisher,
             hosts: BTreeMap::new(),
@@ -31,7 +31,7 @@
     }
 
     /// All that is known here ends with that event, and nothing that was told before leads to it.
-    pub fn begins_at(&mut self, now: Time, mark: Mark) {
+    pub fn begins_at(&mut self, now: Time, mark: EventPosition) {
         self.publisher.renumbered(now, mark);
     }
 
@@ -55,7 +55,7 @@
     }
 
     /// The coordinator has told an event, which came in that frame.
-    pub fn told(&mut self, now: Time, mark: Mark, frame: &[u8], event: &Event) {
+    pub fn told(&mut self, now: Time, mark: EventPosition, frame: &[u8], event: &Event) {
         let content = match event {
             Event::Purged {
                 object: Some(object),
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -25,7 +25,7 @@
 use flaxdeck_net::listener::Listener;
 use flaxdeck_net::room::{Place, Room};
 use flaxdeck_net::tally;
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 use tokio::net::TcpStream;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::Notify;
@@ -145,7 +145,7 @@
 
 impl Server {
     /// All that is known here of the coordinator's events ends with that one.
-    fn begins_at(&self, mark: Mark) {
+    fn begins_at(&self, mark: EventPosition) {
         self.planner.borrow_mut().begins_at(mark);
         self.events.borrow_mut().begins_at(self.clock.now(), mark);
     }
--- a/crates/flaxdeck-recovery/src/numbering.rs
+++ b/crates/flaxdeck-recovery/src/numbering.rs
@@ -31,18 +31,18 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Mark {
+pub struct EventPosition {
     pub number: u64,
     pub hash: u64,
 }
 
-impl Mark {
-    pub const NONE: Mark = Mark { number: 0, hash: 0 };
+impl EventPosition {
+    pub const NONE: EventPosition = EventPosition { number: 0, hash: 0 };
 }
 
 /// What may have been told to nobody here: all since then, until it is applied that the numbering is another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Doubt {
+pub struct MissedPeriod {
     /// When the old numbering was last known to be whole here; none if it never was.
     pub since: Option<Time>,
     /// The link was whole up to its end, so that nothing that was told before is missing.
@@ -57,7 +57,7 @@
     /// It is known already.
     Skip,
     /// A whole list, in place of all that is known; with a doubt if that was more than a file's.
-    Adopt(Option<Doubt>),
+    Adopt(Option<MissedPeriod>),
     /// It can't follow: end the link and ask again.
     AskAgain(Why),
 }
@@ -93,7 +93,7 @@
 
 /// What is known of the coordinator's numbering.
 pub struct Numbering {
-    last: Mark,
+    last: EventPosition,
     link: Option<Link>,
     /// The next link asks for everything.
     from_the_start: bool,
@@ -114,7 +114,7 @@
 
 impl Numbering {
     /// One that has the numbering proven on each link.
-    pub fn new(last: Mark) -> Numbering {
+    pub fn new(last: EventPosition) -> Numbering {
         let (link, from_the_start, sure, ended_whole) = (None, false, None, false);
         let applied = Applied {
             hash: last.hash,
@@ -138,7 +138,7 @@
     }
 
     /// One that believes the numbers, and applies what is above the last.
-    pub fn trusting(last: Mark) -> Numbering {
+    pub fn trusting(last: EventPosition) -> Numbering {
         Numbering {
             trusts: true,
             ..Numbering::new(last)
@@ -146,7 +146,7 @@
     }
 
     /// What was kept goes further than what the instance was started with; it has to be proven like that.
-    pub fn begin_at(&mut self, now: Time, last: Mark) {
+    pub fn begin_at(&mut self, now: Time, last: EventPosition) {
         *self = Numbering {
             trusts: self.trusts,
             sure: Some(now),
@@ -154,7 +154,7 @@
         };
     }
 
-    pub fn last(&self) -> Mark {
+    pub fn last(&self) -> EventPosition {
         self.last
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// An event has come on the link.
-    pub fn heard(&mut self, now: Time, mark: Mark, whole: bool) -> Next {
+    pub fn heard(&mut self, now: Time, mark: EventPosition, whole: bool) -> Next {
         let Some(link) = &mut self.link else {
             return Next::Skip;
         };
@@ -217,7 +217,7 @@
         next
     }
 
-    fn applies(&mut self, now: Time, mark: Mark) {
+    fn applies(&mut self, now: Time, mark: EventPosition) {
         if let Some(before) = self.applied.get_mut(&self.last.number) {
             before.at = now;
         }
@@ -241,13 +241,13 @@
     }
 
     /// Whether another event than this was applied under its number; none if that is not remembered.
-    fn is_other(&self, mark: Mark) -> Option<bool> {
+    fn is_other(&self, mark: EventPosition) -> Option<bool> {
         self.applied
             .get(&mark.number)
             .map(|applied| applied.hash != mark.hash)
     }
 
-    fn on_proven(&mut self, now: Time, mark: Mark) -> Next {
+    fn on_proven(&mut self, now: Time, mark: EventPosition) -> Next {
         let Some(link) = &mut self.link else {
             return Next::Skip;
         };
@@ -278,7 +278,7 @@
     }
 
     // The first event of a link proves the numbering, replaces it, or has all asked for.
-    fn on_first(&mut self, now: Time, mark: Mark, whole: bool) -> Next {
+    fn on_first(&mut self, now: Time, mark: EventPosition, whole: bool) -> Next {
         // Others may have brought more since the link asked. What it asked for proves the numbering all the same, and
         // what they brought beyond has to come on the link in its turn.
         let overtaken = mark.number < self.last.number && self.is_other(mark) == Some(false);
@@ -297,7 +297,7 @@
         if whole {
             (link.proven, self.from_the_start) = (true, false);
             let since = self.sure;
-            let doubt = since.map(|_| Doubt {
+            let doubt = since.map(|_| MissedPeriod {
                 since,
                 heard_to_the_end: self.ended_whole,
             });
@@ -359,7 +359,7 @@
 
     /// A later configuration tells an event: whether it is to be applied. One whose numbering has to be proven takes
     /// none, as the file may have been written under another.
-    pub fn told_by_file(&mut self, mark: Mark) -> bool {
+    pub fn told_by_file(&mut self, mark: EventPosition) -> bool {
         let taken = self.trusts && mark.number > self.last.number;
         if taken {
             self.last = mark;
@@ -368,7 +368,7 @@
     }
 
     /// Somebody who knows the same numbering brought the event that follows.
-    pub fn relayed(&mut self, now: Time, after: Mark, mark: Mark) -> bool {
+    pub fn relayed(&mut self, now: Time, after: EventPosition, mark: EventPosition) -> bool {
         let follows =
             after == self.last && mark.number == after.number + 1 && now >= self.distrusts_until;
         if follows {
@@ -389,7 +389,13 @@
     /// All events between the last one and another have been brought by somebody who knows the same numbering, and who
     /// had all that the coordinator had at the time `whole_at`. False if they don't follow the last one, or come too
     /// soon after the coordinator contradicted what others brought.
-    pub fn moved_on(&mut self, now: Time, after: Mark, upto: Mark, whole_at: Option<Time>) -> bool {
+    pub fn moved_on(
+        &mut self,
+        now: Time,
+        after: EventPosition,
+        upto: EventPosition,
+        whole_at: Option<Time>,
+    ) -> bool {
         let follows = after == self.last && upto.number >= after.number && self.trusts_others(now);
         if follows && upto != after {
             self.applies(now, upto);
@@ -401,7 +407,7 @@
     }
 
     /// A whole list brought by somebody else has taken the place of all that was known.
-    pub fn replaced_by(&mut self, now: Time, upto: Mark) {
+    pub fn replaced_by(&mut self, now: Time, upto: EventPosition) {
         self.applied.clear();
         self.applies(now, upto);
         self.sure = Some(now);
--- a/crates/flaxdeck-recovery/src/pace.rs
+++ b/crates/flaxdeck-recovery/src/reconnect_backoff.rs
@@ -16,7 +16,7 @@
 pub const FIRST: [Span; 2] = [Span::from_ms(150), Span::from_ms(450)];
 
 /// One called party's pauses.
-pub struct Pace {
+pub struct ReconnectBackoff {
     chance: Pcg64Mcg,
     least: Span,
     most: Span,
@@ -24,11 +24,11 @@
     up_since: Option<Time>,
 }
 
-impl Pace {
+impl ReconnectBackoff {
     /// Pauses between `least` and `most`. Each instance and each called party needs a seed of its own.
-    pub fn new(seed: u64, least: Span, most: Span) -> Pace {
+    pub fn new(seed: u64, least: Span, most: Span) -> ReconnectBackoff {
         let most = if most < least { least } else { most };
-        Pace {
+        ReconnectBackoff {
             chance: Pcg64Mcg::seed_from_u64(seed),
             least,
             most,
--- a/crates/flaxdeck-recovery/src/belief.rs
+++ b/crates/flaxdeck-recovery/src/restored_state.rs
@@ -7,7 +7,7 @@
 use flaxdeck::{GroupId, Span, Time};
 use serde::{Deserialize, Serialize};
 
-use crate::numbering::Mark;
+use crate::numbering::EventPosition;
 
 /// Measures of a source older than this are not taken over: its own trials know better by then.
 const MEASURES_LAST: Span = Span::from_ms(60_000);
@@ -31,7 +31,7 @@
 
 /// A host's line as it is kept.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct KeptLine {
+pub struct StoredEndpoint {
     pub host: String,
     pub address: std::net::SocketAddr,
     pub weight: f64,
@@ -45,7 +45,7 @@
 
 /// What was seen of a host here.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct KeptRating {
+pub struct StoredRating {
     pub host: String,
     pub started: u64,
     pub measures: [Option<f64>; 2],
@@ -56,7 +56,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptPurge {
+pub struct StoredPurge {
     pub object: Option<u64>,
     pub group: u64,
     /// Milliseconds of Unix time, by the coordinator.
@@ -65,23 +65,23 @@
 
 /// All that an instance keeps.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct StoredState {
     pub written: Uptime,
-    pub event: Mark,
-    pub lines: Vec<KeptLine>,
-    pub purges: Vec<KeptPurge>,
-    pub ratings: Vec<KeptRating>,
+    pub event: EventPosition,
+    pub lines: Vec<StoredEndpoint>,
+    pub purges: Vec<StoredPurge>,
+    pub ratings: Vec<StoredRating>,
     /// Nothing that was lent is out after that; none if nothing ever was.
     pub lent_until: Option<Uptime>,
 }
 
 /// One thing more, after a whole state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Later {
-    Lines(Mark, Vec<KeptLine>),
+pub enum StateChange {
+    Lines(EventPosition, Vec<StoredEndpoint>),
     /// In place of all lines before.
-    Whole(Mark, Vec<KeptLine>),
-    Purged(Mark, KeptPurge),
+    Whole(EventPosition, Vec<StoredEndpoint>),
+    Purged(EventPosition, StoredPurge),
     /// Leave to lend until then.
     LendsUntil(Uptime),
 }
@@ -112,36 +112,36 @@
     postcard::to_stdvec(state).unwrap_or_default() // into memory: never fails
 }
 
-impl Kept {
+impl StoredState {
     /// A whole state and what came after it, as a store gives them back.
-    pub fn read(snapshot: &[u8], records: &[Vec<u8>]) -> Result<Kept, Unreadable> {
-        let mut kept: Kept = whole(snapshot)?;
+    pub fn read(snapshot: &[u8], records: &[Vec<u8>]) -> Result<StoredState, Unreadable> {
+        let mut kept: StoredState = whole(snapshot)?;
         for record in records {
             kept.add(whole(record)?);
         }
         Ok(kept)
     }
 
-    pub fn add(&mut self, later: Later) {
+    pub fn add(&mut self, later: StateChange) {
         match later {
-            Later::Lines(mark, lines) => {
+            StateChange::Lines(mark, lines) => {
                 self.event = mark;
-                let mut all: BTreeMap<String, KeptLine> = std::mem::take(&mut self.lines)
+                let mut all: BTreeMap<String, StoredEndpoint> = std::mem::take(&mut self.lines)
                     .into_iter()
                     .map(|line| (line.host.clone(), line))
                     .collect();
                 all.extend(lines.into_iter().map(|line| (line.host.clone(), line)));
                 self.lines = all.into_values().collect();
             }
-            Later::Whole(mark, lines) => (self.event, self.lines) = (mark, lines),
-            Later::Purged(mark, purge) => {
+            StateChange::Whole(mark, lines) => (self.event, self.lines) = (mark, lines),
+            StateChange::Purged(mark, purge) => {
                 self.event = mark;
                 self.purges.push(purge);
                 if self.purges.len() > PURGES_MOST {
                     self.fold_oldest_purges();
                 }
             }
-            Later::LendsUntil(until) => self.lent_until = Some(until),
+            StateChange::LendsUntil(until) => self.lent_until = Some(until),
         }
     }
 
@@ -169,7 +169,7 @@
         };
         self.purges.insert(
             0,
-            KeptPurge {
+            StoredPurge {
                 object: None,
                 group: GroupId::ALL.0,
                 made,
@@ -188,13 +188,13 @@
 
 /// What an instance may count on from the start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Believed {
+pub struct RestoredState {
     /// To be proven by the next link to the coordinator.
-    pub event: Option<Mark>,
-    pub lines: Vec<KeptLine>,
-    pub purges: Vec<KeptPurge>,
+    pub event: Option<EventPosition>,
+    pub lines: Vec<StoredEndpoint>,
+    pub purges: Vec<StoredPurge>,
     /// Ratings with ages as of now.
-    pub ratings: Vec<KeptRating>,
+    pub ratings: Vec<StoredRating>,
     /// How long the own shares of cold hosts are left alone, if that is known.
     pub waits: Option<Span>,
     pub verdicts: Vec<Verdict>,
@@ -205,14 +205,14 @@
 pub struct Now {
     pub uptime: Uptime,
     /// The last event of the configuration that the instance starts with.
-    pub file: Mark,
+    pub file: EventPosition,
     /// How long its own shares would be left alone if nothing was known.
     pub waits: Span,
 }
 
 /// Goes through what was kept, in the order in which one thing rests on the other.
-pub fn judge(kept: Kept, now: Now) -> Believed {
-    let mut believed = Believed::default();
+pub fn judge(kept: StoredState, now: Now) -> RestoredState {
+    let mut believed = RestoredState::default();
     let age = now.uptime.since(kept.written);
     let told = |span: Span| format!("{:.1} s", span.ms() / 1000.0);
     let mut say = |item, yes: bool, why: String| {
@@ -235,7 +235,7 @@
         ),
     }
     // A number is only a claim: the coordinator has to prove it, so a wrong one costs a whole list and no more.
-    let newer = kept.event.number >= now.file.number && kept.event != Mark::NONE;
+    let newer = kept.event.number >= now.file.number && kept.event != EventPosition::NONE;
     let event = kept.event.number;
     if newer {
         say(
@@ -276,7 +276,7 @@
         .iter()
         .map(|line| (&*line.host, line.started))
         .collect();
-    let rating = |rating: KeptRating| {
+    let rating = |rating: StoredRating| {
         let passed = age?.ms() as u64;
         let within = |ago: Option<u64>, most: Span| {
             ago.map(|ago| ago + passed)
@@ -294,7 +294,7 @@
             [None; 2]
         };
         let some = measured_ago.is_some() || good_ago.is_some() || bad_ago.is_some();
-        (same && some).then_some(KeptRating {
+        (same && some).then_some(StoredRating {
             measures,
             measured_ago,
             good_ago,
@@ -303,7 +303,7 @@
         })
     };
     let count = kept.ratings.len();
-    let ratings: Vec<KeptRating> = kept.ratings.into_iter().filter_map(rating).collect();
+    let ratings: Vec<StoredRating> = kept.ratings.into_iter().filter_map(rating).collect();
     let why = "of the same start and young enough; a first failed contact outweighs them";
     say(
         "ratings",
--- a/crates/flaxdeck-recovery/src/phase.rs
+++ b/crates/flaxdeck-recovery/src/startup.rs
@@ -17,7 +17,7 @@
 
 /// What an instance does once nobody vouches for its list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unheard {
+pub enum WithoutContact {
     /// It listens after so long, and rejects with a time to come back.
     RejectAfter(Span),
     /// It trusts the list after the shortest wait.
@@ -29,17 +29,17 @@
 const TRIES: Span = Span::from_ms(100);
 
 /// An instance that comes back.
-pub struct Return {
+pub struct Startup {
     began: Time,
-    unheard: Unheard,
+    unheard: WithoutContact,
     vouched: Option<Time>,
     listened: Option<Time>,
     full: bool,
 }
 
-impl Return {
-    pub fn begin(now: Time, unheard: Unheard) -> Return {
-        Return {
+impl Startup {
+    pub fn begin(now: Time, unheard: WithoutContact) -> Startup {
+        Startup {
             began: now,
             unheard,
             vouched: None,
@@ -77,8 +77,8 @@
     pub fn listens_at(&self) -> Time {
         match (self.vouched, self.unheard) {
             (Some(at), _) => at,
-            (None, Unheard::GoOn) => self.began + TRIES,
-            (None, Unheard::RejectAfter(after)) => self.began + after,
+            (None, WithoutContact::GoOn) => self.began + TRIES,
+            (None, WithoutContact::RejectAfter(after)) => self.began + after,
         }
     }
 
--- a/crates/flaxdeck-recovery/src/doubt.rs
+++ b/crates/flaxdeck-recovery/src/unconfirmed.rs
@@ -7,7 +7,7 @@
 
 use flaxdeck::{Endpoint, Health, HostId, Span, Time};
 
-use crate::numbering::Doubt;
+use crate::numbering::MissedPeriod;
 
 /// A host whose withdrawal is doubted and that nobody has named since is used again after so long. It weighs a drain
 /// that was forgotten against a place lost for good: a host that drains has ended well before that by any promised
@@ -16,12 +16,12 @@
 
 /// What is known of hosts by events of a numbering that is no more.
 #[derive(Default)]
-pub struct Doubted {
+pub struct UnconfirmedEndpoints {
     /// The health that each host had, by the start it had then, and until when that counts.
     held: BTreeMap<HostId, (Endpoint, Time)>,
 }
 
-impl Doubted {
+impl UnconfirmedEndpoints {
     /// Takes a whole list that replaces what was known; gives it back with what is doubted withdrawn, and how many
     /// hosts that are.
     pub fn adopt(
@@ -80,7 +80,7 @@
 /// The moment from before which no copy may be given, as a purge may have been lost since; none if nothing can have
 /// been. Hosts drop by themselves what was purged `settles` ago, so only the time after counts, and a link that was
 /// heard to its end has told all that there was.
-pub fn copies_from(now: Time, doubt: Doubt, settles: Span) -> Option<Time> {
+pub fn copies_from(now: Time, doubt: MissedPeriod, settles: Span) -> Option<Time> {
     let since = doubt.since?;
     (!doubt.heard_to_the_end && now.since(since) > Span::ZERO).then_some(
         if now.since(since) > settles {
--- a/crates/flaxdeck-recovery/tests/brought_by_others.rs
+++ b/crates/flaxdeck-recovery/tests/brought_by_others.rs
@@ -1,15 +1,15 @@
 //! Events that somebody else brought move the numbering on, from its last event and not at any other place.
 
 use flaxdeck::{Span, Time};
-use flaxdeck_recovery::Mark;
-use flaxdeck_recovery::numbering::{Doubt, Next, Numbering, Why};
+use flaxdeck_recovery::EventPosition;
+use flaxdeck_recovery::numbering::{MissedPeriod, Next, Numbering, Why};
 
 fn at(ms: u64) -> Time {
     Time::at_ms(1_000.0 + ms as f64)
 }
 
-fn mark(number: u64, hash: u64) -> Mark {
-    Mark { number, hash }
+fn mark(number: u64, hash: u64) -> EventPosition {
+    EventPosition { number, hash }
 }
 
 #[test]
@@ -58,7 +58,7 @@
     numbering.ended(true); // paused here, so not heard to its end
     assert!(numbering.moved_on(at(500), mark(20, 7), mark(30, 1), Some(at(400))));
     numbering.ask(at(900));
-    let doubt = Doubt {
+    let doubt = MissedPeriod {
         since: Some(at(400)),
         heard_to_the_end: false,
     };
--- a/crates/flaxdeck-recovery/tests/numbering.rs
+++ b/crates/flaxdeck-recovery/tests/numbering.rs
@@ -1,15 +1,15 @@
 //! Whether the coordinator still speaks the numbering that is known, case by case.
 
 use flaxdeck::Time;
-use flaxdeck_recovery::Mark;
-use flaxdeck_recovery::numbering::{Doubt, Next, Numbering, Why};
+use flaxdeck_recovery::EventPosition;
+use flaxdeck_recovery::numbering::{MissedPeriod, Next, Numbering, Why};
 
 fn at(ms: u64) -> Time {
     Time::at_ms(1_000.0 + ms as f64)
 }
 
-fn mark(number: u64, hash: u64) -> Mark {
-    Mark { number, hash }
+fn mark(number: u64, hash: u64) -> EventPosition {
+    EventPosition { number, hash }
 }
 
 /// Known up to 20 and proven.
@@ -38,7 +38,7 @@
     let mut numbering = known();
     numbering.ended(false);
     numbering.ask(at(100));
-    let doubt = Doubt {
+    let doubt = MissedPeriod {
         since: Some(at(1)),
         heard_to_the_end: true,
     };
@@ -59,7 +59,7 @@
         Next::AskAgain(Why::OtherEvent)
     );
     assert_eq!(numbering.ask(at(102)), 0, "the whole of it");
-    let doubt = Doubt {
+    let doubt = MissedPeriod {
         since: Some(at(1)),
         heard_to_the_end: false,
     };
--- a/crates/flaxdeck-recovery/tests/numbering_model.rs
+++ b/crates/flaxdeck-recovery/tests/numbering_model.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use flaxdeck::{CellId, Endpoint, Health, HostId, Role, Time};
-use flaxdeck_recovery::Mark;
-use flaxdeck_recovery::doubt::Doubted;
+use flaxdeck_recovery::EventPosition;
 use flaxdeck_recovery::numbering::{Next, Numbering};
+use flaxdeck_recovery::unconfirmed::UnconfirmedEndpoints;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -23,7 +23,7 @@
 
 #[derive(Clone, Debug)]
 struct Event {
-    mark: Mark,
+    mark: EventPosition,
     whole: bool,
     healths: HostHealth,
 }
@@ -41,9 +41,9 @@
         self.events.last().expect("a list is always there")
     }
 
-    fn mark(&mut self, number: u64) -> Mark {
+    fn mark(&mut self, number: u64) -> EventPosition {
         self.hashes += 1;
-        Mark {
+        EventPosition {
             number,
             hash: if self.hashed { self.hashes } else { 1 },
         }
@@ -107,12 +107,12 @@
 
 struct Instance {
     numbering: Numbering,
-    doubted: Doubted,
+    doubted: UnconfirmedEndpoints,
     healths: HostHealth,
     link: Option<Link>,
     again_at: u64,
     /// What it would pass on, and the event that the first of it follows.
-    log: (Mark, Vec<Event>),
+    log: (EventPosition, Vec<Event>),
 }
 
 fn line(host: usize, withdrawn: bool) -> Endpoint {
@@ -140,7 +140,11 @@
         } else {
             Numbering::new(first.mark)
         };
-        let (doubted, healths, log) = (Doubted::default(), first.healths, (first.mark, Vec::new()));
+        let (doubted, healths, log) = (
+            UnconfirmedEndpoints::default(),
+            first.healths,
+            (first.mark, Vec::new()),
+        );
         Instance {
             numbering,
             doubted,
--- a/crates/flaxdeck-recovery/tests/overtaken.rs
+++ b/crates/flaxdeck-recovery/tests/overtaken.rs
@@ -1,15 +1,15 @@
 //! Planners bring events between the forwarder's question and the coordinator's answer.
 
 use flaxdeck::Time;
-use flaxdeck_recovery::Mark;
+use flaxdeck_recovery::EventPosition;
 use flaxdeck_recovery::numbering::{Next, Numbering, Why};
 
 fn at(ms: u64) -> Time {
     Time::at_ms(1_000.0 + ms as f64)
 }
 
-fn mark(number: u64) -> Mark {
-    Mark {
+fn mark(number: u64) -> EventPosition {
+    EventPosition {
         number,
         hash: number * 7,
     }
@@ -46,7 +46,7 @@
     );
     let mut numbering = overtaken();
     assert_eq!(numbering.heard(at(3), mark(20), false), Next::Skip);
-    let other = Mark {
+    let other = EventPosition {
         number: 21,
         hash: 1,
     };
@@ -59,7 +59,7 @@
 #[test]
 fn another_event_of_that_number_still_has_all_asked_for() {
     let mut numbering = overtaken();
-    let other = Mark {
+    let other = EventPosition {
         number: 20,
         hash: 1,
     };
--- a/crates/flaxdeck-recovery/tests/pace.rs
+++ b/crates/flaxdeck-recovery/tests/reconnect_backoff.rs
@@ -1,8 +1,8 @@
 //! Pauses between calls stay within their bounds and out of step with others'.
 
 use flaxdeck::{Span, Time};
-use flaxdeck_recovery::Pace;
-use flaxdeck_recovery::pace::{CALM, FIRST, GROWS};
+use flaxdeck_recovery::ReconnectBackoff;
+use flaxdeck_recovery::reconnect_backoff::{CALM, FIRST, GROWS};
 
 fn at(ms: f64) -> Time {
     Time::at_ms(1_000.0 + ms)
@@ -16,7 +16,7 @@
     // A thousand that lost the coordinator in one moment: how many call in the worst 20 ms of the next seconds.
     let mut calls = vec![0u32; 500];
     for seed in 0..1_000 {
-        let (mut pace, mut now) = (Pace::new(seed, LEAST, MOST), 0.0);
+        let (mut pace, mut now) = (ReconnectBackoff::new(seed, LEAST, MOST), 0.0);
         while now < 9_000.0 {
             now += pace.pause(at(now), false).ms();
             calls[(now / 20.0) as usize] += 1;
@@ -32,14 +32,14 @@
 
 #[test]
 fn who_hears_the_same_from_others_calls_seldom_until_that_ends() {
-    let (mut pace, mut now) = (Pace::new(5, LEAST, MOST), at(0.0));
+    let (mut pace, mut now) = (ReconnectBackoff::new(5, LEAST, MOST), at(0.0));
     let longest = (0..30).map(|_| pace.pause(now, true)).max().unwrap();
     assert!(longest > MOST && longest <= MOST * CALM, "{longest:?}");
     pace.hurry();
     now = now + longest;
     assert!(pace.pause(now, false) <= LEAST * GROWS);
     let firsts: Vec<Span> = (0..200)
-        .map(|seed| Pace::new(seed, LEAST, MOST).first())
+        .map(|seed| ReconnectBackoff::new(seed, LEAST, MOST).first())
         .collect();
     assert!(
         firsts
@@ -57,7 +57,7 @@
 
 #[test]
 fn pauses_stay_within_their_bounds_and_begin_anew_after_a_call_that_lasted() {
-    let mut pace = Pace::new(3, LEAST, MOST);
+    let mut pace = ReconnectBackoff::new(3, LEAST, MOST);
     let mut now = at(0.0);
     for _ in 0..1_000 {
         let pause = pace.pause(now, false);
--- a/crates/flaxdeck-recovery/tests/belief.rs
+++ b/crates/flaxdeck-recovery/tests/restored_state.rs
@@ -1,9 +1,10 @@
 //! What of stored state may be believed, item by item.
 
 use flaxdeck::{Span, Time};
-use flaxdeck_recovery::Mark;
-use flaxdeck_recovery::belief::{
-    Believed, Kept, KeptLine, KeptPurge, KeptRating, Later, Now, Uptime, bytes, judge,
+use flaxdeck_recovery::EventPosition;
+use flaxdeck_recovery::restored_state::{
+    Now, RestoredState, StateChange, StoredEndpoint, StoredPurge, StoredRating, StoredState,
+    Uptime, bytes, judge,
 };
 
 const NOW: Now = Now {
@@ -11,13 +12,13 @@
         boot: 7,
         ms: 100_000,
     },
-    file: Mark { number: 1, hash: 1 },
+    file: EventPosition { number: 1, hash: 1 },
     waits: Span::from_ms(5_000),
 };
 
-fn line(host: &str, started: u64) -> KeptLine {
+fn line(host: &str, started: u64) -> StoredEndpoint {
     let address = "127.0.0.1:1".parse().unwrap();
-    KeptLine {
+    StoredEndpoint {
         host: host.into(),
         address,
         weight: 1.0,
@@ -29,9 +30,9 @@
     }
 }
 
-fn rating(host: &str, started: u64) -> KeptRating {
+fn rating(host: &str, started: u64) -> StoredRating {
     let (measured_ago, good_ago, bad_ago) = (Some(1_000), Some(1_000), None);
-    KeptRating {
+    StoredRating {
         host: host.into(),
         started,
         measures: [Some(3.0), None],
@@ -41,15 +42,15 @@
     }
 }
 
-fn kept(ago: u64) -> Kept {
-    Kept {
+fn kept(ago: u64) -> StoredState {
+    StoredState {
         written: Uptime {
             boot: 7,
             ms: 100_000 - ago,
         },
-        event: Mark { number: 9, hash: 5 },
+        event: EventPosition { number: 9, hash: 5 },
         lines: vec![line("a", 0), line("b", 500)],
-        purges: vec![KeptPurge {
+        purges: vec![StoredPurge {
             object: Some(1),
             group: 0,
             made: 1,
@@ -59,7 +60,7 @@
     }
 }
 
-fn hosts(believed: &Believed) -> Vec<&str> {
+fn hosts(believed: &RestoredState) -> Vec<&str> {
     believed
         .ratings
         .iter()
@@ -76,7 +77,7 @@
         "b has restarted, one is listed no more"
     );
     assert_eq!(believed.ratings[0].good_ago, Some(3_000));
-    assert_eq!(believed.event, Some(Mark { number: 9, hash: 5 }));
+    assert_eq!(believed.event, Some(EventPosition { number: 9, hash: 5 }));
 }
 
 #[test]
@@ -102,7 +103,7 @@
         ..NOW
     };
     let believed = judge(
-        Kept {
+        StoredState {
             lent_until: Some(Uptime { boot: 7, ms: 1 }),
             ..kept(10)
         },
@@ -121,7 +122,7 @@
     };
     assert_eq!(
         judge(
-            Kept {
+            StoredState {
                 written: Uptime::default(),
                 ..kept(10)
             },
@@ -136,7 +137,7 @@
 fn shares_are_left_alone_for_what_may_be_out_and_never_for_longer_than_without_a_store() {
     let waits = |ms| {
         judge(
-            Kept {
+            StoredState {
                 lent_until: ms,
                 ..kept(100)
             },
@@ -155,7 +156,7 @@
 #[test]
 fn a_configuration_of_a_later_event_outweighs_the_store() {
     let now = Now {
-        file: Mark {
+        file: EventPosition {
             number: 10,
             hash: 2,
         },
@@ -176,36 +177,36 @@
 
 #[test]
 fn what_was_written_is_read_and_other_bytes_are_not() {
-    let (all, later) = (kept(3), Later::LendsUntil(Uptime { boot: 7, ms: 9 }));
-    let read = Kept::read(&bytes(&all), &[bytes(&later)]).unwrap();
+    let (all, later) = (kept(3), StateChange::LendsUntil(Uptime { boot: 7, ms: 9 }));
+    let read = StoredState::read(&bytes(&all), &[bytes(&later)]).unwrap();
     assert_eq!(
         read,
-        Kept {
+        StoredState {
             lent_until: Some(Uptime { boot: 7, ms: 9 }),
             ..all.clone()
         }
     );
-    assert!(Kept::read(&bytes(&all), &[vec![9, 9, 9]]).is_err());
-    assert!(Kept::read(&[bytes(&all), vec![0]].concat(), &[]).is_err());
+    assert!(StoredState::read(&bytes(&all), &[vec![9, 9, 9]]).is_err());
+    assert!(StoredState::read(&[bytes(&all), vec![0]].concat(), &[]).is_err());
 }
 
 #[test]
 fn what_came_later_is_added_in_its_order() {
     let mut all = kept(0);
-    let mark = |number| Mark { number, hash: 1 };
-    all.add(Later::Lines(
+    let mark = |number| EventPosition { number, hash: 1 };
+    all.add(StateChange::Lines(
         mark(10),
         vec![
-            KeptLine {
+            StoredEndpoint {
                 health: 1,
                 ..line("a", 0)
             },
             line("c", 0),
         ],
     ));
-    all.add(Later::Purged(
+    all.add(StateChange::Purged(
         mark(11),
-        KeptPurge {
+        StoredPurge {
             object: None,
             group: 3,
             made: 2,
@@ -220,8 +221,8 @@
         ),
         (mark(11), 3, 1, 2)
     );
-    all.add(Later::Whole(mark(1), vec![line("d", 0)]));
-    all.add(Later::LendsUntil(Uptime { boot: 7, ms: 9 }));
+    all.add(StateChange::Whole(mark(1), vec![line("d", 0)]));
+    all.add(StateChange::LendsUntil(Uptime { boot: 7, ms: 9 }));
     assert_eq!(
         (all.event, all.lines.len(), all.lent_until.map(|at| at.ms)),
         (mark(1), 1, Some(9))
@@ -230,13 +231,13 @@
 
 const SETTLES: Span = Span::from_ms(6_800);
 
-fn purged(object: u64, made: u64) -> Later {
-    Later::Purged(
-        Mark {
+fn purged(object: u64, made: u64) -> StateChange {
+    StateChange::Purged(
+        EventPosition {
             number: object,
             hash: object,
         },
-        KeptPurge {
+        StoredPurge {
             object: Some(object),
             group: 0,
             made,
@@ -245,8 +246,8 @@
 }
 
 /// From when on a copy of the object has to be by what is kept; 0 if any will do.
-fn copies_from(kept: &Kept, object: u64) -> u64 {
-    let concerns = |purge: &&KeptPurge| {
+fn copies_from(kept: &StoredState, object: u64) -> u64 {
+    let concerns = |purge: &&StoredPurge| {
         purge
             .object
             .map_or(purge.group == u64::MAX, |of| of == object)
@@ -262,7 +263,7 @@
 #[test]
 fn purges_are_kept_until_they_have_settled_at_any_rate() {
     for per_s in [1, 330, 3_300] {
-        let mut kept = Kept::default();
+        let mut kept = StoredState::default();
         let last = 30 * per_s;
         for number in 0..=last {
             kept.add(purged(number, 1_000 + number * 1_000 / per_s));
@@ -291,8 +292,8 @@
 
 #[test]
 fn purges_beyond_the_bound_are_folded_into_one_that_asks_for_no_less() {
-    use flaxdeck_recovery::belief::PURGES_MOST;
-    let mut kept = Kept::default();
+    use flaxdeck_recovery::restored_state::PURGES_MOST;
+    let mut kept = StoredState::default();
     let count = 3 * PURGES_MOST as u64 + 1_000;
     for number in 0..count {
         kept.add(purged(number, 1_000 + number));
@@ -315,7 +316,7 @@
         "copies from later are in no doubt"
     );
     let (snapshot, records) = (bytes(&kept), vec![bytes(&purged(count, 1_000 + count))]);
-    let read = Kept::read(&snapshot, &records).unwrap();
+    let read = StoredState::read(&snapshot, &records).unwrap();
     assert_eq!(
         (read.purges.len(), copies_from(&read, count)),
         (kept.purges.len() + 1, 1_000 + count)
@@ -325,7 +326,7 @@
 #[test]
 fn a_purge_made_by_a_clock_that_is_ahead_has_no_other_forgotten() {
     let hour = 3_600_000;
-    let mut kept = Kept::default();
+    let mut kept = StoredState::default();
     [purged(1, 1_000_000), purged(2, 1_000_000 + hour)]
         .into_iter()
         .for_each(|purge| kept.add(purge));
@@ -334,7 +335,7 @@
     kept.forget_settled(Time::at_ms(1_010_000.0), SETTLES);
     assert_eq!((kept.purges.len(), copies_from(&kept, 1)), (1, 0));
     // This machine's own clock may be ahead as well: then the latest purge counts.
-    let mut kept = Kept::default();
+    let mut kept = StoredState::default();
     [purged(1, 1_000_000), purged(2, 1_002_000)]
         .into_iter()
         .for_each(|purge| kept.add(purge));
--- a/crates/flaxdeck-recovery/tests/phase.rs
+++ b/crates/flaxdeck-recovery/tests/startup.rs
@@ -1,7 +1,7 @@
 //! How far an instance has come back, and when it takes clients.
 
 use flaxdeck::{Span, Time};
-use flaxdeck_recovery::phase::{Phase, Return, Unheard};
+use flaxdeck_recovery::startup::{Phase, Startup, WithoutContact};
 
 fn at(ms: u64) -> Time {
     Time::at_ms(1_000.0 + ms as f64)
@@ -9,7 +9,7 @@
 
 #[test]
 fn clients_are_taken_once_the_list_is_vouched_for() {
-    let mut back = Return::begin(at(0), Unheard::RejectAfter(Span::from_ms(2_500)));
+    let mut back = Startup::begin(at(0), WithoutContact::RejectAfter(Span::from_ms(2_500)));
     assert_eq!(
         (back.phase(at(9), at(0)), back.listens_at()),
         (Phase::Listed, at(2_500))
@@ -31,7 +31,10 @@
 
 #[test]
 fn one_that_nobody_answers_does_as_its_file_says() {
-    let back = |unheard| Return::begin(at(0), unheard).listens_at();
-    assert_eq!(back(Unheard::GoOn), at(100));
-    assert_eq!(back(Unheard::RejectAfter(Span::from_ms(900))), at(900));
+    let back = |unheard| Startup::begin(at(0), unheard).listens_at();
+    assert_eq!(back(WithoutContact::GoOn), at(100));
+    assert_eq!(
+        back(WithoutContact::RejectAfter(Span::from_ms(900))),
+        at(900)
+    );
 }
--- a/crates/flaxdeck-recovery/tests/doubt.rs
+++ b/crates/flaxdeck-recovery/tests/unconfirmed.rs
@@ -4,8 +4,8 @@
 
 use flaxdeck::Health::{Draining, InService, Removed};
 use flaxdeck::{CellId, Endpoint, Health, HostId, Role, Span, Time};
-use flaxdeck_recovery::doubt::{Doubted, copies_from};
-use flaxdeck_recovery::numbering::Doubt;
+use flaxdeck_recovery::numbering::MissedPeriod;
+use flaxdeck_recovery::unconfirmed::{UnconfirmedEndpoints, copies_from};
 
 fn at(ms: u64) -> Time {
     Time::at_ms(100_000.0 + ms as f64)
@@ -44,7 +44,7 @@
         line("b", InService, Some(9)),
         line("c", InService, None),
     ];
-    let mut doubted = Doubted::default();
+    let mut doubted = UnconfirmedEndpoints::default();
     let (list, count) = doubted.adopt(at(0), &before, list);
     let healths: Vec<Health> = list.iter().map(|line| line.health).collect();
     assert_eq!(
@@ -58,7 +58,7 @@
 fn a_later_event_ends_the_doubt_and_so_does_time() {
     let before = known(&[line("a", Draining, None), line("b", Draining, None)]);
     let list = || vec![line("a", InService, None), line("b", InService, None)];
-    let mut doubted = Doubted::default();
+    let mut doubted = UnconfirmedEndpoints::default();
     doubted.adopt(at(0), &before, list());
     doubted.named([&HostId("a".into())]);
     assert_eq!(doubted.run_out(at(59_999)).len(), 0);
@@ -74,7 +74,7 @@
 #[test]
 fn copies_are_doubted_only_for_what_may_have_been_missed() {
     let settles = Span::from_ms(6_000);
-    let doubt = |since, heard_to_the_end| Doubt {
+    let doubt = |since, heard_to_the_end| MissedPeriod {
         since,
         heard_to_the_end,
     };
--- a/crates/flaxdeck-scale/src/capacity/page/fields.rs
+++ b/crates/flaxdeck-scale/src/capacity/page/fields.rs
@@ -4,7 +4,7 @@
 use flaxdeck_control::planner::{FORGOTTEN, LOG_MOST};
 use flaxdeck_net::listener::BACKLOG;
 use flaxdeck_plan::Blind;
-use flaxdeck_recovery::{belief, pace};
+use flaxdeck_recovery::{reconnect_backoff, restored_state};
 use serde::Serialize;
 
 use super::NOT_SHOWN;
@@ -98,7 +98,7 @@
 }
 
 pub(super) fn bound_fields(target: &Target) -> BoundFields {
-    let [least, most] = pace::FIRST;
+    let [least, most] = reconnect_backoff::FIRST;
     let spread_s = (most.ms() - least.ms()) / 1e3;
     let calls = |dispatchers: f64| figure(dispatchers / spread_s);
     let forgotten_s = FORGOTTEN.ms() / 1e3;
@@ -117,8 +117,8 @@
         log: count(LOG_MOST as f64),
         log_reach: span(LOG_MOST as f64 / target.events_per_s()),
         log_reach_in_storm: span(LOG_MOST as f64 / storm_events),
-        store: count(belief::PURGES_MOST as f64),
-        store_reach_in_storm: span(belief::PURGES_MOST as f64 / target.storm_per_s()),
+        store: count(restored_state::PURGES_MOST as f64),
+        store_reach_in_storm: span(restored_state::PURGES_MOST as f64 / target.storm_per_s()),
         storm_purges: count(target.storm_per_s() * target.storm_s),
         events_a_message: count(EVENTS_MOST as f64),
     }
--- a/crates/flaxdeck-scale/src/capacity/state.rs
+++ b/crates/flaxdeck-scale/src/capacity/state.rs
@@ -5,8 +5,10 @@
 use flaxdeck_distribution::messages::{FULL_EVENTS_MOST, PURGES_MOST};
 use flaxdeck_plan::{PLANNERS_MOST, Plan};
 use flaxdeck_planner::CONNECTIONS_MOST;
-use flaxdeck_recovery::Mark;
-use flaxdeck_recovery::belief::{self, Kept, KeptLine, KeptPurge, Later};
+use flaxdeck_recovery::EventPosition;
+use flaxdeck_recovery::restored_state::{
+    self, StateChange, StoredEndpoint, StoredPurge, StoredState,
+};
 
 use super::figures::{figure, span};
 use super::rows::{Basis, DISTRIBUTIONS};
@@ -282,8 +284,8 @@
         what,
         needed: per_s * target.purge_within_s,
         bound: Some(Bound {
-            most: belief::PURGES_MOST as f64,
-            name: "`PURGES_MOST` in `crates/flaxdeck-recovery/src/belief.rs`",
+            most: restored_state::PURGES_MOST as f64,
+            name: "`PURGES_MOST` in `crates/flaxdeck-recovery/src/restored_state.rs`",
         }),
         bytes_each: Bytes::Encoded(per_purge()),
         kept: "until they have settled; past the bound copies from before count as purged".into(),
@@ -321,8 +323,8 @@
 /// Milliseconds of Unix time of these years.
 const SOME_TIME: u64 = 1_900_000_000_000;
 
-fn some_line() -> KeptLine {
-    KeptLine {
+fn some_line() -> StoredEndpoint {
+    StoredEndpoint {
         host: "s-00000000".into(),
         address: ([10, 0, 0, 1], 7_000).into(),
         weight: 1.0,
@@ -334,8 +336,8 @@
     }
 }
 
-fn some_purge() -> KeptPurge {
-    KeptPurge {
+fn some_purge() -> StoredPurge {
+    StoredPurge {
         object: Some(LARGE),
         group: 0,
         made: SOME_TIME,
@@ -343,26 +345,26 @@
 }
 
 fn encoded(state: &impl serde::Serialize) -> f64 {
-    belief::bytes(state).len() as f64
+    restored_state::bytes(state).len() as f64
 }
 
 fn per_host() -> f64 {
-    encoded(&Kept {
+    encoded(&StoredState {
         lines: vec![some_line()],
-        ..Kept::default()
-    }) - encoded(&Kept::default())
+        ..StoredState::default()
+    }) - encoded(&StoredState::default())
 }
 
 fn per_purge() -> f64 {
-    encoded(&Kept {
+    encoded(&StoredState {
         purges: vec![some_purge()],
-        ..Kept::default()
-    }) - encoded(&Kept::default())
+        ..StoredState::default()
+    }) - encoded(&StoredState::default())
 }
 
 fn per_record() -> f64 {
-    encoded(&Later::Purged(
-        Mark {
+    encoded(&StateChange::Purged(
+        EventPosition {
             number: LARGE,
             hash: LARGE,
         },
