--- a/crates/flaxdeck-channel/src/seal.rs
+++ b/crates/flaxdeck-channel/src/authenticated.rs
@@ -62,7 +62,7 @@
 
 /// The side of a conversation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum Role {
     Forwarder = 1,
     Planner = 2,
 }
@@ -70,7 +70,7 @@
 /// The greeting of one side, with a nonce that is new each time.
 #[derive(Clone, Debug)]
 pub struct Greeting {
-    side: Side,
+    side: Role,
     nonce: [u8; NONCE],
 }
 
@@ -80,7 +80,7 @@
 }
 
 impl Greeting {
-    pub fn new(side: Side, nonce: [u8; 16]) -> Greeting {
+    pub fn new(side: Role, nonce: [u8; 16]) -> Greeting {
         Greeting { side, nonce }
     }
 
@@ -94,7 +94,7 @@
     pub fn read(
         buffer: &mut BytesMut,
         key: &Key,
-        from: Side,
+        from: Role,
     ) -> Result<Parsed<Greeting>, Malformed> {
         if buffer.len() < GREETING {
             let wrong = !MAGIC.starts_with(&buffer[..buffer.len().min(MAGIC.len())]);
@@ -125,17 +125,17 @@
     }
 
     /// What seals our frames and opens theirs, once both greetings are known.
-    pub fn keys(&self, theirs: &Greeting, key: &Key) -> (Sealer, Opener) {
+    pub fn keys(&self, theirs: &Greeting, key: &Key) -> (FrameSigner, FrameVerifier) {
         let mut nonces = [(self.side, self.nonce), (theirs.side, theirs.nonce)];
         nonces.sort_by_key(|(side, _)| *side as u8);
         let from =
-            |side: Side| Key(key.hash(&[b"frames", &nonces[0].1, &nonces[1].1, &[side as u8]]));
+            |side: Role| Key(key.hash(&[b"frames", &nonces[0].1, &nonces[1].1, &[side as u8]]));
         (
-            Sealer {
+            FrameSigner {
                 key: from(self.side),
                 counter: 0,
             },
-            Opener {
+            FrameVerifier {
                 key: from(theirs.side),
                 counter: 0,
             },
@@ -144,19 +144,19 @@
 }
 
 /// Seals frames of one side in their order.
-pub struct Sealer {
+pub struct FrameSigner {
     key: Key,
     counter: u64,
 }
 
 /// Opens frames of one side in their order.
-pub struct Opener {
+pub struct FrameVerifier {
     key: Key,
     counter: u64,
 }
 
-impl Sealer {
-    pub fn seal(&mut self, message: &impl Serialize) -> Result<Bytes, Malformed> {
+impl FrameSigner {
+    pub fn sign(&mut self, message: &impl Serialize) -> Result<Bytes, Malformed> {
         self.counter += 1;
         let counter = self.counter.to_be_bytes();
         let body = postcard::to_stdvec(message)
@@ -177,9 +177,9 @@
     }
 }
 
-impl Opener {
+impl FrameVerifier {
     /// Opens the frame at the head of the buffer and takes its bytes out.
-    pub fn open<T: DeserializeOwned>(
+    pub fn verify<T: DeserializeOwned>(
         &mut self,
         buffer: &mut BytesMut,
     ) -> Result<Parsed<T>, Malformed> {
--- a/crates/flaxdeck-channel/src/line.rs
+++ b/crates/flaxdeck-channel/src/connection.rs
@@ -12,8 +12,8 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until, timeout};
 
-use crate::kinds::{Kind, Message};
-use crate::seal::{GREETING, Greeting, Key, Opener, Sealer, Side};
+use crate::authenticated::{FrameSigner, FrameVerifier, GREETING, Greeting, Key, Role};
+use crate::message_kind::{Message, MessageKind};
 
 /// How long connecting and greeting may take.
 const GREETED: Duration = Duration::from_millis(1000);
@@ -24,68 +24,72 @@
 
 /// Why a conversation could not begin or went no further.
 #[derive(Debug)]
-pub enum Over {
+pub enum CloseReason {
     /// It broke, or was too slow.
     Broken(&'static str),
     /// The other side is none of ours, or not as it should be.
     Refused(&'static str),
 }
 
-impl From<Malformed> for Over {
-    fn from(malformed: Malformed) -> Over {
-        Over::Refused(malformed.0)
+impl From<Malformed> for CloseReason {
+    fn from(malformed: Malformed) -> CloseReason {
+        CloseReason::Refused(malformed.0)
     }
 }
 
 /// The half that speaks.
-pub struct Speaker {
+pub struct Sender {
     outbound: Outbound,
-    sealer: Sealer,
+    signer: FrameSigner,
 }
 
 /// The half that hears; while it listens, what waits is written.
-pub struct Hearer {
+pub struct Receiver {
     inbound: Inbound,
     outbound: Outbound,
-    opener: Opener,
+    verifier: FrameVerifier,
     heard: Instant,
 }
 
 /// Connects to a planner and greets it.
-pub async fn connect(address: SocketAddr, key: &Key) -> Result<(Speaker, Hearer), Over> {
+pub async fn connect(address: SocketAddr, key: &Key) -> Result<(Sender, Receiver), CloseReason> {
     let connected = timeout(GREETED, TcpStream::connect(address)).await;
     let stream = connected
         .ok()
         .and_then(Result::ok)
-        .ok_or(Over::Broken("no connection"))?;
-    greet(stream, key, Side::Forwarder).await
+        .ok_or(CloseReason::Broken("no connection"))?;
+    greet(stream, key, Role::Forwarder).await
 }
 
 /// Greets whoever has connected, as a planner.
-pub async fn accept(stream: TcpStream, key: &Key) -> Result<(Speaker, Hearer), Over> {
-    greet(stream, key, Side::Planner).await
+pub async fn accept(stream: TcpStream, key: &Key) -> Result<(Sender, Receiver), CloseReason> {
+    greet(stream, key, Role::Planner).await
 }
 
-async fn greet(stream: TcpStream, key: &Key, side: Side) -> Result<(Speaker, Hearer), Over> {
+async fn greet(
+    stream: TcpStream,
+    key: &Key,
+    side: Role,
+) -> Result<(Sender, Receiver), CloseReason> {
     let (mut inbound, outbound) = link::split(stream);
     let ours = Greeting::new(side, rand::rng().random());
-    let other = if side == Side::Planner {
-        Side::Forwarder
+    let other = if side == Role::Planner {
+        Role::Forwarder
     } else {
-        Side::Planner
+        Role::Planner
     };
     let theirs = async {
         outbound.send([ours.bytes(key)], [None, None]);
-        count_message(Kind::Greeting.counts_out(), GREETING);
+        count_message(MessageKind::Greeting.counters_out(), GREETING);
         loop {
             match Greeting::read(&mut inbound.bytes, key, other)? {
                 Parsed::Whole(theirs) => {
-                    count_message(Kind::Greeting.counts_in(), GREETING);
+                    count_message(MessageKind::Greeting.counters_in(), GREETING);
                     return Ok(theirs);
                 }
                 Parsed::Short(more) => {
                     if !matches!(inbound.more(more).await, Ok(true)) {
-                        return Err(Over::Broken("ended before the greeting"));
+                        return Err(CloseReason::Broken("ended before the greeting"));
                     }
                 }
             }
@@ -93,34 +97,34 @@
     };
     let theirs = timeout(GREETED, theirs)
         .await
-        .map_err(|_| Over::Broken("no greeting in time"))??;
-    let (sealer, opener) = ours.keys(&theirs, key);
-    let speaker = Speaker {
+        .map_err(|_| CloseReason::Broken("no greeting in time"))??;
+    let (signer, verifier) = ours.keys(&theirs, key);
+    let sender = Sender {
         outbound: outbound.clone(),
-        sealer,
+        signer,
     };
     Ok((
-        speaker,
-        Hearer {
+        sender,
+        Receiver {
             inbound,
             outbound,
-            opener,
+            verifier,
             heard: Instant::now(),
         },
     ))
 }
 
-impl Speaker {
+impl Sender {
     /// Whether another message may be written: the other side keeps up.
-    pub fn may_speak(&self) -> bool {
+    pub fn may_send(&self) -> bool {
         !self.outbound.is_closed() && self.outbound.waiting() < WAITING_MOST
     }
 
     /// Writes one message, or queues it. One over a bound is not sent, and ends the conversation.
-    pub fn speak(&mut self, message: &(impl Serialize + Message)) {
-        match self.sealer.seal(message) {
+    pub fn send(&mut self, message: &(impl Serialize + Message)) {
+        match self.signer.sign(message) {
             Ok(bytes) => {
-                count_message(message.kind().counts_out(), bytes.len());
+                count_message(message.kind().counters_out(), bytes.len());
                 self.outbound.send([bytes], [None, None]);
             }
             Err(malformed) => {
@@ -135,18 +139,18 @@
     }
 }
 
-impl Hearer {
+impl Receiver {
     /// The next message. May be dropped and called again without loss.
-    pub async fn hear<T: DeserializeOwned + Message>(&mut self) -> Result<T, Over> {
+    pub async fn receive<T: DeserializeOwned + Message>(&mut self) -> Result<T, CloseReason> {
         loop {
             if self.outbound.is_closed() {
-                return Err(Over::Broken("closed here"));
+                return Err(CloseReason::Broken("closed here"));
             }
             let before = self.inbound.bytes.len();
-            let more = match self.opener.open::<T>(&mut self.inbound.bytes)? {
+            let more = match self.verifier.verify::<T>(&mut self.inbound.bytes)? {
                 Parsed::Whole(message) => {
                     count_message(
-                        message.kind().counts_in(),
+                        message.kind().counters_in(),
                         before - self.inbound.bytes.len(),
                     );
                     self.heard = Instant::now();
@@ -159,13 +163,13 @@
             tokio::select! {
                 read = self.inbound.more(more) => {
                     if !matches!(read, Ok(true)) {
-                        return Err(Over::Broken("the other side has ended it"));
+                        return Err(CloseReason::Broken("the other side has ended it"));
                     }
                 }
                 written = self.outbound.step(), if pending => {
-                    written.map_err(|_| Over::Broken("broken while writing"))?;
+                    written.map_err(|_| CloseReason::Broken("broken while writing"))?;
                 }
-                () = sleep_until(self.heard + STALLED) => return Err(Over::Broken("silent")),
+                () = sleep_until(self.heard + STALLED) => return Err(CloseReason::Broken("silent")),
                 () = self.outbound.notified() => {}
             }
         }
--- a/crates/flaxdeck-channel/src/lib.rs
+++ b/crates/flaxdeck-channel/src/lib.rs
@@ -1,8 +1,8 @@
 //! Conversations over connections: `watch` follows the coordinator, `line` joins forwarders and planners, whose bytes
 //! `seal` reads and writes.
 
-pub mod kinds;
-pub mod line;
+pub mod authenticated;
+pub mod connection;
+pub mod message_kind;
 pub mod messages;
-pub mod seal;
 pub mod watch;
--- a/crates/flaxdeck-channel/src/watch.rs
+++ b/crates/flaxdeck-channel/src/watch.rs
@@ -33,21 +33,21 @@
 
 /// Whether others tell what the coordinator would, so that a call to it has time.
 #[derive(Default)]
-pub struct Urgency {
+pub struct ExpeditedReconnect {
     calm: Cell<bool>,
-    hurry: Notify,
+    expedite: Notify,
 }
 
-impl Urgency {
+impl ExpeditedReconnect {
     /// Nobody else can be asked.
-    pub fn hurry(&self) {
+    pub fn expedite(&self) {
         self.calm.set(false);
-        self.hurry.notify_one();
+        self.expedite.notify_one();
     }
 
     pub fn set_calm(&self, calm: bool) {
         if self.calm.replace(calm) && !calm {
-            self.hurry();
+            self.expedite();
         }
     }
 }
@@ -70,7 +70,7 @@
     numbering: Rc<RefCell<Numbering>>,
     pace: ReconnectBackoff,
     link: Option<(Inbound, Outbound)>,
-    urgency: Rc<Urgency>,
+    urgency: Rc<ExpeditedReconnect>,
     /// Others may tell the same sooner: the first call waits.
     waits: bool,
     /// Others tell all of it: no link is held, none is opened.
@@ -134,8 +134,8 @@
         self.numbering.clone()
     }
 
-    /// What tells it when to hurry. Beside planners, who may tell the same sooner, the first call waits a little.
-    pub fn urgency(&mut self, beside_planners: bool) -> Rc<Urgency> {
+    /// What tells it when to expedite. Beside planners, who may tell the same sooner, the first call waits a little.
+    pub fn urgency(&mut self, beside_planners: bool) -> Rc<ExpeditedReconnect> {
         self.waits = beside_planners;
         self.urgency.clone()
     }
@@ -186,14 +186,14 @@
         self.wait(pause).await;
     }
 
-    /// All that hurry at once still draw a pause each.
+    /// All that expedite at once still draw a pause each.
     async fn wait(&mut self, pause: Span) {
         let hurries = tokio::select! {
             () = sleep(clock::length(pause)) => false,
-            () = self.urgency.hurry.notified() => true,
+            () = self.urgency.expedite.notified() => true,
         };
         if hurries {
-            self.pace.hurry();
+            self.pace.expedite();
             let pause = self.pace.pause(self.clock.now(), false);
             sleep(clock::length(pause)).await;
         }
--- a/crates/flaxdeck-channel/tests/seal.rs
+++ b/crates/flaxdeck-channel/tests/authenticated.rs
@@ -1,7 +1,7 @@
 //! Sealed frames: those that are genuine and in their place open, all others do not.
 
 use bytes::BytesMut;
-use flaxdeck_channel::seal::{Greeting, Key, Opener, Sealer, Side, VERSION};
+use flaxdeck_channel::authenticated::{FrameSigner, FrameVerifier, Greeting, Key, Role, VERSION};
 use flaxdeck_control::messages::{Envelope, Epoch, Guidance, Report};
 use flaxdeck_wire::{Malformed, Parsed};
 
@@ -9,9 +9,9 @@
     Key::from_hex(&digit.to_string().repeat(64)).unwrap()
 }
 
-fn pair(nonces: [u8; 2]) -> ((Sealer, Opener), (Sealer, Opener)) {
-    let forwarder = Greeting::new(Side::Forwarder, [nonces[0]; 16]);
-    let planner = Greeting::new(Side::Planner, [nonces[1]; 16]);
+fn pair(nonces: [u8; 2]) -> ((FrameSigner, FrameVerifier), (FrameSigner, FrameVerifier)) {
+    let forwarder = Greeting::new(Role::Forwarder, [nonces[0]; 16]);
+    let planner = Greeting::new(Role::Planner, [nonces[1]; 16]);
     (
         forwarder.keys(&planner, &key('a')),
         planner.keys(&forwarder, &key('a')),
@@ -33,14 +33,14 @@
 fn frames_cut_at_every_byte_open_once_they_are_whole() {
     let ((mut seals, _), (_, mut opens)) = pair([1, 2]);
     let bytes = [
-        seals.seal(&report(1)).unwrap(),
-        seals.seal(&report(2)).unwrap(),
+        seals.sign(&report(1)).unwrap(),
+        seals.sign(&report(2)).unwrap(),
     ]
     .concat();
     let (mut buffer, mut opened) = (BytesMut::new(), Vec::new());
     for byte in bytes {
         buffer.extend_from_slice(&[byte]);
-        if let Parsed::Whole(report) = opens.open::<Report>(&mut buffer).unwrap() {
+        if let Parsed::Whole(report) = opens.verify::<Report>(&mut buffer).unwrap() {
             opened.push(report);
         }
     }
@@ -49,11 +49,13 @@
 
 #[test]
 fn a_frame_doubled_left_out_changed_or_of_another_connection_does_not_open() {
-    let open = |opens: &mut Opener, bytes: &[u8]| opens.open::<Report>(&mut BytesMut::from(bytes));
+    let open = |opens: &mut FrameVerifier, bytes: &[u8]| {
+        opens.verify::<Report>(&mut BytesMut::from(bytes))
+    };
     let ((mut seals, _), (_, mut opens)) = pair([1, 2]);
     let (first, second) = (
-        seals.seal(&report(1)).unwrap(),
-        seals.seal(&report(2)).unwrap(),
+        seals.sign(&report(1)).unwrap(),
+        seals.sign(&report(2)).unwrap(),
     );
     assert!(open(&mut opens, &first).is_ok());
     assert_eq!(
@@ -77,7 +79,7 @@
     }
     // Its own frames, sent back.
     let ((mut seals, mut opens), _) = pair([1, 2]);
-    assert!(open(&mut opens, &seals.seal(&report(1)).unwrap()).is_err());
+    assert!(open(&mut opens, &seals.sign(&report(1)).unwrap()).is_err());
 }
 
 #[test]
@@ -85,22 +87,22 @@
     let read = |bytes: &[u8], from| {
         Greeting::read(&mut BytesMut::from(bytes), &key('a'), from).map(|_| ())
     };
-    let bytes = Greeting::new(Side::Forwarder, [9; 16]).bytes(&key('a'));
-    assert_eq!(read(&bytes, Side::Forwarder), Ok(()));
+    let bytes = Greeting::new(Role::Forwarder, [9; 16]).bytes(&key('a'));
+    assert_eq!(read(&bytes, Role::Forwarder), Ok(()));
     assert_eq!(
-        read(&bytes, Side::Planner),
+        read(&bytes, Role::Planner),
         Err(Malformed("the wrong side of this protocol"))
     );
-    let other = Greeting::new(Side::Forwarder, [9; 16]).bytes(&key('b'));
-    assert_eq!(read(&other, Side::Forwarder), Err(Malformed("another key")));
+    let other = Greeting::new(Role::Forwarder, [9; 16]).bytes(&key('b'));
+    assert_eq!(read(&other, Role::Forwarder), Err(Malformed("another key")));
     let mut later = bytes.to_vec();
     later[4] = VERSION + 1;
     assert_eq!(
-        read(&later, Side::Forwarder),
+        read(&later, Role::Forwarder),
         Err(Malformed("another version of this protocol"))
     );
     assert_eq!(
-        read(b"GET / HTTP/1.1\r\n", Side::Forwarder),
+        read(b"GET / HTTP/1.1\r\n", Role::Forwarder),
         Err(Malformed("not of this protocol"))
     );
 }
@@ -111,7 +113,7 @@
     let huge = [0x7f, 0xff, 0xff, 0xff];
     assert!(
         opens
-            .open::<Guidance>(&mut BytesMut::from(&huge[..]))
+            .verify::<Guidance>(&mut BytesMut::from(&huge[..]))
             .is_err()
     );
 }
--- a/crates/flaxdeck-channel/tests/conversations.rs
+++ b/crates/flaxdeck-channel/tests/connections.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-use flaxdeck_channel::line::{self, Over};
-use flaxdeck_channel::seal::Key;
+use flaxdeck_channel::authenticated::Key;
+use flaxdeck_channel::connection::{self, CloseReason};
 use flaxdeck_control::messages::{Envelope, Epoch, Guidance, Rating, Report};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -69,15 +69,17 @@
         let address = listener.local_addr().unwrap();
         spawn_local(async move {
             let (stream, _) = listener.accept().await.unwrap();
-            let (mut speaker, mut hearer) = line::accept(stream, &key("a")).await.ok().unwrap();
-            while let Ok(report) = hearer.hear::<Report>().await {
-                speaker.speak(&guidance(report.envelope.number, 100));
+            let (mut sender, mut receiver) =
+                connection::accept(stream, &key("a")).await.ok().unwrap();
+            while let Ok(report) = receiver.receive::<Report>().await {
+                sender.send(&guidance(report.envelope.number, 100));
             }
         });
-        let (mut speaker, mut hearer) = line::connect(address, &key("a")).await.ok().unwrap();
-        (1..=50).for_each(|number| speaker.speak(&report(number)));
+        let (mut sender, mut receiver) =
+            connection::connect(address, &key("a")).await.ok().unwrap();
+        (1..=50).for_each(|number| sender.send(&report(number)));
         for number in 1..=50 {
-            let heard: Guidance = hearer.hear().await.unwrap();
+            let heard: Guidance = receiver.receive().await.unwrap();
             assert_eq!((heard.envelope.number, heard.ratings.len()), (number, 100));
         }
     });
@@ -89,16 +91,16 @@
         let address = listener.local_addr().unwrap();
         let planner = spawn_local(async move {
             let (stream, _) = listener.accept().await.unwrap();
-            line::accept(stream, &key("a")).await.err()
+            connection::accept(stream, &key("a")).await.err()
         });
-        let refused = line::connect(address, &key("b")).await.err();
+        let refused = connection::connect(address, &key("b")).await.err();
         assert!(
-            matches!(refused, Some(Over::Refused("another key"))),
+            matches!(refused, Some(CloseReason::Refused("another key"))),
             "{refused:?}"
         );
         let refused = planner.await.unwrap();
         assert!(
-            matches!(refused, Some(Over::Refused("another key"))),
+            matches!(refused, Some(CloseReason::Refused("another key"))),
             "{refused:?}"
         );
     });
@@ -111,9 +113,9 @@
         let mut mute = TcpStream::connect(address).await.unwrap();
         let (stream, _) = listener.accept().await.unwrap();
         let begun = Instant::now();
-        let over = line::accept(stream, &key("a")).await.err();
+        let over = connection::accept(stream, &key("a")).await.err();
         assert!(
-            matches!(over, Some(Over::Broken("no greeting in time"))),
+            matches!(over, Some(CloseReason::Broken("no greeting in time"))),
             "{over:?}"
         );
         assert!(begun.elapsed() < Duration::from_secs(5));
@@ -122,9 +124,9 @@
         let mut other = TcpStream::connect(address).await.unwrap();
         other.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
         let (stream, _) = listener.accept().await.unwrap();
-        let over = line::accept(stream, &key("a")).await.err();
+        let over = connection::accept(stream, &key("a")).await.err();
         assert!(
-            matches!(over, Some(Over::Refused("not of this protocol"))),
+            matches!(over, Some(CloseReason::Refused("not of this protocol"))),
             "{over:?}"
         );
     });
@@ -137,15 +139,15 @@
         // The planner never hears, so nothing of what is written to it is taken out.
         let held = spawn_local(async move {
             let (stream, _) = listener.accept().await.unwrap();
-            let ends = line::accept(stream, &key("a")).await;
+            let ends = connection::accept(stream, &key("a")).await;
             tokio::time::sleep(SOON).await;
             drop(ends);
         });
-        let (mut speaker, _hearer) = line::connect(address, &key("a")).await.ok().unwrap();
+        let (mut sender, _receiver) = connection::connect(address, &key("a")).await.ok().unwrap();
         let mut spoken = 0;
-        while speaker.may_speak() {
+        while sender.may_send() {
             assert!(spoken < 100_000, "it goes on for ever");
-            speaker.speak(&guidance(spoken, 128));
+            sender.send(&guidance(spoken, 128));
             spoken += 1;
         }
         assert!(spoken > 4);
--- a/crates/flaxdeck-channel/tests/recorded_messages.rs
+++ b/crates/flaxdeck-channel/tests/recorded_messages.rs
@@ -2,8 +2,8 @@
 //! key and fixed nonces. Today's code has to read each of them, and to write the same bytes.
 
 use bytes::BytesMut;
+use flaxdeck_channel::authenticated::{FrameSigner, FrameVerifier, Greeting, Key, Role};
 use flaxdeck_channel::messages::{FromForwarder, FromPlanner};
-use flaxdeck_channel::seal::{Greeting, Key, Opener, Sealer, Side};
 use flaxdeck_control::QuotaFraction;
 use flaxdeck_control::messages::{
     Envelope, Epoch, Grant, Guidance, Incarnation, LeaseReport, LinkLoad, PeerSummary, Rating,
@@ -28,24 +28,24 @@
 }
 
 fn greetings() -> (Greeting, Greeting) {
-    let forwarder = Greeting::new(Side::Forwarder, [0x11; 16]);
-    let planner = Greeting::new(Side::Planner, [0x22; 16]);
+    let forwarder = Greeting::new(Role::Forwarder, [0x11; 16]);
+    let planner = Greeting::new(Role::Planner, [0x22; 16]);
     (forwarder, planner)
 }
 
 /// Seals the messages one after another, compares them with the recorded frames and opens these again.
-fn check<T>(name: &str, mut sealer: Sealer, mut opener: Opener, messages: &[T])
+fn check<T>(name: &str, mut signer: FrameSigner, mut verifier: FrameVerifier, messages: &[T])
 where
     T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
 {
     let mut written = Vec::new();
     for message in messages {
-        written.extend_from_slice(&sealer.seal(message).expect("it fits a frame"));
+        written.extend_from_slice(&signer.sign(message).expect("it fits a frame"));
     }
     assert_recorded(name, &written);
     let mut buffer = BytesMut::from(&written[..]);
     for message in messages {
-        let opened = opener.open::<T>(&mut buffer).expect("a genuine frame");
+        let opened = verifier.verify::<T>(&mut buffer).expect("a genuine frame");
         let Parsed::Whole(opened) = opened else {
             panic!("{name} is cut off")
         };
@@ -164,15 +164,15 @@
     assert_recorded("greeting-forwarder.bin", &forwarder.bytes(&key()));
     assert_recorded("greeting-planner.bin", &planner.bytes(&key()));
     let mut buffer = BytesMut::from(&planner.bytes(&key())[..]);
-    let read = Greeting::read(&mut buffer, &key(), Side::Planner);
+    let read = Greeting::read(&mut buffer, &key(), Role::Planner);
     assert!(matches!(read, Ok(Parsed::Whole(_))));
 }
 
 #[test]
 fn each_message_of_a_forwarder_keeps_its_bytes() {
     let (forwarder, planner) = greetings();
-    let (sealer, _) = forwarder.keys(&planner, &key());
-    let (_, opener) = planner.keys(&forwarder, &key());
+    let (signer, _) = forwarder.keys(&planner, &key());
+    let (_, verifier) = planner.keys(&forwarder, &key());
     let messages = [
         FromForwarder::Report(Report::default()),
         FromForwarder::Report(report()),
@@ -180,14 +180,14 @@
         FromForwarder::Subscribe(Subscription::FromSnapshot),
         FromForwarder::Subscribe(Subscription::None),
     ];
-    check("from-forwarder.bin", sealer, opener, &messages);
+    check("from-forwarder.bin", signer, verifier, &messages);
 }
 
 #[test]
 fn each_message_of_a_planner_keeps_its_bytes() {
     let (forwarder, planner) = greetings();
-    let (sealer, _) = planner.keys(&forwarder, &key());
-    let (_, opener) = forwarder.keys(&planner, &key());
+    let (signer, _) = planner.keys(&forwarder, &key());
+    let (_, verifier) = forwarder.keys(&planner, &key());
     let batch = Batch {
         after: mark(50),
         upto: mark(52),
@@ -215,5 +215,5 @@
         delivery(Update::Snapshot(Box::new(snapshot)), Some(13)),
         delivery(Update::Behind { upto: mark(61) }, Some(14)),
     ];
-    check("from-planner.bin", sealer, opener, &messages);
+    check("from-planner.bin", signer, verifier, &messages);
 }
--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use flaxdeck::Span;
-use flaxdeck_channel::seal::Key;
+use flaxdeck_channel::authenticated::Key;
 use flaxdeck_channel::watch::{Numbered, Watch};
 use flaxdeck_control::LeaseTerms;
 use flaxdeck_distribution::Cadence;
--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -17,7 +17,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use flaxdeck::Span;
-use flaxdeck_channel::seal::Key;
+use flaxdeck_channel::authenticated::Key;
 use flaxdeck_control::QuotaFraction;
 use flaxdeck_control::forwarder::ForwarderOptions;
 use flaxdeck_control::messages::SlotId;
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -10,10 +10,10 @@
 
 use flaxdeck::polled::Input;
 use flaxdeck::{Endpoint, GroupId, HostId, ListKind, Observation, Span, Time};
-use flaxdeck_channel::line::{self, Hearer, Over, Speaker};
+use flaxdeck_channel::authenticated::Key;
+use flaxdeck_channel::connection::{self, CloseReason, Receiver, Sender};
 use flaxdeck_channel::messages::{FromForwarder, FromPlanner};
-use flaxdeck_channel::seal::Key;
-use flaxdeck_channel::watch::{Event, Urgency, Watch};
+use flaxdeck_channel::watch::{Event, ExpeditedReconnect, Watch};
 use flaxdeck_control::forwarder::{ForwarderOptions, ForwarderSession, Freshness};
 use flaxdeck_control::membership::PlannerId;
 use flaxdeck_control::messages::{Epoch, Guidance};
@@ -55,7 +55,7 @@
 
 pub struct Guides {
     guide: RefCell<ForwarderSession>,
-    pub(super) speakers: RefCell<Vec<Option<Speaker>>>,
+    pub(super) speakers: RefCell<Vec<Option<Sender>>>,
     pub(super) subscription: Option<Rc<EventSubscription>>,
     guidelines: Guidelines,
     /// The coordinator's events as applied here, whoever brought them.
@@ -68,7 +68,7 @@
     doubted: RefCell<unconfirmed::UnconfirmedEndpoints>,
     back: RefCell<Startup>,
     seed: u64,
-    urgency: Rc<Urgency>,
+    urgency: Rc<ExpeditedReconnect>,
     /// Planners whose last try came to nothing.
     unreached: RefCell<BTreeSet<usize>>,
     informed: Cell<Freshness>,
@@ -489,16 +489,16 @@
                 guide.stand(now, &observations);
                 guide.link(self.zone, self.engine.borrow().link());
                 let mut speakers = guides.speakers.borrow_mut();
-                for (at, speaker) in speakers.iter_mut().enumerate() {
-                    let (Some(speaker), planner) = (speaker, PlannerId(at as u32)) else {
+                for (at, sender) in speakers.iter_mut().enumerate() {
+                    let (Some(sender), planner) = (sender, PlannerId(at as u32)) else {
                         continue;
                     };
                     if !guide.is_report_due(now, planner, &observations) {
                         continue;
                     }
-                    if speaker.may_speak() {
+                    if sender.may_send() {
                         let last = guides.numbering.borrow().last();
-                        speaker.speak(&FromForwarder::Report(guide.report(
+                        sender.send(&FromForwarder::Report(guide.report(
                             now,
                             planner,
                             &observations,
@@ -552,38 +552,38 @@
             ReconnectBackoff::new(guides.seed ^ (at as u64 + 1) << 32, RETRY[0], RETRY[1]);
         loop {
             count(Count::planners_connects);
-            match line::connect(address, &guides.guidelines.key).await {
-                Ok((speaker, hearer)) => {
+            match connection::connect(address, &guides.guidelines.key).await {
+                Ok((sender, receiver)) => {
                     log::info!("planner {at} at {address} is connected");
                     pace.answered(self.clock.now());
                     guides.unreached.borrow_mut().remove(&at);
                     guides.guide.borrow_mut().met(PlannerId(at as u32));
-                    guides.speakers.borrow_mut()[at] = Some(speaker);
+                    guides.speakers.borrow_mut()[at] = Some(sender);
                     guides.report_now.notify_one();
                     self.planner_connected(&guides, at, true);
-                    let over = self.hear_out(&guides, at, hearer).await;
+                    let over = self.hear_out(&guides, at, receiver).await;
                     guides.speakers.borrow_mut()[at] = None;
                     self.planner_connected(&guides, at, false);
                     log::warn!("planner {at} at {address}: the conversation is over: {over:?}");
                 }
-                Err(Over::Refused(why)) => {
+                Err(CloseReason::Refused(why)) => {
                     count(Count::planners_refused);
                     log::warn!("planner {at} at {address} is refused: {why}");
                 }
-                Err(Over::Broken(why)) => log::debug!("planner {at} at {address}: {why}"),
+                Err(CloseReason::Broken(why)) => log::debug!("planner {at} at {address}: {why}"),
             }
             // With the last of them unreached there is nobody to ask but the coordinator.
             let new = guides.unreached.borrow_mut().insert(at);
             if new && guides.unreached.borrow().len() == guides.guidelines.planners.len() {
-                guides.urgency.hurry();
+                guides.urgency.expedite();
             }
             sleep(clock::length(pace.pause(self.clock.now(), false))).await;
         }
     }
 
-    async fn hear_out(&self, guides: &Guides, at: usize, mut hearer: Hearer) -> Over {
+    async fn hear_out(&self, guides: &Guides, at: usize, mut receiver: Receiver) -> CloseReason {
         loop {
-            let guidance: Guidance = match hearer.hear().await {
+            let guidance: Guidance = match receiver.receive().await {
                 Ok(FromPlanner::Guidance(guidance)) => guidance,
                 Ok(FromPlanner::Delivery(delivery)) => {
                     self.delivered(guides, at, delivery);
--- a/crates/flaxdeck-dispatcher/src/routing/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/subscription.rs
@@ -172,7 +172,7 @@
         let actions = subscription.subscriber.borrow_mut().actions(now);
         for (planner, wanted) in actions {
             if let Some(Some(speaker)) = guides.speakers.borrow_mut().get_mut(planner.0 as usize) {
-                speaker.speak(&FromForwarder::Subscribe(wanted));
+                speaker.send(&FromForwarder::Subscribe(wanted));
             }
         }
         guides.follows(subscription.followed());
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 use flaxdeck::{Health, ListKind};
-use flaxdeck_channel::line::{self, Hearer, Over, Speaker};
+use flaxdeck_channel::authenticated::Key;
+use flaxdeck_channel::connection::{self, CloseReason, Receiver, Sender};
 use flaxdeck_channel::messages::{FromForwarder, FromPlanner};
-use flaxdeck_channel::seal::Key;
 use flaxdeck_channel::watch::{Event, Numbered, Watch, WatchEvent};
 use flaxdeck_control::messages::{Epoch, RelayedEvent, Report};
 use flaxdeck_control::planner::Planner;
@@ -57,7 +57,7 @@
     pub counters: Option<PathBuf>,
 }
 
-type Shared = Rc<RefCell<Speaker>>;
+type Shared = Rc<RefCell<Sender>>;
 
 struct Server {
     clock: Clock,
@@ -223,13 +223,13 @@
 
     /// Passes on what has just come: nobody waits for his next report to hear of a drain.
     fn push(&self) {
-        for (epoch, (_, speaker)) in self.speakers.borrow().iter() {
-            let mut speaker = speaker.borrow_mut();
-            if !speaker.may_speak() {
+        for (epoch, (_, sender)) in self.speakers.borrow().iter() {
+            let mut sender = sender.borrow_mut();
+            if !sender.may_send() {
                 continue;
             }
             if let Some(guidance) = self.planner.borrow_mut().push(self.clock.now(), *epoch) {
-                speaker.speak(&FromPlanner::Guidance(guidance));
+                sender.send(&FromPlanner::Guidance(guidance));
             }
         }
     }
@@ -249,21 +249,21 @@
             let now = self.clock.now();
             let due = self.events.borrow_mut().due(now);
             for id in due {
-                let Some(speaker) = self.subscribers.borrow().get(&id).cloned() else {
+                let Some(sender) = self.subscribers.borrow().get(&id).cloned() else {
                     continue;
                 };
-                if !speaker.borrow().may_speak() {
+                if !sender.borrow().may_send() {
                     continue;
                 }
                 if let Some(delivery) = self.events.borrow_mut().delivery(now, id) {
-                    speaker.borrow_mut().speak(&FromPlanner::Delivery(delivery));
+                    sender.borrow_mut().send(&FromPlanner::Delivery(delivery));
                 }
             }
         }
     }
 
-    fn subscribe(&self, id: SubscriberId, speaker: &Shared, subscription: Subscription) {
-        self.subscribers.borrow_mut().insert(id, speaker.clone());
+    fn subscribe(&self, id: SubscriberId, sender: &Shared, subscription: Subscription) {
+        self.subscribers.borrow_mut().insert(id, sender.clone());
         self.events
             .borrow_mut()
             .subscribe(self.clock.now(), id, subscription);
@@ -294,13 +294,13 @@
         let peer = stream
             .peer_addr()
             .map_or("somebody gone".to_owned(), |peer| peer.to_string());
-        let over = match line::accept(stream, &self.key).await {
-            Ok((speaker, hearer)) => {
+        let over = match connection::accept(stream, &self.key).await {
+            Ok((sender, receiver)) => {
                 let number = self.next.get();
                 self.next.set(number + 1);
-                let speaker = Rc::new(RefCell::new(speaker));
-                let over = self.converse(number, &speaker, hearer).await;
-                // A later connection of the same forwarder has a speaker of its own.
+                let sender = Rc::new(RefCell::new(sender));
+                let over = self.converse(number, &sender, receiver).await;
+                // A later connection of the same forwarder has a sender of its own.
                 self.speakers
                     .borrow_mut()
                     .retain(|_, (theirs, _)| *theirs != number);
@@ -310,28 +310,28 @@
             Err(over) => over,
         };
         match over {
-            Over::Refused(why) => {
+            CloseReason::Refused(why) => {
                 self.refused.set(self.refused.get() + 1);
                 tracing::warn!(peer, why, refused = self.refused.get(), "a peer is refused");
             }
-            Over::Broken(why) => tracing::info!(peer, why, "a conversation is over"),
+            CloseReason::Broken(why) => tracing::info!(peer, why, "a conversation is over"),
         }
     }
 
-    async fn converse(&self, number: u64, speaker: &Shared, mut hearer: Hearer) -> Over {
+    async fn converse(&self, number: u64, sender: &Shared, mut receiver: Receiver) -> CloseReason {
         let mut known = None;
         loop {
-            let report: Report = match hearer.hear().await {
+            let report: Report = match receiver.receive().await {
                 Ok(FromForwarder::Report(report)) => report,
                 Ok(FromForwarder::Subscribe(subscription)) => {
-                    self.subscribe(SubscriberId(number), speaker, subscription);
+                    self.subscribe(SubscriberId(number), sender, subscription);
                     continue;
                 }
                 Err(over) => return over,
             };
             let from = report.envelope.from;
             if *known.get_or_insert(from) != from {
-                return Over::Refused("a second forwarder on one connection");
+                return CloseReason::Refused("a second forwarder on one connection");
             }
             if self
                 .speakers
@@ -341,15 +341,15 @@
             {
                 self.speakers
                     .borrow_mut()
-                    .insert(from, (number, speaker.clone()));
+                    .insert(from, (number, sender.clone()));
             }
             // Who does not read what he is told gets no more until he does.
-            if !speaker.borrow().may_speak() {
+            if !sender.borrow().may_send() {
                 continue;
             }
             let judged = self.planner.borrow_mut().report(self.clock.now(), &report);
             match judged {
-                Ok(guidance) => speaker.borrow_mut().speak(&FromPlanner::Guidance(guidance)),
+                Ok(guidance) => sender.borrow_mut().send(&FromPlanner::Guidance(guidance)),
                 Err(why) => tracing::warn!(forwarder = from.0, ?why, "a report is refused"),
             }
         }
--- a/crates/flaxdeck-recovery/src/reconnect_backoff.rs
+++ b/crates/flaxdeck-recovery/src/reconnect_backoff.rs
@@ -48,7 +48,7 @@
     }
 
     /// It has become urgent: the next pause is as after a first failure, and drawn as ever.
-    pub fn hurry(&mut self) {
+    pub fn expedite(&mut self) {
         self.last = self.least;
     }
 
--- a/crates/flaxdeck-recovery/tests/reconnect_backoff.rs
+++ b/crates/flaxdeck-recovery/tests/reconnect_backoff.rs
@@ -35,7 +35,7 @@
     let (mut pace, mut now) = (ReconnectBackoff::new(5, LEAST, MOST), at(0.0));
     let longest = (0..30).map(|_| pace.pause(now, true)).max().unwrap();
     assert!(longest > MOST && longest <= MOST * CALM, "{longest:?}");
-    pace.hurry();
+    pace.expedite();
     now = now + longest;
     assert!(pace.pause(now, false) <= LEAST * GROWS);
     let firsts: Vec<Span> = (0..200)
