--- a/crates/flaxdeck-channel/src/connection.rs
+++ b/crates/flaxdeck-channel/src/connection.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use flaxdeck_net::link::{self, Inbound, Outbound};
-use flaxdeck_net::tally::count_message;
+use flaxdeck_net::metrics::count_message;
 use flaxdeck_wire::{Malformed, Parsed};
 use rand::Rng;
 use serde::Serialize;
--- a/crates/flaxdeck-channel/src/message_kind.rs
+++ b/crates/flaxdeck-channel/src/message_kind.rs
@@ -1,7 +1,7 @@
 //! The kinds of messages that counters of traffic tell apart.
 
 use flaxdeck_control::messages::{Guidance, Report};
-use flaxdeck_net::tally::Count;
+use flaxdeck_net::metrics::Counter;
 
 use crate::messages::{FromForwarder, FromPlanner};
 
@@ -17,30 +17,39 @@
 
 impl MessageKind {
     /// The counters of messages and bytes that came in.
-    pub fn counters_in(self) -> [Count; 2] {
+    pub fn counters_in(self) -> [Counter; 2] {
         match self {
-            MessageKind::Greeting => [Count::greetings_messages_in, Count::greetings_bytes_in],
-            MessageKind::Report => [Count::reports_messages_in, Count::reports_bytes_in],
-            MessageKind::Guidance => [Count::guidance_messages_in, Count::guidance_bytes_in],
+            MessageKind::Greeting => [Counter::greetings_messages_in, Counter::greetings_bytes_in],
+            MessageKind::Report => [Counter::reports_messages_in, Counter::reports_bytes_in],
+            MessageKind::Guidance => [Counter::guidance_messages_in, Counter::guidance_bytes_in],
             MessageKind::Subscription => [
-                Count::subscriptions_messages_in,
-                Count::subscriptions_bytes_in,
+                Counter::subscriptions_messages_in,
+                Counter::subscriptions_bytes_in,
+            ],
+            MessageKind::Delivery => [
+                Counter::deliveries_messages_in,
+                Counter::deliveries_bytes_in,
             ],
-            MessageKind::Delivery => [Count::deliveries_messages_in, Count::deliveries_bytes_in],
         }
     }
 
     /// The counters of messages and bytes that went out.
-    pub fn counters_out(self) -> [Count; 2] {
+    pub fn counters_out(self) -> [Counter; 2] {
         match self {
-            MessageKind::Greeting => [Count::greetings_messages_out, Count::greetings_bytes_out],
-            MessageKind::Report => [Count::reports_messages_out, Count::reports_bytes_out],
-            MessageKind::Guidance => [Count::guidance_messages_out, Count::guidance_bytes_out],
+            MessageKind::Greeting => [
+                Counter::greetings_messages_out,
+                Counter::greetings_bytes_out,
+            ],
+            MessageKind::Report => [Counter::reports_messages_out, Counter::reports_bytes_out],
+            MessageKind::Guidance => [Counter::guidance_messages_out, Counter::guidance_bytes_out],
             MessageKind::Subscription => [
-                Count::subscriptions_messages_out,
-                Count::subscriptions_bytes_out,
+                Counter::subscriptions_messages_out,
+                Counter::subscriptions_bytes_out,
+            ],
+            MessageKind::Delivery => [
+                Counter::deliveries_messages_out,
+                Counter::deliveries_bytes_out,
             ],
-            MessageKind::Delivery => [Count::deliveries_messages_out, Count::deliveries_bytes_out],
         }
     }
 }
--- a/crates/flaxdeck-channel/src/watch.rs
+++ b/crates/flaxdeck-channel/src/watch.rs
@@ -17,7 +17,7 @@
 
 use flaxdeck_net::clock::{self, Clock};
 use flaxdeck_net::link::{self, Inbound, Outbound};
-use flaxdeck_net::tally::{Count, count, count_message};
+use flaxdeck_net::metrics::{Counter, count, count_message};
 use flaxdeck_wire::frames;
 pub use flaxdeck_wire::frames::{Event, Numbered};
 use flaxdeck_wire::{Malformed, Parsed};
@@ -216,7 +216,10 @@
             };
             let parsed = frames::parse(&mut inbound.bytes, &self.names);
             if let Ok(Parsed::Whole((_, frame, _))) = &parsed {
-                count_message([Count::feed_messages_in, Count::feed_bytes_in], frame.len());
+                count_message(
+                    [Counter::feed_messages_in, Counter::feed_bytes_in],
+                    frame.len(),
+                );
                 self.heard = Instant::now();
             }
             match parsed {
@@ -244,16 +247,16 @@
                         Next::Skip => {}
                         Next::Apply => {
                             self.pace.answered(now);
-                            count(Count::feed_events);
+                            count(Counter::feed_events);
                             return WatchEvent::Event(mark, frame, event);
                         }
                         Next::Adopt(doubt) => {
                             self.pace.answered(now);
-                            count(Count::feed_anew);
+                            count(Counter::feed_anew);
                             return WatchEvent::Relisted(mark, event, doubt);
                         }
                         Next::AskAgain(why) => {
-                            count(Count::feed_gaps);
+                            count(Counter::feed_gaps);
                             log::warn!(
                                 "event {number} does not follow what is known: {why:?}, asking again"
                             );
@@ -326,13 +329,13 @@
     }
 
     async fn connect(&mut self) {
-        count(Count::feed_connects);
+        count(Counter::feed_connects);
         match timeout(CONNECT, link::connect(self.address)).await {
             Ok(Ok((inbound, outbound))) => {
                 let asked = self.numbering.borrow_mut().ask(self.clock.now());
                 let asked = Bytes::copy_from_slice(&asked.to_be_bytes());
                 count_message(
-                    [Count::feed_messages_out, Count::feed_bytes_out],
+                    [Counter::feed_messages_out, Counter::feed_bytes_out],
                     asked.len(),
                 );
                 outbound.send([asked], [None, None]);
--- a/crates/flaxdeck-dispatcher/src/program/logger.rs
+++ b/crates/flaxdeck-dispatcher/src/program/logger.rs
@@ -8,7 +8,7 @@
 
 use log::{LevelFilter, Log, Metadata, Record};
 
-use flaxdeck_net::tally::{Count, count};
+use flaxdeck_net::metrics::{Counter, count};
 
 /// Enough for operators; details of single requests are `debug`, which debug builds show.
 const LEVEL: LevelFilter = if cfg!(debug_assertions) {
@@ -49,7 +49,7 @@
                 )))
                 .is_err()
             {
-                count(Count::log_lines_lost);
+                count(Counter::log_lines_lost);
             }
         }
     }
--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -18,7 +18,7 @@
 use flaxdeck_net::clock::Clock;
 use flaxdeck_net::counters_file;
 use flaxdeck_net::listener::Claim;
-use flaxdeck_net::tally::{self, Count, count};
+use flaxdeck_net::metrics::{self, Counter, count};
 
 /// Between lines of counters in the log.
 const COUNTERS: Duration = Duration::from_secs(10);
@@ -123,7 +123,7 @@
     let later = match start::read(path, !guided) {
         Ok(later) => later,
         Err(why) => {
-            count(Count::reloads_refused);
+            count(Counter::reloads_refused);
             return log::warn!("asked to read the configuration again, the old one stays: {why}");
         }
     };
@@ -135,7 +135,7 @@
     if !same {
         log::warn!("other settings take effect at the next start");
     }
-    count(Count::reloads);
+    count(Counter::reloads);
     log::info!("configuration read again, {:?}", later.bounds);
     router.reload(
         later.bounds,
@@ -148,7 +148,7 @@
     let [requests, clients, hosts] = router.load();
     log::info!(
         "open: requests={requests} clients={clients} hosts={hosts}; counters: {}",
-        tally::line()
+        metrics::line()
     );
     router
         .guidance_line()
--- a/crates/flaxdeck-dispatcher/src/program/start.rs
+++ b/crates/flaxdeck-dispatcher/src/program/start.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 
 use flaxdeck_channel::watch::{Numbered, Watch};
-use flaxdeck_net::room::{Bounds, SOCKETS_LEAST};
+use flaxdeck_net::budget::{Bounds, SOCKETS_LEAST};
 
 pub struct Start {
     pub address: SocketAddr,
--- a/crates/flaxdeck-dispatcher/src/protocol/pool.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/pool.rs
@@ -13,10 +13,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout, timeout_at};
 
+use flaxdeck_net::budget::{Budget, Permit};
 use flaxdeck_net::clock::length;
 use flaxdeck_net::link::{self, Inbound, Outbound};
-use flaxdeck_net::room::{Place, Room};
-use flaxdeck_net::tally::{Count, count};
+use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_wire::frames::AddressedEndpoint;
 use flaxdeck_wire::lines::{self, Line, Wish};
 use flaxdeck_wire::{Asked, HostReply, Parsed};
@@ -33,13 +33,13 @@
     used: Instant,
     /// It has been idle before.
     reused: bool,
-    _place: Place,
+    _place: Permit,
 }
 
 impl Conn {
     /// The answer to that id; none if the connection broke or made no sense. Answers that nobody asked for here
     /// are passed over: the own one may stand behind them.
-    async fn answer(&mut self, id: &Bytes, pool: &Pool) -> Option<(HostReply, Option<Place>)> {
+    async fn answer(&mut self, id: &Bytes, pool: &Pool) -> Option<(HostReply, Option<Permit>)> {
         loop {
             match self.line(pool).await? {
                 (
@@ -51,13 +51,13 @@
                 ) if answered == id => {
                     return Some((host_reply, held));
                 }
-                _ => count(Count::hosts_strays),
+                _ => count(Counter::hosts_strays),
             }
         }
     }
 
     /// The next answer line with the place that its bytes hold; none if the connection broke or made no sense.
-    async fn line(&mut self, pool: &Pool) -> Option<(Line, Option<Place>)> {
+    async fn line(&mut self, pool: &Pool) -> Option<(Line, Option<Permit>)> {
         let mut held = None;
         loop {
             match lines::parse(&mut self.inbound.bytes, &pool.names) {
@@ -74,7 +74,7 @@
                     }
                 }
                 Err(malformed) => {
-                    count(Count::hosts_malformed);
+                    count(Counter::hosts_malformed);
                     log::warn!("a host's connection is closed: {}", malformed.0);
                     return None;
                 }
@@ -93,9 +93,9 @@
     names: Rc<Names>,
     connect_within: Duration,
     idle: Duration,
-    room: Room,
+    budget: Budget,
     /// Bytes that open requests hold, asked and answered.
-    bytes: Rc<Room>,
+    bytes: Rc<Budget>,
     kept: RefCell<BTreeMap<HostId, Kept>>,
 }
 
@@ -111,12 +111,12 @@
 }
 
 impl Pool {
-    pub fn new(names: Rc<Names>, carriage: Carriage, most: usize, bytes: Rc<Room>) -> Rc<Pool> {
+    pub fn new(names: Rc<Names>, carriage: Carriage, most: usize, bytes: Rc<Budget>) -> Rc<Pool> {
         Rc::new(Pool {
             names,
             connect_within: length(carriage.connect_within),
             idle: length(carriage.idle * IDLE_PART),
-            room: Room::new(most),
+            budget: Budget::new(most),
             bytes,
             kept: RefCell::new(BTreeMap::new()),
         })
@@ -152,11 +152,11 @@
 
     /// Another bound for connections.
     pub fn resize(&self, most: usize) {
-        self.room.resize(most);
+        self.budget.resize(most);
     }
 
     pub fn open(&self) -> usize {
-        self.room.taken()
+        self.budget.taken()
     }
 
     /// Closes what has been idle for long, or was closed by the other side.
@@ -177,7 +177,7 @@
         until: Instant,
         clear: impl Fn() -> Option<(Wish<'a>, Instant)>,
         begun: &Cell<bool>,
-    ) -> (HostReply, Option<Place>) {
+    ) -> (HostReply, Option<Permit>) {
         let bare = |outcome| (HostReply::bare(outcome), None);
         let Some((wish, sent_by)) = clear() else {
             return bare(AttemptOutcome::Superseded);
@@ -195,7 +195,7 @@
             },
         };
         let Some((wish, sent_by)) = clear() else {
-            count(Count::superseded);
+            count(Counter::superseded);
             log::debug!(
                 "{} no longer to be sent to {}",
                 String::from_utf8_lossy(&asked.id),
@@ -224,10 +224,10 @@
                 return bare(AttemptOutcome::NotSent);
             }
             if flushed.is_err() && sent_by < until {
-                count(Count::superseded);
+                count(Counter::superseded);
                 return bare(AttemptOutcome::Superseded);
             }
-            count(Count::hosts_unreached);
+            count(Counter::hosts_unreached);
             return bare(AttemptOutcome::NotConnected);
         }
         open.written = true;
@@ -246,11 +246,11 @@
                     self.forget_idle(host);
                     return bare(AttemptOutcome::Stale);
                 }
-                count(Count::hosts_broken);
+                count(Counter::hosts_broken);
                 bare(AttemptOutcome::Broken)
             }
             Err(_) => {
-                count(Count::hosts_timed_out);
+                count(Counter::hosts_timed_out);
                 bare(AttemptOutcome::TimedOut)
             }
         }
@@ -273,7 +273,7 @@
 
     /// One connection had died while it was idle, so the others of the host may have: the next is a new one.
     fn forget_idle(&self, host: &HostId) {
-        count(Count::hosts_stale);
+        count(Counter::hosts_stale);
         self.kept
             .borrow_mut()
             .get_mut(host)
@@ -289,13 +289,13 @@
             .map(|kept| kept.address)
             .ok_or(AttemptOutcome::NotSent)?;
         let place = self.place().ok_or_else(|| {
-            count(Count::hosts_no_room);
+            count(Counter::hosts_no_room);
             AttemptOutcome::NotSent
         })?;
         let by = Instant::now() + self.connect_within;
         match timeout_at(by.min(sent_by), link::connect(address)).await {
             Ok(Ok((inbound, outbound))) => {
-                count(Count::hosts_connected);
+                count(Counter::hosts_connected);
                 let (used, reused) = (Instant::now(), false);
                 Ok(Conn {
                     address,
@@ -307,17 +307,17 @@
                 })
             }
             Ok(Err(error)) => {
-                count(Count::hosts_refused);
+                count(Counter::hosts_refused);
                 log::debug!("{} at {address}: {error}", host.0);
                 Err(AttemptOutcome::NotConnected)
             }
             Err(_) if sent_by < by => {
                 // The host is no worse for it: it had less time than a connection may take.
-                count(Count::superseded);
+                count(Counter::superseded);
                 Err(AttemptOutcome::Superseded)
             }
             Err(_) => {
-                count(Count::hosts_unreached);
+                count(Counter::hosts_unreached);
                 log::debug!("{} at {address}: no connection in time", host.0);
                 Err(AttemptOutcome::NotConnected)
             }
@@ -325,13 +325,13 @@
     }
 
     /// A place for one more connection; the longest idle one makes room.
-    fn place(&self) -> Option<Place> {
-        self.room.take().or_else(|| {
+    fn place(&self) -> Option<Permit> {
+        self.budget.take().or_else(|| {
             let mut kept = self.kept.borrow_mut();
             let idle = kept.values_mut().filter(|kept| !kept.idle.is_empty());
             idle.min_by_key(|kept| kept.idle[0].used)?.idle.remove(0);
             drop(kept);
-            self.room.take()
+            self.budget.take()
         })
     }
 
--- a/crates/flaxdeck-dispatcher/src/protocol/session.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/session.rs
@@ -11,9 +11,9 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until};
 
+use flaxdeck_net::budget::{Budget, Permit, SMALL};
 use flaxdeck_net::link::{self, Inbound, Outbound, Unread};
-use flaxdeck_net::room::{Place, Room, SMALL};
-use flaxdeck_net::tally::{Count, count};
+use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_wire::rpc::{self, Said};
 use flaxdeck_wire::{Answer, Asked, Parsed};
 
@@ -58,9 +58,9 @@
     inbound: Inbound,
     outbound: Outbound,
     names: Rc<Names>,
-    /// Room for bytes, and what a message takes of it that is not whole yet.
-    bytes: Rc<Room>,
-    held: Option<Place>,
+    /// Budget for bytes, and what a message takes of it that is not whole yet.
+    bytes: Rc<Budget>,
+    held: Option<Permit>,
     /// Since when a message is awaited that has to come: one that has begun, or the first of all.
     begun: Option<Instant>,
     midway: Rc<Cell<bool>>,
@@ -92,13 +92,13 @@
 pub struct Reply {
     outbound: Outbound,
     call: u32,
-    place: Option<Place>,
+    place: Option<Permit>,
     _open: Rc<()>,
 }
 
 impl Reply {
     /// Sends the answer, with the place that its bytes hold until it is written.
-    pub fn send(self, answer: Answer, held: Option<Place>) {
+    pub fn send(self, answer: Answer, held: Option<Permit>) {
         self.outbound
             .send(rpc::answer(self.call, answer), [self.place, held]);
     }
@@ -133,7 +133,7 @@
 }
 
 impl Session {
-    pub fn new(stream: TcpStream, names: Rc<Names>, bytes: Rc<Room>) -> Session {
+    pub fn new(stream: TcpStream, names: Rc<Names>, bytes: Rc<Budget>) -> Session {
         let (inbound, outbound) = link::split(stream);
         let (held, begun, midway) = (None, Some(Instant::now()), Rc::default());
         let (wants_memory, open, passing, owed) = (None, Rc::new(()), None, VecDeque::new());
@@ -180,7 +180,7 @@
     }
 
     /// What answers the request of that number, with the place that it holds until the answer is written.
-    pub fn reply(&self, call: u32, place: Option<Place>) -> Reply {
+    pub fn reply(&self, call: u32, place: Option<Permit>) -> Reply {
         Reply {
             outbound: self.outbound.clone(),
             call,
@@ -225,7 +225,7 @@
                 return Heard::Over;
             }
             if self.owed.len() > OWED_MOST {
-                count(Count::clients_flooding);
+                count(Counter::clients_flooding);
                 return Heard::Over;
             }
             let more = match self.passing {
@@ -249,7 +249,7 @@
                     }
                     Ok(Parsed::Short(more)) => more,
                     Err(malformed) => {
-                        count(Count::clients_malformed);
+                        count(Counter::clients_malformed);
                         log::debug!("a client's connection is closed: {}", malformed.0);
                         return Heard::Over;
                     }
@@ -269,7 +269,7 @@
                 Waited::NoMemory => {
                     self.passing = rpc::lacks_body(&self.inbound.bytes);
                     if self.passing.is_none() {
-                        count(Count::clients_malformed);
+                        count(Counter::clients_malformed);
                         log::debug!(
                             "a client's connection is closed: no memory for what is no request"
                         );
@@ -287,7 +287,7 @@
             Said::Cancel { call } => return Heard::Cancel { call },
             Said::Alive { call } => self.tell(call, ShortReply::Alive),
             Said::Invalid { call, why } => {
-                count(Count::requests_invalid);
+                count(Counter::requests_invalid);
                 log::debug!("a client's request is invalid: {why}");
                 self.tell(call, ShortReply::Failed(why));
             }
@@ -337,14 +337,14 @@
         tokio::select! {
             read = read => read,
             () = sleep_until(whole_by.unwrap_or_else(now)), if whole_by.is_some() => {
-                count(Count::clients_not_whole);
+                count(Counter::clients_not_whole);
                 Waited::Over
             }
             written = self.outbound.step(), if pending => {
                 if written.is_ok() { Waited::Stirred } else { Waited::Over }
             }
             () = sleep_until(stalled.unwrap_or_else(now)), if stalled.is_some() => {
-                count(Count::clients_stalled);
+                count(Counter::clients_stalled);
                 Waited::Over
             }
             () = self.outbound.notified() => Waited::Stirred,
--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -12,11 +12,11 @@
 
 use super::Router;
 use crate::protocol::session::{Closer, Heard, Session, ShortReply};
+use flaxdeck_net::budget::Permit;
 use flaxdeck_net::eviction::{self, Eviction};
 use flaxdeck_net::link::LINGER;
 use flaxdeck_net::listener::Listener;
-use flaxdeck_net::room::Place;
-use flaxdeck_net::tally::{Count, count};
+use flaxdeck_net::metrics::{Counter, count};
 
 /// Requests that one connection may have open by the protocol.
 const OPEN_MOST: usize = 32;
@@ -61,7 +61,7 @@
         router.none_waits.set(false);
         match accepted {
             Ok(stream) => {
-                count(Count::clients_opened);
+                count(Counter::clients_opened);
                 let client = serve(&router, stream, place);
                 router.open.borrow_mut().push(client);
                 // Guards against more descriptors than there are: many that make room at once have given their places
@@ -69,7 +69,7 @@
                 yield_now().await;
             }
             Err(error) => {
-                count(Count::accept_errors);
+                count(Counter::accept_errors);
                 log::warn!("accept: {error}");
                 sleep(PAUSE).await;
             }
@@ -113,11 +113,11 @@
             .collect();
         match eviction::choose(&clients, Instant::now()) {
             Eviction::Silent(silent) => silent.into_iter().for_each(|candidate| {
-                count(Count::clients_closed_silent);
+                count(Counter::clients_closed_silent);
                 candidate.client.closer.close();
             }),
             Eviction::Idle(candidate) => {
-                count(Count::clients_closed_idle);
+                count(Counter::clients_closed_idle);
                 candidate.client.closer.close();
             }
             Eviction::Nobody => {}
@@ -158,7 +158,7 @@
     }
 }
 
-fn serve(router: &Rc<Router>, stream: TcpStream, place: Place) -> Weak<Client> {
+fn serve(router: &Rc<Router>, stream: TcpStream, place: Permit) -> Weak<Client> {
     let session = Session::new(stream, router.names.clone(), router.asked.clone());
     let (requests, quiet_since, spoke) = (
         RefCell::default(),
@@ -179,7 +179,7 @@
     weak
 }
 
-async fn listen(router: Rc<Router>, mut session: Session, client: Rc<Client>, place: Place) {
+async fn listen(router: Rc<Router>, mut session: Session, client: Rc<Client>, place: Permit) {
     let mut in_a_row = 0;
     loop {
         let heard = session.next().await;
@@ -226,13 +226,13 @@
         self.spoke.set(true);
         match heard {
             Heard::Request { call, .. } if requests.contains_key(&call) => {
-                count(Count::clients_malformed);
+                count(Counter::clients_malformed);
                 log::debug!("a client's connection is closed: two requests of one number");
                 return false;
             }
             // Hosts tell requests apart by their ids alone, so a second one would meddle with the first.
             Heard::Request { call, asked } if router.has_id(&asked.id) => {
-                count(Count::requests_id_in_use);
+                count(Counter::requests_id_in_use);
                 session.tell(call, ShortReply::Failed("Lost"));
             }
             Heard::Request { call, asked } => {
@@ -246,13 +246,13 @@
                         requests.insert(call, router.take(asked, session.reply(call, slot), held));
                     }
                     None => {
-                        count(Count::requests_no_room);
+                        count(Counter::requests_no_room);
                         session.tell(call, ShortReply::Refused(router.retry_after()));
                     }
                 }
             }
             Heard::Unheld { call } => {
-                count(Count::requests_no_room);
+                count(Counter::requests_no_room);
                 session.tell(call, ShortReply::Refused(router.retry_after()));
             }
             Heard::Cancel { call } => requests
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -19,7 +19,7 @@
 use flaxdeck_control::messages::{Epoch, Guidance};
 use flaxdeck_distribution::PlannerNumber;
 use flaxdeck_net::clock;
-use flaxdeck_net::tally::{Count, count};
+use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_recovery::clocks::{self, Clocks};
 use flaxdeck_recovery::numbering::{MissedPeriod, Numbering};
 use flaxdeck_recovery::startup::{Startup, WithoutContact};
@@ -223,7 +223,7 @@
                     guides.guide.borrow_mut().has_leave(until);
                 }
                 Wrote::Broken(why) => {
-                    count(Count::state_broken);
+                    count(Counter::state_broken);
                     log::error!("no state is kept any more, and nothing is lent: {why}");
                 }
             }
@@ -283,7 +283,7 @@
             .map(changed)
             .fold(false, |any, changed| any | changed)
         {
-            count(Count::clocks_apart);
+            count(Counter::clocks_apart);
             let ahead = guides.clocks.borrow().ahead_ms();
             log::error!("the wall clock is {ahead:.0} ms ahead of the coordinator's");
             let lines = guides.lines.borrow().values().cloned().collect();
@@ -360,7 +360,7 @@
         *guides.lines.borrow_mut() = lines.collect();
         let copies = doubt.and_then(|doubt| unconfirmed::copies_from(now, doubt, self.settles));
         if doubt.is_some() {
-            (0..withheld).for_each(|_| count(Count::hosts_doubted));
+            (0..withheld).for_each(|_| count(Counter::hosts_doubted));
             log::error!(
                 "the coordinator's numbering is another, event {}: its list is taken anew, {withheld} hosts stay \
                  withdrawn in doubt, copies {}",
@@ -505,7 +505,7 @@
                             last,
                         )));
                     } else {
-                        count(Count::reports_skipped);
+                        count(Counter::reports_skipped);
                     }
                 }
             }
@@ -551,7 +551,7 @@
         let mut pace =
             ReconnectBackoff::new(guides.seed ^ (at as u64 + 1) << 32, RETRY[0], RETRY[1]);
         loop {
-            count(Count::planners_connects);
+            count(Counter::planners_connects);
             match connection::connect(address, &guides.guidelines.key).await {
                 Ok((sender, receiver)) => {
                     log::info!("planner {at} at {address} is connected");
@@ -567,7 +567,7 @@
                     log::warn!("planner {at} at {address}: the conversation is over: {over:?}");
                 }
                 Err(CloseReason::Refused(why)) => {
-                    count(Count::planners_refused);
+                    count(Counter::planners_refused);
                     log::warn!("planner {at} at {address} is refused: {why}");
                 }
                 Err(CloseReason::Broken(why)) => log::debug!("planner {at} at {address}: {why}"),
@@ -610,13 +610,13 @@
                                 {
                                     break;
                                 }
-                                count(Count::events_relayed);
+                                count(Counter::events_relayed);
                                 event
                                     .into_iter()
                                     .for_each(|event| self.told(relayed.mark, event));
                             }
                             Err(malformed) => {
-                                count(Count::events_unreadable);
+                                count(Counter::events_unreadable);
                                 log::warn!(
                                     "planner {at} passed on an event that is {}",
                                     malformed.0
@@ -629,7 +629,7 @@
                     self.note_vouched(guides);
                 }
                 Err(why) => {
-                    count(Count::guidance_refused);
+                    count(Counter::guidance_refused);
                     log::warn!("guidance of planner {at} is refused: {why:?}");
                 }
             }
--- a/crates/flaxdeck-dispatcher/src/routing/keep.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/keep.rs
@@ -15,7 +15,7 @@
 };
 use flaxdeck_channel::watch::Event;
 use flaxdeck_net::clock::{Clock, since_boot};
-use flaxdeck_net::tally::{Count, count};
+use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_recovery::EventPosition;
 use flaxdeck_recovery::restored_state::{
     self, Now, RestoredState, StateChange, StoredEndpoint, StoredPurge, StoredRating, StoredState,
@@ -151,7 +151,7 @@
     };
     let found = look(&mut folder);
     if let Some(damage) = &found.damage {
-        count(Count::state_damaged);
+        count(Counter::state_damaged);
         log::warn!("the state is read up to its damage, {damage}");
     }
     let Some(snapshot) = &found.snapshot else {
@@ -159,7 +159,7 @@
         return recalled;
     };
     if found.name != keeps.name {
-        count(Count::state_damaged);
+        count(Counter::state_damaged);
         log::error!(
             "the state in {} is of {}, not of {}: none is used",
             keeps.folder.display(),
@@ -169,7 +169,7 @@
         return recalled;
     }
     let Ok(kept) = StoredState::read(snapshot, &found.records) else {
-        count(Count::state_damaged);
+        count(Counter::state_damaged);
         log::error!(
             "the state in {} is of another version: none is used",
             keeps.folder.display()
@@ -297,7 +297,7 @@
 
     fn give(&self, job: Job) {
         if let Err(TrySendError::Full(_)) = self.jobs.try_send(job) {
-            count(Count::state_behind);
+            count(Counter::state_behind);
             self.behind.set(true);
         }
     }
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -29,8 +29,8 @@
 
 use crate::protocol::pool::Pool;
 use flaxdeck_channel::watch::{Event, Numbered, Watch, WatchEvent};
+use flaxdeck_net::budget::{Bounds, Budget};
 use flaxdeck_net::clock::Clock;
-use flaxdeck_net::room::{Bounds, Room};
 use flaxdeck_recovery::EventPosition;
 
 /// Between looks for connections that have been idle too long.
@@ -65,11 +65,11 @@
     names: Rc<Names>,
     zone: ZoneId,
     pool: Rc<Pool>,
-    slots: Room,
+    slots: Budget,
     /// Bytes that open requests hold, as they were asked and as they are answered.
-    asked: Rc<Room>,
-    answered: Rc<Room>,
-    clients: Room,
+    asked: Rc<Budget>,
+    answered: Rc<Budget>,
+    clients: Budget,
     /// All connections of clients, and what ends those that are being ended.
     open: RefCell<Vec<Weak<clients::Client>>>,
     ending: RefCell<VecDeque<AbortHandle>>,
@@ -101,8 +101,8 @@
         bounds: Bounds,
     ) -> Rc<Router> {
         let (asked, answered) = (
-            Rc::new(Room::new(bounds.asked)),
-            Rc::new(Room::new(bounds.answered)),
+            Rc::new(Budget::new(bounds.asked)),
+            Rc::new(Budget::new(bounds.answered)),
         );
         let (zone, settles) = (terms.zone, terms.purge_settles);
         Rc::new(Router {
@@ -113,10 +113,10 @@
             pool: Pool::new(names.clone(), carriage, bounds.hosts, answered.clone()),
             names,
             zone,
-            slots: Room::new(bounds.requests),
+            slots: Budget::new(bounds.requests),
             asked,
             answered,
-            clients: Room::new(bounds.clients),
+            clients: Budget::new(bounds.clients),
             open: RefCell::default(),
             ending: RefCell::default(),
             ends: Cell::new(false),
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -14,9 +14,9 @@
 
 use super::{OpenRequest, Router};
 use crate::protocol::session::Reply;
+use flaxdeck_net::budget::Permit;
 use flaxdeck_net::clock::length;
-use flaxdeck_net::room::Place;
-use flaxdeck_net::tally::{Count, count, must};
+use flaxdeck_net::metrics::{Counter, assert_invariant, count};
 use flaxdeck_wire::{Answer, Asked, HostReply, Wish};
 
 /// An attempt that is out.
@@ -33,13 +33,13 @@
     router: Rc<Router>,
     id: RequestId,
     asked: Rc<Asked>,
-    /// Room for the bytes of what was asked.
-    _held: Place,
+    /// Budget for the bytes of what was asked.
+    _held: Permit,
     entry: Rc<OpenRequest>,
     /// Until the request has its answer.
     reply: Option<Reply>,
     out: Vec<Out>,
-    tasks: JoinSet<(AttemptIndex, (HostReply, Option<Place>))>,
+    tasks: JoinSet<(AttemptIndex, (HostReply, Option<Permit>))>,
 }
 
 impl Router {
@@ -48,11 +48,11 @@
         self: &Rc<Router>,
         asked: Box<Asked>,
         reply: Reply,
-        held: Place,
+        held: Permit,
     ) -> RequestId {
         let (id, now) = (RequestId(self.next.get()), self.clock.now());
         self.next.set(id.0 + 1);
-        count(Count::requests);
+        count(Counter::requests);
         let request = Request {
             id,
             class: asked.class,
@@ -69,7 +69,7 @@
             left: Cell::new(false),
         });
         self.table.borrow_mut().insert(id, entry.clone());
-        must(
+        assert_invariant(
             self.ids.borrow_mut().insert(asked.id.clone()),
             "open requests differ by their ids",
         );
@@ -109,7 +109,7 @@
     async fn run(mut self) {
         loop {
             if self.entry.left.get() && self.reply.take().is_some() {
-                count(Count::left);
+                count(Counter::left);
                 log::debug!("left: request {}", self.id.0);
                 self.close();
                 self.drop_unsent();
@@ -129,7 +129,7 @@
             }
         }
         self.router.ids.borrow_mut().remove(&self.asked.id);
-        must(
+        assert_invariant(
             self.router.pick(self.id) == Step::Wait,
             "a request ends with no step left",
         );
@@ -141,7 +141,7 @@
             self.out.drain(..).partition(|out| out.begun.get());
         unsent.iter().for_each(|out| out.task.abort());
         if begun.is_empty() {
-            count(Count::left_unsent);
+            count(Counter::left_unsent);
         }
         self.out = begun;
     }
@@ -151,15 +151,15 @@
     }
 
     /// The only place where a request gets its answer.
-    fn answer(&mut self, answer: Answer, held: Option<Place>) {
+    fn answer(&mut self, answer: Answer, held: Option<Permit>) {
         let Some(reply) = self.reply.take() else {
-            return must(false, "one answer a request");
+            return assert_invariant(false, "one answer a request");
         };
         count(match &answer {
-            Answer::Served(_) => Count::served,
-            Answer::Unchanged => Count::unchanged,
-            Answer::Rejected(_) => Count::rejected,
-            Answer::Failed => Count::failed,
+            Answer::Served(_) => Counter::served,
+            Answer::Unchanged => Counter::unchanged,
+            Answer::Rejected(_) => Counter::rejected,
+            Answer::Failed => Counter::failed,
         });
         reply.send(answer, held);
         self.close();
@@ -178,11 +178,11 @@
     }
 
     fn attempt(&mut self, index: AttemptIndex, attempt: Attempt) {
-        must(
+        assert_invariant(
             self.reply.is_some(),
             "nothing is handed off for a request that is over",
         );
-        count(Count::attempts);
+        count(Counter::attempts);
         let (to, from, allow) = (&attempt.host.0, &attempt.source.0, attempt.allow.ms());
         log::debug!(
             "request {} attempt {} to {to} filled from {from} within {allow} ms",
@@ -233,7 +233,7 @@
 
     fn take_back(&mut self, index: AttemptIndex) {
         if let Some(at) = self.out.iter().position(|out| out.index == index) {
-            count(Count::taken_back);
+            count(Counter::taken_back);
             let Out {
                 host, sent, task, ..
             } = self.out.remove(at);
@@ -250,7 +250,7 @@
         }
     }
 
-    fn ended(&mut self, index: AttemptIndex, host_reply: HostReply, held: Option<Place>) {
+    fn ended(&mut self, index: AttemptIndex, host_reply: HostReply, held: Option<Permit>) {
         let Some(at) = self.out.iter().position(|out| out.index == index) else {
             return;
         };
@@ -259,7 +259,7 @@
         // from then on the whole object is asked for.
         let other = host_reply.is_of_another_copy(&self.asked);
         if other {
-            count(Count::unchanged_of_another);
+            count(Counter::unchanged_of_another);
             self.asked = Rc::new(Asked {
                 holds: None,
                 ..(*self.asked).clone()
--- a/crates/flaxdeck-dispatcher/src/routing/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/subscription.rs
@@ -12,7 +12,7 @@
 use flaxdeck_channel::watch::Event;
 use flaxdeck_distribution::messages::{Delivery, FullEvent};
 use flaxdeck_distribution::{Applied, Cadence, Fingerprint, PlannerNumber, PurgeIndex, Subscriber};
-use flaxdeck_net::tally::{Count, count};
+use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_recovery::EventPosition;
 use flaxdeck_recovery::numbering::{MissedPeriod, Numbering};
 use flaxdeck_wire::frames;
@@ -254,7 +254,7 @@
                 );
             }
             Err(why) => {
-                count(Count::deliveries_refused);
+                count(Counter::deliveries_refused);
                 if subscription.should_tell_refusal(now) {
                     log::warn!("a delivery of planner {at} is refused: {why:?}");
                 }
@@ -291,7 +291,7 @@
             return;
         }
         for (mark, event) in events {
-            count(Count::events_relayed);
+            count(Counter::events_relayed);
             self.told_by_others(mark, event);
         }
         self.purged(subscription, now, purges);
@@ -328,7 +328,7 @@
         });
         self.told_anew(upto, whole, doubt);
         if copies_in_doubt {
-            count(Count::copies_doubted);
+            count(Counter::copies_doubted);
             self.doubt_copies(now);
         }
         subscription.knows_unsettled.set(true);
@@ -347,7 +347,7 @@
 
     /// Nothing of a delivery is applied that holds what can't be read.
     fn unreadable(&self, subscription: &EventSubscription, now: Time, before: EventPosition) {
-        count(Count::events_unreadable);
+        count(Counter::events_unreadable);
         subscription.subscriber.borrow_mut().moved(now, before);
         if subscription.should_tell_refusal(now) {
             log::warn!("a planner passed on an event that can't be read");
@@ -368,7 +368,7 @@
         subscription.purges.borrow_mut().told(now, purges);
         let dropped = subscription.purges.borrow().overflowed(now);
         if dropped.is_some() && subscription.dropped_told.replace(dropped) != dropped {
-            count(Count::copies_doubted);
+            count(Counter::copies_doubted);
             self.doubt_copies(now);
         }
         let open: Vec<ObjectId> = self
@@ -417,7 +417,7 @@
         }
         let now = self.clock.now();
         if now.since(subscription.started) < subscription.settles {
-            count(Count::copies_doubted);
+            count(Counter::copies_doubted);
             self.doubt_copies(now);
         }
     }
--- a/crates/flaxdeck-dispatcher/tests/endings.rs
+++ b/crates/flaxdeck-dispatcher/tests/endings.rs
@@ -431,7 +431,7 @@
     address
 }
 
-// Room is given in the order in which it was asked for, so small answers that come and go don't starve a large one.
+// Budget is given in the order in which it was asked for, so small answers that come and go don't starve a large one.
 #[test]
 fn a_large_answer_gets_its_room_among_many_small_ones() {
     let large = key(99);
--- a/crates/flaxdeck-dispatcher/tests/sockets.rs
+++ b/crates/flaxdeck-dispatcher/tests/sockets.rs
@@ -522,7 +522,7 @@
     drop(waiting);
 }
 
-// Room for one connection in 6 ms would take over two seconds for these.
+// Budget for one connection in 6 ms would take over two seconds for these.
 #[test]
 fn room_for_a_client_is_made_at_once() {
     let world = World::with(1, |config| config["limits"]["sockets"] = 60.into()); // 20 for clients
--- a/crates/flaxdeck-net/src/room.rs
+++ b/crates/flaxdeck-net/src/budget.rs
@@ -67,21 +67,21 @@
     next: Cell<u64>,
 }
 
-/// So many places, held by [`Place`]s.
-pub struct Room(Rc<Inside>);
+/// So many places, held by [`Permit`]s.
+pub struct Budget(Rc<Inside>);
 
 /// A turn in the queue for places, given up when dropped.
 struct Turn<'a>(&'a Inside, u64);
 
 /// So many places of a room, given back when dropped.
-pub struct Place {
+pub struct Permit {
     room: Rc<Inside>,
     places: usize,
 }
 
-impl Room {
-    pub fn new(most: usize) -> Room {
-        Room(Rc::new(Inside {
+impl Budget {
+    pub fn new(most: usize) -> Budget {
+        Budget(Rc::new(Inside {
             taken: Cell::new(0),
             most: Cell::new(most),
             freed: Notify::new(),
@@ -94,11 +94,11 @@
         self.0.most.set(most);
         self.0.freed.notify_waiters();
     }
-    pub fn take(&self) -> Option<Place> {
+    pub fn take(&self) -> Option<Permit> {
         self.take_some(1)
     }
     /// So many places at once, if they are free and nobody waits for any.
-    pub fn take_some(&self, places: usize) -> Option<Place> {
+    pub fn take_some(&self, places: usize) -> Option<Permit> {
         let waited_for = places > 0 && !self.0.queue.borrow().is_empty();
         if waited_for {
             None
@@ -106,20 +106,20 @@
             self.take_first(places)
         }
     }
-    fn take_first(&self, places: usize) -> Option<Place> {
+    fn take_first(&self, places: usize) -> Option<Permit> {
         let taken = self.taken() + places;
         if taken > self.0.most.get() {
             return None;
         }
         self.0.taken.set(taken);
-        Some(Place {
+        Some(Permit {
             room: self.0.clone(),
             places,
         })
     }
     /// Waits for its turn and until so many are free; who asks for more than there are gets them once nobody holds any.
     // Guards against small wishes that are met past a large one for ever: first come, first served.
-    pub async fn wait_for(&self, places: usize) -> Place {
+    pub async fn wait_for(&self, places: usize) -> Permit {
         let turn = Turn(&self.0, self.0.next.get());
         self.0.next.set(turn.1 + 1);
         self.0.queue.borrow_mut().push_back(turn.1);
@@ -138,8 +138,8 @@
             freed.await;
         }
     }
-    /// Room for a message of so many bytes, before it is read; a small one, or one that has it, takes none.
-    pub async fn hold(&self, bytes: usize, held: &mut Option<Place>) {
+    /// Budget for a message of so many bytes, before it is read; a small one, or one that has it, takes none.
+    pub async fn hold(&self, bytes: usize, held: &mut Option<Permit>) {
         if bytes > SMALL && held.is_none() {
             *held = Some(self.wait_for(bytes).await);
         }
@@ -156,7 +156,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
         self.room
             .taken
--- a/crates/flaxdeck-net/src/counters_file.rs
+++ b/crates/flaxdeck-net/src/counters_file.rs
@@ -7,14 +7,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::tally::{self, Reader};
+use crate::metrics::{self, Reader};
 
 /// Between lines.
 const EVERY: Duration = Duration::from_millis(250);
 
 /// Has the counters of this thread written for as long as the process lives, by a thread that no work holds up.
 pub fn spawn(path: PathBuf) {
-    let counters = tally::reader();
+    let counters = metrics::reader();
     thread::spawn(move || {
         if let Err(error) = write(&path, &counters) {
             log::error!("counters are not written to {}: {error}", path.display());
--- a/crates/flaxdeck-net/src/link.rs
+++ b/crates/flaxdeck-net/src/link.rs
@@ -18,7 +18,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
-use super::room::Place;
+use super::budget::Permit;
 
 /// Bytes asked for at a read of small messages: a head or two and a small object.
 const READ: usize = 8 * 1024;
@@ -91,7 +91,7 @@
 /// A message to go out, with the places that it holds until it is written.
 struct Parcel {
     pieces: VecDeque<Bytes>,
-    _places: [Option<Place>; 2],
+    _places: [Option<Permit>; 2],
 }
 
 struct Queue {
@@ -154,7 +154,7 @@
 
 impl Outbound {
     /// Queues one message and writes what the connection takes at once.
-    pub fn send(&self, pieces: impl IntoIterator<Item = Bytes>, places: [Option<Place>; 2]) {
+    pub fn send(&self, pieces: impl IntoIterator<Item = Bytes>, places: [Option<Permit>; 2]) {
         if self.is_closed() {
             return;
         }
--- a/crates/flaxdeck-net/src/tally.rs
+++ b/crates/flaxdeck-net/src/metrics.rs
@@ -3,17 +3,17 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-macro_rules! tally {
+macro_rules! counters {
     ($($name:ident),* $(,)?) => {
         /// What is counted.
         #[allow(non_camel_case_types)]
         #[derive(Clone, Copy)]
-        pub enum Count { $($name),* }
+        pub enum Counter { $($name),* }
         const NAMES: &[&str] = &[$(stringify!($name)),*];
     };
 }
 
-tally!(
+counters!(
     clients_opened,
     clients_closed_idle,
     clients_malformed,
@@ -92,19 +92,19 @@
     deliveries_bytes_out,
 );
 
-type Tally = [AtomicU64; NAMES.len()];
+type Metrics = [AtomicU64; NAMES.len()];
 
 thread_local! {
     /// Only this thread writes it, so that no counting needs more than a load and a store; others may read it.
-    static TALLY: Arc<Tally> = Arc::new([const { AtomicU64::new(0) }; NAMES.len()]);
+    static METRICS: Arc<Metrics> = Arc::new([const { AtomicU64::new(0) }; NAMES.len()]);
 }
 
 /// The counters of one thread, to be read by another.
-pub struct Reader(Arc<Tally>);
+pub struct Reader(Arc<Metrics>);
 
 /// The counters of this thread.
 pub fn reader() -> Reader {
-    Reader(TALLY.with(Arc::clone))
+    Reader(METRICS.with(Arc::clone))
 }
 
 impl Reader {
@@ -117,29 +117,29 @@
     }
 }
 
-pub fn count(what: Count) {
+pub fn count(what: Counter) {
     count_by(what, 1);
 }
 
 /// Counts several at once.
-pub fn count_by(what: Count, amount: u64) {
-    TALLY.with(|tally| {
-        let value = &tally[what as usize];
+pub fn count_by(what: Counter, amount: u64) {
+    METRICS.with(|metrics| {
+        let value = &metrics[what as usize];
         value.store(value.load(Ordering::Relaxed) + amount, Ordering::Relaxed);
     });
 }
 
 /// Counts one message of so many bytes.
-pub fn count_message([messages, bytes]: [Count; 2], length: usize) {
+pub fn count_message([messages, bytes]: [Counter; 2], length: usize) {
     count(messages);
     count_by(bytes, length as u64);
 }
 
 /// What must hold: asserted in debug builds, counted in release builds.
-pub fn must(holds: bool, what: &str) {
+pub fn assert_invariant(holds: bool, what: &str) {
     debug_assert!(holds, "{what}");
     if !holds {
-        count(Count::must_not_happen);
+        count(Counter::must_not_happen);
         log::error!("must not happen: {what}");
     }
 }
--- a/crates/flaxdeck-net/tests/room.rs
+++ b/crates/flaxdeck-net/tests/budget.rs
@@ -1,6 +1,6 @@
 //! Places of a room are waited for and given back, and all bounds stay within the limits.
 
-use flaxdeck_net::room::{Bounds, OWN_SOCKETS, PULL, Room, SMALL};
+use flaxdeck_net::budget::{Bounds, Budget, OWN_SOCKETS, PULL, SMALL};
 
 use std::future::Future;
 use std::pin::pin;
@@ -8,7 +8,7 @@
 
 #[test]
 fn who_waits_for_more_than_is_free_gets_it_once_it_is_given_back() {
-    let room = Room::new(10);
+    let room = Budget::new(10);
     let (first, second) = (room.take_some(4).unwrap(), room.take_some(4).unwrap());
     assert!(room.take_some(3).is_none());
     let mut waits = pin!(room.wait_for(6));
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -20,11 +20,11 @@
 use flaxdeck_control::{LeaseTerms, QuotaFraction};
 use flaxdeck_distribution::messages::Subscription;
 use flaxdeck_distribution::{Cadence, SubscriberId};
+use flaxdeck_net::budget::{Budget, Permit};
 use flaxdeck_net::clock::Clock;
 use flaxdeck_net::counters_file;
 use flaxdeck_net::listener::Listener;
-use flaxdeck_net::room::{Place, Room};
-use flaxdeck_net::tally;
+use flaxdeck_net::metrics;
 use flaxdeck_recovery::EventPosition;
 use tokio::net::TcpStream;
 use tokio::signal::unix::{SignalKind, signal};
@@ -71,7 +71,7 @@
     /// Somebody may be due sooner than was known.
     due_changed: Notify,
     next: Cell<u64>,
-    room: Room,
+    budget: Budget,
     refused: Cell<u64>,
 }
 
@@ -112,7 +112,7 @@
         subscribers: RefCell::default(),
         due_changed: Notify::new(),
         next: Cell::new(0),
-        room: Room::new(CONNECTIONS_MOST),
+        budget: Budget::new(CONNECTIONS_MOST),
         refused: Cell::new(0),
     });
     known
@@ -277,7 +277,7 @@
 
     async fn accept(self: Rc<Server>, listener: Listener) {
         loop {
-            let place = self.room.wait_for(1).await;
+            let place = self.budget.wait_for(1).await;
             match listener.accept().await {
                 Ok(stream) => {
                     spawn_local(self.clone().attend(stream, place));
@@ -290,7 +290,7 @@
         }
     }
 
-    async fn attend(self: Rc<Server>, stream: TcpStream, _place: Place) {
+    async fn attend(self: Rc<Server>, stream: TcpStream, _place: Permit) {
         let peer = stream
             .peer_addr()
             .map_or("somebody gone".to_owned(), |peer| peer.to_string());
@@ -362,7 +362,7 @@
         tracing::info!(forwarders, lives, lent, out, refused, ?counters, "counters");
         let ((subscribers, kept, bytes), counters) = self.events.borrow().load();
         tracing::info!(subscribers, kept, bytes, ?counters, "events");
-        tracing::info!("traffic: {}", tally::line());
+        tracing::info!("traffic: {}", metrics::line());
     }
 
     async fn log_counters(self: Rc<Server>) {
--- a/crates/flaxdeck-scale/src/coordinator.rs
+++ b/crates/flaxdeck-scale/src/coordinator.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use flaxdeck_net::counters_file;
 use flaxdeck_net::listener::Listener;
-use flaxdeck_net::tally::{Count, count_message};
+use flaxdeck_net::metrics::{Counter, count_message};
 use flaxdeck_terms::Names;
 use flaxdeck_terms::fields::Fields;
 use flaxdeck_wire::frames;
@@ -370,7 +370,7 @@
     let run = turns.borrow_and_update().run;
     let mut after = stream.read_u64().await?;
     count_message(
-        [Count::feed_messages_in, Count::feed_bytes_in],
+        [Counter::feed_messages_in, Counter::feed_bytes_in],
         size_of::<u64>(),
     );
     loop {
@@ -396,10 +396,10 @@
 
 fn told(bytes: &[u8], frames: usize) {
     for _ in 1..frames {
-        count_message([Count::feed_messages_out, Count::feed_bytes_out], 0);
+        count_message([Counter::feed_messages_out, Counter::feed_bytes_out], 0);
     }
     count_message(
-        [Count::feed_messages_out, Count::feed_bytes_out],
+        [Counter::feed_messages_out, Counter::feed_bytes_out],
         bytes.len(),
     );
 }
--- a/crates/flaxdeck-wire/src/lines.rs
+++ b/crates/flaxdeck-wire/src/lines.rs
@@ -8,7 +8,7 @@
 use flaxdeck_terms::{Names, place, told};
 
 use crate::{Asked, HostReply, Malformed, Parsed};
-use flaxdeck_net::room::OBJECT_MOST;
+use flaxdeck_net::budget::OBJECT_MOST;
 
 /// Bytes of an answer's first line; real ones have some 150.
 pub const HEAD_MOST: usize = 2048;
--- a/crates/flaxdeck-wire/src/rpc.rs
+++ b/crates/flaxdeck-wire/src/rpc.rs
@@ -8,7 +8,7 @@
 
 use crate::msgpack::{Reader, Stop, put_binary_head, put_text, put_whole};
 use crate::{Answer, Asked, Malformed, Parsed};
-use flaxdeck_net::room::{MESSAGE_MOST, WRITE_MOST};
+use flaxdeck_net::budget::{MESSAGE_MOST, WRITE_MOST};
 
 /// Bytes of a field's name or value; the longest of the protocol are 32.
 const FIELD_MOST: usize = NAME_MOST;
--- a/crates/flaxdeck-wire/tests/rpc.rs
+++ b/crates/flaxdeck-wire/tests/rpc.rs
@@ -4,7 +4,7 @@
 
 use bytes::{BufMut, BytesMut};
 use flaxdeck::{ClassId, GroupId, ObjectId, Span};
-use flaxdeck_net::room::{MESSAGE_MOST, WRITE_MOST};
+use flaxdeck_net::budget::{MESSAGE_MOST, WRITE_MOST};
 use flaxdeck_wire::rpc::{Said, alive, answer, parse};
 use flaxdeck_wire::{Answer, Asked, Parsed};
 use names::names;
