--- a/crates/flaxdeck-channel/src/watch.rs
+++ b/crates/flaxdeck-channel/src/watch.rs
@@ -19,7 +19,7 @@
 use flaxdeck_net::link::{self, Inbound, Outbound};
 use flaxdeck_net::metrics::{Counter, count, count_message};
 use flaxdeck_wire::frames;
-pub use flaxdeck_wire::frames::{Event, Numbered};
+pub use flaxdeck_wire::frames::{Event, NumberedEvents};
 use flaxdeck_wire::{Malformed, Parsed};
 
 /// A frame comes each second; two missing are a dead connection. What a coordinator that stopped would have told
@@ -92,7 +92,7 @@
         names: Rc<Names>,
         trusts: bool,
         seed: u64,
-    ) -> Result<(Watch, Numbered), String> {
+    ) -> Result<(Watch, NumberedEvents), String> {
         let (number, events) = frames::known(known, &names)?;
         let hash = events
             .last()
@@ -161,7 +161,7 @@
 
     /// Goes on with the same numbering at the coordinator of a later configuration; gives those of its events
     /// that are new here. Asks again even at the same address.
-    pub fn go_on_at(&mut self, later: Watch, known: Numbered) -> Vec<Event> {
+    pub fn go_on_at(&mut self, later: Watch, known: NumberedEvents) -> Vec<Event> {
         self.address = later.address;
         self.hang_up(false);
         let mut numbering = self.numbering.borrow_mut();
--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -6,7 +6,7 @@
 
 use flaxdeck::Span;
 use flaxdeck_channel::authenticated::Key;
-use flaxdeck_channel::watch::{Numbered, Watch};
+use flaxdeck_channel::watch::{NumberedEvents, Watch};
 use flaxdeck_control::LeaseTerms;
 use flaxdeck_distribution::Cadence;
 use flaxdeck_plan::{Events, Plan};
@@ -83,7 +83,7 @@
     }
 
     /// The watch from the coordinator, and what it has said already, for an instance of that name.
-    pub fn watch(&self, name: &str) -> Result<(Watch, Numbered), String> {
+    pub fn watch(&self, name: &str) -> Result<(Watch, NumberedEvents), String> {
         let watch = || {
             let fields = Fields::of(&self.value, "the whole")?;
             let (_, names) = flaxdeck_terms::read(&fields.inner("settings")?)?;
--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use flaxdeck_channel::watch::{Event, Numbered, Watch};
+use flaxdeck_channel::watch::{Event, NumberedEvents, Watch};
 use flaxdeck_control::messages::Epoch;
 use flaxdeck_net::clock::Clock;
 use flaxdeck_recovery::EventPosition;
@@ -100,7 +100,7 @@
     watch: &Watch,
     clock: Clock,
     keeps: &Keeps,
-    known: &mut Numbered,
+    known: &mut NumberedEvents,
     waits: Span,
 ) {
     let mut recalled = recall(keeps, clock, watch.numbering().borrow().last(), waits);
--- a/crates/flaxdeck-dispatcher/src/program/start.rs
+++ b/crates/flaxdeck-dispatcher/src/program/start.rs
@@ -9,13 +9,13 @@
 use flaxdeck_terms::{Carriage, Names};
 use serde_json::Value;
 
-use flaxdeck_channel::watch::{Numbered, Watch};
+use flaxdeck_channel::watch::{NumberedEvents, Watch};
 use flaxdeck_net::budget::{Bounds, SOCKETS_LEAST};
 
 pub struct Start {
     pub address: SocketAddr,
     pub watch: Watch,
-    pub known: Numbered,
+    pub known: NumberedEvents,
     pub terms: DeploymentTerms,
     pub names: Rc<Names>,
     pub carriage: Carriage,
--- a/crates/flaxdeck-dispatcher/src/protocol/pool.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/pool.rs
@@ -18,8 +18,8 @@
 use flaxdeck_net::link::{self, Inbound, Outbound};
 use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_wire::frames::AddressedEndpoint;
-use flaxdeck_wire::lines::{self, Line, Wish};
-use flaxdeck_wire::{Asked, HostReply, Parsed};
+use flaxdeck_wire::lines::{self, AttemptOptions, Line};
+use flaxdeck_wire::{ClientRequest, HostReply, Parsed};
 
 /// The part of the hosts' idle time after which a connection is closed here, so that both ends never race.
 const IDLE_PART: f64 = 0.7;
@@ -173,9 +173,9 @@
     pub async fn ask<'a>(
         self: &Rc<Pool>,
         host: &HostId,
-        asked: &Asked,
+        asked: &ClientRequest,
         until: Instant,
-        clear: impl Fn() -> Option<(Wish<'a>, Instant)>,
+        clear: impl Fn() -> Option<(AttemptOptions<'a>, Instant)>,
         begun: &Cell<bool>,
     ) -> (HostReply, Option<Permit>) {
         let bare = |outcome| (HostReply::bare(outcome), None);
--- a/crates/flaxdeck-dispatcher/src/protocol/session.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/session.rs
@@ -14,8 +14,8 @@
 use flaxdeck_net::budget::{Budget, Permit, SMALL};
 use flaxdeck_net::link::{self, Inbound, Outbound, Unread};
 use flaxdeck_net::metrics::{Counter, count};
-use flaxdeck_wire::rpc::{self, Said};
-use flaxdeck_wire::{Answer, Asked, Parsed};
+use flaxdeck_wire::rpc::{self, ClientMessage};
+use flaxdeck_wire::{Answer, ClientRequest, Parsed};
 
 /// How long a client may take nothing of what waits for it, which holds memory that others could use.
 const STALLED: Duration = Duration::from_secs(3);
@@ -39,7 +39,7 @@
 pub enum Heard {
     Request {
         call: u32,
-        asked: Box<Asked>,
+        asked: Box<ClientRequest>,
     },
     Cancel {
         call: u32,
@@ -281,17 +281,17 @@
         }
     }
 
-    fn heard(&mut self, said: Said) -> Heard {
+    fn heard(&mut self, said: ClientMessage) -> Heard {
         match said {
-            Said::Request { call, asked } => return Heard::Request { call, asked },
-            Said::Cancel { call } => return Heard::Cancel { call },
-            Said::Alive { call } => self.tell(call, ShortReply::Alive),
-            Said::Invalid { call, why } => {
+            ClientMessage::Request { call, asked } => return Heard::Request { call, asked },
+            ClientMessage::Cancel { call } => return Heard::Cancel { call },
+            ClientMessage::Alive { call } => self.tell(call, ShortReply::Alive),
+            ClientMessage::Invalid { call, why } => {
                 count(Counter::requests_invalid);
                 log::debug!("a client's request is invalid: {why}");
                 self.tell(call, ShortReply::Failed(why));
             }
-            Said::Nothing => {}
+            ClientMessage::Nothing => {}
         }
         Heard::Other
     }
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -222,7 +222,7 @@
                     keeper.answered();
                     guides.guide.borrow_mut().has_leave(until);
                 }
-                Wrote::Broken(why) => {
+                Wrote::Failed(why) => {
                     count(Counter::state_broken);
                     log::error!("no state is kept any more, and nothing is lent: {why}");
                 }
--- a/crates/flaxdeck-dispatcher/src/routing/keep.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/keep.rs
@@ -51,7 +51,7 @@
 pub enum Wrote {
     Begun(u64),
     Leave(Time),
-    Broken(String),
+    Failed(String),
 }
 
 pub struct Keeper {
@@ -409,10 +409,10 @@
     work: Receiver<Job>,
     tells: &UnboundedSender<Wrote>,
 ) {
-    let disk = Folder::open(folder).map_err(|error| flaxdeck_store::Broken(error.to_string()));
+    let disk = Folder::open(folder).map_err(|error| flaxdeck_store::StoreError(error.to_string()));
     let mut store = match disk.and_then(|disk| Store::begin(disk, name, first)) {
         Ok(store) => store,
-        Err(broken) => return drop(tells.send(Wrote::Broken(broken.0))),
+        Err(broken) => return drop(tells.send(Wrote::Failed(broken.0))),
     };
     let _ = tells.send(Wrote::Begun(store.generation()));
     for job in work {
@@ -429,7 +429,7 @@
             }
         };
         if let Err(broken) = told {
-            let _ = tells.send(Wrote::Broken(broken.0));
+            let _ = tells.send(Wrote::Failed(broken.0));
             return;
         }
     }
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -28,7 +28,7 @@
 pub use subscription::Digests;
 
 use crate::protocol::pool::Pool;
-use flaxdeck_channel::watch::{Event, Numbered, Watch, WatchEvent};
+use flaxdeck_channel::watch::{Event, NumberedEvents, Watch, WatchEvent};
 use flaxdeck_net::budget::{Bounds, Budget};
 use flaxdeck_net::clock::Clock;
 use flaxdeck_recovery::EventPosition;
@@ -81,7 +81,7 @@
     /// The time at which the decision engine wants its tick has changed.
     due_changed: Notify,
     /// What a later configuration says of the coordinator, until the watch has taken it over.
-    later: RefCell<Option<(Watch, Numbered)>>,
+    later: RefCell<Option<(Watch, NumberedEvents)>>,
     reloaded: Notify,
     guides: RefCell<Option<Rc<guides::Guides>>>,
     /// How long it takes until hosts have dropped by themselves what was purged.
@@ -306,7 +306,7 @@
     }
 
     /// Takes over what a later configuration may change under load; open requests notice nothing.
-    pub fn reload(&self, bounds: Bounds, watch: Watch, known: Numbered) {
+    pub fn reload(&self, bounds: Bounds, watch: Watch, known: NumberedEvents) {
         self.slots.resize(bounds.requests);
         self.asked.resize(bounds.asked);
         self.answered.resize(bounds.answered);
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -17,7 +17,7 @@
 use flaxdeck_net::budget::Permit;
 use flaxdeck_net::clock::length;
 use flaxdeck_net::metrics::{Counter, assert_invariant, count};
-use flaxdeck_wire::{Answer, Asked, HostReply, Wish};
+use flaxdeck_wire::{Answer, AttemptOptions, ClientRequest, HostReply};
 
 /// An attempt that is out.
 struct Out {
@@ -32,7 +32,7 @@
 struct RequestTask {
     router: Rc<Router>,
     id: RequestId,
-    asked: Rc<Asked>,
+    asked: Rc<ClientRequest>,
     /// Budget for the bytes of what was asked.
     _held: Permit,
     entry: Rc<OpenRequest>,
@@ -46,7 +46,7 @@
     /// Takes a request in; its task gives the answer.
     pub(super) fn take(
         self: &Rc<Router>,
-        asked: Box<Asked>,
+        asked: Box<ClientRequest>,
         reply: Reply,
         held: Permit,
     ) -> RequestId {
@@ -201,7 +201,7 @@
             let clear = || {
                 let Clearance { oldest, sent_by } = router.clear(id, index)?;
                 let waits = until.checked_duration_since(Instant::now())?;
-                let wish = Wish {
+                let wish = AttemptOptions {
                     class: &router.names.classes[asked.class.0],
                     waits: Span::of_ms(waits.as_secs_f64() * 1000.0),
                     source: Some(&attempt.source).filter(|source| **source != attempt.host),
@@ -260,7 +260,7 @@
         let other = host_reply.is_of_another_copy(&self.asked);
         if other {
             count(Counter::unchanged_of_another);
-            self.asked = Rc::new(Asked {
+            self.asked = Rc::new(ClientRequest {
                 holds: None,
                 ..(*self.asked).clone()
             });
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -14,7 +14,7 @@
 use flaxdeck_channel::authenticated::Key;
 use flaxdeck_channel::connection::{self, CloseReason, Receiver, Sender};
 use flaxdeck_channel::messages::{FromForwarder, FromPlanner};
-use flaxdeck_channel::watch::{Event, Numbered, Watch, WatchEvent};
+use flaxdeck_channel::watch::{Event, NumberedEvents, Watch, WatchEvent};
 use flaxdeck_control::messages::{Epoch, RelayedEvent, Report};
 use flaxdeck_control::planner::Planner;
 use flaxdeck_control::{LeaseTerms, QuotaFraction};
@@ -52,7 +52,7 @@
     /// How often forwarders are told of events that subscribe to them.
     pub cadence: Cadence,
     pub watch: Watch,
-    pub known: Numbered,
+    pub known: NumberedEvents,
     /// Where its counters are written as they grow, if anywhere.
     pub counters: Option<PathBuf>,
 }
--- a/crates/flaxdeck-store/src/faulty.rs
+++ b/crates/flaxdeck-store/src/faulty.rs
@@ -8,7 +8,7 @@
 
 /// What goes wrong, by the number of the operation at which it does, counted from 0 over all that write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum DiskFault {
     /// This operation and all later ones that write fail.
     Full { from: usize },
     /// This sync fails once; later ones claim to have worked, as some systems do.
@@ -33,15 +33,15 @@
     /// Files by their names as they are surely on the disk.
     named: BTreeMap<String, Held>,
     pub operations: usize,
-    pub trouble: Option<Trouble>,
+    pub fault: Option<DiskFault>,
     crashed: bool,
 }
 
 impl Faulty {
     /// An empty disk with something in store.
-    pub fn with(trouble: Trouble) -> Faulty {
+    pub fn with(fault: DiskFault) -> Faulty {
         Faulty {
-            trouble: Some(trouble),
+            fault: Some(fault),
             ..Faulty::default()
         }
     }
@@ -49,10 +49,10 @@
     fn step(&mut self) -> io::Result<usize> {
         let at = self.operations;
         self.operations += 1;
-        match self.trouble {
+        match self.fault {
             _ if self.crashed => Err(Error::other("the power is gone")),
-            Some(Trouble::Full { from }) if at >= from => Err(ErrorKind::StorageFull.into()),
-            Some(Trouble::Crash { before }) if at >= before => {
+            Some(DiskFault::Full { from }) if at >= from => Err(ErrorKind::StorageFull.into()),
+            Some(DiskFault::Crash { before }) if at >= before => {
                 self.crashed = true;
                 Err(Error::other("the power is gone"))
             }
@@ -62,7 +62,7 @@
 
     /// Writes all or, if the power goes midway, half of it.
     fn part<'a>(&mut self, at: usize, bytes: &'a [u8]) -> &'a [u8] {
-        if self.trouble == Some(Trouble::Torn { at }) {
+        if self.fault == Some(DiskFault::Torn { at }) {
             self.crashed = true;
             return &bytes[..bytes.len() / 2];
         }
@@ -147,7 +147,7 @@
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let at = self.step()?;
-        if self.trouble == Some(Trouble::SyncFails { at }) {
+        if self.fault == Some(DiskFault::SyncFails { at }) {
             // What could not be written is thrown away, and nobody will hear of it again.
             let held = self.files.get_mut(name).ok_or(ErrorKind::NotFound)?;
             held.bytes = held.synced.clone();
--- a/crates/flaxdeck-store/src/lib.rs
+++ b/crates/flaxdeck-store/src/lib.rs
@@ -16,4 +16,4 @@
 mod store;
 
 pub use disk::{Disk, Folder};
-pub use store::{Broken, Damage, Found, Store, look};
+pub use store::{Damage, Found, Store, StoreError, look};
--- a/crates/flaxdeck-store/src/store.rs
+++ b/crates/flaxdeck-store/src/store.rs
@@ -56,7 +56,7 @@
 
 /// Why nothing is kept any more.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken(pub String);
+pub struct StoreError(pub String);
 
 /// A store that is being written.
 pub struct Store<D> {
@@ -68,7 +68,7 @@
     /// Bytes of the log, and of the snapshot before it.
     pub logged: usize,
     pub snapshot_bytes: usize,
-    broken: Option<Broken>,
+    broken: Option<StoreError>,
 }
 
 /// A reader that never goes past the end.
@@ -225,10 +225,10 @@
 impl<D: Disk> Store<D> {
     /// Begins a run of the instance of that name, a generation after the one found, with its first snapshot. A store of
     /// another instance is not written over.
-    pub fn begin(mut disk: D, name: &str, body: &[u8]) -> Result<Store<D>, Broken> {
+    pub fn begin(mut disk: D, name: &str, body: &[u8]) -> Result<Store<D>, StoreError> {
         let found = look(&mut disk);
         if !found.name.is_empty() && found.name != name {
-            return Err(Broken(format!(
+            return Err(StoreError(format!(
                 "it is the store of {}, not of {name}",
                 found.name
             )));
@@ -253,12 +253,12 @@
     }
 
     /// Why nothing is kept any more, if so.
-    pub fn broken(&self) -> Option<&Broken> {
+    pub fn broken(&self) -> Option<&StoreError> {
         self.broken.as_ref()
     }
 
     /// Keeps a whole state in place of all before.
-    pub fn snapshot(&mut self, body: &[u8]) -> Result<(), Broken> {
+    pub fn snapshot(&mut self, body: &[u8]) -> Result<(), StoreError> {
         let name = &self.name.as_bytes()[..self.name.len().min(255)];
         if body.len() > MOST - 1024 {
             return self.breaks("a snapshot over the bound of a store", None);
@@ -285,7 +285,7 @@
     }
 
     /// Keeps one thing more; it is on the disk once this has come back well.
-    pub fn record(&mut self, body: &[u8]) -> Result<(), Broken> {
+    pub fn record(&mut self, body: &[u8]) -> Result<(), StoreError> {
         if body.len() > RECORD_MOST {
             return self.breaks("a record over the bound of a store", None);
         }
@@ -299,7 +299,7 @@
         Ok(())
     }
 
-    fn tries(&mut self, act: impl FnOnce(&mut D) -> std::io::Result<()>) -> Result<(), Broken> {
+    fn tries(&mut self, act: impl FnOnce(&mut D) -> std::io::Result<()>) -> Result<(), StoreError> {
         if let Some(broken) = &self.broken {
             return Err(broken.clone());
         }
@@ -309,9 +309,9 @@
         }
     }
 
-    fn breaks(&mut self, what: &str, error: Option<std::io::Error>) -> Result<(), Broken> {
+    fn breaks(&mut self, what: &str, error: Option<std::io::Error>) -> Result<(), StoreError> {
         let why = error.map_or(what.to_owned(), |error| format!("{what}: {error}"));
-        let broken = self.broken.get_or_insert(Broken(why));
+        let broken = self.broken.get_or_insert(StoreError(why));
         Err(broken.clone())
     }
 
--- a/crates/flaxdeck-store/tests/crashes.rs
+++ b/crates/flaxdeck-store/tests/crashes.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-use flaxdeck_store::faulty::{Faulty, Trouble};
+use flaxdeck_store::faulty::{DiskFault, Faulty};
 use flaxdeck_store::{Folder, Store, look};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -55,8 +55,8 @@
     fn after_a_crash_at_any_operation_what_was_kept_is_there(
         before in 4usize..90, torn in any::<bool>(), seed in any::<u64>()
     ) {
-        let trouble = if torn { Trouble::Torn { at: before } } else { Trouble::Crash { before } };
-        let disk = Faulty::with(trouble);
+        let fault = if torn { DiskFault::Torn { at: before } } else { DiskFault::Crash { before } };
+        let disk = Faulty::with(fault);
         let Ok(mut store) = Store::begin(disk, "f1", &body(0)) else { return Ok(()) };
         let kept = run(&mut store, 0, 40);
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
@@ -112,7 +112,7 @@
 #[test]
 fn a_sync_that_failed_is_never_taken_back_by_a_later_one() {
     for at in 0..60 {
-        let disk = Faulty::with(Trouble::SyncFails { at });
+        let disk = Faulty::with(DiskFault::SyncFails { at });
         let Ok(mut store) = Store::begin(disk, "f1", &body(0)) else {
             continue;
         };
@@ -132,7 +132,7 @@
 #[test]
 fn a_full_disk_leaves_what_was_there() {
     for from in 0..60 {
-        let disk = Faulty::with(Trouble::Full { from });
+        let disk = Faulty::with(DiskFault::Full { from });
         let Ok(mut store) = Store::begin(disk, "f1", &body(0)) else {
             continue;
         };
--- a/crates/flaxdeck-wire/src/frames.rs
+++ b/crates/flaxdeck-wire/src/frames.rs
@@ -88,7 +88,7 @@
 }
 
 /// Events with their numbers, in their order.
-pub type Numbered = Vec<(u64, Event)>;
+pub type NumberedEvents = Vec<(u64, Event)>;
 
 /// A line of the list with the address at which this dispatcher reaches the host.
 #[derive(Clone, Debug)]
@@ -271,8 +271,8 @@
 }
 
 /// The events of a configuration, and the number of the last.
-pub fn known(known: &Fields, names: &Names) -> Result<(u64, Numbered), String> {
-    let mut events = Numbered::new();
+pub fn known(known: &Fields, names: &Names) -> Result<(u64, NumberedEvents), String> {
+    let mut events = NumberedEvents::new();
     for update in known.rows("updates")? {
         let update = Fields::of(update, "an update")?;
         events.push((update.whole("index")?, update_of(&update, names)?));
--- a/crates/flaxdeck-wire/src/lib.rs
+++ b/crates/flaxdeck-wire/src/lib.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use flaxdeck::{AttemptOutcome, ClassId, FillOutcome, GroupId, LoadReport, ObjectId, Span};
 
-pub use lines::Wish;
+pub use lines::AttemptOptions;
 
 /// What a parser makes of bytes that came in so far.
 #[derive(Debug, PartialEq)]
@@ -32,7 +32,7 @@
 
 /// A client's request, as it was asked. Texts are slices of the bytes that came in.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
+pub struct ClientRequest {
     pub class: ClassId,
     pub id: Bytes,
     pub key: Bytes,
@@ -93,7 +93,7 @@
     }
 
     /// Whether it says that the client's copy is the one, of a copy that the client does not hold.
-    pub fn is_of_another_copy(&self, asked: &Asked) -> bool {
+    pub fn is_of_another_copy(&self, asked: &ClientRequest) -> bool {
         self.unchanged && (self.named.is_none() || self.named != asked.holds)
     }
 }
--- a/crates/flaxdeck-wire/src/lines.rs
+++ b/crates/flaxdeck-wire/src/lines.rs
@@ -7,14 +7,14 @@
 use flaxdeck::{AttemptOutcome, FillOutcome, HostId, Span};
 use flaxdeck_terms::{Names, place, told};
 
-use crate::{Asked, HostReply, Malformed, Parsed};
+use crate::{ClientRequest, HostReply, Malformed, Parsed};
 use flaxdeck_net::budget::OBJECT_MOST;
 
 /// Bytes of an answer's first line; real ones have some 150.
 pub const HEAD_MOST: usize = 2048;
 
 /// What an attempt asks of a host, beside the request itself.
-pub struct Wish<'a> {
+pub struct AttemptOptions<'a> {
     pub class: &'a str,
     pub waits: Span,
     /// Where a miss is filled from; none for no fill.
@@ -37,7 +37,7 @@
 }
 
 /// The pieces of a request. All fields are written here, from typed values.
-pub fn want(asked: &Asked, wish: &Wish) -> [Bytes; 3] {
+pub fn want(asked: &ClientRequest, wish: &AttemptOptions) -> [Bytes; 3] {
     let mut out = BytesMut::with_capacity(256);
     let mut put = |words: Arguments| out.write_fmt(words).expect("a buffer grows");
     put(format_args!(
--- a/crates/flaxdeck-wire/src/rpc.rs
+++ b/crates/flaxdeck-wire/src/rpc.rs
@@ -7,7 +7,7 @@
 use flaxdeck_terms::{NAME_MOST, Names};
 
 use crate::msgpack::{Reader, Stop, put_binary_head, put_text, put_whole};
-use crate::{Answer, Asked, Malformed, Parsed};
+use crate::{Answer, ClientRequest, Malformed, Parsed};
 use flaxdeck_net::budget::{MESSAGE_MOST, WRITE_MOST};
 
 /// Bytes of a field's name or value; the longest of the protocol are 32.
@@ -20,10 +20,10 @@
 
 /// What a client says.
 #[derive(Debug, PartialEq)]
-pub enum Said {
+pub enum ClientMessage {
     Request {
         call: u32,
-        asked: Box<Asked>,
+        asked: Box<ClientRequest>,
     },
     Alive {
         call: u32,
@@ -43,7 +43,7 @@
 /// A message; a request's texts are still places in the bytes it was parsed from.
 enum Draft {
     Request(u32, RequestDraft),
-    Done(Said),
+    Done(ClientMessage),
 }
 
 #[derive(Default)]
@@ -63,7 +63,7 @@
 }
 
 /// Parses one message at the head of the buffer and takes its bytes out.
-pub fn parse(buffer: &mut BytesMut, names: &Names) -> Result<Parsed<Said>, Malformed> {
+pub fn parse(buffer: &mut BytesMut, names: &Names) -> Result<Parsed<ClientMessage>, Malformed> {
     let mut reader = Reader::new(buffer);
     let draft = match read(&mut reader, names) {
         Ok(draft) if reader.at <= MESSAGE_MOST => draft,
@@ -77,11 +77,11 @@
     let message = buffer.split_to(used).freeze();
     Ok(Parsed::Whole(match draft {
         Draft::Request(call, draft) => match asked(&message, draft) {
-            Ok(asked) => Said::Request {
+            Ok(asked) => ClientMessage::Request {
                 call,
                 asked: Box::new(asked),
             },
-            Err(why) => Said::Invalid { call, why },
+            Err(why) => ClientMessage::Invalid { call, why },
         },
         Draft::Done(said) => said,
     }))
@@ -124,9 +124,9 @@
                     let why = "no such method";
                     let alive = method == "alive";
                     Ok(Draft::Done(if alive {
-                        Said::Alive { call }
+                        ClientMessage::Alive { call }
                     } else {
-                        Said::Invalid { call, why }
+                        ClientMessage::Invalid { call, why }
                     }))
                 }
             }
@@ -135,14 +135,14 @@
             let method = reader.text(FIELD_MOST)?;
             let mut parameters = reader.value(MESSAGE_MOST)?;
             if method != "cancelRequest" {
-                return Ok(Draft::Done(Said::Nothing));
+                return Ok(Draft::Done(ClientMessage::Nothing));
             }
             let call = if parameters.array()? > 0 {
                 call_number(&mut parameters)?
             } else {
                 0
             };
-            Ok(Draft::Done(Said::Cancel { call }))
+            Ok(Draft::Done(ClientMessage::Cancel { call }))
         }
         _ => Err(Stop::Bad("neither a request nor a notification")),
     }
@@ -151,7 +151,7 @@
 // What can be read as MessagePack but is no request gets an answer, so the reader must stand behind it.
 fn request(reader: &mut Reader, call: u32, class: usize) -> Result<Draft, Stop> {
     let mut parameters = reader.value(MESSAGE_MOST)?;
-    let invalid = |why| Ok(Draft::Done(Said::Invalid { call, why }));
+    let invalid = |why| Ok(Draft::Done(ClientMessage::Invalid { call, why }));
     match fields(&mut parameters, class) {
         Ok(draft) if parameters.at == reader.at => Ok(Draft::Request(call, draft)),
         Ok(_) => invalid("parameters left over"),
@@ -200,9 +200,9 @@
     Ok(draft)
 }
 
-fn asked(message: &Bytes, draft: RequestDraft) -> Result<Asked, &'static str> {
+fn asked(message: &Bytes, draft: RequestDraft) -> Result<ClientRequest, &'static str> {
     let slice = |place: Range<usize>| message.slice(place);
-    Ok(Asked {
+    Ok(ClientRequest {
         class: ClassId(draft.class),
         id: slice(draft.id.ok_or("id is not 16 hex digits")?),
         key: slice(draft.key.ok_or("key is missing")?),
--- a/crates/flaxdeck-wire/tests/lines.rs
+++ b/crates/flaxdeck-wire/tests/lines.rs
@@ -4,12 +4,12 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use flaxdeck::{AttemptOutcome, ClassId, FillOutcome, GroupId, HostId, ObjectId, Span};
-use flaxdeck_wire::lines::{HEAD_MOST, Line, Wish, parse, want};
-use flaxdeck_wire::{Asked, Parsed};
+use flaxdeck_wire::lines::{AttemptOptions, HEAD_MOST, Line, parse, want};
+use flaxdeck_wire::{ClientRequest, Parsed};
 use names::names;
 
-fn asked() -> Asked {
-    Asked {
+fn asked() -> ClientRequest {
+    ClientRequest {
         class: ClassId(1),
         id: "9b1f03aa5c7e2d41".into(),
         key: "7f3a9c21e0b4d655".into(),
@@ -28,7 +28,7 @@
 #[test]
 fn a_request_holds_what_was_wished_in_whole_milliseconds() {
     let source = HostId("s-00009a01".into());
-    let mut wish = Wish {
+    let mut wish = AttemptOptions {
         class: "page",
         waits: Span::of_ms(0.2),
         source: Some(&source),
@@ -40,7 +40,7 @@
         renew: true,
     };
     let line = want(
-        &Asked {
+        &ClientRequest {
             holds: Some("tag".into()),
             body: "ab".into(),
             ..asked()
@@ -159,7 +159,7 @@
         let Ok(Parsed::Whole(line)) = parse(&mut buffer, &names()) else {
             panic!("it is whole")
         };
-        line.host_reply.is_of_another_copy(&Asked {
+        line.host_reply.is_of_another_copy(&ClientRequest {
             holds: holds.map(Bytes::from),
             ..asked()
         })
--- a/crates/flaxdeck-wire/tests/recorded_bytes.rs
+++ b/crates/flaxdeck-wire/tests/recorded_bytes.rs
@@ -10,9 +10,9 @@
 };
 use flaxdeck_terms::fields::Fields;
 use flaxdeck_wire::frames::{AddressedEndpoint, Event};
-use flaxdeck_wire::lines::{self, Wish};
-use flaxdeck_wire::rpc::{self, Said};
-use flaxdeck_wire::{Answer, Asked, HostReply, Parsed, frames};
+use flaxdeck_wire::lines::{self, AttemptOptions};
+use flaxdeck_wire::rpc::{self, ClientMessage};
+use flaxdeck_wire::{Answer, ClientRequest, HostReply, Parsed, frames};
 use names::names;
 
 use flaxdeck_toy::request_message;
@@ -44,8 +44,8 @@
     }
 }
 
-fn asked(body: &'static [u8]) -> Asked {
-    Asked {
+fn asked(body: &'static [u8]) -> ClientRequest {
+    ClientRequest {
         class: ClassId(0),
         id: Bytes::from_static(b"a1b2c3d4"),
         key: Bytes::from_static(b"7f3a9c21e0b4d655"),
@@ -162,12 +162,12 @@
 #[test]
 fn requests_to_a_host_keep_their_bytes() {
     let host = HostId("s-00c41f7b".into());
-    let plain = Asked {
+    let plain = ClientRequest {
         holds: None,
         idempotency_key: None,
         ..asked(b"")
     };
-    let bare = Wish {
+    let bare = AttemptOptions {
         class: "page",
         waits: Span::of_ms(0.2),
         source: None,
@@ -178,7 +178,7 @@
         only_held: false,
         renew: false,
     };
-    let full = Wish {
+    let full = AttemptOptions {
         class: "submit",
         waits: Span::of_ms(2_999.9),
         source: Some(&host),
@@ -281,7 +281,7 @@
     let bytes = request_message(70_000, "submit", &fields, b"a form");
     assert_recorded("client-request.bin", &bytes);
     let mut buffer = BytesMut::from(&recorded("client-request.bin")[..]);
-    let wanted = Asked {
+    let wanted = ClientRequest {
         class: ClassId(2),
         id: "9b1f03aa5c7e2d41".into(),
         key: "7f3a9c21e0b4d655".into(),
@@ -295,7 +295,9 @@
         idempotency_key: Some("6ba245bd25e372d4b65f22998597a9da".into()),
         body: "a form".into(),
     };
-    let Ok(Parsed::Whole(Said::Request { call, asked })) = rpc::parse(&mut buffer, &names()) else {
+    let Ok(Parsed::Whole(ClientMessage::Request { call, asked })) =
+        rpc::parse(&mut buffer, &names())
+    else {
         panic!("no whole request")
     };
     assert_eq!((call, *asked), (70_000, wanted));
--- a/crates/flaxdeck-wire/tests/rpc.rs
+++ b/crates/flaxdeck-wire/tests/rpc.rs
@@ -5,8 +5,8 @@
 use bytes::{BufMut, BytesMut};
 use flaxdeck::{ClassId, GroupId, ObjectId, Span};
 use flaxdeck_net::budget::{MESSAGE_MOST, WRITE_MOST};
-use flaxdeck_wire::rpc::{Said, alive, answer, parse};
-use flaxdeck_wire::{Answer, Asked, Parsed};
+use flaxdeck_wire::rpc::{ClientMessage, alive, answer, parse};
+use flaxdeck_wire::{Answer, ClientRequest, Parsed};
 use names::names;
 
 use flaxdeck_toy::request_message;
@@ -34,7 +34,7 @@
         buffer.put_u8(*byte);
     }
     buffer.put_slice(&message);
-    let asked = Asked {
+    let asked = ClientRequest {
         class: ClassId(2),
         id: "9b1f03aa5c7e2d41".into(),
         key: "7f3a9c21e0b4d655".into(),
@@ -49,7 +49,7 @@
         body: "a form".into(),
     };
     for _ in 0..2 {
-        let whole = Parsed::Whole(Said::Request {
+        let whole = Parsed::Whole(ClientMessage::Request {
             call: 7,
             asked: Box::new(asked.clone()),
         });
@@ -77,7 +77,7 @@
 #[test]
 fn a_body_over_the_bound_is_an_invalid_request_and_one_far_over_it_is_refused_before_it_comes() {
     let message = request_message(7, "submit", &FIELDS, &[0; WRITE_MOST + 1]);
-    let said = Said::Invalid {
+    let said = ClientMessage::Invalid {
         call: 7,
         why: "too long",
     };
