--- a/crates/flaxdeck-cli/src/levels.rs
+++ b/crates/flaxdeck-cli/src/levels.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
-use flaxdeck_emulator::{Kind, Layout, Load, Manner, World};
+use flaxdeck_emulator::{FailureMode, Kind, Layout, Load, World};
 use flaxdeck_invariants::RecordedEvent;
 
 use crate::Stop;
@@ -124,11 +124,11 @@
         (begins + COLD_AT, Fault::RestartHost(cache.clone())),
         (
             begins + FAILS_AT,
-            Fault::HostManner(parent.clone(), Manner::Fail),
+            Fault::HostManner(parent.clone(), FailureMode::Fail),
         ),
         (
             begins + MENDED_AT,
-            Fault::HostManner(parent.clone(), Manner::Serve),
+            Fault::HostManner(parent.clone(), FailureMode::Serve),
         ),
     ];
     fleet.play(&script)?;
--- a/crates/flaxdeck-cli/src/recovery.rs
+++ b/crates/flaxdeck-cli/src/recovery.rs
@@ -7,7 +7,7 @@
 
 use clap::{Args, ValueEnum};
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
-use flaxdeck_emulator::{End, Kind, Layout, Load, PULSE, Patience, Pulse, World};
+use flaxdeck_emulator::{End, INTERVAL, IntervalCounters, Kind, Layout, Load, Patience, World};
 use flaxdeck_experiments::keep::Column;
 use flaxdeck_experiments::service::{self, Lost, SLICE, Slice};
 
@@ -236,7 +236,7 @@
 
 struct Played {
     slices: Vec<Slice>,
-    pulses: Vec<Pulse>,
+    intervals: Vec<IntervalCounters>,
     breaches: Vec<String>,
     most_of_bound: f64,
     even: bool,
@@ -320,13 +320,13 @@
             }
         }
         most = most.max(played.most_of_bound);
-        let sum = |pick: fn(&Pulse) -> u32, from: f64, to: f64| -> u32 {
-            let (from, to) = ((from / PULSE) as usize, (to / PULSE) as usize);
-            played.pulses.iter().take(to).skip(from).map(pick).sum()
+        let sum = |pick: fn(&IntervalCounters) -> u32, from: f64, to: f64| -> u32 {
+            let (from, to) = ((from / INTERVAL) as usize, (to / INTERVAL) as usize);
+            played.intervals.iter().take(to).skip(from).map(pick).sum()
         };
         peaks[0] = peaks[0].max(
             played
-                .pulses
+                .intervals
                 .iter()
                 .map(|pulse| pulse.held_most)
                 .max()
@@ -460,7 +460,9 @@
         Where::Connections => &[Patience::AtOnce],
         _ => &[Patience::AsTold, Patience::AtOnce, Patience::GivesUp],
     };
-    let clients = fleet.world.seekers(&fleet.addresses(), &load, kinds);
+    let clients = fleet
+        .world
+        .retrying_clients(&fleet.addresses(), &load, kinds);
     let mut script = Vec::new();
     if shape.place == Where::Cold {
         let cold = [&caches[0], &caches[1], &parents[0]];
@@ -489,8 +491,8 @@
         sleep(Duration::from_millis(20));
     }
     let mut slices = vec![Slice::default(); (END / SLICE) as usize];
-    for fate in clients.fates() {
-        let at = (fate.first - begins) / SLICE;
+    for outcome in clients.outcomes() {
+        let at = (outcome.first - begins) / SLICE;
         let Some(slice) = Some(at)
             .filter(|at| *at >= 0.0)
             .and_then(|at| slices.get_mut(at as usize))
@@ -498,17 +500,17 @@
             continue;
         };
         slice.wants += 1;
-        slice.in_time += u64::from(matches!(fate.end, End::Served(took) if took <= IN_TIME));
-        slice.rejected += u64::from(fate.end == End::Rejected);
+        slice.in_time += u64::from(matches!(outcome.end, End::Served(took) if took <= IN_TIME));
+        slice.rejected += u64::from(outcome.end == End::Rejected);
     }
-    let pulses: Vec<Pulse> = fleet
+    let intervals: Vec<IntervalCounters> = fleet
         .world
-        .pulses()
+        .intervals()
         .into_iter()
-        .skip((begins / PULSE) as usize)
+        .skip((begins / INTERVAL) as usize)
         .collect();
-    for (at, pulse) in pulses.iter().enumerate() {
-        let Some(slice) = slices.get_mut((at as f64 * PULSE / SLICE) as usize) else {
+    for (at, pulse) in intervals.iter().enumerate() {
+        let Some(slice) = slices.get_mut((at as f64 * INTERVAL / SLICE) as usize) else {
             break;
         };
         slice.answers += u64::from(pulse.cache_answers);
@@ -529,7 +531,7 @@
     }
     Ok(Played {
         slices,
-        pulses,
+        intervals,
         breaches,
         most_of_bound: verdict.most_of_bound,
         even: verdict.all_accounted_for(),
--- a/crates/flaxdeck-cli/src/shapes.rs
+++ b/crates/flaxdeck-cli/src/shapes.rs
@@ -1,7 +1,7 @@
 //! Files that describe a model: `(model (zones 2) ... (faults (fault (kind die) (at-ms 8000) (lasts-ms 6000))))`.
 //! What a file leaves out has its default.
 
-use flaxdeck_fleet::{Fault, Shape, Trouble};
+use flaxdeck_fleet::{Fault, FaultKind, Shape};
 use flaxdeck_plan::form::{Faults, Form, only, root};
 
 use crate::{Stop, faulty, files};
@@ -126,7 +126,7 @@
         );
         return None;
     };
-    let trouble = Trouble::of(kind, |what| match what {
+    let kind = FaultKind::of(kind, |what| match what {
         "part" => part,
         "times" => times,
         "at-once" => at_once,
@@ -137,6 +137,6 @@
     Some(Fault {
         at_ms,
         lasts_ms,
-        trouble,
+        kind,
     })
 }
--- a/crates/flaxdeck-cli/tests/coming_back.rs
+++ b/crates/flaxdeck-cli/tests/coming_back.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
-use flaxdeck_emulator::{End, Kind, Layout, Load, Patience, Seekers, Wire, World};
+use flaxdeck_emulator::{End, Kind, Layout, Load, Patience, RetryingClients, Wire, World};
 use flaxdeck_invariants::Verdict;
 
 const ALL: [Patience; 3] = [Patience::AsTold, Patience::AtOnce, Patience::GivesUp];
@@ -32,7 +32,7 @@
 }
 
 /// Clients from now on, for so long, with so many requests a second at each forwarder.
-fn clients(fleet: &Fleet, rate: f64, lasts: f64) -> (Seekers, f64) {
+fn clients(fleet: &Fleet, rate: f64, lasts: f64) -> (RetryingClients, f64) {
     let begins = fleet.world.now() + 200.0;
     let load = Load {
         seed: 5,
@@ -45,11 +45,16 @@
         wait_ms: 2_500,
         names_from: 0,
     };
-    (fleet.world.seekers(&fleet.addresses(), &load, &ALL), begins)
+    (
+        fleet
+            .world
+            .retrying_clients(&fleet.addresses(), &load, &ALL),
+        begins,
+    )
 }
 
 /// Waits for the clients and judges; every request must be accounted for, no byte wrong and no rule broken.
-fn kept(fleet: &Fleet, clients: &Seekers) -> Verdict {
+fn kept(fleet: &Fleet, clients: &RetryingClients) -> Verdict {
     let limit = fleet.world.now() + 20_000.0;
     while !clients.done() {
         assert!(fleet.world.now() < limit, "the clients do not end");
@@ -63,17 +68,17 @@
 }
 
 /// The part of the wants first asked for in that time that were served.
-fn served(clients: &Seekers, from: f64, to: f64) -> f64 {
-    let fates: Vec<_> = clients
-        .fates()
+fn served(clients: &RetryingClients, from: f64, to: f64) -> f64 {
+    let outcomes: Vec<_> = clients
+        .outcomes()
         .into_iter()
-        .filter(|fate| (from..to).contains(&fate.first))
+        .filter(|outcome| (from..to).contains(&outcome.first))
         .collect();
-    let served = fates
+    let served = outcomes
         .iter()
-        .filter(|fate| matches!(fate.end, End::Served(_)))
+        .filter(|outcome| matches!(outcome.end, End::Served(_)))
         .count();
-    served as f64 / fates.len().max(1) as f64
+    served as f64 / outcomes.len().max(1) as f64
 }
 
 fn logged(fleet: &Fleet, words: &str) -> usize {
@@ -473,7 +478,9 @@
         wait_ms: 2_500,
         names_from: 0,
     };
-    let clients = fleet.world.seekers(&fleet.addresses(), &load, &ALL);
+    let clients = fleet
+        .world
+        .retrying_clients(&fleet.addresses(), &load, &ALL);
     let script = [
         (begins + 300.0, Fault::RestartHost(cache)),
         (begins + 2_500.0, Fault::KillForwarder(1)),
@@ -525,7 +532,7 @@
 
 /// All forwarders restart with a wall clock that is wrong by so much; then one object after another is purged, and two
 /// caches restart cold.
-fn with_clocks_apart(ms: i64, planners: usize) -> (Fleet, Seekers, f64) {
+fn with_clocks_apart(ms: i64, planners: usize) -> (Fleet, RetryingClients, f64) {
     // So cold, and for so long, that a cache taken for warm falls over. Without planners nobody vouches between two words
     // of the coordinator, a second apart.
     let layout = Layout {
--- a/crates/flaxdeck-cli/tests/levels.rs
+++ b/crates/flaxdeck-cli/tests/levels.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
-use flaxdeck_emulator::{Clients, Kind, Layout, Load, Manner, Wire, World};
+use flaxdeck_emulator::{Clients, FailureMode, Kind, Layout, Load, Wire, World};
 use flaxdeck_invariants::Verdict;
 
 /// Forwarders that have just started leave cold hosts alone for this long.
@@ -264,7 +264,10 @@
     let parent = fleet.world.hosts(Kind::Parent)[0].clone();
     let (clients, begins) = load(&fleet, &[100.0], 200.0, 4_000.0);
     fleet
-        .play(&[(begins + 1_000.0, Fault::HostManner(parent, Manner::Fail))])
+        .play(&[(
+            begins + 1_000.0,
+            Fault::HostManner(parent, FailureMode::Fail),
+        )])
         .unwrap();
     let verdict = kept(&fleet, &clients);
     assert!(verdict.served * 100 >= verdict.asked * 98, "{verdict:?}");
--- a/crates/flaxdeck-control/src/membership.rs
+++ b/crates/flaxdeck-control/src/membership.rs
@@ -122,7 +122,7 @@
     }
 }
 
-/// The planner in charge of a incarnation: the first of the live ones in the incarnation's own order (rendezvous), steady ones
+/// The planner in charge of an incarnation: the first of the live ones in the incarnation's own order (rendezvous), steady ones
 /// before those that have just come.
 pub fn lease_holder(now: Time, planners: &[Known], incarnation: &Incarnation) -> Option<PlannerId> {
     let hash = of_name(&incarnation.host, incarnation.started);
--- a/crates/flaxdeck-control/src/quotas.rs
+++ b/crates/flaxdeck-control/src/quotas.rs
@@ -12,7 +12,7 @@
 
 /// Hundredths of what was spent within the window that count as wanted: demand may grow from one report to the next.
 const GROWS: u64 = 150;
-/// How long word that others want some of a incarnation counts, from when it was asked for: two reports. Where answers take
+/// How long word that others want some of an incarnation counts, from when it was asked for: two reports. Where answers take
 /// longer nothing is lent, as a grant would come too late to be of use.
 const WANTED_LASTS: Span = Span::from_ms(500);
 /// Over how long what was turned away is averaged: a few reports, so that one request's bad luck is no demand.
@@ -22,7 +22,7 @@
 const HOLDS: Span = Span::from_ms(30_000);
 /// Hundredths of the own share that are never lent, so that a first request need not wait for a grant.
 const FLOOR: u32 = 10;
-/// The least of a incarnation worth lending or borrowing: a thousandth. Less would be more messages than requests.
+/// The least of an incarnation worth lending or borrowing: a thousandth. Less would be more messages than requests.
 const LEAST: QuotaFraction = QuotaFraction(1_000);
 
 /// What the decision engine knows of a cold host's use by this forwarder.
--- a/crates/flaxdeck-control/tests/membership.rs
+++ b/crates/flaxdeck-control/tests/membership.rs
@@ -37,7 +37,7 @@
     for (before, after) in before.iter().zip(after) {
         assert!(
             before.0 == 2 || *before == after,
-            "a incarnation moved from a planner that incarnations"
+            "a life moved from a planner that lives"
         );
     }
 }
--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -147,7 +147,7 @@
 fn log_line(router: &Router) {
     let [requests, clients, hosts] = router.load();
     log::info!(
-        "open: requests={requests} clients={clients} hosts={hosts}; counters: {}",
+        "open: requests={requests} clients={clients} hosts={hosts}; counted: {}",
         metrics::line()
     );
     router
--- a/crates/flaxdeck-dispatcher/tests/descriptors.rs
+++ b/crates/flaxdeck-dispatcher/tests/descriptors.rs
@@ -134,12 +134,9 @@
     let served = busy.join().unwrap();
     assert!(served > 4 * AT_ONCE as usize, "{served} served");
     world.terminate();
-    world.logged(&["counters: "]);
+    world.logged(&["counted: "]);
     let log = world.log.lock().unwrap();
-    let counters = log
-        .iter()
-        .rfind(|line| line.contains("counters: "))
-        .unwrap();
+    let counters = log.iter().rfind(|line| line.contains("counted: ")).unwrap();
     let none_lacked = ["accept_errors", "must_not_happen"]
         .iter()
         .all(|word| !counters.contains(word));
--- a/crates/flaxdeck-dispatcher/tests/endings.rs
+++ b/crates/flaxdeck-dispatcher/tests/endings.rs
@@ -320,7 +320,7 @@
     assert_eq!(asked, 700, "what is owed until then is within the bound");
     assert!(served(&world.request("page", KEY, 2000, b""), KEY));
     world.terminate();
-    world.logged(&["counters: ", "clients_flooding=1"]);
+    world.logged(&["counted: ", "clients_flooding=1"]);
     assert!(world.process.wait().unwrap().success());
 }
 
--- a/crates/flaxdeck-emulator/src/clients.rs
+++ b/crates/flaxdeck-emulator/src/clients.rs
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, sleep_until};
 
-use crate::world::{Inside, kb_of, made_of};
+use crate::world::{SharedState, kb_of, made_of};
 
 /// What is asked for, by whom and how often.
 #[derive(Clone, Debug)]
@@ -116,22 +116,22 @@
 
 impl Clients {
     /// Starts clients of these dispatchers; to be called within the world's runtime.
-    pub fn start(world: &Arc<Inside>, dispatchers: &[SocketAddr], load: &Load) -> Clients {
+    pub fn start(world: &Arc<SharedState>, dispatchers: &[SocketAddr], load: &Load) -> Clients {
         let clients = Clients {
             tally: Arc::default(),
             open: Arc::default(),
         };
         for (at, address) in dispatchers.iter().enumerate() {
-            let mut lanes: Vec<Vec<Planned>> = (0..CONNECTIONS).map(|_| Vec::new()).collect();
+            let mut connections: Vec<Vec<Planned>> = (0..CONNECTIONS).map(|_| Vec::new()).collect();
             for (n, planned) in draw(load, at).into_iter().enumerate() {
-                lanes[n % CONNECTIONS].push(planned);
+                connections[n % CONNECTIONS].push(planned);
             }
-            for (lane, planned) in lanes.into_iter().enumerate() {
+            for (connection, planned) in connections.into_iter().enumerate() {
                 clients.open.fetch_add(1, Ordering::SeqCst);
                 let (world, tally, open) =
                     (world.clone(), clients.tally.clone(), clients.open.clone());
                 let (address, wait) = (*address, load.wait_ms);
-                let name = load.names_from + at * CONNECTIONS + lane;
+                let name = load.names_from + at * CONNECTIONS + connection;
                 tokio::spawn(async move {
                     run(&world, address, name, planned, wait, &tally).await;
                     open.fetch_sub(1, Ordering::SeqCst);
@@ -163,7 +163,7 @@
 
 /// One connection's requests; a connection that breaks is opened again, and what was open on it has left.
 async fn run(
-    world: &Arc<Inside>,
+    world: &Arc<SharedState>,
     address: SocketAddr,
     name: usize,
     planned: Vec<Planned>,
@@ -288,7 +288,7 @@
 }
 
 async fn hear(
-    world: Arc<Inside>,
+    world: Arc<SharedState>,
     mut from: OwnedReadHalf,
     name: usize,
     open: Arc<Mutex<HashMap<u32, Open>>>,
@@ -349,7 +349,7 @@
 }
 
 fn answered(
-    world: &Inside,
+    world: &SharedState,
     name: usize,
     open: &Mutex<HashMap<u32, Open>>,
     tally: &Mutex<Tally>,
--- a/crates/flaxdeck-emulator/src/coordinator.rs
+++ b/crates/flaxdeck-emulator/src/coordinator.rs
@@ -8,11 +8,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-use crate::world::{HostState, Inside, Kind, State};
+use crate::world::{HostState, Kind, SharedState, State};
 
 const QUIET: Duration = Duration::from_secs(1);
 
-pub async fn serve(world: Arc<Inside>, listener: TcpListener) {
+pub async fn serve(world: Arc<SharedState>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             continue;
@@ -22,7 +22,7 @@
     }
 }
 
-async fn feed(world: &Inside, mut stream: TcpStream) -> io::Result<()> {
+async fn feed(world: &SharedState, mut stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let run = world.lock().coordinator_run;
     let mut number = [0; 8];
@@ -57,16 +57,16 @@
 }
 
 /// Whether a call is answered; one over what the coordinator serves finds its connection closed.
-fn answers(world: &Inside) -> bool {
+fn answers(world: &SharedState) -> bool {
     let (now, every) = (world.now(), 1000.0 / world.layout.lists_per_s);
     let mut state = world.lock();
     let taken = state.next_call <= now;
     if taken {
         state.next_call = now.max(state.next_call) + every;
     }
-    let pulse = state.pulse(now);
-    pulse.list_calls += 1;
-    pulse.lists_refused += u32::from(!taken);
+    let interval = state.interval(now);
+    interval.list_calls += 1;
+    interval.lists_refused += u32::from(!taken);
     taken
 }
 
@@ -99,7 +99,7 @@
 }
 
 /// A line of the list as the frames hold it.
-pub fn record(world: &Inside, id: &str, host: &HostState) -> Vec<u8> {
+pub fn record(world: &SharedState, id: &str, host: &HostState) -> Vec<u8> {
     let name = u32::from_str_radix(id.trim_start_matches("s-"), 16).unwrap_or(0);
     let mut record = name.to_be_bytes().to_vec();
     if let std::net::SocketAddr::V4(address) = host.address {
@@ -118,7 +118,7 @@
 }
 
 /// All hosts that are listed.
-pub fn whole(world: &Inside, state: &State) -> Vec<u8> {
+pub fn whole(world: &SharedState, state: &State) -> Vec<u8> {
     let listed = state.hosts.iter().filter(|(_, host)| host.state < 2);
     listed
         .flat_map(|(id, host)| record(world, id, host))
--- a/crates/flaxdeck-emulator/src/fleet.rs
+++ b/crates/flaxdeck-emulator/src/fleet.rs
@@ -12,7 +12,7 @@
 
 use crate::World;
 use crate::proxy::{Proxy, Wire};
-use crate::world::Manner;
+use crate::world::FailureMode;
 
 /// One fault, told by the places of those it meets: forwarders and planners count from 0, hosts have their names.
 #[derive(Clone, Debug, PartialEq)]
@@ -42,7 +42,7 @@
     KillHost(String),
     /// Starts anew, empty and cold, and is listed so.
     RestartHost(String),
-    HostManner(String, Manner),
+    HostManner(String, FailureMode),
     Purge(String),
     MuteCoordinator(bool),
     /// The coordinator restarts and numbers from 1 again.
@@ -378,7 +378,7 @@
             Fault::Serve(host) => self.world.announce(host),
             Fault::KillHost(host) => self.world.kill(host),
             Fault::RestartHost(host) => self.world.restart(host)?,
-            Fault::HostManner(host, manner) => self.world.manner(host, *manner),
+            Fault::HostManner(host, failure_mode) => self.world.failure_mode(host, *failure_mode),
             Fault::Purge(object) => self.world.purge(object),
             Fault::MuteCoordinator(mute) => self.world.mute(*mute),
             Fault::LoseNumbering => self.world.lose_numbering(),
--- a/crates/flaxdeck-emulator/src/hosts.rs
+++ b/crates/flaxdeck-emulator/src/hosts.rs
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, sleep_until};
 
-use crate::world::{Inside, KB_PER_MS, Kind, Manner, body_of, kb_of};
+use crate::world::{FailureMode, KB_PER_MS, Kind, SharedState, body_of, kb_of};
 
 /// Requests a place may have waiting before it says `full`.
 const QUEUE: f64 = 6.0;
@@ -22,7 +22,7 @@
 const START: f64 = 1.0;
 
 /// Serves one host's listener until its run ends.
-pub async fn serve(world: Arc<Inside>, id: String, listener: TcpListener, run: u64) {
+pub async fn serve(world: Arc<SharedState>, id: String, listener: TcpListener, run: u64) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -51,7 +51,7 @@
 }
 
 /// Whether a host takes one more connection; books it.
-fn let_in(world: &Inside, id: &str) -> bool {
+fn let_in(world: &SharedState, id: &str) -> bool {
     let (now, most) = (world.now(), world.layout.host_connections);
     let mut state = world.lock();
     let Some(host) = state.hosts.get_mut(id) else {
@@ -60,14 +60,14 @@
     let taken = host.connections < most;
     host.connections += u32::from(taken);
     let held = host.connections;
-    let pulse = state.pulse(now);
-    pulse.connects += 1;
-    pulse.turned_away += u32::from(!taken);
-    pulse.held_most = pulse.held_most.max(held);
+    let interval = state.interval(now);
+    interval.connects += 1;
+    interval.turned_away += u32::from(!taken);
+    interval.held_most = interval.held_most.max(held);
     taken
 }
 
-async fn over(world: &Inside, id: &str, run: u64) {
+async fn over(world: &SharedState, id: &str, run: u64) {
     loop {
         let notified = world.changed.notified();
         tokio::pin!(notified);
@@ -84,7 +84,7 @@
     }
 }
 
-async fn attend(world: &Arc<Inside>, id: &str, stream: TcpStream) -> io::Result<()> {
+async fn attend(world: &Arc<SharedState>, id: &str, stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let (read, mut write) = stream.into_split();
     let mut lines = BufReader::new(read);
@@ -139,7 +139,7 @@
     Ok(String::from_utf8_lossy(&line).trim_end().to_owned())
 }
 
-fn leave(world: &Inside, id: &str) {
+fn leave(world: &SharedState, id: &str) {
     if let Some(host) = world.lock().hosts.get_mut(id) {
         host.in_hand = host.in_hand.saturating_sub(1);
     }
@@ -156,7 +156,7 @@
 }
 
 /// Takes work of so many KB at a host: books it, finds a place, and has the host fall over where it is too much.
-fn take(world: &Inside, id: &str, kb: f64) -> Taken {
+fn take(world: &SharedState, id: &str, kb: f64) -> Taken {
     let now = world.now();
     let mut state = world.lock();
     let state = &mut *state;
@@ -170,13 +170,13 @@
             host: id.to_owned(),
         },
     ));
-    match host.manner {
-        Manner::Silent => return Taken::Silent,
-        Manner::Fail => return Taken::Failed,
+    match host.failure_mode {
+        FailureMode::Silent => return Taken::Silent,
+        FailureMode::Fail => return Taken::Failed,
         _ => {}
     }
     let pace = world.part(host, now);
-    let slow = if let Manner::Slow(times) = host.manner {
+    let slow = if let FailureMode::Slow(times) = host.failure_mode {
         times
     } else {
         1.0
@@ -225,7 +225,7 @@
 
 /// The answer's word, fields and body; none if the host says nothing.
 async fn answer(
-    world: &Arc<Inside>,
+    world: &Arc<SharedState>,
     id: &str,
     fields: &HashMap<String, String>,
     request: &str,
@@ -280,9 +280,9 @@
             .hosts
             .get(id)
             .is_some_and(|host| host.kind == Kind::Cache);
-        let pulse = state.pulse(now);
-        pulse.cache_answers += u32::from(cache);
-        pulse.cache_hits += u32::from(cache && told == "how=hit");
+        let interval = state.interval(now);
+        interval.cache_answers += u32::from(cache);
+        interval.cache_hits += u32::from(cache && told == "how=hit");
     }
     let stats = format!("stats=outstanding:{in_hand};x0:0.5;x1:0.1");
     Some(match ended {
@@ -301,7 +301,7 @@
 
 /// A copy young enough, from what is held or filled: when it was made, or what came in the way.
 async fn copy(
-    world: &Arc<Inside>,
+    world: &Arc<SharedState>,
     id: &str,
     object: &str,
     source: &str,
@@ -356,7 +356,7 @@
 
 /// A fill from a parent or the origin: when the copy was made, and whether a parent had to ask the origin.
 async fn fetch(
-    world: &Arc<Inside>,
+    world: &Arc<SharedState>,
     source: &str,
     object: &str,
     oldest: f64,
@@ -371,9 +371,9 @@
             .hosts
             .get(source)
             .is_some_and(|host| host.kind == Kind::Origin);
-        let pulse = state.pulse(now);
-        pulse.origin_fills += u32::from(origin && matches!(taken, Taken::Until(_)));
-        pulse.origin_refused += u32::from(origin && matches!(taken, Taken::Full));
+        let interval = state.interval(now);
+        interval.origin_fills += u32::from(origin && matches!(taken, Taken::Until(_)));
+        interval.origin_refused += u32::from(origin && matches!(taken, Taken::Full));
     }
     let until = match taken {
         Taken::Until(until) => until,
--- a/crates/flaxdeck-emulator/src/lib.rs
+++ b/crates/flaxdeck-emulator/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod fleet;
 mod hosts;
 mod proxy;
-mod seekers;
+mod retrying_clients;
 mod world;
 
 use std::net::SocketAddr;
@@ -17,11 +17,11 @@
 pub use clients::{Clients, Load, Told, object_of_rank};
 use flaxdeck_invariants::{InvariantTerms, RecordedEvent, Verdict};
 pub use proxy::{Proxy, Wire};
-pub use seekers::{End, Fate, Patience, Seekers};
+pub use retrying_clients::{End, Patience, RequestOutcome, RetryingClients};
 use serde_json::{Value, json};
 use tokio::runtime::Runtime;
-use world::{HostState, Inside};
-pub use world::{Kind, Layout, Manner, PULSE, Pulse, settings};
+pub use world::{FailureMode, INTERVAL, IntervalCounters, Kind, Layout, settings};
+use world::{HostState, SharedState};
 
 /// Threads of the stand-ins.
 const THREADS: usize = 3;
@@ -53,7 +53,7 @@
 
 /// The world, from the outside.
 pub struct World {
-    inside: Arc<Inside>,
+    inside: Arc<SharedState>,
     runtime: Runtime,
     pub coordinator: SocketAddr,
 }
@@ -66,7 +66,7 @@
             .enable_all()
             .build();
         let runtime = runtime.map_err(|error| format!("no runtime: {error}"))?;
-        let inside = Inside::new(layout.clone());
+        let inside = SharedState::new(layout.clone());
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let entered = runtime.enter();
         let (listener, coordinator) =
@@ -112,7 +112,7 @@
             kind,
             address,
             places,
-            manner: Manner::Serve,
+            failure_mode: FailureMode::Serve,
             up: true,
             run: 0,
             started: None,
@@ -188,14 +188,19 @@
         Clients::start(&self.inside, dispatchers, load)
     }
 
-    pub fn seekers(&self, dispatchers: &[SocketAddr], load: &Load, kinds: &[Patience]) -> Seekers {
+    pub fn retrying_clients(
+        &self,
+        dispatchers: &[SocketAddr],
+        load: &Load,
+        kinds: &[Patience],
+    ) -> RetryingClients {
         let _entered = self.runtime.enter();
-        Seekers::start(&self.inside, dispatchers, load, kinds)
+        RetryingClients::start(&self.inside, dispatchers, load, kinds)
     }
 
     /// Counts at all stand-ins, by tenths of a second since the world began.
-    pub fn pulses(&self) -> Vec<Pulse> {
-        self.inside.lock().pulses.clone()
+    pub fn intervals(&self) -> Vec<IntervalCounters> {
+        self.inside.lock().intervals.clone()
     }
 
     /// The coordinator's one event is the list as it stands, under that number.
@@ -322,7 +327,8 @@
             ));
             let host = state.hosts.get_mut(id).ok_or("a host went")?;
             host.run += 1;
-            (host.up, host.started, host.manner, host.state) = (true, Some(now), Manner::Serve, 0);
+            (host.up, host.started, host.failure_mode, host.state) =
+                (true, Some(now), FailureMode::Serve, 0);
             (host.in_hand, host.spent, host.connections) = (0, 0.0, 0);
             host.held.clear();
             host.work.clear();
@@ -344,9 +350,9 @@
         Ok(())
     }
 
-    pub fn manner(&self, id: &str, manner: Manner) {
+    pub fn failure_mode(&self, id: &str, failure_mode: FailureMode) {
         if let Some(host) = self.inside.lock().hosts.get_mut(id) {
-            host.manner = manner;
+            host.failure_mode = failure_mode;
         }
     }
 
--- a/crates/flaxdeck-emulator/src/seekers.rs
+++ b/crates/flaxdeck-emulator/src/retrying_clients.rs
@@ -17,7 +17,7 @@
 use tokio::time::{sleep_until, timeout};
 
 use crate::clients::{Load, Planned, Spoken, draw, message, read};
-use crate::world::{Inside, made_of};
+use crate::world::{SharedState, made_of};
 
 /// How a client takes a rejection or a break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 
 /// One want from its first try to its end.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fate {
+pub struct RequestOutcome {
     pub first: f64,
     pub tries: u32,
     pub end: End,
@@ -65,44 +65,44 @@
 
 #[derive(Default)]
 struct Tally {
-    fates: Vec<Fate>,
+    outcomes: Vec<RequestOutcome>,
     wrong_bytes: u64,
 }
 
 /// The clients of a fleet.
-pub struct Seekers {
+pub struct RetryingClients {
     tally: Arc<Mutex<Tally>>,
     open: Arc<AtomicU64>,
 }
 
-impl Seekers {
+impl RetryingClients {
     /// Starts clients with these dispatchers as their own ones; to be called within the world's runtime. Every third
-    /// lane is of each kind of patience.
+    /// connection is of each kind of patience.
     pub fn start(
-        world: &Arc<Inside>,
+        world: &Arc<SharedState>,
         dispatchers: &[SocketAddr],
         load: &Load,
         kinds: &[Patience],
-    ) -> Seekers {
-        let seekers = Seekers {
+    ) -> RetryingClients {
+        let retrying_clients = RetryingClients {
             tally: Arc::default(),
             open: Arc::default(),
         };
         let all: Arc<[SocketAddr]> = dispatchers.into();
         for at in 0..dispatchers.len() {
-            let mut lanes: Vec<Vec<Planned>> = (0..LANES).map(|_| Vec::new()).collect();
+            let mut connections: Vec<Vec<Planned>> = (0..LANES).map(|_| Vec::new()).collect();
             for (n, planned) in draw(load, at).into_iter().enumerate() {
-                lanes[n % LANES].push(planned);
+                connections[n % LANES].push(planned);
             }
-            for (lane, planned) in lanes.into_iter().enumerate() {
-                let name = load.names_from + at * LANES + lane;
+            for (connection, planned) in connections.into_iter().enumerate() {
+                let name = load.names_from + at * LANES + connection;
                 let (events, heard) = mpsc::unbounded_channel();
-                let lane = Lane {
+                let connection = ClientConnection {
                     world: world.clone(),
                     all: all.clone(),
                     own: at,
                     name,
-                    patience: kinds[lane % kinds.len()],
+                    patience: kinds[connection % kinds.len()],
                     wait: load.wait_ms,
                     chance: Pcg64Mcg::seed_from_u64(load.seed ^ (name as u64) << 20),
                     due: BTreeMap::new(),
@@ -112,17 +112,17 @@
                     links: 0,
                     away_since: None,
                     events,
-                    tally: seekers.tally.clone(),
+                    tally: retrying_clients.tally.clone(),
                 };
-                seekers.open.fetch_add(1, Ordering::SeqCst);
-                let open = seekers.open.clone();
+                retrying_clients.open.fetch_add(1, Ordering::SeqCst);
+                let open = retrying_clients.open.clone();
                 tokio::spawn(async move {
-                    lane.run(planned, heard).await;
+                    connection.run(planned, heard).await;
                     open.fetch_sub(1, Ordering::SeqCst);
                 });
             }
         }
-        seekers
+        retrying_clients
     }
 
     pub fn done(&self) -> bool {
@@ -130,8 +130,12 @@
     }
 
     /// What became of all wants that have ended.
-    pub fn fates(&self) -> Vec<Fate> {
-        self.tally.lock().expect("no holder panics").fates.clone()
+    pub fn outcomes(&self) -> Vec<RequestOutcome> {
+        self.tally
+            .lock()
+            .expect("no holder panics")
+            .outcomes
+            .clone()
     }
 
     pub fn wrong_bytes(&self) -> u64 {
@@ -153,8 +157,8 @@
     Ended(u64),
 }
 
-struct Lane {
-    world: Arc<Inside>,
+struct ClientConnection {
+    world: Arc<SharedState>,
     all: Arc<[SocketAddr]>,
     own: usize,
     name: usize,
@@ -172,7 +176,7 @@
     tally: Arc<Mutex<Tally>>,
 }
 
-impl Lane {
+impl ClientConnection {
     async fn run(mut self, planned: Vec<Planned>, mut heard: mpsc::UnboundedReceiver<Event>) {
         for (n, Planned { at, object, write }) in planned.into_iter().enumerate() {
             let want = Want {
@@ -383,7 +387,7 @@
 
     fn over(&self, want: &Want, end: End) {
         let first = want.first.unwrap_or(want.sent);
-        let fate = Fate {
+        let outcome = RequestOutcome {
             first,
             tries: want.tries,
             end,
@@ -392,8 +396,8 @@
         self.tally
             .lock()
             .expect("no holder panics")
-            .fates
-            .push(fate);
+            .outcomes
+            .push(outcome);
     }
 }
 
@@ -410,5 +414,5 @@
             }
         }
     }
-    let _ = events.send(Event::Ended(number)); // nobody listens once the lane is over
+    let _ = events.send(Event::Ended(number)); // nobody listens once the connection is over
 }
--- a/crates/flaxdeck-emulator/src/world.rs
+++ b/crates/flaxdeck-emulator/src/world.rs
@@ -21,7 +21,7 @@
 
 /// How a host answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
+pub enum FailureMode {
     Serve,
     /// Takes requests and says nothing.
     Silent,
@@ -86,7 +86,7 @@
     pub kind: Kind,
     pub address: SocketAddr,
     pub places: f64,
-    pub manner: Manner,
+    pub failure_mode: FailureMode,
     pub up: bool,
     /// Counts its starts; work of an earlier one is lost.
     pub run: u64,
@@ -106,7 +106,7 @@
 
 /// What came to all stand-ins of a kind within one tenth of a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Pulse {
+pub struct IntervalCounters {
     /// Connections opened at caches, parents and the origin, and those that they closed as too many.
     pub connects: u32,
     pub turned_away: u32,
@@ -124,17 +124,17 @@
     pub cache_hits: u32,
 }
 
-/// Milliseconds of one pulse.
-pub const PULSE: f64 = 100.0;
+/// Milliseconds of one interval.
+pub const INTERVAL: f64 = 100.0;
 
 impl State {
     /// The count of the tenth of a second at that time.
-    pub fn pulse(&mut self, now: f64) -> &mut Pulse {
-        let at = (now / PULSE) as usize;
-        if self.pulses.len() <= at {
-            self.pulses.resize(at + 1, Pulse::default());
+    pub fn interval(&mut self, now: f64) -> &mut IntervalCounters {
+        let at = (now / INTERVAL) as usize;
+        if self.intervals.len() <= at {
+            self.intervals.resize(at + 1, IntervalCounters::default());
         }
-        &mut self.pulses[at]
+        &mut self.intervals[at]
     }
 }
 
@@ -152,7 +152,7 @@
     pub fell_over: u64,
     /// Objects with the time of their last purge.
     pub purged: HashMap<String, f64>,
-    pub pulses: Vec<Pulse>,
+    pub intervals: Vec<IntervalCounters>,
     /// The whole list as it stood after each event, for a coordinator that is put back.
     pub lists: Vec<(u64, Vec<u8>)>,
     /// Counts the coordinator's restarts: connections of an earlier one end.
@@ -161,7 +161,7 @@
     pub next_call: f64,
 }
 
-pub struct Inside {
+pub struct SharedState {
     pub layout: Layout,
     start: Instant,
     unix: f64,
@@ -170,8 +170,8 @@
     pub changed: Notify,
 }
 
-impl Inside {
-    pub fn new(layout: Layout) -> Arc<Inside> {
+impl SharedState {
+    pub fn new(layout: Layout) -> Arc<SharedState> {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
@@ -187,12 +187,12 @@
             fills_at_origin: 0,
             fell_over: 0,
             purged: HashMap::new(),
-            pulses: Vec::new(),
+            intervals: Vec::new(),
             lists: Vec::new(),
             coordinator_run: 0,
             next_call: 0.0,
         };
-        Arc::new(Inside {
+        Arc::new(SharedState {
             layout,
             start: Instant::now(),
             unix,
--- a/crates/flaxdeck-fleet/src/faults.rs
+++ b/crates/flaxdeck-fleet/src/faults.rs
@@ -5,8 +5,8 @@
 
 /// What goes wrong. Hosts, forwarders and planners are told by their places in the model's lists.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
-    /// So large a part of all caches and parents dies at once; each starts again, cold, at the trouble's end.
+pub enum FaultKind {
+    /// So large a part of all caches and parents dies at once; each starts again, cold, at the kind's end.
     Die {
         /// The part, from 0 to 1.
         part: f64,
@@ -88,7 +88,7 @@
     /// Milliseconds until it ends.
     pub lasts_ms: f64,
     /// What goes wrong.
-    pub trouble: Trouble,
+    pub kind: FaultKind,
 }
 
 /// The names of the kinds, as operators write them.
@@ -112,39 +112,39 @@
     "split-planners",
 ];
 
-impl Trouble {
-    /// The trouble of that kind, whose strengths are asked for by their words: part, times, at-once, zone, ms, rate.
+impl FaultKind {
+    /// The kind of that kind, whose strengths are asked for by their words: part, times, at-once, zone, ms, rate.
     /// None for an unknown kind.
-    pub fn of(kind: &str, mut ask: impl FnMut(&'static str) -> f64) -> Option<Trouble> {
+    pub fn of(kind: &str, mut ask: impl FnMut(&'static str) -> f64) -> Option<FaultKind> {
         Some(match kind {
-            "die" => Trouble::Die { part: ask("part") },
-            "deploy" => Trouble::Deploy {
+            "die" => FaultKind::Die { part: ask("part") },
+            "deploy" => FaultKind::Deploy {
                 at_once: ask("at-once") as usize,
             },
-            "late-register" => Trouble::LateRegister { ms: ask("ms") },
-            "lost-zone" => Trouble::LostZone {
+            "late-register" => FaultKind::LateRegister { ms: ask("ms") },
+            "lost-zone" => FaultKind::LostZone {
                 zone: ask("zone") as usize,
             },
-            "lost-hub" => Trouble::LostHub,
-            "hang" => Trouble::Hang { part: ask("part") },
-            "fail" => Trouble::Fail { part: ask("part") },
-            "slow" => Trouble::Slow {
+            "lost-hub" => FaultKind::LostHub,
+            "hang" => FaultKind::Hang { part: ask("part") },
+            "fail" => FaultKind::Fail { part: ask("part") },
+            "slow" => FaultKind::Slow {
                 part: ask("part"),
                 times: ask("times"),
             },
-            "slow-origin" => Trouble::SlowOrigin {
+            "slow-origin" => FaultKind::SlowOrigin {
                 times: ask("times"),
             },
-            "origin-refuses" => Trouble::OriginRefuses,
-            "purge-all" => Trouble::PurgeAll,
-            "scan" => Trouble::Scan { rate: ask("rate") },
-            "hot" => Trouble::Hot { part: ask("part") },
-            "overload" => Trouble::Overload {
+            "origin-refuses" => FaultKind::OriginRefuses,
+            "purge-all" => FaultKind::PurgeAll,
+            "scan" => FaultKind::Scan { rate: ask("rate") },
+            "hot" => FaultKind::Hot { part: ask("part") },
+            "overload" => FaultKind::Overload {
                 times: ask("times"),
             },
-            "kill-forwarders" => Trouble::KillForwarders { part: ask("part") },
-            "silent-planners" => Trouble::SilentPlanners,
-            "split-planners" => Trouble::SplitPlanners,
+            "kill-forwarders" => FaultKind::KillForwarders { part: ask("part") },
+            "silent-planners" => FaultKind::SilentPlanners,
+            "split-planners" => FaultKind::SplitPlanners,
             _ => return None,
         })
     }
@@ -154,7 +154,7 @@
 pub fn draw(kind: &str, zones: usize, day_ms: f64, chance: &mut Pcg64Mcg) -> Option<Fault> {
     let part = chance.random_range(0.15..0.35);
     let times = chance.random_range(2.0..6.0);
-    let trouble = Trouble::of(kind, |what| match (what, kind) {
+    let kind = FaultKind::of(kind, |what| match (what, kind) {
         ("part", "die") => 0.2,
         ("part", "kill-forwarders") => 0.5,
         ("part", _) => part,
@@ -170,6 +170,6 @@
     Some(Fault {
         at_ms,
         lasts_ms,
-        trouble,
+        kind,
     })
 }
--- a/crates/flaxdeck-fleet/src/hosts.rs
+++ b/crates/flaxdeck-fleet/src/hosts.rs
@@ -4,7 +4,7 @@
 
 /// How a host answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
+pub enum FailureMode {
     /// As it should.
     Serve,
     /// Not at all.
@@ -137,7 +137,7 @@
     /// Counts its deaths: what was planned before one no longer counts.
     pub run: u32,
     /// How it answers.
-    pub manner: Manner,
+    pub failure_mode: FailureMode,
     /// When it started, in milliseconds; none for long past.
     pub started: Option<f64>,
     /// What it holds.
@@ -166,7 +166,7 @@
             places,
             up: true,
             run: 0,
-            manner: Manner::Serve,
+            failure_mode: FailureMode::Serve,
             started: None,
             copies: Copies::new(most_kb),
             busy: 0,
--- a/crates/flaxdeck-fleet/src/lib.rs
+++ b/crates/flaxdeck-fleet/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod shape;
 pub mod traffic;
 
-pub use faults::{Fault, Trouble};
+pub use faults::{Fault, FaultKind};
 pub use model::run;
 pub use outcome::Outcome;
 pub use shape::Shape;
--- a/crates/flaxdeck-fleet/src/model.rs
+++ b/crates/flaxdeck-fleet/src/model.rs
@@ -2,7 +2,7 @@
 //!
 //! Each module below does one job on that state: `build` makes it, `events` says what can happen and who handles it,
 //! `clients` and `attempts` follow a request, `service`, `fills` and `sites` are the hosts and links, `forwarders`,
-//! `decisions`, `planners` and `coordinator` the control side, `troubles` the faults and `record` what is kept.
+//! `decisions`, `planners` and `coordinator` the control side, `faults` the faults and `record` what is kept.
 
 use std::collections::HashMap;
 
@@ -21,9 +21,9 @@
 use clients::Want;
 use coordinator::CoordinatorEvent;
 use events::Event;
+use fault_effects::Conditions;
 use forwarders::Forwarder;
 use sites::Site;
-use troubles::Conditions;
 
 mod attempts;
 mod build;
@@ -31,13 +31,13 @@
 mod coordinator;
 mod decisions;
 mod events;
+mod fault_effects;
 mod fills;
 mod forwarders;
 mod planners;
 mod record;
 mod service;
 mod sites;
-mod troubles;
 
 /// The fleet's clock begins here, so that what is "long past" has room before it.
 const EPOCH_MS: f64 = 1_000_000.0;
--- a/crates/flaxdeck-fleet/src/model/build.rs
+++ b/crates/flaxdeck-fleet/src/model/build.rs
@@ -9,9 +9,9 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::events::Event;
+use super::fault_effects::Conditions;
 use super::planners::lease_terms;
 use super::sites::{SAMPLE_MS, Site};
-use super::troubles::Conditions;
 use super::{Model, Outcome, Shape, time};
 use crate::hosts::{Host, Kind};
 use crate::queue::Queue;
--- a/crates/flaxdeck-fleet/src/model/coordinator.rs
+++ b/crates/flaxdeck-fleet/src/model/coordinator.rs
@@ -9,7 +9,7 @@
 
 use super::events::Event;
 use super::{GROUPS, Model, time};
-use crate::hosts::{Job, Kind, Manner};
+use crate::hosts::{FailureMode, Job, Kind};
 
 /// Milliseconds by which an event reaches forwarders at different times.
 const JITTER_MS: f64 = 20.0;
@@ -99,7 +99,7 @@
             self.kill(at);
         }
         let host = &mut self.hosts[at];
-        (host.up, host.started, host.manner) = (true, Some(self.now), Manner::Serve);
+        (host.up, host.started, host.failure_mode) = (true, Some(self.now), FailureMode::Serve);
         let id = host.id.clone();
         self.see(RecordedEvent::Started { host: id.clone() });
         self.see(RecordedEvent::Announced { host: id });
--- a/crates/flaxdeck-fleet/src/model/troubles.rs
+++ b/crates/flaxdeck-fleet/src/model/fault_effects.rs
@@ -8,8 +8,8 @@
 use super::coordinator::CoordinatorEvent;
 use super::events::Event;
 use super::{Model, Shape};
-use crate::faults::Trouble;
-use crate::hosts::{Host, Kind, Manner};
+use crate::faults::FaultKind;
+use crate::hosts::{FailureMode, Host, Kind};
 
 /// Milliseconds until hosts have dropped by themselves what was purged; forwarders ask by age until then.
 const SETTLES_MS: f64 = 5_000.0;
@@ -62,29 +62,33 @@
 impl Model<'_> {
     /// A fault of the shape begins.
     pub(super) fn fault_begins(&mut self, at: usize) {
-        let trouble = self.shape.faults[at].trouble.clone();
-        let struck = self.struck_by(&trouble);
-        match trouble {
-            Trouble::Die { .. } | Trouble::LostZone { .. } | Trouble::LostHub => {
+        let kind = self.shape.faults[at].kind.clone();
+        let struck = self.struck_by(&kind);
+        match kind {
+            FaultKind::Die { .. } | FaultKind::LostZone { .. } | FaultKind::LostHub => {
                 struck.iter().for_each(|host| self.kill(*host));
             }
-            Trouble::Hang { .. } => self.set_manner(&struck, Manner::Silent),
-            Trouble::Fail { .. } => self.set_manner(&struck, Manner::Fail),
-            Trouble::Slow { times, .. } => self.set_manner(&struck, Manner::Slow(times)),
-            Trouble::Deploy { at_once } => self.deploy(at_once),
-            Trouble::LateRegister { ms } => self.conditions.coordinator_ms += ms,
-            Trouble::SlowOrigin { times } => self.conditions.origin_times = times,
-            Trouble::OriginRefuses => self.set_manner(&[self.hosts.len() - 1], Manner::Fail),
-            Trouble::PurgeAll => self.purge_all(),
-            Trouble::Scan { rate } => {
+            FaultKind::Hang { .. } => self.set_failure_mode(&struck, FailureMode::Silent),
+            FaultKind::Fail { .. } => self.set_failure_mode(&struck, FailureMode::Fail),
+            FaultKind::Slow { times, .. } => {
+                self.set_failure_mode(&struck, FailureMode::Slow(times))
+            }
+            FaultKind::Deploy { at_once } => self.deploy(at_once),
+            FaultKind::LateRegister { ms } => self.conditions.coordinator_ms += ms,
+            FaultKind::SlowOrigin { times } => self.conditions.origin_times = times,
+            FaultKind::OriginRefuses => {
+                self.set_failure_mode(&[self.hosts.len() - 1], FailureMode::Fail)
+            }
+            FaultKind::PurgeAll => self.purge_all(),
+            FaultKind::Scan { rate } => {
                 self.conditions.scan_rate = rate;
                 self.after(0.0, Event::Scan);
             }
-            Trouble::Hot { part } => self.conditions.hot = part,
-            Trouble::Overload { times } => self.conditions.load = times,
-            Trouble::KillForwarders { part } => self.kill_forwarders(part),
-            Trouble::SilentPlanners => self.conditions.planners_silent = true,
-            Trouble::SplitPlanners => self.conditions.planners_split = true,
+            FaultKind::Hot { part } => self.conditions.hot = part,
+            FaultKind::Overload { times } => self.conditions.load = times,
+            FaultKind::KillForwarders { part } => self.kill_forwarders(part),
+            FaultKind::SilentPlanners => self.conditions.planners_silent = true,
+            FaultKind::SplitPlanners => self.conditions.planners_split = true,
         }
         self.conditions.struck[at] = struck;
     }
@@ -92,41 +96,43 @@
     /// A fault of the shape ends.
     pub(super) fn fault_ends(&mut self, at: usize) {
         let struck = std::mem::take(&mut self.conditions.struck[at]);
-        match self.shape.faults[at].trouble {
-            Trouble::Die { .. } | Trouble::LostZone { .. } | Trouble::LostHub => {
+        match self.shape.faults[at].kind {
+            FaultKind::Die { .. } | FaultKind::LostZone { .. } | FaultKind::LostHub => {
                 struck.into_iter().for_each(|host| self.restart(host));
             }
-            Trouble::Hang { .. } | Trouble::Fail { .. } | Trouble::Slow { .. } => {
-                self.set_manner(&struck, Manner::Serve);
+            FaultKind::Hang { .. } | FaultKind::Fail { .. } | FaultKind::Slow { .. } => {
+                self.set_failure_mode(&struck, FailureMode::Serve);
             }
-            Trouble::LateRegister { ms } => {
+            FaultKind::LateRegister { ms } => {
                 let before = self.conditions.coordinator_ms - ms;
                 self.conditions.coordinator_ms = before.max(self.shape.coordinator_delay_ms);
             }
-            Trouble::SlowOrigin { .. } => self.conditions.origin_times = 1.0,
-            Trouble::OriginRefuses => self.set_manner(&[self.hosts.len() - 1], Manner::Serve),
-            Trouble::Scan { .. } => self.conditions.scan_rate = 0.0,
-            Trouble::Hot { .. } => self.conditions.hot = 0.0,
-            Trouble::Overload { .. } => self.conditions.load = 1.0,
-            Trouble::SilentPlanners => self.conditions.planners_silent = false,
-            Trouble::SplitPlanners => self.conditions.planners_split = false,
-            Trouble::Deploy { .. } | Trouble::PurgeAll | Trouble::KillForwarders { .. } => {}
+            FaultKind::SlowOrigin { .. } => self.conditions.origin_times = 1.0,
+            FaultKind::OriginRefuses => {
+                self.set_failure_mode(&[self.hosts.len() - 1], FailureMode::Serve)
+            }
+            FaultKind::Scan { .. } => self.conditions.scan_rate = 0.0,
+            FaultKind::Hot { .. } => self.conditions.hot = 0.0,
+            FaultKind::Overload { .. } => self.conditions.load = 1.0,
+            FaultKind::SilentPlanners => self.conditions.planners_silent = false,
+            FaultKind::SplitPlanners => self.conditions.planners_split = false,
+            FaultKind::Deploy { .. } | FaultKind::PurgeAll | FaultKind::KillForwarders { .. } => {}
         }
     }
 
-    /// The hosts that a trouble strikes.
-    fn struck_by(&mut self, trouble: &Trouble) -> Vec<usize> {
-        match *trouble {
-            Trouble::Die { part } => self.draw_hosts(part, |host| host.kind != Kind::Origin),
-            Trouble::LostZone { zone } => {
+    /// The hosts that a kind strikes.
+    fn struck_by(&mut self, kind: &FaultKind) -> Vec<usize> {
+        match *kind {
+            FaultKind::Die { part } => self.draw_hosts(part, |host| host.kind != Kind::Origin),
+            FaultKind::LostZone { zone } => {
                 self.draw_hosts(1.0, |host| is_cache(host) && host.zone == zone)
             }
-            Trouble::LostHub => {
+            FaultKind::LostHub => {
                 let mut parents = self.draw_hosts(1.0, |host| host.kind == Kind::Parent);
                 parents.pop();
                 parents
             }
-            Trouble::Hang { part } | Trouble::Fail { part } | Trouble::Slow { part, .. } => {
+            FaultKind::Hang { part } | FaultKind::Fail { part } | FaultKind::Slow { part, .. } => {
                 self.draw_hosts(part, is_cache)
             }
             _ => Vec::new(),
@@ -147,10 +153,10 @@
         all
     }
 
-    fn set_manner(&mut self, hosts: &[usize], manner: Manner) {
+    fn set_failure_mode(&mut self, hosts: &[usize], failure_mode: FailureMode) {
         hosts
             .iter()
-            .for_each(|host| self.hosts[*host].manner = manner);
+            .for_each(|host| self.hosts[*host].failure_mode = failure_mode);
     }
 
     /// All caches are drained and started again, so many at a time.
--- a/crates/flaxdeck-fleet/src/model/service.rs
+++ b/crates/flaxdeck-fleet/src/model/service.rs
@@ -5,7 +5,7 @@
 
 use super::Model;
 use super::events::Event;
-use crate::hosts::{Job, Kind, Manner};
+use crate::hosts::{FailureMode, Job, Kind};
 
 /// Milliseconds of a place for any work, besides those by size.
 const WORK_MS: f64 = 0.5;
@@ -22,8 +22,8 @@
 
     /// Milliseconds that a place of this host takes for so many KB.
     pub(super) fn work(&self, at: usize, kb: f64) -> f64 {
-        let times = match self.hosts[at].manner {
-            Manner::Slow(times) => times,
+        let times = match self.hosts[at].failure_mode {
+            FailureMode::Slow(times) => times,
             _ if self.hosts[at].kind == Kind::Origin => self.conditions.origin_times,
             _ => 1.0,
         };
@@ -45,10 +45,10 @@
         self.see(RecordedEvent::Arrived {
             host: self.hosts[at].id.clone(),
         });
-        match self.hosts[at].manner {
-            Manner::Silent => return Some(AttemptOutcome::TimedOut),
-            Manner::Fail => return Some(AttemptOutcome::Errored),
-            Manner::Serve | Manner::Slow(_) => {}
+        match self.hosts[at].failure_mode {
+            FailureMode::Silent => return Some(AttemptOutcome::TimedOut),
+            FailureMode::Fail => return Some(AttemptOutcome::Errored),
+            FailureMode::Serve | FailureMode::Slow(_) => {}
         }
         if self.hosts[at].waiting.len() >= self.capacity(at) * WAITING_A_PLACE {
             return Some(AttemptOutcome::Rejected);
--- a/crates/flaxdeck-fleet/tests/days.rs
+++ b/crates/flaxdeck-fleet/tests/days.rs
@@ -1,4 +1,4 @@
-//! Days of the model: the same again by the same seed, calm ones that go well, and each kind of trouble with every request
+//! Days of the model: the same again by the same seed, calm ones that go well, and each kind of kind with every request
 //! accounted for and no rule broken.
 
 use flaxdeck_fleet::{Outcome, Shape, faults, run};
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -359,7 +359,7 @@
         let planner = self.planner.borrow();
         let (forwarders, lives, [lent, out]) = planner.load(self.clock.now());
         let (counters, refused) = (planner.counters, self.refused.get());
-        tracing::info!(forwarders, lives, lent, out, refused, ?counters, "counters");
+        tracing::info!(forwarders, lives, lent, out, refused, ?counters, "counted");
         let ((subscribers, kept, bytes), counters) = self.events.borrow().load();
         tracing::info!(subscribers, kept, bytes, ?counters, "events");
         tracing::info!("traffic: {}", metrics::line());
