--- a/crates/flaxdeck-channel/src/authenticated.rs
+++ b/crates/flaxdeck-channel/src/authenticated.rs
@@ -20,7 +20,7 @@
 /// Bytes of the greeting.
 pub const GREETING: usize = 4 + 1 + 1 + NONCE + HASH;
 /// Bytes of one frame at most: events, grants and ratings at their bounds fit.
-pub const FRAME_MOST: usize = 320 * 1024;
+pub const MAX_FRAME: usize = 320 * 1024;
 const NONCE: usize = 16;
 const HASH: usize = 16;
 const COUNTER: usize = 8;
@@ -162,7 +162,7 @@
         let body = postcard::to_stdvec(message)
             .map_err(|_| Malformed("a message that can't be written"))?;
         let length = COUNTER + body.len() + HASH;
-        if length > FRAME_MOST {
+        if length > MAX_FRAME {
             return Err(Malformed("a message over the bound of a frame"));
         }
         let hash = self.key.hash(&[&counter, &body]);
@@ -187,7 +187,7 @@
             return Ok(Parsed::Short(4 - buffer.len()));
         }
         let length = u32::from_be_bytes([buffer[0], buffer[1], buffer[2], buffer[3]]) as usize;
-        if !(COUNTER + HASH..=FRAME_MOST).contains(&length) {
+        if !(COUNTER + HASH..=MAX_FRAME).contains(&length) {
             return Err(Malformed("a frame's length is out of bounds"));
         }
         if buffer.len() < 4 + length {
--- a/crates/flaxdeck-channel/src/connection.rs
+++ b/crates/flaxdeck-channel/src/connection.rs
@@ -18,7 +18,7 @@
 /// How long connecting and greeting may take.
 const GREETED: Duration = Duration::from_millis(1000);
 /// Messages that may wait to be written; past that the other side reads too slowly to be told more.
-const WAITING_MOST: usize = 4;
+const MAX_WAITING: usize = 4;
 /// How long the other side may take nothing of what waits for it, or say nothing.
 const STALLED: Duration = Duration::from_millis(2500);
 
@@ -117,7 +117,7 @@
 impl Sender {
     /// Whether another message may be written: the other side keeps up.
     pub fn may_send(&self) -> bool {
-        !self.outbound.is_closed() && self.outbound.waiting() < WAITING_MOST
+        !self.outbound.is_closed() && self.outbound.waiting() < MAX_WAITING
     }
 
     /// Writes one message, or queues it. One over a bound is not sent, and ends the conversation.
--- a/crates/flaxdeck-control/src/forwarder.rs
+++ b/crates/flaxdeck-control/src/forwarder.rs
@@ -295,12 +295,12 @@
                 .take_while(|observation| newer(observation.last_failure))
                 .count();
             let others = if report_suppression.subscribed_to == Some(to) {
-                RARE_MOST
+                MAX_RARE
             } else {
                 0
             };
             // Which of the others are told goes round with the reports.
-            let turn = side.sent as usize * RARE_MOST;
+            let turn = side.sent as usize * MAX_RARE;
             let rest = told.len() - failed;
             told[failed..].rotate_left(if rest > 0 { turn % rest } else { 0 });
             told.truncate(failed + others);
@@ -339,7 +339,7 @@
                 ago_ms: ago(at),
             }),
             lease_reports,
-            samples: told.into_iter().take(RATINGS_MOST).map(sample).collect(),
+            samples: told.into_iter().take(MAX_RATINGS).map(sample).collect(),
         }
     }
 
@@ -417,10 +417,10 @@
             (side.echo, side.version) = (None, 0);
         }
         let echo = echo.map_or(now, Stamp::time);
-        let bounded = guidance.grants.len() <= INCARNATIONS_MOST
-            && guidance.ratings.len() <= RATINGS_MOST
-            && guidance.events.len() <= EVENTS_MOST
-            && guidance.incarnations.len() <= INCARNATIONS_MOST;
+        let bounded = guidance.grants.len() <= MAX_INCARNATIONS
+            && guidance.ratings.len() <= MAX_RATINGS
+            && guidance.events.len() <= MAX_EVENTS
+            && guidance.incarnations.len() <= MAX_INCARNATIONS;
         let mut sensible = bounded && echo <= now && guidance.ratings.iter().all(sensible_rating);
         sensible &= guidance.link.iter().all(sensible_link);
         // What it grants is bounded by what was asked, so the rest of a message with one bad grant does no harm.
--- a/crates/flaxdeck-control/src/instance_slots.rs
+++ b/crates/flaxdeck-control/src/instance_slots.rs
@@ -13,7 +13,7 @@
 use crate::messages::{Epoch, SlotId};
 
 /// The most instance_slots and ended runs that are remembered; past that a seat is told that nobody can tell.
-const SEATS_MOST: usize = 4_096;
+const MAX_SEATS: usize = 4_096;
 
 struct Slot {
     run: Epoch,
@@ -50,9 +50,9 @@
         if seat == SlotId(0) {
             return true;
         }
-        if !self.instance_slots.contains_key(&seat) && self.instance_slots.len() >= SEATS_MOST {
+        if !self.instance_slots.contains_key(&seat) && self.instance_slots.len() >= MAX_SEATS {
             self.instance_slots.retain(|_, seat| seat.out_until > now);
-            if self.instance_slots.len() >= SEATS_MOST {
+            if self.instance_slots.len() >= MAX_SEATS {
                 return true;
             }
         }
@@ -62,7 +62,7 @@
         });
         if known.run != run {
             self.ended.retain(|_, until| *until > now);
-            if self.ended.len() < SEATS_MOST {
+            if self.ended.len() < MAX_SEATS {
                 self.ended.insert(known.run, now + self.lasts);
             } else {
                 // Without room to remember that run its loans can't be kept out: all that it could lend counts as out.
--- a/crates/flaxdeck-control/src/membership.rs
+++ b/crates/flaxdeck-control/src/membership.rs
@@ -12,7 +12,7 @@
 /// and goes does not have deposits moved to and fro.
 pub const STEADY: Span = Span::from_ms(500);
 /// Nonsense after which a planner is not listened to, and for how long.
-const NONSENSE_MOST: u32 = 3;
+const MAX_NONSENSE: u32 = 3;
 const SHUNNED: Span = Span::from_ms(30_000);
 
 /// A planner's place in the operator's file, the same in every forwarder's.
@@ -106,7 +106,7 @@
     /// It has said what can't be. The paper's penalty for a peer: after some it is left alone for a while.
     pub fn blame(&mut self, now: Time) {
         self.invalid_message += 1;
-        if self.invalid_message >= NONSENSE_MOST {
+        if self.invalid_message >= MAX_NONSENSE {
             (self.invalid_message, self.shunned_until, self.heard) = (0, now + SHUNNED, None);
         }
     }
--- a/crates/flaxdeck-control/src/messages.rs
+++ b/crates/flaxdeck-control/src/messages.rs
@@ -52,13 +52,13 @@
 }
 
 /// The most of each that one message may hold; what is over the bound makes the message invalid_message.
-pub const INCARNATIONS_MOST: usize = 256;
-pub const RATINGS_MOST: usize = 128;
-pub const EVENTS_MOST: usize = 64;
+pub const MAX_INCARNATIONS: usize = 256;
+pub const MAX_RATINGS: usize = 128;
+pub const MAX_EVENTS: usize = 64;
 /// Samples and ratings in one message to or from a forwarder that subscribes, beside those of hosts that failed: what
 /// its budget of bytes leaves room for.
-pub const RARE_MOST: usize = 4;
-pub const NAME_MOST: usize = 64;
+pub const MAX_RARE: usize = 4;
+pub const MAX_NAME: usize = 64;
 
 /// Who wrote a message, to which run of whom, and when.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/crates/flaxdeck-control/src/planner.rs
+++ b/crates/flaxdeck-control/src/planner.rs
@@ -16,13 +16,13 @@
 /// A forwarder that says nothing for so long is forgotten; what it lent runs off by itself.
 pub const FORGOTTEN: Span = Span::from_ms(10_000);
 /// The most forwarders that are kept, whatever comes.
-pub const MEMBERS_MOST: usize = 4_096;
+pub const MAX_MEMBERS: usize = 4_096;
 /// The most incarnations of cold hosts that are kept, whatever comes.
-pub const POOLS_MOST: usize = 16_384;
+pub const MAX_POOLS: usize = 16_384;
 /// The most events that are kept to be passed on, whatever comes.
-pub const LOG_MOST: usize = 4_096;
+pub const MAX_LOG: usize = 4_096;
 /// Bytes of events in one guidance: some lists of changes, or one whole list of 5,000 hosts.
-pub const EVENT_BYTES_MOST: usize = 192 * 1024;
+pub const MAX_EVENT_BYTES: usize = 192 * 1024;
 /// A rating is told again after so long, if there was any sample since.
 const REFRESH: Span = Span::from_ms(2_000);
 /// Between looks for what can be forgotten.
@@ -144,7 +144,7 @@
         let last = self.last_event();
         if let Some(event) = event.filter(|event| event.mark.number > last.number) {
             self.log.push_back(event);
-            if self.log.len() > LOG_MOST {
+            if self.log.len() > MAX_LOG {
                 self.base = self.log.pop_front().map_or(self.base, |event| event.mark);
             }
         }
@@ -185,7 +185,7 @@
             sent,
             echo,
         } = report.envelope;
-        if report.lease_reports.len() > INCARNATIONS_MOST || report.samples.len() > RATINGS_MOST {
+        if report.lease_reports.len() > MAX_INCARNATIONS || report.samples.len() > MAX_RATINGS {
             return Err(self.invalid_message());
         }
         if self
@@ -196,7 +196,7 @@
             self.counters.out_of_order += 1;
             return Err(Refused::OutOfOrder);
         }
-        if !self.members.contains_key(&from) && self.members.len() >= MEMBERS_MOST {
+        if !self.members.contains_key(&from) && self.members.len() >= MAX_MEMBERS {
             return Err(self.invalid_message());
         }
         if !self.instance_slots.met(now, report.seat, from) {
@@ -290,7 +290,7 @@
             .links
             .get(&report.zone)
             .is_none_or(|(_, old)| *old < at);
-        if newer && (self.links.len() < MEMBERS_MOST || self.links.contains_key(&report.zone)) {
+        if newer && (self.links.len() < MAX_MEMBERS || self.links.contains_key(&report.zone)) {
             self.links.insert(report.zone, (link.full, at));
         }
     }
@@ -334,7 +334,7 @@
             .hosts
             .get(&incarnation.host)
             .is_some_and(|host| host.started == incarnation.started);
-        if !listed || (!self.pools.contains_key(incarnation) && self.pools.len() >= POOLS_MOST) {
+        if !listed || (!self.pools.contains_key(incarnation) && self.pools.len() >= MAX_POOLS) {
             self.counters.unlisted += 1;
             return None;
         }
@@ -373,13 +373,13 @@
         let mut bytes = 0;
         let fits = |event: &&RelayedEvent| {
             bytes += event.frame.len();
-            bytes <= EVENT_BYTES_MOST
+            bytes <= MAX_EVENT_BYTES
         };
         let events = later.map(|later| {
             self.log
                 .iter()
                 .skip(later)
-                .take(EVENTS_MOST)
+                .take(MAX_EVENTS)
                 .take_while(fits)
         });
         let events: Vec<RelayedEvent> = events.into_iter().flatten().cloned().collect();
@@ -389,7 +389,7 @@
         let told: Vec<(&u64, &String)> = if member.subscribes {
             Self::matter_most(now, &self.hosts, later)
         } else {
-            later.take(RATINGS_MOST).collect()
+            later.take(MAX_RATINGS).collect()
         };
         let newest = told
             .iter()
@@ -433,8 +433,8 @@
                 .is_some_and(|host| host.health.down(now).is_some())
         };
         let (mut told, others): (Vec<_>, Vec<_>) = later.rev().partition(|(_, name)| is_down(name));
-        told.truncate(RATINGS_MOST - RARE_MOST);
-        told.extend(others.into_iter().take(RARE_MOST));
+        told.truncate(MAX_RATINGS - MAX_RARE);
+        told.extend(others.into_iter().take(MAX_RARE));
         told
     }
 
--- a/crates/flaxdeck-control/src/quotas.rs
+++ b/crates/flaxdeck-control/src/quotas.rs
@@ -7,7 +7,7 @@
 
 use flaxdeck::{Span, Time};
 
-use crate::messages::{Epoch, Grant, INCARNATIONS_MOST, Incarnation, LeaseReport};
+use crate::messages::{Epoch, Grant, Incarnation, LeaseReport, MAX_INCARNATIONS};
 use crate::{LeaseSchedule, LeaseTerms, QuotaFraction};
 
 /// Hundredths of what was spent within the window that count as wanted: demand may grow from one report to the next.
@@ -180,7 +180,7 @@
             .iter_mut()
             .filter(|(incarnation, _)| lease_holder(incarnation))
         {
-            if lease_reports.len() >= INCARNATIONS_MOST {
+            if lease_reports.len() >= MAX_INCARNATIONS {
                 break;
             }
             let wants =
--- a/crates/flaxdeck-control/src/ratings.rs
+++ b/crates/flaxdeck-control/src/ratings.rs
@@ -19,9 +19,9 @@
 const IN_HAND_LASTS: Span = Span::from_ms(1_000);
 
 /// Of what a sample may tell: outside, it is invalid_message.
-const LATENCY_MOST: f32 = 600_000.0;
-const BANDWIDTH_MOST: f32 = 1e7;
-const FULL_MOST: f32 = 1e4;
+const MAX_LATENCY: f32 = 600_000.0;
+const MAX_BANDWIDTH: f32 = 1e7;
+const MAX_FULL: f32 = 1e4;
 
 /// A mean whose samples lose weight with their age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -67,12 +67,12 @@
 pub fn sensible(sample: &Sample) -> bool {
     let within =
         |value: Option<f32>, most: f32| value.is_none_or(|value| (0.0..=most).contains(&value));
-    within(sample.measures[0], LATENCY_MOST) && within(sample.measures[1], BANDWIDTH_MOST)
+    within(sample.measures[0], MAX_LATENCY) && within(sample.measures[1], MAX_BANDWIDTH)
 }
 
 /// The same of a link.
 pub fn sensible_link(link: &LinkLoad) -> bool {
-    (0.0..=FULL_MOST).contains(&link.full)
+    (0.0..=MAX_FULL).contains(&link.full)
 }
 
 /// The same of a rating.
--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -27,7 +27,7 @@
 /// SIGKILL comes no sooner after SIGTERM than the longest wait of a client and this together.
 const BEFORE_KILL: Span = Span::from_ms(700);
 /// A longest wait over this counts as this.
-const WAIT_MOST: Span = Span::from_ms(3000);
+const MAX_WAIT: Span = Span::from_ms(3000);
 /// Before the earliest SIGKILL: for answers to be written and the process to end.
 const SPARE: Span = Span::from_ms(200);
 /// Between looks whether all is answered.
@@ -95,7 +95,7 @@
     }
     let told = Instant::now();
     log::info!("asked to end");
-    let ends = clock.now() + (carriage.longest_wait.min(WAIT_MOST) + BEFORE_KILL).less(SPARE);
+    let ends = clock.now() + (carriage.longest_wait.min(MAX_WAIT) + BEFORE_KILL).less(SPARE);
     router.end_by(ends);
     let mut rests = 0;
     while told.elapsed() < STAYS || (rests < LOOKS && clock.now() < ends + SPARE * 0.5) {
--- a/crates/flaxdeck-dispatcher/src/program/start.rs
+++ b/crates/flaxdeck-dispatcher/src/program/start.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 
 use flaxdeck_channel::watch::{NumberedEvents, Watch};
-use flaxdeck_net::budget::{Bounds, SOCKETS_LEAST};
+use flaxdeck_net::budget::{Bounds, MIN_SOCKETS};
 
 pub struct Start {
     pub address: SocketAddr,
@@ -67,9 +67,9 @@
             "limits: field memory_mb is {memory_mb}, nothing fits in that"
         ));
     }
-    if sockets < SOCKETS_LEAST {
+    if sockets < MIN_SOCKETS {
         return Err(format!(
-            "limits: field sockets is {sockets}, {SOCKETS_LEAST} are needed at least"
+            "limits: field sockets is {sockets}, {MIN_SOCKETS} are needed at least"
         ));
     }
     let bounds = Bounds::of(memory_mb, sockets as usize);
--- a/crates/flaxdeck-dispatcher/src/protocol/session.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/session.rs
@@ -20,10 +20,10 @@
 /// How long a client may take nothing of what waits for it, which holds memory that others could use.
 const STALLED: Duration = Duration::from_secs(3);
 /// Answers queued for a client past which it is owed further ones by their numbers alone: twice what it may have open.
-const UNREAD_MOST: usize = 64;
+const MAX_UNREAD: usize = 64;
 
 /// Answers owed to a client that takes none at which its connection is ended: far past what it may have open.
-const OWED_MOST: usize = 1024;
+const MAX_OWED: usize = 1024;
 /// How long a message may wait for memory before it is read past and refused. An end of the connection is noticed
 /// meanwhile, and nothing else of its client is open that could be cancelled behind it.
 const FOR_MEMORY: Duration = Duration::from_millis(100);
@@ -160,7 +160,7 @@
     }
 
     fn pay(&mut self) {
-        while self.outbound.waiting() < UNREAD_MOST {
+        while self.outbound.waiting() < MAX_UNREAD {
             let Some((call, word)) = self.owed.pop_front() else {
                 return;
             };
@@ -224,7 +224,7 @@
             if self.outbound.is_closed() {
                 return Heard::Over;
             }
-            if self.owed.len() > OWED_MOST {
+            if self.owed.len() > MAX_OWED {
                 count(Counter::clients_flooding);
                 return Heard::Over;
             }
--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -19,14 +19,14 @@
 use flaxdeck_net::metrics::{Counter, count};
 
 /// Requests that one connection may have open by the protocol.
-const OPEN_MOST: usize = 32;
+const MAX_OPEN: usize = 32;
 /// The longest between looks for who can make room, and after a failed accept: descriptors come free within it.
 const PAUSE: Duration = Duration::from_millis(5);
 /// Messages of one client heard in a row before others get their turn: what it may have open, asked and taken back.
-const AT_ONCE: usize = 2 * OPEN_MOST;
+const AT_ONCE: usize = 2 * MAX_OPEN;
 /// Connections that were ended here while the other side has not ended them yet: their descriptors are of those that are
 /// no client's and no host's.
-const ENDING_MOST: usize = 8;
+const MAX_ENDING: usize = 8;
 
 /// What the accepting side knows of a connection.
 pub(super) struct Client {
@@ -209,7 +209,7 @@
     let end = spawn_local(session.end(LINGER)).abort_handle();
     let mut ending = router.ending.borrow_mut();
     ending.push_back(end);
-    if ending.len() > ENDING_MOST {
+    if ending.len() > MAX_ENDING {
         ending
             .pop_front()
             .into_iter()
@@ -236,7 +236,7 @@
                 session.tell(call, ShortReply::Failed("Lost"));
             }
             Heard::Request { call, asked } => {
-                let fits = requests.len() + self.closer.unread() < OPEN_MOST;
+                let fits = requests.len() + self.closer.unread() < MAX_OPEN;
                 let (slot, held) = (
                     router.slots.take(),
                     router.asked.take_some(asked.body.len()),
--- a/crates/flaxdeck-distribution/src/cadence.rs
+++ b/crates/flaxdeck-distribution/src/cadence.rs
@@ -4,10 +4,10 @@
 
 /// How many batches a planner may miss before another is asked, and the least time that this takes.
 const MISSED_BATCHES: f64 = 2.0;
-const SILENT_AT_LEAST: Span = Span::from_ms(400);
+const MIN_SILENT_AT: Span = Span::from_ms(400);
 /// Batches between two heartbeats, and the longest time between them.
 const HEARTBEAT_BATCHES: f64 = 2.0;
-const HEARTBEAT_MOST: Span = Span::from_ms(1_000);
+const MAX_HEARTBEAT: Span = Span::from_ms(1_000);
 
 /// The spans of the conversation about events, the same at planners and forwarders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -34,7 +34,7 @@
     /// Of a planner that tells batches so often. Heartbeats follow them up to a second, so that with frequent batches a
     /// planner that hangs is left sooner.
     pub fn of_batches(batch_every: Span) -> Cadence {
-        let heartbeat = (batch_every * HEARTBEAT_BATCHES).min(HEARTBEAT_MOST);
+        let heartbeat = (batch_every * HEARTBEAT_BATCHES).min(MAX_HEARTBEAT);
         Cadence {
             batch_every,
             heartbeat,
@@ -46,6 +46,6 @@
     pub fn silent_after(self) -> Span {
         (self.batch_every * MISSED_BATCHES)
             .max(self.heartbeat * 1.5)
-            .max(SILENT_AT_LEAST)
+            .max(MIN_SILENT_AT)
     }
 }
--- a/crates/flaxdeck-distribution/src/digest.rs
+++ b/crates/flaxdeck-distribution/src/digest.rs
@@ -5,11 +5,11 @@
 //! zero bits.
 
 use crate::fingerprint::Fingerprint;
-use crate::messages::{PURGES_MOST, PurgeDigest};
+use crate::messages::{MAX_PURGES, PurgeDigest};
 
 const BYTE_BITS: usize = 8;
 /// Low bits of a difference that are written as they are, at most: the width of a fingerprint.
-const LOW_BITS_MOST: u8 = 32;
+const MAX_LOW_BITS: u8 = 32;
 
 /// Why a digest was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -64,10 +64,10 @@
     }
 
     fn check_sizes(&self) -> Result<(), InvalidDigest> {
-        if self.count > PURGES_MOST {
+        if self.count > MAX_PURGES {
             return Err(InvalidDigest::TooMany);
         }
-        if self.low_bits > LOW_BITS_MOST {
+        if self.low_bits > MAX_LOW_BITS {
             return Err(InvalidDigest::LowBits);
         }
         let count = self.count as usize;
@@ -76,7 +76,7 @@
             return Err(InvalidDigest::Truncated);
         }
         // With the best number of low bits none needs more than with all bits written as they are.
-        let most_bits = count * (1 + usize::from(LOW_BITS_MOST));
+        let most_bits = count * (1 + usize::from(MAX_LOW_BITS));
         if self.bytes.len() > most_bits.div_ceil(BYTE_BITS) {
             return Err(InvalidDigest::TooLong);
         }
@@ -102,9 +102,9 @@
             .sum();
         quotients + sorted.len() as u64 * (1 + u64::from(low_bits))
     };
-    (0..=LOW_BITS_MOST)
+    (0..=MAX_LOW_BITS)
         .min_by_key(|low_bits| code_bits(*low_bits))
-        .unwrap_or(LOW_BITS_MOST)
+        .unwrap_or(MAX_LOW_BITS)
 }
 
 fn write_rice(bits: &mut BitWriter, difference: u32, low_bits: u8) {
--- a/crates/flaxdeck-distribution/src/event_log.rs
+++ b/crates/flaxdeck-distribution/src/event_log.rs
@@ -159,7 +159,7 @@
                 },
             );
         }
-        if content.frame_len() > FULL_BYTES_MOST {
+        if content.frame_len() > MAX_FULL_BYTES {
             self.counters.oversized += 1;
             self.restart(now, mark);
             return;
@@ -253,11 +253,11 @@
         let (mut objects, mut events) = (Vec::new(), Vec::new());
         for entry in self.entries.iter().skip(index) {
             match &entry.content {
-                Content::ObjectPurge(_) if objects.len() == PURGES_MOST as usize => break,
+                Content::ObjectPurge(_) if objects.len() == MAX_PURGES as usize => break,
                 Content::ObjectPurge(fingerprint) => objects.push(*fingerprint),
                 Content::GroupPurge(frame) | Content::HostChange(frame) => {
                     frame_bytes += frame.len();
-                    if events.len() == FULL_EVENTS_MOST || frame_bytes > FULL_BYTES_MOST {
+                    if events.len() == MAX_FULL_EVENTS || frame_bytes > MAX_FULL_BYTES {
                         break;
                     }
                     events.push(FullEvent {
@@ -286,10 +286,10 @@
         let (mut complete_after, mut frame_bytes) = (self.complete_after, 0);
         for entry in self.entries.iter().rev() {
             let fits = match &entry.content {
-                Content::ObjectPurge(_) => kept.objects.len() < PURGES_MOST as usize,
+                Content::ObjectPurge(_) => kept.objects.len() < MAX_PURGES as usize,
                 Content::GroupPurge(frame) => {
                     frame_bytes += frame.len();
-                    kept.groups.len() < FULL_EVENTS_MOST && frame_bytes <= group_bytes_most
+                    kept.groups.len() < MAX_FULL_EVENTS && frame_bytes <= group_bytes_most
                 }
                 Content::HostChange(_) => true,
             };
--- a/crates/flaxdeck-distribution/src/messages.rs
+++ b/crates/flaxdeck-distribution/src/messages.rs
@@ -5,11 +5,11 @@
 use serde::{Deserialize, Serialize};
 
 /// The most purges that one [`Batch`] or [`Snapshot`] may hold: over twelve seconds of 330 a second.
-pub const PURGES_MOST: u32 = 4_096;
+pub const MAX_PURGES: u32 = 4_096;
 /// The most events that one [`Batch`] may hold in full.
-pub const FULL_EVENTS_MOST: usize = 256;
+pub const MAX_FULL_EVENTS: usize = 256;
 /// The most bytes of events in full in one message: a whole list of some 10,000 hosts.
-pub const FULL_BYTES_MOST: usize = 288 * 1024;
+pub const MAX_FULL_BYTES: usize = 288 * 1024;
 
 /// Purges of single objects as sorted fingerprints, coded by their differences. One-sided: an object that was purged
 /// always matches; one that was not matches by chance only, which makes its copy be fetched anew.
--- a/crates/flaxdeck-distribution/src/publisher.rs
+++ b/crates/flaxdeck-distribution/src/publisher.rs
@@ -26,7 +26,7 @@
 /// A subscriber that was due and was not served is named again after so long.
 const OFFER_AGAIN: Span = Span::from_ms(100);
 /// The most batches that are kept encoded.
-const CACHED_MOST: usize = 64;
+const MAX_CACHED: usize = 64;
 
 /// A conversation with a forwarder, by the caller's own count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -353,7 +353,7 @@
         let batch = self.log.batch_after(position)?;
         if batch.upto != batch.after {
             self.counters.encoded += 1;
-            self.cache.batches.truncate(CACHED_MOST - 1);
+            self.cache.batches.truncate(MAX_CACHED - 1);
             self.cache.batches.insert(0, batch.clone());
         }
         Ok(batch)
@@ -388,7 +388,7 @@
     fn take_snapshot(&self, now: Time, list: Vec<u8>) -> Snapshot {
         let kept = self
             .log
-            .purges_since(now, FULL_BYTES_MOST.saturating_sub(list.len()));
+            .purges_since(now, MAX_FULL_BYTES.saturating_sub(list.len()));
         Snapshot {
             upto: self.log.last(),
             list,
--- a/crates/flaxdeck-distribution/src/purge_index.rs
+++ b/crates/flaxdeck-distribution/src/purge_index.rs
@@ -10,7 +10,7 @@
 /// Beyond the hosts' time, for clocks that run apart: 2% of half a minute.
 const MARGIN: Span = Span::from_ms(600);
 /// The most purges kept: ten times 330 a second for over a minute.
-const ENTRIES_MOST: usize = 1 << 18;
+const MAX_ENTRIES: usize = 1 << 18;
 
 /// The unsettled purges by fingerprint.
 ///
@@ -30,7 +30,7 @@
 impl PurgeIndex {
     /// An empty index, for hosts that drop by themselves what was purged `settles` ago.
     pub fn new(settles: Span) -> PurgeIndex {
-        PurgeIndex::bounded(settles, ENTRIES_MOST)
+        PurgeIndex::bounded(settles, MAX_ENTRIES)
     }
 
     /// One that keeps at most so many purges.
--- a/crates/flaxdeck-distribution/src/subscriber.rs
+++ b/crates/flaxdeck-distribution/src/subscriber.rs
@@ -33,12 +33,12 @@
 /// An event of the coordinator's comes to one instance later than to another by at most this.
 const COORDINATOR_SKEW: Span = Span::from_ms(200);
 /// Without a planner that knows the position for so long, the numbering is taken to be another.
-const BEHIND_MOST: Span = Span::from_ms(3_000);
+const MAX_BEHIND: Span = Span::from_ms(3_000);
 /// A planner that was preferred is followed again only once it has been connected for so long.
 const STEADY: Span = Span::from_ms(5_000);
 /// One that was left for its silence is left alone for that long, twice as long each further time, up to this many
 /// doublings.
-const DOUBLINGS_MOST: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 /// Beyond the hosts' time a snapshot's purges have to reach back so far: for clocks that run apart.
 const REACH_MARGIN: Span = Span::from_ms(500);
 /// A message is taken to have been written no longer ago than this, unless its conversation proves more.
@@ -544,7 +544,7 @@
     /// When [`actions`](Subscriber::actions) or [`needs_coordinator`](Subscriber::needs_coordinator) may say something
     /// else, if nothing comes until then.
     pub fn next_change(&self, now: Time) -> Option<Time> {
-        let behind = self.behind_since.map(|since| since + BEHIND_MOST);
+        let behind = self.behind_since.map(|since| since + MAX_BEHIND);
         let asked = |planner: &Planner| planner.asked.map(|asked| asked.last + ASK_AGAIN);
         let steady = |planner: &Planner| planner.connected.map(|connected| connected + STEADY);
         let planners = self.planners.iter().flat_map(|planner| {
@@ -577,7 +577,7 @@
             .map_or(since, |delivered| delivered.max(since));
         Some(
             from + self.cadence.silent_after()
-                * f64::from(1_u32 << self.silences.min(DOUBLINGS_MOST)),
+                * f64::from(1_u32 << self.silences.min(MAX_DOUBLINGS)),
         )
     }
 
@@ -628,7 +628,7 @@
 
     fn avoid(&mut self, now: Time, number: PlannerNumber) {
         let planner = &mut self.planners[number.0 as usize];
-        let doublings = planner.failures.min(DOUBLINGS_MOST);
+        let doublings = planner.failures.min(MAX_DOUBLINGS);
         planner.avoided_until = now + STEADY * f64::from(1_u32 << doublings);
         planner.failures += 1;
     }
@@ -679,7 +679,7 @@
     fn give_position_up(&mut self, now: Time) {
         let long = self
             .behind_since
-            .is_some_and(|since| now.since(since) >= BEHIND_MOST);
+            .is_some_and(|since| now.since(since) >= MAX_BEHIND);
         let all = self
             .connected_planners()
             .all(|number| self.planners[number.0 as usize].behind);
--- a/crates/flaxdeck-distribution/src/subscriber/checks.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/checks.rs
@@ -5,11 +5,11 @@
 use crate::messages::*;
 
 fn check_events(events: &[FullEvent]) -> Result<(), Invalid> {
-    if events.len() > FULL_EVENTS_MOST {
+    if events.len() > MAX_FULL_EVENTS {
         return Err(Invalid::TooManyEvents);
     }
     let bytes: usize = events.iter().map(|event| event.frame.len()).sum();
-    if bytes > FULL_BYTES_MOST {
+    if bytes > MAX_FULL_BYTES {
         return Err(Invalid::TooLong);
     }
     let increasing = events
@@ -55,7 +55,7 @@
         .iter()
         .map(|event| event.frame.len())
         .sum();
-    if snapshot.list.len() + group_bytes > FULL_BYTES_MOST {
+    if snapshot.list.len() + group_bytes > MAX_FULL_BYTES {
         return Err(Invalid::TooLong);
     }
     if snapshot
--- a/crates/flaxdeck-distribution/tests/digest.rs
+++ b/crates/flaxdeck-distribution/tests/digest.rs
@@ -1,7 +1,7 @@
 //! The coding of purge digests: what goes in comes out, what is damaged is refused or stays within its count, and what
 //! a purge costs in bytes.
 
-use flaxdeck_distribution::messages::{PURGES_MOST, PurgeDigest};
+use flaxdeck_distribution::messages::{MAX_PURGES, PurgeDigest};
 use flaxdeck_distribution::{Fingerprint, InvalidDigest};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -98,7 +98,7 @@
         changed.decode()
     };
     assert_eq!(
-        decoded(&|digest| digest.count = PURGES_MOST + 1),
+        decoded(&|digest| digest.count = MAX_PURGES + 1),
         Err(InvalidDigest::TooMany)
     );
     assert_eq!(
@@ -144,7 +144,7 @@
 
 #[test]
 fn the_most_purges_fit_and_one_more_does_not() {
-    let numbers: Vec<u32> = (0..PURGES_MOST)
+    let numbers: Vec<u32> = (0..MAX_PURGES)
         .map(|n| n.wrapping_mul(0x9e37_79b9))
         .collect();
     assert!(is_whole(&PurgeDigest::encode(fingerprints(&numbers))));
--- a/crates/flaxdeck-distribution/tests/distribution_model.rs
+++ b/crates/flaxdeck-distribution/tests/distribution_model.rs
@@ -27,9 +27,9 @@
 /// The time in which hosts drop by themselves what was purged.
 const SETTLES: Span = Span::from_ms(2_000);
 /// Messages held up between the forwarder and a planner, each way; older ones are lost.
-const EACH_WAY_MOST: usize = 2;
+const MAX_EACH_WAY: usize = 2;
 /// Messages that answer each other within an instant; more would be a loop.
-const INSTANT_MOST: usize = 24;
+const MAX_INSTANT: usize = 24;
 /// Steps of a schedule without faults in which the forwarder has to catch up from any state.
 const CATCHES_UP_WITHIN: usize = 20;
 /// That is tried from one state in so many.
@@ -237,7 +237,7 @@
         self.network
             .sort_by_key(|message| (message.planner, message.asks));
         let of_this_way = |other: &&Message| (other.planner, other.asks) == (planner, asks);
-        if self.network.iter().filter(of_this_way).count() > EACH_WAY_MOST {
+        if self.network.iter().filter(of_this_way).count() > MAX_EACH_WAY {
             let first = self.network.iter().position(|other| of_this_way(&other));
             first.map(|first| self.network.remove(first));
         }
@@ -495,7 +495,7 @@
             self.planner_hears(state, planner);
         }
         state.speak();
-        for _ in 0..INSTANT_MOST {
+        for _ in 0..MAX_INSTANT {
             let Some(message) = state.next_delivered() else {
                 return;
             };
--- a/crates/flaxdeck-distribution/tests/event_log.rs
+++ b/crates/flaxdeck-distribution/tests/event_log.rs
@@ -122,7 +122,7 @@
     let (entries, bytes) = log.size();
     assert!(bytes <= 20_000 && entries > 100);
     assert_eq!(log.counters.shortened as usize, 1_000 - entries);
-    let kept = log.purges_since(at(1_010), FULL_BYTES_MOST);
+    let kept = log.purges_since(at(1_010), MAX_FULL_BYTES);
     assert_eq!(kept.objects.len(), entries);
     assert_eq!(
         kept.reach,
@@ -136,13 +136,13 @@
     let mut log = log();
     log.append(at(500), mark(11), purge(1));
     log.append(at(600), mark(12), Content::GroupPurge(vec![3]));
-    let kept = log.purges_since(at(2_000), FULL_BYTES_MOST);
+    let kept = log.purges_since(at(2_000), MAX_FULL_BYTES);
     assert_eq!(
         (kept.objects.len(), kept.groups.len(), kept.reach),
         (1, 1, Span::from_ms(2_000))
     );
     log.restart(at(2_500), mark(3));
-    let kept = log.purges_since(at(3_000), FULL_BYTES_MOST);
+    let kept = log.purges_since(at(3_000), MAX_FULL_BYTES);
     assert_eq!(
         (kept.objects.len(), kept.groups.len(), kept.reach),
         (0, 0, Span::from_ms(500))
@@ -153,13 +153,13 @@
 #[test]
 fn a_snapshot_holds_the_latest_purges_and_says_how_far_they_reach() {
     let mut log = log();
-    for number in 11..11 + 2 * u64::from(PURGES_MOST) {
+    for number in 11..11 + 2 * u64::from(MAX_PURGES) {
         log.append(at(number), mark(number), purge(number));
     }
-    let last = 10 + 2 * u64::from(PURGES_MOST);
-    let kept = log.purges_since(at(last), FULL_BYTES_MOST);
-    assert_eq!(kept.objects.len(), PURGES_MOST as usize);
-    assert_eq!(kept.reach, Span::from_ms(u64::from(PURGES_MOST)));
+    let last = 10 + 2 * u64::from(MAX_PURGES);
+    let kept = log.purges_since(at(last), MAX_FULL_BYTES);
+    assert_eq!(kept.objects.len(), MAX_PURGES as usize);
+    assert_eq!(kept.reach, Span::from_ms(u64::from(MAX_PURGES)));
 }
 
 #[test]
@@ -192,10 +192,10 @@
     let (mut position, mut batches, mut told) = (BASE, 0, 0);
     while position != log.last() {
         let batch = log.batch_after(position).unwrap();
-        assert!(batch.purges.count <= PURGES_MOST && batch.events.len() <= FULL_EVENTS_MOST);
+        assert!(batch.purges.count <= MAX_PURGES && batch.events.len() <= MAX_FULL_EVENTS);
         let bytes: usize = batch.events.iter().map(|event| event.frame.len()).sum();
         assert!(
-            bytes <= FULL_BYTES_MOST
+            bytes <= MAX_FULL_BYTES
                 && batch.after == position
                 && batch.upto.number > position.number
         );
@@ -215,14 +215,14 @@
         (1, Err(NotKept::Unknown))
     );
     assert_eq!(
-        log.purges_since(at(5), FULL_BYTES_MOST).reach,
+        log.purges_since(at(5), MAX_FULL_BYTES).reach,
         Span::from_ms(3)
     );
     assert_eq!(log.last(), mark(14));
     log.append(
         at(6),
         mark(15),
-        Content::HostChange(vec![0; FULL_BYTES_MOST + 1]),
+        Content::HostChange(vec![0; MAX_FULL_BYTES + 1]),
     );
     assert_eq!(
         (log.counters.oversized, log.batch_after(mark(14))),
--- a/crates/flaxdeck-distribution/tests/publisher.rs
+++ b/crates/flaxdeck-distribution/tests/publisher.rs
@@ -180,7 +180,7 @@
     assert_eq!(publisher.counters.passed_over, named - 1);
     assert_eq!(
         (slow_batches[0].after, slow_batches[0].purges.count),
-        (BASE, PURGES_MOST)
+        (BASE, MAX_PURGES)
     );
     assert_eq!(
         slow_batches[1].after, slow_batches[0].upto,
@@ -203,7 +203,7 @@
             )
         })
         .collect();
-    assert_eq!(told, [(PURGES_MOST, false), (6_000 - PURGES_MOST, true)]);
+    assert_eq!(told, [(MAX_PURGES, false), (6_000 - MAX_PURGES, true)]);
 }
 
 #[test]
--- a/crates/flaxdeck-distribution/tests/subscriber.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber.rs
@@ -277,7 +277,7 @@
     };
     let long = FullEvent {
         mark: mark(12),
-        frame: vec![0; FULL_BYTES_MOST],
+        frame: vec![0; MAX_FULL_BYTES],
     };
     let cases = [
         (
@@ -364,7 +364,7 @@
         ),
         (
             "too many purges",
-            purges(10, 11 + u64::from(PURGES_MOST)),
+            purges(10, 11 + u64::from(MAX_PURGES)),
             Invalid::Digest(InvalidDigest::TooMany),
         ),
     ];
@@ -407,11 +407,11 @@
     };
     let cases = [
         (
-            change(&|snapshot| snapshot.list = vec![0; FULL_BYTES_MOST + 1]),
+            change(&|snapshot| snapshot.list = vec![0; MAX_FULL_BYTES + 1]),
             Invalid::TooLong,
         ),
         (
-            change(&|snapshot| snapshot.list = vec![0; FULL_BYTES_MOST]),
+            change(&|snapshot| snapshot.list = vec![0; MAX_FULL_BYTES]),
             Invalid::TooLong,
         ),
         (
--- a/crates/flaxdeck-net/src/budget.rs
+++ b/crates/flaxdeck-net/src/budget.rs
@@ -10,7 +10,7 @@
 /// Descriptors kept for the listener, the coordinator, the runtime and standard streams.
 pub const OWN_SOCKETS: usize = 24;
 /// Descriptors with which there is one for a client and one for a host.
-pub const SOCKETS_LEAST: u64 = OWN_SOCKETS as u64 + 2;
+pub const MIN_SOCKETS: u64 = OWN_SOCKETS as u64 + 2;
 /// The part of the memory limit that requests may take beside the bytes they carry, and the part for those bytes,
 /// asked and answered; the rest is the program, its tables and what the allocator can't give back.
 const PULLS_PART: f64 = 0.2;
@@ -20,11 +20,11 @@
 /// Bytes of a message that count with its connection or request; a larger one takes room of its own before it is read.
 pub const SMALL: usize = 8 * 1024;
 /// Bytes of the largest object that the protocol provides for.
-pub const OBJECT_MOST: usize = 240_000;
+pub const MAX_OBJECT: usize = 240_000;
 /// Bytes of the largest write that the protocol provides for.
-pub const WRITE_MOST: usize = 48_000;
+pub const MAX_WRITE: usize = 48_000;
 /// Bytes of one message of a client: the largest write, and as much again as fields could need.
-pub const MESSAGE_MOST: usize = WRITE_MOST + 16 * 1024;
+pub const MAX_MESSAGE: usize = MAX_WRITE + 16 * 1024;
 
 /// How much of everything this process may hold.
 #[derive(Clone, Copy, Debug)]
@@ -45,8 +45,8 @@
         let memory = memory_mb.max(0.0) * 1024.0 * 1024.0;
         // Each client may have the start of a message here that is no request yet.
         let bytes = ((memory * BYTES_PART) as usize).saturating_sub(clients * SMALL);
-        let bytes = bytes.max(WRITE_MOST + OBJECT_MOST);
-        let asked = bytes / (WRITE_MOST + OBJECT_MOST) * WRITE_MOST;
+        let bytes = bytes.max(MAX_WRITE + MAX_OBJECT);
+        let asked = bytes / (MAX_WRITE + MAX_OBJECT) * MAX_WRITE;
         Bounds {
             clients,
             hosts,
--- a/crates/flaxdeck-net/src/link.rs
+++ b/crates/flaxdeck-net/src/link.rs
@@ -27,7 +27,7 @@
 /// How long the other side has to end a connection that was ended here: a few trips of a far one, and a lost segment.
 pub const LINGER: Duration = Duration::from_millis(500);
 /// Bytes that are read and dropped meanwhile: all that a client may have had on its way by the protocol.
-const DRAINED_MOST: usize = 2 * 1024 * 1024;
+const MAX_DRAINED: usize = 2 * 1024 * 1024;
 
 /// The reading side.
 pub struct Inbound {
@@ -80,7 +80,7 @@
                 .more(0)
                 .await
                 .ok()
-                .filter(|more| *more && drained < DRAINED_MOST);
+                .filter(|more| *more && drained < MAX_DRAINED);
             drained += more.map(|_| inbound.bytes.len())?;
         }
     };
--- a/crates/flaxdeck-plan/src/lib.rs
+++ b/crates/flaxdeck-plan/src/lib.rs
@@ -64,7 +64,7 @@
 }
 
 /// How many planners one file may name: each forwarder reports to all of them.
-pub const PLANNERS_MOST: usize = 8;
+pub const MAX_PLANNERS: usize = 8;
 
 /// The longest time between two reports: who says nothing for a second more is taken to be lost.
 const IDLE_MOST_MS: f64 = 1_500.0;
@@ -275,9 +275,9 @@
 fn planners(form: &Form, faults: &mut Faults) -> Vec<Planner> {
     let mut planners: Vec<Planner> = Vec::new();
     let forms = form.forms(&["planner"], faults);
-    if forms.len() > PLANNERS_MOST {
+    if forms.len() > MAX_PLANNERS {
         let what = format!("{} planners", forms.len());
-        let why = format!("there may be {PLANNERS_MOST} at most, as each forwarder reports to all");
+        let why = format!("there may be {MAX_PLANNERS} at most, as each forwarder reports to all");
         faults.add(
             form.place,
             what,
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -39,7 +39,7 @@
 /// After an accept that failed.
 const PAUSE: Duration = Duration::from_millis(5);
 /// Forwarders that may be connected at once, each with at most a frame and some messages in memory.
-pub const CONNECTIONS_MOST: usize = 4_096;
+pub const MAX_CONNECTIONS: usize = 4_096;
 
 /// What a planner is told at start.
 pub struct Start {
@@ -112,7 +112,7 @@
         subscribers: RefCell::default(),
         due_changed: Notify::new(),
         next: Cell::new(0),
-        budget: Budget::new(CONNECTIONS_MOST),
+        budget: Budget::new(MAX_CONNECTIONS),
         refused: Cell::new(0),
     });
     known
--- a/crates/flaxdeck-recovery/src/live_edge.rs
+++ b/crates/flaxdeck-recovery/src/live_edge.rs
@@ -8,7 +8,7 @@
 /// Over how long the two are compared: many events of a busy stream, and longer than one network trip.
 const COMPARED_OVER: Span = Span::from_ms(300);
 /// How much faster the coordinator's time may pass: events come in clusters.
-const FASTER_AT_MOST: f64 = 1.5;
+const MAX_FASTER_AT: f64 = 1.5;
 
 /// Compares how fast the coordinator's time and the time here pass, on one connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -29,6 +29,6 @@
             return false;
         }
         self.since = Some((now, made));
-        made.since(happened) <= here * FASTER_AT_MOST
+        made.since(happened) <= here * MAX_FASTER_AT
     }
 }
--- a/crates/flaxdeck-recovery/src/numbering.rs
+++ b/crates/flaxdeck-recovery/src/numbering.rs
@@ -20,9 +20,9 @@
 /// and to prove its numbering, at any rate of events.
 const REMEMBERED: Span = Span::from_ms(5_000);
 /// How many are remembered at least, however old: a coordinator that was put back may tell them once more.
-const REMEMBERED_LEAST: usize = 256;
+const MIN_REMEMBERED: usize = 256;
 /// And how many at most. A link that is held against one beyond them asks for everything, with copies in doubt.
-pub const REMEMBERED_MOST: usize = 65_536;
+pub const MAX_REMEMBERED: usize = 65_536;
 /// How long nothing is taken from others after the coordinator contradicted what they brought. They follow what was,
 /// until they find out themselves: their own link is silent or proven anew within that time.
 const DISTRUSTS: Span = Span::from_ms(2_500);
@@ -237,7 +237,7 @@
     fn forgets_first(&self, now: Time) -> bool {
         let first = self.applied.first_key_value();
         let old = first.is_some_and(|(_, applied)| now.since(applied.at) > REMEMBERED);
-        (old && self.applied.len() > REMEMBERED_LEAST) || self.applied.len() > REMEMBERED_MOST
+        (old && self.applied.len() > MIN_REMEMBERED) || self.applied.len() > MAX_REMEMBERED
     }
 
     /// Whether another event than this was applied under its number; none if that is not remembered.
--- a/crates/flaxdeck-recovery/src/restored_state.rs
+++ b/crates/flaxdeck-recovery/src/restored_state.rs
@@ -88,9 +88,9 @@
 
 /// Purges kept at most: ten times what comes in within a usual time to settle. Beyond it the oldest are folded into one
 /// purge of all copies from before them.
-pub const PURGES_MOST: usize = 32_768;
+pub const MAX_PURGES: usize = 32_768;
 /// How many are folded at once.
-const FOLDED: usize = PURGES_MOST / 16;
+const FOLDED: usize = MAX_PURGES / 16;
 /// Beyond the time to settle purges are kept for so long: for clocks of hosts that run apart.
 const SETTLE_MARGIN: Span = Span::from_ms(500);
 
@@ -137,7 +137,7 @@
             StateChange::Purged(mark, purge) => {
                 self.event = mark;
                 self.purges.push(purge);
-                if self.purges.len() > PURGES_MOST {
+                if self.purges.len() > MAX_PURGES {
                     self.fold_oldest_purges();
                 }
             }
--- a/crates/flaxdeck-recovery/tests/restored_state.rs
+++ b/crates/flaxdeck-recovery/tests/restored_state.rs
@@ -292,12 +292,12 @@
 
 #[test]
 fn purges_beyond_the_bound_are_folded_into_one_that_asks_for_no_less() {
-    use flaxdeck_recovery::restored_state::PURGES_MOST;
+    use flaxdeck_recovery::restored_state::MAX_PURGES;
     let mut kept = StoredState::default();
-    let count = 3 * PURGES_MOST as u64 + 1_000;
+    let count = 3 * MAX_PURGES as u64 + 1_000;
     for number in 0..count {
         kept.add(purged(number, 1_000 + number));
-        assert!(kept.purges.len() <= PURGES_MOST);
+        assert!(kept.purges.len() <= MAX_PURGES);
     }
     let sample = (0..count).step_by(97);
     assert!(
--- a/crates/flaxdeck-scale/src/bounds.rs
+++ b/crates/flaxdeck-scale/src/bounds.rs
@@ -5,10 +5,10 @@
 use crate::scenario::Point;
 
 /// Bytes of memory over all processes.
-pub const MEMORY_MOST: u64 = 10_000_000_000;
-pub const PROCESSES_MOST: u64 = 200;
+pub const MAX_MEMORY: u64 = 10_000_000_000;
+pub const MAX_PROCESSES: u64 = 200;
 /// Descriptors of one process.
-pub const DESCRIPTORS_MOST: u64 = 20_000;
+pub const MAX_DESCRIPTORS: u64 = 20_000;
 
 /// Resident memory of one process with nothing in it, of one hollow forwarder, of one line of its list, and of one
 /// purge that it keeps: rounded up from measured runs.
@@ -65,9 +65,9 @@
     let in_hollow = hollow.div_ceil(u64::from(point.processes.max(1))) * connections;
     let descriptors = in_hollow.max(hollow + u64::from(point.real)) + OWN_DESCRIPTORS;
     let checks = [
-        (Bound::Processes, processes, PROCESSES_MOST),
-        (Bound::Descriptors, descriptors, DESCRIPTORS_MOST),
-        (Bound::Memory, memory, MEMORY_MOST),
+        (Bound::Processes, processes, MAX_PROCESSES),
+        (Bound::Descriptors, descriptors, MAX_DESCRIPTORS),
+        (Bound::Memory, memory, MAX_MEMORY),
     ];
     let over = checks.into_iter().find(|(_, asked, most)| asked > most);
     over.map_or(Ok(()), |(bound, asked, most)| {
--- a/crates/flaxdeck-scale/src/capacity/page/fields.rs
+++ b/crates/flaxdeck-scale/src/capacity/page/fields.rs
@@ -1,7 +1,7 @@
 //! Figures that the words of the page name: the target's, and bounds of the code that readings go by.
 
-use flaxdeck_control::messages::EVENTS_MOST;
-use flaxdeck_control::planner::{FORGOTTEN, LOG_MOST};
+use flaxdeck_control::messages::MAX_EVENTS;
+use flaxdeck_control::planner::{FORGOTTEN, MAX_LOG};
 use flaxdeck_net::listener::BACKLOG;
 use flaxdeck_plan::Blind;
 use flaxdeck_recovery::{reconnect_backoff, restored_state};
@@ -114,13 +114,13 @@
         forgotten_in_rolling: figure(target.rolling_per_s() * forgotten_s),
         blind: blind(),
         missed_while_cut_off: count(target.events_per_s() * target.cut_off_s),
-        log: count(LOG_MOST as f64),
-        log_reach: span(LOG_MOST as f64 / target.events_per_s()),
-        log_reach_in_storm: span(LOG_MOST as f64 / storm_events),
-        store: count(restored_state::PURGES_MOST as f64),
-        store_reach_in_storm: span(restored_state::PURGES_MOST as f64 / target.storm_per_s()),
+        log: count(MAX_LOG as f64),
+        log_reach: span(MAX_LOG as f64 / target.events_per_s()),
+        log_reach_in_storm: span(MAX_LOG as f64 / storm_events),
+        store: count(restored_state::MAX_PURGES as f64),
+        store_reach_in_storm: span(restored_state::MAX_PURGES as f64 / target.storm_per_s()),
         storm_purges: count(target.storm_per_s() * target.storm_s),
-        events_a_message: count(EVENTS_MOST as f64),
+        events_a_message: count(MAX_EVENTS as f64),
     }
 }
 
--- a/crates/flaxdeck-scale/src/capacity/rows.rs
+++ b/crates/flaxdeck-scale/src/capacity/rows.rs
@@ -1,6 +1,6 @@
 //! What each role carries at the size of the target, beside its budget.
 
-use flaxdeck_planner::CONNECTIONS_MOST;
+use flaxdeck_planner::MAX_CONNECTIONS;
 
 use super::estimate::{Estimate, Known, Lines, estimate};
 use crate::fit::line::{Evidence, Line};
@@ -380,7 +380,7 @@
         Role::Planner,
         size,
         Some(1.0),
-        Some(CONNECTIONS_MOST as f64),
+        Some(MAX_CONNECTIONS as f64),
     );
     let a_message = |distribution| {
         basis.lines.total(
@@ -511,7 +511,7 @@
     if each <= 0.0 || idle >= 1.0 {
         return Estimate::NOT_SHOWN;
     }
-    let served = ((1.0 - idle) / each).min(CONNECTIONS_MOST as f64);
+    let served = ((1.0 - idle) / each).min(MAX_CONNECTIONS as f64);
     let needed = (target.dispatchers * target.planners_each / served).ceil();
     let at_that = Size {
         forwarders: served,
--- a/crates/flaxdeck-scale/src/capacity/state.rs
+++ b/crates/flaxdeck-scale/src/capacity/state.rs
@@ -1,10 +1,10 @@
 //! What is kept by each role: entries at the size of the target, bytes each, how long, and the bound in the code.
 
-use flaxdeck_control::messages::EVENTS_MOST;
-use flaxdeck_control::planner::{FORGOTTEN, LOG_MOST, MEMBERS_MOST, POOLS_MOST};
-use flaxdeck_distribution::messages::{FULL_EVENTS_MOST, PURGES_MOST};
-use flaxdeck_plan::{PLANNERS_MOST, Plan};
-use flaxdeck_planner::CONNECTIONS_MOST;
+use flaxdeck_control::messages::MAX_EVENTS;
+use flaxdeck_control::planner::{FORGOTTEN, MAX_LOG, MAX_MEMBERS, MAX_POOLS};
+use flaxdeck_distribution::messages::{MAX_FULL_EVENTS, MAX_PURGES};
+use flaxdeck_plan::{MAX_PLANNERS, Plan};
+use flaxdeck_planner::MAX_CONNECTIONS;
 use flaxdeck_recovery::EventPosition;
 use flaxdeck_recovery::restored_state::{
     self, StateChange, StoredEndpoint, StoredPurge, StoredState,
@@ -134,8 +134,8 @@
             what: "events told in messages between reports, each second",
             needed: events,
             bound: Some(Bound {
-                most: EVENTS_MOST as f64 * reports_per_s(),
-                name: "`EVENTS_MOST` in `crates/flaxdeck-control/src/messages.rs`, times reports a second",
+                most: MAX_EVENTS as f64 * reports_per_s(),
+                name: "`MAX_EVENTS` in `crates/flaxdeck-control/src/messages.rs`, times reports a second",
             }),
             bytes_each: Bytes::NotShown,
             kept: "not kept".into(),
@@ -145,8 +145,8 @@
             what: "planners of one plan file, if it named all machines",
             needed: target.machines,
             bound: Some(Bound {
-                most: PLANNERS_MOST as f64,
-                name: "`PLANNERS_MOST` in `crates/flaxdeck-plan/src/lib.rs`",
+                most: MAX_PLANNERS as f64,
+                name: "`MAX_PLANNERS` in `crates/flaxdeck-plan/src/lib.rs`",
             }),
             bytes_each: Bytes::NotShown,
             kept: "while the plan names them".into(),
@@ -179,8 +179,8 @@
             what: "connections, if it hears every one",
             needed: target.dispatchers,
             bound: Some(Bound {
-                most: CONNECTIONS_MOST as f64,
-                name: "`CONNECTIONS_MOST` in `crates/flaxdeck-planner/src/lib.rs`",
+                most: MAX_CONNECTIONS as f64,
+                name: "`MAX_CONNECTIONS` in `crates/flaxdeck-planner/src/lib.rs`",
             }),
             bytes_each: Bytes::NotShown,
             kept: "while open".into(),
@@ -193,7 +193,7 @@
             bytes_each: Bytes::NotShown,
             kept: format!(
                 "by their count, which reaches {} back",
-                reach(LOG_MOST, target.events_per_s())
+                reach(MAX_LOG, target.events_per_s())
             ),
         },
         State {
@@ -204,7 +204,7 @@
             bytes_each: Bytes::NotShown,
             kept: format!(
                 "by their count, which reaches {} back",
-                reach(LOG_MOST, target.storm_per_s() + target.changes_per_s())
+                reach(MAX_LOG, target.storm_per_s() + target.changes_per_s())
             ),
         },
         State {
@@ -220,8 +220,8 @@
             what: "lives of cold hosts, if all were cold",
             needed: target.hosts,
             bound: Some(Bound {
-                most: POOLS_MOST as f64,
-                name: "`POOLS_MOST` in `crates/flaxdeck-control/src/planner.rs`",
+                most: MAX_POOLS as f64,
+                name: "`MAX_POOLS` in `crates/flaxdeck-control/src/planner.rs`",
             }),
             bytes_each: Bytes::NotShown,
             kept: "until nothing of it is lent or out".into(),
@@ -231,15 +231,15 @@
 
 fn members() -> Bound {
     Bound {
-        most: MEMBERS_MOST as f64,
-        name: "`MEMBERS_MOST` in `crates/flaxdeck-control/src/planner.rs`",
+        most: MAX_MEMBERS as f64,
+        name: "`MAX_MEMBERS` in `crates/flaxdeck-control/src/planner.rs`",
     }
 }
 
 fn events_kept() -> Bound {
     Bound {
-        most: LOG_MOST as f64,
-        name: "`LOG_MOST` in `crates/flaxdeck-control/src/planner.rs`",
+        most: MAX_LOG as f64,
+        name: "`MAX_LOG` in `crates/flaxdeck-control/src/planner.rs`",
     }
 }
 
@@ -255,12 +255,12 @@
         kept: "not kept".into(),
     };
     let purges = || Bound {
-        most: f64::from(PURGES_MOST),
-        name: "`PURGES_MOST` in `crates/flaxdeck-distribution/src/messages.rs`",
+        most: f64::from(MAX_PURGES),
+        name: "`MAX_PURGES` in `crates/flaxdeck-distribution/src/messages.rs`",
     };
     let others = Bound {
-        most: FULL_EVENTS_MOST as f64,
-        name: "`FULL_EVENTS_MOST` in `crates/flaxdeck-distribution/src/messages.rs`",
+        most: MAX_FULL_EVENTS as f64,
+        name: "`MAX_FULL_EVENTS` in `crates/flaxdeck-distribution/src/messages.rs`",
     };
     vec![
         row(
@@ -284,8 +284,8 @@
         what,
         needed: per_s * target.purge_within_s,
         bound: Some(Bound {
-            most: restored_state::PURGES_MOST as f64,
-            name: "`PURGES_MOST` in `crates/flaxdeck-recovery/src/restored_state.rs`",
+            most: restored_state::MAX_PURGES as f64,
+            name: "`MAX_PURGES` in `crates/flaxdeck-recovery/src/restored_state.rs`",
         }),
         bytes_each: Bytes::Encoded(per_purge()),
         kept: "until they have settled; past the bound copies from before count as purged".into(),
--- a/crates/flaxdeck-scale/src/coordinator.rs
+++ b/crates/flaxdeck-scale/src/coordinator.rs
@@ -35,7 +35,7 @@
 /// Frames that are kept; who asks for earlier ones gets the whole list.
 const KEPT: usize = 1 << 16;
 /// Bytes that one connection writes at a time.
-const WRITTEN_MOST: usize = 64 * 1024;
+const MAX_WRITTEN: usize = 64 * 1024;
 
 const WHOLE_LIST: u8 = 1;
 const CHANGES: u8 = 2;
@@ -303,7 +303,7 @@
         for frame in self.frames.range((after + 1 - self.first) as usize..) {
             bytes.extend_from_slice(frame);
             count += 1;
-            if bytes.len() >= WRITTEN_MOST {
+            if bytes.len() >= MAX_WRITTEN {
                 break;
             }
         }
--- a/crates/flaxdeck-scale/src/fit.rs
+++ b/crates/flaxdeck-scale/src/fit.rs
@@ -13,7 +13,7 @@
 use nature::{Nature, Size, Term, nature};
 
 /// Sizes of a driver from which on it has a slope: two would fit any line exactly.
-pub const SIZES_LEAST: u32 = 3;
+pub const MIN_SIZES: u32 = 3;
 /// The fault of runs without one: only these have slopes.
 pub const NO_FAULT: &str = "none";
 
@@ -242,7 +242,7 @@
     let varied = |term: &Term| {
         ranges
             .iter()
-            .any(|range| range.term == *term && range.sizes >= SIZES_LEAST)
+            .any(|range| range.term == *term && range.sizes >= MIN_SIZES)
     };
     terms.first().filter(|term| varied(term))?;
     let mut fitted = vec![Term::Constant];
--- a/crates/flaxdeck-scale/src/fit/line.rs
+++ b/crates/flaxdeck-scale/src/fit/line.rs
@@ -85,7 +85,7 @@
         let varied = self
             .terms
             .iter()
-            .filter(|term| term.sizes >= super::SIZES_LEAST && term.most > 0.0);
+            .filter(|term| term.sizes >= super::MIN_SIZES && term.most > 0.0);
         varied
             .map(|term| term.term.driver(size) / term.most)
             .fold(1.0, f64::max)
@@ -97,7 +97,7 @@
         let held = self
             .terms
             .iter()
-            .filter(|term| term.sizes < super::SIZES_LEAST);
+            .filter(|term| term.sizes < super::MIN_SIZES);
         held.filter(|term| term.term != Term::Constant)
             .filter(is_below)
             .collect()
--- a/crates/flaxdeck-scale/src/scenario.rs
+++ b/crates/flaxdeck-scale/src/scenario.rs
@@ -222,7 +222,7 @@
     take("hosts", 30_000.0, &mut point.hosts, 1.0);
     take(
         "planners",
-        flaxdeck_plan::PLANNERS_MOST as f64,
+        flaxdeck_plan::MAX_PLANNERS as f64,
         &mut point.planners,
         1.0,
     );
--- a/crates/flaxdeck-store/src/store.rs
+++ b/crates/flaxdeck-store/src/store.rs
@@ -12,7 +12,7 @@
 /// Bytes of a snapshot and of a log at most: some tens of thousands of hosts.
 const MOST: usize = 64 << 20;
 /// A record is some lines of hosts at most.
-const RECORD_MOST: usize = 4 << 20;
+const MAX_RECORD: usize = 4 << 20;
 
 type Hash = [u8; HASH];
 
@@ -203,7 +203,7 @@
     last.copy_from_slice(&head[head.len() - HASH..]);
     while from.1 < bytes.len() {
         let at = from.1;
-        let Some(length) = from.length().filter(|length| *length <= RECORD_MOST) else {
+        let Some(length) = from.length().filter(|length| *length <= MAX_RECORD) else {
             return (records, Some((at, "a record's length can't be")));
         };
         let (Some(body), Some(told)) = (from.take(length), from.take(HASH)) else {
@@ -286,7 +286,7 @@
 
     /// Keeps one thing more; it is on the disk once this has come back well.
     pub fn record(&mut self, body: &[u8]) -> Result<(), StoreError> {
-        if body.len() > RECORD_MOST {
+        if body.len() > MAX_RECORD {
             return self.breaks("a record over the bound of a store", None);
         }
         let made = hash(&[&self.last, body]);
--- a/crates/flaxdeck-terms/src/lib.rs
+++ b/crates/flaxdeck-terms/src/lib.rs
@@ -10,7 +10,7 @@
 use fields::Fields;
 
 /// Bytes of the longest name that a client's message may hold.
-pub const NAME_MOST: usize = 256;
+pub const MAX_NAME: usize = 256;
 
 /// The names that the settings give to numbers.
 #[derive(Clone, Debug)]
@@ -194,8 +194,8 @@
 fn class_name(name: &str, others: &[String]) -> Result<String, String> {
     let cant_stand =
         |letter: char| letter.is_whitespace() || letter.is_control() || ",=".contains(letter);
-    let fault = if name.is_empty() || name.len() > NAME_MOST {
-        format!("has {} bytes, 1 to {NAME_MOST} can be sent", name.len())
+    let fault = if name.is_empty() || name.len() > MAX_NAME {
+        format!("has {} bytes, 1 to {MAX_NAME} can be sent", name.len())
     } else if name.contains(cant_stand) {
         "holds a space, a comma, an equals sign or a control character, which no line to a host can"
             .to_owned()
--- a/crates/flaxdeck-wire/src/frames.rs
+++ b/crates/flaxdeck-wire/src/frames.rs
@@ -11,7 +11,7 @@
 use crate::{Malformed, Parsed, big_endian};
 
 /// Bytes of one frame: a list of some 37,000 hosts, over a hundred times the largest fleet foreseen.
-pub const FRAME_MOST: usize = 1 << 20;
+pub const MAX_FRAME: usize = 1 << 20;
 const RECORD: usize = 27;
 /// Number and kind, which stand in every frame.
 pub const FIXED: usize = 9;
@@ -107,7 +107,7 @@
         return Ok(Parsed::Short(4 - buffer.len()));
     }
     let length = big_endian(&buffer[..4]) as usize;
-    if !(FIXED..=FRAME_MOST).contains(&length) {
+    if !(FIXED..=MAX_FRAME).contains(&length) {
         return Err(Malformed("a frame's length is out of bounds"));
     }
     let used = 4 + length;
@@ -218,7 +218,7 @@
         .collect();
     let payload = records?.concat();
     let length = FIXED + payload.len();
-    if length > FRAME_MOST {
+    if length > MAX_FRAME {
         return None;
     }
     Some(
--- a/crates/flaxdeck-wire/src/lines.rs
+++ b/crates/flaxdeck-wire/src/lines.rs
@@ -8,10 +8,10 @@
 use flaxdeck_terms::{Names, place, told};
 
 use crate::{ClientRequest, HostReply, Malformed, Parsed};
-use flaxdeck_net::budget::OBJECT_MOST;
+use flaxdeck_net::budget::MAX_OBJECT;
 
 /// Bytes of an answer's first line; real ones have some 150.
-pub const HEAD_MOST: usize = 2048;
+pub const MAX_HEAD: usize = 2048;
 
 /// What an attempt asks of a host, beside the request itself.
 pub struct AttemptOptions<'a> {
@@ -112,10 +112,10 @@
 pub fn parse(buffer: &mut BytesMut, names: &Names) -> Result<Parsed<Line>, Malformed> {
     let Some(end) = buffer
         .windows(2)
-        .take(HEAD_MOST)
+        .take(MAX_HEAD)
         .position(|pair| pair == b"\r\n")
     else {
-        let long = buffer.len() > HEAD_MOST;
+        let long = buffer.len() > MAX_HEAD;
         return if long {
             Err(Malformed("an answer's line is too long"))
         } else {
@@ -154,7 +154,7 @@
     let length: usize = word()?
         .parse()
         .map_err(|_| Malformed("a length is no number"))?;
-    if length > OBJECT_MOST {
+    if length > MAX_OBJECT {
         return Err(Malformed("an answer over the bound"));
     }
     let (id, mut host_reply) = (id.len(), read(fields, outcome, unchanged, names)?);
--- a/crates/flaxdeck-wire/src/rpc.rs
+++ b/crates/flaxdeck-wire/src/rpc.rs
@@ -4,16 +4,16 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use flaxdeck::{ClassId, GroupId, ObjectId, Span};
-use flaxdeck_terms::{NAME_MOST, Names};
+use flaxdeck_terms::{MAX_NAME, Names};
 
 use crate::msgpack::{Reader, Stop, put_binary_head, put_text, put_whole};
 use crate::{Answer, ClientRequest, Malformed, Parsed};
-use flaxdeck_net::budget::{MESSAGE_MOST, WRITE_MOST};
+use flaxdeck_net::budget::{MAX_MESSAGE, MAX_WRITE};
 
 /// Bytes of a field's name or value; the longest of the protocol are 32.
-const FIELD_MOST: usize = NAME_MOST;
+const MAX_FIELD: usize = MAX_NAME;
 /// Fields of a message; the protocol knows nine.
-const FIELDS_MOST: usize = 64;
+const MAX_FIELDS: usize = 64;
 /// Values of an empty `FIELDS`.
 const NO_FIELDS: u8 = 0x80;
 const NIL: u8 = 0xc0;
@@ -66,8 +66,8 @@
 pub fn parse(buffer: &mut BytesMut, names: &Names) -> Result<Parsed<ClientMessage>, Malformed> {
     let mut reader = Reader::new(buffer);
     let draft = match read(&mut reader, names) {
-        Ok(draft) if reader.at <= MESSAGE_MOST => draft,
-        Err(Stop::Short(more)) if buffer.len() + more <= MESSAGE_MOST => {
+        Ok(draft) if reader.at <= MAX_MESSAGE => draft,
+        Err(Stop::Short(more)) if buffer.len() + more <= MAX_MESSAGE => {
             return Ok(Parsed::Short(more));
         }
         Ok(_) | Err(Stop::Short(_)) => return Err(Malformed("a message over the bound")),
@@ -93,16 +93,16 @@
     let mut reader = Reader::new(buffer);
     let head = (reader.array().ok()?, reader.whole().ok()?);
     let call = call_number(&mut reader).ok().filter(|_| head == (4, 0))?;
-    reader.text(FIELD_MOST).ok()?;
+    reader.text(MAX_FIELD).ok()?;
     let (parameters, fields) = (reader.array().ok()?, reader.map().ok()?);
-    if parameters != 2 || fields > FIELDS_MOST {
+    if parameters != 2 || fields > MAX_FIELDS {
         return None;
     }
     for _ in 0..2 * fields {
-        reader.text(FIELD_MOST).ok()?;
+        reader.text(MAX_FIELD).ok()?;
     }
     let (length, here) = (
-        reader.binary_head(WRITE_MOST).ok()?,
+        reader.binary_head(MAX_WRITE).ok()?,
         buffer.len() - reader.at,
     );
     (here < length).then(|| (call, length - here))
@@ -116,11 +116,11 @@
     match (reader.array()?, reader.whole()?) {
         (4, 0) => {
             let call = call_number(reader)?;
-            let method = reader.text(FIELD_MOST)?;
+            let method = reader.text(MAX_FIELD)?;
             match names.class(method) {
                 Some(ClassId(class)) => request(reader, call, class),
                 None => {
-                    reader.skip(MESSAGE_MOST)?;
+                    reader.skip(MAX_MESSAGE)?;
                     let why = "no such method";
                     let alive = method == "alive";
                     Ok(Draft::Done(if alive {
@@ -132,8 +132,8 @@
             }
         }
         (3, 2) => {
-            let method = reader.text(FIELD_MOST)?;
-            let mut parameters = reader.value(MESSAGE_MOST)?;
+            let method = reader.text(MAX_FIELD)?;
+            let mut parameters = reader.value(MAX_MESSAGE)?;
             if method != "cancelRequest" {
                 return Ok(Draft::Done(ClientMessage::Nothing));
             }
@@ -150,7 +150,7 @@
 
 // What can be read as MessagePack but is no request gets an answer, so the reader must stand behind it.
 fn request(reader: &mut Reader, call: u32, class: usize) -> Result<Draft, Stop> {
-    let mut parameters = reader.value(MESSAGE_MOST)?;
+    let mut parameters = reader.value(MAX_MESSAGE)?;
     let invalid = |why| Ok(Draft::Done(ClientMessage::Invalid { call, why }));
     match fields(&mut parameters, class) {
         Ok(draft) if parameters.at == reader.at => Ok(Draft::Request(call, draft)),
@@ -170,12 +170,12 @@
         ..RequestDraft::default()
     };
     let count = reader.map()?;
-    if count > FIELDS_MOST {
+    if count > MAX_FIELDS {
         return Err(Stop::Bad("too many fields"));
     }
     for _ in 0..count {
-        let name = reader.text(FIELD_MOST)?;
-        let value = reader.text(FIELD_MOST)?;
+        let name = reader.text(MAX_FIELD)?;
+        let value = reader.text(MAX_FIELD)?;
         let place = reader.at - value.len()..reader.at;
         match name {
             "id" => draft.id = Some(place).filter(|_| hex(value).is_some()),
@@ -195,7 +195,7 @@
             _ => {}
         }
     }
-    let body = reader.binary(WRITE_MOST)?;
+    let body = reader.binary(MAX_WRITE)?;
     draft.body = reader.at - body.len()..reader.at;
     Ok(draft)
 }
--- a/crates/flaxdeck-wire/tests/frames.rs
+++ b/crates/flaxdeck-wire/tests/frames.rs
@@ -6,7 +6,7 @@
 use flaxdeck::{CellId, Endpoint, GroupId, Health, ListKind, ObjectId, Role, Time, ZoneId};
 use flaxdeck_terms::fields::Fields;
 use flaxdeck_wire::Parsed;
-use flaxdeck_wire::frames::{Event, FIXED, FRAME_MOST, known, parse, record};
+use flaxdeck_wire::frames::{Event, FIXED, MAX_FRAME, known, parse, record};
 use names::names;
 use serde_json::Value;
 
@@ -105,7 +105,7 @@
 
 #[test]
 fn what_is_no_frame_is_refused() {
-    let long = [&(FRAME_MOST as u32 + 1).to_be_bytes()[..], &[0; 9]].concat();
+    let long = [&(MAX_FRAME as u32 + 1).to_be_bytes()[..], &[0; 9]].concat();
     let bad = [
         frame(1, 9, &[]),
         frame(1, 2, &row(3)),
--- a/crates/flaxdeck-wire/tests/lines.rs
+++ b/crates/flaxdeck-wire/tests/lines.rs
@@ -4,7 +4,7 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use flaxdeck::{AttemptOutcome, ClassId, FillOutcome, GroupId, HostId, ObjectId, Span};
-use flaxdeck_wire::lines::{AttemptOptions, HEAD_MOST, Line, parse, want};
+use flaxdeck_wire::lines::{AttemptOptions, Line, MAX_HEAD, parse, want};
 use flaxdeck_wire::{ClientRequest, Parsed};
 use names::names;
 
@@ -177,7 +177,7 @@
 
 #[test]
 fn what_is_no_answer_is_refused() {
-    let long = "x".repeat(HEAD_MOST + 2);
+    let long = "x".repeat(MAX_HEAD + 2);
     let bad = [
         "1 what - 0\r\n",
         "1 data - x\r\n",
--- a/crates/flaxdeck-wire/tests/rpc.rs
+++ b/crates/flaxdeck-wire/tests/rpc.rs
@@ -4,7 +4,7 @@
 
 use bytes::{BufMut, BytesMut};
 use flaxdeck::{ClassId, GroupId, ObjectId, Span};
-use flaxdeck_net::budget::{MESSAGE_MOST, WRITE_MOST};
+use flaxdeck_net::budget::{MAX_MESSAGE, MAX_WRITE};
 use flaxdeck_wire::rpc::{ClientMessage, alive, answer, parse};
 use flaxdeck_wire::{Answer, ClientRequest, Parsed};
 use names::names;
@@ -68,7 +68,7 @@
             let mut bytes = message.clone();
             bytes[at] ^= flip;
             if let Ok(Parsed::Short(more)) = parse(&mut BytesMut::from(&bytes[..]), &names()) {
-                assert!(more <= MESSAGE_MOST);
+                assert!(more <= MAX_MESSAGE);
             }
         }
     }
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_body_over_the_bound_is_an_invalid_request_and_one_far_over_it_is_refused_before_it_comes() {
-    let message = request_message(7, "submit", &FIELDS, &[0; WRITE_MOST + 1]);
+    let message = request_message(7, "submit", &FIELDS, &[0; MAX_WRITE + 1]);
     let said = ClientMessage::Invalid {
         call: 7,
         why: "too long",
@@ -84,7 +84,7 @@
     let mut buffer = BytesMut::from(&message[..]);
     assert_eq!(parse(&mut buffer, &names()), Ok(Parsed::Whole(said)));
     assert!(buffer.is_empty(), "all its bytes are taken");
-    let message = request_message(7, "submit", &FIELDS, &[0; MESSAGE_MOST]);
+    let message = request_message(7, "submit", &FIELDS, &[0; MAX_MESSAGE]);
     assert!(parse(&mut BytesMut::from(&message[..200]), &names()).is_err());
 }
 
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -43,7 +43,7 @@
 const IDLE: f64 = 0.5; // least part of a load that counts, however idle its host reports to be
 const OLD: Span = Span::from_ms(2000); // age at which a report says nothing more
 const COLD_USE: f64 = 0.8; // share of the fall multiple that may be used: chance and late news take the rest
-const COLD_MOST: f64 = 1.6; // times its present capacity that a cold host is asked for: more is only queued
+const MAX_COLD: f64 = 1.6; // times its present capacity that a cold host is asked for: more is only queued
 const DOUBT: f64 = 8.0; // others from which on a report counts more than the own guess
 const WINDOW: f64 = 24.0; // attempts out at a source, or past the caches, at first: most end as hits
 const NARROWED: f64 = 0.8; // left of that after a slow or failed one
@@ -239,7 +239,7 @@
             .get(terms.zone.0)
             .map_or(1.0, |count| f64::from(*count).max(1.0));
         let ramp = |from, within, factor: f64, dispatchers: f64| {
-            let whole = (factor * COLD_USE).min(COLD_MOST);
+            let whole = (factor * COLD_USE).min(MAX_COLD);
             Ramp {
                 from,
                 within,
