--- a/Makefile
+++ b/Makefile
@@ -12,6 +12,7 @@
 lint:
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps
 
 CONFIG ?= examples/toy/config.json
 
--- a/crates/flaxdeck-control/tests/two_levels.rs
+++ b/crates/flaxdeck-control/tests/two_levels.rs
@@ -62,7 +62,7 @@
     Some(WarmupUsage {
         equal_share: right,
         used: spent,
-        unmet: unmet,
+        unmet,
     })
 }
 
--- a/crates/flaxdeck-fleet/src/model/attempts.rs
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -141,7 +141,7 @@
             request: attempt.request,
             index: AttemptIndex(attempt.index),
             host: HostId(host.id.as_str().into()),
-            outcome: outcome,
+            outcome,
             took: Span::of_ms(self.now - attempt.sent),
             closed: answered,
             fill: attempt.fill,
--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -8,7 +8,7 @@
     pub cancels: Vec<Cancel>,
     pub attempts: Vec<Attempt>,
     pub finals: Vec<Final>,
-    /// Ask these hosts for their load; what they tell is due as a [`LoadReport`].
+    /// Ask these hosts for their load; what they tell is due as a [`LoadReport`](crate::LoadReport).
     pub looks: Vec<HostId>,
     /// Call `wake` at this time; earlier wishes stand.
     pub wake: Option<Time>,
--- a/src/id.rs
+++ b/src/id.rs
@@ -16,11 +16,11 @@
     pub const ALL: GroupId = GroupId(u64::MAX);
 }
 
-/// A place in [`DeploymentTerms::classes`].
+/// A place in [`DeploymentTerms::classes`](crate::DeploymentTerms::classes).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassId(pub usize);
 
-/// A place in [`DeploymentTerms::zone_dispatchers`].
+/// A place in [`DeploymentTerms::zone_dispatchers`](crate::DeploymentTerms::zone_dispatchers).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub usize);
 
