--- /dev/null
+++ b/src/decision/answers.rs
@@ -0,0 +1,89 @@
+//! The end of a request: when it is given up, with which answer, and what is released then.
+
+use crate::{Cancel, Final, RequestId};
+
+use super::DecisionEngine;
+use super::state::{ObjectPart, Timer};
+
+impl DecisionEngine {
+    /// Rule: forgets a request that is done, and cancels what it has in flight.
+    pub(super) fn remove_finished(&mut self, id: RequestId) -> bool {
+        if !self.requests.get(&id).is_some_and(|state| state.done) {
+            return false;
+        }
+        let Some(state) = self.requests.remove(&id) else {
+            return false;
+        };
+        self.timers.remove(&Timer {
+            at: state.request.deadline - self.answer_margin,
+            request: id,
+        });
+        for attempt in &state.in_flight {
+            if self.terms.may_cancel {
+                self.decisions.cancels.push(Cancel {
+                    request: id,
+                    index: attempt.index,
+                });
+            }
+            for participant in attempt.participants() {
+                if let Some(host) = self.hosts.get_mut(participant) {
+                    host.release();
+                }
+            }
+        }
+        true
+    }
+
+    /// Rule: gives a request up shortly before its deadline.
+    ///
+    /// Guards against a lost request: whatever else goes on, the client gets its answer while it listens.
+    pub(super) fn answer_before_deadline(&mut self, id: RequestId) -> bool {
+        let Some(state) = self.requests.get(&id) else {
+            return false;
+        };
+        if self.now + self.answer_margin < state.request.deadline {
+            return false;
+        }
+        self.give_up(id);
+        true
+    }
+
+    /// Rule: gives a request up that has nothing in flight, and may have no further attempt or no time for one.
+    pub(super) fn give_up_without_retries(&mut self, id: RequestId) -> bool {
+        let Some(state) = self.requests.get(&id) else {
+            return false;
+        };
+        if !state.in_flight.is_empty() {
+            return false;
+        }
+        let in_time = state.transfer_ms < state.deadline_left(self.now).ms();
+        if in_time && self.may_retry(state) {
+            return false;
+        }
+        self.give_up(id);
+        true
+    }
+
+    /// Gives a request its final answer: rejected, or failed where a retry by the client might do harm.
+    pub(super) fn give_up(&mut self, id: RequestId) {
+        self.refund_penalties(id);
+        let Some(state) = self.requests.get(&id) else {
+            return;
+        };
+        let answer = if self.rejection_is_harmless(state) {
+            Final::Rejected {
+                request: id,
+                retry_after: self.retry_after,
+            }
+        } else {
+            Final::Failed { request: id }
+        };
+        self.decisions.finals.push(answer);
+        let (part, objective) = (ObjectPart::of(&state.request), state.objective);
+        self.promised_objectives.insert(part, objective);
+        if let Some(state) = self.requests.get_mut(&id) {
+            state.done = true;
+        }
+        self.ready.insert(id);
+    }
+}
--- /dev/null
+++ b/src/decision/freshness.rs
@@ -0,0 +1,51 @@
+//! How old a copy may be that answers a request.
+
+use crate::{GroupId, Request, Span};
+
+use super::DecisionEngine;
+use super::class_statistics::ClassStatistics;
+use super::constants::AGE_ROUNDING;
+use super::state::Purge;
+
+impl Purge {
+    fn covers(&self, request: &Request) -> bool {
+        match self.object {
+            Some(object) => object == request.object,
+            None => self.group == GroupId::ALL || self.group == request.group,
+        }
+    }
+}
+
+impl DecisionEngine {
+    /// The age limit of copies for an attempt, or none where the class's own holds.
+    ///
+    /// Guards against purged copies, wherever they lie: no copy from before the youngest purge will do. Where only a
+    /// hit is asked for, a copy past its fresh time, up to the class's grace, is worth more than none.
+    pub(super) fn max_copy_age(
+        &self,
+        request: &Request,
+        class: &ClassStatistics,
+        hit_only: bool,
+    ) -> Option<Span> {
+        let since_purge = self
+            .purges
+            .iter()
+            .filter(|purge| purge.covers(request))
+            .map(|purge| {
+                let age = self.now.since(purge.made);
+                age.less(AGE_ROUNDING).max(AGE_ROUNDING)
+            })
+            .min();
+        let fresh = class.terms.fresh;
+        let grace = if hit_only {
+            class.terms.older
+        } else {
+            Span::ZERO
+        };
+        let limit = match (since_purge, fresh.map(|fresh| fresh + grace)) {
+            (Some(since_purge), Some(of_class)) => Some(since_purge.min(of_class)),
+            (since_purge, of_class) => since_purge.or(of_class),
+        };
+        limit.filter(|limit| Some(*limit) != fresh)
+    }
+}
--- /dev/null
+++ b/src/decision/hedging.rs
@@ -0,0 +1,134 @@
+//! Overdue attempts: telling silent hosts from slow ones, and hedged requests beside the silent.
+
+use std::collections::BTreeMap;
+
+use crate::{Cancel, HostId, RequestId, Span, Time};
+
+use super::DecisionEngine;
+use super::constants::{FAILURE_PENALTY, OVERDUE_ALLOWANCE, OVERDUE_FACTOR, SILENCE_FRACTION};
+use super::state::{AttemptState, Host, OverdueCause, Timer};
+
+/// A host that has answered nothing since an overdue attempt; the greatest is to blame.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct SilentHost {
+    /// Attempts found overdue there since it last answered.
+    attempts: u32,
+    /// It is the attempt's host, not its source.
+    is_host: bool,
+    id: HostId,
+}
+
+/// The time after which an attempt is overdue, from its expected milliseconds.
+pub(super) fn overdue_after(expected_ms: f64) -> Span {
+    Span::of_ms(expected_ms) * OVERDUE_FACTOR + OVERDUE_ALLOWANCE
+}
+
+impl AttemptState {
+    fn is_newly_overdue(&self, now: Time) -> bool {
+        self.overdue_cause.is_none() && self.overdue <= now
+    }
+}
+
+impl DecisionEngine {
+    /// Rule: looks at an attempt that has become overdue, and blames a host that is silent.
+    ///
+    /// Guards against hosts that take requests and answer none: one that has answered nothing since is blamed, a slow
+    /// one has answered others. No source is blamed for a cache that was cut off in the middle of a fill.
+    pub(super) fn note_overdue_attempt(&mut self, id: RequestId) -> bool {
+        let now = self.now;
+        let Some(state) = self.requests.get_mut(&id) else {
+            return false;
+        };
+        let overdue = |attempt: &&mut AttemptState| attempt.is_newly_overdue(now);
+        let Some(attempt) = state.in_flight.iter_mut().find(overdue) else {
+            return false;
+        };
+        if let Some(host) = self.hosts.get_mut(&attempt.host) {
+            host.adjust_window(false);
+            if attempt.without_fill() {
+                let elapsed = now.since(attempt.sent).ms();
+                host.record_slowdown(now, elapsed / state.transfer_ms.max(1.0));
+            }
+        }
+        // Where the attempt has to be cancelled, and what it has got is lost, silence needs a second proof.
+        let proof = if self.terms.may_duplicate { 1 } else { 2 };
+        let silent = count_silence(&mut self.hosts, attempt, now, proof);
+        // Guards against blaming a host for one request that is large, or for what waits behind another.
+        if !silent.is_empty() && silent.iter().all(|host| host.attempts < proof) {
+            attempt.overdue = now + attempt.overdue.since(attempt.sent);
+            self.timers.insert(Timer {
+                at: attempt.overdue,
+                request: id,
+            });
+            return true;
+        }
+        let Some(culprit) = silent.into_iter().max().map(|host| host.id) else {
+            attempt.overdue_cause = Some(OverdueCause::Slow);
+            return true;
+        };
+        attempt.overdue_cause = Some(OverdueCause::Silent);
+        let index = attempt.index;
+        state.tried.push(culprit.clone());
+        self.cancel_silent_attempt(Cancel { request: id, index });
+        self.record_failure(&culprit, FAILURE_PENALTY);
+        true
+    }
+
+    /// Cancels a silent attempt whose request may run again, but not beside it.
+    fn cancel_silent_attempt(&mut self, cancel: Cancel) {
+        let Some(state) = self.requests.get(&cancel.request) else {
+            return;
+        };
+        if self.is_idempotent(state) && self.terms.may_cancel && !self.terms.may_duplicate {
+            self.decisions.cancels.push(cancel);
+        }
+    }
+
+    /// Rule: sends a hedged request beside attempts that are all silent.
+    ///
+    /// Guards against a request lost to a host that never answers, without copies of what is only slow.
+    pub(super) fn start_hedged_attempt(&mut self, id: RequestId) -> bool {
+        let Some(state) = self.requests.get(&id) else {
+            return false;
+        };
+        let all_silent = !state.in_flight.is_empty()
+            && state
+                .in_flight
+                .iter()
+                .all(|attempt| attempt.overdue_cause == Some(OverdueCause::Silent));
+        let allowed = all_silent
+            && self.terms.may_duplicate
+            && self.is_idempotent(state)
+            && self.may_retry(state);
+        let needed_ms = state.transfer_ms + OVERDUE_ALLOWANCE.ms();
+        allowed && state.deadline_left(self.now).ms() > needed_ms && self.start_attempt(id)
+    }
+}
+
+/// Counts an overdue attempt at its host and its source, if they are silent, up to the number that proves it.
+///
+/// A source is silent if it has answered nothing since the attempt was sent, its host if nothing in the latter part
+/// of that time.
+fn count_silence(
+    hosts: &mut BTreeMap<HostId, Host>,
+    attempt: &AttemptState,
+    now: Time,
+    proof: u32,
+) -> Vec<SilentHost> {
+    let host_since = attempt.sent + now.since(attempt.sent) * SILENCE_FRACTION;
+    let mut silent = Vec::new();
+    for id in attempt.participants() {
+        let is_host = *id == attempt.host;
+        let since = if is_host { host_since } else { attempt.sent };
+        let Some(host) = hosts.get_mut(id).filter(|host| host.last_heard <= since) else {
+            continue;
+        };
+        host.silent_attempts = (host.silent_attempts + 1).min(proof);
+        silent.push(SilentHost {
+            attempts: host.silent_attempts,
+            is_host,
+            id: id.clone(),
+        });
+    }
+    silent
+}
--- /dev/null
+++ b/src/decision/load_polls.rs
@@ -0,0 +1,35 @@
+//! Load polls, where hosts tell their load only when asked.
+
+use rand::Rng;
+
+use crate::{Decisions, HostId, LoadReport, Time};
+
+use super::DecisionEngine;
+use super::constants::{JITTER, LOAD_POLL_INTERVAL};
+
+impl DecisionEngine {
+    /// Polls the cache of this location that was polled longest ago.
+    pub(super) fn poll_load(&mut self) {
+        self.next_load_poll = self.now + LOAD_POLL_INTERVAL * self.rng.random_range(JITTER);
+        let next = self
+            .hosts
+            .values()
+            .filter(|host| self.is_local_cache(host) && host.in_service())
+            .min_by_key(|host| (host.last_polled, host.hash))
+            .map(|host| host.id().clone());
+        if let Some(host) = next.as_ref().and_then(|id| self.hosts.get_mut(id)) {
+            host.last_polled = Some(self.now);
+        }
+        self.decisions.looks.extend(next);
+    }
+
+    /// A host that was polled has told its load, or nothing.
+    pub fn seen(&mut self, now: Time, host: &HostId, told: LoadReport) -> Decisions {
+        self.now = now;
+        self.record_link_report(told.link);
+        if let Some(host) = self.hosts.get_mut(host) {
+            host.record_report(now, told);
+        }
+        self.wake(now)
+    }
+}
--- /dev/null
+++ b/src/decision/retries.rs
@@ -0,0 +1,85 @@
+//! Retries: whether a request may run again, and where, by the idempotency of its class.
+
+use crate::{Repeats, Scope, Time};
+
+use super::DecisionEngine;
+use super::state::{Host, RequestState};
+
+impl DecisionEngine {
+    pub(super) fn is_idempotent(&self, state: &RequestState) -> bool {
+        self.classes[state.request.class.0].terms.repeats == Repeats::Idempotent
+    }
+
+    /// Decides whether a request may have another attempt.
+    ///
+    /// Guards against an effect that happens twice: what may have run is sent again only if that has no effect, or
+    /// while the hosts that drop its repeats remember it.
+    pub(super) fn may_retry(&self, state: &RequestState) -> bool {
+        self.list_trusted
+            && state.attempts < self.terms.most_attempts.max(1)
+            && self.repeat_is_safe(state)
+    }
+
+    fn repeat_is_safe(&self, state: &RequestState) -> bool {
+        let Some(first_run) = first_possible_run(state) else {
+            return true;
+        };
+        match self.classes[state.request.class.0].terms.repeats {
+            Repeats::Idempotent => true,
+            Repeats::AtMostOnce => false,
+            Repeats::Deduplicated { remembered, .. } => {
+                self.now + self.answer_margin < first_run + remembered
+            }
+        }
+    }
+
+    /// Decides whether a host drops repeats of a request that may have run; if it has not, every host will do.
+    ///
+    /// Guards against a deduplicated request that runs a second time at a host which does not know of the first.
+    pub(super) fn in_deduplication_scope(&self, state: &RequestState, host: &Host) -> bool {
+        let repeats = self.classes[state.request.class.0].terms.repeats;
+        let Repeats::Deduplicated { scope, .. } = repeats else {
+            return true;
+        };
+        let Some(run) = &state.may_have_run else {
+            return true;
+        };
+        let first = self.hosts.get(&run.host).map(|first| &first.endpoint);
+        let same_zone = first.is_some_and(|first| first.zone == host.endpoint.zone);
+        match scope {
+            Scope::All => true,
+            Scope::Zone => same_zone,
+            Scope::Cell => same_zone && first.is_some_and(|first| first.cell == host.endpoint.cell),
+        }
+    }
+
+    /// When the hosts that drop repeats forget a request that may have run; never if nothing is at stake.
+    pub(super) fn repeats_dropped_until(&self, state: &RequestState) -> Time {
+        let repeats = self.classes[state.request.class.0].terms.repeats;
+        match (repeats, &state.may_have_run) {
+            (Repeats::Deduplicated { remembered, .. }, Some(run)) => run.sent + remembered,
+            _ => Time::NEVER,
+        }
+    }
+
+    /// Decides whether a request may be answered as rejected, which promises that a retry has no second effect.
+    pub(super) fn rejection_is_harmless(&self, state: &RequestState) -> bool {
+        match self.classes[state.request.class.0].terms.repeats {
+            Repeats::Idempotent
+            | Repeats::Deduplicated {
+                scope: Scope::All, ..
+            } => true,
+            Repeats::Deduplicated { .. } | Repeats::AtMostOnce => {
+                state.may_have_run.is_none() && state.in_flight.is_empty()
+            }
+        }
+    }
+}
+
+/// When the first attempt was sent that may have run, one in flight included.
+fn first_possible_run(state: &RequestState) -> Option<Time> {
+    match &state.may_have_run {
+        Some(run) => Some(run.sent),
+        None => state.in_flight.first().map(|attempt| attempt.sent),
+    }
+}
