--- a/src/hash.rs
+++ b/src/hash.rs
@@ -1,14 +1,14 @@
-//! The hash that places things the same way everywhere: in every dispatcher's order of hosts, and in every forwarder's
-//! order of planners.
+//! The hash behind orders that are the same everywhere: every dispatcher's order of hosts, every forwarder's order of
+//! planners.
 
-/// Spreads a number over all others of its size (the finish of SplitMix64).
+/// Mixes the bits of a number (the finalizer of SplitMix64).
 pub fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58476d1ce4e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d049bb133111eb);
     x ^ (x >> 31)
 }
 
-/// A number for a name (FNV-1a, begun with another number too).
+/// A hash of a name with a seed (FNV-1a).
 pub fn of_name(name: &str, with: u64) -> u64 {
     name.bytes().fold(0xcbf29ce484222325 ^ with, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x100000001b3)
--- a/src/id.rs
+++ b/src/id.rs
@@ -2,28 +2,32 @@
 
 use std::rc::Rc;
 
+/// Names a request within its dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
+/// Names an object, the same at every dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ObjectId(pub u64);
 
+/// Names a group of objects that are purged together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GroupId(pub u64);
 
 impl GroupId {
-    /// Stands for all groups where a purge is told.
+    /// Stands for all groups in a purge.
     pub const ALL: GroupId = GroupId(u64::MAX);
 }
 
-/// A place in [`DeploymentTerms::classes`](crate::DeploymentTerms::classes).
+/// An index into [`DeploymentTerms::classes`](crate::DeploymentTerms::classes).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassId(pub usize);
 
-/// A place in [`DeploymentTerms::zone_dispatchers`](crate::DeploymentTerms::zone_dispatchers).
+/// An index into [`DeploymentTerms::zone_dispatchers`](crate::DeploymentTerms::zone_dispatchers).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub usize);
 
+/// Names a cell, a part of a location whose hosts drop each other's repeats.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CellId(pub u64);
 
@@ -31,6 +35,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptIndex(pub u32);
 
-/// What names a host, the same at every dispatcher; its address need not be.
+/// Names a host, the same at every dispatcher; its address may differ.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostId(pub Rc<str>);
--- a/src/time.rs
+++ b/src/time.rs
@@ -20,30 +20,45 @@
 }
 
 impl Time {
+    /// Later than any other time.
     pub const NEVER: Time = Time(u64::MAX);
+
+    /// The time at so many milliseconds of the caller's clock, rounded to microseconds; zero for negative ones.
     pub fn at_ms(ms: f64) -> Time {
         Time((ms.max(0.0) * 1000.0).round() as u64)
     }
+
+    /// Milliseconds of the caller's clock.
     pub fn ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
-    /// How long `earlier` lies back; zero if it does not.
+
+    /// The time from `earlier` to this one; zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Span {
+    /// No time.
     pub const ZERO: Span = Span(0);
+
+    /// A whole number of milliseconds.
     pub const fn from_ms(ms: u64) -> Span {
         Span(ms * 1000)
     }
+
+    /// So many milliseconds, rounded to microseconds; zero for negative ones.
     pub fn of_ms(ms: f64) -> Span {
         Span((ms.max(0.0) * 1000.0).round() as u64)
     }
+
+    /// Milliseconds.
     pub fn ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
+
+    /// This span without another; zero if the other is longer.
     pub fn less(self, other: Span) -> Span {
         Span(self.0.saturating_sub(other.0))
     }
