--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -1,4 +1,7 @@
-//! One tiny fake location: a dispatcher's decision engine, a clock and the hosts that answer it.
+//! A fake location: a dispatcher's decision engine, a clock, and hosts that answer as a test says.
+
+#![allow(dead_code, reason = "each test file uses a part of this")]
+#![allow(clippy::expect_used, reason = "a failed expectation fails the test")]
 
 use flaxdeck::decision::DecisionEngine;
 use flaxdeck::{
@@ -7,43 +10,42 @@
     ObjectId, Repeats, Request, RequestClass, RequestId, Role, Scope, Span, Time, ZoneId,
 };
 
-pub struct Fake {
-    pub engine: DecisionEngine,
-    pub now: Time,
-    pub finals: Vec<Final>,
-    pub cancels: Vec<Cancel>,
-    pub sent: Vec<(AttemptIndex, Attempt)>,
-    pub looks: Vec<HostId>,
-    pub again: bool,
+pub(crate) struct Fake {
+    pub(crate) engine: DecisionEngine,
+    pub(crate) now: Time,
+    pub(crate) finals: Vec<Final>,
+    pub(crate) cancels: Vec<Cancel>,
+    /// All attempts, in the order in which they were sent.
+    pub(crate) sent: Vec<Attempt>,
+    pub(crate) looks: Vec<HostId>,
+    pub(crate) again: bool,
     /// The requests that host "a" reports, and those that every other does.
-    pub at_a: f64,
-    pub elsewhere: f64,
+    pub(crate) at_a: f64,
+    pub(crate) elsewhere: f64,
     /// The share of its capacity that host "a" reports in use.
-    pub busy: Option<f64>,
-    /// What an answer takes unless said otherwise, in milliseconds.
-    pub took: u64,
+    pub(crate) busy: Option<f64>,
+    /// Milliseconds that an answer takes unless said otherwise.
+    pub(crate) took: u64,
     next: u64,
 }
 
-pub fn host(name: &str) -> HostId {
+pub(crate) fn host(name: &str) -> HostId {
     HostId(name.into())
 }
 
-pub fn line(name: &str, role: Role) -> Endpoint {
-    let zone = Some(ZoneId(if role == Role::Cache { 0 } else { 1 }));
-    let (health, started, cell) = (Health::InService, None, CellId(name.len() as u64));
+pub(crate) fn line(name: &str, role: Role) -> Endpoint {
     Endpoint {
         host: host(name),
         weight: 5.0,
-        zone,
-        cell,
+        zone: Some(ZoneId(if role == Role::Cache { 0 } else { 1 })),
+        cell: CellId(name.len() as u64),
         role,
-        health,
-        started,
+        health: Health::InService,
+        started: None,
     }
 }
 
-pub fn class(repeats: Repeats) -> RequestClass {
+pub(crate) fn class(repeats: Repeats) -> RequestClass {
     RequestClass {
         objective: Span::from_ms(500),
         stretch: 2.0,
@@ -55,7 +57,7 @@
     }
 }
 
-pub fn terms() -> DeploymentTerms {
+pub(crate) fn terms() -> DeploymentTerms {
     let deduplicated = Repeats::Deduplicated {
         scope: Scope::Cell,
         remembered: Span::from_ms(2000),
@@ -90,7 +92,7 @@
 }
 
 /// Two caches, two parents and the origin.
-pub fn usual() -> Vec<Endpoint> {
+pub(crate) fn usual() -> Vec<Endpoint> {
     let roles = [
         Role::Cache,
         Role::Cache,
@@ -105,18 +107,30 @@
         .collect()
 }
 
+/// Whether a host is one of the parents of [`usual`].
+pub(crate) fn is_parent(id: &HostId) -> bool {
+    [host("p"), host("q")].contains(id)
+}
+
+/// Terms under which a request has one attempt in flight at most.
+pub(crate) fn single() -> DeploymentTerms {
+    DeploymentTerms {
+        may_duplicate: false,
+        ..terms()
+    }
+}
+
 impl Fake {
-    pub fn new(terms: DeploymentTerms, hosts: Vec<Endpoint>) -> Fake {
+    pub(crate) fn new(terms: DeploymentTerms, hosts: Vec<Endpoint>) -> Fake {
         let now = Time::at_ms(100_000.0);
         let (engine, _) = DecisionEngine::start(now, 7, terms);
-        let (finals, cancels, sent, looks) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         let mut fake = Fake {
             engine,
             now,
-            finals,
-            cancels,
-            sent,
-            looks,
+            finals: Vec::new(),
+            cancels: Vec::new(),
+            sent: Vec::new(),
+            looks: Vec::new(),
             again: false,
             at_a: 0.0,
             elsewhere: 0.0,
@@ -132,23 +146,30 @@
         self.cancels.extend(decisions.cancels);
         self.finals.extend(decisions.finals);
         self.looks.extend(decisions.looks);
-        for sent in decisions.attempts {
-            let index = self
-                .sent
-                .iter()
-                .filter(|(_, earlier)| earlier.request == sent.request)
-                .count();
-            self.sent.push((AttemptIndex(index as u32), sent));
-        }
+        self.sent.extend(decisions.attempts);
+    }
+
+    /// The attempt that was sent last.
+    pub(crate) fn last_sent(&self) -> &Attempt {
+        self.sent.last().expect("an attempt was sent")
+    }
+
+    /// The number, within its request, of the attempt at a place.
+    pub(crate) fn index_of(&self, at: usize) -> AttemptIndex {
+        let earlier = self.sent[..at]
+            .iter()
+            .filter(|earlier| earlier.request == self.sent[at].request)
+            .count();
+        AttemptIndex(earlier as u32)
     }
 
-    pub fn list(&mut self, hosts: Vec<Endpoint>) {
+    pub(crate) fn list(&mut self, hosts: Vec<Endpoint>) {
         let decisions = self.engine.list(self.now, ListKind::Delta, hosts);
         self.apply(decisions);
     }
 
     /// Lets so many milliseconds pass, waking the decision engine at each.
-    pub fn pass(&mut self, ms: u64) {
+    pub(crate) fn pass(&mut self, ms: u64) {
         for _ in 0..ms {
             self.now = self.now + Span::from_ms(1);
             let decisions = self.engine.wake(self.now);
@@ -157,39 +178,34 @@
     }
 
     /// A request of 100 KB, so 100 ms; gives the place of its first attempt, should there be one.
-    pub fn request(&mut self, class: usize, object: u64) -> usize {
+    pub(crate) fn request(&mut self, class: usize, object: u64) -> usize {
         self.request_of(class, object, 100.0)
     }
 
-    pub fn request_of(&mut self, class: usize, object: u64, kb: f64) -> usize {
+    pub(crate) fn request_of(&mut self, class: usize, object: u64, kb: f64) -> usize {
         self.ask(class, object, 0, Some(kb))
     }
 
     /// A request that does not tell its size.
-    pub fn untold(&mut self, object: u64) -> usize {
+    pub(crate) fn request_without_size(&mut self, object: u64) -> usize {
         self.ask(0, object, 0, None)
     }
 
-    pub fn part(&mut self, object: u64, part: u64) -> usize {
+    pub(crate) fn part(&mut self, object: u64, part: u64) -> usize {
         self.ask(0, object, part, Some(20.0))
     }
 
     fn ask(&mut self, class: usize, object: u64, part: u64, size_kb: Option<f64>) -> usize {
         self.next += 1;
-        let (at, id, deadline) = (
-            self.sent.len(),
-            RequestId(self.next),
-            self.now + Span::from_ms(4000),
-        );
-        let (class, object, group) = (ClassId(class), ObjectId(object), GroupId(object % 4));
+        let at = self.sent.len();
         let request = Request {
-            id,
-            class,
-            object,
+            id: RequestId(self.next),
+            class: ClassId(class),
+            object: ObjectId(object),
             part,
-            group,
+            group: GroupId(object % 4),
             size_kb,
-            deadline,
+            deadline: self.now + Span::from_ms(4000),
             again: self.again,
         };
         let decisions = self.engine.request(self.now, request);
@@ -197,16 +213,28 @@
         at
     }
 
-    pub fn end(&mut self, at: usize, outcome: AttemptOutcome, fill: FillOutcome, waited: u64) {
+    pub(crate) fn end(
+        &mut self,
+        at: usize,
+        outcome: AttemptOutcome,
+        fill: FillOutcome,
+        waited: u64,
+    ) {
         self.end_with(at, outcome, fill, waited, None);
     }
 
     /// An attempt that took so many milliseconds.
-    pub fn end_after(&mut self, at: usize, outcome: AttemptOutcome, fill: FillOutcome, took: u64) {
+    pub(crate) fn end_after(
+        &mut self,
+        at: usize,
+        outcome: AttemptOutcome,
+        fill: FillOutcome,
+        took: u64,
+    ) {
         self.ended(at, outcome, fill, Span::ZERO, Span::from_ms(took), None);
     }
 
-    pub fn end_with(
+    pub(crate) fn end_with(
         &mut self,
         at: usize,
         outcome: AttemptOutcome,
@@ -224,7 +252,7 @@
         );
     }
 
-    pub fn seen(&mut self, name: &str, link: Option<f64>) {
+    pub(crate) fn seen(&mut self, name: &str, link: Option<f64>) {
         let decisions = self.engine.seen(
             self.now,
             &host(name),
@@ -245,28 +273,21 @@
         took: Span,
         link: Option<f64>,
     ) {
-        let (index, sent) = self.sent[at].clone();
-        let (waited, closed) = (Some(waited), outcome == AttemptOutcome::Answered);
-        let in_hand = Some(if sent.host == host("a") {
-            self.at_a
-        } else {
-            self.elsewhere
-        });
-        let busy = self.busy.filter(|_| sent.host == host("a"));
-        let (request, host) = (sent.request, sent.host);
+        let sent = &self.sent[at];
+        let at_a = sent.host == host("a");
         let ended = AttemptEnded {
-            request,
-            index,
-            host,
+            request: sent.request,
+            index: self.index_of(at),
+            host: sent.host.clone(),
             outcome,
             took,
-            closed,
+            closed: outcome == AttemptOutcome::Answered,
             fill,
-            waited,
+            waited: Some(waited),
             report: LoadReport {
                 link,
-                in_hand,
-                busy,
+                in_hand: Some(if at_a { self.at_a } else { self.elsewhere }),
+                busy: self.busy.filter(|_| at_a),
             },
         };
         let decisions = self.engine.attempt_ended(self.now, ended);
@@ -274,7 +295,7 @@
     }
 
     /// A request that is answered at once; gives its source.
-    pub fn fill(
+    pub(crate) fn fill(
         &mut self,
         object: u64,
         kb: f64,
@@ -282,7 +303,7 @@
         waited: impl Fn(&HostId) -> u64,
     ) -> HostId {
         let at = self.request_of(0, object, kb);
-        let source = self.sent[at].1.source.clone();
+        let source = self.sent[at].source.clone();
         self.end(at, AttemptOutcome::Answered, fill, waited(&source));
         source
     }
--- a/tests/guided.rs
+++ b/tests/guided.rs
@@ -1,6 +1,5 @@
-//! The decision engine with guidance: what others tell changes what it does, and no more than it should.
+//! Peer hints: what other dispatchers tell changes the decisions, and no more than it should.
 
-#[allow(dead_code)]
 mod fake;
 
 use fake::{host, line, terms};
@@ -28,7 +27,7 @@
     }
 }
 
-fn told(hints: Vec<PeerHint>) -> PeerHints {
+fn hints_of(hints: Vec<PeerHint>) -> PeerHints {
     PeerHints {
         hints,
         unhinted_share: 1.0,
@@ -102,7 +101,7 @@
     assert!(sources(&mut engine, at(10), 1..9).contains(&host("p")));
     engine.guided(
         at(20),
-        told(vec![PeerHint {
+        hints_of(vec![PeerHint {
             down_at: Some(at(15)),
             ..hint("p")
         }]),
@@ -111,19 +110,22 @@
 }
 
 #[test]
-fn an_own_success_outweighs_older_words_of_a_failure() {
+fn an_own_success_outweighs_older_reports_of_a_failure() {
     let mut engine = engine(lines());
-    let offs: Vec<Attempt> = (1..9)
+    let attempts: Vec<Attempt> = (1..9)
         .flat_map(|id| engine.request(at(10), request(id, at(10), 0)).attempts)
         .collect();
-    let of = offs.iter().find(|off| off.source == host("p")).unwrap();
+    let of = attempts
+        .iter()
+        .find(|attempt| attempt.source == host("p"))
+        .unwrap();
     engine.attempt_ended(
         at(100),
         ended(of, AttemptOutcome::Answered, FillOutcome::Filled, 5.0),
     );
     engine.guided(
         at(110),
-        told(vec![PeerHint {
+        hints_of(vec![PeerHint {
             down_at: Some(at(90)),
             ..hint("p")
         }]),
@@ -131,7 +133,7 @@
     assert!(sources(&mut engine, at(120), 20..30).contains(&host("p")));
     engine.guided(
         at(130),
-        told(vec![PeerHint {
+        hints_of(vec![PeerHint {
             down_at: Some(at(125)),
             last_success: Some(at(128)),
             ..hint("p")
@@ -144,11 +146,11 @@
 }
 
 #[test]
-fn a_parent_out_of_use_is_tried_at_once_when_others_reach_it_again() {
+fn an_ejected_parent_gets_a_trial_at_once_when_others_reach_it_again() {
     let mut engine = engine(lines());
     engine.guided(
         at(20),
-        told(vec![PeerHint {
+        hints_of(vec![PeerHint {
             down_at: Some(at(15)),
             ..hint("p")
         }]),
@@ -156,7 +158,7 @@
     assert!(!sources(&mut engine, at(30), 1..20).contains(&host("p")));
     engine.guided(
         at(40),
-        told(vec![PeerHint {
+        hints_of(vec![PeerHint {
             last_success: Some(at(35)),
             ..hint("p")
         }]),
@@ -165,11 +167,11 @@
         .into_iter()
         .filter(|source| *source == host("p"))
         .count();
-    assert_eq!(tried, 1, "one trial, and trust only by what comes of it");
+    assert_eq!(tried, 1, "one trial, and trust only by its outcome");
 }
 
 #[test]
-fn peer_observations_of_latency_move_the_choice_only_until_own_samples_speak() {
+fn peer_measurements_of_latency_change_the_choice_and_are_not_passed_on_as_own_samples() {
     let mut engine = engine(lines());
     let slow = |now| PeerHint {
         measurements: latency(900.0),
@@ -182,7 +184,10 @@
         ..hint("o")
     };
     for n in 0..6 {
-        engine.guided(at(20 + n), told(vec![quick(at(10 + n)), slow(at(10 + n))]));
+        engine.guided(
+            at(20 + n),
+            hints_of(vec![quick(at(10 + n)), slow(at(10 + n))]),
+        );
     }
     let before = sources(&mut engine, at(40), 1..40);
     assert!(
@@ -204,7 +209,7 @@
 }
 
 #[test]
-fn a_cold_cache_gets_the_share_that_is_told_and_of_that_life_only() {
+fn a_cold_cache_gets_the_quota_that_peers_grant_for_its_present_start_only() {
     let mut cold = line("a", Role::Cache);
     cold.started = Some(at(0));
     let lines = vec![cold, line("p", Role::Parent), line("o", Role::Origin)];
@@ -221,36 +226,34 @@
                 list_trusted: true,
             },
         );
-        let offs = (1..200).flat_map(|id| engine.request(now, request(id, now, 0)).attempts);
-        offs.filter(|off| off.host == host("a")).count()
+        let attempts = (1..200).flat_map(|id| engine.request(now, request(id, now, 0)).attempts);
+        attempts.filter(|attempt| attempt.host == host("a")).count()
     };
-    let (plain, none, double) = (
-        count(None, 1.0),
-        count(Some(quota(Some(at(0)), 0.0)), 1.0),
-        count(Some(quota(Some(at(0)), 1.0)), 1.0),
-    );
+    let plain = count(None, 1.0);
+    let none = count(Some(quota(Some(at(0)), 0.0)), 1.0);
+    let double = count(Some(quota(Some(at(0)), 1.0)), 1.0);
     assert!(none == 0 && plain > 0, "{none} {plain}");
     assert!(double >= plain, "{double} {plain}");
     assert_eq!(
         count(Some(quota(Some(at(7)), 0.0)), 1.0),
         plain,
-        "another life's share says nothing"
+        "the quota of another start says nothing"
     );
     assert_eq!(
         count(None, 0.0),
         0,
-        "a forwarder without a share of its own"
+        "a forwarder without a quota of its own"
     );
 }
 
 #[test]
-fn what_was_turned_away_for_want_of_a_share_is_shown_once() {
+fn demand_unmet_for_want_of_quota_is_observed_once() {
     let mut cold = line("a", Role::Cache);
     cold.started = Some(at(0));
     let mut engine = engine(vec![cold, line("p", Role::Parent), line("o", Role::Origin)]);
     engine.guided(
         at(2_500),
-        told(vec![PeerHint {
+        hints_of(vec![PeerHint {
             quota: Some(quota(Some(at(0)), 0.0)),
             ..hint("a")
         }]),
@@ -271,7 +274,7 @@
 }
 
 #[test]
-fn with_nobody_to_vouch_for_the_hosts_new_requests_are_rejected_at_once_and_what_is_out_goes_on() {
+fn without_a_trusted_list_new_requests_are_rejected_at_once_and_attempts_in_flight_go_on() {
     let mut engine = engine(lines());
     let out = engine
         .request(at(10), request(1, at(10), 0))
@@ -281,7 +284,7 @@
         at(20),
         PeerHints {
             list_trusted: false,
-            ..told(vec![])
+            ..hints_of(vec![])
         },
     );
     let decisions = engine.request(at(30), request(2, at(30), 0));
@@ -298,7 +301,7 @@
         ended(&out, AttemptOutcome::Answered, FillOutcome::Hit, 1.0),
     );
     assert!(decisions.finals.is_empty(), "answered by its host");
-    engine.guided(at(50), told(vec![]));
+    engine.guided(at(50), hints_of(vec![]));
     assert_eq!(
         engine.request(at(60), request(3, at(60), 0)).attempts.len(),
         1
@@ -306,11 +309,11 @@
 }
 
 #[test]
-fn hints_about_hosts_that_nobody_listed_change_nothing() {
+fn hints_about_unlisted_hosts_change_nothing() {
     let mut engine = engine(lines());
     engine.guided(
         at(10),
-        told(vec![PeerHint {
+        hints_of(vec![PeerHint {
             quota: Some(quota(None, 1.0)),
             window: Some(1.0),
             ..hint("nobody")
@@ -320,7 +323,7 @@
 }
 
 #[test]
-fn a_full_link_that_others_heard_of_holds_back_misses_here_until_the_word_is_old() {
+fn a_full_link_reported_by_peers_holds_back_misses_until_the_report_is_old() {
     let mut engine = engine(lines());
     let now = at(100);
     engine.guided(
@@ -330,11 +333,11 @@
                 value: 50.0,
                 at: at(90),
             }),
-            ..told(vec![])
+            ..hints_of(vec![])
         },
     );
-    let off = engine.request(now, request(1, now, 0)).attempts.remove(0);
-    assert_eq!(off.source, off.host, "only a hit is asked for");
+    let attempt = engine.request(now, request(1, now, 0)).attempts.remove(0);
+    assert_eq!(attempt.source, attempt.host, "only a hit is asked for");
     engine.guided(
         at(110),
         PeerHints {
@@ -342,18 +345,24 @@
                 value: 0.1,
                 at: at(20),
             }),
-            ..told(vec![])
+            ..hints_of(vec![])
         },
     );
-    let off = engine
+    let attempt = engine
         .request(at(110), request(2, at(110), 0))
         .attempts
         .remove(0);
-    assert_eq!(off.source, off.host, "older word changes nothing");
+    assert_eq!(
+        attempt.source, attempt.host,
+        "an older report changes nothing"
+    );
     let later = at(5_000);
-    let off = engine
+    let attempt = engine
         .request(later, request(3, later, 0))
         .attempts
         .remove(0);
-    assert_ne!(off.source, off.host, "nor does word that is old by now");
+    assert_ne!(
+        attempt.source, attempt.host,
+        "a report that is old by now says nothing"
+    );
 }
