--- a/src/decision/measurements.rs
+++ b/src/decision/measurements.rs
@@ -5,7 +5,7 @@
 
 use super::DecisionEngine;
 use super::class_statistics::ClassStatistics;
-use super::completion::CompletedAttempt;
+use super::completed_attempt::CompletedAttempt;
 use super::constants::{ORIGIN_MARGIN, ORIGIN_WINS_TO_LEAVE, SAMPLE_WEIGHT};
 use super::state::{Host, OriginWins};
 
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -6,7 +6,8 @@
 //! | module | decides |
 //! | --- | --- |
 //! | `rules` | in which order the rules of a request are gone through, and when |
-//! | `dispatch` | which way a request takes: cache and source, past the caches, or none now |
+//! | `dispatch` | when an attempt is sent, and what it asks for |
+//! | `route_selection` | which way a request takes: cache and source, past the caches, or none now |
 //! | `cache_selection`, `source_selection` | the cache of a request, the source of its fill |
 //! | `rendezvous` | the hash order of hosts for an object |
 //! | `load`, `link` | whether a cache, or the location's link, takes one more request |
@@ -18,7 +19,7 @@
 //! | `clearance` | whether an attempt still stands once its connection is up |
 //! | `completion`, `peers`, `load_polls` | what ended attempts, peers and polled hosts change |
 //!
-//! `state`, `class_statistics` and `constants` hold what these work on.
+//! `state`, `class_statistics`, `completed_attempt` and `constants` hold what these work on.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -34,6 +35,7 @@
 mod cache_selection;
 mod class_statistics;
 mod clearance;
+mod completed_attempt;
 mod completion;
 mod constants;
 mod dispatch;
@@ -47,6 +49,7 @@
 mod peers;
 mod rendezvous;
 mod retries;
+mod route_selection;
 mod rules;
 mod slow_start;
 mod source_selection;
