--- a/src/decision/dispatch.rs
+++ b/src/decision/dispatch.rs
@@ -110,36 +110,24 @@
             return;
         };
         let class = &self.classes[state.request.class.0];
-        let at_cache = self
-            .hosts
-            .get(&attempt.host)
-            .is_some_and(|host| host.is(Role::Cache));
-        let host_cost = if at_cache {
-            class.warmup_cost(state.transfer_ms)
-        } else {
-            state.transfer_ms
-        };
         for participant in attempt.participants() {
             let Some(host) = self.hosts.get_mut(participant) else {
                 continue;
             };
-            let is_host = *participant == attempt.host;
-            host.in_flight += 1.0;
             if !class.terms.goes_through {
                 host.next_trial = self.now + TRIAL_INTERVAL;
             }
-            host.warmup_charges.push(WarmupCharge {
+            let charge = WarmupCharge {
                 at: self.now,
                 request: id,
                 attempt: attempt.index,
-                cost: if is_host {
-                    host_cost
+                cost: if host.is(Role::Cache) {
+                    class.warmup_cost(state.transfer_ms)
                 } else {
                     state.transfer_ms
                 },
-            });
-            host.warmup_charges
-                .retain(|charge| self.now.since(charge.at) <= self.cache_slow_start.window);
+            };
+            host.add_attempt(charge, self.cache_slow_start.window);
         }
         self.timers.insert(Timer {
             at: attempt.overdue,
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -104,13 +104,18 @@
     decisions: Decisions,
 }
 
+/// Dispatchers of this dispatcher's location, at least itself.
+fn dispatchers_of_own_zone(terms: &DeploymentTerms) -> f64 {
+    terms
+        .zone_dispatchers
+        .get(terms.zone.0)
+        .map_or(1.0, |count| f64::from(*count).max(1.0))
+}
+
 impl DecisionEngine {
     /// A new instance; the seed is its only source of chance.
     pub fn start(now: Time, seed: u64, mut terms: DeploymentTerms) -> (DecisionEngine, Decisions) {
-        let zone_dispatchers = terms
-            .zone_dispatchers
-            .get(terms.zone.0)
-            .map_or(1.0, |count| f64::from(*count).max(1.0));
+        let zone_dispatchers = dispatchers_of_own_zone(&terms);
         let classes = std::mem::take(&mut terms.classes);
         let mut engine = DecisionEngine {
             now,
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -6,7 +6,7 @@
 
 use super::DecisionEngine;
 use super::constants::{MAX_WARMUP_OVERLOAD, USABLE_OVERLOAD};
-use super::state::Host;
+use super::state::{Host, WarmupCharge};
 
 /// The least rise of a cold host, what it can be asked for, and this dispatcher's equal part of that.
 pub(super) struct SlowStart {
@@ -56,6 +56,15 @@
 }
 
 impl Host {
+    /// Adds an attempt in flight, and forgets charges from before a window.
+    pub(super) fn add_attempt(&mut self, charge: WarmupCharge, window: Span) {
+        let now = charge.at;
+        self.in_flight += 1.0;
+        self.warmup_charges.push(charge);
+        self.warmup_charges
+            .retain(|charge| now.since(charge.at) <= window);
+    }
+
     /// Counts an attempt from now on instead of from when it was decided; tells whether it counts here at all.
     pub(super) fn renew_charge(
         &mut self,
