--- a/crates/flaxdeck-channel/tests/connections.rs
+++ b/crates/flaxdeck-channel/tests/connections.rs
@@ -48,7 +48,7 @@
         measures: [Some(1.0), None],
         measured_ago_ms: 1,
         down_ago_ms: None,
-        good_ago_ms: None,
+        last_success_ago_ms: None,
         window: None,
     };
     let envelope = Envelope {
--- a/crates/flaxdeck-channel/tests/recorded_messages.rs
+++ b/crates/flaxdeck-channel/tests/recorded_messages.rs
@@ -81,28 +81,28 @@
 fn report() -> Report {
     Report {
         envelope: envelope(),
-        seat: SlotId(0xfeed_beef),
+        slot: SlotId(0xfeed_beef),
         last_event: mark(41),
         subscribes: true,
         version: 9,
         zone: 3,
         link: Some(LinkLoad {
-            full: 1.75,
+            utilization: 1.75,
             ago_ms: 210,
         }),
         lease_reports: vec![LeaseReport {
             incarnation: incarnation(),
-            lends: QuotaFraction(1_000),
+            deposit: QuotaFraction(1_000),
             demand: QuotaFraction(250_000),
-            in_hand: 12,
+            in_flight: 12,
         }],
         samples: vec![Sample {
             host: "s-00c41f7b".into(),
             measures: [Some(12.5), None],
             measured_ago_ms: 1_500,
-            good_ago_ms: Some(20),
-            bad_ago_ms: None,
-            in_hand: 4,
+            last_success_ago_ms: Some(20),
+            last_failure_ago_ms: None,
+            in_flight: 4,
         }],
     }
 }
@@ -111,12 +111,12 @@
     Guidance {
         envelope: envelope(),
         coordinator_ago_ms: Some(33),
-        owes_ms: Some(900),
-        upto: Some(mark(44)),
+        outstanding_ms: Some(900),
+        coordinator_position: Some(mark(44)),
         version: 10,
         after: mark(42),
         events: vec![RelayedEvent {
-            mark: mark(43),
+            position: mark(43),
             frame: vec![0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 43, 0],
         }],
         link: None,
@@ -127,15 +127,15 @@
         }],
         incarnations: vec![PeerSummary {
             incarnation: incarnation(),
-            wanted: true,
-            others: 17,
+            demanded: true,
+            peers_in_flight: 17,
         }],
         ratings: vec![Rating {
             host: "s-00c41f7c".into(),
             measures: [Some(80.0), Some(0.5)],
             measured_ago_ms: 700,
             down_ago_ms: Some(300),
-            good_ago_ms: None,
+            last_success_ago_ms: None,
             window: Some(6),
         }],
     }
--- a/crates/flaxdeck-control/examples/size.rs
+++ b/crates/flaxdeck-control/examples/size.rs
@@ -53,9 +53,9 @@
                 host: name(n),
                 measures: [Some(5.0 + n as f32 % 7.0), None],
                 measured_ago_ms: 50,
-                good_ago_ms: Some(10),
-                bad_ago_ms: None,
-                in_hand: 2,
+                last_success_ago_ms: Some(10),
+                last_failure_ago_ms: None,
+                in_flight: 2,
             };
             let samples = (0..20)
                 .map(|_| sample(chance.random_range(0..hosts)))
@@ -65,7 +65,7 @@
                     host: name(n * 20),
                     started: 999_000,
                 },
-                lends: if from % 4 > 0 {
+                deposit: if from % 4 > 0 {
                     QuotaFraction(500)
                 } else {
                     QuotaFraction::NONE
@@ -75,7 +75,7 @@
                 } else {
                     QuotaFraction::NONE
                 },
-                in_hand: 1,
+                in_flight: 1,
             });
             let echo = (round > 0)
                 .then(|| flaxdeck_control::messages::Stamp::of(now - Span::from_ms(200)));
@@ -88,7 +88,7 @@
             };
             let report = Report {
                 envelope,
-                seat: Default::default(),
+                slot: Default::default(),
                 last_event: Default::default(),
                 subscribes: false,
                 version: round * 1_000,
--- a/crates/flaxdeck-control/src/forwarder.rs
+++ b/crates/flaxdeck-control/src/forwarder.rs
@@ -295,17 +295,17 @@
                 .take_while(|observation| newer(observation.last_failure))
                 .count();
             let others = if report_suppression.subscribed_to == Some(to) {
-                MAX_RARE
+                MAX_ROUTINE_RATINGS
             } else {
                 0
             };
             // Which of the others are told goes round with the reports.
-            let turn = side.sent as usize * MAX_RARE;
+            let turn = side.sent as usize * MAX_ROUTINE_RATINGS;
             let rest = told.len() - failed;
             told[failed..].rotate_left(if rest > 0 { turn % rest } else { 0 });
             told.truncate(failed + others);
         }
-        let ago = |at: Time| ms_up(now.since(at));
+        let ago = |at: Time| ceil_ms(now.since(at));
         let sample = |observation: &Observation| Sample {
             host: observation.host.0.to_string(),
             measures: if newer(observation.measured_at) {
@@ -315,9 +315,9 @@
                 [None; 2]
             },
             measured_ago_ms: observation.measured_at.map_or(0, ago),
-            good_ago_ms: observation.last_success.map(ago),
-            bad_ago_ms: observation.last_failure.map(ago),
-            in_hand: observation.in_flight.clamp(0.0, 65_535.0) as u16,
+            last_success_ago_ms: observation.last_success.map(ago),
+            last_failure_ago_ms: observation.last_failure.map(ago),
+            in_flight: observation.in_flight.clamp(0.0, 65_535.0) as u16,
         };
         self.counters.reports += 1;
         let (from, sent) = (self.epoch, Stamp::of(now));
@@ -329,13 +329,13 @@
                 sent,
                 echo: side.echo,
             },
-            seat: self.options.seat,
+            slot: self.options.seat,
             last_event,
             subscribes: self.report_suppression.is_some(),
             version: side.version,
             zone: self.zone,
             link: self.link.map(|Sampled { value: full, at }| LinkLoad {
-                full: full as f32,
+                utilization: full as f32,
                 ago_ms: ago(at),
             }),
             lease_reports,
@@ -368,9 +368,9 @@
         let (mut before, mut last) = (guidance.after, last_event);
         let mut events = guidance.events;
         events.retain(|event| {
-            let follows = before == last && event.mark.number == last.number + 1;
-            before = event.mark;
-            last = if follows { event.mark } else { last };
+            let follows = before == last && event.position.number == last.number + 1;
+            before = event.position;
+            last = if follows { event.position } else { last };
             follows
         });
         self.counters.relayed += events.len() as u64;
@@ -378,11 +378,11 @@
         let ago = |ago: u32| Span::from_ms(u64::from(ago)).less(COORDINATOR_SILENT);
         let followed = guidance
             .coordinator_ago_ms
-            .filter(|_| guidance.upto == Some(last));
+            .filter(|_| guidance.coordinator_position == Some(last));
         self.sides[from.0 as usize].vouched = followed.map(|told| true_at - ago(told));
         let ago = |link: LinkLoad| true_at - Span::from_ms(u64::from(link.ago_ms));
         let told = guidance.link.map(|link| Sampled {
-            value: f64::from(link.full),
+            value: f64::from(link.utilization),
             at: ago(link),
         });
         self.link_told = [self.link_told, told]
@@ -432,20 +432,20 @@
             return Err(Refused::Nonsense);
         }
         for word in &guidance.incarnations {
-            if word.wanted {
+            if word.demanded {
                 self.quotas.wanted(now, echo, &word.incarnation);
             }
             self.others.insert(
                 word.incarnation.clone(),
                 Sampled {
-                    value: f64::from(word.others),
+                    value: f64::from(word.peers_in_flight),
                     at: echo,
                 },
             );
         }
         // Once it has lent itself, what an earlier run lent is of no more interest.
         let owes = guidance
-            .owes_ms
+            .outstanding_ms
             .filter(|_| !self.quotas.owns(now))
             .map(|ms| Span::from_ms(u64::from(ms)));
         side.owes_until = owes.map(|owes| now + owes).or(side.owes_until);
@@ -499,7 +499,7 @@
                     measurements: SourceMeasurements { latency, bandwidth },
                     measured_at: Some(ago(rating.measured_ago_ms)),
                     down_at: rating.down_ago_ms.map(ago),
-                    last_success: rating.good_ago_ms.map(ago),
+                    last_success: rating.last_success_ago_ms.map(ago),
                     window: rating.window.map(f64::from),
                     ..bare(&rating.host)
                 });
--- a/crates/flaxdeck-control/src/messages.rs
+++ b/crates/flaxdeck-control/src/messages.rs
@@ -57,7 +57,7 @@
 pub const MAX_EVENTS: usize = 64;
 /// Samples and ratings in one message to or from a forwarder that subscribes, beside those of hosts that failed: what
 /// its budget of bytes leaves room for.
-pub const MAX_RARE: usize = 4;
+pub const MAX_ROUTINE_RATINGS: usize = 4;
 pub const MAX_NAME: usize = 64;
 
 /// Who wrote a message, to which run of whom, and when.
@@ -78,11 +78,11 @@
 pub struct LeaseReport {
     pub incarnation: Incarnation,
     /// Lent from now on for [`crate::LeaseTerms::lent`].
-    pub lends: QuotaFraction,
+    pub deposit: QuotaFraction,
     /// Would be used at once beside the own share.
     pub demand: QuotaFraction,
     /// Attempts out at the host.
-    pub in_hand: u16,
+    pub in_flight: u16,
 }
 
 /// What a forwarder has seen of a host lately; ages are from when the message was written.
@@ -92,15 +92,15 @@
     /// Milliseconds to a fill's first byte, KB a millisecond.
     pub measures: [Option<f32>; 2],
     pub measured_ago_ms: u32,
-    pub good_ago_ms: Option<u32>,
-    pub bad_ago_ms: Option<u32>,
-    pub in_hand: u16,
+    pub last_success_ago_ms: Option<u32>,
+    pub last_failure_ago_ms: Option<u32>,
+    pub in_flight: u16,
 }
 
 /// A link's transfers over those that fit, and how long ago that was heard.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LinkLoad {
-    pub full: f32,
+    pub utilization: f32,
     pub ago_ms: u32,
 }
 
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     pub envelope: Envelope,
-    pub seat: SlotId,
+    pub slot: SlotId,
     /// The coordinator's last event that it has applied.
     pub last_event: EventPosition,
     /// Events come to it by a subscription: guidance holds none, and only the ratings that matter most.
@@ -136,9 +136,9 @@
 pub struct PeerSummary {
     pub incarnation: Incarnation,
     /// Others wish for more than is their own: worth lending.
-    pub wanted: bool,
+    pub demanded: bool,
     /// Attempts that others have out there.
-    pub others: u32,
+    pub peers_in_flight: u32,
 }
 
 /// How several forwarders together see a host.
@@ -151,7 +151,7 @@
     /// Enough forwarders failed at it since anybody last succeeded: how long ago the last of them did.
     pub down_ago_ms: Option<u32>,
     /// How long ago somebody last succeeded.
-    pub good_ago_ms: Option<u32>,
+    pub last_success_ago_ms: Option<u32>,
     /// How many attempts one forwarder should have out there at most, while it is weak.
     pub window: Option<u16>,
 }
@@ -159,7 +159,7 @@
 /// One event of the coordinator, as it came.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RelayedEvent {
-    pub mark: EventPosition,
+    pub position: EventPosition,
     pub frame: Vec<u8>,
 }
 
@@ -171,9 +171,9 @@
     pub coordinator_ago_ms: Option<u32>,
     /// For how long something may still be out that an earlier run of this forwarder's seat lent to this planner; none
     /// if it can't tell, having started too lately itself.
-    pub owes_ms: Option<u32>,
+    pub outstanding_ms: Option<u32>,
     /// The planner's own last event; none while it can't tell that it is the coordinator's last.
-    pub upto: Option<EventPosition>,
+    pub coordinator_position: Option<EventPosition>,
     /// Ratings of later versions may follow.
     pub version: u64,
     /// The event that the first of these follows.
@@ -187,6 +187,6 @@
 }
 
 /// A span as messages tell it: whole milliseconds, rounded up, bounded.
-pub fn ms_up(span: Span) -> u32 {
+pub fn ceil_ms(span: Span) -> u32 {
     span.ms().ceil().min(f64::from(u32::MAX)) as u32
 }
--- a/crates/flaxdeck-control/src/planner.rs
+++ b/crates/flaxdeck-control/src/planner.rs
@@ -142,10 +142,13 @@
     pub fn coordinator(&mut self, now: Time, event: Option<RelayedEvent>, current: bool) {
         (self.coordinator, self.current) = (Some(now), current);
         let last = self.last_event();
-        if let Some(event) = event.filter(|event| event.mark.number > last.number) {
+        if let Some(event) = event.filter(|event| event.position.number > last.number) {
             self.log.push_back(event);
             if self.log.len() > MAX_LOG {
-                self.base = self.log.pop_front().map_or(self.base, |event| event.mark);
+                self.base = self
+                    .log
+                    .pop_front()
+                    .map_or(self.base, |event| event.position);
             }
         }
     }
@@ -158,7 +161,7 @@
     }
 
     fn last_event(&self) -> EventPosition {
-        self.log.back().map_or(self.base, |event| event.mark)
+        self.log.back().map_or(self.base, |event| event.position)
     }
 
     /// The place in the log of what follows that event; none if it is of another numbering, or long past.
@@ -168,10 +171,10 @@
         }
         let at = self
             .log
-            .partition_point(|event| event.mark.number < mark.number);
+            .partition_point(|event| event.position.number < mark.number);
         self.log
             .get(at)
-            .filter(|event| event.mark == mark)
+            .filter(|event| event.position == mark)
             .map(|_| at + 1)
     }
 
@@ -199,7 +202,7 @@
         if !self.members.contains_key(&from) && self.members.len() >= MAX_MEMBERS {
             return Err(self.invalid_message());
         }
-        if !self.instance_slots.met(now, report.seat, from) {
+        if !self.instance_slots.met(now, report.slot, from) {
             self.counters.ended += 1;
             return Err(Refused::OldEpoch);
         }
@@ -245,17 +248,17 @@
             && report
                 .lease_reports
                 .iter()
-                .any(|trade| trade.lends > QuotaFraction::NONE)
+                .any(|trade| trade.deposit > QuotaFraction::NONE)
         {
-            self.instance_slots.lent(now, report.seat);
+            self.instance_slots.lent(now, report.slot);
         }
         let mut guidance = self.guidance(now, from);
         guidance.grants = grants;
-        guidance.owes_ms = self.instance_slots.owes(now, report.seat).map(ms_up);
+        guidance.outstanding_ms = self.instance_slots.owes(now, report.slot).map(ceil_ms);
         let word = |(incarnation, pool): (&Incarnation, &QuotaPool)| PeerSummary {
             incarnation: incarnation.clone(),
-            wanted: pool.wanted_by_others(from),
-            others: pool.others_in_flight(from),
+            demanded: pool.wanted_by_others(from),
+            peers_in_flight: pool.others_in_flight(from),
         };
         // Of the incarnations that the forwarder has a word in itself.
         let incarnations = report
@@ -291,7 +294,7 @@
             .get(&report.zone)
             .is_none_or(|(_, old)| *old < at);
         if newer && (self.links.len() < MAX_MEMBERS || self.links.contains_key(&report.zone)) {
-            self.links.insert(report.zone, (link.full, at));
+            self.links.insert(report.zone, (link.utilization, at));
         }
     }
 
@@ -326,9 +329,9 @@
     ) -> Option<Grant> {
         let LeaseReport {
             incarnation,
-            lends,
+            deposit: lends,
             demand,
-            in_hand,
+            in_flight: in_hand,
         } = trade;
         let listed = self
             .hosts
@@ -384,7 +387,7 @@
         });
         let events: Vec<RelayedEvent> = events.into_iter().flatten().cloned().collect();
         let after = member.last_event;
-        member.last_event = events.last().map_or(after, |event| event.mark);
+        member.last_event = events.last().map_or(after, |event| event.position);
         let later = self.changes.range(member.version + 1..);
         let told: Vec<(&u64, &String)> = if member.subscribes {
             Self::matter_most(now, &self.hosts, later)
@@ -406,12 +409,12 @@
         Guidance {
             envelope,
             link: link.map(|(full, at)| LinkLoad {
-                full: *full,
-                ago_ms: ms_up(now.since(*at)),
+                utilization: *full,
+                ago_ms: ceil_ms(now.since(*at)),
             }),
-            coordinator_ago_ms: self.coordinator.map(|at| ms_up(now.since(at))),
-            owes_ms: None,
-            upto,
+            coordinator_ago_ms: self.coordinator.map(|at| ceil_ms(now.since(at))),
+            outstanding_ms: None,
+            coordinator_position: upto,
             version: member.version,
             after,
             events,
@@ -433,8 +436,8 @@
                 .is_some_and(|host| host.health.down(now).is_some())
         };
         let (mut told, others): (Vec<_>, Vec<_>) = later.rev().partition(|(_, name)| is_down(name));
-        told.truncate(MAX_RATINGS - MAX_RARE);
-        told.extend(others.into_iter().take(MAX_RARE));
+        told.truncate(MAX_RATINGS - MAX_ROUTINE_RATINGS);
+        told.extend(others.into_iter().take(MAX_ROUTINE_RATINGS));
         told
     }
 
--- a/crates/flaxdeck-control/src/quotas.rs
+++ b/crates/flaxdeck-control/src/quotas.rs
@@ -234,9 +234,9 @@
             // One with neither still tells what is in hand.
             lease_reports.push(LeaseReport {
                 incarnation: incarnation.clone(),
-                lends,
+                deposit: lends,
                 demand,
-                in_hand: balance.in_hand,
+                in_flight: balance.in_hand,
             });
         }
         self.lacks_leave |= lacks_leave;
--- a/crates/flaxdeck-control/src/ratings.rs
+++ b/crates/flaxdeck-control/src/ratings.rs
@@ -2,7 +2,7 @@
 
 use flaxdeck::{Span, Time};
 
-use crate::messages::{Epoch, LinkLoad, Rating, Sample, ms_up};
+use crate::messages::{Epoch, LinkLoad, Rating, Sample, ceil_ms};
 
 /// Half of a sample's weight is gone after this: some fills of a quiet forwarder.
 const HALF: Span = Span::from_ms(5_000);
@@ -72,7 +72,7 @@
 
 /// The same of a link.
 pub fn sensible_link(link: &LinkLoad) -> bool {
-    (0.0..=MAX_FULL).contains(&link.full)
+    (0.0..=MAX_FULL).contains(&link.utilization)
 }
 
 /// The same of a rating.
@@ -82,9 +82,9 @@
         host: String::new(),
         measures: [latency, bandwidth],
         measured_ago_ms: 0,
-        good_ago_ms: None,
-        bad_ago_ms: None,
-        in_hand: 0,
+        last_success_ago_ms: None,
+        last_failure_ago_ms: None,
+        in_flight: 0,
     };
     sensible(&sample) && rating.window != Some(0)
 }
@@ -102,8 +102,8 @@
             let new = fading.mean().unwrap_or(f64::from(value));
             news |= old.is_none_or(|old| (new - old).abs() > old * 0.05);
         }
-        self.good = self.good.max(sample.good_ago_ms.map(ago));
-        if let Some(bad) = sample.bad_ago_ms.map(ago) {
+        self.good = self.good.max(sample.last_success_ago_ms.map(ago));
+        if let Some(bad) = sample.last_failure_ago_ms.map(ago) {
             let known = self.failures.iter().position(|(who, _)| *who == from);
             let bad = known.map_or(bad, |at| self.failures.remove(at).1.max(bad));
             let place = self.failures.partition_point(|(_, at)| *at > bad);
@@ -112,8 +112,8 @@
         }
         self.in_hand
             .retain(|(who, _, at)| *who != from && now.since(*at) < IN_HAND_LASTS);
-        if sample.in_hand > 0 {
-            self.in_hand.push((from, sample.in_hand, now));
+        if sample.in_flight > 0 {
+            self.in_hand.push((from, sample.in_flight, now));
         }
         news || was_down != self.down(now).is_some()
     }
@@ -129,7 +129,7 @@
 
     /// What is told of it, as it stands now.
     pub fn rating(&self, now: Time, host: &str) -> Rating {
-        let ago = |at: Time| ms_up(now.since(at));
+        let ago = |at: Time| ceil_ms(now.since(at));
         let down = self.down(now);
         let measured = self
             .measures
@@ -153,7 +153,7 @@
                 .min()
                 .unwrap_or(u32::MAX),
             down_ago_ms: down.map(ago),
-            good_ago_ms: self.good.map(ago),
+            last_success_ago_ms: self.good.map(ago),
             window: down.map(|_| (advised as u16).max(1)),
         }
     }
--- a/crates/flaxdeck-control/tests/lease_model.rs
+++ b/crates/flaxdeck-control/tests/lease_model.rs
@@ -298,9 +298,9 @@
                 forwarder.quotas.wanted(now, now, &Lending::incarnation());
                 let lease_reports = forwarder.quotas.trade(now, planner, |_| true);
                 let trade = lease_reports.first().filter(|trade| {
-                    trade.lends > QuotaFraction::NONE || trade.demand > QuotaFraction::NONE
+                    trade.deposit > QuotaFraction::NONE || trade.demand > QuotaFraction::NONE
                 })?;
-                let (lends, demand, epoch) = (trade.lends, trade.demand, forwarder.epoch);
+                let (lends, demand, epoch) = (trade.deposit, trade.demand, forwarder.epoch);
                 let at = self.clock(from, state.step);
                 state.network.insert(Message::Report {
                     from,
--- a/crates/flaxdeck-control/tests/ratings.rs
+++ b/crates/flaxdeck-control/tests/ratings.rs
@@ -14,9 +14,9 @@
         host: "p".into(),
         measures,
         measured_ago_ms: 0,
-        good_ago_ms: None,
-        bad_ago_ms,
-        in_hand: 3,
+        last_success_ago_ms: None,
+        last_failure_ago_ms: bad_ago_ms,
+        in_flight: 3,
     }
 }
 
@@ -42,8 +42,8 @@
     host.take(at(0), Epoch(1), at(0), &failed());
     host.take(at(1), Epoch(2), at(1), &failed());
     let good = Sample {
-        bad_ago_ms: None,
-        good_ago_ms: Some(0),
+        last_failure_ago_ms: None,
+        last_success_ago_ms: Some(0),
         ..failed()
     };
     assert!(host.take(at(5), Epoch(3), at(5), &good));
--- a/crates/flaxdeck-control/tests/report_suppression.rs
+++ b/crates/flaxdeck-control/tests/report_suppression.rs
@@ -4,7 +4,7 @@
 use flaxdeck::{HostId, Observation, SourceMeasurements, Span, Time, WarmupUsage};
 use flaxdeck_control::forwarder::{ForwarderOptions, ForwarderSession};
 use flaxdeck_control::membership::PlannerId;
-use flaxdeck_control::messages::{Epoch, MAX_RARE, RelayedEvent, SlotId};
+use flaxdeck_control::messages::{Epoch, MAX_ROUTINE_RATINGS, RelayedEvent, SlotId};
 use flaxdeck_control::planner::Planner;
 use flaxdeck_control::{LeaseTerms, QuotaFraction};
 use flaxdeck_recovery::EventPosition;
@@ -124,7 +124,7 @@
     for round in 1..=10 {
         let now = at(round * 1_500);
         let report = guide.report(now, FOLLOWED, &measured(now), EventPosition::NONE);
-        assert_eq!(report.samples.len(), MAX_RARE);
+        assert_eq!(report.samples.len(), MAX_ROUTINE_RATINGS);
         told.extend(report.samples.into_iter().map(|sample| sample.host));
         assert!(
             guide
@@ -160,7 +160,7 @@
         let now = at(round * 1_500);
         trip(now, &mut one, &mut planner, &measured(now));
     }
-    assert!(trip(at(9_100), &mut other, &mut planner, &[]) <= MAX_RARE);
+    assert!(trip(at(9_100), &mut other, &mut planner, &[]) <= MAX_ROUTINE_RATINGS);
     trip(at(9_100), &mut late, &mut planner, &[]);
     let failed = [
         observation(0, None, Some(at(9_200))),
@@ -179,7 +179,7 @@
             .any(|rating| rating.host == *host(n).0 && rating.down_ago_ms.is_some())
     };
     assert!(down(0) && down(1), "{:?}", guidance.ratings);
-    assert!(guidance.ratings.len() <= MAX_RARE + 2);
+    assert!(guidance.ratings.len() <= MAX_ROUTINE_RATINGS + 2);
 }
 
 #[test]
@@ -200,7 +200,7 @@
         planner.report(at(0), &report).unwrap();
     }
     let event = RelayedEvent {
-        mark: EventPosition { number: 2, hash: 2 },
+        position: EventPosition { number: 2, hash: 2 },
         frame: vec![0],
     };
     planner.coordinator(at(10), Some(event), true);
--- a/crates/flaxdeck-control/tests/two_levels.rs
+++ b/crates/flaxdeck-control/tests/two_levels.rs
@@ -288,7 +288,7 @@
         measures: [measure, None],
         measured_ago_ms: 0,
         down_ago_ms: None,
-        good_ago_ms: None,
+        last_success_ago_ms: None,
         window,
     };
     let grant = |amount, lasts_ms| Grant {
@@ -375,7 +375,7 @@
         planner.coordinator(
             at(number),
             Some(RelayedEvent {
-                mark: mark(number),
+                position: mark(number),
                 frame: vec![number as u8],
             }),
             true,
@@ -384,7 +384,7 @@
     planner.coordinator(
         at(5),
         Some(RelayedEvent {
-            mark: mark(4),
+            position: mark(4),
             frame: vec![9],
         }),
         true,
@@ -393,7 +393,7 @@
     let numbers = |events: Vec<RelayedEvent>| {
         events
             .iter()
-            .map(|event| event.mark.number)
+            .map(|event| event.position.number)
             .collect::<Vec<_>>()
     };
     let report = guide.report(at(10), P, &[], mark(2));
@@ -427,7 +427,7 @@
     planner.coordinator(
         at(36),
         Some(RelayedEvent {
-            mark: mark(first + 1),
+            position: mark(first + 1),
             frame: vec![],
         }),
         true,
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -603,17 +603,17 @@
                         match frames::read(&relayed.frame, &self.names) {
                             Ok(event) => {
                                 let last = guides.numbering.borrow().last();
-                                if !guides
-                                    .numbering
-                                    .borrow_mut()
-                                    .relayed(now, last, relayed.mark)
-                                {
+                                if !guides.numbering.borrow_mut().relayed(
+                                    now,
+                                    last,
+                                    relayed.position,
+                                ) {
                                     break;
                                 }
                                 count(Counter::events_relayed);
                                 event
                                     .into_iter()
-                                    .for_each(|event| self.told(relayed.mark, event));
+                                    .for_each(|event| self.told(relayed.position, event));
                             }
                             Err(malformed) => {
                                 count(Counter::events_unreadable);
--- a/crates/flaxdeck-fleet/src/model/planners.rs
+++ b/crates/flaxdeck-fleet/src/model/planners.rs
@@ -42,7 +42,7 @@
         self.planners[planner].coordinator(
             now,
             Some(RelayedEvent {
-                mark: mark(number),
+                position: mark(number),
                 frame,
             }),
             true,
@@ -130,7 +130,7 @@
         let Ok(events) = told else { return };
         events
             .iter()
-            .for_each(|event| self.apply(n, event.mark.number));
+            .for_each(|event| self.apply(n, event.position.number));
         self.take_hints(n);
     }
 }
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -195,7 +195,7 @@
                         .told(self.clock.now(), mark, &frame, &event);
                     self.told(event);
                     Some(RelayedEvent {
-                        mark,
+                        position: mark,
                         frame: frame.to_vec(),
                     })
                 }
