--- a/crates/flaxdeck-control/examples/size.rs
+++ b/crates/flaxdeck-control/examples/size.rs
@@ -12,18 +12,24 @@
 };
 use flaxdeck_control::forwarder::{ForwarderOptions, ForwarderSession};
 use flaxdeck_control::membership::PlannerId;
-use flaxdeck_control::messages::{Envelope, Epoch, Incarnation, LeaseReport, Report, Sample};
+use flaxdeck_control::messages::{
+    Envelope, Epoch, Incarnation, LeaseReport, Measurements, Report, Sample, SlotId, Stamp,
+};
 use flaxdeck_control::planner::Planner;
 use flaxdeck_control::{LeaseSchedule, LeaseTerms, QuotaFraction};
+use flaxdeck_recovery::EventPosition;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+/// When the hosts that warm up started, in milliseconds of Unix time.
+const STARTED_MS: u64 = 999_000;
+
 fn at(ms: u64) -> Time {
     Time::at_ms(1_000_000.0 + ms as f64)
 }
 
 fn lease_terms() -> LeaseTerms {
-    LeaseTerms::of(Span::from_ms(3_000), Span::from_ms(1_200), 10)
+    LeaseTerms::new(Span::from_ms(3_000), Span::from_ms(1_200), 10)
 }
 
 /// Memory held now in MB; none where the system does not tell.
@@ -37,70 +43,89 @@
         .map(|kb: f64| kb / 1024.0)
 }
 
+fn host_name(n: u64) -> String {
+    format!("s-{n:08x}")
+}
+
+fn generated_sample(n: u64) -> Sample {
+    Sample {
+        host: host_name(n),
+        measurements: Measurements {
+            latency_ms: Some(5.0 + n as f32 % 7.0),
+            bandwidth: None,
+        },
+        measured_ago_ms: 50,
+        last_success_ago_ms: Some(10),
+        last_failure_ago_ms: None,
+        in_flight: 2,
+    }
+}
+
+/// Three of four forwarders lend, the fourth demands.
+fn generated_lease_report(host: u64, from: u64) -> LeaseReport {
+    let lends = !from.is_multiple_of(4);
+    let (deposit, demand) = if lends {
+        (QuotaFraction(500), QuotaFraction::NONE)
+    } else {
+        (QuotaFraction::NONE, QuotaFraction(3_000))
+    };
+    LeaseReport {
+        incarnation: Incarnation {
+            host: host_name(host),
+            started: STARTED_MS,
+        },
+        deposit,
+        demand,
+        in_flight: 1,
+    }
+}
+
+fn generated_report(now: Time, round: u64, from: u64, hosts: u64, random: &mut Pcg64Mcg) -> Report {
+    let samples = (0..20).map(|_| generated_sample(random.random_range(0..hosts)));
+    let lease_reports = (0..hosts / 20)
+        .take(40)
+        .map(|n| generated_lease_report(n * 20, from));
+    Report {
+        envelope: Envelope {
+            from: Epoch(from + 10),
+            to: Epoch(1),
+            number: round + 1,
+            sent: Stamp::default(),
+            echo: (round > 0).then(|| Stamp::of(now - Span::from_ms(200))),
+        },
+        slot: SlotId::NONE,
+        last_event: EventPosition::NONE,
+        subscribes: false,
+        version: round * 1_000,
+        zone: 0,
+        link: None,
+        lease_reports: lease_reports.collect(),
+        samples: samples.collect(),
+    }
+}
+
 fn planner(forwarders: u64, hosts: u64) {
     let before = memory_mb().unwrap_or(0.0);
-    let mut chance = Pcg64Mcg::seed_from_u64(1);
+    let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut planner = Planner::start(at(0), Epoch(1), lease_terms(), QuotaFraction::NONE);
-    let name = |n: u64| format!("s-{n:08x}");
-    // A twentieth of the hosts is cold, as in a rolling deploy.
-    let started = |n: u64| if n.is_multiple_of(20) { 999_000 } else { 0 };
-    (0..hosts).for_each(|n| planner.listed(at(0), &name(n), Some(started(n))));
+    for n in 0..hosts {
+        // A twentieth of the hosts warms up, as in a rolling deploy.
+        let started = if n.is_multiple_of(20) { STARTED_MS } else { 0 };
+        planner.update_host(at(0), &host_name(n), Some(started));
+    }
     let (mut spent, mut reports, mut most) = (0.0, 0u32, 0.0f64);
     for round in 0..10u64 {
         for from in 0..forwarders {
             let now = at(round * 200 + from * 200 / forwarders);
-            let sample = |n: u64| Sample {
-                host: name(n),
-                measures: [Some(5.0 + n as f32 % 7.0), None],
-                measured_ago_ms: 50,
-                last_success_ago_ms: Some(10),
-                last_failure_ago_ms: None,
-                in_flight: 2,
-            };
-            let samples = (0..20)
-                .map(|_| sample(chance.random_range(0..hosts)))
-                .collect();
-            let lease_reports = (0..hosts / 20).take(40).map(|n| LeaseReport {
-                incarnation: Incarnation {
-                    host: name(n * 20),
-                    started: 999_000,
-                },
-                deposit: if from % 4 > 0 {
-                    QuotaFraction(500)
-                } else {
-                    QuotaFraction::NONE
-                },
-                demand: if from.is_multiple_of(4) {
-                    QuotaFraction(3_000)
-                } else {
-                    QuotaFraction::NONE
-                },
-                in_flight: 1,
-            });
-            let echo = (round > 0)
-                .then(|| flaxdeck_control::messages::Stamp::of(now - Span::from_ms(200)));
-            let envelope = Envelope {
-                from: Epoch(from + 10),
-                to: Epoch(1),
-                number: round + 1,
-                sent: Default::default(),
-                echo,
-            };
-            let report = Report {
-                envelope,
-                slot: Default::default(),
-                last_event: Default::default(),
-                subscribes: false,
-                version: round * 1_000,
-                zone: 0,
-                link: None,
-                lease_reports: lease_reports.collect(),
-                samples,
-            };
+            let report = generated_report(now, round, from, hosts, &mut random);
             let begun = Instant::now();
-            planner.report(now, &report).expect("it makes sense");
+            if let Err(error) = planner.handle_report(now, &report) {
+                panic!("a generated report is refused: {error}");
+            }
             let took = begun.elapsed().as_secs_f64() * 1e6;
-            (spent, reports, most) = (spent + took, reports + 1, most.max(took));
+            spent += took;
+            reports += 1;
+            most = most.max(took);
         }
     }
     let after = memory_mb().unwrap_or(0.0);
@@ -119,21 +144,21 @@
     let options = ForwarderOptions {
         lease_terms: lease_terms(),
         reserve: 0.0,
-        seated: true,
-        seat: Default::default(),
-        blind_after: None,
+        has_slot: true,
+        slot: SlotId::NONE,
+        unconfirmed_limit: None,
     };
-    let mut guide = ForwarderSession::start(at(0), Epoch(1), options, 2);
+    let mut forwarder = ForwarderSession::start(at(0), Epoch(1), options, 2);
     let begun = Instant::now();
     const TIMES: u64 = 50;
     for n in 0..TIMES {
         let now = at(200 * n);
         let observations = engine.observations(now);
-        guide.stand(now, &observations);
-        (0..2).for_each(|to| {
-            drop(guide.report(now, PlannerId(to), &observations, Default::default()))
-        });
-        let guided = guide.hints(now);
+        forwarder.update_usage(now, &observations);
+        for to in 0..2 {
+            forwarder.report(now, PlannerId(to), &observations, EventPosition::NONE);
+        }
+        let guided = forwarder.hints(now);
         engine.guided(now, guided);
     }
     let took = begun.elapsed().as_secs_f64() * 1e6 / TIMES as f64;
@@ -198,43 +223,44 @@
     (0..hosts).map(line).collect()
 }
 
+fn peer_hints(now: Time, hosts: u64) -> PeerHints {
+    let hint = |n: u64| PeerHint {
+        host: HostId(host_name(n).into()),
+        quota: n.is_multiple_of(20).then(|| WarmupQuota {
+            started: Some(at(0)),
+            fraction: 0.3,
+        }),
+        measurements: SourceMeasurements {
+            latency: Some(8.0),
+            bandwidth: None,
+        },
+        measured_at: Some(now - Span::from_ms(100)),
+        down_at: None,
+        last_success: Some(now - Span::from_ms(50)),
+        window: None,
+        others_in_flight: Some(Sampled {
+            value: 3.0,
+            at: now,
+        }),
+    };
+    PeerHints {
+        hints: (0..hosts).map(hint).collect(),
+        unhinted_share: 1.0,
+        link: None,
+        list_trusted: true,
+    }
+}
+
 /// The mean time of a request's decisions, from its arrival to its end, every one a hit.
 fn decisions(hosts: u64, guided: bool) -> f64 {
     let (mut engine, _) = DecisionEngine::start(at(0), 1, terms());
     engine.list(at(0), ListKind::Full, lines(hosts));
-    const PULLS: u64 = 20_000;
+    const REQUESTS: u64 = 20_000;
     let mut spent = 0.0;
-    for n in 0..PULLS {
+    for n in 0..REQUESTS {
         let now = at(5_000 + n);
         if guided && n.is_multiple_of(200) {
-            let hint = |n: u64| PeerHint {
-                host: HostId(format!("s-{n:08x}").into()),
-                quota: n.is_multiple_of(20).then(|| WarmupQuota {
-                    started: Some(at(0)),
-                    fraction: 0.3,
-                }),
-                measurements: SourceMeasurements {
-                    latency: Some(8.0),
-                    bandwidth: None,
-                },
-                measured_at: Some(now - Span::from_ms(100)),
-                down_at: None,
-                last_success: Some(now - Span::from_ms(50)),
-                window: None,
-                others_in_flight: Some(Sampled {
-                    value: 3.0,
-                    at: now,
-                }),
-            };
-            engine.guided(
-                now,
-                PeerHints {
-                    hints: (0..hosts).map(hint).collect(),
-                    unhinted_share: 1.0,
-                    link: None,
-                    list_trusted: true,
-                },
-            );
+            engine.guided(now, peer_hints(now, hosts));
         }
         let request = Request {
             id: RequestId(n),
@@ -264,11 +290,11 @@
         }
         spent += begun.elapsed().as_secs_f64();
     }
-    spent * 1e6 / PULLS as f64
+    spent * 1e6 / REQUESTS as f64
 }
 
-/// What the staircase saves over keeping every promise.
-fn staircase() {
+/// What a lease schedule saves over keeping every promise.
+fn lease_schedule() {
     let renewals = |keep: &mut dyn FnMut(QuotaFraction, Time),
                     look: &mut dyn FnMut(Time) -> QuotaFraction| {
         let begun = Instant::now();
@@ -282,12 +308,12 @@
         }
         (begun.elapsed().as_secs_f64() * 1e4, sum)
     };
-    let stairs = std::cell::RefCell::new(LeaseSchedule::default());
+    let schedule = std::cell::RefCell::new(LeaseSchedule::default());
     let made = renewals(
-        &mut |amount, until| stairs.borrow_mut().add(amount, until),
+        &mut |amount, until| schedule.borrow_mut().add(amount, until),
         &mut |now| {
-            stairs.borrow_mut().prune(now);
-            stairs.borrow().at(now)
+            schedule.borrow_mut().prune(now);
+            schedule.borrow().amount_at(now)
         },
     );
     let all = std::cell::RefCell::new(Vec::new());
@@ -304,7 +330,7 @@
     );
     assert_eq!(made.1, plain.1, "both tell the same");
     println!(
-        "a promise kept and looked up: {:.0} ns as a staircase, {:.0} ns in a plain list",
+        "a promise kept and looked up: {:.0} ns as a schedule, {:.0} ns in a plain list",
         made.0, plain.0
     );
 }
@@ -320,5 +346,5 @@
             "a request's decisions at {hosts} hosts: {alone:.2} us alone, {guided:.2} us guided"
         );
     }
-    staircase();
+    lease_schedule();
 }
--- a/crates/flaxdeck-control/src/instance_slots.rs
+++ b/crates/flaxdeck-control/src/instance_slots.rs
@@ -1,9 +1,10 @@
-//! The planner's memory of instance_slots: which run of a forwarder holds each, and how long something may be out that the seat
-//! has lent. A forwarder that returns without a store learns from it that nothing is, and uses its share at once.
+//! The planner's memory of slots: which run of a forwarder holds each, and for how long something that was lent from it
+//! may be outstanding. A forwarder that returns without stored state learns from it that nothing is, and uses its share
+//! at once.
 //!
-//! That is safe for two reasons. Who has met a later run of a seat takes nothing more from an earlier one, so a report
-//! that was on its way when that run ended can't lend what the later one already uses. And a planner that has started
-//! so lately that an earlier run of its own may have taken something says that it can't tell.
+//! That is safe for two reasons. A planner that has heard a later run of a slot takes nothing more from an earlier one,
+//! so a report that was on its way when that run ended can't lend what the later run already uses. And a planner that
+//! has started so lately that an earlier run of its own may have taken a deposit says that it can't tell.
 
 use std::collections::BTreeMap;
 
@@ -12,79 +13,87 @@
 use crate::LeaseTerms;
 use crate::messages::{Epoch, SlotId};
 
-/// The most instance_slots and ended runs that are remembered; past that a seat is told that nobody can tell.
-const MAX_SEATS: usize = 4_096;
+/// The most slots, and the most ended runs, that are remembered. Beyond it a slot's forwarder is told that nobody can
+/// tell.
+const MAX_SLOTS: usize = 4_096;
+/// How many drifts a deposit's span is made longer by: the lender's clock against this one, and that against a third.
+const DEPOSIT_DRIFTS: f64 = 5.0;
 
 struct Slot {
     run: Epoch,
-    /// Nothing that it lent is out after that.
-    out_until: Time,
+    /// Nothing that was lent from it is outstanding after that.
+    outstanding_until: Time,
 }
 
+/// The slots that a planner knows.
 pub struct InstanceSlots {
-    born: Time,
-    /// For how long something may be out, from when it was taken.
-    pub lasts: Span,
-    instance_slots: BTreeMap<SlotId, Slot>,
-    /// Runs that a later one has followed, until when they could still lend.
+    started_at: Time,
+    deposit_lifetime: Span,
+    slots: BTreeMap<SlotId, Slot>,
+    /// Runs that a later one has followed, and until when they could still lend.
     ended: BTreeMap<Epoch, Time>,
 }
 
 impl InstanceSlots {
+    /// Those of a planner that has just started.
     pub fn new(now: Time, lease_terms: LeaseTerms) -> InstanceSlots {
-        // A loan by the lender's clock, as long as that can be by this one's, and told to a third.
-        let lasts = lease_terms.lent * (1.0 + f64::from(lease_terms.drift) / 1000.0 * 5.0);
         InstanceSlots {
-            born: now,
-            lasts,
-            instance_slots: BTreeMap::new(),
+            started_at: now,
+            deposit_lifetime: lease_terms.stretched(lease_terms.deposit_duration, DEPOSIT_DRIFTS),
+            slots: BTreeMap::new(),
             ended: BTreeMap::new(),
         }
     }
 
-    /// A run reports from a seat; false if a later one has been met there, and nothing may be taken from it.
-    pub fn met(&mut self, now: Time, seat: SlotId, run: Epoch) -> bool {
+    /// For how long a deposit may be outstanding, from when it was taken.
+    pub fn deposit_lifetime(&self) -> Span {
+        self.deposit_lifetime
+    }
+
+    /// A run reports from a slot; false if a later run was heard there, so that nothing may be taken from this one.
+    pub fn admit(&mut self, now: Time, slot: SlotId, run: Epoch) -> bool {
         if self.ended.contains_key(&run) {
             return false;
         }
-        if seat == SlotId(0) {
+        if slot == SlotId::NONE || !self.has_room_for(now, slot) {
             return true;
         }
-        if !self.instance_slots.contains_key(&seat) && self.instance_slots.len() >= MAX_SEATS {
-            self.instance_slots.retain(|_, seat| seat.out_until > now);
-            if self.instance_slots.len() >= MAX_SEATS {
-                return true;
-            }
-        }
-        let known = self.instance_slots.entry(seat).or_insert(Slot {
+        let known = self.slots.entry(slot).or_insert(Slot {
             run,
-            out_until: now,
+            outstanding_until: now,
         });
-        if known.run != run {
-            self.ended.retain(|_, until| *until > now);
-            if self.ended.len() < MAX_SEATS {
-                self.ended.insert(known.run, now + self.lasts);
-            } else {
-                // Without room to remember that run its loans can't be kept out: all that it could lend counts as out.
-                known.out_until = now + self.lasts;
-            }
-            known.run = run;
+        if known.run == run {
+            return true;
+        }
+        self.ended.retain(|_, until| *until > now);
+        if self.ended.len() < MAX_SLOTS {
+            self.ended.insert(known.run, now + self.deposit_lifetime);
+        } else {
+            // Without room to remember that run its deposits can't be kept out: all that it could lend counts as lent.
+            known.outstanding_until = now + self.deposit_lifetime;
         }
+        known.run = run;
         true
     }
 
-    /// What a seat lends has been taken.
-    pub fn lent(&mut self, now: Time, seat: SlotId) {
-        let until = now + self.lasts;
-        self.instance_slots
-            .get_mut(&seat)
-            .into_iter()
-            .for_each(|seat| seat.out_until = until);
+    fn has_room_for(&mut self, now: Time, slot: SlotId) -> bool {
+        if !self.slots.contains_key(&slot) && self.slots.len() >= MAX_SLOTS {
+            self.slots.retain(|_, slot| slot.outstanding_until > now);
+            return self.slots.len() < MAX_SLOTS;
+        }
+        true
+    }
+
+    /// A deposit from that slot was taken.
+    pub fn record_deposit(&mut self, now: Time, slot: SlotId) {
+        if let Some(slot) = self.slots.get_mut(&slot) {
+            slot.outstanding_until = now + self.deposit_lifetime;
+        }
     }
 
-    /// For how long something may still be out that the seat lent; none if this planner can't tell.
-    pub fn owes(&self, now: Time, seat: SlotId) -> Option<Span> {
-        let seat = self.instance_slots.get(&seat)?;
-        (now >= self.born + self.lasts).then(|| seat.out_until.since(now))
+    /// For how long something that was lent from the slot may still be outstanding; none if this planner can't tell.
+    pub fn outstanding(&self, now: Time, slot: SlotId) -> Option<Span> {
+        let slot = self.slots.get(&slot)?;
+        (now >= self.started_at + self.deposit_lifetime).then(|| slot.outstanding_until.since(now))
     }
 }
--- a/crates/flaxdeck-control/src/lease_schedule.rs
+++ b/crates/flaxdeck-control/src/lease_schedule.rs
@@ -1,53 +1,60 @@
-//! An amount promised until a time, with smaller amounts for longer: what several promises of one party to the same
-//! other come to when the largest one counts.
+//! An amount promised until a time, and smaller amounts for longer: what several promises of one party to another come
+//! to when the largest one counts at any time.
 
 use flaxdeck::Time;
 
 use crate::QuotaFraction;
 
-/// Steps by their ends, rising; amounts fall, so that each step tells the most that holds until its end.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Step {
+    until: Time,
+    amount: QuotaFraction,
+}
+
+/// Steps with rising ends and falling amounts, so that each tells the most that holds until its end.
 ///
-/// `add` and `at` take time linear in the steps, of which there are few: a promise renewed with the same amount
-/// replaces its own step, and one that is passed in both by another is forgotten.
+/// [`add`](LeaseSchedule::add) and [`amount_at`](LeaseSchedule::amount_at) take time linear in the steps, of which there
+/// are few: a promise that is renewed with the same amount replaces its own step, and one that another exceeds in both
+/// amount and end is forgotten.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseSchedule {
-    steps: Vec<(Time, QuotaFraction)>,
+    steps: Vec<Step>,
 }
 
 impl LeaseSchedule {
-    /// So much until then, beside all that was promised before: the larger counts at any time.
+    /// Promises so much until then, beside all that was promised before.
     pub fn add(&mut self, amount: QuotaFraction, until: Time) {
-        if amount == QuotaFraction::NONE || self.at_least(amount, until) {
+        if amount == QuotaFraction::NONE || self.covers(amount, until) {
             return;
         }
         self.steps
-            .retain(|(end, other)| *end > until || *other > amount);
-        let place = self.steps.partition_point(|(end, _)| *end < until);
-        self.steps.insert(place, (until, amount));
+            .retain(|step| step.until > until || step.amount > amount);
+        let place = self.steps.partition_point(|step| step.until < until);
+        self.steps.insert(place, Step { until, amount });
     }
 
-    fn at_least(&self, amount: QuotaFraction, until: Time) -> bool {
+    fn covers(&self, amount: QuotaFraction, until: Time) -> bool {
         self.steps
             .iter()
-            .any(|(end, other)| *end >= until && *other >= amount)
+            .any(|step| step.until >= until && step.amount >= amount)
     }
 
-    /// What is promised at that time; an end itself is no part of its promise.
-    pub fn at(&self, time: Time) -> QuotaFraction {
+    /// What is promised at that time. A promise does not hold at its end any more.
+    pub fn amount_at(&self, time: Time) -> QuotaFraction {
         self.steps
             .iter()
-            .find(|(end, _)| *end > time)
-            .map_or(QuotaFraction::NONE, |(_, amount)| *amount)
+            .find(|step| step.until > time)
+            .map_or(QuotaFraction::NONE, |step| step.amount)
     }
 
     /// The times at which the amount falls.
-    pub fn ends(&self) -> impl Iterator<Item = Time> {
-        self.steps.iter().map(|(end, _)| *end)
+    pub fn step_ends(&self) -> impl Iterator<Item = Time> {
+        self.steps.iter().map(|step| step.until)
     }
 
     /// Forgets what has ended; true if nothing is left.
     pub fn prune(&mut self, now: Time) -> bool {
-        self.steps.retain(|(end, _)| *end > now);
+        self.steps.retain(|step| step.until > now);
         self.steps.is_empty()
     }
 }
--- /dev/null
+++ b/crates/flaxdeck-control/src/planner/guidance.rs
@@ -0,0 +1,124 @@
+//! What a planner tells forwarders: ratings that changed, and events to relay.
+
+use flaxdeck::Time;
+
+use super::{Planner, REPUBLISH_AFTER};
+use crate::messages::{
+    Envelope, Epoch, Guidance, MAX_RATINGS, MAX_ROUTINE_RATINGS, Rating, Sample, Stamp, ceil_ms,
+};
+
+/// Ratings, and the version that a forwarder has once it was told them.
+struct ChangedRatings {
+    version: u64,
+    ratings: Vec<Rating>,
+}
+
+impl Planner {
+    /// What a forwarder is to hear at once, between its reports; none if there is nothing.
+    pub fn unsolicited_guidance(&mut self, now: Time, to: Epoch) -> Option<Guidance> {
+        let forwarder = self.forwarders.get(&to)?;
+        if forwarder.subscribes || !self.relay_log.has_events_after(forwarder.last_event) {
+            return None;
+        }
+        self.counters.pushes += 1;
+        Some(self.guidance(now, to))
+    }
+
+    /// Takes a valid sample into the host's rating.
+    pub(super) fn record_sample(&mut self, now: Time, from: Epoch, written: Time, sample: &Sample) {
+        let Some(host) = self.hosts.get_mut(&sample.host) else {
+            self.counters.unlisted += 1;
+            return;
+        };
+        let changed = host.health.record_sample(now, from, written, sample);
+        if changed || now.since(host.published) >= REPUBLISH_AFTER {
+            self.changes.remove(&host.version);
+            self.version += 1;
+            host.version = self.version;
+            host.published = now;
+            self.changes.insert(self.version, sample.host.clone());
+        }
+    }
+
+    /// Guidance for a forwarder without answers to a report; what it tells counts as told from then on.
+    pub(super) fn guidance(&mut self, now: Time, to: Epoch) -> Guidance {
+        let Some(forwarder) = self.forwarders.get_mut(&to) else {
+            return Guidance::default();
+        };
+        forwarder.messages_sent += 1;
+        let envelope = Envelope {
+            from: self.epoch,
+            to,
+            number: forwarder.messages_sent,
+            sent: Stamp::of(now),
+            echo: Some(forwarder.last_stamp),
+        };
+        let after = forwarder.last_event;
+        let events = if forwarder.subscribes {
+            Vec::new()
+        } else {
+            self.relay_log.events_after(after)
+        };
+        if let Some(last) = events.last() {
+            forwarder.last_event = last.position;
+        }
+        let (zone, since, subscribes) = (forwarder.zone, forwarder.version, forwarder.subscribes);
+        let ChangedRatings { version, ratings } = self.changed_ratings(now, since, subscribes);
+        if let Some(forwarder) = self.forwarders.get_mut(&to) {
+            forwarder.version = version;
+        }
+        Guidance {
+            envelope,
+            coordinator_ago_ms: self
+                .coordinator_heard
+                .map(|heard| ceil_ms(now.since(heard))),
+            coordinator_position: self.is_current.then(|| self.relay_log.last()),
+            version,
+            after,
+            events,
+            link: self.links.load_of(now, zone),
+            ratings,
+            ..Guidance::default()
+        }
+    }
+
+    /// The ratings that changed since the version that a forwarder has, as many as it is to be told.
+    fn changed_ratings(&self, now: Time, since: u64, subscribes: bool) -> ChangedRatings {
+        let changes = self.changes.range(since + 1..);
+        let (version, names): (u64, Vec<&String>) = if subscribes {
+            // What it is told is a choice, which it has to take for all.
+            let names = changes.map(|(_, name)| name).rev();
+            (self.version, self.most_important(now, names))
+        } else {
+            let changes: Vec<(&u64, &String)> = changes.take(MAX_RATINGS).collect();
+            let last = changes.last().map(|(version, _)| **version);
+            let names = changes.into_iter().map(|(_, name)| name).collect();
+            (last.unwrap_or(self.version), names)
+        };
+        let rating = |name: &String| {
+            let host = self.hosts.get(name)?;
+            Some(host.health.rating(now, name))
+        };
+        ChangedRatings {
+            version,
+            ratings: names.into_iter().filter_map(rating).collect(),
+        }
+    }
+
+    /// Of these hosts, those that are down, and the first few of the others.
+    fn most_important<'a>(
+        &self,
+        now: Time,
+        names: impl Iterator<Item = &'a String>,
+    ) -> Vec<&'a String> {
+        let is_down = |name: &&String| {
+            self.hosts
+                .get(*name)
+                .is_some_and(|host| host.health.down_since(now).is_some())
+        };
+        let (mut important, others): (Vec<&String>, Vec<&String>) = names.partition(is_down);
+        important.truncate(MAX_RATINGS - MAX_ROUTINE_RATINGS);
+        important.extend(others.into_iter().take(MAX_ROUTINE_RATINGS));
+        important
+    }
+}
--- a/crates/flaxdeck-control/src/quota_pool.rs
+++ b/crates/flaxdeck-control/src/quota_pool.rs
@@ -1,106 +1,70 @@
-//! A planner's side of the quotas: what forwarders have lent of one incarnation, and who uses it until when. Nothing is
-//! granted that is not covered, at every moment until its use can no longer matter, by what was lent for longer.
+//! The planner's side of the quotas: what forwarders have lent of one incarnation, and to whom it is granted until when.
+//!
+//! Nothing is granted that is not covered, at every moment until its use can no longer matter, by what was lent for
+//! longer.
 
-use std::collections::{BTreeMap, VecDeque};
+mod promised_totals;
+
+use std::collections::BTreeMap;
 
 use flaxdeck::{Span, Time};
 
 use crate::messages::Epoch;
-use crate::{LeaseSchedule, LeaseTerms, QuotaFraction};
-
-/// How long a wish, or word of what is in hand, counts: a few reports.
-const WISHES_LAST: Span = Span::from_ms(1000);
-/// The grain of time in which sums are kept, in milliseconds. Deposits are rounded down to it, grants up.
-const SLOT: u64 = 50;
-
-/// A slot of time, counters from the beginning of the planner's clock.
-pub type Slot = u64;
-
-fn slot_of(time: Time) -> Slot {
-    time.ms() as u64 / SLOT
+use crate::{LeaseTerms, QuotaFraction};
+use promised_totals::slot_of;
+pub use promised_totals::{PromisedTotals, TimeSlot, slot_start};
+
+/// How long demand, and the figure of attempts in flight, counts: a few reports.
+const DEMAND_LIFETIME: Span = Span::from_ms(1000);
+
+/// What a pool holds, and how much of it is granted.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct PoolTotals {
+    /// Lent to this planner, or its own part.
+    pub held: QuotaFraction,
+    /// Reserved for grants.
+    pub reserved: QuotaFraction,
 }
 
-/// When a slot begins.
-pub fn start_of(slot: Slot) -> Time {
-    Time::at_ms((slot * SLOT) as f64)
+/// The level up to which all demand is served, and the slot for which it was worked out.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
+struct FairLevel {
+    slot: TimeSlot,
+    level: QuotaFraction,
 }
 
-/// The sum of many parties' staircases by slots: a ring of sums that time moves along. A promise costs the slots that
-/// it raises, a look costs one, however many parties there are; adding all staircases up costs a look each.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Sums {
-    parties: BTreeMap<Epoch, LeaseSchedule>,
-    first: Slot,
-    slots: VecDeque<u32>,
+/// What a forwarder last demanded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Demand {
+    amount: QuotaFraction,
+    told: Time,
 }
 
-impl Sums {
-    fn advance(&mut self, now: Slot) {
-        while self.first < now && self.slots.pop_front().is_some() {
-            self.first += 1;
-        }
-        if self.slots.is_empty() {
-            self.first = now;
-        }
-    }
-
-    /// So much more of one party in all slots from now to before `end`, where it had less.
-    pub fn promise(&mut self, now: Slot, party: Epoch, amount: QuotaFraction, end: Slot) {
-        self.advance(now);
-        let stairs = self.parties.entry(party).or_default();
-        let length = end.saturating_sub(self.first) as usize;
-        if self.slots.len() < length {
-            self.slots.resize(length, 0);
-        }
-        for (slot, sum) in (self.first..end).zip(&mut self.slots) {
-            *sum = sum.saturating_add(amount.less(stairs.at(start_of(slot))).0);
-        }
-        stairs.add(amount, start_of(end));
-    }
-
-    /// The sum of all parties in a slot.
-    pub fn at(&self, slot: Slot) -> QuotaFraction {
-        let place = slot
-            .checked_sub(self.first)
-            .and_then(|place| self.slots.get(place as usize));
-        QuotaFraction(place.copied().unwrap_or(0))
-    }
-
-    /// What one party has promised of it.
-    pub fn of(&self, party: Epoch, slot: Slot) -> QuotaFraction {
-        self.parties
-            .get(&party)
-            .map_or(QuotaFraction::NONE, |stairs| stairs.at(start_of(slot)))
-    }
-
-    /// Forgets what has ended; true if nothing is left.
-    pub fn prune(&mut self, now: Time) -> bool {
-        self.advance(slot_of(now));
-        // By whole slots, as the sums hold them.
-        let begun = start_of(slot_of(now));
-        self.parties.retain(|_, stairs| !stairs.prune(begun));
-        self.parties.is_empty()
-    }
+/// The attempts that a forwarder last had in flight.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct InFlight {
+    attempts: u16,
+    told: Time,
 }
 
 /// What one planner holds of one incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct QuotaPool {
-    lent: Sums,
+    deposits: PromisedTotals,
     /// Until when a grant, and the window after it, can matter.
-    out: Sums,
-    demand: BTreeMap<Epoch, (QuotaFraction, Time)>,
-    /// The level up to which all demand are served, and for which slot it was worked out.
-    level: (Slot, QuotaFraction),
-    in_hand: BTreeMap<Epoch, (u16, Time)>,
-    all_in_hand: u32,
+    reserved: PromisedTotals,
+    demand: BTreeMap<Epoch, Demand>,
+    fair_level: FairLevel,
+    in_flight: BTreeMap<Epoch, InFlight>,
+    total_in_flight: u32,
     /// The planner's own part.
     own: QuotaFraction,
 }
 
 impl QuotaPool {
-    /// A part of the planner's own, from `from` on; before that an earlier run may have it out.
-    pub fn own(&mut self, own: QuotaFraction, now: Time, from: Time) {
+    /// Sets the part of the planner's own, which may be granted from `from` on; before that an earlier run may have it
+    /// granted.
+    pub fn set_own(&mut self, own: QuotaFraction, now: Time, from: Time) {
         self.own = if now >= from {
             own
         } else {
@@ -108,9 +72,9 @@
         };
     }
 
-    /// A forwarder has lent so much; `seen` is this planner's stamp that it had seen by then, the earliest moment at
-    /// which it can have said so. Several tellings of one deposit count once.
-    pub fn lend(
+    /// A forwarder has lent so much. `seen` is this planner's own stamp that the forwarder had seen by then, the earliest
+    /// moment at which it can have lent. A deposit that is told several times counts once.
+    pub fn add_deposit(
         &mut self,
         lease_terms: LeaseTerms,
         now: Time,
@@ -118,105 +82,134 @@
         amount: QuotaFraction,
         seen: Time,
     ) {
-        let amount = QuotaFraction(amount.0.min(QuotaFraction::WHOLE.0));
-        let end = slot_of(seen + lease_terms.counted_on());
-        self.lent.promise(slot_of(now), from, amount, end);
+        let end = slot_of(seen + lease_terms.deposit_counted_for());
+        self.deposits
+            .promise(slot_of(now), from, amount.at_most_whole(), end);
     }
 
-    fn pool_at(&self, slot: Slot) -> QuotaFraction {
-        QuotaFraction(
-            self.lent
-                .at(slot)
-                .and(self.own)
-                .0
-                .min(QuotaFraction::WHOLE.0),
-        )
+    fn held_at(&self, slot: TimeSlot) -> QuotaFraction {
+        self.deposits
+            .total_at(slot)
+            .saturating_add(self.own)
+            .at_most_whole()
     }
 
-    /// What is granted to a forwarder that demand for so much now. The demand of all divide what there is evenly,
-    /// the smallest served whole first (max-min fair); grants that are out run off before a share moves.
+    /// Grants a forwarder that demands so much now what it can have. All demand divides what there is evenly, the
+    /// smallest served in full first (max-min fairness); grants that others have run off before a share moves.
     pub fn grant(
         &mut self,
         lease_terms: LeaseTerms,
         now: Time,
         to: Epoch,
-        wish: QuotaFraction,
+        demand: QuotaFraction,
     ) -> QuotaFraction {
-        if wish == QuotaFraction::NONE {
+        if demand == QuotaFraction::NONE {
             self.demand.remove(&to);
             return QuotaFraction::NONE;
         }
-        let new = self.demand.insert(to, (wish, now)).is_none();
+        let told = Demand {
+            amount: demand,
+            told: now,
+        };
+        let is_new = self.demand.insert(to, told).is_none();
         // Rounded up to the end of its slot.
-        let (begin, end) = (slot_of(now), slot_of(now + lease_terms.held_as_out()) + 1);
-        self.lent.advance(begin);
-        self.out.advance(begin);
-        if new || self.level.0 != begin {
-            self.demand
-                .retain(|_, (_, at)| now.since(*at) < WISHES_LAST);
-            self.level = (begin, self.level_of(self.pool_at(end - 1)));
+        let begin = slot_of(now);
+        let end = slot_of(now + lease_terms.grant_reserved_for()) + 1;
+        self.deposits.advance(begin);
+        self.reserved.advance(begin);
+        if is_new || self.fair_level.slot != begin {
+            self.forget_old_demand(now);
+            self.fair_level = FairLevel {
+                slot: begin,
+                level: self.level_of(self.held_at(end - 1)),
+            };
         }
-        let room = |slot| {
-            self.pool_at(slot)
-                .less(self.out.at(slot).less(self.out.of(to, slot)))
-        };
-        let least = (begin..end).map(room).min().unwrap_or(QuotaFraction::NONE);
-        let amount = wish.min(self.level.1).min(least);
+        let amount = demand
+            .min(self.fair_level.level)
+            .min(self.free_within(to, begin, end));
         if amount > QuotaFraction::NONE {
-            self.out.promise(begin, to, amount, end);
+            self.reserved.promise(begin, to, amount, end);
         }
         amount
     }
 
-    /// The level up to which all demand are served when they divide so much.
-    fn level_of(&self, pool: QuotaFraction) -> QuotaFraction {
-        let mut demand: Vec<QuotaFraction> = self.demand.values().map(|(wish, _)| *wish).collect();
+    /// What others have left free in all slots from `begin` to before `end`.
+    fn free_within(&self, to: Epoch, begin: TimeSlot, end: TimeSlot) -> QuotaFraction {
+        let free = |slot| {
+            let total = self.reserved.total_at(slot);
+            let by_others = total.saturating_sub(self.reserved.promised_by(to, slot));
+            self.held_at(slot).saturating_sub(by_others)
+        };
+        (begin..end).map(free).min().unwrap_or_default()
+    }
+
+    /// The level up to which all demand is served when it divides so much.
+    fn level_of(&self, held: QuotaFraction) -> QuotaFraction {
+        let mut demand: Vec<QuotaFraction> =
+            self.demand.values().map(|demand| demand.amount).collect();
         demand.sort_unstable();
-        let (mut left, mut level) = (pool, QuotaFraction::NONE);
-        for (served, wish) in demand.iter().enumerate() {
+        let mut left = held;
+        let mut level = QuotaFraction::NONE;
+        for (served, amount) in demand.iter().enumerate() {
             let each = QuotaFraction(left.0 / (demand.len() - served) as u32);
-            level = if *wish <= each { *wish } else { each };
-            left = left.less(level);
+            level = each.min(*amount);
+            left = left.saturating_sub(level);
         }
         level
     }
 
-    /// A forwarder has so many attempts out there.
-    pub fn in_flight(&mut self, now: Time, who: Epoch, in_hand: u16) {
+    fn forget_old_demand(&mut self, now: Time) {
+        self.demand
+            .retain(|_, demand| now.since(demand.told) < DEMAND_LIFETIME);
+    }
+
+    /// A forwarder has so many attempts in flight.
+    pub fn record_in_flight(&mut self, now: Time, forwarder: Epoch, attempts: u16) {
+        let told = InFlight {
+            attempts,
+            told: now,
+        };
         let before = self
-            .in_hand
-            .insert(who, (in_hand, now))
-            .map_or(0, |(before, _)| before);
-        self.all_in_hand = self.all_in_hand + u32::from(in_hand) - u32::from(before);
+            .in_flight
+            .insert(forwarder, told)
+            .map_or(0, |before| before.attempts);
+        self.total_in_flight = self.total_in_flight + u32::from(attempts) - u32::from(before);
     }
 
-    /// Attempts that others have out there, as they said lately.
-    pub fn others_in_flight(&self, than: Epoch) -> u32 {
-        self.all_in_hand
-            - self
-                .in_hand
-                .get(&than)
-                .map_or(0, |(own, _)| u32::from(*own))
+    /// Attempts that others than this forwarder have in flight, as they told lately.
+    pub fn peers_in_flight(&self, forwarder: Epoch) -> u32 {
+        let own = self
+            .in_flight
+            .get(&forwarder)
+            .map_or(0, |own| u32::from(own.attempts));
+        self.total_in_flight - own
     }
 
-    /// Whether anybody else demand for some of it, by what was said lately.
-    pub fn wanted_by_others(&self, than: Epoch) -> bool {
-        self.demand.len() > usize::from(self.demand.contains_key(&than))
+    /// Whether others than this forwarder demand some of it, as they told lately.
+    pub fn is_demanded_by_peers(&self, forwarder: Epoch) -> bool {
+        self.demand.len() > usize::from(self.demand.contains_key(&forwarder))
     }
 
     /// Forgets what has ended; true if nothing is left. To be called each second.
     pub fn prune(&mut self, now: Time) -> bool {
-        self.demand
-            .retain(|_, (_, at)| now.since(*at) < WISHES_LAST);
-        self.in_hand
-            .retain(|_, (_, at)| now.since(*at) < WISHES_LAST);
-        self.all_in_hand = self.in_hand.values().map(|(out, _)| u32::from(*out)).sum();
-        let (lent, out) = (self.lent.prune(now), self.out.prune(now));
-        lent && out && self.in_hand.is_empty()
+        self.forget_old_demand(now);
+        self.in_flight
+            .retain(|_, known| now.since(known.told) < DEMAND_LIFETIME);
+        self.total_in_flight = self
+            .in_flight
+            .values()
+            .map(|known| u32::from(known.attempts))
+            .sum();
+        let no_deposits = self.deposits.prune(now);
+        let none_reserved = self.reserved.prune(now);
+        no_deposits && none_reserved && self.in_flight.is_empty()
     }
 
-    /// Lent to this planner, or its own, and held as out at that time.
-    pub fn totals(&self, at: Time) -> [QuotaFraction; 2] {
-        [self.pool_at(slot_of(at)), self.out.at(slot_of(at))]
+    /// What is held, and what of it is reserved for grants, at that time.
+    pub fn totals(&self, at: Time) -> PoolTotals {
+        PoolTotals {
+            held: self.held_at(slot_of(at)),
+            reserved: self.reserved.total_at(slot_of(at)),
+        }
     }
 }
--- a/crates/flaxdeck-control/src/ratings.rs
+++ b/crates/flaxdeck-control/src/ratings.rs
@@ -1,160 +1,215 @@
-//! Everybody's samples of a host weighed into one picture, in memory that does not grow with the forwarders.
+//! Every forwarder's samples of a host combined into one rating, in memory that does not grow with the forwarders.
 
 use flaxdeck::{Span, Time};
 
-use crate::messages::{Epoch, LinkLoad, Rating, Sample, ceil_ms};
-
-/// Half of a sample's weight is gone after this: some fills of a quiet forwarder.
-const HALF: Span = Span::from_ms(5_000);
-/// Forwarders that must have failed at a host since anybody succeeded before the others are told: one alone may
-/// have lost its own network.
-const WITNESSES: usize = 2;
-/// How long a failure counts: longer than the spacing of trials, so that a host's trials keep the word up.
-const FAILURES_LAST: Span = Span::from_ms(6_000);
-/// Failures of how many forwarders are kept a host.
-const KEPT: usize = 4;
-/// The part of what all have out at a weak source that they are advised to have together.
-const NARROWED: f64 = 0.8;
-/// Attempts at a source that a forwarder's word of them counts for so long.
-const IN_HAND_LASTS: Span = Span::from_ms(1_000);
-
-/// Of what a sample may tell: outside, it is invalid_message.
-const MAX_LATENCY: f32 = 600_000.0;
+use crate::messages::{Epoch, LinkLoad, Measurements, Rating, Sample, ceil_ms};
+
+/// After this a sample counts half: some fills of a forwarder with little traffic.
+const HALF_LIFE: Span = Span::from_ms(5_000);
+/// Below this weight a mean has been forgotten.
+const MIN_WEIGHT: f64 = 1e-6;
+/// How many forwarders must have failed at a host since anybody succeeded before the others are told: one alone may have
+/// lost its own network.
+const FAILURE_QUORUM: usize = 2;
+/// How long a failure counts: longer than the spacing of trials, so that a host's trials keep it rated as down.
+const FAILURE_LIFETIME: Span = Span::from_ms(6_000);
+/// Of how many forwarders the latest failure is kept for each host.
+const MAX_FAILURES: usize = 4;
+/// The part of what all have in flight at a host that is down which they are advised to have together.
+const DOWN_CONCURRENCY_FACTOR: f64 = 0.8;
+/// How long a forwarder's figure of its attempts in flight counts.
+const IN_FLIGHT_LIFETIME: Span = Span::from_ms(1_000);
+/// A mean that changes by more than this part of its old value is published.
+const PUBLISHED_CHANGE: f64 = 0.05;
+
+/// Bounds of what a sample may tell; a message that tells more is invalid.
+const MAX_LATENCY_MS: f32 = 600_000.0;
 const MAX_BANDWIDTH: f32 = 1e7;
-const MAX_FULL: f32 = 1e4;
+const MAX_UTILIZATION: f32 = 1e4;
 
-/// A mean whose samples lose weight with their age.
+/// A mean whose samples lose weight exponentially with their age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Fading {
+struct DecayingMean {
     sum: f64,
     weight: f64,
     youngest: Time,
 }
 
-impl Fading {
-    fn faded(span: Span) -> f64 {
-        0.5f64.powf(span.ms() / HALF.ms())
+impl DecayingMean {
+    fn decay(age: Span) -> f64 {
+        0.5f64.powf(age.ms() / HALF_LIFE.ms())
     }
 
     fn add(&mut self, value: f64, at: Time) {
-        let later = at.max(self.youngest);
-        let (old, new) = (
-            Self::faded(later.since(self.youngest)),
-            Self::faded(later.since(at)),
-        );
+        let youngest = at.max(self.youngest);
+        let old = Self::decay(youngest.since(self.youngest));
+        let new = Self::decay(youngest.since(at));
         self.sum = self.sum * old + value * new;
         self.weight = self.weight * old + new;
-        self.youngest = later;
+        self.youngest = youngest;
     }
 
     fn mean(&self) -> Option<f64> {
-        (self.weight > 1e-6).then(|| self.sum / self.weight)
+        (self.weight > MIN_WEIGHT).then(|| self.sum / self.weight)
     }
+
+    /// Takes in a new value; true if the mean changed by so much that others would want to know.
+    fn record(&mut self, value: f32, at: Time) -> bool {
+        let old = self.mean();
+        self.add(f64::from(value), at);
+        let new = self.mean().unwrap_or(f64::from(value));
+        old.is_none_or(|old| (new - old).abs() > old * PUBLISHED_CHANGE)
+    }
+}
+
+/// A forwarder's latest failure at a host.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Failure {
+    forwarder: Epoch,
+    at: Time,
+}
+
+/// A forwarder's attempts in flight at a host, as it last told.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct InFlight {
+    forwarder: Epoch,
+    attempts: u16,
+    told: Time,
 }
 
 /// What forwarders together know of one host.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Health {
-    measures: [Fading; 2],
+pub struct HostHealth {
+    latency: DecayingMean,
+    bandwidth: DecayingMean,
     /// The latest failures of different forwarders, youngest first.
-    failures: Vec<(Epoch, Time)>,
-    good: Option<Time>,
-    /// Forwarders with attempts out there.
-    in_hand: Vec<(Epoch, u16, Time)>,
+    failures: Vec<Failure>,
+    last_success: Option<Time>,
+    /// Forwarders with attempts in flight.
+    in_flight: Vec<InFlight>,
 }
 
-/// Whether a sample can be true.
-pub fn sensible(sample: &Sample) -> bool {
+fn are_valid_measurements(measurements: Measurements) -> bool {
     let within =
         |value: Option<f32>, most: f32| value.is_none_or(|value| (0.0..=most).contains(&value));
-    within(sample.measures[0], MAX_LATENCY) && within(sample.measures[1], MAX_BANDWIDTH)
+    within(measurements.latency_ms, MAX_LATENCY_MS) && within(measurements.bandwidth, MAX_BANDWIDTH)
 }
 
-/// The same of a link.
-pub fn sensible_link(link: &LinkLoad) -> bool {
-    (0.0..=MAX_FULL).contains(&link.utilization)
+/// Whether a sample can be true.
+pub fn is_valid_sample(sample: &Sample) -> bool {
+    are_valid_measurements(sample.measurements)
 }
 
-/// The same of a rating.
-pub fn sensible_rating(rating: &Rating) -> bool {
-    let [latency, bandwidth] = rating.measures;
-    let sample = Sample {
-        host: String::new(),
-        measures: [latency, bandwidth],
-        measured_ago_ms: 0,
-        last_success_ago_ms: None,
-        last_failure_ago_ms: None,
-        in_flight: 0,
-    };
-    sensible(&sample) && rating.window != Some(0)
+/// Whether a link's load can be true.
+pub fn is_valid_link(link: &LinkLoad) -> bool {
+    (0.0..=MAX_UTILIZATION).contains(&link.utilization)
 }
 
-impl Health {
-    /// Takes in a sample written at `written` at the earliest; true if others would want to know.
-    pub fn take(&mut self, now: Time, from: Epoch, written: Time, sample: &Sample) -> bool {
-        let was_down = self.down(now).is_some();
+/// Whether a rating can be true.
+pub fn is_valid_rating(rating: &Rating) -> bool {
+    are_valid_measurements(rating.measurements) && rating.window != Some(0)
+}
+
+impl HostHealth {
+    /// Takes in a sample that was written at `written` at the earliest; true if others would want to know.
+    pub fn record_sample(
+        &mut self,
+        now: Time,
+        from: Epoch,
+        written: Time,
+        sample: &Sample,
+    ) -> bool {
+        let was_down = self.down_since(now).is_some();
         let ago = |ms: u32| written - Span::from_ms(u64::from(ms));
-        let mut news = false;
-        for (fading, value) in self.measures.iter_mut().zip(sample.measures) {
-            let Some(value) = value else { continue };
-            let old = fading.mean();
-            fading.add(f64::from(value), ago(sample.measured_ago_ms));
-            let new = fading.mean().unwrap_or(f64::from(value));
-            news |= old.is_none_or(|old| (new - old).abs() > old * 0.05);
+        let measured = ago(sample.measured_ago_ms);
+        let mut changed = false;
+        if let Some(latency) = sample.measurements.latency_ms {
+            changed |= self.latency.record(latency, measured);
         }
-        self.good = self.good.max(sample.last_success_ago_ms.map(ago));
-        if let Some(bad) = sample.last_failure_ago_ms.map(ago) {
-            let known = self.failures.iter().position(|(who, _)| *who == from);
-            let bad = known.map_or(bad, |at| self.failures.remove(at).1.max(bad));
-            let place = self.failures.partition_point(|(_, at)| *at > bad);
-            self.failures.insert(place, (from, bad));
-            self.failures.truncate(KEPT);
+        if let Some(bandwidth) = sample.measurements.bandwidth {
+            changed |= self.bandwidth.record(bandwidth, measured);
         }
-        self.in_hand
-            .retain(|(who, _, at)| *who != from && now.since(*at) < IN_HAND_LASTS);
-        if sample.in_flight > 0 {
-            self.in_hand.push((from, sample.in_flight, now));
+        self.last_success = self.last_success.max(sample.last_success_ago_ms.map(ago));
+        if let Some(failed) = sample.last_failure_ago_ms.map(ago) {
+            self.record_failure(from, failed);
+        }
+        self.record_in_flight(now, from, sample.in_flight);
+        changed || was_down != self.down_since(now).is_some()
+    }
+
+    fn record_failure(&mut self, from: Epoch, at: Time) {
+        let known = self
+            .failures
+            .iter()
+            .position(|failure| failure.forwarder == from);
+        let at = known.map_or(at, |index| self.failures.remove(index).at.max(at));
+        let place = self.failures.partition_point(|failure| failure.at > at);
+        self.failures.insert(
+            place,
+            Failure {
+                forwarder: from,
+                at,
+            },
+        );
+        self.failures.truncate(MAX_FAILURES);
+    }
+
+    fn record_in_flight(&mut self, now: Time, from: Epoch, attempts: u16) {
+        self.in_flight
+            .retain(|known| known.forwarder != from && now.since(known.told) < IN_FLIGHT_LIFETIME);
+        if attempts > 0 {
+            self.in_flight.push(InFlight {
+                forwarder: from,
+                attempts,
+                told: now,
+            });
         }
-        news || was_down != self.down(now).is_some()
     }
 
     /// When the last of enough forwarders failed there, if nobody has succeeded since the first of them did.
-    pub fn down(&self, now: Time) -> Option<Time> {
-        let since = |(_, at): &&(Epoch, Time)| {
-            self.good.is_none_or(|good| good < *at) && now.since(*at) < FAILURES_LAST
+    pub fn down_since(&self, now: Time) -> Option<Time> {
+        let counts = |failure: &&Failure| {
+            self.last_success.is_none_or(|success| success < failure.at)
+                && now.since(failure.at) < FAILURE_LIFETIME
         };
-        let failed: Vec<_> = self.failures.iter().filter(since).collect();
-        (failed.len() >= WITNESSES).then(|| failed[0].1)
+        let failed: Vec<&Failure> = self.failures.iter().filter(counts).collect();
+        (failed.len() >= FAILURE_QUORUM).then(|| failed[0].at)
     }
 
-    /// What is told of it, as it stands now.
+    /// The rating that is published, as it stands now.
     pub fn rating(&self, now: Time, host: &str) -> Rating {
         let ago = |at: Time| ceil_ms(now.since(at));
-        let down = self.down(now);
-        let measured = self
-            .measures
-            .iter()
-            .filter(|fading| fading.mean().is_some());
-        let together = self
-            .in_hand
-            .iter()
-            .filter(|(.., at)| now.since(*at) < IN_HAND_LASTS);
-        let (sum, count) = together.fold((0, 0), |(sum, count), (_, out, _)| {
-            (sum + u32::from(*out), count + 1)
-        });
-        let advised = f64::from(sum) * NARROWED / f64::from(count.max(1));
+        let down = self.down_since(now);
+        let measured = [&self.latency, &self.bandwidth]
+            .into_iter()
+            .filter(|mean| mean.mean().is_some());
         Rating {
             host: host.to_owned(),
-            measures: self
-                .measures
-                .map(|fading| fading.mean().map(|mean| mean as f32)),
+            measurements: Measurements {
+                latency_ms: self.latency.mean().map(|mean| mean as f32),
+                bandwidth: self.bandwidth.mean().map(|mean| mean as f32),
+            },
             measured_ago_ms: measured
-                .map(|fading| ago(fading.youngest))
+                .map(|mean| ago(mean.youngest))
                 .min()
                 .unwrap_or(u32::MAX),
             down_ago_ms: down.map(ago),
-            last_success_ago_ms: self.good.map(ago),
-            window: down.map(|_| (advised as u16).max(1)),
+            last_success_ago_ms: self.last_success.map(ago),
+            window: down.map(|_| self.advised_window(now)),
         }
     }
+
+    /// How many attempts each forwarder should have in flight while the host is down: an even part of a little less
+    /// than what all have now.
+    fn advised_window(&self, now: Time) -> u16 {
+        let recent = self
+            .in_flight
+            .iter()
+            .filter(|known| now.since(known.told) < IN_FLIGHT_LIFETIME);
+        let (sum, count) = recent.fold((0, 0), |(sum, count), known| {
+            (sum + u32::from(known.attempts), count + 1)
+        });
+        let advised = f64::from(sum) * DOWN_CONCURRENCY_FACTOR / f64::from(count.max(1));
+        (advised as u16).max(1)
+    }
 }
--- a/crates/flaxdeck-control/tests/instance_slots.rs
+++ b/crates/flaxdeck-control/tests/instance_slots.rs
@@ -10,23 +10,26 @@
 }
 
 fn instance_slots() -> (InstanceSlots, Span) {
-    let lease_terms = LeaseTerms::of(Span::from_ms(2_000), Span::from_ms(1_200), 10);
+    let lease_terms = LeaseTerms::new(Span::from_ms(2_000), Span::from_ms(1_200), 10);
     let instance_slots = InstanceSlots::new(at(0), lease_terms);
-    let lasts = instance_slots.lasts;
-    assert!(lasts > lease_terms.forwarder_waits());
+    let lasts = instance_slots.deposit_lifetime();
+    assert!(lasts > lease_terms.forwarder_startup_wait());
     (instance_slots, lasts)
 }
 
-const SEAT: SlotId = SlotId(5);
+const SLOT: SlotId = SlotId(5);
 
 #[test]
 fn a_planner_that_has_just_started_can_not_tell() {
     let (mut instance_slots, lasts) = instance_slots();
-    assert!(instance_slots.met(at(10), SEAT, Epoch(1)));
-    assert_eq!(instance_slots.owes(at(10), SEAT), None);
-    assert_eq!(instance_slots.owes(at(0) + lasts, SEAT), Some(Span::ZERO));
+    assert!(instance_slots.admit(at(10), SLOT, Epoch(1)));
+    assert_eq!(instance_slots.outstanding(at(10), SLOT), None);
     assert_eq!(
-        instance_slots.owes(at(0) + lasts, SlotId(6)),
+        instance_slots.outstanding(at(0) + lasts, SLOT),
+        Some(Span::ZERO)
+    );
+    assert_eq!(
+        instance_slots.outstanding(at(0) + lasts, SlotId(6)),
         None,
         "nobody has reported from there"
     );
@@ -35,15 +38,15 @@
 #[test]
 fn what_an_earlier_run_lent_is_out_for_as_long_as_it_may_be() {
     let (mut instance_slots, lasts) = instance_slots();
-    instance_slots.met(at(9_000), SEAT, Epoch(1));
-    instance_slots.lent(at(9_000), SEAT);
-    instance_slots.met(at(10_000), SEAT, Epoch(2));
+    instance_slots.admit(at(9_000), SLOT, Epoch(1));
+    instance_slots.record_deposit(at(9_000), SLOT);
+    instance_slots.admit(at(10_000), SLOT, Epoch(2));
     assert_eq!(
-        instance_slots.owes(at(10_000), SEAT),
+        instance_slots.outstanding(at(10_000), SLOT),
         Some(lasts.less(Span::from_ms(1_000)))
     );
     assert_eq!(
-        instance_slots.owes(at(9_000) + lasts, SEAT),
+        instance_slots.outstanding(at(9_000) + lasts, SLOT),
         Some(Span::ZERO)
     );
 }
@@ -51,17 +54,17 @@
 #[test]
 fn a_run_that_a_later_one_has_followed_is_not_heard_any_more() {
     let (mut instance_slots, lasts) = instance_slots();
-    assert!(instance_slots.met(at(0), SEAT, Epoch(9)));
+    assert!(instance_slots.admit(at(0), SLOT, Epoch(9)));
     // Its clock was set back: the number tells nothing.
-    assert!(instance_slots.met(at(100), SEAT, Epoch(3)));
-    assert!(!instance_slots.met(at(200), SEAT, Epoch(9)));
+    assert!(instance_slots.admit(at(100), SLOT, Epoch(3)));
+    assert!(!instance_slots.admit(at(200), SLOT, Epoch(9)));
     assert!(
-        !instance_slots.met(at(200), SlotId(0), Epoch(9)),
+        !instance_slots.admit(at(200), SlotId(0), Epoch(9)),
         "whatever seat it tells"
     );
-    assert!(instance_slots.met(at(300), SEAT, Epoch(3)));
+    assert!(instance_slots.admit(at(300), SLOT, Epoch(3)));
     assert!(
-        instance_slots.met(at(100) + lasts, SEAT, Epoch(4)),
+        instance_slots.admit(at(100) + lasts, SLOT, Epoch(4)),
         "and it is remembered for as long as it could lend"
     );
 }
--- a/crates/flaxdeck-control/tests/lease_schedule.rs
+++ b/crates/flaxdeck-control/tests/lease_schedule.rs
@@ -15,13 +15,13 @@
         promises.iter().for_each(|(amount, until)| stairs.add(QuotaFraction(*amount), at(*until)));
         for look in looks {
             let plain = promises.iter().filter(|(_, until)| *until > look).map(|(amount, _)| *amount).max();
-            prop_assert_eq!(stairs.at(at(look)), QuotaFraction(plain.unwrap_or(0)));
+            prop_assert_eq!(stairs.amount_at(at(look)), QuotaFraction(plain.unwrap_or(0)));
         }
         // Each step holds from the end before it on, the first one from 0.
-        let ends: Vec<Time> = stairs.ends().collect();
+        let ends: Vec<Time> = stairs.step_ends().collect();
         prop_assert!(ends.windows(2).all(|pair| pair[0] < pair[1]));
         let begins = std::iter::once(at(0)).chain(ends.iter().copied());
-        let amounts: Vec<QuotaFraction> = begins.take(ends.len()).map(|begin| stairs.at(begin)).collect();
+        let amounts: Vec<QuotaFraction> = begins.take(ends.len()).map(|begin| stairs.amount_at(begin)).collect();
         prop_assert!(amounts.windows(2).all(|pair| pair[0] > pair[1]));
     }
 }
--- a/crates/flaxdeck-control/tests/membership.rs
+++ b/crates/flaxdeck-control/tests/membership.rs
@@ -1,7 +1,8 @@
 //! Which planner is in charge of a host's incarnation, and whose word is taken.
 
 use flaxdeck::Time;
-use flaxdeck_control::membership::{Known, PlannerId, Refused, lease_holder};
+use flaxdeck_control::MessageError;
+use flaxdeck_control::membership::{PlannerId, PlannerStatus, lease_holder};
 use flaxdeck_control::messages::{Epoch, Incarnation};
 
 fn at(ms: u64) -> Time {
@@ -17,11 +18,12 @@
 
 #[test]
 fn lives_are_divided_over_the_live_planners_and_only_the_lost_ones_lives_move() {
-    let mut planners: Vec<Known> = (0..3).map(|n| Known::new(PlannerId(n))).collect();
+    let mut planners: Vec<PlannerStatus> =
+        (0..3).map(|n| PlannerStatus::new(PlannerId(n))).collect();
     for known in &mut planners {
         known.admit(at(0), Epoch(1), 1).unwrap();
     }
-    let charge = |planners: &[Known], now| -> Vec<PlannerId> {
+    let charge = |planners: &[PlannerStatus], now| -> Vec<PlannerId> {
         (0..300)
             .map(|n| lease_holder(now, planners, &incarnation(n)).unwrap())
             .collect()
@@ -44,43 +46,56 @@
 
 #[test]
 fn word_of_an_earlier_run_or_told_twice_is_refused() {
-    let mut known = Known::new(PlannerId(0));
+    let mut known = PlannerStatus::new(PlannerId(0));
     known.admit(at(0), Epoch(5), 7).unwrap();
-    assert_eq!(known.admit(at(1), Epoch(4), 900), Err(Refused::OldEpoch));
-    assert_eq!(known.admit(at(1), Epoch(5), 7), Err(Refused::OutOfOrder));
+    assert_eq!(
+        known.admit(at(1), Epoch(4), 900),
+        Err(MessageError::OldEpoch { epoch: Epoch(4) })
+    );
+    assert_eq!(
+        known.admit(at(1), Epoch(5), 7),
+        Err(MessageError::OutOfOrder { number: 7, last: 7 })
+    );
     known.admit(at(2), Epoch(6), 1).unwrap();
 }
 
 #[test]
 fn a_planner_that_came_back_with_its_clock_set_back_is_believed_on_a_new_conversation() {
-    let mut known = Known::new(PlannerId(0));
+    let mut known = PlannerStatus::new(PlannerId(0));
     known.admit(at(0), Epoch(9), 7).unwrap();
-    assert_eq!(known.admit(at(1), Epoch(4), 1), Err(Refused::OldEpoch));
-    known.met();
+    assert_eq!(
+        known.admit(at(1), Epoch(4), 1),
+        Err(MessageError::OldEpoch { epoch: Epoch(4) })
+    );
+    known.connection_opened();
     known.admit(at(2), Epoch(4), 1).unwrap();
     known.admit(at(3), Epoch(4), 2).unwrap();
     assert_eq!(
         known.admit(at(4), Epoch(3), 1),
-        Err(Refused::OldEpoch),
+        Err(MessageError::OldEpoch { epoch: Epoch(3) }),
         "one run a conversation"
     );
 }
 
 #[test]
 fn a_planner_that_talks_nonsense_is_left_alone_for_a_while() {
-    let mut known = Known::new(PlannerId(0));
+    let mut known = PlannerStatus::new(PlannerId(0));
     for number in 1..=3 {
         known.admit(at(0), Epoch(1), number).unwrap();
-        known.blame(at(0));
+        known.record_invalid_message(at(0));
     }
-    assert_eq!(known.admit(at(10), Epoch(1), 4), Err(Refused::Shunned));
-    assert!(!known.live(at(10)));
+    assert_eq!(
+        known.admit(at(10), Epoch(1), 4),
+        Err(MessageError::SenderIgnored { until: at(30_000) })
+    );
+    assert!(!known.is_live(at(10)));
     known.admit(at(30_001), Epoch(1), 5).unwrap();
 }
 
 #[test]
 fn a_planner_that_has_just_come_back_takes_over_only_once_it_is_steady() {
-    let mut planners: Vec<Known> = (0..2).map(|n| Known::new(PlannerId(n))).collect();
+    let mut planners: Vec<PlannerStatus> =
+        (0..2).map(|n| PlannerStatus::new(PlannerId(n))).collect();
     planners
         .iter_mut()
         .for_each(|known| known.admit(at(0), Epoch(1), 1).unwrap());
--- a/crates/flaxdeck-control/tests/report_suppression.rs
+++ b/crates/flaxdeck-control/tests/report_suppression.rs
@@ -1,6 +1,12 @@
 //! Reports and guidance of a forwarder that hears of events by a subscription: only as often, and as much, as there is
 //! something to say.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use flaxdeck::{HostId, Observation, SourceMeasurements, Span, Time, WarmupUsage};
 use flaxdeck_control::forwarder::{ForwarderOptions, ForwarderSession};
 use flaxdeck_control::membership::PlannerId;
@@ -19,22 +25,22 @@
 }
 
 fn lease_terms() -> LeaseTerms {
-    LeaseTerms::of(Span::from_ms(3_000), Span::from_ms(1_200), 10)
+    LeaseTerms::new(Span::from_ms(3_000), Span::from_ms(1_200), 10)
 }
 
-fn guide(epoch: u64) -> ForwarderSession {
+fn forwarder(epoch: u64) -> ForwarderSession {
     let (lease_terms, blind_after) = (lease_terms(), Some(Span::from_ms(2_500)));
     let options = ForwarderOptions {
         lease_terms,
         reserve: 0.0,
-        seated: true,
-        seat: SlotId(epoch),
-        blind_after,
+        has_slot: true,
+        slot: SlotId(epoch),
+        unconfirmed_limit: blind_after,
     };
-    let mut guide = ForwarderSession::start(at(0), Epoch(epoch), options, 2);
-    guide.suppress_reports(IDLE);
-    guide.subscribed_to(Some(FOLLOWED));
-    guide
+    let mut forwarder = ForwarderSession::start(at(0), Epoch(epoch), options, 2);
+    forwarder.suppress_reports(IDLE);
+    forwarder.set_subscribed_to(Some(FOLLOWED));
+    forwarder
 }
 
 fn host(n: u32) -> HostId {
@@ -65,41 +71,41 @@
 
 fn planner() -> Planner {
     let mut planner = Planner::start(at(0), Epoch(1), lease_terms(), QuotaFraction::NONE);
-    (0..HOSTS).for_each(|n| planner.listed(at(0), &host(n).0, Some(0)));
+    (0..HOSTS).for_each(|n| planner.update_host(at(0), &host(n).0, Some(0)));
     planner
 }
 
 /// A report to the planner that is followed, and its answer, without delay; gives how many ratings came.
 fn trip(
     now: Time,
-    guide: &mut ForwarderSession,
+    forwarder: &mut ForwarderSession,
     planner: &mut Planner,
     observations: &[Observation],
 ) -> usize {
-    let report = guide.report(now, FOLLOWED, observations, EventPosition::NONE);
-    let guidance = planner.report(now, &report).unwrap();
+    let report = forwarder.report(now, FOLLOWED, observations, EventPosition::NONE);
+    let guidance = planner.handle_report(now, &report).unwrap();
     let ratings = guidance.ratings.len();
     assert!(guidance.events.is_empty());
-    guide
-        .guided(now, FOLLOWED, guidance, EventPosition::NONE)
+    forwarder
+        .apply_guidance(now, FOLLOWED, guidance, EventPosition::NONE)
         .unwrap();
     ratings
 }
 
 #[test]
 fn a_report_is_due_after_the_idle_time_and_at_once_for_a_failure_or_a_cold_host() {
-    let (mut guide, mut planner) = (guide(10), planner());
+    let (mut forwarder, mut planner) = (forwarder(10), planner());
     assert!(
-        guide.is_report_due(at(0), FOLLOWED, &[]),
+        forwarder.is_report_due(at(0), FOLLOWED, &[]),
         "the first is an introduction"
     );
-    trip(at(0), &mut guide, &mut planner, &[]);
+    trip(at(0), &mut forwarder, &mut planner, &[]);
     let well = measured(at(100));
-    assert!(!guide.is_report_due(at(200), FOLLOWED, &well));
-    assert!(!guide.is_report_due(at(1_499), FOLLOWED, &well));
-    assert!(guide.is_report_due(at(1_500), FOLLOWED, &well));
+    assert!(!forwarder.is_report_due(at(200), FOLLOWED, &well));
+    assert!(!forwarder.is_report_due(at(1_499), FOLLOWED, &well));
+    assert!(forwarder.is_report_due(at(1_500), FOLLOWED, &well));
     let failed = [observation(3, None, Some(at(150)))];
-    assert!(guide.is_report_due(at(200), FOLLOWED, &failed));
+    assert!(forwarder.is_report_due(at(200), FOLLOWED, &failed));
     let used = WarmupUsage {
         equal_share: 0.5,
         used: 0.0,
@@ -109,25 +115,25 @@
         warmup: Some(used),
         ..observation(3, None, None)
     }];
-    assert!(guide.is_report_due(at(200), FOLLOWED, &cold));
-    trip(at(200), &mut guide, &mut planner, &failed);
+    assert!(forwarder.is_report_due(at(200), FOLLOWED, &cold));
+    trip(at(200), &mut forwarder, &mut planner, &failed);
     assert!(
-        !guide.is_report_due(at(400), FOLLOWED, &failed),
+        !forwarder.is_report_due(at(400), FOLLOWED, &failed),
         "it is told once"
     );
 }
 
 #[test]
 fn samples_go_round_to_the_planner_that_is_followed_and_failures_to_all() {
-    let mut guide = guide(10);
+    let mut forwarder = forwarder(10);
     let mut told: Vec<String> = Vec::new();
     for round in 1..=10 {
         let now = at(round * 1_500);
-        let report = guide.report(now, FOLLOWED, &measured(now), EventPosition::NONE);
+        let report = forwarder.report(now, FOLLOWED, &measured(now), EventPosition::NONE);
         assert_eq!(report.samples.len(), MAX_ROUTINE_RATINGS);
         told.extend(report.samples.into_iter().map(|sample| sample.host));
         assert!(
-            guide
+            forwarder
                 .report(now, OTHER, &measured(now), EventPosition::NONE)
                 .samples
                 .is_empty()
@@ -139,7 +145,7 @@
     let now = at(20_000);
     let mut observations = measured(now);
     observations[7].last_failure = Some(now);
-    let report = guide.report(now, OTHER, &observations, EventPosition::NONE);
+    let report = forwarder.report(now, OTHER, &observations, EventPosition::NONE);
     assert_eq!(
         report
             .samples
@@ -152,9 +158,10 @@
 
 #[test]
 fn ratings_are_few_but_hosts_that_are_down_are_told_first() {
-    let (mut planner, mut one, mut other, mut late) = (planner(), guide(10), guide(11), guide(12));
-    for guide in [&mut one, &mut other, &mut late] {
-        trip(at(0), guide, &mut planner, &[]);
+    let (mut planner, mut one, mut other, mut late) =
+        (planner(), forwarder(10), forwarder(11), forwarder(12));
+    for forwarder in [&mut one, &mut other, &mut late] {
+        trip(at(0), forwarder, &mut planner, &[]);
     }
     for round in 1..=6u64 {
         let now = at(round * 1_500);
@@ -171,7 +178,7 @@
     // Later changes of others don't push them out.
     trip(at(9_300), &mut one, &mut planner, &measured(at(9_300))[2..]);
     let report = late.report(at(9_400), FOLLOWED, &[], EventPosition::NONE);
-    let guidance = planner.report(at(9_400), &report).unwrap();
+    let guidance = planner.handle_report(at(9_400), &report).unwrap();
     let down = |n: u32| {
         guidance
             .ratings
@@ -185,25 +192,32 @@
 #[test]
 fn who_subscribes_is_pushed_nothing_and_who_does_not_is() {
     let mut planner = planner();
-    let mut subscribed = guide(10);
+    let mut subscribed = forwarder(10);
     let options = ForwarderOptions {
         lease_terms: lease_terms(),
         reserve: 0.0,
-        seated: true,
-        seat: SlotId(11),
-        blind_after: None,
+        has_slot: true,
+        slot: SlotId(11),
+        unconfirmed_limit: None,
     };
     let mut told = ForwarderSession::start(at(0), Epoch(11), options, 2);
-    planner.begins_at(EventPosition { number: 1, hash: 1 });
-    for guide in [&mut subscribed, &mut told] {
-        let report = guide.report(at(0), FOLLOWED, &[], EventPosition { number: 1, hash: 1 });
-        planner.report(at(0), &report).unwrap();
+    planner.restart_log_at(EventPosition { number: 1, hash: 1 });
+    for forwarder in [&mut subscribed, &mut told] {
+        let report = forwarder.report(at(0), FOLLOWED, &[], EventPosition { number: 1, hash: 1 });
+        planner.handle_report(at(0), &report).unwrap();
     }
     let event = RelayedEvent {
         position: EventPosition { number: 2, hash: 2 },
         frame: vec![0],
     };
-    planner.coordinator(at(10), Some(event), true);
-    assert!(planner.push(at(10), Epoch(10)).is_none());
-    assert_eq!(planner.push(at(10), Epoch(11)).unwrap().events.len(), 1);
+    planner.coordinator_heard(at(10), Some(event), true);
+    assert!(planner.unsolicited_guidance(at(10), Epoch(10)).is_none());
+    assert_eq!(
+        planner
+            .unsolicited_guidance(at(10), Epoch(11))
+            .unwrap()
+            .events
+            .len(),
+        1
+    );
 }
