--- a/crates/flaxdeck-channel/tests/connections.rs
+++ b/crates/flaxdeck-channel/tests/connections.rs
@@ -4,7 +4,7 @@
 
 use flaxdeck_channel::authenticated::Key;
 use flaxdeck_channel::connection::{self, CloseReason};
-use flaxdeck_control::messages::{Envelope, Epoch, Guidance, Rating, Report};
+use flaxdeck_control::messages::{Envelope, Epoch, Guidance, Measurements, Rating, Report};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
@@ -45,7 +45,10 @@
 fn guidance(number: u64, ratings: usize) -> Guidance {
     let rating = |n| Rating {
         host: format!("s-{n:08x}"),
-        measures: [Some(1.0), None],
+        measurements: Measurements {
+            latency_ms: Some(1.0),
+            bandwidth: None,
+        },
         measured_ago_ms: 1,
         down_ago_ms: None,
         last_success_ago_ms: None,
--- a/crates/flaxdeck-channel/tests/recorded_messages.rs
+++ b/crates/flaxdeck-channel/tests/recorded_messages.rs
@@ -6,8 +6,8 @@
 use flaxdeck_channel::messages::{FromForwarder, FromPlanner};
 use flaxdeck_control::QuotaFraction;
 use flaxdeck_control::messages::{
-    Envelope, Epoch, Grant, Guidance, Incarnation, LeaseReport, LinkLoad, PeerSummary, Rating,
-    RelayedEvent, Report, Sample, SlotId, Stamp,
+    Envelope, Epoch, Grant, Guidance, Incarnation, LeaseReport, LinkLoad, Measurements,
+    PeerSummary, Rating, RelayedEvent, Report, Sample, SlotId, Stamp,
 };
 use flaxdeck_distribution::messages::{
     Batch, Delivery, FullEvent, PurgeDigest, Snapshot, Subscription, Update,
@@ -98,7 +98,10 @@
         }],
         samples: vec![Sample {
             host: "s-00c41f7b".into(),
-            measures: [Some(12.5), None],
+            measurements: Measurements {
+                latency_ms: Some(12.5),
+                bandwidth: None,
+            },
             measured_ago_ms: 1_500,
             last_success_ago_ms: Some(20),
             last_failure_ago_ms: None,
@@ -132,7 +135,10 @@
         }],
         ratings: vec![Rating {
             host: "s-00c41f7c".into(),
-            measures: [Some(80.0), Some(0.5)],
+            measurements: Measurements {
+                latency_ms: Some(80.0),
+                bandwidth: Some(0.5),
+            },
             measured_ago_ms: 700,
             down_ago_ms: Some(300),
             last_success_ago_ms: None,
--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -123,5 +123,5 @@
 
 pub fn lease_terms(plan: &Plan, window: Span) -> LeaseTerms {
     let granted = Span::from_ms(u64::from(plan.granted_ms));
-    LeaseTerms::of(window, granted, (plan.drift * 1000.0).ceil() as u32)
+    LeaseTerms::new(window, granted, (plan.drift * 1000.0).ceil() as u32)
 }
--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -310,9 +310,9 @@
     ForwarderOptions {
         lease_terms,
         reserve: plan.reserve,
-        seated: plan.seated,
-        seat,
-        blind_after,
+        has_slot: plan.seated,
+        slot: seat,
+        unconfirmed_limit: blind_after,
     }
 }
 
@@ -378,7 +378,7 @@
     })?;
     let world = files::world(&files.config)?;
     let _log = log::start(&plan.log_levels, plan.log_form)?;
-    let own = QuotaFraction::below(plan.reserve / plan.planners.len() as f64);
+    let own = QuotaFraction::rounded_down(plan.reserve / plan.planners.len() as f64);
     let lease_terms = files::lease_terms(&plan, world.window);
     let (name, listen) = (planner.name.clone(), planner.listen);
     let (cadence, counters) = (files::cadence(&plan), files.counters.clone());
@@ -436,27 +436,27 @@
         println!("with a window of {window_ms} ms:");
         println!(
             "  a forwarder keeps to what it lent for          {}",
-            ms(lease_terms.lent)
+            ms(lease_terms.deposit_duration)
         );
         println!(
             "  a planner counts on a deposit for              {}",
-            ms(lease_terms.counted_on())
+            ms(lease_terms.deposit_counted_for())
         );
         println!(
             "  a grant may be used for                        {}",
-            ms(lease_terms.granted)
+            ms(lease_terms.grant_duration)
         );
         println!(
             "  a planner holds a grant as out for             {}",
-            ms(lease_terms.held_as_out())
+            ms(lease_terms.grant_reserved_for())
         );
         println!(
             "  a forwarder that starts leaves its share for   {}",
-            ms(lease_terms.forwarder_waits())
+            ms(lease_terms.forwarder_startup_wait())
         );
         println!(
             "  a planner that starts leaves its own part for  {}",
-            ms(lease_terms.planner_waits())
+            ms(lease_terms.planner_startup_wait())
         );
         println!(
             "  of a cold host the seats divide {:.2}, planners grant {:.2}",
--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -72,7 +72,7 @@
         let epoch = Epoch::new(clock.now(), instance);
         let (keeps, waits) = (
             guidelines.keeps.clone(),
-            guidelines.stance.lease_terms.forwarder_waits(),
+            guidelines.stance.lease_terms.forwarder_startup_wait(),
         );
         router.guide_by(epoch, seed, guidelines, &mut watch);
         if let Some(keeps) = keeps {
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -17,6 +17,7 @@
 use flaxdeck_control::forwarder::{ForwarderOptions, ForwarderSession, Freshness};
 use flaxdeck_control::membership::PlannerId;
 use flaxdeck_control::messages::{Epoch, Guidance};
+use flaxdeck_control::quotas::LeaseTotals;
 use flaxdeck_distribution::PlannerNumber;
 use flaxdeck_net::clock;
 use flaxdeck_net::metrics::{Counter, count};
@@ -82,7 +83,7 @@
     pub(super) fn follows(&self, planner: Option<PlannerNumber>) {
         self.guide
             .borrow_mut()
-            .subscribed_to(planner.map(|planner| PlannerId(planner.0)));
+            .set_subscribed_to(planner.map(|planner| PlannerId(planner.0)));
     }
 }
 
@@ -109,7 +110,7 @@
         watch.pause_while(subscription.is_some());
         let unheard = guidelines
             .stance
-            .blind_after
+            .unconfirmed_limit
             .map_or(WithoutContact::GoOn, WithoutContact::RejectAfter);
         let guides = Rc::new(Guides {
             guide: RefCell::new(guide),
@@ -125,7 +126,7 @@
             seed,
             urgency,
             unreached: RefCell::default(),
-            informed: Cell::new(Freshness::Alone),
+            informed: Cell::new(Freshness::Standalone),
             due_changed: Notify::new(),
             vouched: Notify::new(),
             report_now: Notify::new(),
@@ -159,7 +160,7 @@
                 () = guides.vouched.notified() => {}
             }
         }
-        let (now, owns_from) = (self.clock.now(), guides.guide.borrow().owns_from());
+        let (now, owns_from) = (self.clock.now(), guides.guide.borrow().own_share_from());
         let mut back = guides.back.borrow_mut();
         back.listens(now);
         let [vouched, listens] = back.took().map(|took| took.map_or(f64::NAN, Span::ms));
@@ -195,8 +196,8 @@
             recalled
                 .waits
                 .into_iter()
-                .for_each(|waits| guide.owns_after(now, waits));
-            guide.needs_leave(now);
+                .for_each(|waits| guide.set_startup_wait(now, waits));
+            guide.require_lending_permit(now);
             let mut guided = guide.hints(now);
             guided.hints.extend(recalled.hints);
             drop(guide);
@@ -220,7 +221,7 @@
                 Wrote::Begun(generation) => log::info!("state is kept, generation {generation}"),
                 Wrote::Leave(until) => {
                     keeper.answered();
-                    guides.guide.borrow_mut().has_leave(until);
+                    guides.guide.borrow_mut().extend_lending_permit(until);
                 }
                 Wrote::Failed(why) => {
                     count(Counter::state_broken);
@@ -407,7 +408,7 @@
     /// All is known here that the coordinator had at that time.
     pub(super) fn events_known_at(&self, guides: &Guides, at: Time) {
         guides.guide.borrow_mut().events_known_at(at);
-        if guides.informed.get() == Freshness::Blind {
+        if guides.informed.get() == Freshness::Unconfirmed {
             self.tell_engine(guides);
         }
         self.note_vouched(guides);
@@ -415,13 +416,16 @@
 
     /// A coordinator that has little room is left to planners while they tell the same.
     fn note_urgency(&self, guides: &Guides) {
-        guides
-            .urgency
-            .set_calm(guides.guide.borrow().planners_vouch(self.clock.now()));
+        guides.urgency.set_calm(
+            guides
+                .guide
+                .borrow()
+                .is_confirmed_by_planners(self.clock.now()),
+        );
     }
 
     fn note_vouched(&self, guides: &Guides) {
-        if guides.guide.borrow().vouched().is_some() {
+        if guides.guide.borrow().confirmed_at().is_some() {
             guides.back.borrow_mut().vouched(self.clock.now());
             guides.vouched.notify_one();
         }
@@ -431,15 +435,15 @@
     pub fn guidance_line(&self) -> Option<String> {
         let guides = self.guides.borrow().clone()?;
         let (guide, now) = (guides.guide.borrow(), self.clock.now());
-        let [lent, granted] = guide.totals(now);
-        let (informed, counters) = (guide.informed(now), guide.counters);
+        let LeaseTotals { lent, granted } = guide.lease_totals(now);
+        let (informed, counters) = (guide.freshness(now), guide.counters);
         let events = guides
             .subscription
             .as_ref()
             .map(|subscription| format!(" events: {}", subscription.line()));
         let events = events.unwrap_or_default();
         Some(format!(
-            "guidance: {informed:?} lent={lent:.3} granted={granted:.3} {counters:?}{events}"
+            "guidance: {informed} lent={lent:.3} granted={granted:.3} {counters:?}{events}"
         ))
     }
 
@@ -447,7 +451,7 @@
         let now = self.clock.now();
         let (mut guided, informed) = {
             let mut guide = guides.guide.borrow_mut();
-            (guide.hints(now), guide.informed(now))
+            (guide.hints(now), guide.freshness(now))
         };
         for quota in guided
             .hints
@@ -460,14 +464,14 @@
         }
         let before = guides.informed.replace(informed);
         if before != informed {
-            let worse =
-                matches!(informed, Freshness::Blind) && guides.back.borrow().took()[0].is_some();
+            let worse = matches!(informed, Freshness::Unconfirmed)
+                && guides.back.borrow().took()[0].is_some();
             let level = if worse {
                 log::Level::Error
             } else {
                 log::Level::Info
             };
-            log::log!(level, "guidance is now {informed:?}, was {before:?}");
+            log::log!(level, "guidance is now {informed}, was {before}");
         }
         self.report(Input::PeerHints(guided));
         guides.due_changed.notify_one();
@@ -486,8 +490,8 @@
             let observations = self.observations();
             {
                 let mut guide = guides.guide.borrow_mut();
-                guide.stand(now, &observations);
-                guide.link(self.zone, self.engine.borrow().link());
+                guide.update_usage(now, &observations);
+                guide.update_link(self.zone, self.engine.borrow().link());
                 let mut speakers = guides.speakers.borrow_mut();
                 for (at, sender) in speakers.iter_mut().enumerate() {
                     let (Some(sender), planner) = (sender, PlannerId(at as u32)) else {
@@ -512,13 +516,13 @@
             // What was lent is not used from this moment on.
             self.tell_engine(&guides);
             self.note_urgency(&guides);
-            let owns_from = guides.guide.borrow().owns_from();
+            let owns_from = guides.guide.borrow().own_share_from();
             if let Some(took) = guides.back.borrow_mut().full(now, owns_from) {
                 log::info!("back in full after {:.0} ms", took.ms());
             }
             let keeper = self.keeper.borrow().clone();
             if let Some(keeper) = keeper {
-                let leave = guides.guide.borrow_mut().asks_leave(now);
+                let leave = guides.guide.borrow_mut().requested_lending_permit(now);
                 leave.into_iter().for_each(|until| keeper.leave(until));
                 keeper.tick(&observations);
             }
@@ -557,7 +561,10 @@
                     log::info!("planner {at} at {address} is connected");
                     pace.answered(self.clock.now());
                     guides.unreached.borrow_mut().remove(&at);
-                    guides.guide.borrow_mut().met(PlannerId(at as u32));
+                    guides
+                        .guide
+                        .borrow_mut()
+                        .connection_opened(PlannerId(at as u32));
                     guides.speakers.borrow_mut()[at] = Some(sender);
                     guides.report_now.notify_one();
                     self.planner_connected(&guides, at, true);
@@ -596,7 +603,7 @@
                 guides
                     .guide
                     .borrow_mut()
-                    .guided(now, PlannerId(at as u32), guidance, last);
+                    .apply_guidance(now, PlannerId(at as u32), guidance, last);
             match judged {
                 Ok(events) => {
                     for relayed in events {
--- a/crates/flaxdeck-fleet/src/model/build.rs
+++ b/crates/flaxdeck-fleet/src/model/build.rs
@@ -62,7 +62,7 @@
     for host in hosts {
         planners
             .iter_mut()
-            .for_each(|planner| planner.listed(time(0.0), &host.id, Some(0)));
+            .for_each(|planner| planner.update_host(time(0.0), &host.id, Some(0)));
     }
     planners
 }
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -96,9 +96,9 @@
         let stance = ForwarderOptions {
             lease_terms: lease_terms(self.shape.window_ms),
             reserve: 0.0,
-            seated: true,
-            seat: SlotId(n as u64 + 1),
-            blind_after: None,
+            has_slot: true,
+            slot: SlotId(n as u64 + 1),
+            unconfirmed_limit: None,
         };
         ForwarderSession::start(time(self.now), epoch, stance, self.shape.planners as u32)
     }
--- a/crates/flaxdeck-fleet/src/model/planners.rs
+++ b/crates/flaxdeck-fleet/src/model/planners.rs
@@ -17,7 +17,7 @@
 
 /// What planners and forwarders promise each other, over a cold host's window.
 pub(super) fn lease_terms(window_ms: f64) -> LeaseTerms {
-    LeaseTerms::of(Span::of_ms(window_ms), Span::from_ms(1_200), 10)
+    LeaseTerms::new(Span::of_ms(window_ms), Span::from_ms(1_200), 10)
 }
 
 /// The coordinator of the model never loses its numbering: a number is its event.
@@ -36,10 +36,10 @@
         {
             let started = endpoint.started.map_or(0, |at| at.ms() as u64);
             let started = (endpoint.health != Health::Removed).then_some(started);
-            self.planners[planner].listed(now, &endpoint.host.0, started);
+            self.planners[planner].update_host(now, &endpoint.host.0, started);
         }
         let frame = number.to_be_bytes().to_vec();
-        self.planners[planner].coordinator(
+        self.planners[planner].coordinator_heard(
             now,
             Some(RelayedEvent {
                 position: mark(number),
@@ -80,8 +80,8 @@
             return Vec::new();
         };
         let observations = forwarder.engine.observations(now);
-        guide.stand(now, &observations);
-        guide.link(ZoneId(n / self.shape.forwarders), forwarder.engine.link);
+        guide.update_usage(now, &observations);
+        guide.update_link(ZoneId(n / self.shape.forwarders), forwarder.engine.link);
         let known = mark(forwarder.last_event);
         let mut report = |at: usize| {
             (
@@ -102,7 +102,7 @@
         if self.conditions.planners_silent {
             return;
         }
-        let Ok(guidance) = self.planners[planner].report(time(self.now), report) else {
+        let Ok(guidance) = self.planners[planner].handle_report(time(self.now), report) else {
             return;
         };
         let (run, guidance) = (self.forwarders[forwarder].run, Box::new(guidance));
@@ -126,7 +126,7 @@
         let Some(guide) = &mut self.forwarders[n].guide else {
             return;
         };
-        let told = guide.guided(time(self.now), PlannerId(planner as u32), guidance, known);
+        let told = guide.apply_guidance(time(self.now), PlannerId(planner as u32), guidance, known);
         let Ok(events) = told else { return };
         events
             .iter()
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -146,7 +146,7 @@
 impl Server {
     /// All that is known here of the coordinator's events ends with that one.
     fn begins_at(&self, mark: EventPosition) {
-        self.planner.borrow_mut().begins_at(mark);
+        self.planner.borrow_mut().restart_log_at(mark);
         self.events.borrow_mut().begins_at(self.clock.now(), mark);
     }
 
@@ -172,12 +172,12 @@
                 .cloned();
             gone.collect::<Vec<String>>()
                 .iter()
-                .for_each(|host| planner.listed(now, host, None));
+                .for_each(|host| planner.update_host(now, host, None));
         }
         for endpoint in &endpoints {
             let line = &endpoint.listed;
             let started = line.started.map_or(0, |at| at.ms() as u64);
-            planner.listed(
+            planner.update_host(
                 now,
                 &line.host.0,
                 (line.health != Health::Removed).then_some(started),
@@ -212,7 +212,9 @@
             };
             let news = event.is_some();
             let (now, current) = (self.clock.now(), watch.is_current());
-            self.planner.borrow_mut().coordinator(now, event, current);
+            self.planner
+                .borrow_mut()
+                .coordinator_heard(now, event, current);
             self.events.borrow_mut().coordinator_heard(now, current);
             if news {
                 self.push();
@@ -228,7 +230,11 @@
             if !sender.may_send() {
                 continue;
             }
-            if let Some(guidance) = self.planner.borrow_mut().push(self.clock.now(), *epoch) {
+            if let Some(guidance) = self
+                .planner
+                .borrow_mut()
+                .unsolicited_guidance(self.clock.now(), *epoch)
+            {
                 sender.send(&FromPlanner::Guidance(guidance));
             }
         }
@@ -347,7 +353,10 @@
             if !sender.borrow().may_send() {
                 continue;
             }
-            let judged = self.planner.borrow_mut().report(self.clock.now(), &report);
+            let judged = self
+                .planner
+                .borrow_mut()
+                .handle_report(self.clock.now(), &report);
             match judged {
                 Ok(guidance) => sender.borrow_mut().send(&FromPlanner::Guidance(guidance)),
                 Err(why) => tracing::warn!(forwarder = from.0, ?why, "a report is refused"),
@@ -357,9 +366,17 @@
 
     fn log_line(&self) {
         let planner = self.planner.borrow();
-        let (forwarders, lives, [lent, out]) = planner.load(self.clock.now());
+        let load = planner.load(self.clock.now());
         let (counters, refused) = (planner.counters, self.refused.get());
-        tracing::info!(forwarders, lives, lent, out, refused, ?counters, "counted");
+        tracing::info!(
+            forwarders = load.forwarders,
+            lives = load.pools,
+            lent = load.held,
+            out = load.reserved,
+            refused,
+            ?counters,
+            "counted"
+        );
         let ((subscribers, kept, bytes), counters) = self.events.borrow().load();
         tracing::info!(subscribers, kept, bytes, ?counters, "events");
         tracing::info!("traffic: {}", metrics::line());
--- a/crates/flaxdeck-scale/src/capacity/page/fields.rs
+++ b/crates/flaxdeck-scale/src/capacity/page/fields.rs
@@ -1,7 +1,7 @@
 //! Figures that the words of the page name: the target's, and bounds of the code that readings go by.
 
 use flaxdeck_control::messages::MAX_EVENTS;
-use flaxdeck_control::planner::{FORGOTTEN, MAX_LOG};
+use flaxdeck_control::planner::{FORWARDER_TIMEOUT, MAX_RELAYED_EVENTS};
 use flaxdeck_net::listener::BACKLOG;
 use flaxdeck_plan::Blind;
 use flaxdeck_recovery::{reconnect_backoff, restored_state};
@@ -101,7 +101,7 @@
     let [least, most] = reconnect_backoff::FIRST;
     let spread_s = (most.ms() - least.ms()) / 1e3;
     let calls = |dispatchers: f64| figure(dispatchers / spread_s);
-    let forgotten_s = FORGOTTEN.ms() / 1e3;
+    let forgotten_s = FORWARDER_TIMEOUT.ms() / 1e3;
     let storm_events = target.storm_per_s() + target.changes_per_s();
     BoundFields {
         backlog: count(f64::from(BACKLOG)),
@@ -114,9 +114,9 @@
         forgotten_in_rolling: figure(target.rolling_per_s() * forgotten_s),
         blind: blind(),
         missed_while_cut_off: count(target.events_per_s() * target.cut_off_s),
-        log: count(MAX_LOG as f64),
-        log_reach: span(MAX_LOG as f64 / target.events_per_s()),
-        log_reach_in_storm: span(MAX_LOG as f64 / storm_events),
+        log: count(MAX_RELAYED_EVENTS as f64),
+        log_reach: span(MAX_RELAYED_EVENTS as f64 / target.events_per_s()),
+        log_reach_in_storm: span(MAX_RELAYED_EVENTS as f64 / storm_events),
         store: count(restored_state::MAX_PURGES as f64),
         store_reach_in_storm: span(restored_state::MAX_PURGES as f64 / target.storm_per_s()),
         storm_purges: count(target.storm_per_s() * target.storm_s),
--- a/crates/flaxdeck-scale/src/capacity/state.rs
+++ b/crates/flaxdeck-scale/src/capacity/state.rs
@@ -1,7 +1,7 @@
 //! What is kept by each role: entries at the size of the target, bytes each, how long, and the bound in the code.
 
 use flaxdeck_control::messages::MAX_EVENTS;
-use flaxdeck_control::planner::{FORGOTTEN, MAX_LOG, MAX_MEMBERS, MAX_POOLS};
+use flaxdeck_control::planner::{FORWARDER_TIMEOUT, MAX_FORWARDERS, MAX_POOLS, MAX_RELAYED_EVENTS};
 use flaxdeck_distribution::messages::{MAX_FULL_EVENTS, MAX_PURGES};
 use flaxdeck_plan::{MAX_PLANNERS, Plan};
 use flaxdeck_planner::MAX_CONNECTIONS;
@@ -156,7 +156,7 @@
 
 fn planner(basis: Basis) -> Vec<State> {
     let target = basis.target;
-    let forgotten = span(FORGOTTEN.ms() / 1e3);
+    let forgotten = span(FORWARDER_TIMEOUT.ms() / 1e3);
     vec![
         State {
             role: PLANNER,
@@ -193,7 +193,7 @@
             bytes_each: Bytes::NotShown,
             kept: format!(
                 "by their count, which reaches {} back",
-                reach(MAX_LOG, target.events_per_s())
+                reach(MAX_RELAYED_EVENTS, target.events_per_s())
             ),
         },
         State {
@@ -204,7 +204,10 @@
             bytes_each: Bytes::NotShown,
             kept: format!(
                 "by their count, which reaches {} back",
-                reach(MAX_LOG, target.storm_per_s() + target.changes_per_s())
+                reach(
+                    MAX_RELAYED_EVENTS,
+                    target.storm_per_s() + target.changes_per_s()
+                )
             ),
         },
         State {
@@ -231,14 +234,14 @@
 
 fn members() -> Bound {
     Bound {
-        most: MAX_MEMBERS as f64,
+        most: MAX_FORWARDERS as f64,
         name: "`MAX_MEMBERS` in `crates/flaxdeck-control/src/planner.rs`",
     }
 }
 
 fn events_kept() -> Bound {
     Bound {
-        most: MAX_LOG as f64,
+        most: MAX_RELAYED_EVENTS as f64,
         name: "`MAX_LOG` in `crates/flaxdeck-control/src/planner.rs`",
     }
 }
