--- a/crates/flaxdeck-recovery/src/startup.rs
+++ b/crates/flaxdeck-recovery/src/startup.rs
@@ -1,21 +1,35 @@
-//! How far an instance has come back, by what it knows, and whether it takes clients. One that can't yet tell whether
-//! its list is true would give each client a rejection or a guess; a client that finds nobody listening turns to another
-//! dispatcher at once.
+//! How far an instance has come back, by what it knows, and whether it takes clients.
+//!
+//! One that can't tell yet whether its list is true would give each client a rejection or a guess; a client that finds
+//! nobody listening turns to another dispatcher at once.
+
+use std::fmt;
 
 use flaxdeck::{Span, Time};
 
 /// How far an instance has come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It has a list, from a file or a store, and nobody has told that it is still true.
+    /// It has a list of hosts, from a file or stored state, and nobody has confirmed it.
     Listed,
-    /// It is known to be true.
-    Vouched,
-    /// The same, and what it may use of cold hosts is its own again.
+    /// The list is confirmed.
+    Confirmed,
+    /// The same, and its own shares of warming hosts may be used again.
     Full,
 }
 
-/// What an instance does once nobody vouches for its list.
+impl fmt::Display for Phase {
+    /// The words of the log, which `docs/on-call.md` explains.
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
+        out.write_str(match self {
+            Phase::Listed => "Listed",
+            Phase::Confirmed => "Vouched",
+            Phase::Full => "Full",
+        })
+    }
+}
+
+/// What an instance does if nobody confirms its list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithoutContact {
     /// It listens after so long, and rejects with a time to come back.
@@ -24,66 +38,81 @@
     GoOn,
 }
 
-/// How long an instance that would go on anyway waits for somebody to vouch: a connection and an answer on a slow
-/// network, a tenth of the grace after a drain.
-const TRIES: Span = Span::from_ms(100);
+/// How long an instance that would go on anyway waits for a confirmation: a connection and an answer on a slow network, a
+/// tenth of the grace after a drain.
+const SHORTEST_WAIT: Span = Span::from_ms(100);
+
+/// How long the steps of a startup took, for the log.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct StartupTimes {
+    /// Until the list was confirmed.
+    pub confirmed: Option<Span>,
+    /// Until clients were taken.
+    pub listening: Option<Span>,
+}
 
 /// An instance that comes back.
 pub struct Startup {
     began: Time,
-    unheard: WithoutContact,
-    vouched: Option<Time>,
-    listened: Option<Time>,
-    full: bool,
+    without_contact: WithoutContact,
+    confirmed: Option<Time>,
+    listening: Option<Time>,
+    is_complete: bool,
 }
 
 impl Startup {
-    pub fn begin(now: Time, unheard: WithoutContact) -> Startup {
+    /// It has just started.
+    pub fn begin(now: Time, without_contact: WithoutContact) -> Startup {
         Startup {
             began: now,
-            unheard,
-            vouched: None,
-            listened: None,
-            full: false,
+            without_contact,
+            confirmed: None,
+            listening: None,
+            is_complete: false,
         }
     }
 
-    /// Somebody vouches for the list.
-    pub fn vouched(&mut self, now: Time) {
-        self.vouched.get_or_insert(now);
+    /// Somebody has confirmed the list.
+    pub fn list_confirmed(&mut self, now: Time) {
+        self.confirmed.get_or_insert(now);
     }
 
     /// Clients are taken from now on.
-    pub fn listens(&mut self, now: Time) {
-        self.listened.get_or_insert(now);
+    pub fn started_listening(&mut self, now: Time) {
+        self.listening.get_or_insert(now);
     }
 
-    pub fn phase(&self, now: Time, owns_from: Time) -> Phase {
-        match self.vouched {
+    /// How far it has come; its own shares may be used from `own_share_from` on.
+    pub fn phase(&self, now: Time, own_share_from: Time) -> Phase {
+        match self.confirmed {
             None => Phase::Listed,
-            Some(_) if now < owns_from => Phase::Vouched,
+            Some(_) if now < own_share_from => Phase::Confirmed,
             Some(_) => Phase::Full,
         }
     }
 
-    /// How long the whole return took, told once, when it has come to its end.
-    pub fn full(&mut self, now: Time, owns_from: Time) -> Option<Span> {
-        let reached = !self.full && self.phase(now, owns_from) == Phase::Full;
-        self.full |= reached;
-        reached.then(|| now.since(self.began))
+    /// How long the whole startup took, given once, when it is complete.
+    pub fn completed(&mut self, now: Time, own_share_from: Time) -> Option<Span> {
+        let is_reached = !self.is_complete && self.phase(now, own_share_from) == Phase::Full;
+        self.is_complete |= is_reached;
+        is_reached.then(|| now.since(self.began))
     }
 
-    /// When clients are to be taken whatever has been heard by then.
+    /// When clients are to be taken whatever is heard until then.
     pub fn listens_at(&self) -> Time {
-        match (self.vouched, self.unheard) {
+        match (self.confirmed, self.without_contact) {
             (Some(at), _) => at,
-            (None, WithoutContact::GoOn) => self.began + TRIES,
+            (None, WithoutContact::GoOn) => self.began + SHORTEST_WAIT,
             (None, WithoutContact::RejectAfter(after)) => self.began + after,
         }
     }
 
-    /// How long it took until the list was vouched for and until clients were taken, for the log.
-    pub fn took(&self) -> [Option<Span>; 2] {
-        [self.vouched, self.listened].map(|at| at.map(|at| at.since(self.began)))
+    /// How long the steps took so far.
+    pub fn times(&self) -> StartupTimes {
+        let since_start = |at: Time| at.since(self.began);
+        StartupTimes {
+            confirmed: self.confirmed.map(since_start),
+            listening: self.listening.map(since_start),
+        }
     }
 }
--- a/crates/flaxdeck-recovery/src/unconfirmed.rs
+++ b/crates/flaxdeck-recovery/src/unconfirmed.rs
@@ -1,7 +1,9 @@
-//! A whole list that came in place of what should have followed may be older than what is known here: a coordinator
-//! that was put back from a backup lists a host in service that it had withdrawn since. Nobody can tell such a list
-//! from one of a coordinator that only lost its numbers, so what is known to be withdrawn stays so until a fact says
-//! otherwise: a later event that names the host, or another start of it.
+//! Which endpoints of a list that replaced what should have followed may be used.
+//!
+//! Such a list may be older than what is known here: a coordinator that was restored from a backup lists a host in
+//! service that it had withdrawn since. Nobody can tell such a list from one of a coordinator that only lost its numbers,
+//! so a host that is known to be withdrawn stays so until a fact says otherwise: a later event that names the host, or
+//! another start of it.
 
 use std::collections::BTreeMap;
 
@@ -9,84 +11,106 @@
 
 use crate::numbering::MissedPeriod;
 
-/// A host whose withdrawal is doubted and that nobody has named since is used again after so long. It weighs a drain
-/// that was forgotten against a place lost for good: a host that drains has ended well before that by any promised
-/// time, and one still listed then is served by whoever restored the coordinator.
-const LASTS: Span = Span::from_ms(60_000);
+/// A host that is held back and that no event has named since is used again after so long. It weighs a drain that was
+/// forgotten against a place lost for good: a host that drains has ended well before that by any promised time, and one
+/// still listed then is served by whoever restored the coordinator.
+const HELD_BACK_FOR: Span = Span::from_ms(60_000);
 
-/// What is known of hosts by events of a numbering that is no more.
+/// A list that was adopted.
+#[derive(Clone, Debug)]
+pub struct AdoptedList {
+    /// The endpoints, those that are held back with the health that they had before.
+    pub endpoints: Vec<Endpoint>,
+    /// How many are held back.
+    pub held_back: usize,
+}
+
+#[derive(Clone)]
+struct HeldBack {
+    endpoint: Endpoint,
+    until: Time,
+}
+
+/// Endpoints that are held back, as they were withdrawn under a numbering that is no more.
 #[derive(Default)]
 pub struct UnconfirmedEndpoints {
-    /// The health that each host had, by the start it had then, and until when that counts.
-    held: BTreeMap<HostId, (Endpoint, Time)>,
+    held_back: BTreeMap<HostId, HeldBack>,
 }
 
 impl UnconfirmedEndpoints {
-    /// Takes a whole list that replaces what was known; gives it back with what is doubted withdrawn, and how many
-    /// hosts that are.
+    /// Takes a full list that replaces what was known.
     pub fn adopt(
         &mut self,
         now: Time,
         known: &BTreeMap<HostId, Endpoint>,
-        mut list: Vec<Endpoint>,
-    ) -> (Vec<Endpoint>, usize) {
-        self.held.clear();
-        let withdrawn = |line: &&mut Endpoint| line.health == Health::InService;
-        for line in list.iter_mut().filter(withdrawn) {
-            let Some(before) = known.get(&line.host) else {
+        mut endpoints: Vec<Endpoint>,
+    ) -> AdoptedList {
+        self.held_back.clear();
+        for endpoint in &mut endpoints {
+            let Some(before) = known.get(&endpoint.host) else {
                 continue;
             };
-            if before.health != Health::InService && !started_later(line, before) {
-                line.health = before.health;
-                self.held
-                    .insert(line.host.clone(), (line.clone(), now + LASTS));
+            let was_withdrawn =
+                endpoint.health == Health::InService && before.health != Health::InService;
+            if was_withdrawn && endpoint.started <= before.started {
+                endpoint.health = before.health;
+                let held_back = HeldBack {
+                    endpoint: endpoint.clone(),
+                    until: now + HELD_BACK_FOR,
+                };
+                self.held_back.insert(endpoint.host.clone(), held_back);
             }
         }
-        (list, self.held.len())
+        AdoptedList {
+            endpoints,
+            held_back: self.held_back.len(),
+        }
     }
 
-    /// An event of the new numbering names these: nothing of them is doubted any more.
-    pub fn named<'a>(&mut self, hosts: impl IntoIterator<Item = &'a HostId>) {
-        hosts
-            .into_iter()
-            .for_each(|host| drop(self.held.remove(host)));
+    /// An event of the new numbering names these hosts: what it says of them is confirmed.
+    pub fn confirm<'a>(&mut self, hosts: impl IntoIterator<Item = &'a HostId>) {
+        for host in hosts {
+            self.held_back.remove(host);
+        }
     }
 
-    /// Hosts whose doubt has run out, as the new list had them.
-    pub fn run_out(&mut self, now: Time) -> Vec<Endpoint> {
-        let (out, held) = std::mem::take(&mut self.held)
-            .into_iter()
-            .partition(|(_, (_, until))| *until <= now);
-        self.held = held;
-        let out: BTreeMap<HostId, (Endpoint, Time)> = out;
-        out.into_values()
-            .map(|(line, _)| Endpoint {
-                health: Health::InService,
-                ..line
-            })
-            .collect()
+    /// The endpoints that are not held back any more, as the new list has them.
+    pub fn take_expired(&mut self, now: Time) -> Vec<Endpoint> {
+        let mut expired = Vec::new();
+        self.held_back.retain(|_, held_back| {
+            let is_expired = held_back.until <= now;
+            if is_expired {
+                expired.push(Endpoint {
+                    health: Health::InService,
+                    ..held_back.endpoint.clone()
+                });
+            }
+            !is_expired
+        });
+        expired
     }
 
-    /// When that is next.
-    pub fn next(&self) -> Option<Time> {
-        self.held.values().map(|(_, until)| *until).min()
+    /// When the next ones expire.
+    pub fn next_expiry(&self) -> Option<Time> {
+        self.held_back
+            .values()
+            .map(|held_back| held_back.until)
+            .min()
     }
 }
 
-fn started_later(line: &Endpoint, before: &Endpoint) -> bool {
-    line.started > before.started
-}
-
-/// The moment from before which no copy may be given, as a purge may have been lost since; none if nothing can have
-/// been. Hosts drop by themselves what was purged `settles` ago, so only the time after counts, and a link that was
-/// heard to its end has told all that there was.
-pub fn copies_from(now: Time, doubt: MissedPeriod, settles: Span) -> Option<Time> {
-    let since = doubt.since?;
-    (!doubt.heard_to_the_end && now.since(since) > Span::ZERO).then_some(
-        if now.since(since) > settles {
-            now - settles
-        } else {
-            since
-        },
-    )
+/// The moment from before which no copy may be served, as a purge may have been missed since; none if nothing can have
+/// been. Hosts drop by themselves what was purged `settles` ago, so only the time after counts, and a connection that
+/// was closed cleanly has told all that there was.
+pub fn copies_from(now: Time, missed: MissedPeriod, settles: Span) -> Option<Time> {
+    let since = missed.since?;
+    let length = now.since(since);
+    if missed.closed_cleanly || length == Span::ZERO {
+        return None;
+    }
+    Some(if length > settles {
+        now - settles
+    } else {
+        since
+    })
 }
--- a/crates/flaxdeck-recovery/tests/live_edge.rs
+++ b/crates/flaxdeck-recovery/tests/live_edge.rs
@@ -16,7 +16,7 @@
     for n in 0..20_000u64 {
         let made = n as f64 * every;
         let arrives = made.max(begins + made / pace);
-        if edge.told(at(arrives), at(made) + apart) {
+        if edge.record_event(at(arrives), at(made) + apart) {
             return Some((arrives - begins, arrives - made));
         }
     }
--- a/crates/flaxdeck-recovery/tests/numbering_model.rs
+++ b/crates/flaxdeck-recovery/tests/numbering_model.rs
@@ -1,12 +1,18 @@
-//! The numbering under a coordinator that forgets, is put back and jumps ahead, over links that break and fall silent,
+//! The numbering under a coordinator that forgets, is restored from a backup and jumps ahead, over links that break and fall silent,
 //! with a second instance that passes on what it knows: random schedules of the real machines in virtual time. What must
 //! hold: who takes itself for current hands nothing to a host that the coordinator has withdrawn.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::collections::{BTreeMap, VecDeque};
 
 use flaxdeck::{CellId, Endpoint, Health, HostId, Role, Time};
 use flaxdeck_recovery::EventPosition;
-use flaxdeck_recovery::numbering::{Next, Numbering};
+use flaxdeck_recovery::numbering::{EventAction, Numbering};
 use flaxdeck_recovery::unconfirmed::UnconfirmedEndpoints;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -19,13 +25,14 @@
 /// How long what others bring may stand against the coordinator.
 const CONTRADICTED: u64 = 800;
 
-type HostHealth = [bool; HOSTS]; // withdrawn or not
+/// Whether each host is withdrawn.
+type Withdrawn = [bool; HOSTS];
 
 #[derive(Clone, Debug)]
 struct Event {
-    mark: EventPosition,
+    position: EventPosition,
     whole: bool,
-    healths: HostHealth,
+    healths: Withdrawn,
 }
 
 struct Coordinator {
@@ -41,7 +48,7 @@
         self.events.last().expect("a list is always there")
     }
 
-    fn mark(&mut self, number: u64) -> EventPosition {
+    fn position(&mut self, number: u64) -> EventPosition {
         self.hashes += 1;
         EventPosition {
             number,
@@ -49,31 +56,31 @@
         }
     }
 
-    fn tell(&mut self, chance: &mut Pcg64Mcg) {
+    fn tell(&mut self, random: &mut Pcg64Mcg) {
         let mut healths = self.last().healths;
-        let host = chance.random_range(0..HOSTS);
+        let host = random.random_range(0..HOSTS);
         healths[host] = !healths[host];
-        let number = self.last().mark.number + 1;
-        let mark = self.mark(number);
+        let number = self.last().position.number + 1;
+        let position = self.position(number);
         self.events.push(Event {
-            mark,
+            position,
             whole: false,
             healths,
         });
     }
 
     /// It starts anew with its list as event `number`.
-    fn list(&mut self, number: u64, healths: HostHealth) {
+    fn list(&mut self, number: u64, healths: Withdrawn) {
         self.run += 1;
-        let mark = self.mark(number);
+        let position = self.position(number);
         self.events = vec![Event {
-            mark,
+            position,
             whole: true,
             healths,
         }];
     }
 
-    fn put_back(&mut self, events: usize) {
+    fn restore(&mut self, events: usize) {
         self.run += 1;
         let left = self.events.len().saturating_sub(events).max(1);
         self.events.truncate(left);
@@ -81,7 +88,7 @@
 
     /// What follows that number, as stand-ins and the platform's page have it.
     fn news(&self, last: u64) -> Vec<Event> {
-        if last > self.last().mark.number {
+        if last > self.last().position.number {
             return vec![Event {
                 whole: true,
                 ..self.last().clone()
@@ -89,7 +96,7 @@
         }
         self.events
             .iter()
-            .filter(|event| event.mark.number > last)
+            .filter(|event| event.position.number > last)
             .cloned()
             .collect()
     }
@@ -105,10 +112,41 @@
     held: bool,
 }
 
+impl Link {
+    /// The coordinator sends what is new, or an empty frame after a quiet second.
+    fn send(&mut self, ms: u64, coordinator: &Coordinator, random: &mut Pcg64Mcg) {
+        let last = self.coming.back().map_or(ms, |(at, _)| *at);
+        let late = last.max(ms + random.random_range(0..COMES));
+        for event in &coordinator.events {
+            if event.position.number > self.sent {
+                self.coming.push_back((late, Some(event.clone())));
+                self.quiet_since = ms;
+            }
+        }
+        self.sent = coordinator.last().position.number;
+        if ms - self.quiet_since >= 1_000 {
+            self.coming.push_back((late, None));
+            self.quiet_since = ms;
+        }
+    }
+
+    fn arrived(&mut self, ms: u64) -> Vec<Option<Event>> {
+        let mut arrived = Vec::new();
+        while let Some((_, event)) = self.coming.pop_front_if(|(at, _)| *at <= ms) {
+            arrived.push(event);
+        }
+        arrived
+    }
+}
+
+fn time(ms: u64) -> Time {
+    Time::at_ms(1_000.0 + ms as f64)
+}
+
 struct Instance {
     numbering: Numbering,
-    doubted: UnconfirmedEndpoints,
-    healths: HostHealth,
+    unconfirmed: UnconfirmedEndpoints,
+    healths: Withdrawn,
     link: Option<Link>,
     again_at: u64,
     /// What it would pass on, and the event that the first of it follows.
@@ -134,37 +172,28 @@
 }
 
 impl Instance {
-    fn new(first: &Event, trusting: bool) -> Instance {
-        let numbering = if trusting {
-            Numbering::trusting(first.mark)
+    fn new(first: &Event, trusted_numbers: bool) -> Instance {
+        let numbering = if trusted_numbers {
+            Numbering::with_trusted_numbers(first.position)
         } else {
-            Numbering::new(first.mark)
+            Numbering::new(first.position)
         };
-        let (doubted, healths, log) = (
-            UnconfirmedEndpoints::default(),
-            first.healths,
-            (first.mark, Vec::new()),
-        );
         Instance {
             numbering,
-            doubted,
-            healths,
+            unconfirmed: UnconfirmedEndpoints::default(),
+            healths: first.healths,
             link: None,
             again_at: 0,
-            log,
+            log: (first.position, Vec::new()),
         }
     }
 
     fn applies(&mut self, event: &Event) {
-        for host in 0..HOSTS {
-            if event.healths[host] != self.healths[host] {
-                self.healths[host] = event.healths[host];
-            }
-        }
+        self.healths = event.healths;
         self.log.1.push(event.clone());
     }
 
-    fn adopts(&mut self, now: Time, event: &Event, doubt: bool) {
+    fn adopts(&mut self, now: Time, event: &Event, may_have_missed: bool) {
         let before: BTreeMap<HostId, Endpoint> = (0..HOSTS)
             .map(|host| line(host, self.healths[host]))
             .map(|line| (line.host.clone(), line))
@@ -172,91 +201,83 @@
         let mut list: Vec<Endpoint> = (0..HOSTS)
             .map(|host| line(host, event.healths[host]))
             .collect();
-        if doubt {
-            list = self.doubted.adopt(now, &before, list).0;
+        if may_have_missed {
+            list = self.unconfirmed.adopt(now, &before, list).endpoints;
+        }
+        for (host, line) in list.iter().enumerate() {
+            self.healths[host] = line.health != Health::InService;
         }
-        list.iter()
-            .enumerate()
-            .for_each(|(host, line)| self.healths[host] = line.health != Health::InService);
-        self.log = (event.mark, Vec::new());
+        self.log = (event.position, Vec::new());
     }
 
-    fn step(&mut self, ms: u64, coordinator: &Coordinator, chance: &mut Pcg64Mcg) {
-        let now = Time::at_ms(1_000.0 + ms as f64);
+    fn step(&mut self, ms: u64, coordinator: &Coordinator, random: &mut Pcg64Mcg) {
         let Some(link) = &mut self.link else {
             if ms >= self.again_at {
-                let asked = self.numbering.ask(now);
-                let late = ms + chance.random_range(0..COMES);
-                let coming: VecDeque<_> = coordinator
-                    .news(asked)
-                    .into_iter()
-                    .map(|event| (late, Some(event)))
-                    .collect();
-                let sent = coordinator.last().mark.number;
-                self.link = Some(Link {
-                    run: coordinator.run,
-                    sent,
-                    coming,
-                    quiet_since: ms,
-                    held: false,
-                });
+                self.connect(ms, coordinator, random);
             }
             return;
         };
         if link.run == coordinator.run && !link.held {
-            let late = link
-                .coming
-                .back()
-                .map_or(ms, |(at, _)| *at)
-                .max(ms + chance.random_range(0..COMES));
-            for event in coordinator
-                .events
-                .iter()
-                .filter(|event| event.mark.number > link.sent)
-            {
-                link.coming.push_back((late, Some(event.clone())));
-                link.quiet_since = ms;
-            }
-            link.sent = coordinator.last().mark.number;
-            if ms - link.quiet_since >= 1_000 {
-                link.coming.push_back((late, None));
-                link.quiet_since = ms;
-            }
-        }
-        let mut heard = Vec::new();
-        while let Some((_, event)) = link.coming.pop_front_if(|(at, _)| *at <= ms) {
-            heard.push(event);
+            link.send(ms, coordinator, random);
         }
-        // A coordinator that has restarted ends its connections; one that is held says nothing until it is given up.
+        let arrived = link.arrived(ms);
+        // A coordinator that has restarted closes its connections; one that is held says nothing until it is given up.
         let ended = link.run != coordinator.run && link.coming.is_empty() && !link.held;
         let silent = link.held && ms - link.quiet_since > 2_200;
-        for event in heard {
-            let next = match &event {
-                None => self.numbering.alive(now),
-                Some(event) => self.numbering.heard(now, event.mark, event.whole),
+        if !self.receive(ms, arrived) {
+            (self.link, self.again_at) = (None, ms + STEP);
+            return;
+        }
+        let now = time(ms);
+        if self.numbering.proof_due().is_some_and(|by| now >= by) {
+            let _ = self.numbering.proof_overdue(now);
+            (self.link, self.again_at) = (None, ms + STEP);
+        } else if ended || silent {
+            self.numbering.connection_closed(silent);
+            (self.link, self.again_at) = (None, ms + random.random_range(100..1_000));
+        }
+    }
+
+    fn connect(&mut self, ms: u64, coordinator: &Coordinator, random: &mut Pcg64Mcg) {
+        let asked = self.numbering.connection_opened(time(ms));
+        let late = ms + random.random_range(0..COMES);
+        let coming = coordinator
+            .news(asked)
+            .into_iter()
+            .map(|event| (late, Some(event)))
+            .collect();
+        self.link = Some(Link {
+            run: coordinator.run,
+            sent: coordinator.last().position.number,
+            coming,
+            quiet_since: ms,
+            held: false,
+        });
+    }
+
+    /// Takes in what has arrived, none for an empty frame; false if the connection is to be closed.
+    fn receive(&mut self, ms: u64, arrived: Vec<Option<Event>>) -> bool {
+        let now = time(ms);
+        for event in arrived {
+            let action = match &event {
+                None => self.numbering.receive_heartbeat(now),
+                Some(event) => self.numbering.receive(now, event.position, event.whole),
             };
-            match (next, event) {
-                (Next::Apply, Some(event)) => self.applies(&event),
-                (Next::Adopt(doubt), Some(event)) => self.adopts(now, &event, doubt.is_some()),
-                (Next::AskAgain(_), _) => {
-                    (self.link, self.again_at) = (None, ms + STEP);
-                    return;
+            match (action, event) {
+                (EventAction::Apply, Some(event)) => self.applies(&event),
+                (EventAction::Replace(missed), Some(event)) => {
+                    self.adopts(now, &event, missed.is_some());
                 }
+                (EventAction::Reconnect(_), _) => return false,
                 _ => {}
             }
         }
-        if self.numbering.proves_by().is_some_and(|by| now >= by) {
-            let _ = self.numbering.overdue(now);
-            (self.link, self.again_at) = (None, ms + STEP);
-        } else if ended || silent {
-            self.numbering.ended(silent);
-            (self.link, self.again_at) = (None, ms + chance.random_range(100..1_000));
-        }
+        true
     }
 
     /// Takes what another knows to follow what is known here.
     fn relayed(&mut self, ms: u64, other: &Instance) {
-        let now = Time::at_ms(1_000.0 + ms as f64);
+        let now = time(ms);
         let last = self.numbering.last();
         let at = if other.log.0 == last {
             Some(0)
@@ -265,13 +286,13 @@
                 .log
                 .1
                 .iter()
-                .position(|event| event.mark == last)
+                .position(|event| event.position == last)
                 .map(|at| at + 1)
         };
         let Some(event) = at.and_then(|at| other.log.1.get(at)).cloned() else {
             return;
         };
-        if self.numbering.relayed(now, last, event.mark) {
+        if self.numbering.accept_relayed(now, last, event.position) {
             self.applies(&event);
         }
     }
@@ -280,16 +301,44 @@
 #[derive(Clone, Copy, PartialEq)]
 enum How {
     Real,
-    /// Numbers alone are believed, as by the platform's page.
-    Trusting,
+    /// Numbers alone are trusted, as by the platform's page.
+    TrustedNumbers,
     /// Events are told apart by their numbers alone.
     Unhashed,
 }
 
+/// Something happens to the coordinator or to a connection, by random.
+fn disturb(
+    seed: u64,
+    coordinator: &mut Coordinator,
+    instances: &mut [Instance; 2],
+    random: &mut Pcg64Mcg,
+) {
+    let before = coordinator.last().healths;
+    match random.random_range(0..1_000) {
+        // On quiet days nothing contradicts soon what peers bring.
+        n @ 0..30 if n < 3 || seed.is_multiple_of(2) => coordinator.tell(random),
+        30..32 => coordinator.list(1, before),
+        32..34 => coordinator.restore(random.random_range(1..4)),
+        34 => {
+            let number = coordinator.last().position.number + random.random_range(2..50);
+            coordinator.list(number, before);
+        }
+        35..39 => {
+            let instance = &mut instances[random.random_range(0..2)];
+            if let Some(link) = &mut instance.link {
+                link.held = true;
+                link.coming.clear();
+            }
+        }
+        _ => {}
+    }
+}
+
 /// Plays one schedule; gives the first moment at which somebody who takes itself for current would use a host that has
 /// been withdrawn for long enough.
 fn play(seed: u64, how: How) -> Option<String> {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut coordinator = Coordinator {
         run: 0,
         events: Vec::new(),
@@ -299,34 +348,16 @@
     coordinator.list(1, [false; HOSTS]);
     coordinator.run = 0;
     let first = coordinator.last().clone();
-    let mut instances = [(); 2].map(|()| Instance::new(&first, how == How::Trusting));
+    let mut instances = [(); 2].map(|()| Instance::new(&first, how == How::TrustedNumbers));
     let mut withdrawn_since = [None::<u64>; HOSTS];
     let mut wrong_since = [[None::<u64>; HOSTS]; 2];
     for ms in (0..12_000).step_by(STEP as usize) {
-        let before = coordinator.last().healths;
-        match chance.random_range(0..1_000) {
-            // On quiet days nothing contradicts soon what others bring.
-            n @ 0..30 if n < 3 || seed.is_multiple_of(2) => coordinator.tell(&mut chance),
-            30..32 => coordinator.list(1, before),
-            32..34 => coordinator.put_back(chance.random_range(1..4)),
-            34 => {
-                let number = coordinator.last().mark.number + chance.random_range(2..50);
-                coordinator.list(number, before);
-            }
-            35..39 => instances[chance.random_range(0..2)]
-                .link
-                .iter_mut()
-                .for_each(|link| {
-                    link.held = true;
-                    link.coming.clear();
-                }),
-            _ => {}
-        }
+        disturb(seed, &mut coordinator, &mut instances, &mut random);
         for (since, withdrawn) in withdrawn_since.iter_mut().zip(coordinator.last().healths) {
             *since = if withdrawn { since.or(Some(ms)) } else { None };
         }
         for instance in &mut instances {
-            instance.step(ms, &coordinator, &mut chance);
+            instance.step(ms, &coordinator, &mut random);
         }
         if ms % 50 == 0 {
             let [one, other] = &mut instances;
@@ -334,12 +365,12 @@
             other.relayed(ms, one);
         }
         for (n, instance) in instances.iter().enumerate() {
-            let now = Time::at_ms(1_000.0 + ms as f64);
+            let now = time(ms);
             let linked = instance
                 .link
                 .as_ref()
                 .is_some_and(|link| link.run == coordinator.run && !link.held);
-            let current = linked && instance.numbering.current(now);
+            let current = linked && instance.numbering.is_current(now);
             for host in 0..HOSTS {
                 let long = withdrawn_since[host].is_some_and(|since| ms >= since + 3 * COMES);
                 let wrong = current && long && !instance.healths[host];
@@ -363,8 +394,8 @@
 }
 
 #[test]
-fn believing_numbers_alone_is_found() {
-    assert!((0..100).any(|seed| play(seed, How::Trusting).is_some()));
+fn trusting_numbers_alone_is_found() {
+    assert!((0..100).any(|seed| play(seed, How::TrustedNumbers).is_some()));
 }
 
 #[test]
--- a/crates/flaxdeck-recovery/tests/reconnect_backoff.rs
+++ b/crates/flaxdeck-recovery/tests/reconnect_backoff.rs
@@ -2,7 +2,9 @@
 
 use flaxdeck::{Span, Time};
 use flaxdeck_recovery::ReconnectBackoff;
-use flaxdeck_recovery::reconnect_backoff::{CALM, FIRST, GROWS};
+use flaxdeck_recovery::reconnect_backoff::{
+    GROWTH, MAX_INITIAL_DELAY, MIN_INITIAL_DELAY, RELAXED_FACTOR,
+};
 
 fn at(ms: f64) -> Time {
     Time::at_ms(1_000.0 + ms)
@@ -16,9 +18,9 @@
     // A thousand that lost the coordinator in one moment: how many call in the worst 20 ms of the next seconds.
     let mut calls = vec![0u32; 500];
     for seed in 0..1_000 {
-        let (mut pace, mut now) = (ReconnectBackoff::new(seed, LEAST, MOST), 0.0);
+        let (mut backoff, mut now) = (ReconnectBackoff::new(seed, LEAST, MOST), 0.0);
         while now < 9_000.0 {
-            now += pace.pause(at(now), false).ms();
+            now += backoff.pause(at(now), false).ms();
             calls[(now / 20.0) as usize] += 1;
         }
     }
@@ -32,19 +34,22 @@
 
 #[test]
 fn who_hears_the_same_from_others_calls_seldom_until_that_ends() {
-    let (mut pace, mut now) = (ReconnectBackoff::new(5, LEAST, MOST), at(0.0));
-    let longest = (0..30).map(|_| pace.pause(now, true)).max().unwrap();
-    assert!(longest > MOST && longest <= MOST * CALM, "{longest:?}");
-    pace.expedite();
+    let (mut backoff, mut now) = (ReconnectBackoff::new(5, LEAST, MOST), at(0.0));
+    let longest = (0..30).map(|_| backoff.pause(now, true)).max().unwrap();
+    assert!(
+        longest > MOST && longest <= MOST * RELAXED_FACTOR,
+        "{longest:?}"
+    );
+    backoff.expedite();
     now = now + longest;
-    assert!(pace.pause(now, false) <= LEAST * GROWS);
+    assert!(backoff.pause(now, false) <= LEAST * GROWTH);
     let firsts: Vec<Span> = (0..200)
-        .map(|seed| ReconnectBackoff::new(seed, LEAST, MOST).first())
+        .map(|seed| ReconnectBackoff::new(seed, LEAST, MOST).initial_delay())
         .collect();
     assert!(
         firsts
             .iter()
-            .all(|first| (FIRST[0]..=FIRST[1]).contains(first))
+            .all(|first| (MIN_INITIAL_DELAY..=MAX_INITIAL_DELAY).contains(first))
     );
     // Spread: in step they would be 200 within any 30 ms.
     for from in (150..420).step_by(10) {
@@ -57,17 +62,17 @@
 
 #[test]
 fn pauses_stay_within_their_bounds_and_begin_anew_after_a_call_that_lasted() {
-    let mut pace = ReconnectBackoff::new(3, LEAST, MOST);
+    let mut backoff = ReconnectBackoff::new(3, LEAST, MOST);
     let mut now = at(0.0);
     for _ in 0..1_000 {
-        let pause = pace.pause(now, false);
+        let pause = backoff.pause(now, false);
         assert!(pause >= LEAST && pause <= MOST);
         now = now + pause;
     }
-    pace.answered(now);
-    let short = pace.pause(now + LEAST, false);
+    backoff.answered(now);
+    let short = backoff.pause(now + LEAST, false);
     assert!(short >= LEAST, "one that breaks at once changes nothing");
-    pace.answered(now);
-    let first = pace.pause(now + MOST, false);
-    assert!(first <= LEAST * GROWS, "{first:?}");
+    backoff.answered(now);
+    let first = backoff.pause(now + MOST, false);
+    assert!(first <= LEAST * GROWTH, "{first:?}");
 }
--- a/crates/flaxdeck-recovery/tests/restored_state.rs
+++ b/crates/flaxdeck-recovery/tests/restored_state.rs
@@ -1,19 +1,26 @@
-//! What of stored state may be believed, item by item.
+//! What of stored state may be restored, item by item.
+
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
 
 use flaxdeck::{Span, Time};
 use flaxdeck_recovery::EventPosition;
-use flaxdeck_recovery::restored_state::{
-    Now, RestoredState, StateChange, StoredEndpoint, StoredPurge, StoredRating, StoredState,
-    Uptime, bytes, judge,
+use flaxdeck_recovery::restored_state::{CurrentFacts, RestoredState, validate};
+use flaxdeck_recovery::stored_state::{
+    MAX_PURGES, StateChange, StoredEndpoint, StoredMeasurements, StoredPurge, StoredRating,
+    StoredState, Uptime, encode,
 };
 
-const NOW: Now = Now {
+const NOW: CurrentFacts = CurrentFacts {
     uptime: Uptime {
         boot: 7,
         ms: 100_000,
     },
-    file: EventPosition { number: 1, hash: 1 },
-    waits: Span::from_ms(5_000),
+    configured_event: EventPosition { number: 1, hash: 1 },
+    startup_wait: Span::from_ms(5_000),
 };
 
 fn line(host: &str, started: u64) -> StoredEndpoint {
@@ -31,25 +38,27 @@
 }
 
 fn rating(host: &str, started: u64) -> StoredRating {
-    let (measured_ago, good_ago, bad_ago) = (Some(1_000), Some(1_000), None);
     StoredRating {
         host: host.into(),
         started,
-        measures: [Some(3.0), None],
-        measured_ago,
-        good_ago,
-        bad_ago,
+        measurements: StoredMeasurements {
+            latency: Some(3.0),
+            bandwidth: None,
+        },
+        measured_ago_ms: Some(1_000),
+        last_success_ago_ms: Some(1_000),
+        last_failure_ago_ms: None,
     }
 }
 
-fn kept(ago: u64) -> StoredState {
+fn stored(ago: u64) -> StoredState {
     StoredState {
         written: Uptime {
             boot: 7,
             ms: 100_000 - ago,
         },
-        event: EventPosition { number: 9, hash: 5 },
-        lines: vec![line("a", 0), line("b", 500)],
+        last_event: EventPosition { number: 9, hash: 5 },
+        endpoints: vec![line("a", 0), line("b", 500)],
         purges: vec![StoredPurge {
             object: Some(1),
             group: 0,
@@ -60,8 +69,8 @@
     }
 }
 
-fn hosts(believed: &RestoredState) -> Vec<&str> {
-    believed
+fn hosts(restored: &RestoredState) -> Vec<&str> {
+    restored
         .ratings
         .iter()
         .map(|rating| &*rating.host)
@@ -70,80 +79,83 @@
 
 #[test]
 fn what_was_seen_of_a_host_counts_for_that_start_of_it_alone() {
-    let believed = judge(kept(2_000), NOW);
+    let restored = validate(stored(2_000), NOW);
     assert_eq!(
-        hosts(&believed),
+        hosts(&restored),
         ["a"],
         "b has restarted, one is listed no more"
     );
-    assert_eq!(believed.ratings[0].good_ago, Some(3_000));
-    assert_eq!(believed.event, Some(EventPosition { number: 9, hash: 5 }));
+    assert_eq!(restored.ratings[0].last_success_ago_ms, Some(3_000));
+    assert_eq!(
+        restored.last_event,
+        Some(EventPosition { number: 9, hash: 5 })
+    );
 }
 
 #[test]
-fn what_is_old_is_worth_what_a_stranger_is() {
-    let believed = judge(kept(30_000), NOW);
+fn what_is_old_is_not_used() {
+    let restored = validate(stored(30_000), NOW);
     assert_eq!(
         (
-            believed.ratings[0].good_ago,
-            believed.ratings[0].measured_ago
+            restored.ratings[0].last_success_ago_ms,
+            restored.ratings[0].measured_ago_ms
         ),
         (None, Some(31_000))
     );
-    assert_eq!(judge(kept(90_000), NOW).ratings, []);
+    assert_eq!(validate(stored(90_000), NOW).ratings, []);
 }
 
 #[test]
-fn after_a_boot_no_clock_vouches_for_any_age() {
-    let now = Now {
+fn after_a_boot_no_clock_tells_any_age() {
+    let now = CurrentFacts {
         uptime: Uptime {
             boot: 8,
             ms: 100_000,
         },
         ..NOW
     };
-    let believed = judge(
+    let restored = validate(
         StoredState {
             lent_until: Some(Uptime { boot: 7, ms: 1 }),
-            ..kept(10)
+            ..stored(10)
         },
         now,
     );
-    assert_eq!((believed.ratings.len(), believed.waits), (0, None));
+    assert_eq!((restored.ratings.len(), restored.startup_wait), (0, None));
     assert_eq!(
-        (believed.lines.len(), believed.purges.len()),
+        (restored.endpoints.len(), restored.purges.len()),
         (2, 1),
         "facts need no clock"
     );
     // Nor where none can be read.
-    let now = Now {
+    let now = CurrentFacts {
         uptime: Uptime::default(),
         ..NOW
     };
     assert_eq!(
-        judge(
+        validate(
             StoredState {
                 written: Uptime::default(),
-                ..kept(10)
+                ..stored(10)
             },
             now
         )
-        .waits,
+        .startup_wait,
         None
     );
 }
 
 #[test]
-fn shares_are_left_alone_for_what_may_be_out_and_never_for_longer_than_without_a_store() {
+fn own_shares_wait_for_what_may_be_outstanding_and_never_longer_than_without_a_store() {
     let waits = |ms| {
-        judge(
+        validate(
             StoredState {
                 lent_until: ms,
-                ..kept(100)
+                ..stored(100)
             },
             NOW,
         )
-        .waits
+        .startup_wait
     };
     let at = |ms| Some(Uptime { boot: 7, ms });
     assert_eq!(waits(None), Some(Span::ZERO));
@@ -155,30 +167,37 @@
 
 #[test]
 fn a_configuration_of_a_later_event_outweighs_the_store() {
-    let now = Now {
-        file: EventPosition {
+    let now = CurrentFacts {
+        configured_event: EventPosition {
             number: 10,
             hash: 2,
         },
         ..NOW
     };
-    let believed = judge(kept(100), now);
+    let restored = validate(stored(100), now);
     assert_eq!(
-        (believed.event, believed.lines.len(), believed.purges.len()),
+        (
+            restored.last_event,
+            restored.endpoints.len(),
+            restored.purges.len()
+        ),
         (None, 0, 1)
     );
     assert!(
-        believed
+        restored
             .verdicts
             .iter()
-            .any(|verdict| verdict.item == "hosts" && !verdict.believed)
+            .any(|verdict| verdict.item == "hosts" && !verdict.is_valid)
     );
 }
 
 #[test]
 fn what_was_written_is_read_and_other_bytes_are_not() {
-    let (all, later) = (kept(3), StateChange::LendsUntil(Uptime { boot: 7, ms: 9 }));
-    let read = StoredState::read(&bytes(&all), &[bytes(&later)]).unwrap();
+    let (all, later) = (
+        stored(3),
+        StateChange::LendingPermit(Uptime { boot: 7, ms: 9 }),
+    );
+    let read = StoredState::read(&encode(&all), &[encode(&later)]).unwrap();
     assert_eq!(
         read,
         StoredState {
@@ -186,15 +205,15 @@
             ..all.clone()
         }
     );
-    assert!(StoredState::read(&bytes(&all), &[vec![9, 9, 9]]).is_err());
-    assert!(StoredState::read(&[bytes(&all), vec![0]].concat(), &[]).is_err());
+    assert!(StoredState::read(&encode(&all), &[vec![9, 9, 9]]).is_err());
+    assert!(StoredState::read(&[encode(&all), vec![0]].concat(), &[]).is_err());
 }
 
 #[test]
 fn what_came_later_is_added_in_its_order() {
-    let mut all = kept(0);
+    let mut all = stored(0);
     let mark = |number| EventPosition { number, hash: 1 };
-    all.add(StateChange::Lines(
+    all.apply(StateChange::Endpoints(
         mark(10),
         vec![
             StoredEndpoint {
@@ -204,7 +223,7 @@
             line("c", 0),
         ],
     ));
-    all.add(StateChange::Purged(
+    all.apply(StateChange::Purged(
         mark(11),
         StoredPurge {
             object: None,
@@ -214,17 +233,21 @@
     ));
     assert_eq!(
         (
-            all.event,
-            all.lines.len(),
-            all.lines[0].health,
+            all.last_event,
+            all.endpoints.len(),
+            all.endpoints[0].health,
             all.purges.len()
         ),
         (mark(11), 3, 1, 2)
     );
-    all.add(StateChange::Whole(mark(1), vec![line("d", 0)]));
-    all.add(StateChange::LendsUntil(Uptime { boot: 7, ms: 9 }));
+    all.apply(StateChange::FullList(mark(1), vec![line("d", 0)]));
+    all.apply(StateChange::LendingPermit(Uptime { boot: 7, ms: 9 }));
     assert_eq!(
-        (all.event, all.lines.len(), all.lent_until.map(|at| at.ms)),
+        (
+            all.last_event,
+            all.endpoints.len(),
+            all.lent_until.map(|at| at.ms)
+        ),
         (mark(1), 1, Some(9))
     );
 }
@@ -246,13 +269,14 @@
 }
 
 /// From when on a copy of the object has to be by what is kept; 0 if any will do.
-fn copies_from(kept: &StoredState, object: u64) -> u64 {
+fn copies_from(state: &StoredState, object: u64) -> u64 {
     let concerns = |purge: &&StoredPurge| {
         purge
             .object
             .map_or(purge.group == u64::MAX, |of| of == object)
     };
-    kept.purges
+    state
+        .purges
         .iter()
         .filter(concerns)
         .map(|purge| purge.made)
@@ -261,84 +285,87 @@
 }
 
 #[test]
-fn purges_are_kept_until_they_have_settled_at_any_rate() {
+fn purges_are_stored_until_they_have_settled_at_any_rate() {
     for per_s in [1, 330, 3_300] {
-        let mut kept = StoredState::default();
+        let mut state = StoredState::default();
         let last = 30 * per_s;
         for number in 0..=last {
-            kept.add(purged(number, 1_000 + number * 1_000 / per_s));
+            state.apply(purged(number, 1_000 + number * 1_000 / per_s));
             if number % 500 == 0 {
-                kept.forget_settled(Time::at_ms(1e9), SETTLES);
+                state.forget_settled(Time::at_ms(1e9), SETTLES);
             }
         }
-        kept.forget_settled(Time::at_ms(1e9), SETTLES);
+        state.forget_settled(Time::at_ms(1e9), SETTLES);
         let latest = 1_000 + last * 1_000 / per_s;
         for number in 0..=last {
             let made = 1_000 + number * 1_000 / per_s;
             let unsettled = made + 6_800 >= latest;
             assert!(
-                !unsettled || copies_from(&kept, number) == made,
+                !unsettled || copies_from(&state, number) == made,
                 "{number} of {last}"
             );
         }
         let within = per_s * 75 / 10 + 1;
         assert!(
-            kept.purges.len() as u64 <= within,
+            state.purges.len() as u64 <= within,
             "{} kept at {per_s} a second",
-            kept.purges.len()
+            state.purges.len()
         );
     }
 }
 
 #[test]
-fn purges_beyond_the_bound_are_folded_into_one_that_asks_for_no_less() {
-    use flaxdeck_recovery::restored_state::MAX_PURGES;
-    let mut kept = StoredState::default();
+fn purges_beyond_the_bound_are_merged_into_one_that_asks_for_no_less() {
+    let mut state = StoredState::default();
     let count = 3 * MAX_PURGES as u64 + 1_000;
     for number in 0..count {
-        kept.add(purged(number, 1_000 + number));
-        assert!(kept.purges.len() <= MAX_PURGES);
+        state.apply(purged(number, 1_000 + number));
+        assert!(state.purges.len() <= MAX_PURGES);
     }
     let sample = (0..count).step_by(97);
     assert!(
         sample
             .clone()
-            .all(|number| copies_from(&kept, number) >= 1_000 + number),
+            .all(|number| copies_from(&state, number) >= 1_000 + number),
         "none is forgotten"
     );
     assert_eq!(
-        copies_from(&kept, count - 1),
+        copies_from(&state, count - 1),
         1_000 + count - 1,
         "the latest are kept one by one"
     );
     assert!(
-        copies_from(&kept, count) < 1_000 + count,
-        "copies from later are in no doubt"
+        copies_from(&state, count) < 1_000 + count,
+        "copies from later are not concerned"
     );
-    let (snapshot, records) = (bytes(&kept), vec![bytes(&purged(count, 1_000 + count))]);
+    let (snapshot, records) = (encode(&state), vec![encode(&purged(count, 1_000 + count))]);
     let read = StoredState::read(&snapshot, &records).unwrap();
     assert_eq!(
         (read.purges.len(), copies_from(&read, count)),
-        (kept.purges.len() + 1, 1_000 + count)
+        (state.purges.len() + 1, 1_000 + count)
     );
 }
 
 #[test]
 fn a_purge_made_by_a_clock_that_is_ahead_has_no_other_forgotten() {
     let hour = 3_600_000;
-    let mut kept = StoredState::default();
+    let mut state = StoredState::default();
     [purged(1, 1_000_000), purged(2, 1_000_000 + hour)]
         .into_iter()
-        .for_each(|purge| kept.add(purge));
-    kept.forget_settled(Time::at_ms(1_002_000.0), SETTLES);
-    assert_eq!(kept.purges.len(), 2, "made 2 s ago by this machine's clock");
-    kept.forget_settled(Time::at_ms(1_010_000.0), SETTLES);
-    assert_eq!((kept.purges.len(), copies_from(&kept, 1)), (1, 0));
+        .for_each(|purge| state.apply(purge));
+    state.forget_settled(Time::at_ms(1_002_000.0), SETTLES);
+    assert_eq!(
+        state.purges.len(),
+        2,
+        "made 2 s ago by this machine's clock"
+    );
+    state.forget_settled(Time::at_ms(1_010_000.0), SETTLES);
+    assert_eq!((state.purges.len(), copies_from(&state, 1)), (1, 0));
     // This machine's own clock may be ahead as well: then the latest purge counts.
-    let mut kept = StoredState::default();
+    let mut state = StoredState::default();
     [purged(1, 1_000_000), purged(2, 1_002_000)]
         .into_iter()
-        .for_each(|purge| kept.add(purge));
-    kept.forget_settled(Time::at_ms(9e9), SETTLES);
-    assert_eq!(kept.purges.len(), 2);
+        .for_each(|purge| state.apply(purge));
+    state.forget_settled(Time::at_ms(9e9), SETTLES);
+    assert_eq!(state.purges.len(), 2);
 }
