--- a/crates/flaxdeck-channel/src/watch.rs
+++ b/crates/flaxdeck-channel/src/watch.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use flaxdeck::{Span, Time};
-use flaxdeck_recovery::numbering::{MissedPeriod, Next, Numbering, Why};
+use flaxdeck_recovery::numbering::{EventAction, MissedPeriod, Numbering, ReconnectReason};
 use flaxdeck_recovery::{EventPosition, LiveEdge, ReconnectBackoff};
 use flaxdeck_terms::Names;
 use flaxdeck_terms::fields::Fields;
@@ -100,7 +100,7 @@
             .map_or(0, |(_, event)| event.hash());
         let last = EventPosition { number, hash };
         let numbering = if trusts {
-            Numbering::trusting(last)
+            Numbering::with_trusted_numbers(last)
         } else {
             Numbering::new(last)
         };
@@ -167,7 +167,7 @@
         let mut numbering = self.numbering.borrow_mut();
         let news = known.into_iter().filter_map(|(number, event)| {
             numbering
-                .told_by_file(EventPosition {
+                .accept_configured(EventPosition {
                     number,
                     hash: event.hash(),
                 })
@@ -178,7 +178,7 @@
 
     fn hang_up(&mut self, by_silence: bool) {
         (self.link, self.told_current, self.live_edge) = (None, false, LiveEdge::default());
-        self.numbering.borrow_mut().ended(by_silence);
+        self.numbering.borrow_mut().connection_closed(by_silence);
     }
 
     async fn pause(&mut self) {
@@ -206,7 +206,7 @@
                 std::future::pending::<()>().await;
             }
             if self.waits {
-                let first = self.pace.first();
+                let first = self.pace.initial_delay();
                 self.wait(first).await;
                 self.waits = false;
             }
@@ -225,8 +225,8 @@
             match parsed {
                 Ok(Parsed::Whole((_, _, None))) => {
                     let now = self.clock.now();
-                    let next = self.numbering.borrow_mut().alive(now);
-                    if next == Next::Skip {
+                    let next = self.numbering.borrow_mut().receive_heartbeat(now);
+                    if next == EventAction::Skip {
                         self.pace.answered(now);
                         self.told_current = true;
                         return WatchEvent::Heartbeat;
@@ -242,27 +242,27 @@
                         number,
                         hash: event.hash(),
                     };
-                    let next = self.numbering.borrow_mut().heard(now, mark, whole);
+                    let next = self.numbering.borrow_mut().receive(now, mark, whole);
                     match next {
-                        Next::Skip => {}
-                        Next::Apply => {
+                        EventAction::Skip => {}
+                        EventAction::Apply => {
                             self.pace.answered(now);
                             count(Counter::feed_events);
                             return WatchEvent::Event(mark, frame, event);
                         }
-                        Next::Adopt(doubt) => {
+                        EventAction::Replace(doubt) => {
                             self.pace.answered(now);
                             count(Counter::feed_anew);
                             return WatchEvent::Relisted(mark, event, doubt);
                         }
-                        Next::AskAgain(why) => {
+                        EventAction::Reconnect(why) => {
                             count(Counter::feed_gaps);
                             log::warn!(
                                 "event {number} does not follow what is known: {why:?}, asking again"
                             );
                             self.hang_up(false);
                             // It has answered, and the next link asks for all: that ends this at once.
-                            if why == Why::NoList {
+                            if why == ReconnectReason::NoList {
                                 self.pause().await;
                             }
                         }
@@ -275,7 +275,7 @@
                         let numbering = self.numbering.borrow();
                         (
                             numbering.current_at().filter(|_| !self.told_current),
-                            numbering.proves_by(),
+                            numbering.proof_due(),
                         )
                     };
                     let due = [settles, proves]
@@ -291,14 +291,15 @@
                         Ok(Ok(true)) if begins => self.heard = Instant::now(),
                         Ok(Ok(true)) if Instant::now() < silent => {}
                         Err(_) if settles.is_some() && settles <= proves.or(settles) => {
-                            self.told_current = self.numbering.borrow().current(self.clock.now());
+                            self.told_current =
+                                self.numbering.borrow().is_current(self.clock.now());
                             if self.told_current {
                                 self.pace.answered(self.clock.now());
                                 return WatchEvent::Heartbeat;
                             }
                         }
                         Err(_) if proves.is_some() => {
-                            let next = self.numbering.borrow_mut().overdue(self.clock.now());
+                            let next = self.numbering.borrow_mut().proof_overdue(self.clock.now());
                             log::warn!("the coordinator has nothing where it was asked: {next:?}");
                             self.hang_up(false);
                             self.pause().await;
@@ -324,7 +325,7 @@
         let Event::Purged { made, .. } = event else {
             return;
         };
-        let live = self.live_edge.told(now, *made) && self.numbering.borrow().is_proven();
+        let live = self.live_edge.record_event(now, *made) && self.numbering.borrow().is_proven();
         self.told_current |= live;
     }
 
@@ -332,7 +333,10 @@
         count(Counter::feed_connects);
         match timeout(CONNECT, link::connect(self.address)).await {
             Ok(Ok((inbound, outbound))) => {
-                let asked = self.numbering.borrow_mut().ask(self.clock.now());
+                let asked = self
+                    .numbering
+                    .borrow_mut()
+                    .connection_opened(self.clock.now());
                 let asked = Bytes::copy_from_slice(&asked.to_be_bytes());
                 count_message(
                     [Counter::feed_messages_out, Counter::feed_bytes_out],
--- a/crates/flaxdeck-cli/src/state.rs
+++ b/crates/flaxdeck-cli/src/state.rs
@@ -5,7 +5,8 @@
 use flaxdeck::Span;
 use flaxdeck_net::clock::since_boot;
 use flaxdeck_recovery::EventPosition;
-use flaxdeck_recovery::restored_state::{self, Now, StoredState, Uptime};
+use flaxdeck_recovery::restored_state::{self, CurrentFacts};
+use flaxdeck_recovery::stored_state::{StoredState, Uptime};
 use flaxdeck_store::{Folder, look};
 
 use crate::{Stop, faulty};
@@ -23,23 +24,23 @@
         .as_ref()
         .map(|snapshot| StoredState::read(snapshot, &found.records));
     let (boot, ms) = since_boot();
-    let now = Now {
+    let now = CurrentFacts {
         uptime: Uptime { boot, ms },
-        file: EventPosition::NONE,
-        waits: Span::ZERO,
+        configured_event: EventPosition::NONE,
+        startup_wait: Span::ZERO,
     };
     let read = kept.as_ref().and_then(|kept| kept.as_ref().ok()).cloned();
     let verdicts = read
         .clone()
-        .map(|kept| restored_state::judge(kept, now).verdicts)
+        .map(|kept| restored_state::validate(kept, now).verdicts)
         .unwrap_or_default();
-    let (event, hosts) = read
-        .as_ref()
-        .map_or((0, 0), |kept| (kept.event.number, kept.lines.len()));
+    let (event, hosts) = read.as_ref().map_or((0, 0), |kept| {
+        (kept.last_event.number, kept.endpoints.len())
+    });
     if json {
         let rows: Vec<_> = verdicts
             .iter()
-            .map(|verdict| serde_json::json!({"item": verdict.item, "believed": verdict.believed, "why": verdict.why}))
+            .map(|verdict| serde_json::json!({"item": verdict.item, "believed": verdict.is_valid, "why": verdict.reason}))
             .collect();
         println!(
             "{}",
@@ -57,8 +58,8 @@
             println!(
                 "  {:<8} {}: {}",
                 verdict.item,
-                if verdict.believed { "yes" } else { "no " },
-                verdict.why
+                if verdict.is_valid { "yes" } else { "no " },
+                verdict.reason
             );
         }
     }
--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -105,7 +105,7 @@
 ) {
     let mut recalled = recall(keeps, clock, watch.numbering().borrow().last(), waits);
     if let Some(event) = recalled.event {
-        watch.numbering().borrow_mut().begin_at(clock.now(), event);
+        watch.numbering().borrow_mut().restore(clock.now(), event);
         known.clear();
     }
     let last = watch.numbering().borrow().last();
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -21,7 +21,7 @@
 use flaxdeck_distribution::PlannerNumber;
 use flaxdeck_net::clock;
 use flaxdeck_net::metrics::{Counter, count};
-use flaxdeck_recovery::clocks::{self, Clocks};
+use flaxdeck_recovery::clocks::{self, ClockOffset};
 use flaxdeck_recovery::numbering::{MissedPeriod, Numbering};
 use flaxdeck_recovery::startup::{Startup, WithoutContact};
 use flaxdeck_recovery::{EventPosition, ReconnectBackoff, unconfirmed};
@@ -63,7 +63,7 @@
     numbering: Rc<RefCell<Numbering>>,
     /// The lines of hosts as last told, and which of them are doubted.
     lines: RefCell<BTreeMap<HostId, Endpoint>>,
-    clocks: RefCell<Clocks>,
+    clocks: RefCell<ClockOffset>,
     /// What is told from now on has happened while this process ran.
     begun: Cell<bool>,
     doubted: RefCell<unconfirmed::UnconfirmedEndpoints>,
@@ -162,11 +162,13 @@
         }
         let (now, owns_from) = (self.clock.now(), guides.guide.borrow().own_share_from());
         let mut back = guides.back.borrow_mut();
-        back.listens(now);
-        let [vouched, listens] = back.took().map(|took| took.map_or(f64::NAN, Span::ms));
+        back.started_listening(now);
+        let times = back.times();
+        let [vouched, listens] =
+            [times.confirmed, times.listening].map(|took| took.map_or(f64::NAN, Span::ms));
         let phase = back.phase(now, owns_from);
         log::info!(
-            "back: {phase:?}, the list vouched for after {vouched:.1} ms, clients after {listens:.1} ms"
+            "back: {phase}, the list vouched for after {vouched:.1} ms, clients after {listens:.1} ms"
         );
     }
 
@@ -174,7 +176,7 @@
         guides
             .doubted
             .borrow_mut()
-            .named(lines.iter().map(|line| &line.host));
+            .confirm(lines.iter().map(|line| &line.host));
         let told = lines.iter().map(|line| (line.host.clone(), line.clone()));
         guides.lines.borrow_mut().extend(told);
     }
@@ -261,7 +263,7 @@
         let now = self.clock.now();
         let mut told: Vec<(Time, Span)> = Vec::new();
         match event {
-            Event::Purged { made, .. } => told.push((*made, clocks::PURGE_LATE)),
+            Event::Purged { made, .. } => told.push((*made, clocks::MAX_PURGE_DELAY)),
             Event::Hosts(ListKind::Delta, endpoints) => {
                 let lines = guides.lines.borrow();
                 for line in endpoints.iter().map(|endpoint| &endpoint.listed) {
@@ -271,14 +273,14 @@
                     told.extend(
                         line.started
                             .filter(|_| anew)
-                            .map(|started| (started, clocks::START_LATE)),
+                            .map(|started| (started, clocks::MAX_START_DELAY)),
                     );
                 }
             }
             Event::Hosts(ListKind::Full, _) => {}
         }
         let changed =
-            |(told, late): (Time, Span)| guides.clocks.borrow_mut().heard(now, told, late);
+            |(told, late): (Time, Span)| guides.clocks.borrow_mut().record_event(now, told, late);
         if told
             .into_iter()
             .map(changed)
@@ -295,10 +297,12 @@
     /// What was seen of hosts, with their starts as they were told.
     fn observations(&self) -> Vec<Observation> {
         let mut observations = self.engine.borrow().observations(self.clock.now());
-        self.guides
-            .borrow()
-            .iter()
-            .for_each(|guides| guides.clocks.borrow().observations(&mut observations));
+        self.guides.borrow().iter().for_each(|guides| {
+            guides
+                .clocks
+                .borrow()
+                .delocalize_observations(&mut observations)
+        });
         observations
     }
 
@@ -307,7 +311,7 @@
         self.guides
             .borrow()
             .iter()
-            .for_each(|guides| guides.clocks.borrow().lines(&mut lines));
+            .for_each(|guides| guides.clocks.borrow().localize_endpoints(&mut lines));
         self.report(Input::EndpointList(list_kind, lines));
     }
 
@@ -344,15 +348,14 @@
             .collect();
         let mut withheld = 0;
         if doubt.is_some() {
-            let (lines, count) =
-                guides
-                    .doubted
-                    .borrow_mut()
-                    .adopt(now, &guides.lines.borrow(), lines);
-            withheld = count;
+            let adopted = guides
+                .doubted
+                .borrow_mut()
+                .adopt(now, &guides.lines.borrow(), lines);
+            withheld = adopted.held_back;
             endpoints
                 .iter_mut()
-                .zip(lines)
+                .zip(adopted.endpoints)
                 .for_each(|(endpoint, line)| endpoint.listed = line);
         }
         let lines = endpoints
@@ -426,7 +429,7 @@
 
     fn note_vouched(&self, guides: &Guides) {
         if guides.guide.borrow().confirmed_at().is_some() {
-            guides.back.borrow_mut().vouched(self.clock.now());
+            guides.back.borrow_mut().list_confirmed(self.clock.now());
             guides.vouched.notify_one();
         }
     }
@@ -460,12 +463,12 @@
         {
             quota.started = quota
                 .started
-                .map(|started| guides.clocks.borrow().own(started));
+                .map(|started| guides.clocks.borrow().to_local(started));
         }
         let before = guides.informed.replace(informed);
         if before != informed {
             let worse = matches!(informed, Freshness::Unconfirmed)
-                && guides.back.borrow().took()[0].is_some();
+                && guides.back.borrow().times().confirmed.is_some();
             let level = if worse {
                 log::Level::Error
             } else {
@@ -517,7 +520,7 @@
             self.tell_engine(&guides);
             self.note_urgency(&guides);
             let owns_from = guides.guide.borrow().own_share_from();
-            if let Some(took) = guides.back.borrow_mut().full(now, owns_from) {
+            if let Some(took) = guides.back.borrow_mut().completed(now, owns_from) {
                 log::info!("back in full after {:.0} ms", took.ms());
             }
             let keeper = self.keeper.borrow().clone();
@@ -526,7 +529,7 @@
                 leave.into_iter().for_each(|until| keeper.leave(until));
                 keeper.tick(&observations);
             }
-            let back = guides.doubted.borrow_mut().run_out(now);
+            let back = guides.doubted.borrow_mut().take_expired(now);
             if !back.is_empty() {
                 log::warn!(
                     "{} hosts that were in doubt are used again: nothing more was told of them",
@@ -610,7 +613,7 @@
                         match frames::read(&relayed.frame, &self.names) {
                             Ok(event) => {
                                 let last = guides.numbering.borrow().last();
-                                if !guides.numbering.borrow_mut().relayed(
+                                if !guides.numbering.borrow_mut().accept_relayed(
                                     now,
                                     last,
                                     relayed.position,
--- a/crates/flaxdeck-dispatcher/src/routing/keep.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/keep.rs
@@ -17,9 +17,9 @@
 use flaxdeck_net::clock::{Clock, since_boot};
 use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_recovery::EventPosition;
-use flaxdeck_recovery::restored_state::{
-    self, Now, RestoredState, StateChange, StoredEndpoint, StoredPurge, StoredRating, StoredState,
-    Uptime,
+use flaxdeck_recovery::restored_state::{self, CurrentFacts, RestoredState};
+use flaxdeck_recovery::stored_state::{
+    self, StateChange, StoredEndpoint, StoredPurge, StoredRating, StoredState, Uptime,
 };
 use flaxdeck_store::{Folder, Store, look};
 use flaxdeck_wire::frames::AddressedEndpoint;
@@ -177,27 +177,27 @@
         return recalled;
     };
     let RestoredState {
-        event,
-        lines,
+        last_event: event,
+        endpoints: lines,
         purges,
         ratings,
-        waits,
+        startup_wait: waits,
         verdicts,
-    } = restored_state::judge(
+    } = restored_state::validate(
         kept,
-        Now {
+        CurrentFacts {
             uptime: uptime(),
-            file,
-            waits,
+            configured_event: file,
+            startup_wait: waits,
         },
     );
     for verdict in verdicts {
-        let word = if verdict.believed {
+        let word = if verdict.is_valid {
             "believed"
         } else {
             "not believed"
         };
-        log::info!("kept {}: {word}: {}", verdict.item, verdict.why);
+        log::info!("kept {}: {word}: {}", verdict.item, verdict.reason);
     }
     if event.is_some() {
         recalled.events.push(Event::Hosts(
@@ -223,18 +223,15 @@
         .map(
             |StoredRating {
                  host,
-                 measures,
-                 measured_ago,
-                 good_ago,
-                 bad_ago,
+                 measurements,
+                 measured_ago_ms: measured_ago,
+                 last_success_ago_ms: good_ago,
+                 last_failure_ago_ms: bad_ago,
                  ..
              }| PeerHint {
                 host: HostId(host.as_str().into()),
                 quota: None,
-                measurements: SourceMeasurements {
-                    latency: measures[0],
-                    bandwidth: measures[1],
-                },
+                measurements: SourceMeasurements::from(measurements),
                 measured_at: ago(measured_ago),
                 down_at: ago(bad_ago),
                 last_success: ago(good_ago),
@@ -263,11 +260,11 @@
     ) -> Rc<Keeper> {
         let mut kept = StoredState {
             written: uptime(),
-            event,
+            last_event: event,
             ..StoredState::default()
         };
         for told in events {
-            kept.add(later(event, told));
+            kept.apply(later(event, told));
         }
         kept.forget_settled(clock.now(), settles);
         let (jobs, work) = sync_channel(WAITING);
@@ -275,7 +272,7 @@
         let (folder, name, first) = (
             keeps.folder.clone(),
             keeps.name.clone(),
-            restored_state::bytes(&kept),
+            stored_state::encode(&kept),
         );
         thread::spawn(move || write(&folder, &name, &first, work, &tells));
         Rc::new(Keeper {
@@ -305,8 +302,8 @@
     /// An event was applied.
     pub fn event(&self, mark: EventPosition, event: &Event) {
         let later = later(mark, event);
-        self.give(Job::Record(restored_state::bytes(&later)));
-        self.kept.borrow_mut().add(later);
+        self.give(Job::Record(stored_state::encode(&later)));
+        self.kept.borrow_mut().apply(later);
     }
 
     /// Has leave to lend kept, unless some is on its way.
@@ -321,9 +318,9 @@
             ms: up.ms + until.since(now).ms().ceil() as u64 + 10,
             ..up
         };
-        let later = StateChange::LendsUntil(until_up);
-        self.give(Job::Leave(restored_state::bytes(&later), until));
-        self.kept.borrow_mut().add(later);
+        let later = StateChange::LendingPermit(until_up);
+        self.give(Job::Leave(stored_state::encode(&later), until));
+        self.kept.borrow_mut().apply(later);
     }
 
     pub fn answered(&self) {
@@ -345,18 +342,15 @@
         let rating = |observation: &Observation| StoredRating {
             host: observation.host.0.to_string(),
             started: observation.started.map_or(0, |at| at.ms() as u64),
-            measures: [
-                observation.measurements.latency,
-                observation.measurements.bandwidth,
-            ],
-            measured_ago: ago(observation.measured_at),
-            good_ago: ago(observation.last_success),
-            bad_ago: ago(observation.last_failure),
+            measurements: observation.measurements.into(),
+            measured_ago_ms: ago(observation.measured_at),
+            last_success_ago_ms: ago(observation.last_success),
+            last_failure_ago_ms: ago(observation.last_failure),
         };
         let mut kept = self.kept.borrow_mut();
         kept.forget_settled(now, self.settles);
         (kept.written, kept.ratings) = (uptime(), seen.map(rating).collect());
-        restored_state::bytes(&*kept)
+        stored_state::encode(&*kept)
     }
 
     /// Keeps a whole state if it is time.
@@ -379,10 +373,10 @@
 fn later(mark: EventPosition, event: &Event) -> StateChange {
     match event {
         Event::Hosts(ListKind::Full, endpoints) => {
-            StateChange::Whole(mark, endpoints.iter().map(line).collect())
+            StateChange::FullList(mark, endpoints.iter().map(line).collect())
         }
         Event::Hosts(ListKind::Delta, endpoints) => {
-            StateChange::Lines(mark, endpoints.iter().map(line).collect())
+            StateChange::Endpoints(mark, endpoints.iter().map(line).collect())
         }
         Event::Purged {
             object,
--- a/crates/flaxdeck-dispatcher/src/routing/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/subscription.rs
@@ -215,7 +215,7 @@
             return;
         };
         let now = self.clock.now();
-        if !subscription.numbering.borrow().trusts_others(now) {
+        if !subscription.numbering.borrow().trusts_peers(now) {
             return;
         }
         subscription.catch_up_with_numbering(now);
@@ -283,7 +283,7 @@
         if !subscription
             .numbering
             .borrow_mut()
-            .moved_on(now, before, upto, whole_at)
+            .accept_batch(now, before, upto, whole_at)
         {
             return subscription.subscriber.borrow_mut().moved(now, before);
         }
@@ -318,13 +318,16 @@
         let (Some(whole), Some(groups)) = (whole, read_all(group_purges, &self.names)) else {
             return self.unreadable(subscription, now, before);
         };
-        let since = subscription.numbering.borrow().sure();
-        subscription.numbering.borrow_mut().replaced_by(now, upto);
+        let since = subscription.numbering.borrow().confirmed_at();
+        subscription
+            .numbering
+            .borrow_mut()
+            .accept_snapshot(now, upto);
         // Hosts that are known to be withdrawn stay so, as the list may be of another numbering. Copies are doubted
         // below, as the snapshot says itself how far back its purges reach.
         let doubt = since.map(|_| MissedPeriod {
             since,
-            heard_to_the_end: true,
+            closed_cleanly: true,
         });
         self.told_anew(upto, whole, doubt);
         if copies_in_doubt {
--- a/crates/flaxdeck-dispatcher/tests/recorded_state.rs
+++ b/crates/flaxdeck-dispatcher/tests/recorded_state.rs
@@ -4,8 +4,9 @@
 use std::path::{Path, PathBuf};
 
 use flaxdeck_recovery::EventPosition;
-use flaxdeck_recovery::restored_state::{
-    StateChange, StoredEndpoint, StoredPurge, StoredRating, StoredState, Uptime, bytes,
+use flaxdeck_recovery::stored_state::{
+    StateChange, StoredEndpoint, StoredMeasurements, StoredPurge, StoredRating, StoredState,
+    Uptime, encode,
 };
 use flaxdeck_store::{Folder, Store, look};
 
@@ -51,16 +52,19 @@
             boot: 0xb007,
             ms: 123_456,
         },
-        event: mark(40),
-        lines: vec![line("s-00000001", 0), line("s-00000002", 1)],
+        last_event: mark(40),
+        endpoints: vec![line("s-00000001", 0), line("s-00000002", 1)],
         purges: vec![purge(Some(0x7f3a_9c21_e0b4_d655))],
         ratings: vec![StoredRating {
             host: "s-00000002".into(),
             started: 1_764_576_000_123,
-            measures: [Some(12.5), Some(0.25)],
-            measured_ago: Some(1_500),
-            good_ago: Some(20),
-            bad_ago: None,
+            measurements: StoredMeasurements {
+                latency: Some(12.5),
+                bandwidth: Some(0.25),
+            },
+            measured_ago_ms: Some(1_500),
+            last_success_ago_ms: Some(20),
+            last_failure_ago_ms: None,
         }],
         lent_until: Some(Uptime {
             boot: 0xb007,
@@ -71,13 +75,13 @@
 
 fn records() -> Vec<StateChange> {
     vec![
-        StateChange::Lines(mark(41), vec![line("s-00000003", 2)]),
+        StateChange::Endpoints(mark(41), vec![line("s-00000003", 2)]),
         StateChange::Purged(mark(42), purge(None)),
-        StateChange::LendsUntil(Uptime {
+        StateChange::LendingPermit(Uptime {
             boot: 0xb007,
             ms: 140_000,
         }),
-        StateChange::Whole(mark(43), vec![line("s-00000004", 0)]),
+        StateChange::FullList(mark(43), vec![line("s-00000004", 0)]),
     ]
 }
 
@@ -85,7 +89,7 @@
 fn state_after(count: usize) -> StoredState {
     let mut state = snapshot();
     for record in records().into_iter().take(count) {
-        state.add(record);
+        state.apply(record);
     }
     state
 }
@@ -105,8 +109,8 @@
     assert_eq!((found.generation, &found.name[..]), (1, INSTANCE));
     assert_eq!(found.records.len(), 4);
     assert_eq!(kept, state_after(4));
-    assert_eq!(kept.event, mark(43));
-    assert_eq!(kept.lines, [line("s-00000004", 0)]);
+    assert_eq!(kept.last_event, mark(43));
+    assert_eq!(kept.endpoints, [line("s-00000004", 0)]);
 }
 
 #[test]
@@ -122,9 +126,9 @@
 fn the_same_state_is_written_with_the_same_bytes() {
     let folder = std::env::temp_dir().join(format!("flaxdeck-recorded-{}", std::process::id()));
     let disk = Folder::open(&folder).expect("a folder");
-    let mut store = Store::begin(disk, INSTANCE, &bytes(&snapshot())).expect("a new store");
+    let mut store = Store::begin(disk, INSTANCE, &encode(&snapshot())).expect("a new store");
     for record in records() {
-        store.record(&bytes(&record)).expect("it is written");
+        store.record(&encode(&record)).expect("it is written");
     }
     let written = ["snapshot", "log"].map(|file| std::fs::read(folder.join(file)).expect(file));
     std::fs::remove_dir_all(&folder).expect("the folder goes");
--- a/crates/flaxdeck-scale/src/capacity/page/fields.rs
+++ b/crates/flaxdeck-scale/src/capacity/page/fields.rs
@@ -4,7 +4,8 @@
 use flaxdeck_control::planner::{FORWARDER_TIMEOUT, MAX_RELAYED_EVENTS};
 use flaxdeck_net::listener::BACKLOG;
 use flaxdeck_plan::Blind;
-use flaxdeck_recovery::{reconnect_backoff, restored_state};
+use flaxdeck_recovery::reconnect_backoff::{MAX_INITIAL_DELAY, MIN_INITIAL_DELAY};
+use flaxdeck_recovery::stored_state;
 use serde::Serialize;
 
 use super::NOT_SHOWN;
@@ -98,7 +99,7 @@
 }
 
 pub(super) fn bound_fields(target: &Target) -> BoundFields {
-    let [least, most] = reconnect_backoff::FIRST;
+    let (least, most) = (MIN_INITIAL_DELAY, MAX_INITIAL_DELAY);
     let spread_s = (most.ms() - least.ms()) / 1e3;
     let calls = |dispatchers: f64| figure(dispatchers / spread_s);
     let forgotten_s = FORWARDER_TIMEOUT.ms() / 1e3;
@@ -117,8 +118,8 @@
         log: count(MAX_RELAYED_EVENTS as f64),
         log_reach: span(MAX_RELAYED_EVENTS as f64 / target.events_per_s()),
         log_reach_in_storm: span(MAX_RELAYED_EVENTS as f64 / storm_events),
-        store: count(restored_state::MAX_PURGES as f64),
-        store_reach_in_storm: span(restored_state::MAX_PURGES as f64 / target.storm_per_s()),
+        store: count(stored_state::MAX_PURGES as f64),
+        store_reach_in_storm: span(stored_state::MAX_PURGES as f64 / target.storm_per_s()),
         storm_purges: count(target.storm_per_s() * target.storm_s),
         events_a_message: count(MAX_EVENTS as f64),
     }
--- a/crates/flaxdeck-scale/src/capacity/state.rs
+++ b/crates/flaxdeck-scale/src/capacity/state.rs
@@ -6,7 +6,7 @@
 use flaxdeck_plan::{MAX_PLANNERS, Plan};
 use flaxdeck_planner::MAX_CONNECTIONS;
 use flaxdeck_recovery::EventPosition;
-use flaxdeck_recovery::restored_state::{
+use flaxdeck_recovery::stored_state::{
     self, StateChange, StoredEndpoint, StoredPurge, StoredState,
 };
 
@@ -235,14 +235,14 @@
 fn members() -> Bound {
     Bound {
         most: MAX_FORWARDERS as f64,
-        name: "`MAX_MEMBERS` in `crates/flaxdeck-control/src/planner.rs`",
+        name: "`MAX_FORWARDERS` in `crates/flaxdeck-control/src/planner.rs`",
     }
 }
 
 fn events_kept() -> Bound {
     Bound {
         most: MAX_RELAYED_EVENTS as f64,
-        name: "`MAX_LOG` in `crates/flaxdeck-control/src/planner.rs`",
+        name: "`MAX_RELAYED_EVENTS` in `crates/flaxdeck-control/src/planner/relay_log.rs`",
     }
 }
 
@@ -287,8 +287,8 @@
         what,
         needed: per_s * target.purge_within_s,
         bound: Some(Bound {
-            most: restored_state::MAX_PURGES as f64,
-            name: "`MAX_PURGES` in `crates/flaxdeck-recovery/src/restored_state.rs`",
+            most: stored_state::MAX_PURGES as f64,
+            name: "`MAX_PURGES` in `crates/flaxdeck-recovery/src/stored_state.rs`",
         }),
         bytes_each: Bytes::Encoded(per_purge()),
         kept: "until they have settled; past the bound copies from before count as purged".into(),
@@ -348,12 +348,12 @@
 }
 
 fn encoded(state: &impl serde::Serialize) -> f64 {
-    restored_state::bytes(state).len() as f64
+    stored_state::encode(state).len() as f64
 }
 
 fn per_host() -> f64 {
     encoded(&StoredState {
-        lines: vec![some_line()],
+        endpoints: vec![some_line()],
         ..StoredState::default()
     }) - encoded(&StoredState::default())
 }
