--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -72,7 +72,7 @@
         let epoch = Epoch::new(clock.now(), instance);
         let (keeps, waits) = (
             guidelines.keeps.clone(),
-            guidelines.stance.lease_terms.forwarder_waits(),
+            guidelines.stance.lease_terms.forwarder_startup_wait(),
         );
         router.guide_by(epoch, seed, guidelines, &mut watch);
         if let Some(keeps) = keeps {
@@ -105,7 +105,7 @@
 ) {
     let mut recalled = recall(keeps, clock, watch.numbering().borrow().last(), waits);
     if let Some(event) = recalled.event {
-        watch.numbering().borrow_mut().begin_at(clock.now(), event);
+        watch.numbering().borrow_mut().restore(clock.now(), event);
         known.clear();
     }
     let last = watch.numbering().borrow().last();
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -17,10 +17,11 @@
 use flaxdeck_control::forwarder::{ForwarderOptions, ForwarderSession, Freshness};
 use flaxdeck_control::membership::PlannerId;
 use flaxdeck_control::messages::{Epoch, Guidance};
+use flaxdeck_control::quotas::LeaseTotals;
 use flaxdeck_distribution::PlannerNumber;
 use flaxdeck_net::clock;
 use flaxdeck_net::metrics::{Counter, count};
-use flaxdeck_recovery::clocks::{self, Clocks};
+use flaxdeck_recovery::clocks::{self, ClockOffset};
 use flaxdeck_recovery::numbering::{MissedPeriod, Numbering};
 use flaxdeck_recovery::startup::{Startup, WithoutContact};
 use flaxdeck_recovery::{EventPosition, ReconnectBackoff, unconfirmed};
@@ -62,7 +63,7 @@
     numbering: Rc<RefCell<Numbering>>,
     /// The lines of hosts as last told, and which of them are doubted.
     lines: RefCell<BTreeMap<HostId, Endpoint>>,
-    clocks: RefCell<Clocks>,
+    clocks: RefCell<ClockOffset>,
     /// What is told from now on has happened while this process ran.
     begun: Cell<bool>,
     doubted: RefCell<unconfirmed::UnconfirmedEndpoints>,
@@ -82,7 +83,7 @@
     pub(super) fn follows(&self, planner: Option<PlannerNumber>) {
         self.guide
             .borrow_mut()
-            .subscribed_to(planner.map(|planner| PlannerId(planner.0)));
+            .set_subscribed_to(planner.map(|planner| PlannerId(planner.0)));
     }
 }
 
@@ -109,7 +110,7 @@
         watch.pause_while(subscription.is_some());
         let unheard = guidelines
             .stance
-            .blind_after
+            .unconfirmed_limit
             .map_or(WithoutContact::GoOn, WithoutContact::RejectAfter);
         let guides = Rc::new(Guides {
             guide: RefCell::new(guide),
@@ -125,7 +126,7 @@
             seed,
             urgency,
             unreached: RefCell::default(),
-            informed: Cell::new(Freshness::Alone),
+            informed: Cell::new(Freshness::Standalone),
             due_changed: Notify::new(),
             vouched: Notify::new(),
             report_now: Notify::new(),
@@ -159,13 +160,15 @@
                 () = guides.vouched.notified() => {}
             }
         }
-        let (now, owns_from) = (self.clock.now(), guides.guide.borrow().owns_from());
+        let (now, owns_from) = (self.clock.now(), guides.guide.borrow().own_share_from());
         let mut back = guides.back.borrow_mut();
-        back.listens(now);
-        let [vouched, listens] = back.took().map(|took| took.map_or(f64::NAN, Span::ms));
+        back.started_listening(now);
+        let times = back.times();
+        let [vouched, listens] =
+            [times.confirmed, times.listening].map(|took| took.map_or(f64::NAN, Span::ms));
         let phase = back.phase(now, owns_from);
         log::info!(
-            "back: {phase:?}, the list vouched for after {vouched:.1} ms, clients after {listens:.1} ms"
+            "back: {phase}, the list vouched for after {vouched:.1} ms, clients after {listens:.1} ms"
         );
     }
 
@@ -173,7 +176,7 @@
         guides
             .doubted
             .borrow_mut()
-            .named(lines.iter().map(|line| &line.host));
+            .confirm(lines.iter().map(|line| &line.host));
         let told = lines.iter().map(|line| (line.host.clone(), line.clone()));
         guides.lines.borrow_mut().extend(told);
     }
@@ -195,8 +198,8 @@
             recalled
                 .waits
                 .into_iter()
-                .for_each(|waits| guide.owns_after(now, waits));
-            guide.needs_leave(now);
+                .for_each(|waits| guide.set_startup_wait(now, waits));
+            guide.require_lending_permit(now);
             let mut guided = guide.hints(now);
             guided.hints.extend(recalled.hints);
             drop(guide);
@@ -220,7 +223,7 @@
                 Wrote::Begun(generation) => log::info!("state is kept, generation {generation}"),
                 Wrote::Leave(until) => {
                     keeper.answered();
-                    guides.guide.borrow_mut().has_leave(until);
+                    guides.guide.borrow_mut().extend_lending_permit(until);
                 }
                 Wrote::Failed(why) => {
                     count(Counter::state_broken);
@@ -260,7 +263,7 @@
         let now = self.clock.now();
         let mut told: Vec<(Time, Span)> = Vec::new();
         match event {
-            Event::Purged { made, .. } => told.push((*made, clocks::PURGE_LATE)),
+            Event::Purged { made, .. } => told.push((*made, clocks::MAX_PURGE_DELAY)),
             Event::Hosts(ListKind::Delta, endpoints) => {
                 let lines = guides.lines.borrow();
                 for line in endpoints.iter().map(|endpoint| &endpoint.listed) {
@@ -270,14 +273,14 @@
                     told.extend(
                         line.started
                             .filter(|_| anew)
-                            .map(|started| (started, clocks::START_LATE)),
+                            .map(|started| (started, clocks::MAX_START_DELAY)),
                     );
                 }
             }
             Event::Hosts(ListKind::Full, _) => {}
         }
         let changed =
-            |(told, late): (Time, Span)| guides.clocks.borrow_mut().heard(now, told, late);
+            |(told, late): (Time, Span)| guides.clocks.borrow_mut().record_event(now, told, late);
         if told
             .into_iter()
             .map(changed)
@@ -294,10 +297,12 @@
     /// What was seen of hosts, with their starts as they were told.
     fn observations(&self) -> Vec<Observation> {
         let mut observations = self.engine.borrow().observations(self.clock.now());
-        self.guides
-            .borrow()
-            .iter()
-            .for_each(|guides| guides.clocks.borrow().observations(&mut observations));
+        self.guides.borrow().iter().for_each(|guides| {
+            guides
+                .clocks
+                .borrow()
+                .delocalize_observations(&mut observations)
+        });
         observations
     }
 
@@ -306,7 +311,7 @@
         self.guides
             .borrow()
             .iter()
-            .for_each(|guides| guides.clocks.borrow().lines(&mut lines));
+            .for_each(|guides| guides.clocks.borrow().localize_endpoints(&mut lines));
         self.report(Input::EndpointList(list_kind, lines));
     }
 
@@ -343,15 +348,14 @@
             .collect();
         let mut withheld = 0;
         if doubt.is_some() {
-            let (lines, count) =
-                guides
-                    .doubted
-                    .borrow_mut()
-                    .adopt(now, &guides.lines.borrow(), lines);
-            withheld = count;
+            let adopted = guides
+                .doubted
+                .borrow_mut()
+                .adopt(now, &guides.lines.borrow(), lines);
+            withheld = adopted.held_back;
             endpoints
                 .iter_mut()
-                .zip(lines)
+                .zip(adopted.endpoints)
                 .for_each(|(endpoint, line)| endpoint.listed = line);
         }
         let lines = endpoints
@@ -407,7 +411,7 @@
     /// All is known here that the coordinator had at that time.
     pub(super) fn events_known_at(&self, guides: &Guides, at: Time) {
         guides.guide.borrow_mut().events_known_at(at);
-        if guides.informed.get() == Freshness::Blind {
+        if guides.informed.get() == Freshness::Unconfirmed {
             self.tell_engine(guides);
         }
         self.note_vouched(guides);
@@ -415,14 +419,17 @@
 
     /// A coordinator that has little room is left to planners while they tell the same.
     fn note_urgency(&self, guides: &Guides) {
-        guides
-            .urgency
-            .set_calm(guides.guide.borrow().planners_vouch(self.clock.now()));
+        guides.urgency.set_calm(
+            guides
+                .guide
+                .borrow()
+                .is_confirmed_by_planners(self.clock.now()),
+        );
     }
 
     fn note_vouched(&self, guides: &Guides) {
-        if guides.guide.borrow().vouched().is_some() {
-            guides.back.borrow_mut().vouched(self.clock.now());
+        if guides.guide.borrow().confirmed_at().is_some() {
+            guides.back.borrow_mut().list_confirmed(self.clock.now());
             guides.vouched.notify_one();
         }
     }
@@ -431,15 +438,15 @@
     pub fn guidance_line(&self) -> Option<String> {
         let guides = self.guides.borrow().clone()?;
         let (guide, now) = (guides.guide.borrow(), self.clock.now());
-        let [lent, granted] = guide.totals(now);
-        let (informed, counters) = (guide.informed(now), guide.counters);
+        let LeaseTotals { lent, granted } = guide.lease_totals(now);
+        let (informed, counters) = (guide.freshness(now), guide.counters);
         let events = guides
             .subscription
             .as_ref()
             .map(|subscription| format!(" events: {}", subscription.line()));
         let events = events.unwrap_or_default();
         Some(format!(
-            "guidance: {informed:?} lent={lent:.3} granted={granted:.3} {counters:?}{events}"
+            "guidance: {informed} lent={lent:.3} granted={granted:.3} {counters:?}{events}"
         ))
     }
 
@@ -447,7 +454,7 @@
         let now = self.clock.now();
         let (mut guided, informed) = {
             let mut guide = guides.guide.borrow_mut();
-            (guide.hints(now), guide.informed(now))
+            (guide.hints(now), guide.freshness(now))
         };
         for quota in guided
             .hints
@@ -456,18 +463,18 @@
         {
             quota.started = quota
                 .started
-                .map(|started| guides.clocks.borrow().own(started));
+                .map(|started| guides.clocks.borrow().to_local(started));
         }
         let before = guides.informed.replace(informed);
         if before != informed {
-            let worse =
-                matches!(informed, Freshness::Blind) && guides.back.borrow().took()[0].is_some();
+            let worse = matches!(informed, Freshness::Unconfirmed)
+                && guides.back.borrow().times().confirmed.is_some();
             let level = if worse {
                 log::Level::Error
             } else {
                 log::Level::Info
             };
-            log::log!(level, "guidance is now {informed:?}, was {before:?}");
+            log::log!(level, "guidance is now {informed}, was {before}");
         }
         self.report(Input::PeerHints(guided));
         guides.due_changed.notify_one();
@@ -486,8 +493,8 @@
             let observations = self.observations();
             {
                 let mut guide = guides.guide.borrow_mut();
-                guide.stand(now, &observations);
-                guide.link(self.zone, self.engine.borrow().link());
+                guide.update_usage(now, &observations);
+                guide.update_link(self.zone, self.engine.borrow().link());
                 let mut speakers = guides.speakers.borrow_mut();
                 for (at, sender) in speakers.iter_mut().enumerate() {
                     let (Some(sender), planner) = (sender, PlannerId(at as u32)) else {
@@ -512,17 +519,17 @@
             // What was lent is not used from this moment on.
             self.tell_engine(&guides);
             self.note_urgency(&guides);
-            let owns_from = guides.guide.borrow().owns_from();
-            if let Some(took) = guides.back.borrow_mut().full(now, owns_from) {
+            let owns_from = guides.guide.borrow().own_share_from();
+            if let Some(took) = guides.back.borrow_mut().completed(now, owns_from) {
                 log::info!("back in full after {:.0} ms", took.ms());
             }
             let keeper = self.keeper.borrow().clone();
             if let Some(keeper) = keeper {
-                let leave = guides.guide.borrow_mut().asks_leave(now);
+                let leave = guides.guide.borrow_mut().requested_lending_permit(now);
                 leave.into_iter().for_each(|until| keeper.leave(until));
                 keeper.tick(&observations);
             }
-            let back = guides.doubted.borrow_mut().run_out(now);
+            let back = guides.doubted.borrow_mut().take_expired(now);
             if !back.is_empty() {
                 log::warn!(
                     "{} hosts that were in doubt are used again: nothing more was told of them",
@@ -557,7 +564,10 @@
                     log::info!("planner {at} at {address} is connected");
                     pace.answered(self.clock.now());
                     guides.unreached.borrow_mut().remove(&at);
-                    guides.guide.borrow_mut().met(PlannerId(at as u32));
+                    guides
+                        .guide
+                        .borrow_mut()
+                        .connection_opened(PlannerId(at as u32));
                     guides.speakers.borrow_mut()[at] = Some(sender);
                     guides.report_now.notify_one();
                     self.planner_connected(&guides, at, true);
@@ -596,24 +606,24 @@
                 guides
                     .guide
                     .borrow_mut()
-                    .guided(now, PlannerId(at as u32), guidance, last);
+                    .apply_guidance(now, PlannerId(at as u32), guidance, last);
             match judged {
                 Ok(events) => {
                     for relayed in events {
                         match frames::read(&relayed.frame, &self.names) {
                             Ok(event) => {
                                 let last = guides.numbering.borrow().last();
-                                if !guides
-                                    .numbering
-                                    .borrow_mut()
-                                    .relayed(now, last, relayed.mark)
-                                {
+                                if !guides.numbering.borrow_mut().accept_relayed(
+                                    now,
+                                    last,
+                                    relayed.position,
+                                ) {
                                     break;
                                 }
                                 count(Counter::events_relayed);
                                 event
                                     .into_iter()
-                                    .for_each(|event| self.told(relayed.mark, event));
+                                    .for_each(|event| self.told(relayed.position, event));
                             }
                             Err(malformed) => {
                                 count(Counter::events_unreadable);
--- a/crates/flaxdeck-scale/src/capacity/state.rs
+++ b/crates/flaxdeck-scale/src/capacity/state.rs
@@ -1,12 +1,12 @@
 //! What is kept by each role: entries at the size of the target, bytes each, how long, and the bound in the code.
 
 use flaxdeck_control::messages::MAX_EVENTS;
-use flaxdeck_control::planner::{FORGOTTEN, MAX_LOG, MAX_MEMBERS, MAX_POOLS};
+use flaxdeck_control::planner::{FORWARDER_TIMEOUT, MAX_FORWARDERS, MAX_POOLS, MAX_RELAYED_EVENTS};
 use flaxdeck_distribution::messages::{MAX_FULL_EVENTS, MAX_PURGES};
 use flaxdeck_plan::{MAX_PLANNERS, Plan};
 use flaxdeck_planner::MAX_CONNECTIONS;
 use flaxdeck_recovery::EventPosition;
-use flaxdeck_recovery::restored_state::{
+use flaxdeck_recovery::stored_state::{
     self, StateChange, StoredEndpoint, StoredPurge, StoredState,
 };
 
@@ -156,7 +156,7 @@
 
 fn planner(basis: Basis) -> Vec<State> {
     let target = basis.target;
-    let forgotten = span(FORGOTTEN.ms() / 1e3);
+    let forgotten = span(FORWARDER_TIMEOUT.ms() / 1e3);
     vec![
         State {
             role: PLANNER,
@@ -193,7 +193,7 @@
             bytes_each: Bytes::NotShown,
             kept: format!(
                 "by their count, which reaches {} back",
-                reach(MAX_LOG, target.events_per_s())
+                reach(MAX_RELAYED_EVENTS, target.events_per_s())
             ),
         },
         State {
@@ -204,7 +204,10 @@
             bytes_each: Bytes::NotShown,
             kept: format!(
                 "by their count, which reaches {} back",
-                reach(MAX_LOG, target.storm_per_s() + target.changes_per_s())
+                reach(
+                    MAX_RELAYED_EVENTS,
+                    target.storm_per_s() + target.changes_per_s()
+                )
             ),
         },
         State {
@@ -231,15 +234,15 @@
 
 fn members() -> Bound {
     Bound {
-        most: MAX_MEMBERS as f64,
-        name: "`MAX_MEMBERS` in `crates/flaxdeck-control/src/planner.rs`",
+        most: MAX_FORWARDERS as f64,
+        name: "`MAX_FORWARDERS` in `crates/flaxdeck-control/src/planner.rs`",
     }
 }
 
 fn events_kept() -> Bound {
     Bound {
-        most: MAX_LOG as f64,
-        name: "`MAX_LOG` in `crates/flaxdeck-control/src/planner.rs`",
+        most: MAX_RELAYED_EVENTS as f64,
+        name: "`MAX_RELAYED_EVENTS` in `crates/flaxdeck-control/src/planner/relay_log.rs`",
     }
 }
 
@@ -284,8 +287,8 @@
         what,
         needed: per_s * target.purge_within_s,
         bound: Some(Bound {
-            most: restored_state::MAX_PURGES as f64,
-            name: "`MAX_PURGES` in `crates/flaxdeck-recovery/src/restored_state.rs`",
+            most: stored_state::MAX_PURGES as f64,
+            name: "`MAX_PURGES` in `crates/flaxdeck-recovery/src/stored_state.rs`",
         }),
         bytes_each: Bytes::Encoded(per_purge()),
         kept: "until they have settled; past the bound copies from before count as purged".into(),
@@ -345,12 +348,12 @@
 }
 
 fn encoded(state: &impl serde::Serialize) -> f64 {
-    restored_state::bytes(state).len() as f64
+    stored_state::encode(state).len() as f64
 }
 
 fn per_host() -> f64 {
     encoded(&StoredState {
-        lines: vec![some_line()],
+        endpoints: vec![some_line()],
         ..StoredState::default()
     }) - encoded(&StoredState::default())
 }
