--- a/crates/flaxdeck-net/src/budget.rs
+++ b/crates/flaxdeck-net/src/budget.rs
@@ -1,4 +1,4 @@
-//! What bounds memory and descriptors, derived from the limits handed in.
+//! What bounds memory and descriptors, derived from the limits of the configuration.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -11,14 +11,16 @@
 pub const OWN_SOCKETS: usize = 24;
 /// Descriptors with which there is one for a client and one for a host.
 pub const MIN_SOCKETS: u64 = OWN_SOCKETS as u64 + 2;
-/// The part of the memory limit that requests may take beside the bytes they carry, and the part for those bytes,
-/// asked and answered; the rest is the program, its tables and what the allocator can't give back.
-const PULLS_PART: f64 = 0.2;
-const BYTES_PART: f64 = 0.4;
-/// What one request takes beside the bytes it carries: its task, its places in tables, its connection's read buffer.
-pub const PULL: f64 = 16.0 * 1024.0;
-/// Bytes of a message that count with its connection or request; a larger one takes room of its own before it is read.
-pub const SMALL: usize = 8 * 1024;
+/// The fraction of the memory limit that requests may take beside the bytes they carry. What this and the next leave
+/// is for the program, its tables and what the allocator can't give back.
+const REQUESTS_FRACTION: f64 = 0.2;
+/// The fraction of the memory limit for the bytes of requests and their responses.
+const BYTES_FRACTION: f64 = 0.4;
+/// Bytes that one request takes beside those it carries: its task, its entries in tables, its connection's read buffer.
+pub const REQUEST_OVERHEAD: f64 = 16.0 * 1024.0;
+/// Bytes of the largest message that counts with its connection or request; a larger one acquires a permit of its own
+/// before it is read.
+pub const MAX_SMALL_MESSAGE: usize = 8 * 1024;
 /// Bytes of the largest object that the protocol provides for.
 pub const MAX_OBJECT: usize = 240_000;
 /// Bytes of the largest write that the protocol provides for.
@@ -29,138 +31,163 @@
 /// How much of everything this process may hold.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
+    /// Connections of clients.
     pub clients: usize,
+    /// Connections to hosts.
     pub hosts: usize,
+    /// Requests that are open or whose answers are not written yet.
     pub requests: usize,
-    /// Bytes that clients' messages may hold together, and the answers to them. An answer waits for room while its
-    /// request holds some, so with one room for both all of it could be held by requests whose answers wait for it.
-    pub asked: usize,
-    pub answered: usize,
+    /// Bytes that clients' messages may hold together. A response waits for memory while its request holds some, so
+    /// with one budget for both all of it could be held by requests whose responses wait for it.
+    pub request_bytes: usize,
+    /// Bytes that responses may hold together.
+    pub response_bytes: usize,
 }
 
 impl Bounds {
+    /// The bounds within a memory limit in MiB and a number of descriptors.
     pub fn of(memory_mb: f64, sockets: usize) -> Bounds {
         let clients = (sockets / 3).max(1);
         let hosts = sockets.saturating_sub(clients + OWN_SOCKETS).max(1);
         let memory = memory_mb.max(0.0) * 1024.0 * 1024.0;
         // Each client may have the start of a message here that is no request yet.
-        let bytes = ((memory * BYTES_PART) as usize).saturating_sub(clients * SMALL);
+        let bytes =
+            ((memory * BYTES_FRACTION) as usize).saturating_sub(clients * MAX_SMALL_MESSAGE);
         let bytes = bytes.max(MAX_WRITE + MAX_OBJECT);
-        let asked = bytes / (MAX_WRITE + MAX_OBJECT) * MAX_WRITE;
+        let request_bytes = bytes / (MAX_WRITE + MAX_OBJECT) * MAX_WRITE;
         Bounds {
             clients,
             hosts,
-            requests: ((memory * PULLS_PART / PULL) as usize).max(1),
-            asked,
-            answered: bytes - asked,
+            requests: ((memory * REQUESTS_FRACTION / REQUEST_OVERHEAD) as usize).max(1),
+            request_bytes,
+            response_bytes: bytes - request_bytes,
         }
     }
 }
 
-struct Inside {
-    taken: Cell<usize>,
-    most: Cell<usize>,
-    /// Some places have been given back, or who waits first has changed.
-    freed: Notify,
-    /// Who waits for places, in the order in which they came.
-    queue: RefCell<VecDeque<u64>>,
-    next: Cell<u64>,
+struct Shared {
+    in_use: Cell<usize>,
+    capacity: Cell<usize>,
+    /// Some units have been released, or who waits first has changed.
+    released: Notify,
+    /// The tickets of those who wait, in the order in which they came.
+    waiting: RefCell<VecDeque<u64>>,
+    next_ticket: Cell<u64>,
 }
 
-/// So many places, held by [`Permit`]s.
-pub struct Budget(Rc<Inside>);
+/// A counting semaphore for one thread, first come, first served: so many units, held by [`Permit`]s.
+pub struct Budget(Rc<Shared>);
 
-/// A turn in the queue for places, given up when dropped.
-struct Turn<'a>(&'a Inside, u64);
+/// A place in the queue for units, given up when dropped.
+struct Waiter<'a> {
+    shared: &'a Shared,
+    ticket: u64,
+}
 
-/// So many places of a room, given back when dropped.
+/// Units of a budget, released when dropped.
 pub struct Permit {
-    room: Rc<Inside>,
-    places: usize,
+    shared: Rc<Shared>,
+    units: usize,
 }
 
 impl Budget {
-    pub fn new(most: usize) -> Budget {
-        Budget(Rc::new(Inside {
-            taken: Cell::new(0),
-            most: Cell::new(most),
-            freed: Notify::new(),
-            queue: RefCell::default(),
-            next: Cell::new(0),
+    /// A budget of which nothing is in use.
+    pub fn new(capacity: usize) -> Budget {
+        Budget(Rc::new(Shared {
+            in_use: Cell::new(0),
+            capacity: Cell::new(capacity),
+            released: Notify::new(),
+            waiting: RefCell::default(),
+            next_ticket: Cell::new(0),
         }))
     }
-    /// With fewer places than are taken, none is free until enough have come back.
-    pub fn resize(&self, most: usize) {
-        self.0.most.set(most);
-        self.0.freed.notify_waiters();
+
+    /// Sets the capacity. Under what is in use, nothing more is acquired until enough has been released.
+    pub fn resize(&self, capacity: usize) {
+        self.0.capacity.set(capacity);
+        self.0.released.notify_waiters();
     }
-    pub fn take(&self) -> Option<Permit> {
-        self.take_some(1)
+
+    /// One unit, if one is free and nobody waits.
+    pub fn try_acquire(&self) -> Option<Permit> {
+        self.try_acquire_many(1)
     }
-    /// So many places at once, if they are free and nobody waits for any.
-    pub fn take_some(&self, places: usize) -> Option<Permit> {
-        let waited_for = places > 0 && !self.0.queue.borrow().is_empty();
-        if waited_for {
-            None
-        } else {
-            self.take_first(places)
+
+    /// So many units at once, if they are free and nobody waits for any.
+    pub fn try_acquire_many(&self, units: usize) -> Option<Permit> {
+        let has_waiters = units > 0 && !self.0.waiting.borrow().is_empty();
+        if has_waiters {
+            return None;
         }
+        self.acquire_free(units)
     }
-    fn take_first(&self, places: usize) -> Option<Permit> {
-        let taken = self.taken() + places;
-        if taken > self.0.most.get() {
+
+    /// So many units if they are free, whoever waits.
+    fn acquire_free(&self, units: usize) -> Option<Permit> {
+        let in_use = self.in_use() + units;
+        if in_use > self.0.capacity.get() {
             return None;
         }
-        self.0.taken.set(taken);
+        self.0.in_use.set(in_use);
         Some(Permit {
-            room: self.0.clone(),
-            places,
+            shared: self.0.clone(),
+            units,
         })
     }
-    /// Waits for its turn and until so many are free; who asks for more than there are gets them once nobody holds any.
+
+    /// Waits for its turn and until so many units are free. A wish for more than the capacity gets all of it once nobody
+    /// holds any. Dropping the future gives the turn up.
     // Guards against small wishes that are met past a large one for ever: first come, first served.
-    pub async fn wait_for(&self, places: usize) -> Permit {
-        let turn = Turn(&self.0, self.0.next.get());
-        self.0.next.set(turn.1 + 1);
-        self.0.queue.borrow_mut().push_back(turn.1);
+    pub async fn acquire_many(&self, units: usize) -> Permit {
+        let waiter = self.enqueue();
         loop {
-            let mut freed = pin!(self.0.freed.notified());
-            freed.as_mut().enable();
-            let first = self.0.queue.borrow().front() == Some(&turn.1);
-            let place = if first {
-                self.take_first(places.min(self.0.most.get()))
-            } else {
-                None
-            };
-            if let Some(place) = place {
-                return place;
+            let mut released = pin!(self.0.released.notified());
+            released.as_mut().enable();
+            let is_first = self.0.waiting.borrow().front() == Some(&waiter.ticket);
+            if is_first && let Some(permit) = self.acquire_free(units.min(self.0.capacity.get())) {
+                return permit;
             }
-            freed.await;
+            released.await;
+        }
+    }
+
+    fn enqueue(&self) -> Waiter<'_> {
+        let ticket = self.0.next_ticket.get();
+        self.0.next_ticket.set(ticket + 1);
+        self.0.waiting.borrow_mut().push_back(ticket);
+        Waiter {
+            shared: &self.0,
+            ticket,
         }
     }
-    /// Budget for a message of so many bytes, before it is read; a small one, or one that has it, takes none.
-    pub async fn hold(&self, bytes: usize, held: &mut Option<Permit>) {
-        if bytes > SMALL && held.is_none() {
-            *held = Some(self.wait_for(bytes).await);
+
+    /// Waits for the memory of a message of so many bytes, before it is read. A message of at most
+    /// [`MAX_SMALL_MESSAGE`], or one that has its permit already, acquires none.
+    pub async fn reserve_for_message(&self, bytes: usize, permit: &mut Option<Permit>) {
+        if bytes > MAX_SMALL_MESSAGE && permit.is_none() {
+            *permit = Some(self.acquire_many(bytes).await);
         }
     }
-    pub fn taken(&self) -> usize {
-        self.0.taken.get()
+
+    /// Units that permits hold.
+    pub fn in_use(&self) -> usize {
+        self.0.in_use.get()
     }
 }
 
-impl Drop for Turn<'_> {
+impl Drop for Waiter<'_> {
     fn drop(&mut self) {
-        self.0.queue.borrow_mut().retain(|turn| *turn != self.1);
-        self.0.freed.notify_waiters();
+        let mut waiting = self.shared.waiting.borrow_mut();
+        waiting.retain(|ticket| *ticket != self.ticket);
+        drop(waiting);
+        self.shared.released.notify_waiters();
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.room
-            .taken
-            .set(self.room.taken.get().saturating_sub(self.places));
-        self.room.freed.notify_waiters();
+        let in_use = &self.shared.in_use;
+        in_use.set(in_use.get().saturating_sub(self.units));
+        self.shared.released.notify_waiters();
     }
 }
--- a/crates/flaxdeck-net/src/clock.rs
+++ b/crates/flaxdeck-net/src/clock.rs
@@ -1,4 +1,4 @@
-//! One clock: monotonic, tied to Unix time at start, so that times told from outside mean the same here.
+//! One clock: monotonic, tied to Unix time at its start, so that times from outside mean the same here.
 
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -6,60 +6,80 @@
 use flaxdeck::{Span, Time};
 use tokio::time::Instant;
 
+/// Hex digits of the system's boot id that make up [`SinceBoot::boot_id`]: 64 bits.
+const BOOT_ID_DIGITS: usize = 16;
+
 /// By how much this process's wall clock is taken to differ, in milliseconds.
-static APART: AtomicI64 = AtomicI64::new(0);
+static OFFSET_MS: AtomicI64 = AtomicI64::new(0);
 
-/// Has all clocks that start from now on run apart from the system's: for tests of clocks that were set.
-pub fn run_apart(ms: i64) {
-    APART.store(ms, Ordering::Relaxed);
+/// Sets all clocks that start from now on apart from the system's by so many milliseconds: for tests of machines whose
+/// clocks were set.
+pub fn set_offset_ms(offset: i64) {
+    OFFSET_MS.store(offset, Ordering::Relaxed);
 }
 
+/// A clock that goes on evenly, whatever happens to the system's wall clock after its start.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
-    start_ms: f64,
+    start_unix_ms: f64,
 }
 
 impl Clock {
+    /// A clock that shows the system's time now.
     pub fn start() -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let apart = APART.load(Ordering::Relaxed) as f64;
+        let offset = OFFSET_MS.load(Ordering::Relaxed) as f64;
         Clock {
             start: Instant::now(),
-            start_ms: unix.as_secs_f64() * 1000.0 + apart,
+            start_unix_ms: unix.as_secs_f64() * 1000.0 + offset,
         }
     }
 
+    /// The time now.
     pub fn now(&self) -> Time {
-        Time::at_ms(self.start_ms + self.start.elapsed().as_secs_f64() * 1000.0)
+        Time::at_ms(self.start_unix_ms + self.start.elapsed().as_secs_f64() * 1000.0)
     }
 
+    /// When the runtime's timers reach that time; the clock's start for an earlier one.
     pub fn instant(&self, time: Time) -> Instant {
-        self.start + length(time.since(Time::at_ms(self.start_ms)))
+        self.start + to_duration(time.since(Time::at_ms(self.start_unix_ms)))
     }
 }
 
-/// The machine's own count since it booted, in milliseconds, with a number of that boot: what no setting of a clock
-/// moves. Zeros where the system does not tell.
-pub fn since_boot() -> (u64, u64) {
+/// How long the machine has been up, which no setting of a clock changes. All zero where the system does not tell.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct SinceBoot {
+    /// Differs from boot to boot.
+    pub boot_id: u64,
+    /// Milliseconds since the machine booted.
+    pub ms: u64,
+}
+
+/// How long the machine has been up.
+pub fn since_boot() -> SinceBoot {
     let text = |path| std::fs::read_to_string(path).unwrap_or_default();
     let digits: String = text("/proc/sys/kernel/random/boot_id")
         .chars()
         .filter(char::is_ascii_hexdigit)
         .collect();
-    let boot = digits
-        .get(..16)
+    let boot_id = digits
+        .get(..BOOT_ID_DIGITS)
         .and_then(|digits| u64::from_str_radix(digits, 16).ok())
         .unwrap_or(0);
     let seconds = text("/proc/uptime")
         .split_whitespace()
         .next()
         .and_then(|word| word.parse::<f64>().ok());
-    seconds.map_or((0, 0), |seconds| (boot, (seconds * 1000.0) as u64))
+    seconds.map_or_else(SinceBoot::default, |seconds| SinceBoot {
+        boot_id,
+        ms: (seconds * 1000.0) as u64,
+    })
 }
 
-pub fn length(span: Span) -> Duration {
+/// The same length as the standard library's type.
+pub fn to_duration(span: Span) -> Duration {
     Duration::from_secs_f64(span.ms() / 1000.0)
 }
--- a/crates/flaxdeck-net/src/counters_file.rs
+++ b/crates/flaxdeck-net/src/counters_file.rs
@@ -10,28 +10,29 @@
 use crate::metrics::{self, Reader};
 
 /// Between lines.
-const EVERY: Duration = Duration::from_millis(250);
+const INTERVAL: Duration = Duration::from_millis(250);
 
-/// Has the counters of this thread written for as long as the process lives, by a thread that no work holds up.
+/// Has the counters of this thread written for as long as the process lives, by a thread that no other work holds up. A
+/// file that can't be written is said in the log once.
 pub fn spawn(path: PathBuf) {
     let counters = metrics::reader();
     thread::spawn(move || {
-        if let Err(error) = write(&path, &counters) {
+        if let Err(error) = write_lines(&path, &counters) {
             log::error!("counters are not written to {}: {error}", path.display());
         }
     });
 }
 
-fn write(path: &Path, counters: &Reader) -> io::Result<()> {
+fn write_lines(path: &Path, counters: &Reader) -> io::Result<()> {
     let mut file = File::create(path)?;
     let begun = Instant::now();
     loop {
-        file.write_all(line(begun.elapsed(), counters).as_bytes())?;
-        thread::sleep(EVERY);
+        file.write_all(json_line(begun.elapsed(), counters).as_bytes())?;
+        thread::sleep(INTERVAL);
     }
 }
 
-fn line(elapsed: Duration, counters: &Reader) -> String {
+fn json_line(elapsed: Duration, counters: &Reader) -> String {
     let counters = counters
         .snapshot()
         .map(|(name, value)| format!(",\"{name}\":{value}"));
--- a/crates/flaxdeck-net/src/link.rs
+++ b/crates/flaxdeck-net/src/link.rs
@@ -1,4 +1,7 @@
-//! One connection: what came in and is not parsed yet, and what is to go out, in gathered writes.
+//! One TCP connection: what came in and is not parsed yet, and what is to go out, in gathered writes.
+//!
+//! [`Inbound`] belongs to the one task that reads; [`Outbound`] is cloned to all that write. Whoever owns the connection
+//! ends it with [`close_gracefully`].
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -18,13 +21,14 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
-use super::budget::Permit;
+use crate::budget::Permit;
 
-/// Bytes asked for at a read of small messages: a head or two and a small object.
-const READ: usize = 8 * 1024;
-/// Pieces of one gathered write; a head, a body and a tail make three.
-const PIECES: usize = 48;
-/// How long the other side has to end a connection that was ended here: a few trips of a far one, and a lost segment.
+/// Least bytes of free buffer for a read: a head or two and a small object.
+const MIN_READ: usize = 8 * 1024;
+/// Slices of one gathered write; a head, a body and a tail make three.
+const MAX_SLICES: usize = 48;
+/// How long the other side has to end a connection that was ended here: a few round trips of a far one, and a lost
+/// segment.
 pub const LINGER: Duration = Duration::from_millis(500);
 /// Bytes that are read and dropped meanwhile: all that a client may have had on its way by the protocol.
 const MAX_DRAINED: usize = 2 * 1024 * 1024;
@@ -32,15 +36,21 @@
 /// The reading side.
 pub struct Inbound {
     stream: Rc<TcpStream>,
+    /// What came in and is not parsed yet.
     pub bytes: BytesMut,
 }
 
 impl Inbound {
-    /// Waits for more bytes, `want` of them if that many are known to be coming; false at the end.
-    pub async fn more(&mut self, want: usize) -> io::Result<bool> {
+    /// Waits for more bytes, with room for `expected` of them if that many are known to be coming; false at the end.
+    /// May be dropped and called again without loss.
+    ///
+    /// # Errors
+    ///
+    /// Those of the system; the connection is of no more use.
+    pub async fn read_more(&mut self, expected: usize) -> io::Result<bool> {
         loop {
             self.stream.readable().await?;
-            self.bytes.reserve(want.max(READ));
+            self.bytes.reserve(expected.max(MIN_READ));
             match self.stream.try_read_buf(&mut self.bytes) {
                 Err(error) if error.kind() == ErrorKind::WouldBlock => continue,
                 read => return read.map(|count| count > 0),
@@ -49,17 +59,17 @@
     }
 
     /// Gives the buffer's memory back if nothing is in it; what was taken out may go on holding its own.
-    pub fn rest(&mut self) {
+    pub fn release_buffer(&mut self) {
         if self.bytes.is_empty() {
             self.bytes = BytesMut::new();
         }
     }
 
-    /// Whether the other side has closed, or sent what nobody asked for, since the last read.
-    pub fn stale(&mut self) -> bool {
-        let quiet = self.stream.try_read(&mut [0; 1]);
-        !self.bytes.is_empty()
-            || !matches!(quiet, Err(error) if error.kind() == ErrorKind::WouldBlock)
+    /// Whether an idle connection is of no more use: the other side has closed it, or sent what nobody asked for.
+    pub fn is_stale(&mut self) -> bool {
+        let read = self.stream.try_read(&mut [0; 1]);
+        let is_quiet = matches!(read, Err(error) if error.kind() == ErrorKind::WouldBlock);
+        !self.bytes.is_empty() || !is_quiet
     }
 }
 
@@ -67,41 +77,43 @@
 /// and dropped until the other side has ended too, for so long at the most.
 // Guards against a close over unread bytes: that resets the connection, and answers which the other side has not read
 // yet go with it.
-pub async fn end(inbound: &mut Inbound, outbound: &Outbound, within: Duration) {
-    let ended = async {
-        outbound.flush().await.ok()?;
-        SockRef::from(&*outbound.stream)
-            .shutdown(Shutdown::Write)
-            .ok()?;
-        let mut drained = 0;
-        loop {
-            inbound.bytes.clear();
-            let more = inbound
-                .more(0)
-                .await
-                .ok()
-                .filter(|more| *more && drained < MAX_DRAINED);
-            drained += more.map(|_| inbound.bytes.len())?;
-        }
+pub async fn close_gracefully(inbound: &mut Inbound, outbound: &Outbound, within: Duration) {
+    let closing = async {
+        outbound.flush().await?;
+        SockRef::from(&*outbound.stream).shutdown(Shutdown::Write)?;
+        drain(inbound).await
     };
-    let _: Result<Option<()>, _> = timeout(within, ended).await; // whoever has not ended by then is left to the system
+    let _: Result<io::Result<()>, _> = timeout(within, closing).await; // who has not ended by then is left to the system
     outbound.drop_queue();
 }
 
-/// A message to go out, with the places that it holds until it is written.
-struct Parcel {
+/// Reads and drops what comes until the other side has ended, [`MAX_DRAINED`] bytes at most.
+async fn drain(inbound: &mut Inbound) -> io::Result<()> {
+    let mut drained = 0;
+    loop {
+        inbound.bytes.clear();
+        let more = inbound.read_more(0).await?;
+        if !more || drained >= MAX_DRAINED {
+            return Ok(());
+        }
+        drained += inbound.bytes.len();
+    }
+}
+
+/// A message to go out, with the permits that it holds until it is written.
+struct QueuedMessage {
     pieces: VecDeque<Bytes>,
-    _places: [Option<Permit>; 2],
+    _permits: [Option<Permit>; 2],
 }
 
 struct Queue {
-    parcels: VecDeque<Parcel>,
+    messages: VecDeque<QueuedMessage>,
     /// Nothing more is taken to be sent.
     closed: bool,
     /// Nothing more can be written.
     broken: bool,
     /// Since when the other side has taken nothing of what waits for it; none while nothing waits.
-    stuck_since: Option<Instant>,
+    stalled_since: Option<Instant>,
 }
 
 /// The writing side, shared by all that write to the connection.
@@ -116,45 +128,51 @@
 /// What lies next to be read on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
+    /// Nothing has come.
     Nothing,
+    /// Bytes have come.
     Bytes,
     /// The other side has closed or reset the connection, or shut its writing side.
     End,
 }
 
+/// Makes the two sides of a connection that is up.
 pub fn split(stream: TcpStream) -> (Inbound, Outbound) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("TCP_NODELAY not set: {error}");
     }
     let stream = Rc::new(stream);
-    let queue = Rc::new(RefCell::new(Queue {
-        parcels: VecDeque::new(),
+    let queue = Queue {
+        messages: VecDeque::new(),
         closed: false,
         broken: false,
-        stuck_since: None,
-    }));
+        stalled_since: None,
+    };
     let inbound = Inbound {
         stream: stream.clone(),
         bytes: BytesMut::new(),
     };
-    (
-        inbound,
-        Outbound {
-            stream,
-            queue,
-            changed: Rc::new(Notify::new()),
-        },
-    )
+    let outbound = Outbound {
+        stream,
+        queue: Rc::new(RefCell::new(queue)),
+        changed: Rc::new(Notify::new()),
+    };
+    (inbound, outbound)
 }
 
 /// Opens a connection; how long that may take is the caller's matter.
+///
+/// # Errors
+///
+/// Those of the system: nobody listens there, or nothing comes back from there.
 pub async fn connect(address: SocketAddr) -> io::Result<(Inbound, Outbound)> {
     TcpStream::connect(address).await.map(split)
 }
 
 impl Outbound {
-    /// Queues one message and writes what the connection takes at once.
-    pub fn send(&self, pieces: impl IntoIterator<Item = Bytes>, places: [Option<Permit>; 2]) {
+    /// Queues one message and writes what the connection takes at once. The permits are released once all of it is
+    /// written, or with the connection. Once the connection is closed nothing is queued.
+    pub fn send(&self, pieces: impl IntoIterator<Item = Bytes>, permits: [Option<Permit>; 2]) {
         if self.is_closed() {
             return;
         }
@@ -162,29 +180,31 @@
             .into_iter()
             .filter(|piece| !piece.is_empty())
             .collect();
-        self.queue.borrow_mut().parcels.push_back(Parcel {
+        self.queue.borrow_mut().messages.push_back(QueuedMessage {
             pieces,
-            _places: places,
+            _permits: permits,
         });
-        if self.write().is_err() || self.pending() {
+        if self.write().is_err() || self.has_pending() {
             self.changed.notify_one();
         }
     }
 
-    pub fn pending(&self) -> bool {
-        self.waiting() > 0
+    /// Whether a message is not written to its end.
+    pub fn has_pending(&self) -> bool {
+        self.pending_messages() > 0
     }
 
     /// Messages that are not written to their end.
-    pub fn waiting(&self) -> usize {
-        self.queue.borrow().parcels.len()
+    pub fn pending_messages(&self) -> usize {
+        self.queue.borrow().messages.len()
     }
 
     /// Since when the other side has taken nothing of what waits for it; none while nothing waits.
-    pub fn stuck_since(&self) -> Option<Instant> {
-        self.queue.borrow().stuck_since
+    pub fn stalled_since(&self) -> Option<Instant> {
+        self.queue.borrow().stalled_since
     }
 
+    /// Whether nothing more is taken to be sent: the connection was closed here, or broke.
     pub fn is_closed(&self) -> bool {
         self.queue.borrow().closed
     }
@@ -229,7 +249,7 @@
     }
 
     fn drop_queue(&self) {
-        self.queue.borrow_mut().parcels.clear();
+        self.queue.borrow_mut().messages.clear();
     }
 
     /// Waits until something is left to be written or the connection is to end.
@@ -237,16 +257,24 @@
         self.changed.notified().await;
     }
 
-    /// Writes what the connection takes, once it takes something.
-    pub async fn step(&self) -> io::Result<()> {
+    /// Waits until the connection takes something, and writes what it takes.
+    ///
+    /// # Errors
+    ///
+    /// Those of the system; the connection is of no more use.
+    pub async fn write_some(&self) -> io::Result<()> {
         self.stream.writable().await?;
         self.write()
     }
 
     /// Writes all that is queued.
+    ///
+    /// # Errors
+    ///
+    /// Those of the system; [`ErrorKind::BrokenPipe`] where the connection had broken before.
     pub async fn flush(&self) -> io::Result<()> {
-        while self.pending() {
-            self.step().await?;
+        while self.has_pending() {
+            self.write_some().await?;
         }
         if self.queue.borrow().broken {
             Err(ErrorKind::BrokenPipe.into())
@@ -258,29 +286,30 @@
     fn write(&self) -> io::Result<()> {
         let mut queue = self.queue.borrow_mut();
         loop {
-            let mut slices = [IoSlice::new(&[]); PIECES];
-            let pieces = queue.parcels.iter().flat_map(|parcel| &parcel.pieces);
+            let mut slices = [IoSlice::new(&[]); MAX_SLICES];
+            let pieces = queue.messages.iter().flat_map(|message| &message.pieces);
             let used = pieces
                 .zip(&mut slices)
                 .map(|(piece, slice)| *slice = IoSlice::new(piece))
                 .count();
             if used == 0 {
-                queue.parcels.clear();
-                queue.stuck_since = None;
+                queue.messages.clear();
+                queue.stalled_since = None;
                 return Ok(());
             }
             match self.stream.try_write_vectored(&slices[..used]) {
                 Ok(count) => {
                     queue.written(count);
-                    queue.stuck_since = None;
+                    queue.stalled_since = None;
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    queue.stuck_since.get_or_insert_with(Instant::now);
+                    queue.stalled_since.get_or_insert_with(Instant::now);
                     return Ok(());
                 }
                 Err(error) => {
-                    (queue.closed, queue.broken) = (true, true);
-                    queue.parcels.clear();
+                    queue.closed = true;
+                    queue.broken = true;
+                    queue.messages.clear();
                     return Err(error);
                 }
             }
@@ -290,17 +319,17 @@
 
 impl Queue {
     fn written(&mut self, mut count: usize) {
-        while let Some(parcel) = self.parcels.front_mut() {
-            while let Some(piece) = parcel.pieces.front_mut() {
+        while let Some(message) = self.messages.front_mut() {
+            while let Some(piece) = message.pieces.front_mut() {
                 let part = piece.len().min(count);
                 piece.advance(part);
                 count -= part;
                 if !piece.is_empty() {
                     return;
                 }
-                parcel.pieces.pop_front();
+                message.pieces.pop_front();
             }
-            self.parcels.pop_front();
+            self.messages.pop_front();
             if count == 0 {
                 return;
             }
--- a/crates/flaxdeck-net/tests/eviction.rs
+++ b/crates/flaxdeck-net/tests/eviction.rs
@@ -1,5 +1,11 @@
 //! Which connections make room for new ones, and how much is asked of the system to find them.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::cell::Cell;
 use std::time::Duration;
 
@@ -67,9 +73,9 @@
 fn idle_ones_with_unread_bytes_stay_and_each_costs_one_look() {
     let now = Instant::now();
     let mut connections: Vec<Fake> = (0..400).map(|n| quiet_for(now, 1000 + n, true)).collect();
-    connections[397..]
-        .iter_mut()
-        .for_each(|connection| connection.has_unread = true);
+    for connection in &mut connections[397..] {
+        connection.has_unread = true;
+    }
     let Eviction::Idle(longest) = choose(&connections, now) else {
         panic!("one can go")
     };
@@ -83,9 +89,9 @@
     let mut connections: Vec<Fake> = (0..400)
         .map(|n| quiet_for(now, 1000 + n, n % 2 == 0))
         .collect();
-    connections
-        .iter_mut()
-        .for_each(|connection| connection.is_busy = true);
+    for connection in &mut connections {
+        connection.is_busy = true;
+    }
     assert!(matches!(choose(&connections, now), Eviction::Nobody));
     assert_eq!(looks(&connections), 0);
 }
--- a/crates/flaxdeck-net/tests/link.rs
+++ b/crates/flaxdeck-net/tests/link.rs
@@ -1,5 +1,11 @@
 //! Since when a client takes nothing, on real sockets.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use bytes::Bytes;
 use flaxdeck_net::link::connect;
 use tokio::time::Instant;
@@ -22,21 +28,21 @@
         let begun = Instant::now();
         sleep(Duration::from_millis(30)).await;
         outbound.send([Bytes::from_static(b"small")], [None, None]);
-        assert_eq!(outbound.stuck_since(), None, "taken at once");
+        assert_eq!(outbound.stalled_since(), None, "taken at once");
         outbound.send([Bytes::from(vec![0; 16 << 20])], [None, None]);
-        let first = outbound.stuck_since().unwrap();
+        let first = outbound.stalled_since().unwrap();
         assert!(first >= begun + Duration::from_millis(30));
         let mut taken = vec![0; 4 << 20];
-        while outbound.stuck_since() == Some(first) {
+        while outbound.stalled_since() == Some(first) {
             far.readable().await.unwrap();
             let _ = far.try_read(&mut taken); // none there yet is a spurious wake-up
             tokio::select! {
-                stepped = outbound.step() => stepped.unwrap(),
+                stepped = outbound.write_some() => stepped.unwrap(),
                 () = sleep(Duration::from_millis(1)) => {}
             }
         }
         assert!(
-            outbound.stuck_since().is_none_or(|since| since > first),
+            outbound.stalled_since().is_none_or(|since| since > first),
             "it took something"
         );
     });
