--- a/crates/flaxdeck-channel/src/connection.rs
+++ b/crates/flaxdeck-channel/src/connection.rs
@@ -88,7 +88,7 @@
                     return Ok(theirs);
                 }
                 Parsed::Short(more) => {
-                    if !matches!(inbound.more(more).await, Ok(true)) {
+                    if !matches!(inbound.read_more(more).await, Ok(true)) {
                         return Err(CloseReason::Broken("ended before the greeting"));
                     }
                 }
@@ -117,7 +117,7 @@
 impl Sender {
     /// Whether another message may be written: the other side keeps up.
     pub fn may_send(&self) -> bool {
-        !self.outbound.is_closed() && self.outbound.waiting() < MAX_WAITING
+        !self.outbound.is_closed() && self.outbound.pending_messages() < MAX_WAITING
     }
 
     /// Writes one message, or queues it. One over a bound is not sent, and ends the conversation.
@@ -158,15 +158,15 @@
                 }
                 Parsed::Short(more) => more,
             };
-            self.inbound.rest();
-            let pending = self.outbound.pending();
+            self.inbound.release_buffer();
+            let pending = self.outbound.has_pending();
             tokio::select! {
-                read = self.inbound.more(more) => {
+                read = self.inbound.read_more(more) => {
                     if !matches!(read, Ok(true)) {
                         return Err(CloseReason::Broken("the other side has ended it"));
                     }
                 }
-                written = self.outbound.step(), if pending => {
+                written = self.outbound.write_some(), if pending => {
                     written.map_err(|_| CloseReason::Broken("broken while writing"))?;
                 }
                 () = sleep_until(self.heard + STALLED) => return Err(CloseReason::Broken("silent")),
--- a/crates/flaxdeck-channel/src/watch.rs
+++ b/crates/flaxdeck-channel/src/watch.rs
@@ -189,13 +189,13 @@
     /// All that expedite at once still draw a pause each.
     async fn wait(&mut self, pause: Span) {
         let hurries = tokio::select! {
-            () = sleep(clock::length(pause)) => false,
+            () = sleep(clock::to_duration(pause)) => false,
             () = self.urgency.expedite.notified() => true,
         };
         if hurries {
             self.pace.expedite();
             let pause = self.pace.pause(self.clock.now(), false);
-            sleep(clock::length(pause)).await;
+            sleep(clock::to_duration(pause)).await;
         }
     }
 
@@ -287,7 +287,7 @@
                     let silent = self.heard + SILENT;
                     let limit = due.unwrap_or(silent).duration_since(Instant::now());
                     let begins = inbound.bytes.is_empty();
-                    match timeout(limit, inbound.more(more)).await {
+                    match timeout(limit, inbound.read_more(more)).await {
                         Ok(Ok(true)) if begins => self.heard = Instant::now(),
                         Ok(Ok(true)) if Instant::now() < silent => {}
                         Err(_) if settles.is_some() && settles <= proves.or(settles) => {
--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -203,7 +203,7 @@
 impl Files {
     /// What has to be in effect before anything else of the process.
     fn begin_process(&self) {
-        clock::run_apart(self.clock_apart_ms);
+        clock::set_offset_ms(self.clock_apart_ms);
         if self.ends_with_parent {
             flaxdeck_scale::processes::end_with_parent();
         }
--- a/crates/flaxdeck-cli/src/state.rs
+++ b/crates/flaxdeck-cli/src/state.rs
@@ -22,9 +22,12 @@
         .snapshot
         .as_ref()
         .map(|snapshot| StoredState::read(snapshot, &found.records));
-    let (boot, ms) = since_boot();
+    let since = since_boot();
     let now = Now {
-        uptime: Uptime { boot, ms },
+        uptime: Uptime {
+            boot: since.boot_id,
+            ms: since.ms,
+        },
         file: EventPosition::NONE,
         waits: Span::ZERO,
     };
--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -17,7 +17,7 @@
 use crate::routing::{Guidelines, Router, accept};
 use flaxdeck_net::clock::Clock;
 use flaxdeck_net::counters_file;
-use flaxdeck_net::listener::Claim;
+use flaxdeck_net::listener::BoundAddress;
 use flaxdeck_net::metrics::{self, Counter, count};
 
 /// Between lines of counters in the log.
@@ -69,7 +69,7 @@
     );
     let refused = |error| format!("cannot listen at {address}: {error}");
     // Taken before anything is said in its name: while an earlier run still listens there, this one is none.
-    let claim = Claim::take(address).map_err(refused)?;
+    let claim = BoundAddress::bind(address).map_err(refused)?;
     let counters = guidelines
         .as_ref()
         .and_then(|guidelines| guidelines.counters.clone());
@@ -82,7 +82,7 @@
         _ = asked_to_end.recv() => return Ok(()),
     }
     let listener = claim.listen().map_err(refused)?;
-    let at = listener.address().map_err(refused)?;
+    let at = listener.local_addr().map_err(refused)?;
     spawn_local(router.clone().sweep());
     spawn_local(log_counters(router.clone()));
     spawn_local(accept(router.clone(), listener));
--- a/crates/flaxdeck-dispatcher/src/protocol/pool.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/pool.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 use flaxdeck_net::budget::{Budget, Permit};
-use flaxdeck_net::clock::length;
+use flaxdeck_net::clock::to_duration;
 use flaxdeck_net::link::{self, Inbound, Outbound};
 use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_wire::frames::AddressedEndpoint;
@@ -65,10 +65,10 @@
                 Ok(Parsed::Short(more)) => {
                     let enough = self.inbound.bytes.len() + more;
                     // Until memory is free the rest stays with the host.
-                    pool.bytes.hold(enough, &mut held).await;
+                    pool.bytes.reserve_for_message(enough, &mut held).await;
                     while self.inbound.bytes.len() < enough {
                         let missing = enough - self.inbound.bytes.len();
-                        if !matches!(self.inbound.more(missing).await, Ok(true)) {
+                        if !matches!(self.inbound.read_more(missing).await, Ok(true)) {
                             return None;
                         }
                     }
@@ -114,8 +114,8 @@
     pub fn new(names: Rc<Names>, carriage: Carriage, most: usize, bytes: Rc<Budget>) -> Rc<Pool> {
         Rc::new(Pool {
             names,
-            connect_within: length(carriage.connect_within),
-            idle: length(carriage.idle * IDLE_PART),
+            connect_within: to_duration(carriage.connect_within),
+            idle: to_duration(carriage.idle * IDLE_PART),
             budget: Budget::new(most),
             bytes,
             kept: RefCell::new(BTreeMap::new()),
@@ -156,7 +156,7 @@
     }
 
     pub fn open(&self) -> usize {
-        self.budget.taken()
+        self.budget.in_use()
     }
 
     /// Closes what has been idle for long, or was closed by the other side.
@@ -257,7 +257,7 @@
     }
 
     fn still_good(&self, conn: &mut Conn) -> bool {
-        conn.used.elapsed() < self.idle && !conn.inbound.stale()
+        conn.used.elapsed() < self.idle && !conn.inbound.is_stale()
     }
 
     fn kept_idle(&self, host: &HostId) -> Option<Conn> {
@@ -326,18 +326,18 @@
 
     /// A place for one more connection; the longest idle one makes room.
     fn place(&self) -> Option<Permit> {
-        self.budget.take().or_else(|| {
+        self.budget.try_acquire().or_else(|| {
             let mut kept = self.kept.borrow_mut();
             let idle = kept.values_mut().filter(|kept| !kept.idle.is_empty());
             idle.min_by_key(|kept| kept.idle[0].used)?.idle.remove(0);
             drop(kept);
-            self.budget.take()
+            self.budget.try_acquire()
         })
     }
 
     fn keep(&self, host: &HostId, mut conn: Conn) {
         (conn.used, conn.reused) = (Instant::now(), true);
-        conn.inbound.rest();
+        conn.inbound.release_buffer();
         let mut kept = self.kept.borrow_mut();
         // The host may have moved while the connection was out.
         if let Some(kept) = kept
@@ -375,7 +375,7 @@
                     .clone()
                     .fence(self.host.clone(), self.id.clone(), conn),
             );
-        } else if !conn.outbound.pending() && !conn.outbound.is_closed() {
+        } else if !conn.outbound.has_pending() && !conn.outbound.is_closed() {
             self.pool.keep(self.host, conn);
         }
     }
--- a/crates/flaxdeck-dispatcher/src/protocol/session.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/session.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until};
 
-use flaxdeck_net::budget::{Budget, Permit, SMALL};
+use flaxdeck_net::budget::{Budget, MAX_SMALL_MESSAGE, Permit};
 use flaxdeck_net::link::{self, Inbound, Outbound, Unread};
 use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_wire::rpc::{self, ClientMessage};
@@ -128,7 +128,7 @@
 
     /// Answers that the client has not taken yet.
     pub fn unread(&self) -> usize {
-        self.outbound.waiting()
+        self.outbound.pending_messages()
     }
 }
 
@@ -160,7 +160,7 @@
     }
 
     fn pay(&mut self) {
-        while self.outbound.waiting() < MAX_UNREAD {
+        while self.outbound.pending_messages() < MAX_UNREAD {
             let Some((call, word)) = self.owed.pop_front() else {
                 return;
             };
@@ -173,10 +173,10 @@
         }
     }
 
-    /// Ends the connection; see [`link::end`].
+    /// Ends the connection; see [`link::close_gracefully`].
     pub async fn end(mut self, within: Duration) {
         self.outbound.close();
-        link::end(&mut self.inbound, &self.outbound, within).await;
+        link::close_gracefully(&mut self.inbound, &self.outbound, within).await;
     }
 
     /// What answers the request of that number, with the place that it holds until the answer is written.
@@ -240,7 +240,7 @@
                     if left == here {
                         continue;
                     }
-                    SMALL.min(left - here)
+                    MAX_SMALL_MESSAGE.min(left - here)
                 }
                 None => match rpc::parse(&mut self.inbound.bytes, &self.names) {
                     Ok(Parsed::Whole(said)) => {
@@ -255,7 +255,7 @@
                     }
                 },
             };
-            self.inbound.rest();
+            self.inbound.release_buffer();
             let midway = self.has_unparsed() || self.passing.is_some();
             self.midway.set(midway);
             if midway {
@@ -297,16 +297,16 @@
     }
 
     async fn wait(&mut self, more: usize) -> Waited {
-        let pending = self.outbound.pending();
+        let pending = self.outbound.has_pending();
         let enough = if self.passing.is_some() {
             more
         } else {
             self.inbound.bytes.len() + more
         };
-        if enough > SMALL && self.held.is_none() {
-            self.held = self.bytes.take_some(enough);
+        if enough > MAX_SMALL_MESSAGE && self.held.is_none() {
+            self.held = self.bytes.try_acquire_many(enough);
         }
-        let waits = enough > SMALL && self.held.is_none();
+        let waits = enough > MAX_SMALL_MESSAGE && self.held.is_none();
         let has_open = Rc::strong_count(&self.open) > 1;
         let patience = if has_open {
             FOR_MEMORY_BESIDE_OPEN
@@ -320,19 +320,19 @@
             if let Some(by) = memory_by {
                 tokio::select! {
                     biased;
-                    () = self.bytes.hold(enough, held) => {}
+                    () = self.bytes.reserve_for_message(enough, held) => {}
                     () = self.outbound.peer_closed() => return Waited::Over,
                     () = sleep_until(by) => return Waited::NoMemory,
                 }
             }
-            match inbound.more(more).await {
+            match inbound.read_more(more).await {
                 Ok(true) => Waited::Stirred,
                 _ => Waited::Over,
             }
         };
         let whole_by = self.begun.map(|begun| begun + WHOLE);
         // Counters from when something began to wait: a connection may have been up for long by then.
-        let stalled = self.outbound.stuck_since().map(|since| since + STALLED);
+        let stalled = self.outbound.stalled_since().map(|since| since + STALLED);
         let now = Instant::now;
         tokio::select! {
             read = read => read,
@@ -340,7 +340,7 @@
                 count(Counter::clients_not_whole);
                 Waited::Over
             }
-            written = self.outbound.step(), if pending => {
+            written = self.outbound.write_some(), if pending => {
                 if written.is_ok() { Waited::Stirred } else { Waited::Over }
             }
             () = sleep_until(stalled.unwrap_or_else(now)), if stalled.is_some() => {
--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -45,12 +45,12 @@
             .open
             .borrow_mut()
             .retain(|client| client.strong_count() > 0);
-        let place = match router.clients.take() {
+        let place = match router.clients.try_acquire() {
             Some(place) => place,
             None => {
                 router.make_room();
                 // Whoever makes room is gone at its next turn, so connections wait for no timer.
-                let Ok(place) = timeout(PAUSE, router.clients.wait_for(1)).await else {
+                let Ok(place) = timeout(PAUSE, router.clients.acquire_many(1)).await else {
                     continue;
                 };
                 place
@@ -238,8 +238,8 @@
             Heard::Request { call, asked } => {
                 let fits = requests.len() + self.closer.unread() < MAX_OPEN;
                 let (slot, held) = (
-                    router.slots.take(),
-                    router.asked.take_some(asked.body.len()),
+                    router.slots.try_acquire(),
+                    router.asked.try_acquire_many(asked.body.len()),
                 );
                 match held.filter(|_| fits && slot.is_some()) {
                     Some(held) => {
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -577,7 +577,7 @@
             if new && guides.unreached.borrow().len() == guides.guidelines.planners.len() {
                 guides.urgency.expedite();
             }
-            sleep(clock::length(pace.pause(self.clock.now(), false))).await;
+            sleep(clock::to_duration(pace.pause(self.clock.now(), false))).await;
         }
     }
 
--- a/crates/flaxdeck-dispatcher/src/routing/keep.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/keep.rs
@@ -69,8 +69,11 @@
 }
 
 fn uptime() -> Uptime {
-    let (boot, ms) = since_boot();
-    Uptime { boot, ms }
+    let since = since_boot();
+    Uptime {
+        boot: since.boot_id,
+        ms: since.ms,
+    }
 }
 
 fn line(endpoint: &AddressedEndpoint) -> StoredEndpoint {
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -101,8 +101,8 @@
         bounds: Bounds,
     ) -> Rc<Router> {
         let (asked, answered) = (
-            Rc::new(Budget::new(bounds.asked)),
-            Rc::new(Budget::new(bounds.answered)),
+            Rc::new(Budget::new(bounds.request_bytes)),
+            Rc::new(Budget::new(bounds.response_bytes)),
         );
         let (zone, settles) = (terms.zone, terms.purge_settles);
         Rc::new(Router {
@@ -134,17 +134,17 @@
 
     /// Requests that are open or whose answers are not written yet, client connections, host connections.
     pub fn load(&self) -> [usize; 3] {
-        [self.slots.taken(), self.clients.taken(), self.pool.open()]
+        [self.slots.in_use(), self.clients.in_use(), self.pool.open()]
     }
 
     /// Nothing is left to be taken in or answered.
     pub fn at_rest(&self) -> bool {
-        self.none_waits.get() && self.slots.taken() == 0 && !self.is_told_more()
+        self.none_waits.get() && self.slots.in_use() == 0 && !self.is_told_more()
     }
 
     /// No connection of a client is left.
     pub fn is_alone(&self) -> bool {
-        self.clients.taken() == 0 && self.ending.borrow().iter().all(AbortHandle::is_finished)
+        self.clients.in_use() == 0 && self.ending.borrow().iter().all(AbortHandle::is_finished)
     }
 
     /// No request outlasts this time.
@@ -308,8 +308,8 @@
     /// Takes over what a later configuration may change under load; open requests notice nothing.
     pub fn reload(&self, bounds: Bounds, watch: Watch, known: NumberedEvents) {
         self.slots.resize(bounds.requests);
-        self.asked.resize(bounds.asked);
-        self.answered.resize(bounds.answered);
+        self.asked.resize(bounds.request_bytes);
+        self.answered.resize(bounds.response_bytes);
         self.clients.resize(bounds.clients);
         self.pool.resize(bounds.hosts);
         *self.later.borrow_mut() = Some((watch, known));
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -15,7 +15,7 @@
 use super::{OpenRequest, Router};
 use crate::protocol::session::Reply;
 use flaxdeck_net::budget::Permit;
-use flaxdeck_net::clock::length;
+use flaxdeck_net::clock::to_duration;
 use flaxdeck_net::metrics::{Counter, assert_invariant, count};
 use flaxdeck_wire::{Answer, AttemptOptions, ClientRequest, HostReply};
 
@@ -194,7 +194,7 @@
             self.asked.clone(),
             attempt.host.clone(),
         );
-        let (id, until) = (self.id, Instant::now() + length(attempt.allow));
+        let (id, until) = (self.id, Instant::now() + to_duration(attempt.allow));
         let begun = Rc::new(Cell::new(false));
         let begins = begun.clone();
         let task = self.tasks.spawn_local(async move {
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -120,9 +120,9 @@
         .for_each(|(_, event)| server.listed(event));
     server.begins_at(watch.numbering().borrow().last());
     let listener =
-        Listener::open(listen).map_err(|error| format!("cannot listen at {listen}: {error}"))?;
+        Listener::bind(listen).map_err(|error| format!("cannot listen at {listen}: {error}"))?;
     let at = listener
-        .address()
+        .local_addr()
         .map_err(|error| format!("cannot listen at {listen}: {error}"))?;
     spawn_local(server.clone().follow(watch));
     spawn_local(server.clone().accept(listener));
@@ -277,7 +277,7 @@
 
     async fn accept(self: Rc<Server>, listener: Listener) {
         loop {
-            let place = self.budget.wait_for(1).await;
+            let place = self.budget.acquire_many(1).await;
             match listener.accept().await {
                 Ok(stream) => {
                     spawn_local(self.clone().attend(stream, place));
--- a/crates/flaxdeck-scale/src/coordinator.rs
+++ b/crates/flaxdeck-scale/src/coordinator.rs
@@ -81,9 +81,9 @@
     let (_, names) = flaxdeck_terms::read(&fields)?;
     let settings_names = [fields.texts("zones")?, fields.texts("kinds")?];
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let listener = Listener::open(any).map_err(|error| format!("cannot listen: {error}"))?;
+    let listener = Listener::bind(any).map_err(|error| format!("cannot listen: {error}"))?;
     let address = listener
-        .address()
+        .local_addr()
         .map_err(|error| format!("cannot listen: {error}"))?;
     let state = State {
         hosts: orders.hosts,
