--- a/crates/flaxdeck-adapter/tests/looks.rs
+++ b/crates/flaxdeck-adapter/tests/looks.rs
@@ -1,5 +1,11 @@
 //! The adapter's program on its wire, where hosts tell their load only to who asks.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -40,9 +46,9 @@
             json!({"event_type": "Mark", "sim_time_ms": at})
         )
         .unwrap();
-        events
-            .iter()
-            .for_each(|event| writeln!(input, "{event}").unwrap());
+        for event in events {
+            writeln!(input, "{event}").unwrap();
+        }
         writeln!(input, "{}", json!({"event_type": "EofBatch"})).unwrap();
     }
     drop(input);
