--- a/crates/flaxdeck-channel/src/authenticated.rs
+++ b/crates/flaxdeck-channel/src/authenticated.rs
@@ -11,7 +11,7 @@
 //! again meets another nonce. Nothing is kept secret, only genuine.
 
 use bytes::{Buf, Bytes, BytesMut};
-use flaxdeck_wire::{Malformed, Parsed};
+use flaxdeck_wire::Parsed;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -60,6 +60,10 @@
     }
 }
 
+/// Bytes that are not of this protocol; the connection they came on is of no more use.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Malformed(pub &'static str);
+
 /// The side of a conversation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
@@ -98,7 +102,7 @@
     ) -> Result<Parsed<Greeting>, Malformed> {
         if buffer.len() < GREETING {
             let wrong = !MAGIC.starts_with(&buffer[..buffer.len().min(MAGIC.len())]);
-            let short = Parsed::Short(GREETING - buffer.len());
+            let short = Parsed::Incomplete(GREETING - buffer.len());
             return if wrong {
                 Err(Malformed("not of this protocol"))
             } else {
@@ -121,7 +125,7 @@
         }
         let mut nonce = [0; NONCE];
         nonce.copy_from_slice(&head[6..]);
-        Ok(Parsed::Whole(Greeting { side: from, nonce }))
+        Ok(Parsed::Complete(Greeting { side: from, nonce }))
     }
 
     /// What seals our frames and opens theirs, once both greetings are known.
@@ -184,14 +188,14 @@
         buffer: &mut BytesMut,
     ) -> Result<Parsed<T>, Malformed> {
         if buffer.len() < 4 {
-            return Ok(Parsed::Short(4 - buffer.len()));
+            return Ok(Parsed::Incomplete(4 - buffer.len()));
         }
         let length = u32::from_be_bytes([buffer[0], buffer[1], buffer[2], buffer[3]]) as usize;
         if !(COUNTER + HASH..=MAX_FRAME).contains(&length) {
             return Err(Malformed("a frame's length is out of bounds"));
         }
         if buffer.len() < 4 + length {
-            return Ok(Parsed::Short(4 + length - buffer.len()));
+            return Ok(Parsed::Incomplete(4 + length - buffer.len()));
         }
         let mut frame = buffer.split_to(4 + length);
         frame.advance(4);
@@ -208,6 +212,6 @@
         if !rest.is_empty() {
             return Err(Malformed("a frame with more than a message"));
         }
-        Ok(Parsed::Whole(message))
+        Ok(Parsed::Complete(message))
     }
 }
--- a/crates/flaxdeck-channel/src/connection.rs
+++ b/crates/flaxdeck-channel/src/connection.rs
@@ -5,14 +5,14 @@
 
 use flaxdeck_net::link::{self, Inbound, Outbound};
 use flaxdeck_net::metrics::count_message;
-use flaxdeck_wire::{Malformed, Parsed};
+use flaxdeck_wire::Parsed;
 use rand::Rng;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until, timeout};
 
-use crate::authenticated::{FrameSigner, FrameVerifier, GREETING, Greeting, Key, Role};
+use crate::authenticated::{FrameSigner, FrameVerifier, GREETING, Greeting, Key, Malformed, Role};
 use crate::message_kind::{Message, MessageKind};
 
 /// How long connecting and greeting may take.
@@ -83,11 +83,11 @@
         count_message(MessageKind::Greeting.counters_out(), GREETING);
         loop {
             match Greeting::read(&mut inbound.bytes, key, other)? {
-                Parsed::Whole(theirs) => {
+                Parsed::Complete(theirs) => {
                     count_message(MessageKind::Greeting.counters_in(), GREETING);
                     return Ok(theirs);
                 }
-                Parsed::Short(more) => {
+                Parsed::Incomplete(more) => {
                     if !matches!(inbound.read_more(more).await, Ok(true)) {
                         return Err(CloseReason::Broken("ended before the greeting"));
                     }
@@ -148,7 +148,7 @@
             }
             let before = self.inbound.bytes.len();
             let more = match self.verifier.verify::<T>(&mut self.inbound.bytes)? {
-                Parsed::Whole(message) => {
+                Parsed::Complete(message) => {
                     count_message(
                         message.kind().counters_in(),
                         before - self.inbound.bytes.len(),
@@ -156,7 +156,7 @@
                     self.heard = Instant::now();
                     return Ok(message);
                 }
-                Parsed::Short(more) => more,
+                Parsed::Incomplete(more) => more,
             };
             self.inbound.release_buffer();
             let pending = self.outbound.has_pending();
--- a/crates/flaxdeck-channel/src/watch.rs
+++ b/crates/flaxdeck-channel/src/watch.rs
@@ -18,9 +18,9 @@
 use flaxdeck_net::clock::{self, Clock};
 use flaxdeck_net::link::{self, Inbound, Outbound};
 use flaxdeck_net::metrics::{Counter, count, count_message};
-use flaxdeck_wire::frames;
+use flaxdeck_wire::Parsed;
+use flaxdeck_wire::frames::{self, Frame, KnownEvents};
 pub use flaxdeck_wire::frames::{Event, NumberedEvents};
-use flaxdeck_wire::{Malformed, Parsed};
 
 /// A frame comes each second; two missing are a dead connection. What a coordinator that stopped would have told
 /// counts as told after 4 s, so the rest is for the new connection.
@@ -93,7 +93,11 @@
         trusts: bool,
         seed: u64,
     ) -> Result<(Watch, NumberedEvents), String> {
-        let (number, events) = frames::known(known, &names)?;
+        let known = frames::known_events(known, &names).map_err(|fault| fault.to_string())?;
+        let KnownEvents {
+            last: number,
+            events,
+        } = known;
         let hash = events
             .last()
             .filter(|(last, _)| *last == number)
@@ -215,15 +219,15 @@
                 continue;
             };
             let parsed = frames::parse(&mut inbound.bytes, &self.names);
-            if let Ok(Parsed::Whole((_, frame, _))) = &parsed {
+            if let Ok(Parsed::Complete(frame)) = &parsed {
                 count_message(
                     [Counter::feed_messages_in, Counter::feed_bytes_in],
-                    frame.len(),
+                    frame.bytes.len(),
                 );
                 self.heard = Instant::now();
             }
             match parsed {
-                Ok(Parsed::Whole((_, _, None))) => {
+                Ok(Parsed::Complete(Frame { event: None, .. })) => {
                     let now = self.clock.now();
                     let next = self.numbering.borrow_mut().alive(now);
                     if next == Next::Skip {
@@ -235,8 +239,12 @@
                     self.hang_up(false);
                     self.pause().await;
                 }
-                Ok(Parsed::Whole((number, frame, Some(event)))) => {
-                    let (now, whole) = (self.clock.now(), event.is_whole_list());
+                Ok(Parsed::Complete(Frame {
+                    number,
+                    bytes: frame,
+                    event: Some(event),
+                })) => {
+                    let (now, whole) = (self.clock.now(), event.is_full_list());
                     self.note_live(now, &event);
                     let mark = EventPosition {
                         number,
@@ -268,7 +276,7 @@
                         }
                     }
                 }
-                Ok(Parsed::Short(more)) => {
+                Ok(Parsed::Incomplete(more)) => {
                     // All that was on its way has come once nothing more does for a moment; what has to come at once
                     // and does not is not there.
                     let (settles, proves) = {
@@ -310,7 +318,7 @@
                         }
                     }
                 }
-                Err(Malformed(why)) => {
+                Err(why) => {
                     log::warn!("the coordinator's connection is closed: {why}");
                     self.hang_up(false);
                     self.pause().await;
--- a/crates/flaxdeck-channel/tests/authenticated.rs
+++ b/crates/flaxdeck-channel/tests/authenticated.rs
@@ -1,9 +1,11 @@
 //! Sealed frames: those that are genuine and in their place open, all others do not.
 
 use bytes::BytesMut;
-use flaxdeck_channel::authenticated::{FrameSigner, FrameVerifier, Greeting, Key, Role, VERSION};
+use flaxdeck_channel::authenticated::{
+    FrameSigner, FrameVerifier, Greeting, Key, Malformed, Role, VERSION,
+};
 use flaxdeck_control::messages::{Envelope, Epoch, Guidance, Report};
-use flaxdeck_wire::{Malformed, Parsed};
+use flaxdeck_wire::Parsed;
 
 fn key(digit: char) -> Key {
     Key::from_hex(&digit.to_string().repeat(64)).unwrap()
@@ -40,7 +42,7 @@
     let (mut buffer, mut opened) = (BytesMut::new(), Vec::new());
     for byte in bytes {
         buffer.extend_from_slice(&[byte]);
-        if let Parsed::Whole(report) = opens.verify::<Report>(&mut buffer).unwrap() {
+        if let Parsed::Complete(report) = opens.verify::<Report>(&mut buffer).unwrap() {
             opened.push(report);
         }
     }
--- a/crates/flaxdeck-channel/tests/recorded_messages.rs
+++ b/crates/flaxdeck-channel/tests/recorded_messages.rs
@@ -46,7 +46,7 @@
     let mut buffer = BytesMut::from(&written[..]);
     for message in messages {
         let opened = verifier.verify::<T>(&mut buffer).expect("a genuine frame");
-        let Parsed::Whole(opened) = opened else {
+        let Parsed::Complete(opened) = opened else {
             panic!("{name} is cut off")
         };
         assert_eq!(&opened, message);
@@ -165,7 +165,7 @@
     assert_recorded("greeting-planner.bin", &planner.bytes(&key()));
     let mut buffer = BytesMut::from(&planner.bytes(&key())[..]);
     let read = Greeting::read(&mut buffer, &key(), Role::Planner);
-    assert!(matches!(read, Ok(Parsed::Whole(_))));
+    assert!(matches!(read, Ok(Parsed::Complete(_))));
 }
 
 #[test]
--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -10,6 +10,7 @@
 use flaxdeck_control::LeaseTerms;
 use flaxdeck_distribution::Cadence;
 use flaxdeck_plan::{Events, Plan};
+use flaxdeck_terms::SettingsError;
 use flaxdeck_terms::fields::Fields;
 use serde_json::Value;
 
@@ -79,26 +80,28 @@
                 .text("listen")
                 .map(str::to_owned)
         };
-        listen().map_err(|fault: String| faulty(format!("{}: {fault}", self.file)))
+        listen().map_err(|fault: SettingsError| faulty(format!("{}: {fault}", self.file)))
     }
 
     /// The watch from the coordinator, and what it has said already, for an instance of that name.
     pub fn watch(&self, name: &str) -> Result<(Watch, NumberedEvents), String> {
         let watch = || {
-            let fields = Fields::of(&self.value, "the whole")?;
-            let (_, names) = flaxdeck_terms::read(&fields.inner("settings")?)?;
-            let address = fields.text("coordinator")?;
+            let text = |fault: SettingsError| fault.to_string();
+            let fields = Fields::of(&self.value, "the whole").map_err(text)?;
+            let settings = fields.inner("settings").map_err(text)?;
+            let (_, names) = flaxdeck_terms::read(&settings).map_err(text)?;
+            let address = fields.text("coordinator").map_err(text)?;
             let address: SocketAddr = address
                 .parse()
                 .map_err(|_| format!("coordinator: {address} is no address"))?;
-            let seed =
-                u64::from_str_radix(fields.text("seed")?, 16).map_err(|_| "seed is not in hex")?;
+            let seed = u64::from_str_radix(fields.text("seed").map_err(text)?, 16)
+                .map_err(|_| "seed is not in hex")?;
             let seed = name
                 .bytes()
                 .fold(seed, |seed, byte| seed.rotate_left(8) ^ u64::from(byte));
             Watch::start(
                 address,
-                &fields.inner("known")?,
+                &fields.inner("known").map_err(text)?,
                 Rc::new(names),
                 false,
                 seed,
--- a/crates/flaxdeck-dispatcher/src/program/start.rs
+++ b/crates/flaxdeck-dispatcher/src/program/start.rs
@@ -6,7 +6,7 @@
 
 use flaxdeck::DeploymentTerms;
 use flaxdeck_terms::fields::Fields;
-use flaxdeck_terms::{Carriage, Names};
+use flaxdeck_terms::{ConnectionTerms, Names};
 use serde_json::Value;
 
 use flaxdeck_channel::watch::{NumberedEvents, Watch};
@@ -18,7 +18,7 @@
     pub known: NumberedEvents,
     pub terms: DeploymentTerms,
     pub names: Rc<Names>,
-    pub carriage: Carriage,
+    pub carriage: ConnectionTerms,
     pub bounds: Bounds,
     pub seed: u64,
     /// As they stand in the file, to see whether a later one has others.
@@ -38,30 +38,47 @@
 
 /// What a configuration says; the address to listen at may be given apart.
 pub fn parse(value: &Value, listen: Option<String>, trusts: bool) -> Result<Start, String> {
-    let fields = Fields::of(value, "the whole")?;
-    let listen = listen.map_or_else(|| fields.text("listen").map(str::to_owned), Ok)?;
+    let fields = Fields::of(value, "the whole").map_err(|fault| fault.to_string())?;
+    let listen = listen.map_or_else(
+        || {
+            fields
+                .text("listen")
+                .map(str::to_owned)
+                .map_err(|fault| fault.to_string())
+        },
+        Ok,
+    )?;
     let address = listen
         .parse()
         .map_err(|_| format!("listen: {listen} is no address"))?;
-    let coordinator = fields.text("coordinator")?;
+    let coordinator = fields
+        .text("coordinator")
+        .map_err(|fault| fault.to_string())?;
     let coordinator = coordinator
         .parse()
         .map_err(|_| format!("coordinator: {coordinator} is no address"))?;
-    let seed = fields.text("seed")?;
+    let seed = fields.text("seed").map_err(|fault| fault.to_string())?;
     let seed = u64::from_str_radix(seed, 16).map_err(|_| format!("seed: {seed} is not in hex"))?;
-    let settings = fields.inner("settings")?;
+    let settings = fields
+        .inner("settings")
+        .map_err(|fault| fault.to_string())?;
     let (terms, names) =
         flaxdeck_terms::read(&settings).map_err(|fault| format!("settings: {fault}"))?;
     let names = Rc::new(names);
     let (watch, known) = Watch::start(
         coordinator,
-        &fields.inner("known")?,
+        &fields.inner("known").map_err(|fault| fault.to_string())?,
         names.clone(),
         trusts,
         seed,
     )?;
-    let limits = fields.inner("limits")?;
-    let (memory_mb, sockets) = (limits.number("memory_mb")?, limits.whole("sockets")?);
+    let limits = fields.inner("limits").map_err(|fault| fault.to_string())?;
+    let (memory_mb, sockets) = (
+        limits
+            .number("memory_mb")
+            .map_err(|fault| fault.to_string())?,
+        limits.whole("sockets").map_err(|fault| fault.to_string())?,
+    );
     if memory_mb <= 0.0 {
         return Err(format!(
             "limits: field memory_mb is {memory_mb}, nothing fits in that"
@@ -74,7 +91,7 @@
     }
     let bounds = Bounds::of(memory_mb, sockets as usize);
     let carriage =
-        flaxdeck_terms::carriage(&settings).map_err(|fault| format!("settings: {fault}"))?;
+        ConnectionTerms::read(&settings).map_err(|fault| format!("settings: {fault}"))?;
     let settings = Value::Object(settings.0.clone());
     Ok(Start {
         address,
--- a/crates/flaxdeck-dispatcher/src/protocol/pool.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/pool.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use flaxdeck::{AttemptOutcome, Health, HostId, ListKind};
-use flaxdeck_terms::{Carriage, Names};
+use flaxdeck_terms::{ConnectionTerms, Names};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout, timeout_at};
 
@@ -18,7 +18,7 @@
 use flaxdeck_net::link::{self, Inbound, Outbound};
 use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_wire::frames::AddressedEndpoint;
-use flaxdeck_wire::lines::{self, AttemptOptions, Line};
+use flaxdeck_wire::lines::{self, AttemptOptions, Response};
 use flaxdeck_wire::{ClientRequest, HostReply, Parsed};
 
 /// The part of the hosts' idle time after which a connection is closed here, so that both ends never race.
@@ -43,7 +43,7 @@
         loop {
             match self.line(pool).await? {
                 (
-                    Line {
+                    Response {
                         id: Some(answered),
                         host_reply,
                     },
@@ -57,12 +57,12 @@
     }
 
     /// The next answer line with the place that its bytes hold; none if the connection broke or made no sense.
-    async fn line(&mut self, pool: &Pool) -> Option<(Line, Option<Permit>)> {
+    async fn line(&mut self, pool: &Pool) -> Option<(Response, Option<Permit>)> {
         let mut held = None;
         loop {
             match lines::parse(&mut self.inbound.bytes, &pool.names) {
-                Ok(Parsed::Whole(line)) => return Some((line, held)),
-                Ok(Parsed::Short(more)) => {
+                Ok(Parsed::Complete(line)) => return Some((line, held)),
+                Ok(Parsed::Incomplete(more)) => {
                     let enough = self.inbound.bytes.len() + more;
                     // Until memory is free the rest stays with the host.
                     pool.bytes.reserve_for_message(enough, &mut held).await;
@@ -75,7 +75,7 @@
                 }
                 Err(malformed) => {
                     count(Counter::hosts_malformed);
-                    log::warn!("a host's connection is closed: {}", malformed.0);
+                    log::warn!("a host's connection is closed: {}", malformed);
                     return None;
                 }
             }
@@ -111,11 +111,16 @@
 }
 
 impl Pool {
-    pub fn new(names: Rc<Names>, carriage: Carriage, most: usize, bytes: Rc<Budget>) -> Rc<Pool> {
+    pub fn new(
+        names: Rc<Names>,
+        carriage: ConnectionTerms,
+        most: usize,
+        bytes: Rc<Budget>,
+    ) -> Rc<Pool> {
         Rc::new(Pool {
             names,
-            connect_within: to_duration(carriage.connect_within),
-            idle: to_duration(carriage.idle * IDLE_PART),
+            connect_within: to_duration(carriage.connect_timeout),
+            idle: to_duration(carriage.idle_timeout * IDLE_PART),
             budget: Budget::new(most),
             bytes,
             kept: RefCell::new(BTreeMap::new()),
@@ -178,11 +183,11 @@
         clear: impl Fn() -> Option<(AttemptOptions<'a>, Instant)>,
         begun: &Cell<bool>,
     ) -> (HostReply, Option<Permit>) {
-        let bare = |outcome| (HostReply::bare(outcome), None);
+        let bare = |outcome| (HostReply::without_body(outcome), None);
         let Some((wish, sent_by)) = clear() else {
             return bare(AttemptOutcome::Superseded);
         };
-        let kept = if wish.fresh {
+        let kept = if wish.new_connection {
             None
         } else {
             self.kept_idle(host)
@@ -208,13 +213,14 @@
             pool: self,
             host,
             id: &asked.id,
-            alone: wish.fresh,
+            alone: wish.new_connection,
             conn: Some(conn),
             written: false,
         };
         let conn = open.conn.as_mut().expect("just put");
         begun.set(true);
-        conn.outbound.send(lines::want(asked, &wish), [None, None]);
+        conn.outbound
+            .send(lines::encode_request(asked, &wish), [None, None]);
         let flushed = timeout_at(sent_by, conn.outbound.flush()).await;
         if !matches!(flushed, Ok(Ok(()))) {
             // The last byte was never written, so nothing ran; half a request ends with its connection.
@@ -351,7 +357,8 @@
     /// Gives a request up. Its late answer may be on its way, so the connection is kept only once the host
     /// has shown that none will follow.
     async fn fence(self: Rc<Pool>, host: HostId, id: Bytes, mut conn: Conn) {
-        conn.outbound.send([lines::never_mind(&id)], [None, None]);
+        conn.outbound
+            .send([lines::encode_cancel(&id)], [None, None]);
         let fenced = async {
             conn.outbound.flush().await.ok()?;
             while conn.line(&self).await?.0.id.is_some() {}
--- a/crates/flaxdeck-dispatcher/src/protocol/session.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/session.rs
@@ -15,7 +15,7 @@
 use flaxdeck_net::link::{self, Inbound, Outbound, Unread};
 use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_wire::rpc::{self, ClientMessage};
-use flaxdeck_wire::{Answer, ClientRequest, Parsed};
+use flaxdeck_wire::{Answer, ClientRequest, InvalidRequest, Parsed};
 
 /// How long a client may take nothing of what waits for it, which holds memory that others could use.
 const STALLED: Duration = Duration::from_secs(3);
@@ -79,6 +79,7 @@
     Alive,
     Refused(Option<Span>),
     Failed(&'static str),
+    Invalid(InvalidRequest),
 }
 
 /// How a wait for a client ended.
@@ -100,7 +101,7 @@
     /// Sends the answer, with the place that its bytes hold until it is written.
     pub fn send(self, answer: Answer, held: Option<Permit>) {
         self.outbound
-            .send(rpc::answer(self.call, answer), [self.place, held]);
+            .send(rpc::encode_answer(self.call, answer), [self.place, held]);
     }
 }
 
@@ -165,9 +166,10 @@
                 return;
             };
             let bytes = match word {
-                ShortReply::Alive => rpc::alive(call),
-                ShortReply::Refused(after) => rpc::error(call, "Backoff", after),
-                ShortReply::Failed(why) => rpc::error(call, why, None),
+                ShortReply::Alive => rpc::encode_alive(call),
+                ShortReply::Refused(after) => rpc::encode_rejected(call, after),
+                ShortReply::Invalid(reason) => rpc::encode_error(call, &reason.to_string(), None),
+                ShortReply::Failed(why) => rpc::encode_error(call, why, None),
             };
             self.outbound.send([bytes], [None, None]);
         }
@@ -243,14 +245,14 @@
                     MAX_SMALL_MESSAGE.min(left - here)
                 }
                 None => match rpc::parse(&mut self.inbound.bytes, &self.names) {
-                    Ok(Parsed::Whole(said)) => {
+                    Ok(Parsed::Complete(said)) => {
                         (self.begun, self.held) = (None, None);
                         return self.heard(said);
                     }
-                    Ok(Parsed::Short(more)) => more,
+                    Ok(Parsed::Incomplete(more)) => more,
                     Err(malformed) => {
                         count(Counter::clients_malformed);
-                        log::debug!("a client's connection is closed: {}", malformed.0);
+                        log::debug!("a client's connection is closed: {}", malformed);
                         return Heard::Over;
                     }
                 },
@@ -267,7 +269,8 @@
                 Waited::Stirred => {}
                 Waited::Over => return Heard::Over,
                 Waited::NoMemory => {
-                    self.passing = rpc::lacks_body(&self.inbound.bytes);
+                    self.passing = rpc::partial_request(&self.inbound.bytes)
+                        .map(|request| (request.call, request.missing));
                     if self.passing.is_none() {
                         count(Counter::clients_malformed);
                         log::debug!(
@@ -283,15 +286,20 @@
 
     fn heard(&mut self, said: ClientMessage) -> Heard {
         match said {
-            ClientMessage::Request { call, asked } => return Heard::Request { call, asked },
+            ClientMessage::Request { call, request } => {
+                return Heard::Request {
+                    call,
+                    asked: request,
+                };
+            }
             ClientMessage::Cancel { call } => return Heard::Cancel { call },
             ClientMessage::Alive { call } => self.tell(call, ShortReply::Alive),
-            ClientMessage::Invalid { call, why } => {
+            ClientMessage::Invalid { call, reason } => {
                 count(Counter::requests_invalid);
-                log::debug!("a client's request is invalid: {why}");
-                self.tell(call, ShortReply::Failed(why));
+                log::debug!("a client's request is invalid: {reason}");
+                self.tell(call, ShortReply::Invalid(reason));
             }
-            ClientMessage::Nothing => {}
+            ClientMessage::Ignored => {}
         }
         Heard::Other
     }
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -617,10 +617,7 @@
                             }
                             Err(malformed) => {
                                 count(Counter::events_unreadable);
-                                log::warn!(
-                                    "planner {at} passed on an event that is {}",
-                                    malformed.0
-                                );
+                                log::warn!("planner {at} passed on an event that is {}", malformed);
                                 break;
                             }
                         }
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -17,7 +17,7 @@
 use flaxdeck::{
     AttemptIndex, Clearance, DeploymentTerms, ListKind, ObjectId, RequestId, Span, Time, ZoneId,
 };
-use flaxdeck_terms::{Carriage, Names};
+use flaxdeck_terms::{ConnectionTerms, Names};
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, interval, sleep_until};
@@ -97,7 +97,7 @@
         seed: u64,
         terms: DeploymentTerms,
         names: Rc<Names>,
-        carriage: Carriage,
+        carriage: ConnectionTerms,
         bounds: Bounds,
     ) -> Rc<Router> {
         let (asked, answered) = (
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -60,8 +60,8 @@
             part: asked.part,
             group: asked.group,
             size_kb: asked.size_kb,
-            deadline: now + asked.waits,
-            again: asked.again,
+            deadline: now + asked.timeout,
+            again: asked.is_retry,
         };
         let entry = Rc::new(OpenRequest {
             object: asked.object,
@@ -203,10 +203,10 @@
                 let waits = until.checked_duration_since(Instant::now())?;
                 let wish = AttemptOptions {
                     class: &router.names.classes[asked.class.0],
-                    waits: Span::of_ms(waits.as_secs_f64() * 1000.0),
+                    timeout: Span::of_ms(waits.as_secs_f64() * 1000.0),
                     source: Some(&attempt.source).filter(|source| **source != attempt.host),
                     keep: attempt.keep,
-                    fresh: attempt.fresh,
+                    new_connection: attempt.fresh,
                     oldest,
                     join: attempt.join,
                     only_held: attempt.only_held,
@@ -244,7 +244,7 @@
                     index,
                     host,
                     sent,
-                    HostReply::bare(AttemptOutcome::Cancelled),
+                    HostReply::without_body(AttemptOutcome::Cancelled),
                 );
             }
         }
@@ -261,7 +261,7 @@
         if other {
             count(Counter::unchanged_of_another);
             self.asked = Rc::new(ClientRequest {
-                holds: None,
+                cached_tag: None,
                 ..(*self.asked).clone()
             });
         }
--- a/crates/flaxdeck-dispatcher/src/routing/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/subscription.rs
@@ -314,7 +314,7 @@
         let whole = frames::read(&list.frame, &self.names)
             .ok()
             .flatten()
-            .filter(Event::is_whole_list);
+            .filter(Event::is_full_list);
         let (Some(whole), Some(groups)) = (whole, read_all(group_purges, &self.names)) else {
             return self.unreadable(subscription, now, before);
         };
--- a/crates/flaxdeck-planner/src/events.rs
+++ b/crates/flaxdeck-planner/src/events.rs
@@ -10,7 +10,7 @@
 use flaxdeck_distribution::{Cadence, Content, Fingerprint, Publisher, Retention, SubscriberId};
 use flaxdeck_recovery::EventPosition;
 use flaxdeck_terms::Names;
-use flaxdeck_wire::frames::{AddressedEndpoint, Event, whole_list};
+use flaxdeck_wire::frames::{AddressedEndpoint, Event, write_full_list};
 
 /// What a planner knows of the coordinator's events, and who follows them here.
 pub struct Events {
@@ -101,7 +101,7 @@
             names,
         } = self;
         publisher.update_for(now, id, &mut |number| {
-            whole_list(number, hosts.values(), names).unwrap_or_else(|| {
+            write_full_list(number, hosts.values(), names).unwrap_or_else(|| {
                 tracing::error!(
                     "the list of hosts has no form as a frame: no snapshot can be taken in"
                 );
--- a/crates/flaxdeck-scale/src/coordinator.rs
+++ b/crates/flaxdeck-scale/src/coordinator.rs
@@ -77,9 +77,10 @@
 
 async fn serve(orders: CoordinatorOrders) -> Result<(), String> {
     let mut input = Input::<CoordinatorOrder>::start();
-    let fields = Fields::of(&orders.settings, "settings")?;
-    let (_, names) = flaxdeck_terms::read(&fields)?;
-    let settings_names = [fields.texts("zones")?, fields.texts("kinds")?];
+    let fields = Fields::of(&orders.settings, "settings").map_err(|fault| fault.to_string())?;
+    let (_, names) = flaxdeck_terms::read(&fields).map_err(|fault| fault.to_string())?;
+    let texts = |name| fields.texts(name).map_err(|fault| fault.to_string());
+    let settings_names = [texts("zones")?, texts("kinds")?];
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = Listener::bind(any).map_err(|error| format!("cannot listen: {error}"))?;
     let address = listener
