--- a/crates/flaxdeck-channel/src/connection.rs
+++ b/crates/flaxdeck-channel/src/connection.rs
@@ -5,14 +5,14 @@
 
 use flaxdeck_net::link::{self, Inbound, Outbound};
 use flaxdeck_net::metrics::count_message;
-use flaxdeck_wire::{Malformed, Parsed};
+use flaxdeck_wire::Parsed;
 use rand::Rng;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until, timeout};
 
-use crate::authenticated::{FrameSigner, FrameVerifier, GREETING, Greeting, Key, Role};
+use crate::authenticated::{FrameSigner, FrameVerifier, GREETING, Greeting, Key, Malformed, Role};
 use crate::message_kind::{Message, MessageKind};
 
 /// How long connecting and greeting may take.
@@ -83,12 +83,12 @@
         count_message(MessageKind::Greeting.counters_out(), GREETING);
         loop {
             match Greeting::read(&mut inbound.bytes, key, other)? {
-                Parsed::Whole(theirs) => {
+                Parsed::Complete(theirs) => {
                     count_message(MessageKind::Greeting.counters_in(), GREETING);
                     return Ok(theirs);
                 }
-                Parsed::Short(more) => {
-                    if !matches!(inbound.more(more).await, Ok(true)) {
+                Parsed::Incomplete(more) => {
+                    if !matches!(inbound.read_more(more).await, Ok(true)) {
                         return Err(CloseReason::Broken("ended before the greeting"));
                     }
                 }
@@ -117,7 +117,7 @@
 impl Sender {
     /// Whether another message may be written: the other side keeps up.
     pub fn may_send(&self) -> bool {
-        !self.outbound.is_closed() && self.outbound.waiting() < MAX_WAITING
+        !self.outbound.is_closed() && self.outbound.pending_messages() < MAX_WAITING
     }
 
     /// Writes one message, or queues it. One over a bound is not sent, and ends the conversation.
@@ -148,7 +148,7 @@
             }
             let before = self.inbound.bytes.len();
             let more = match self.verifier.verify::<T>(&mut self.inbound.bytes)? {
-                Parsed::Whole(message) => {
+                Parsed::Complete(message) => {
                     count_message(
                         message.kind().counters_in(),
                         before - self.inbound.bytes.len(),
@@ -156,17 +156,17 @@
                     self.heard = Instant::now();
                     return Ok(message);
                 }
-                Parsed::Short(more) => more,
+                Parsed::Incomplete(more) => more,
             };
-            self.inbound.rest();
-            let pending = self.outbound.pending();
+            self.inbound.release_buffer();
+            let pending = self.outbound.has_pending();
             tokio::select! {
-                read = self.inbound.more(more) => {
+                read = self.inbound.read_more(more) => {
                     if !matches!(read, Ok(true)) {
                         return Err(CloseReason::Broken("the other side has ended it"));
                     }
                 }
-                written = self.outbound.step(), if pending => {
+                written = self.outbound.write_some(), if pending => {
                     written.map_err(|_| CloseReason::Broken("broken while writing"))?;
                 }
                 () = sleep_until(self.heard + STALLED) => return Err(CloseReason::Broken("silent")),
--- a/crates/flaxdeck-cli/src/state.rs
+++ b/crates/flaxdeck-cli/src/state.rs
@@ -23,9 +23,12 @@
         .snapshot
         .as_ref()
         .map(|snapshot| StoredState::read(snapshot, &found.records));
-    let (boot, ms) = since_boot();
+    let since = since_boot();
     let now = CurrentFacts {
-        uptime: Uptime { boot, ms },
+        uptime: Uptime {
+            boot: since.boot_id,
+            ms: since.ms,
+        },
         configured_event: EventPosition::NONE,
         startup_wait: Span::ZERO,
     };
--- a/crates/flaxdeck-dispatcher/src/protocol/pool.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/pool.rs
@@ -9,16 +9,16 @@
 
 use bytes::Bytes;
 use flaxdeck::{AttemptOutcome, Health, HostId, ListKind};
-use flaxdeck_terms::{Carriage, Names};
+use flaxdeck_terms::{ConnectionTerms, Names};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout, timeout_at};
 
 use flaxdeck_net::budget::{Budget, Permit};
-use flaxdeck_net::clock::length;
+use flaxdeck_net::clock::to_duration;
 use flaxdeck_net::link::{self, Inbound, Outbound};
 use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_wire::frames::AddressedEndpoint;
-use flaxdeck_wire::lines::{self, AttemptOptions, Line};
+use flaxdeck_wire::lines::{self, AttemptOptions, Response};
 use flaxdeck_wire::{ClientRequest, HostReply, Parsed};
 
 /// The part of the hosts' idle time after which a connection is closed here, so that both ends never race.
@@ -43,7 +43,7 @@
         loop {
             match self.line(pool).await? {
                 (
-                    Line {
+                    Response {
                         id: Some(answered),
                         host_reply,
                     },
@@ -57,25 +57,25 @@
     }
 
     /// The next answer line with the place that its bytes hold; none if the connection broke or made no sense.
-    async fn line(&mut self, pool: &Pool) -> Option<(Line, Option<Permit>)> {
+    async fn line(&mut self, pool: &Pool) -> Option<(Response, Option<Permit>)> {
         let mut held = None;
         loop {
             match lines::parse(&mut self.inbound.bytes, &pool.names) {
-                Ok(Parsed::Whole(line)) => return Some((line, held)),
-                Ok(Parsed::Short(more)) => {
+                Ok(Parsed::Complete(line)) => return Some((line, held)),
+                Ok(Parsed::Incomplete(more)) => {
                     let enough = self.inbound.bytes.len() + more;
                     // Until memory is free the rest stays with the host.
-                    pool.bytes.hold(enough, &mut held).await;
+                    pool.bytes.reserve_for_message(enough, &mut held).await;
                     while self.inbound.bytes.len() < enough {
                         let missing = enough - self.inbound.bytes.len();
-                        if !matches!(self.inbound.more(missing).await, Ok(true)) {
+                        if !matches!(self.inbound.read_more(missing).await, Ok(true)) {
                             return None;
                         }
                     }
                 }
                 Err(malformed) => {
                     count(Counter::hosts_malformed);
-                    log::warn!("a host's connection is closed: {}", malformed.0);
+                    log::warn!("a host's connection is closed: {}", malformed);
                     return None;
                 }
             }
@@ -111,11 +111,16 @@
 }
 
 impl Pool {
-    pub fn new(names: Rc<Names>, carriage: Carriage, most: usize, bytes: Rc<Budget>) -> Rc<Pool> {
+    pub fn new(
+        names: Rc<Names>,
+        carriage: ConnectionTerms,
+        most: usize,
+        bytes: Rc<Budget>,
+    ) -> Rc<Pool> {
         Rc::new(Pool {
             names,
-            connect_within: length(carriage.connect_within),
-            idle: length(carriage.idle * IDLE_PART),
+            connect_within: to_duration(carriage.connect_timeout),
+            idle: to_duration(carriage.idle_timeout * IDLE_PART),
             budget: Budget::new(most),
             bytes,
             kept: RefCell::new(BTreeMap::new()),
@@ -156,7 +161,7 @@
     }
 
     pub fn open(&self) -> usize {
-        self.budget.taken()
+        self.budget.in_use()
     }
 
     /// Closes what has been idle for long, or was closed by the other side.
@@ -178,11 +183,11 @@
         clear: impl Fn() -> Option<(AttemptOptions<'a>, Instant)>,
         begun: &Cell<bool>,
     ) -> (HostReply, Option<Permit>) {
-        let bare = |outcome| (HostReply::bare(outcome), None);
+        let bare = |outcome| (HostReply::without_body(outcome), None);
         let Some((wish, sent_by)) = clear() else {
             return bare(AttemptOutcome::Superseded);
         };
-        let kept = if wish.fresh {
+        let kept = if wish.new_connection {
             None
         } else {
             self.kept_idle(host)
@@ -208,13 +213,14 @@
             pool: self,
             host,
             id: &asked.id,
-            alone: wish.fresh,
+            alone: wish.new_connection,
             conn: Some(conn),
             written: false,
         };
         let conn = open.conn.as_mut().expect("just put");
         begun.set(true);
-        conn.outbound.send(lines::want(asked, &wish), [None, None]);
+        conn.outbound
+            .send(lines::encode_request(asked, &wish), [None, None]);
         let flushed = timeout_at(sent_by, conn.outbound.flush()).await;
         if !matches!(flushed, Ok(Ok(()))) {
             // The last byte was never written, so nothing ran; half a request ends with its connection.
@@ -257,7 +263,7 @@
     }
 
     fn still_good(&self, conn: &mut Conn) -> bool {
-        conn.used.elapsed() < self.idle && !conn.inbound.stale()
+        conn.used.elapsed() < self.idle && !conn.inbound.is_stale()
     }
 
     fn kept_idle(&self, host: &HostId) -> Option<Conn> {
@@ -326,18 +332,18 @@
 
     /// A place for one more connection; the longest idle one makes room.
     fn place(&self) -> Option<Permit> {
-        self.budget.take().or_else(|| {
+        self.budget.try_acquire().or_else(|| {
             let mut kept = self.kept.borrow_mut();
             let idle = kept.values_mut().filter(|kept| !kept.idle.is_empty());
             idle.min_by_key(|kept| kept.idle[0].used)?.idle.remove(0);
             drop(kept);
-            self.budget.take()
+            self.budget.try_acquire()
         })
     }
 
     fn keep(&self, host: &HostId, mut conn: Conn) {
         (conn.used, conn.reused) = (Instant::now(), true);
-        conn.inbound.rest();
+        conn.inbound.release_buffer();
         let mut kept = self.kept.borrow_mut();
         // The host may have moved while the connection was out.
         if let Some(kept) = kept
@@ -351,7 +357,8 @@
     /// Gives a request up. Its late answer may be on its way, so the connection is kept only once the host
     /// has shown that none will follow.
     async fn fence(self: Rc<Pool>, host: HostId, id: Bytes, mut conn: Conn) {
-        conn.outbound.send([lines::never_mind(&id)], [None, None]);
+        conn.outbound
+            .send([lines::encode_cancel(&id)], [None, None]);
         let fenced = async {
             conn.outbound.flush().await.ok()?;
             while conn.line(&self).await?.0.id.is_some() {}
@@ -375,7 +382,7 @@
                     .clone()
                     .fence(self.host.clone(), self.id.clone(), conn),
             );
-        } else if !conn.outbound.pending() && !conn.outbound.is_closed() {
+        } else if !conn.outbound.has_pending() && !conn.outbound.is_closed() {
             self.pool.keep(self.host, conn);
         }
     }
--- a/crates/flaxdeck-dispatcher/src/protocol/session.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/session.rs
@@ -11,11 +11,11 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until};
 
-use flaxdeck_net::budget::{Budget, Permit, SMALL};
+use flaxdeck_net::budget::{Budget, MAX_SMALL_MESSAGE, Permit};
 use flaxdeck_net::link::{self, Inbound, Outbound, Unread};
 use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_wire::rpc::{self, ClientMessage};
-use flaxdeck_wire::{Answer, ClientRequest, Parsed};
+use flaxdeck_wire::{Answer, ClientRequest, InvalidRequest, Parsed};
 
 /// How long a client may take nothing of what waits for it, which holds memory that others could use.
 const STALLED: Duration = Duration::from_secs(3);
@@ -79,6 +79,7 @@
     Alive,
     Refused(Option<Span>),
     Failed(&'static str),
+    Invalid(InvalidRequest),
 }
 
 /// How a wait for a client ended.
@@ -100,7 +101,7 @@
     /// Sends the answer, with the place that its bytes hold until it is written.
     pub fn send(self, answer: Answer, held: Option<Permit>) {
         self.outbound
-            .send(rpc::answer(self.call, answer), [self.place, held]);
+            .send(rpc::encode_answer(self.call, answer), [self.place, held]);
     }
 }
 
@@ -128,7 +129,7 @@
 
     /// Answers that the client has not taken yet.
     pub fn unread(&self) -> usize {
-        self.outbound.waiting()
+        self.outbound.pending_messages()
     }
 }
 
@@ -160,23 +161,24 @@
     }
 
     fn pay(&mut self) {
-        while self.outbound.waiting() < MAX_UNREAD {
+        while self.outbound.pending_messages() < MAX_UNREAD {
             let Some((call, word)) = self.owed.pop_front() else {
                 return;
             };
             let bytes = match word {
-                ShortReply::Alive => rpc::alive(call),
-                ShortReply::Refused(after) => rpc::error(call, "Backoff", after),
-                ShortReply::Failed(why) => rpc::error(call, why, None),
+                ShortReply::Alive => rpc::encode_alive(call),
+                ShortReply::Refused(after) => rpc::encode_rejected(call, after),
+                ShortReply::Invalid(reason) => rpc::encode_error(call, &reason.to_string(), None),
+                ShortReply::Failed(why) => rpc::encode_error(call, why, None),
             };
             self.outbound.send([bytes], [None, None]);
         }
     }
 
-    /// Ends the connection; see [`link::end`].
+    /// Ends the connection; see [`link::close_gracefully`].
     pub async fn end(mut self, within: Duration) {
         self.outbound.close();
-        link::end(&mut self.inbound, &self.outbound, within).await;
+        link::close_gracefully(&mut self.inbound, &self.outbound, within).await;
     }
 
     /// What answers the request of that number, with the place that it holds until the answer is written.
@@ -240,22 +242,22 @@
                     if left == here {
                         continue;
                     }
-                    SMALL.min(left - here)
+                    MAX_SMALL_MESSAGE.min(left - here)
                 }
                 None => match rpc::parse(&mut self.inbound.bytes, &self.names) {
-                    Ok(Parsed::Whole(said)) => {
+                    Ok(Parsed::Complete(said)) => {
                         (self.begun, self.held) = (None, None);
                         return self.heard(said);
                     }
-                    Ok(Parsed::Short(more)) => more,
+                    Ok(Parsed::Incomplete(more)) => more,
                     Err(malformed) => {
                         count(Counter::clients_malformed);
-                        log::debug!("a client's connection is closed: {}", malformed.0);
+                        log::debug!("a client's connection is closed: {}", malformed);
                         return Heard::Over;
                     }
                 },
             };
-            self.inbound.rest();
+            self.inbound.release_buffer();
             let midway = self.has_unparsed() || self.passing.is_some();
             self.midway.set(midway);
             if midway {
@@ -267,7 +269,8 @@
                 Waited::Stirred => {}
                 Waited::Over => return Heard::Over,
                 Waited::NoMemory => {
-                    self.passing = rpc::lacks_body(&self.inbound.bytes);
+                    self.passing = rpc::partial_request(&self.inbound.bytes)
+                        .map(|request| (request.call, request.missing));
                     if self.passing.is_none() {
                         count(Counter::clients_malformed);
                         log::debug!(
@@ -283,30 +286,35 @@
 
     fn heard(&mut self, said: ClientMessage) -> Heard {
         match said {
-            ClientMessage::Request { call, asked } => return Heard::Request { call, asked },
+            ClientMessage::Request { call, request } => {
+                return Heard::Request {
+                    call,
+                    asked: request,
+                };
+            }
             ClientMessage::Cancel { call } => return Heard::Cancel { call },
             ClientMessage::Alive { call } => self.tell(call, ShortReply::Alive),
-            ClientMessage::Invalid { call, why } => {
+            ClientMessage::Invalid { call, reason } => {
                 count(Counter::requests_invalid);
-                log::debug!("a client's request is invalid: {why}");
-                self.tell(call, ShortReply::Failed(why));
+                log::debug!("a client's request is invalid: {reason}");
+                self.tell(call, ShortReply::Invalid(reason));
             }
-            ClientMessage::Nothing => {}
+            ClientMessage::Ignored => {}
         }
         Heard::Other
     }
 
     async fn wait(&mut self, more: usize) -> Waited {
-        let pending = self.outbound.pending();
+        let pending = self.outbound.has_pending();
         let enough = if self.passing.is_some() {
             more
         } else {
             self.inbound.bytes.len() + more
         };
-        if enough > SMALL && self.held.is_none() {
-            self.held = self.bytes.take_some(enough);
+        if enough > MAX_SMALL_MESSAGE && self.held.is_none() {
+            self.held = self.bytes.try_acquire_many(enough);
         }
-        let waits = enough > SMALL && self.held.is_none();
+        let waits = enough > MAX_SMALL_MESSAGE && self.held.is_none();
         let has_open = Rc::strong_count(&self.open) > 1;
         let patience = if has_open {
             FOR_MEMORY_BESIDE_OPEN
@@ -320,19 +328,19 @@
             if let Some(by) = memory_by {
                 tokio::select! {
                     biased;
-                    () = self.bytes.hold(enough, held) => {}
+                    () = self.bytes.reserve_for_message(enough, held) => {}
                     () = self.outbound.peer_closed() => return Waited::Over,
                     () = sleep_until(by) => return Waited::NoMemory,
                 }
             }
-            match inbound.more(more).await {
+            match inbound.read_more(more).await {
                 Ok(true) => Waited::Stirred,
                 _ => Waited::Over,
             }
         };
         let whole_by = self.begun.map(|begun| begun + WHOLE);
         // Counters from when something began to wait: a connection may have been up for long by then.
-        let stalled = self.outbound.stuck_since().map(|since| since + STALLED);
+        let stalled = self.outbound.stalled_since().map(|since| since + STALLED);
         let now = Instant::now;
         tokio::select! {
             read = read => read,
@@ -340,7 +348,7 @@
                 count(Counter::clients_not_whole);
                 Waited::Over
             }
-            written = self.outbound.step(), if pending => {
+            written = self.outbound.write_some(), if pending => {
                 if written.is_ok() { Waited::Stirred } else { Waited::Over }
             }
             () = sleep_until(stalled.unwrap_or_else(now)), if stalled.is_some() => {
--- a/crates/flaxdeck-dispatcher/src/routing/guides.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/guides.rs
@@ -587,7 +587,7 @@
             if new && guides.unreached.borrow().len() == guides.guidelines.planners.len() {
                 guides.urgency.expedite();
             }
-            sleep(clock::length(pace.pause(self.clock.now(), false))).await;
+            sleep(clock::to_duration(pace.pause(self.clock.now(), false))).await;
         }
     }
 
@@ -627,10 +627,7 @@
                             }
                             Err(malformed) => {
                                 count(Counter::events_unreadable);
-                                log::warn!(
-                                    "planner {at} passed on an event that is {}",
-                                    malformed.0
-                                );
+                                log::warn!("planner {at} passed on an event that is {}", malformed);
                                 break;
                             }
                         }
