--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -21,7 +21,9 @@
 use flaxdeck_control::QuotaFraction;
 use flaxdeck_control::forwarder::ForwarderOptions;
 use flaxdeck_control::messages::SlotId;
-use flaxdeck_dispatcher::{Digests, Guidelines, Keeps};
+use flaxdeck_dispatcher::ControlClientOptions;
+use flaxdeck_dispatcher::StateDirectory;
+use flaxdeck_dispatcher::SubscriptionOptions;
 use flaxdeck_experiments::Limits;
 use flaxdeck_net::clock;
 use flaxdeck_plan::{Blind, LogForm, Plan};
@@ -317,14 +319,14 @@
 }
 
 /// What a plan tells a forwarder that listens there.
-fn guidelines(plan: &Plan, key: Key, window: Span, listen: &str) -> Guidelines {
-    Guidelines {
-        keeps: None,
+fn guidelines(plan: &Plan, key: Key, window: Span, listen: &str) -> ControlClientOptions {
+    ControlClientOptions {
+        state_directory: None,
         planners: plan.planners.iter().map(|planner| planner.listen).collect(),
         key,
-        stance: stance(plan, files::lease_terms(plan, window), listen),
+        session: stance(plan, files::lease_terms(plan, window), listen),
         report_every: Duration::from_millis(u64::from(plan.report_every_ms)),
-        digests: files::batch_every(plan).map(|_| Digests {
+        subscription: files::batch_every(plan).map(|_| SubscriptionOptions {
             cadence: files::cadence(plan),
             report_idle_every: Span::from_ms(u64::from(plan.report_idle_ms)),
         }),
@@ -347,14 +349,14 @@
         .as_ref()
         .map(|folder| files::beside(file, folder));
     let keeps = match folder {
-        Some(folder) => Some(Keeps {
+        Some(folder) => Some(StateDirectory {
             folder,
             name: world.listen()?,
         }),
         None => None,
     };
     let mut guidelines = guidelines(&plan, key, world.window, &world.listen()?);
-    (guidelines.keeps, guidelines.counters) = (keeps, files.counters.clone());
+    (guidelines.state_directory, guidelines.counters) = (keeps, files.counters.clone());
     Ok(flaxdeck_dispatcher::run_guided(
         Some(&files.config),
         Some(guidelines),
--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -1,127 +1,129 @@
-//! The control side of a forwarder: the coordinator's watch, the conversations with planners, and the decision module
+//! The control side of a forwarder: the coordinator's watch, the conversations with planners, and the decision engine
 //! that is told what comes. The program starts it before it listens; a hollow forwarder has nothing beside it.
 
 use std::rc::Rc;
 
-use flaxdeck_channel::watch::{Event, NumberedEvents, Watch};
+use flaxdeck::Span;
+use flaxdeck_channel::watch::Event;
+use flaxdeck_channel::watch::NumberedEvents;
+use flaxdeck_channel::watch::Watch;
 use flaxdeck_control::messages::Epoch;
 use flaxdeck_net::clock::Clock;
 use flaxdeck_recovery::EventPosition;
 use serde_json::Value;
-use tokio::task::spawn_local;
 
-use crate::program::start::{self, Start};
-use crate::routing::{Guidelines, Keeps, Router, recall};
-pub use crate::routing::{InForce, Watcher};
-use flaxdeck::Span;
+use crate::program::start;
+use crate::program::start::Start;
+pub use crate::routing::AppliedEvents;
+use crate::routing::ControlClientOptions;
+pub use crate::routing::EventListener;
+use crate::routing::Router;
+use crate::routing::StateDirectory;
+use crate::routing::restore;
 
-/// The control side of a forwarder that takes no clients, on the `LocalSet` of the thread that started it. It goes on
-/// until the runtime ends, also when the handle is dropped.
+/// The control side of a forwarder that takes no clients, on the `LocalSet` of the thread that started it. It owns all
+/// tasks that it has started: they end when it is dropped.
 pub struct HollowForwarder {
     router: Rc<Router>,
 }
 
 impl HollowForwarder {
     /// Starts one from the platform's configuration, as the program does. `instance` tells it from others that start
-    /// in the same millisecond; the watcher is first told where it begins, if the configuration tells any event.
+    /// in the same millisecond; the listener is first told where it begins, if the configuration tells any event.
+    ///
+    /// # Errors
+    ///
+    /// If the configuration can't be used; the text says what of it.
     pub fn start(
         configuration: &Value,
-        guidelines: Guidelines,
+        options: ControlClientOptions,
         instance: u32,
-        watcher: Watcher,
+        listener: EventListener,
     ) -> Result<HollowForwarder, String> {
         let start = start::parse(configuration, None, false)?;
+        let clock = Clock::start();
         Ok(HollowForwarder {
-            router: begin(
-                start,
-                Clock::start(),
-                Some(guidelines),
-                instance,
-                Some(watcher),
-            ),
+            router: begin(start, clock, Some(options), instance, Some(listener)),
         })
     }
 
-    /// Planners with a conversation that is up.
+    /// Planners with a connection that is up.
     pub fn connected_planners(&self) -> usize {
         self.router.connected_planners()
     }
 }
 
-/// Starts the control side, guided if guidelines say so. `instance` tells this run from others of the same moment.
+impl Drop for HollowForwarder {
+    fn drop(&mut self) {
+        self.router.stop_tasks();
+    }
+}
+
+/// Starts the control side, with planners if there are options for them. `instance` tells this run from others of the
+/// same moment. The caller owes [`Router::shut_down`].
 pub(crate) fn begin(
     start: Start,
     clock: Clock,
-    guidelines: Option<Guidelines>,
+    options: Option<ControlClientOptions>,
     instance: u32,
-    watcher: Option<Watcher>,
+    listener: Option<EventListener>,
 ) -> Rc<Router> {
-    let Start {
-        mut watch,
-        mut known,
-        terms,
-        names,
-        carriage,
-        bounds,
+    let (mut watch, mut known, seed) = (start.watch, start.known, start.seed);
+    let router = Router::new(
+        clock,
         seed,
-        ..
-    } = start;
-    let router = Router::new(clock, seed, terms, names, carriage, bounds);
+        start.terms,
+        start.names,
+        start.carriage,
+        start.bounds,
+    );
     // A guided forwarder keeps to what is its own from the first list on.
-    if let Some(guidelines) = guidelines {
+    if let Some(options) = options {
         let epoch = Epoch::new(clock.now(), instance);
-        let (keeps, waits) = (
-            guidelines.keeps.clone(),
-            guidelines.stance.lease_terms.forwarder_waits(),
-        );
-        router.guide_by(epoch, seed, guidelines, &mut watch);
-        if let Some(keeps) = keeps {
-            retry_after(&router, &watch, clock, &keeps, &mut known, waits);
+        let directory = options.state_directory.clone();
+        let lease_wait = options.session.lease_terms.forwarder_waits();
+        router.start_control_client(epoch, seed, options, &mut watch);
+        if let Some(directory) = directory {
+            known = restore_state(&router, &watch, clock, &directory, known, lease_wait);
         }
     }
     let last = watch.numbering().borrow().last();
-    known
-        .into_iter()
-        .for_each(|(_, event)| router.told(last, event));
-    if let Some(watcher) = watcher {
-        router.watch(
-            watcher,
+    for (_, event) in known {
+        router.apply_event(last, event);
+    }
+    if let Some(listener) = listener {
+        router.set_listener(
+            listener,
             Some(last).filter(|last| *last != EventPosition::NONE),
         );
     }
-    spawn_local(router.clone().follow(watch));
-    spawn_local(router.clone().keep_time());
+    router.start_tasks(watch);
     router
 }
 
-/// What an earlier run has kept, in place of or beside what the configuration tells.
-fn retry_after(
-    router: &Rc<Router>,
+/// Applies what an earlier run stored, in place of or beside what the configuration tells; gives what of the
+/// configuration is left to be applied, which is nothing.
+fn restore_state(
+    router: &Router,
     watch: &Watch,
     clock: Clock,
-    keeps: &Keeps,
-    known: &mut NumberedEvents,
-    waits: Span,
-) {
-    let mut recalled = recall(keeps, clock, watch.numbering().borrow().last(), waits);
-    if let Some(event) = recalled.event {
-        watch.numbering().borrow_mut().begin_at(clock.now(), event);
-        known.clear();
+    directory: &StateDirectory,
+    known: NumberedEvents,
+    lease_wait: Span,
+) -> NumberedEvents {
+    let numbering = watch.numbering();
+    let configured = numbering.borrow().last();
+    let mut previous = restore(directory, clock, configured, lease_wait);
+    let mut events = std::mem::take(&mut previous.events);
+    match previous.position {
+        Some(position) => numbering.borrow_mut().begin_at(clock.now(), position),
+        None => events.extend(known.into_iter().map(|(_, event)| event)),
     }
-    let last = watch.numbering().borrow().last();
-    known.splice(
-        0..0,
-        std::mem::take(&mut recalled.events)
-            .into_iter()
-            .map(|event| (last.number, event)),
-    );
-    // FillOutcome before the hints about hosts, and kept as the first snapshot.
-    let events: Vec<Event> = std::mem::take(known)
-        .into_iter()
-        .map(|(_, event)| event)
-        .collect();
-    events
-        .iter()
-        .for_each(|event| router.told(last, event.clone()));
-    router.take_up(recalled, keeps, &events, last);
+    let last = numbering.borrow().last();
+    // Before the hints about hosts, which need their endpoints, and stored as the first snapshot.
+    for event in &events {
+        router.apply_event(last, Event::clone(event));
+    }
+    router.take_up_state(previous, directory, &events, last);
+    NumberedEvents::new()
 }
--- a/crates/flaxdeck-dispatcher/src/lib.rs
+++ b/crates/flaxdeck-dispatcher/src/lib.rs
@@ -7,4 +7,6 @@
 mod routing;
 
 pub use program::{run, run_guided};
-pub use routing::{Digests, Guidelines, Keeps};
+pub use routing::ControlClientOptions;
+pub use routing::StateDirectory;
+pub use routing::SubscriptionOptions;
--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, interval, sleep};
 
 use crate::control;
-use crate::routing::{Guidelines, Router, accept};
+use crate::routing::{ControlClientOptions, Router, accept};
 use flaxdeck_net::clock::Clock;
 use flaxdeck_net::counters_file;
 use flaxdeck_net::listener::Claim;
@@ -45,7 +45,10 @@
 
 /// A dispatcher that planners guide, if guidelines say so; the caller has set up the log. Without a path the
 /// configuration is the one that `GW_CONFIG` names.
-pub fn run_guided(path: Option<&str>, guidelines: Option<Guidelines>) -> Result<(), String> {
+pub fn run_guided(
+    path: Option<&str>,
+    guidelines: Option<ControlClientOptions>,
+) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -53,7 +56,7 @@
     LocalSet::new().block_on(&runtime, serve(path, guidelines))
 }
 
-async fn serve(path: Option<&str>, guidelines: Option<Guidelines>) -> Result<(), String> {
+async fn serve(path: Option<&str>, guidelines: Option<ControlClientOptions>) -> Result<(), String> {
     let clock = Clock::start();
     let signals = |kind| signal(kind).map_err(|error| format!("no signals: {error}"));
     let (mut asked_to_end, mut asked_to_reload) = (
@@ -78,7 +81,7 @@
     counters.into_iter().for_each(counters_file::spawn);
     // A client that finds nobody listening turns to another dispatcher; a guess or a rejection would keep it here.
     tokio::select! {
-        () = router.comes_back() => {}
+        () = router.wait_until_ready() => {}
         _ = asked_to_end.recv() => return Ok(()),
     }
     let listener = claim.listen().map_err(refused)?;
@@ -107,7 +110,7 @@
         sleep(LOOK).await;
     }
     log_line(&router);
-    router.keep_last();
+    router.shut_down();
     Ok(())
 }
 
--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -1,70 +1,73 @@
-//! Client connections: a task each, and how many there may be.
+//! Client connections: a task each.
 
-use std::cell::{Cell, RefCell};
+use std::cell::Cell;
+use std::cell::RefCell;
 use std::collections::BTreeMap;
-use std::rc::{Rc, Weak};
+use std::rc::Rc;
 use std::time::Duration;
 
 use flaxdeck::RequestId;
-use tokio::net::TcpStream;
-use tokio::task::{spawn_local, yield_now};
-use tokio::time::{Instant, sleep, timeout};
-
-use super::Router;
-use crate::protocol::session::{Closer, Heard, Session, ShortReply};
 use flaxdeck_net::budget::Permit;
-use flaxdeck_net::eviction::{self, Eviction};
 use flaxdeck_net::link::LINGER;
 use flaxdeck_net::listener::Listener;
-use flaxdeck_net::metrics::{Counter, count};
+use flaxdeck_net::metrics::Counter;
+use flaxdeck_net::metrics::count;
+use flaxdeck_wire::ClientRequest;
+use tokio::net::TcpStream;
+use tokio::task::spawn_local;
+use tokio::task::yield_now;
+use tokio::time::Instant;
+use tokio::time::sleep;
+use tokio::time::timeout;
+
+use super::Router;
+use super::request_table::RequestTable;
+use crate::protocol::session::Closer;
+use crate::protocol::session::Heard;
+use crate::protocol::session::Session;
+use crate::protocol::session::ShortReply;
 
 /// Requests that one connection may have open by the protocol.
 const MAX_OPEN: usize = 32;
 /// The longest between looks for who can make room, and after a failed accept: descriptors come free within it.
 const PAUSE: Duration = Duration::from_millis(5);
-/// Messages of one client heard in a row before others get their turn: what it may have open, asked and taken back.
-const AT_ONCE: usize = 2 * MAX_OPEN;
-/// Connections that were ended here while the other side has not ended them yet: their descriptors are of those that are
-/// no client's and no host's.
-const MAX_ENDING: usize = 8;
+/// Messages of one client read in a row before others get their turn: what it may have open, asked and cancelled.
+const MAX_IN_A_ROW: usize = 2 * MAX_OPEN;
 
-/// What the accepting side knows of a connection.
+/// What others may know of a connection and do to it while its task serves it.
 pub(super) struct Client {
-    /// Its requests by their numbers, also some that have their answers since it last spoke.
+    /// Its requests by their numbers, also some that have their answers since it last sent something.
     requests: RefCell<BTreeMap<u32, RequestId>>,
     quiet_since: Cell<Instant>,
-    /// It has said something whole.
-    spoke: Cell<bool>,
+    /// It has sent a whole message.
+    has_sent: Cell<bool>,
     closer: Closer,
 }
 
-/// Takes in clients for ever.
-pub async fn accept(router: Rc<Router>, listener: Listener) {
+/// Accepts clients until it is aborted.
+pub(crate) async fn accept(router: Rc<Router>, listener: Listener) {
+    let clients = &router.clients;
     loop {
-        router
-            .open
-            .borrow_mut()
-            .retain(|client| client.strong_count() > 0);
-        let place = match router.clients.take() {
-            Some(place) => place,
+        clients.forget_ended();
+        let permit = match clients.budget.take() {
+            Some(permit) => permit,
             None => {
-                router.make_room();
+                clients.evict(&router.requests);
                 // Whoever makes room is gone at its next turn, so connections wait for no timer.
-                let Ok(place) = timeout(PAUSE, router.clients.wait_for(1)).await else {
+                let Ok(permit) = timeout(PAUSE, clients.budget.wait_for(1)).await else {
                     continue;
                 };
-                place
+                permit
             }
         };
-        router.none_waits.set(true);
+        clients.set_listener_empty(true);
         let accepted = listener.accept().await;
-        router.none_waits.set(false);
+        clients.set_listener_empty(false);
         match accepted {
             Ok(stream) => {
                 count(Counter::clients_opened);
-                let client = serve(&router, stream, place);
-                router.open.borrow_mut().push(client);
-                // Guards against more descriptors than there are: many that make room at once have given their places
+                start_serving(&router, stream, permit);
+                // Guards against more descriptors than there are: many that make room at once have given their permits
                 // back before their connections are closed, which they do at their next turn.
                 yield_now().await;
             }
@@ -77,191 +80,147 @@
     }
 }
 
-impl Router {
-    fn open_clients(&self) -> Vec<Rc<Client>> {
-        self.open
-            .borrow()
-            .iter()
-            .filter_map(Weak::upgrade)
-            .collect()
-    }
-
-    /// Whether a client has said something that was not read to its end.
-    pub(super) fn is_told_more(&self) -> bool {
-        self.open_clients()
-            .iter()
-            .any(|client| client.closer.is_midway() || client.closer.has_unread())
-    }
-
-    /// Ends all connections of clients, those too that are accepted from now on; what comes on them is not taken any more.
-    pub fn end_clients(&self) {
-        self.ends.set(true);
-        self.open_clients()
-            .iter()
-            .for_each(|client| client.closer.close());
-    }
-
-    /// Closes resting connections of clients, so that others find a place.
-    fn make_room(&self) {
-        let clients: Vec<Candidate> = self
-            .open_clients()
-            .into_iter()
-            .map(|client| Candidate {
-                router: self,
-                client,
-            })
-            .collect();
-        match eviction::choose(&clients, Instant::now()) {
-            Eviction::Silent(silent) => silent.into_iter().for_each(|candidate| {
-                count(Counter::clients_closed_silent);
-                candidate.client.closer.close();
-            }),
-            Eviction::Idle(candidate) => {
-                count(Counter::clients_closed_idle);
-                candidate.client.closer.close();
-            }
-            Eviction::Nobody => {}
-        }
-    }
-}
-
-/// A client's connection that may have to make room.
-struct Candidate<'a> {
-    router: &'a Router,
-    client: Rc<Client>,
-}
-
-impl eviction::Connection for Candidate<'_> {
-    fn has_spoken(&self) -> bool {
-        self.client.spoke.get()
-    }
-
-    fn quiet_since(&self) -> Instant {
-        self.client.quiet_since.get()
-    }
-
-    fn is_busy(&self) -> bool {
-        let closer = &self.client.closer;
-        let has_open = || {
-            self.client
-                .requests
-                .borrow()
-                .values()
-                .any(|request| self.router.is_open(*request))
-        };
-        closer.is_midway() || closer.unread() > 0 || has_open()
-    }
-
-    // After a pause of this process its clients' words may lie unread: who has said one is not silent.
-    fn has_unread(&self) -> bool {
-        self.client.closer.has_unread()
-    }
-}
-
-fn serve(router: &Rc<Router>, stream: TcpStream, place: Permit) -> Weak<Client> {
-    let session = Session::new(stream, router.names.clone(), router.asked.clone());
-    let (requests, quiet_since, spoke) = (
-        RefCell::default(),
-        Cell::new(Instant::now()),
-        Cell::new(false),
-    );
+fn start_serving(router: &Rc<Router>, stream: TcpStream, permit: Permit) {
+    let session = Session::new(stream, router.names.clone(), router.request_bytes.clone());
     let client = Rc::new(Client {
-        requests,
-        quiet_since,
-        spoke,
+        requests: RefCell::default(),
+        quiet_since: Cell::new(Instant::now()),
+        has_sent: Cell::new(false),
         closer: session.closer(),
     });
-    if router.ends.get() {
-        client.closer.close();
+    if router.clients.is_closing() {
+        client.close();
     }
-    let weak = Rc::downgrade(&client);
-    spawn_local(listen(router.clone(), session, client, place));
-    weak
+    router.clients.add(Rc::downgrade(&client));
+    router
+        .clients
+        .tasks
+        .spawn(serve(router.clone(), session, client, permit));
 }
 
-async fn listen(router: Rc<Router>, mut session: Session, client: Rc<Client>, place: Permit) {
+/// Serves a connection until it ends, and then sees to it that the other side learns of that.
+async fn serve(router: Rc<Router>, mut session: Session, client: Rc<Client>, permit: Permit) {
     let mut in_a_row = 0;
     loop {
-        let heard = session.next().await;
-        if !client.hear(&router, &mut session, heard) {
+        let message = session.next().await;
+        if !client.handle(&router, &mut session, message) {
             break;
         }
         in_a_row += 1;
-        // A request may be taken back in the same breath, so all that has come is heard before any is handed off;
-        // but one client that sends without end leaves the others their turns. What has ended does not go on for long.
-        if !session.has_more() || (in_a_row >= AT_ONCE && !session.is_over()) {
+        // A request may be cancelled in the same breath, so all that has come is read before any is handed off; but one
+        // client that sends without end leaves the others their turns. What has ended does not go on for long.
+        if !session.has_more() || (in_a_row >= MAX_IN_A_ROW && !session.is_over()) {
             in_a_row = 0;
             yield_now().await;
         }
     }
-    client
-        .requests
-        .take()
-        .into_values()
-        .for_each(|request| router.leave(request));
+    for request in client.requests.take().into_values() {
+        router.requests.client_left(request);
+    }
     drop(client);
-    if router.ends.get() {
+    if router.clients.is_closing() {
         session.end(LINGER).await;
-        drop(place);
+        drop(permit);
         return;
     }
-    // Its place is free at once; few may take their time to end, and the longest at it goes first.
-    let end = spawn_local(session.end(LINGER)).abort_handle();
-    let mut ending = router.ending.borrow_mut();
-    ending.push_back(end);
-    if ending.len() > MAX_ENDING {
-        ending
-            .pop_front()
-            .into_iter()
-            .for_each(|longest| longest.abort());
-    }
+    // Its permit is free at once; few may take their time to end, and the longest at it goes first.
+    let ending = spawn_local(session.end(LINGER)).abort_handle();
+    router.clients.add_ending(ending);
 }
 
 impl Client {
-    /// Acts on what the client said; false once its connection is of no more use.
-    fn hear(&self, router: &Rc<Router>, session: &mut Session, heard: Heard) -> bool {
-        let mut requests = self.requests.borrow_mut();
-        requests.retain(|_, request| router.is_open(*request));
+    /// Ends the connection at its next turn.
+    pub(super) fn close(&self) {
+        self.closer.close();
+    }
+
+    /// Whether it has ever sent a whole message.
+    pub(super) fn has_sent(&self) -> bool {
+        self.has_sent.get()
+    }
+
+    /// When it last sent one, or connected.
+    pub(super) fn quiet_since(&self) -> Instant {
+        self.quiet_since.get()
+    }
+
+    /// Whether it has sent bytes that were not read.
+    pub(super) fn has_unread_bytes(&self) -> bool {
+        self.closer.has_unread()
+    }
+
+    /// Whether it has sent something that was not read to its end.
+    pub(super) fn has_unread(&self) -> bool {
+        self.closer.is_midway() || self.closer.has_unread()
+    }
+
+    /// Whether something of it is open: a message midway, an answer that it has not read, or a request.
+    pub(super) fn is_busy(&self, requests: &RequestTable) -> bool {
+        let has_open = || {
+            self.requests
+                .borrow()
+                .values()
+                .any(|request| requests.is_open(*request))
+        };
+        self.closer.is_midway() || self.closer.unread() > 0 || has_open()
+    }
+
+    /// Acts on what the client sent; false once its connection is of no more use.
+    fn handle(&self, router: &Rc<Router>, session: &mut Session, message: Heard) -> bool {
+        self.requests
+            .borrow_mut()
+            .retain(|_, request| router.requests.is_open(*request));
         self.quiet_since.set(Instant::now());
-        self.spoke.set(true);
-        match heard {
-            Heard::Request { call, .. } if requests.contains_key(&call) => {
+        self.has_sent.set(true);
+        match message {
+            Heard::Request { call, .. } if self.requests.borrow().contains_key(&call) => {
                 count(Counter::clients_malformed);
                 log::debug!("a client's connection is closed: two requests of one number");
                 return false;
             }
             // Hosts tell requests apart by their ids alone, so a second one would meddle with the first.
-            Heard::Request { call, asked } if router.has_id(&asked.id) => {
+            Heard::Request { call, asked } if router.requests.has_client_id(&asked.id) => {
                 count(Counter::requests_id_in_use);
                 session.tell(call, ShortReply::Failed("Lost"));
             }
-            Heard::Request { call, asked } => {
-                let fits = requests.len() + self.closer.unread() < MAX_OPEN;
-                let (slot, held) = (
-                    router.slots.take(),
-                    router.asked.take_some(asked.body.len()),
-                );
-                match held.filter(|_| fits && slot.is_some()) {
-                    Some(held) => {
-                        requests.insert(call, router.take(asked, session.reply(call, slot), held));
-                    }
-                    None => {
-                        count(Counter::requests_no_room);
-                        session.tell(call, ShortReply::Refused(router.retry_after()));
-                    }
+            Heard::Request { call, asked } => self.admit(router, session, call, asked),
+            Heard::Unheld { call } => refuse(router, session, call),
+            Heard::Cancel { call } => {
+                let request = self.requests.borrow_mut().remove(&call);
+                if let Some(request) = request {
+                    router.requests.client_left(request);
                 }
             }
-            Heard::Unheld { call } => {
-                count(Counter::requests_no_room);
-                session.tell(call, ShortReply::Refused(router.retry_after()));
-            }
-            Heard::Cancel { call } => requests
-                .remove(&call)
-                .into_iter()
-                .for_each(|request| router.leave(request)),
             Heard::Other => {}
             Heard::Over => return false,
         }
         true
     }
+
+    /// Takes a request in if there is room for it.
+    fn admit(
+        &self,
+        router: &Rc<Router>,
+        session: &mut Session,
+        call: u32,
+        asked: Box<ClientRequest>,
+    ) {
+        let mut requests = self.requests.borrow_mut();
+        let fits = requests.len() + self.closer.unread() < MAX_OPEN;
+        let slot = router.slots.take();
+        let bytes = router.request_bytes.take_some(asked.body.len());
+        match bytes.filter(|_| fits && slot.is_some()) {
+            Some(bytes) => {
+                let reply = session.reply(call, slot);
+                requests.insert(call, router.start_request(asked, reply, bytes));
+            }
+            None => refuse(router, session, call),
+        }
+    }
+}
+
+/// Answers a request that finds no room.
+fn refuse(router: &Router, session: &mut Session, call: u32) {
+    count(Counter::requests_no_room);
+    session.tell(call, ShortReply::Refused(router.retry_after()));
 }
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -1,98 +1,101 @@
 //! Requests on their way: a task each, the table of all, and the decision engine that decides. Nothing here knows how
 //! anything is written on a connection.
+//!
+//! The [`Router`] owns the decision engine and everything that outlasts a request: the table of requests, the client
+//! connections, the connections to hosts and the budgets. `events` applies what the coordinator announces, whoever
+//! brought it; `coordinator` follows the coordinator itself; `control_client` holds the conversations with planners and
+//! all state of a forwarder that a lone dispatcher does not have; `persistence` stores that state on disk.
+//!
+//! All of it runs on one thread and one `LocalSet`. No cell is borrowed across an await. [`Router::shut_down`] is owed
+//! at the end: the router's tasks hold it alive until then.
 
+mod client_connections;
 mod clients;
-mod guides;
-mod keep;
+mod control_client;
+mod coordinator;
+mod events;
+mod persistence;
+mod request_table;
 mod requests;
-mod subscription;
+mod task_set;
 
-use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::rc::{Rc, Weak};
+use std::cell::OnceCell;
+use std::cell::RefCell;
+use std::rc::Rc;
 use std::time::Duration;
 
-use bytes::Bytes;
-use flaxdeck::polled::{Input, PolledEngine, Step};
-use flaxdeck::{
-    AttemptIndex, Clearance, DeploymentTerms, ListKind, ObjectId, RequestId, Span, Time, ZoneId,
-};
-use flaxdeck_terms::{Carriage, Names};
+use flaxdeck::AttemptIndex;
+use flaxdeck::Clearance;
+use flaxdeck::DeploymentTerms;
+use flaxdeck::RequestId;
+use flaxdeck::Span;
+use flaxdeck::Time;
+use flaxdeck::ZoneId;
+use flaxdeck::polled::Input;
+use flaxdeck::polled::PolledEngine;
+use flaxdeck::polled::Step;
+use flaxdeck_channel::watch::Watch;
+use flaxdeck_net::budget::Bounds;
+use flaxdeck_net::budget::Budget;
+use flaxdeck_net::clock::Clock;
+use flaxdeck_terms::Carriage;
+use flaxdeck_terms::Names;
 use tokio::sync::Notify;
-use tokio::task::AbortHandle;
-use tokio::time::{Instant, interval, sleep_until};
+use tokio::time::Instant;
+use tokio::time::interval;
+use tokio::time::sleep_until;
 
-pub use clients::accept;
-pub use guides::Guidelines;
-pub use keep::{Keeps, recall};
-pub use subscription::Digests;
+pub(crate) use clients::accept;
+pub use control_client::ControlClientOptions;
+pub use control_client::SubscriptionOptions;
+pub use events::AppliedEvents;
+pub use events::EventListener;
+pub use persistence::StateDirectory;
+pub(crate) use persistence::restore;
 
 use crate::protocol::pool::Pool;
-use flaxdeck_channel::watch::{Event, NumberedEvents, Watch, WatchEvent};
-use flaxdeck_net::budget::{Bounds, Budget};
-use flaxdeck_net::clock::Clock;
-use flaxdeck_recovery::EventPosition;
-
-/// Between looks for connections that have been idle too long.
-const SWEEP: Duration = Duration::from_secs(1);
-
-/// A request's place in the table.
-struct OpenRequest {
-    object: ObjectId,
-    /// There is a step to pick, or the client has left.
-    notify: Notify,
-    left: Cell<bool>,
-}
-
-/// Events that have come into force, as told to whoever watches.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InForce {
-    /// All events with numbers over the first and up to that mark.
-    Events { after: u64, upto: EventPosition },
-    /// A whole list in place of all that was known.
-    Anew { upto: EventPosition },
-}
+use client_connections::ClientConnections;
+use control_client::ControlClient;
+use coordinator::LaterConfiguration;
+use request_table::RequestTable;
+use task_set::TaskSet;
 
-/// FillOutcome at once whenever events have come into force.
-pub type Watcher = Box<dyn Fn(InForce)>;
+/// Between looks for connections to hosts that have been idle too long.
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-pub struct Router {
+/// Routes the requests of this process.
+pub(crate) struct Router {
     clock: Clock,
     engine: RefCell<PolledEngine>,
-    table: RefCell<BTreeMap<RequestId, Rc<OpenRequest>>>,
-    /// What clients call the requests whose attempts are not all over.
-    ids: RefCell<BTreeSet<Bytes>>,
+    /// The time at which the decision engine wants its tick has changed.
+    tick_changed: Notify,
+    requests: RequestTable,
     names: Rc<Names>,
     zone: ZoneId,
+    /// How long it takes until hosts have dropped by themselves what was purged.
+    purge_settles: Span,
+    /// The connections to hosts.
     pool: Rc<Pool>,
+    /// A permit for each request until its answer is written.
     slots: Budget,
-    /// Bytes that open requests hold, as they were asked and as they are answered.
-    asked: Rc<Budget>,
-    answered: Rc<Budget>,
-    clients: Budget,
-    /// All connections of clients, and what ends those that are being ended.
-    open: RefCell<Vec<Weak<clients::Client>>>,
-    ending: RefCell<VecDeque<AbortHandle>>,
-    /// This process ends: no client is taken any more.
-    ends: Cell<bool>,
-    /// The listener has been waited at in vain: no connection is left that the system took and this process did not.
-    none_waits: Cell<bool>,
-    next: Cell<u64>,
-    /// The time at which the decision engine wants its tick has changed.
-    due_changed: Notify,
+    /// Bytes that open requests hold, as they were asked.
+    request_bytes: Rc<Budget>,
+    /// Bytes that open requests hold, as they are answered.
+    answer_bytes: Rc<Budget>,
+    clients: ClientConnections,
     /// What a later configuration says of the coordinator, until the watch has taken it over.
-    later: RefCell<Option<(Watch, NumberedEvents)>>,
-    reloaded: Notify,
-    guides: RefCell<Option<Rc<guides::Guides>>>,
-    /// How long it takes until hosts have dropped by themselves what was purged.
-    settles: Span,
-    /// What outlasts this process, where something does.
-    keeper: RefCell<Option<Rc<keep::Keeper>>>,
-    watcher: RefCell<Option<Watcher>>,
+    later_configuration: RefCell<Option<LaterConfiguration>>,
+    configuration_changed: Notify,
+    /// Set once, before any event is applied, if planners guide this router.
+    control_client: OnceCell<Rc<ControlClient>>,
+    event_listener: RefCell<Option<EventListener>>,
+    /// Those that follow the coordinator and give the decision engine its ticks.
+    tasks: TaskSet,
 }
 
 impl Router {
-    pub fn new(
+    /// A router that knows no host yet and takes no clients.
+    pub(crate) fn new(
         clock: Clock,
         seed: u64,
         terms: DeploymentTerms,
@@ -100,71 +103,123 @@
         carriage: Carriage,
         bounds: Bounds,
     ) -> Rc<Router> {
-        let (asked, answered) = (
-            Rc::new(Budget::new(bounds.asked)),
-            Rc::new(Budget::new(bounds.answered)),
-        );
-        let (zone, settles) = (terms.zone, terms.purge_settles);
+        let answer_bytes = Rc::new(Budget::new(bounds.answered));
+        let (zone, purge_settles) = (terms.zone, terms.purge_settles);
         Rc::new(Router {
             clock,
             engine: RefCell::new(PolledEngine::start(clock.now(), seed, terms)),
-            table: RefCell::new(BTreeMap::new()),
-            ids: RefCell::new(BTreeSet::new()),
-            pool: Pool::new(names.clone(), carriage, bounds.hosts, answered.clone()),
+            tick_changed: Notify::new(),
+            requests: RequestTable::default(),
+            pool: Pool::new(names.clone(), carriage, bounds.hosts, answer_bytes.clone()),
             names,
             zone,
+            purge_settles,
             slots: Budget::new(bounds.requests),
-            asked,
-            answered,
-            clients: Budget::new(bounds.clients),
-            open: RefCell::default(),
-            ending: RefCell::default(),
-            ends: Cell::new(false),
-            none_waits: Cell::new(false),
-            next: Cell::new(0),
-            due_changed: Notify::new(),
-            later: RefCell::new(None),
-            reloaded: Notify::new(),
-            guides: RefCell::new(None),
-            settles,
-            keeper: RefCell::new(None),
-            watcher: RefCell::new(None),
+            request_bytes: Rc::new(Budget::new(bounds.asked)),
+            answer_bytes,
+            clients: ClientConnections::new(bounds.clients),
+            later_configuration: RefCell::new(None),
+            configuration_changed: Notify::new(),
+            control_client: OnceCell::new(),
+            event_listener: RefCell::new(None),
+            tasks: TaskSet::default(),
         })
     }
 
+    /// Starts to follow the coordinator and to give the decision engine its ticks. To be called once.
+    pub(crate) fn start_tasks(self: &Rc<Router>, watch: Watch) {
+        self.tasks.spawn(self.clone().follow_coordinator(watch));
+        self.tasks.spawn(self.clone().drive_ticks());
+    }
+
+    /// Stores a last state, if state is stored, and ends all tasks of the router and its control client.
+    pub(crate) fn shut_down(&self) {
+        if let Some(client) = self.control_client.get() {
+            client.store_final_state(self);
+        }
+        self.stop_tasks();
+    }
+
+    /// Ends all tasks of the router and its control client, with no word to anybody.
+    pub(crate) fn stop_tasks(&self) {
+        if let Some(client) = self.control_client.get() {
+            client.stop();
+        }
+        self.clients.tasks.abort_all();
+        self.requests.tasks.abort_all();
+        self.tasks.abort_all();
+    }
+
+    /// Whether planners guide this router.
+    pub(crate) fn is_guided(&self) -> bool {
+        self.control_client.get().is_some()
+    }
+
+    /// Waits until clients are to be taken: at once for a lone dispatcher, for a forwarder once somebody confirms the
+    /// endpoint list, or as the operator's file says.
+    pub(crate) async fn wait_until_ready(&self) {
+        if let Some(client) = self.control_client.get() {
+            client.wait_until_ready(self).await;
+        }
+    }
+
+    /// Planners with a connection that is up.
+    pub(crate) fn connected_planners(&self) -> usize {
+        self.control_client
+            .get()
+            .map_or(0, |client| client.connected_planners())
+    }
+
+    /// The state of the conversations with planners as a line for the log; none without planners.
+    pub(crate) fn guidance_line(&self) -> Option<String> {
+        let client = self.control_client.get()?;
+        Some(client.status_line(self))
+    }
+
     /// Requests that are open or whose answers are not written yet, client connections, host connections.
-    pub fn load(&self) -> [usize; 3] {
-        [self.slots.taken(), self.clients.taken(), self.pool.open()]
+    pub(crate) fn load(&self) -> [usize; 3] {
+        [
+            self.slots.taken(),
+            self.clients.budget.taken(),
+            self.pool.open(),
+        ]
     }
 
     /// Nothing is left to be taken in or answered.
-    pub fn at_rest(&self) -> bool {
-        self.none_waits.get() && self.slots.taken() == 0 && !self.is_told_more()
+    pub(crate) fn at_rest(&self) -> bool {
+        self.slots.taken() == 0 && !self.clients.has_unread()
     }
 
     /// No connection of a client is left.
-    pub fn is_alone(&self) -> bool {
-        self.clients.taken() == 0 && self.ending.borrow().iter().all(AbortHandle::is_finished)
+    pub(crate) fn is_alone(&self) -> bool {
+        self.clients.is_empty()
+    }
+
+    /// Ends all connections of clients, those too that are accepted from now on.
+    pub(crate) fn end_clients(&self) {
+        self.clients.close();
     }
 
     /// No request outlasts this time.
-    pub fn end_by(&self, time: Time) {
+    pub(crate) fn end_by(&self, time: Time) {
         self.report(Input::ShutdownAt(time));
     }
 
-    fn report(&self, news: Input) {
+    /// Tells the decision engine what became known, and wakes the tasks of requests with a step to take.
+    fn report(&self, input: Input) {
         let (before, named, after) = {
             let mut engine = self.engine.borrow_mut();
             let before = engine.due();
-            let named = engine.report(self.clock.now(), news);
+            let named = engine.report(self.clock.now(), input);
             (before, named, engine.due())
         };
         if before != after {
-            self.due_changed.notify_one();
+            self.tick_changed.notify_one();
         }
-        self.notify(&named);
+        self.requests.notify(&named);
     }
 
+    /// A request's next step.
     fn pick(&self, request: RequestId) -> Step {
         self.engine.borrow_mut().pick(request)
     }
@@ -176,167 +231,29 @@
             .clear(self.clock.now(), request, index)
     }
 
-    fn has_id(&self, id: &Bytes) -> bool {
-        self.ids.borrow().contains(id)
-    }
-
     /// When a client that finds no room may come back.
     fn retry_after(&self) -> Option<Span> {
         self.engine.borrow().retry_after()
     }
 
-    fn notify(&self, requests: &[RequestId]) {
-        let table = self.table.borrow();
-        requests
-            .iter()
-            .filter_map(|request| table.get(request))
-            .for_each(|entry| entry.notify.notify_one());
-    }
-
-    /// An event of the coordinator that follows what is known.
-    pub fn told(&self, mark: EventPosition, event: Event) {
-        self.told_by_others(mark, event);
-        self.in_force(InForce::Events {
-            after: mark.number.saturating_sub(1),
-            upto: mark,
-        });
-    }
-
-    /// The same of one among several that come into force together.
-    fn told_by_others(&self, mark: EventPosition, event: Event) {
-        self.keep_told(&event);
-        if let Some(keeper) = &*self.keeper.borrow() {
-            keeper.event(mark, &event);
-        }
-        self.apply(event);
-    }
-
-    /// Has somebody told of events that come into force from now on, and first of what is known.
-    pub fn watch(&self, watcher: Watcher, known: Option<EventPosition>) {
-        known
-            .into_iter()
-            .for_each(|upto| watcher(InForce::Anew { upto }));
-        *self.watcher.borrow_mut() = Some(watcher);
-    }
-
-    fn in_force(&self, what: InForce) {
-        self.watcher
-            .borrow()
-            .iter()
-            .for_each(|watcher| watcher(what));
-    }
-
-    fn apply(&self, event: Event) {
-        match event {
-            Event::Hosts(list_kind, endpoints) => {
-                // A whole list is long, and the first comes before the process listens.
-                for endpoint in endpoints.iter().filter(|_| list_kind == ListKind::Delta) {
-                    log::debug!(
-                        "told: {} {:?}",
-                        endpoint.listed.host.0,
-                        endpoint.listed.health
-                    );
-                }
-                self.pool.list(list_kind, &endpoints);
-                let lines = endpoints
-                    .into_iter()
-                    .map(|endpoint| endpoint.listed)
-                    .collect();
-                self.report_lines(list_kind, lines);
-            }
-            Event::Purged {
-                object,
-                group,
-                made,
-            } => {
-                log::debug!("told: a purge of {object:?} in {group:?}");
-                self.report(Input::Purged {
-                    object,
-                    group,
-                    made: self.purged_at(made),
-                });
-            }
-        }
-    }
-
-    /// Waits until it may have changed whether the coordinator is needed beside planners.
-    async fn coordinator_change(&self) -> bool {
-        match self.subscription() {
-            Some(subscription) => {
-                subscription.coordinator_change().await;
-                subscription.wants_coordinator()
-            }
-            None => std::future::pending().await,
-        }
-    }
-
-    /// Follows the coordinator.
-    pub async fn follow(self: Rc<Router>, mut watch: Watch) {
-        self.begun();
-        loop {
-            tokio::select! {
-                wanted = self.coordinator_change() => {
-                    // What a link was asked for may have been replaced since.
-                    watch.pause_while(true);
-                    watch.pause_while(!wanted);
-                }
-                word = watch.next() => {
-                    match word {
-                        WatchEvent::Heartbeat => {}
-                        WatchEvent::Event(mark, _, event) => {
-                            if watch.is_current() {
-                                self.hear_clock(&event);
-                            }
-                            self.told(mark, event);
-                        }
-                        WatchEvent::Relisted(mark, event, doubt) => self.told_anew(mark, event, doubt),
-                    }
-                    if watch.is_current() {
-                        self.coordinator_heard();
-                    }
-                }
-                () = self.reloaded.notified() => {
-                    let Some((later, known)) = self.later.take() else { continue };
-                    let news = watch.go_on_at(later, known);
-                    let mark = watch.numbering().borrow().last();
-                    news.into_iter().for_each(|event| self.told(mark, event));
-                }
-            }
-        }
-    }
-
-    /// Takes over what a later configuration may change under load; open requests notice nothing.
-    pub fn reload(&self, bounds: Bounds, watch: Watch, known: NumberedEvents) {
-        self.slots.resize(bounds.requests);
-        self.asked.resize(bounds.asked);
-        self.answered.resize(bounds.answered);
-        self.clients.resize(bounds.clients);
-        self.pool.resize(bounds.hosts);
-        *self.later.borrow_mut() = Some((watch, known));
-        self.reloaded.notify_one();
-    }
-
-    /// Gives the decision engine its ticks.
-    pub async fn keep_time(self: Rc<Router>) {
+    /// Gives the decision engine its ticks, until the router's tasks end.
+    async fn drive_ticks(self: Rc<Router>) {
         loop {
-            let due = self
-                .engine
-                .borrow()
-                .due()
-                .map(|due| self.clock.instant(due));
+            let next = self.engine.borrow().due();
+            let next = next.map(|at| self.clock.instant(at));
             tokio::select! {
-                () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
+                () = sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => {
                     let named = self.engine.borrow_mut().tick(self.clock.now());
-                    self.notify(&named);
+                    self.requests.notify(&named);
                 }
-                () = self.due_changed.notified() => {}
+                () = self.tick_changed.notified() => {}
             }
         }
     }
 
-    /// Closes idle connections to hosts.
-    pub async fn sweep(self: Rc<Router>) {
-        let mut ticks = interval(SWEEP);
+    /// Closes idle connections to hosts, until it is aborted.
+    pub(crate) async fn sweep(self: Rc<Router>) {
+        let mut ticks = interval(IDLE_SWEEP_INTERVAL);
         loop {
             ticks.tick().await;
             self.pool.sweep();
--- /dev/null
+++ b/crates/flaxdeck-dispatcher/src/routing/persistence/conversion.rs
@@ -0,0 +1,152 @@
+//! Between the events and observations of a running forwarder and their stored form.
+
+use flaxdeck::CellId;
+use flaxdeck::Endpoint;
+use flaxdeck::GroupId;
+use flaxdeck::Health;
+use flaxdeck::HostId;
+use flaxdeck::ListKind;
+use flaxdeck::ObjectId;
+use flaxdeck::Observation;
+use flaxdeck::PeerHint;
+use flaxdeck::Role;
+use flaxdeck::SourceMeasurements;
+use flaxdeck::Span;
+use flaxdeck::Time;
+use flaxdeck::ZoneId;
+use flaxdeck_channel::watch::Event;
+use flaxdeck_net::clock::since_boot;
+use flaxdeck_recovery::EventPosition;
+use flaxdeck_recovery::restored_state::StateChange;
+use flaxdeck_recovery::restored_state::StoredEndpoint;
+use flaxdeck_recovery::restored_state::StoredPurge;
+use flaxdeck_recovery::restored_state::StoredRating;
+use flaxdeck_recovery::restored_state::Uptime;
+use flaxdeck_wire::frames::AddressedEndpoint;
+
+/// Roles by their stored numbers; a number past the end reads as the last.
+const ROLES: [Role; 3] = [Role::Cache, Role::Parent, Role::Origin];
+/// Healths by their stored numbers; a number past the end reads as the last.
+const HEALTHS: [Health; 3] = [Health::InService, Health::Draining, Health::Removed];
+
+/// The machine's uptime now, which no change of the wall clock moves.
+pub(super) fn uptime() -> Uptime {
+    let (boot, ms) = since_boot();
+    Uptime { boot, ms }
+}
+
+/// An endpoint as it is stored.
+fn stored_endpoint(endpoint: &AddressedEndpoint) -> StoredEndpoint {
+    let listed = &endpoint.listed;
+    StoredEndpoint {
+        host: listed.host.0.to_string(),
+        address: endpoint.address,
+        weight: listed.weight,
+        zone: listed.zone.map(|zone| zone.0 as u32),
+        cell: listed.cell.0,
+        role: match listed.role {
+            Role::Cache => 0,
+            Role::Parent => 1,
+            Role::Origin => 2,
+        },
+        health: match listed.health {
+            Health::InService => 0,
+            Health::Draining => 1,
+            Health::Removed => 2,
+        },
+        started: listed.started.map_or(0, |at| at.ms() as u64),
+    }
+}
+
+/// A stored endpoint as events name it.
+pub(super) fn addressed_endpoint(stored: &StoredEndpoint) -> AddressedEndpoint {
+    let listed = Endpoint {
+        host: HostId(stored.host.as_str().into()),
+        weight: stored.weight,
+        zone: stored.zone.map(|zone| ZoneId(zone as usize)),
+        cell: CellId(stored.cell),
+        role: ROLES[usize::from(stored.role.min(2))],
+        health: HEALTHS[usize::from(stored.health.min(2))],
+        started: Some(stored.started)
+            .filter(|ms| *ms > 0)
+            .map(|ms| Time::at_ms(ms as f64)),
+    };
+    AddressedEndpoint {
+        listed,
+        address: stored.address,
+    }
+}
+
+/// A stored purge as an event.
+pub(super) fn purge_event(stored: StoredPurge) -> Event {
+    Event::Purged {
+        object: stored.object.map(ObjectId),
+        group: GroupId(stored.group),
+        made: Time::at_ms(stored.made as f64),
+    }
+}
+
+/// What an event at that position changes in the stored state.
+pub(super) fn state_change(position: EventPosition, event: &Event) -> StateChange {
+    match event {
+        Event::Hosts(ListKind::Full, endpoints) => {
+            StateChange::Whole(position, endpoints.iter().map(stored_endpoint).collect())
+        }
+        Event::Hosts(ListKind::Delta, endpoints) => {
+            StateChange::Lines(position, endpoints.iter().map(stored_endpoint).collect())
+        }
+        Event::Purged {
+            object,
+            group,
+            made,
+        } => StateChange::Purged(
+            position,
+            StoredPurge {
+                object: object.map(|object| object.0),
+                group: group.0,
+                made: made.ms() as u64,
+            },
+        ),
+    }
+}
+
+/// Whether there is anything about a host worth storing.
+pub(super) fn is_measured(observation: &Observation) -> bool {
+    observation.measured_at.is_some()
+        || observation.last_success.is_some()
+        || observation.last_failure.is_some()
+}
+
+/// What was observed of a host, as it is stored: with ages, as the wall clock may be changed while nothing runs.
+pub(super) fn stored_rating(now: Time, observation: &Observation) -> StoredRating {
+    let age = |at: Option<Time>| at.map(|at| now.since(at).ms() as u64);
+    StoredRating {
+        host: observation.host.0.to_string(),
+        started: observation.started.map_or(0, |at| at.ms() as u64),
+        measures: [
+            observation.measurements.latency,
+            observation.measurements.bandwidth,
+        ],
+        measured_ago: age(observation.measured_at),
+        good_ago: age(observation.last_success),
+        bad_ago: age(observation.last_failure),
+    }
+}
+
+/// A stored rating as a hint to the decision engine.
+pub(super) fn hint(now: Time, stored: StoredRating) -> PeerHint {
+    let time = |age: Option<u64>| age.map(|ms| now - Span::from_ms(ms));
+    PeerHint {
+        host: HostId(stored.host.as_str().into()),
+        quota: None,
+        measurements: SourceMeasurements {
+            latency: stored.measures[0],
+            bandwidth: stored.measures[1],
+        },
+        measured_at: time(stored.measured_ago),
+        down_at: time(stored.bad_ago),
+        last_success: time(stored.good_ago),
+        window: None,
+        others_in_flight: None,
+    }
+}
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -3,55 +3,76 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use flaxdeck::polled::{Input, Step};
-use flaxdeck::{
-    Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, Clearance, HostId, Request, RequestId,
-    Span,
-};
-use tokio::sync::Notify;
-use tokio::task::{AbortHandle, JoinSet, spawn_local};
+use flaxdeck::Attempt;
+use flaxdeck::AttemptEnded;
+use flaxdeck::AttemptIndex;
+use flaxdeck::AttemptOutcome;
+use flaxdeck::Clearance;
+use flaxdeck::HostId;
+use flaxdeck::Request;
+use flaxdeck::RequestId;
+use flaxdeck::Span;
+use flaxdeck::polled::Input;
+use flaxdeck::polled::Step;
+use flaxdeck_net::budget::Permit;
+use flaxdeck_net::clock::length;
+use flaxdeck_net::metrics::Counter;
+use flaxdeck_net::metrics::assert_invariant;
+use flaxdeck_net::metrics::count;
+use flaxdeck_wire::Answer;
+use flaxdeck_wire::AttemptOptions;
+use flaxdeck_wire::ClientRequest;
+use flaxdeck_wire::HostReply;
+use tokio::task::AbortHandle;
+use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use super::{OpenRequest, Router};
+use super::Router;
+use super::request_table::OpenRequest;
 use crate::protocol::session::Reply;
-use flaxdeck_net::budget::Permit;
-use flaxdeck_net::clock::length;
-use flaxdeck_net::metrics::{Counter, assert_invariant, count};
-use flaxdeck_wire::{Answer, AttemptOptions, ClientRequest, HostReply};
 
-/// An attempt that is out.
-struct Out {
+/// An attempt that is not over. Its task is aborted when the attempt is cancelled.
+struct RunningAttempt {
     index: AttemptIndex,
     host: HostId,
     sent: Instant,
     /// Something of it may have been written.
-    begun: Rc<Cell<bool>>,
+    may_be_sent: Rc<Cell<bool>>,
     task: AbortHandle,
 }
 
+/// What the task of an attempt gives.
+struct EndedAttempt {
+    index: AttemptIndex,
+    reply: HostReply,
+    /// Budget for the bytes of the answer.
+    bytes: Option<Permit>,
+}
+
+/// Serves one request: takes the steps that the decision engine picks until none is left. It owns the request's attempts.
 struct RequestTask {
     router: Rc<Router>,
     id: RequestId,
     asked: Rc<ClientRequest>,
     /// Budget for the bytes of what was asked.
-    _held: Permit,
+    _bytes: Permit,
     entry: Rc<OpenRequest>,
     /// Until the request has its answer.
     reply: Option<Reply>,
-    out: Vec<Out>,
-    tasks: JoinSet<(AttemptIndex, (HostReply, Option<Permit>))>,
+    /// The attempts that are not over.
+    running: Vec<RunningAttempt>,
+    tasks: JoinSet<EndedAttempt>,
 }
 
 impl Router {
     /// Takes a request in; its task gives the answer.
-    pub(super) fn take(
+    pub(super) fn start_request(
         self: &Rc<Router>,
         asked: Box<ClientRequest>,
         reply: Reply,
-        held: Permit,
+        bytes: Permit,
     ) -> RequestId {
-        let (id, now) = (RequestId(self.next.get()), self.clock.now());
-        self.next.set(id.0 + 1);
+        let id = self.requests.next_id();
         count(Counter::requests);
         let request = Request {
             id,
@@ -60,98 +81,80 @@
             part: asked.part,
             group: asked.group,
             size_kb: asked.size_kb,
-            deadline: now + asked.waits,
+            deadline: self.clock.now() + asked.waits,
             again: asked.again,
         };
-        let entry = Rc::new(OpenRequest {
-            object: asked.object,
-            notify: Notify::new(),
-            left: Cell::new(false),
-        });
-        self.table.borrow_mut().insert(id, entry.clone());
-        assert_invariant(
-            self.ids.borrow_mut().insert(asked.id.clone()),
-            "open requests differ by their ids",
-        );
-        self.asked_for(asked.object);
+        let entry = self.requests.open(id, asked.id.clone(), asked.object);
+        if let Some(client) = self.control_client.get() {
+            client.report_purge_of(self, asked.object);
+        }
         self.report(Input::RequestArrived(request));
-        let (router, asked, reply) = (self.clone(), Rc::from(asked), Some(reply));
-        let (out, tasks) = (Vec::new(), JoinSet::new());
         let task = RequestTask {
-            router,
+            router: self.clone(),
             id,
-            asked,
-            _held: held,
+            asked: Rc::from(asked),
+            _bytes: bytes,
             entry,
-            reply,
-            out,
-            tasks,
+            reply: Some(reply),
+            running: Vec::new(),
+            tasks: JoinSet::new(),
         };
-        spawn_local(task.run());
+        self.requests.tasks.spawn(task.run());
         id
     }
-
-    /// The client has left.
-    pub(super) fn leave(&self, request: RequestId) {
-        let Some(entry) = self.table.borrow().get(&request).cloned() else {
-            return;
-        };
-        entry.left.set(true);
-        entry.notify.notify_one();
-    }
-
-    pub(super) fn is_open(&self, request: RequestId) -> bool {
-        self.table.borrow().contains_key(&request)
-    }
 }
 
 impl RequestTask {
     async fn run(mut self) {
         loop {
             if self.entry.left.get() && self.reply.take().is_some() {
-                count(Counter::left);
-                log::debug!("left: request {}", self.id.0);
-                self.close();
-                self.drop_unsent();
-                self.router.report(Input::ClientLeft(self.id));
+                self.client_left();
             }
-            self.steps();
-            if self.reply.is_none() && self.out.is_empty() {
+            self.take_steps();
+            if self.reply.is_none() && self.running.is_empty() {
                 break;
             }
             tokio::select! {
                 () = self.entry.notify.notified() => {}
                 Some(ended) = self.tasks.join_next() => {
-                    if let Ok((index, (host_reply, held))) = ended {
-                        self.ended(index, host_reply, held);
+                    // An attempt that was aborted is off the list already.
+                    if let Ok(ended) = ended {
+                        self.attempt_ended(ended);
                     }
                 }
             }
         }
-        self.router.ids.borrow_mut().remove(&self.asked.id);
+        self.router.requests.release_client_id(&self.asked.id);
         assert_invariant(
             self.router.pick(self.id) == Step::Wait,
             "a request ends with no step left",
         );
     }
 
-    /// What waits for a connection waits for nobody any more, whether or not an attempt may be taken back.
-    fn drop_unsent(&mut self) {
-        let (begun, unsent): (Vec<Out>, Vec<Out>) =
-            self.out.drain(..).partition(|out| out.begun.get());
-        unsent.iter().for_each(|out| out.task.abort());
-        if begun.is_empty() {
-            count(Counter::left_unsent);
-        }
-        self.out = begun;
+    fn client_left(&mut self) {
+        count(Counter::left);
+        log::debug!("left: request {}", self.id.0);
+        self.router.requests.close(self.id);
+        self.abort_unsent();
+        self.router.report(Input::ClientLeft(self.id));
     }
 
-    fn close(&self) {
-        self.router.table.borrow_mut().remove(&self.id);
+    /// What waits for a connection waits for nobody any more, whether or not an attempt may be cancelled.
+    fn abort_unsent(&mut self) {
+        self.running.retain(|attempt| {
+            let is_sent = attempt.may_be_sent.get();
+            if !is_sent {
+                attempt.task.abort();
+            }
+            is_sent
+        });
+        if self.running.is_empty() {
+            count(Counter::left_unsent);
+        }
     }
 
     /// The only place where a request gets its answer.
-    fn answer(&mut self, answer: Answer, held: Option<Permit>) {
+    fn answer(&mut self, answer: Answer, bytes: Option<Permit>) {
         let Some(reply) = self.reply.take() else {
             return assert_invariant(false, "one answer a request");
         };
@@ -161,15 +164,15 @@
             Answer::Rejected(_) => Counter::rejected,
             Answer::Failed => Counter::failed,
         });
-        reply.send(answer, held);
-        self.close();
+        reply.send(answer, bytes);
+        self.router.requests.close(self.id);
     }
 
-    fn steps(&mut self) {
+    fn take_steps(&mut self) {
         loop {
             match self.router.pick(self.id) {
-                Step::Attempt(index, attempt) => self.attempt(index, attempt),
-                Step::Cancel(index) => self.take_back(index),
+                Step::Attempt(index, attempt) => self.start_attempt(index, attempt),
+                Step::Cancel(index) => self.cancel_attempt(index),
                 Step::Reject(retry_after) => self.answer(Answer::Rejected(retry_after), None),
                 Step::Fail => self.answer(Answer::Failed, None),
                 Step::Wait => return,
@@ -177,143 +180,159 @@
         }
     }
 
-    fn attempt(&mut self, index: AttemptIndex, attempt: Attempt) {
+    fn start_attempt(&mut self, index: AttemptIndex, attempt: Attempt) {
         assert_invariant(
             self.reply.is_some(),
             "nothing is handed off for a request that is over",
         );
         count(Counter::attempts);
-        let (to, from, allow) = (&attempt.host.0, &attempt.source.0, attempt.allow.ms());
         log::debug!(
-            "request {} attempt {} to {to} filled from {from} within {allow} ms",
+            "request {} attempt {} to {} filled from {} within {} ms",
             self.id.0,
-            index.0
-        );
-        let (router, asked, host) = (
-            self.router.clone(),
-            self.asked.clone(),
-            attempt.host.clone(),
+            index.0,
+            attempt.host.0,
+            attempt.source.0,
+            attempt.allow.ms()
         );
-        let (id, until) = (self.id, Instant::now() + length(attempt.allow));
-        let begun = Rc::new(Cell::new(false));
-        let begins = begun.clone();
-        let task = self.tasks.spawn_local(async move {
-            let clear = || {
-                let Clearance { oldest, sent_by } = router.clear(id, index)?;
-                let waits = until.checked_duration_since(Instant::now())?;
-                let wish = AttemptOptions {
-                    class: &router.names.classes[asked.class.0],
-                    waits: Span::of_ms(waits.as_secs_f64() * 1000.0),
-                    source: Some(&attempt.source).filter(|source| **source != attempt.host),
-                    keep: attempt.keep,
-                    fresh: attempt.fresh,
-                    oldest,
-                    join: attempt.join,
-                    only_held: attempt.only_held,
-                    renew: attempt.renew,
-                };
-                Some((wish, until.min(router.clock.instant(sent_by))))
-            };
-            (
-                index,
-                router
-                    .pool
-                    .ask(&attempt.host, &asked, until, clear, &begins)
-                    .await,
-            )
-        });
-        self.out.push(Out {
+        let host = attempt.host.clone();
+        let may_be_sent = Rc::new(Cell::new(false));
+        let sending = AttemptSending {
+            router: self.router.clone(),
+            request: self.id,
+            index,
+            asked: self.asked.clone(),
+            until: Instant::now() + length(attempt.allow),
+            attempt,
+            may_be_sent: may_be_sent.clone(),
+        };
+        let task = self.tasks.spawn_local(sending.run());
+        self.running.push(RunningAttempt {
             index,
             host,
             sent: Instant::now(),
-            begun,
+            may_be_sent,
             task,
         });
     }
 
-    fn take_back(&mut self, index: AttemptIndex) {
-        if let Some(at) = self.out.iter().position(|out| out.index == index) {
-            count(Counter::taken_back);
-            let Out {
-                host, sent, task, ..
-            } = self.out.remove(at);
-            task.abort();
-            // Guards against a request that waits for ever for the end of what it took back itself.
-            if self.reply.is_some() {
-                self.report_end(
-                    index,
-                    host,
-                    sent,
-                    HostReply::bare(AttemptOutcome::Cancelled),
-                );
-            }
+    fn take_running(&mut self, index: AttemptIndex) -> Option<RunningAttempt> {
+        let at = self
+            .running
+            .iter()
+            .position(|attempt| attempt.index == index)?;
+        Some(self.running.remove(at))
+    }
+
+    fn cancel_attempt(&mut self, index: AttemptIndex) {
+        let Some(attempt) = self.take_running(index) else {
+            return;
+        };
+        count(Counter::taken_back);
+        attempt.task.abort();
+        // Guards against a request that waits for ever for the end of what it cancelled itself.
+        if self.reply.is_some() {
+            self.report_end(attempt, HostReply::bare(AttemptOutcome::Cancelled));
         }
     }
 
-    fn ended(&mut self, index: AttemptIndex, host_reply: HostReply, held: Option<Permit>) {
-        let Some(at) = self.out.iter().position(|out| out.index == index) else {
+    fn attempt_ended(&mut self, ended: EndedAttempt) {
+        let Some(attempt) = self.take_running(ended.index) else {
             return;
         };
-        let Out { host, sent, .. } = self.out.remove(at);
+        let mut reply = ended.reply;
         // Guards against a client that keeps an old copy: one that is not named by its own tag is no answer, and
         // from then on the whole object is asked for.
-        let other = host_reply.is_of_another_copy(&self.asked);
-        if other {
+        if reply.is_of_another_copy(&self.asked) {
             count(Counter::unchanged_of_another);
+            reply.outcome = AttemptOutcome::Errored;
             self.asked = Rc::new(ClientRequest {
                 holds: None,
                 ..(*self.asked).clone()
             });
         }
-        let host_reply = HostReply {
-            outcome: if other {
-                AttemptOutcome::Errored
+        if reply.outcome == AttemptOutcome::Answered && self.reply.is_some() {
+            let answer = if reply.unchanged {
+                Answer::Unchanged
             } else {
-                host_reply.outcome
-            },
-            ..host_reply
-        };
-        if host_reply.outcome == AttemptOutcome::Answered && self.reply.is_some() {
-            let body = host_reply.body.clone();
-            self.answer(
-                if host_reply.unchanged {
-                    Answer::Unchanged
-                } else {
-                    Answer::Served(body)
-                },
-                held,
-            );
+                Answer::Served(reply.body.clone())
+            };
+            self.answer(answer, ended.bytes);
         }
-        self.report_end(index, host, sent, host_reply);
+        self.report_end(attempt, reply);
     }
 
-    fn report_end(&self, index: AttemptIndex, host: HostId, sent: Instant, host_reply: HostReply) {
-        let HostReply {
-            outcome,
-            fill,
-            waited,
-            report,
-            ..
-        } = host_reply;
-        let link = report.link;
+    fn report_end(&self, attempt: RunningAttempt, reply: HostReply) {
+        let (outcome, fill, link) = (&reply.outcome, &reply.fill, &reply.report.link);
         log::debug!(
             "request {} attempt {} at {}: {outcome:?} {fill:?} {link:?}",
             self.id.0,
-            index.0,
-            host.0
+            attempt.index.0,
+            attempt.host.0
         );
-        let (request, closed) = (self.id, self.reply.is_none());
-        let took = Span::of_ms(sent.elapsed().as_secs_f64() * 1000.0);
         self.router.report(Input::AttemptEnded(AttemptEnded {
-            request,
-            index,
-            host,
-            outcome,
-            took,
-            closed,
-            fill,
-            waited,
-            report,
+            request: self.id,
+            index: attempt.index,
+            host: attempt.host,
+            outcome: reply.outcome,
+            took: Span::of_ms(attempt.sent.elapsed().as_secs_f64() * 1000.0),
+            closed: self.reply.is_none(),
+            fill: reply.fill,
+            waited: reply.waited,
+            report: reply.report,
         }));
     }
 }
+
+/// One attempt on its way: waits for a connection to the host, sends it and reads the reply.
+struct AttemptSending {
+    router: Rc<Router>,
+    request: RequestId,
+    index: AttemptIndex,
+    asked: Rc<ClientRequest>,
+    attempt: Attempt,
+    until: Instant,
+    /// Something of it may have been written.
+    may_be_sent: Rc<Cell<bool>>,
+}
+
+impl AttemptSending {
+    async fn run(self) -> EndedAttempt {
+        let clear = || self.clear();
+        let (reply, bytes) = self
+            .router
+            .pool
+            .ask(
+                &self.attempt.host,
+                &self.asked,
+                self.until,
+                clear,
+                &self.may_be_sent,
+            )
+            .await;
+        EndedAttempt {
+            index: self.index,
+            reply,
+            bytes,
+        }
+    }
+
+    /// What the attempt asks for if it is sent now, and until when; none if it may not be sent any more.
+    fn clear(&self) -> Option<(AttemptOptions<'_>, Instant)> {
+        let Clearance { oldest, sent_by } = self.router.clear(self.request, self.index)?;
+        let waits = self.until.checked_duration_since(Instant::now())?;
+        let attempt = &self.attempt;
+        let options = AttemptOptions {
+            class: &self.router.names.classes[self.asked.class.0],
+            waits: Span::of_ms(waits.as_secs_f64() * 1000.0),
+            source: Some(&attempt.source).filter(|source| **source != attempt.host),
+            keep: attempt.keep,
+            fresh: attempt.fresh,
+            oldest,
+            join: attempt.join,
+            only_held: attempt.only_held,
+            renew: attempt.renew,
+        };
+        let until = self.until.min(self.router.clock.instant(sent_by));
+        Some((options, until))
+    }
+}
--- a/crates/flaxdeck-scale/src/hollow.rs
+++ b/crates/flaxdeck-scale/src/hollow.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use flaxdeck_dispatcher::Guidelines;
-use flaxdeck_dispatcher::control::{HollowForwarder, Watcher};
+use flaxdeck_dispatcher::ControlClientOptions;
+use flaxdeck_dispatcher::control::{EventListener, HollowForwarder};
 use flaxdeck_net::counters_file;
 use serde_json::Value;
 use tokio::task::LocalSet;
@@ -24,7 +24,10 @@
 
 /// Runs until standard input closes. `guidelines` tells each forwarder, by the name that it stands for, what its plan
 /// says.
-pub fn run(orders: &HollowOrders, guidelines: impl Fn(&str) -> Guidelines) -> Result<(), String> {
+pub fn run(
+    orders: &HollowOrders,
+    guidelines: impl Fn(&str) -> ControlClientOptions,
+) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -34,7 +37,7 @@
 
 async fn serve(
     orders: &HollowOrders,
-    guidelines: impl Fn(&str) -> Guidelines,
+    guidelines: impl Fn(&str) -> ControlClientOptions,
 ) -> Result<(), String> {
     let mut input = Input::<()>::start();
     let configuration = configuration(orders)?;
@@ -84,7 +87,7 @@
 }
 
 /// Notes what comes into force at one forwarder, and counts it among those that have begun with the first of it.
-fn watcher(number: u32, notes: SharedNotes, begun: Rc<Cell<usize>>) -> Watcher {
+fn watcher(number: u32, notes: SharedNotes, begun: Rc<Cell<usize>>) -> EventListener {
     let first = Cell::new(true);
     Box::new(move |what| {
         if first.replace(false) {
--- a/crates/flaxdeck-scale/src/in_force.rs
+++ b/crates/flaxdeck-scale/src/in_force.rs
@@ -4,7 +4,7 @@
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::path::Path;
 
-use flaxdeck_dispatcher::control::InForce;
+use flaxdeck_dispatcher::control::AppliedEvents;
 
 use crate::monotonic;
 
@@ -36,10 +36,10 @@
     }
 
     /// Notes what has just come into force at that forwarder.
-    pub fn note(&mut self, forwarder: u32, what: InForce) -> io::Result<()> {
+    pub fn note(&mut self, forwarder: u32, what: AppliedEvents) -> io::Result<()> {
         let (after, upto) = match what {
-            InForce::Events { after, upto } => (Some(after as u32), upto),
-            InForce::Anew { upto } => (None, upto),
+            AppliedEvents::Range { after, upto } => (Some(after as u32), upto),
+            AppliedEvents::FullList { upto } => (None, upto),
         };
         let (upto, hash, at_us) = (upto.number as u32, upto.hash as u32, monotonic::now_us());
         self.0.write_all(
