--- a/crates/flaxdeck-channel/src/authenticated.rs
+++ b/crates/flaxdeck-channel/src/authenticated.rs
@@ -10,17 +10,25 @@
 //! from another connection, of the other side, out of its place or doubled does not open, and a greeting played
 //! again meets another nonce. Nothing is kept secret, only genuine.
 
-use bytes::{Buf, Bytes, BytesMut};
-use flaxdeck_wire::{Malformed, Parsed};
+use bytes::Buf;
+use bytes::Bytes;
+use bytes::BytesMut;
+use flaxdeck_wire::Malformed;
+use flaxdeck_wire::Parsed;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
+use thiserror::Error;
 
-/// Of this protocol; another is refused with a word in the log.
+/// The version of this protocol; another is refused by that reason.
 pub const VERSION: u8 = 3;
 /// Bytes of the greeting.
 pub const GREETING: usize = 4 + 1 + 1 + NONCE + HASH;
 /// Bytes of one frame at most: events, grants and ratings at their bounds fit.
 pub const MAX_FRAME: usize = 320 * 1024;
+/// Digits of a key as it is written.
+const KEY_DIGITS: usize = 64;
+/// Bytes of the length before each frame.
+const LENGTH: usize = 4;
 const NONCE: usize = 16;
 const HASH: usize = 16;
 const COUNTER: usize = 8;
@@ -30,17 +38,32 @@
 #[derive(Clone)]
 pub struct Key([u8; 32]);
 
+/// Why a text is no key. It does not hold the text, which may be most of one.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum InvalidKey {
+    /// It is shorter or longer.
+    #[error("a key has 64 hex digits")]
+    Length,
+    /// It holds something else than hex digits.
+    #[error("a key is written in hex digits")]
+    NotHex,
+}
+
 impl Key {
-    /// Of 64 hex digits, with white space round them.
-    pub fn from_hex(text: &str) -> Result<Key, &'static str> {
+    /// A key of 64 hex digits, with white space round them.
+    ///
+    /// # Errors
+    ///
+    /// If the text is anything else.
+    pub fn from_hex(text: &str) -> Result<Key, InvalidKey> {
         let digits = text.trim().as_bytes();
-        if digits.len() != 64 {
-            return Err("a key has 64 hex digits");
+        if digits.len() != KEY_DIGITS {
+            return Err(InvalidKey::Length);
         }
-        let mut key = [0; 32];
+        let mut key = [0; KEY_DIGITS / 2];
         for (byte, pair) in key.iter_mut().zip(digits.chunks(2)) {
-            let pair = std::str::from_utf8(pair).map_err(|_| "a key is written in hex digits")?;
-            *byte = u8::from_str_radix(pair, 16).map_err(|_| "a key is written in hex digits")?;
+            let pair = std::str::from_utf8(pair).map_err(|_| InvalidKey::NotHex)?;
+            *byte = u8::from_str_radix(pair, 16).map_err(|_| InvalidKey::NotHex)?;
         }
         Ok(Key(key))
     }
@@ -63,7 +86,9 @@
 /// The side of a conversation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
+    /// It connects, and sends reports.
     Forwarder = 1,
+    /// It accepts, and answers with guidance.
     Planner = 2,
 }
 
@@ -80,51 +105,53 @@
 }
 
 impl Greeting {
+    /// Of that side. The nonce has to be another in each connection.
     pub fn new(side: Role, nonce: [u8; 16]) -> Greeting {
         Greeting { side, nonce }
     }
 
+    /// As it is sent.
     pub fn bytes(&self, key: &Key) -> Bytes {
         let head = [MAGIC, &[VERSION, self.side as u8], &self.nonce].concat();
         let hash = key.hash(&[&head]);
         [&head[..], &hash[..HASH]].concat().into()
     }
 
-    /// Reads the other side's greeting.
+    /// Reads the other side's greeting at the head of the buffer and takes its bytes out.
+    ///
+    /// # Errors
+    ///
+    /// If it is of another protocol, version, key or side.
     pub fn read(
         buffer: &mut BytesMut,
         key: &Key,
         from: Role,
     ) -> Result<Parsed<Greeting>, Malformed> {
+        // A stranger is refused by its first bytes, however few they are.
+        if !MAGIC.starts_with(&buffer[..buffer.len().min(MAGIC.len())]) {
+            return Err(Malformed("not of this protocol"));
+        }
         if buffer.len() < GREETING {
-            let wrong = !MAGIC.starts_with(&buffer[..buffer.len().min(MAGIC.len())]);
-            let short = Parsed::Short(GREETING - buffer.len());
-            return if wrong {
-                Err(Malformed("not of this protocol"))
-            } else {
-                Ok(short)
-            };
+            return Ok(Parsed::Short(GREETING - buffer.len()));
         }
         let bytes = buffer.split_to(GREETING);
         let (head, hash) = bytes.split_at(GREETING - HASH);
-        if !head.starts_with(MAGIC) {
-            return Err(Malformed("not of this protocol"));
-        }
-        if head[4] != VERSION {
+        let [version, role] = [head[MAGIC.len()], head[MAGIC.len() + 1]];
+        if version != VERSION {
             return Err(Malformed("another version of this protocol"));
         }
         if !same(&key.hash(&[head])[..HASH], hash) {
             return Err(Malformed("another key"));
         }
-        if head[5] != from as u8 {
+        if role != from as u8 {
             return Err(Malformed("the wrong side of this protocol"));
         }
         let mut nonce = [0; NONCE];
-        nonce.copy_from_slice(&head[6..]);
+        nonce.copy_from_slice(&head[MAGIC.len() + 2..]);
         Ok(Parsed::Whole(Greeting { side: from, nonce }))
     }
 
-    /// What seals our frames and opens theirs, once both greetings are known.
+    /// What signs our frames and verifies theirs, once both greetings are known.
     pub fn keys(&self, theirs: &Greeting, key: &Key) -> (FrameSigner, FrameVerifier) {
         let mut nonces = [(self.side, self.nonce), (theirs.side, theirs.nonce)];
         nonces.sort_by_key(|(side, _)| *side as u8);
@@ -143,19 +170,24 @@
     }
 }
 
-/// Seals frames of one side in their order.
+/// Signs frames of one side in their order.
 pub struct FrameSigner {
     key: Key,
     counter: u64,
 }
 
-/// Opens frames of one side in their order.
+/// Verifies frames of one side in their order.
 pub struct FrameVerifier {
     key: Key,
     counter: u64,
 }
 
 impl FrameSigner {
+    /// The frame of a message. Each takes the next number, so it has to be sent, and in order.
+    ///
+    /// # Errors
+    ///
+    /// If the message can't be written or is over [`MAX_FRAME`]; nothing may be sent after that.
     pub fn sign(&mut self, message: &impl Serialize) -> Result<Bytes, Malformed> {
         self.counter += 1;
         let counter = self.counter.to_be_bytes();
@@ -178,32 +210,37 @@
 }
 
 impl FrameVerifier {
-    /// Opens the frame at the head of the buffer and takes its bytes out.
+    /// Reads the frame at the head of the buffer and takes its bytes out.
+    ///
+    /// # Errors
+    ///
+    /// If it is not genuine, out of its place or holds something else than one message; the connection is of no more
+    /// use.
     pub fn verify<T: DeserializeOwned>(
         &mut self,
         buffer: &mut BytesMut,
     ) -> Result<Parsed<T>, Malformed> {
-        if buffer.len() < 4 {
-            return Ok(Parsed::Short(4 - buffer.len()));
+        if buffer.len() < LENGTH {
+            return Ok(Parsed::Short(LENGTH - buffer.len()));
         }
         let length = u32::from_be_bytes([buffer[0], buffer[1], buffer[2], buffer[3]]) as usize;
         if !(COUNTER + HASH..=MAX_FRAME).contains(&length) {
             return Err(Malformed("a frame's length is out of bounds"));
         }
-        if buffer.len() < 4 + length {
-            return Ok(Parsed::Short(4 + length - buffer.len()));
+        if buffer.len() < LENGTH + length {
+            return Ok(Parsed::Short(LENGTH + length - buffer.len()));
         }
-        let mut frame = buffer.split_to(4 + length);
-        frame.advance(4);
-        let (told, hash) = frame.split_at(length - HASH);
-        if !same(&self.key.hash(&[told])[..HASH], hash) {
+        let mut frame = buffer.split_to(LENGTH + length);
+        frame.advance(LENGTH);
+        let (signed, hash) = frame.split_at(length - HASH);
+        if !same(&self.key.hash(&[signed])[..HASH], hash) {
             return Err(Malformed("a frame that is not genuine"));
         }
         self.counter += 1;
-        if told[..COUNTER] != self.counter.to_be_bytes() {
+        if signed[..COUNTER] != self.counter.to_be_bytes() {
             return Err(Malformed("a frame out of its place"));
         }
-        let (message, rest) = postcard::take_from_bytes(&told[COUNTER..])
+        let (message, rest) = postcard::take_from_bytes(&signed[COUNTER..])
             .map_err(|_| Malformed("a frame that does not hold a message"))?;
         if !rest.is_empty() {
             return Err(Malformed("a frame with more than a message"));
--- a/crates/flaxdeck-channel/src/connection.rs
+++ b/crates/flaxdeck-channel/src/connection.rs
@@ -1,126 +1,191 @@
-//! One connection between a forwarder and a planner, greeted and sealed.
+//! One connection between a forwarder and a planner, greeted and with authenticated frames.
+//!
+//! [`connect`] and [`accept`] give its two halves. Whoever holds the [`Receiver`] has to poll [`Receiver::receive`]: what
+//! the [`Sender`] has queued is written meanwhile. The connection ends when both halves are dropped, or by
+//! [`Sender::end`].
 
+use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use flaxdeck_net::link::{self, Inbound, Outbound};
+use flaxdeck_net::link;
+use flaxdeck_net::link::Inbound;
+use flaxdeck_net::link::Outbound;
 use flaxdeck_net::metrics::count_message;
-use flaxdeck_wire::{Malformed, Parsed};
+use flaxdeck_wire::Malformed;
+use flaxdeck_wire::Parsed;
 use rand::Rng;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
+use thiserror::Error;
 use tokio::net::TcpStream;
-use tokio::time::{Instant, sleep_until, timeout};
+use tokio::time::Instant;
+use tokio::time::sleep_until;
+use tokio::time::timeout;
 
-use crate::authenticated::{FrameSigner, FrameVerifier, GREETING, Greeting, Key, Role};
-use crate::message_kind::{Message, MessageKind};
+use crate::authenticated::FrameSigner;
+use crate::authenticated::FrameVerifier;
+use crate::authenticated::GREETING;
+use crate::authenticated::Greeting;
+use crate::authenticated::Key;
+use crate::authenticated::Role;
+use crate::message_kind::Message;
+use crate::message_kind::MessageKind;
 
-/// How long connecting and greeting may take.
-const GREETED: Duration = Duration::from_millis(1000);
-/// Messages that may wait to be written; past that the other side reads too slowly to be told more.
+/// How long connecting may take, and greeting after that.
+const GREETING_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Messages that may wait to be written; past that the other side reads too slowly to be sent more.
 const MAX_WAITING: usize = 4;
-/// How long the other side may take nothing of what waits for it, or say nothing.
-const STALLED: Duration = Duration::from_millis(2500);
+/// How long the other side may take nothing of what waits for it, or send nothing.
+const SILENT_AFTER: Duration = Duration::from_millis(2500);
 
-/// Why a conversation could not begin or went no further.
-#[derive(Debug)]
+/// Why a connection could not begin or went no further.
+#[derive(Debug, Error)]
 pub enum CloseReason {
-    /// It broke, or was too slow.
-    Broken(&'static str),
+    /// There is nobody to connect to.
+    #[error("no connection")]
+    Unreachable(#[source] io::Error),
+    /// Connecting took too long.
+    #[error("no connection")]
+    ConnectTimeout,
+    /// The other side did not greet in time.
+    #[error("no greeting in time")]
+    GreetingTimeout,
+    /// The other side ended the connection before its greeting was whole.
+    #[error("ended before the greeting")]
+    EndedBeforeGreeting,
+    /// The own side has ended it, also by a message over a bound.
+    #[error("closed here")]
+    ClosedHere,
+    /// The other side has ended it.
+    #[error("the other side has ended it")]
+    ClosedByPeer,
+    /// It broke while it was read.
+    #[error("the other side has ended it")]
+    Read(#[source] io::Error),
+    /// It broke while it was written.
+    #[error("broken while writing")]
+    Write(#[source] io::Error),
+    /// The other side has sent nothing for too long.
+    #[error("silent")]
+    Silent,
     /// The other side is none of ours, or not as it should be.
-    Refused(&'static str),
+    #[error("{}", .0.0)]
+    Refused(Malformed),
+}
+
+impl CloseReason {
+    /// Whether the other side is at fault, so that trying again soon is of no use until somebody has looked at it.
+    pub fn is_refusal(&self) -> bool {
+        matches!(self, CloseReason::Refused(_))
+    }
 }
 
 impl From<Malformed> for CloseReason {
     fn from(malformed: Malformed) -> CloseReason {
-        CloseReason::Refused(malformed.0)
+        CloseReason::Refused(malformed)
     }
 }
 
-/// The half that speaks.
+/// The two halves of a connection that is up.
+pub struct Connection {
+    /// The half that sends.
+    pub sender: Sender,
+    /// The half that receives, and writes what the other has queued.
+    pub receiver: Receiver,
+}
+
+/// The half that sends.
 pub struct Sender {
     outbound: Outbound,
     signer: FrameSigner,
 }
 
-/// The half that hears; while it listens, what waits is written.
+/// The half that receives; while it does, what waits is written.
 pub struct Receiver {
     inbound: Inbound,
     outbound: Outbound,
     verifier: FrameVerifier,
-    heard: Instant,
+    heard_at: Instant,
 }
 
 /// Connects to a planner and greets it.
-pub async fn connect(address: SocketAddr, key: &Key) -> Result<(Sender, Receiver), CloseReason> {
-    let connected = timeout(GREETED, TcpStream::connect(address)).await;
-    let stream = connected
-        .ok()
-        .and_then(Result::ok)
-        .ok_or(CloseReason::Broken("no connection"))?;
-    greet(stream, key, Role::Forwarder).await
+///
+/// # Errors
+///
+/// If nobody is there, or nobody greets in time, or who does is no planner with that key.
+pub async fn connect(address: SocketAddr, key: &Key) -> Result<Connection, CloseReason> {
+    let stream = timeout(GREETING_TIMEOUT, TcpStream::connect(address))
+        .await
+        .map_err(|_| CloseReason::ConnectTimeout)?
+        .map_err(CloseReason::Unreachable)?;
+    greet(stream, key, Role::Forwarder, Role::Planner).await
 }
 
 /// Greets whoever has connected, as a planner.
-pub async fn accept(stream: TcpStream, key: &Key) -> Result<(Sender, Receiver), CloseReason> {
-    greet(stream, key, Role::Planner).await
+///
+/// # Errors
+///
+/// If nobody greets in time, or who does is no forwarder with that key.
+pub async fn accept(stream: TcpStream, key: &Key) -> Result<Connection, CloseReason> {
+    greet(stream, key, Role::Planner, Role::Forwarder).await
 }
 
 async fn greet(
     stream: TcpStream,
     key: &Key,
-    side: Role,
-) -> Result<(Sender, Receiver), CloseReason> {
+    own: Role,
+    other: Role,
+) -> Result<Connection, CloseReason> {
     let (mut inbound, outbound) = link::split(stream);
-    let ours = Greeting::new(side, rand::rng().random());
-    let other = if side == Role::Planner {
-        Role::Forwarder
-    } else {
-        Role::Planner
-    };
-    let theirs = async {
-        outbound.send([ours.bytes(key)], [None, None]);
-        count_message(MessageKind::Greeting.counters_out(), GREETING);
-        loop {
-            match Greeting::read(&mut inbound.bytes, key, other)? {
-                Parsed::Whole(theirs) => {
-                    count_message(MessageKind::Greeting.counters_in(), GREETING);
-                    return Ok(theirs);
-                }
-                Parsed::Short(more) => {
-                    if !matches!(inbound.more(more).await, Ok(true)) {
-                        return Err(CloseReason::Broken("ended before the greeting"));
-                    }
-                }
-            }
-        }
-    };
-    let theirs = timeout(GREETED, theirs)
+    let ours = Greeting::new(own, rand::rng().random());
+    outbound.send([ours.bytes(key)], [None, None]);
+    count_message(MessageKind::Greeting.counters_out(), GREETING);
+    let theirs = timeout(GREETING_TIMEOUT, read_greeting(&mut inbound, key, other))
         .await
-        .map_err(|_| CloseReason::Broken("no greeting in time"))??;
+        .map_err(|_| CloseReason::GreetingTimeout)??;
     let (signer, verifier) = ours.keys(&theirs, key);
-    let sender = Sender {
-        outbound: outbound.clone(),
-        signer,
-    };
-    Ok((
-        sender,
-        Receiver {
+    Ok(Connection {
+        sender: Sender {
+            outbound: outbound.clone(),
+            signer,
+        },
+        receiver: Receiver {
             inbound,
             outbound,
             verifier,
-            heard: Instant::now(),
+            heard_at: Instant::now(),
         },
-    ))
+    })
+}
+
+async fn read_greeting(
+    inbound: &mut Inbound,
+    key: &Key,
+    from: Role,
+) -> Result<Greeting, CloseReason> {
+    loop {
+        match Greeting::read(&mut inbound.bytes, key, from)? {
+            Parsed::Whole(greeting) => {
+                count_message(MessageKind::Greeting.counters_in(), GREETING);
+                return Ok(greeting);
+            }
+            Parsed::Short(missing) => {
+                if !matches!(inbound.more(missing).await, Ok(true)) {
+                    return Err(CloseReason::EndedBeforeGreeting);
+                }
+            }
+        }
+    }
 }
 
 impl Sender {
-    /// Whether another message may be written: the other side keeps up.
+    /// Whether another message may be sent: the other side keeps up.
     pub fn may_send(&self) -> bool {
         !self.outbound.is_closed() && self.outbound.waiting() < MAX_WAITING
     }
 
-    /// Writes one message, or queues it. One over a bound is not sent, and ends the conversation.
+    /// Writes one message, or queues it. One over a bound is not sent, and ends the connection.
     pub fn send(&mut self, message: &(impl Serialize + Message)) {
         match self.signer.sign(message) {
             Ok(bytes) => {
@@ -134,6 +199,7 @@
         }
     }
 
+    /// Ends the connection, without what waits to be written.
     pub fn end(&self) {
         self.outbound.close();
     }
@@ -141,37 +207,41 @@
 
 impl Receiver {
     /// The next message. May be dropped and called again without loss.
+    ///
+    /// # Errors
+    ///
+    /// If the connection has ended, or is of no more use.
     pub async fn receive<T: DeserializeOwned + Message>(&mut self) -> Result<T, CloseReason> {
         loop {
             if self.outbound.is_closed() {
-                return Err(CloseReason::Broken("closed here"));
+                return Err(CloseReason::ClosedHere);
             }
             let before = self.inbound.bytes.len();
-            let more = match self.verifier.verify::<T>(&mut self.inbound.bytes)? {
+            match self.verifier.verify::<T>(&mut self.inbound.bytes)? {
                 Parsed::Whole(message) => {
-                    count_message(
-                        message.kind().counters_in(),
-                        before - self.inbound.bytes.len(),
-                    );
-                    self.heard = Instant::now();
+                    let length = before - self.inbound.bytes.len();
+                    count_message(message.kind().counters_in(), length);
+                    self.heard_at = Instant::now();
                     return Ok(message);
                 }
-                Parsed::Short(more) => more,
-            };
-            self.inbound.rest();
-            let pending = self.outbound.pending();
-            tokio::select! {
-                read = self.inbound.more(more) => {
-                    if !matches!(read, Ok(true)) {
-                        return Err(CloseReason::Broken("the other side has ended it"));
-                    }
-                }
-                written = self.outbound.step(), if pending => {
-                    written.map_err(|_| CloseReason::Broken("broken while writing"))?;
-                }
-                () = sleep_until(self.heard + STALLED) => return Err(CloseReason::Broken("silent")),
-                () = self.outbound.notified() => {}
+                Parsed::Short(missing) => self.read_and_write(missing).await?,
             }
         }
     }
+
+    /// Until something has come, something was written or the connection was closed here.
+    async fn read_and_write(&mut self, missing: usize) -> Result<(), CloseReason> {
+        self.inbound.rest();
+        let pending = self.outbound.pending();
+        tokio::select! {
+            read = self.inbound.more(missing) => match read {
+                Ok(true) => Ok(()),
+                Ok(false) => Err(CloseReason::ClosedByPeer),
+                Err(error) => Err(CloseReason::Read(error)),
+            },
+            written = self.outbound.step(), if pending => written.map_err(CloseReason::Write),
+            () = sleep_until(self.heard_at + SILENT_AFTER) => Err(CloseReason::Silent),
+            () = self.outbound.notified() => Ok(()),
+        }
+    }
 }
--- a/crates/flaxdeck-channel/src/message_kind.rs
+++ b/crates/flaxdeck-channel/src/message_kind.rs
@@ -1,17 +1,25 @@
-//! The kinds of messages that counters of traffic tell apart.
+//! The kinds of messages that the counters of traffic tell apart: each has one counter of messages and one of bytes,
+//! each way.
 
-use flaxdeck_control::messages::{Guidance, Report};
+use flaxdeck_control::messages::Guidance;
+use flaxdeck_control::messages::Report;
 use flaxdeck_net::metrics::Counter;
 
-use crate::messages::{FromForwarder, FromPlanner};
+use crate::messages::FromForwarder;
+use crate::messages::FromPlanner;
 
-/// What a message of a sealed conversation counts as.
+/// What a message between a forwarder and a planner counts as.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
+    /// The first bytes of either side, before any frame.
     Greeting,
+    /// What a forwarder reports.
     Report,
+    /// What a planner answers to a report.
     Guidance,
+    /// A forwarder's wish for events.
     Subscription,
+    /// Events, to a forwarder that subscribed to them.
     Delivery,
 }
 
@@ -54,7 +62,7 @@
     }
 }
 
-/// A message of a sealed conversation.
+/// A message between a forwarder and a planner, which goes in one authenticated frame.
 pub trait Message {
     /// What it counts as.
     fn kind(&self) -> MessageKind;
--- a/crates/flaxdeck-channel/src/messages.rs
+++ b/crates/flaxdeck-channel/src/messages.rs
@@ -1,21 +1,25 @@
-//! What the two sides of a sealed conversation say: one type each way, so that a frame tells what it holds.
+//! What a forwarder and a planner send each other: one type each way, so that a frame tells what it holds.
 
-use flaxdeck_control::messages::{Guidance, Report};
-use flaxdeck_distribution::messages::{Delivery, Subscription};
-use serde::{Deserialize, Serialize};
+use flaxdeck_control::messages::Guidance;
+use flaxdeck_control::messages::Report;
+use flaxdeck_distribution::messages::Delivery;
+use flaxdeck_distribution::messages::Subscription;
+use serde::Deserialize;
+use serde::Serialize;
 
-/// What a forwarder says to a planner.
+/// What a forwarder sends to a planner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromForwarder {
-    /// What it has seen, lends and wishes; answered with guidance.
+    /// What it has observed, lends and asks for; answered with guidance.
     Report(Report),
-    /// Which events it wants to be told.
+    /// Which events it wants to be sent.
     Subscribe(Subscription),
 }
 
-/// What a planner says to a forwarder.
+/// What a planner sends to a forwarder.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromPlanner {
+    /// The answer to a report: what it grants, and what it knows.
     Guidance(Guidance),
     /// Events, to a forwarder that subscribed to them.
     Delivery(Delivery),
--- a/crates/flaxdeck-channel/tests/authenticated.rs
+++ b/crates/flaxdeck-channel/tests/authenticated.rs
@@ -1,5 +1,11 @@
 //! Sealed frames: those that are genuine and in their place open, all others do not.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use bytes::BytesMut;
 use flaxdeck_channel::authenticated::{FrameSigner, FrameVerifier, Greeting, Key, Role, VERSION};
 use flaxdeck_control::messages::{Envelope, Epoch, Guidance, Report};
--- a/crates/flaxdeck-channel/tests/connections.rs
+++ b/crates/flaxdeck-channel/tests/connections.rs
@@ -1,10 +1,17 @@
 //! Forwarders and planners at both ends of real connections, and strangers at one.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::time::{Duration, Instant};
 
 use flaxdeck_channel::authenticated::Key;
-use flaxdeck_channel::connection::{self, CloseReason};
+use flaxdeck_channel::connection::{self, CloseReason, Connection};
 use flaxdeck_control::messages::{Envelope, Epoch, Guidance, Rating, Report};
+use flaxdeck_wire::Malformed;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
@@ -69,14 +76,18 @@
         let address = listener.local_addr().unwrap();
         spawn_local(async move {
             let (stream, _) = listener.accept().await.unwrap();
-            let (mut sender, mut receiver) =
-                connection::accept(stream, &key("a")).await.ok().unwrap();
+            let Connection {
+                mut sender,
+                mut receiver,
+            } = connection::accept(stream, &key("a")).await.unwrap();
             while let Ok(report) = receiver.receive::<Report>().await {
                 sender.send(&guidance(report.envelope.number, 100));
             }
         });
-        let (mut sender, mut receiver) =
-            connection::connect(address, &key("a")).await.ok().unwrap();
+        let Connection {
+            mut sender,
+            mut receiver,
+        } = connection::connect(address, &key("a")).await.unwrap();
         (1..=50).for_each(|number| sender.send(&report(number)));
         for number in 1..=50 {
             let heard: Guidance = receiver.receive().await.unwrap();
@@ -95,12 +106,18 @@
         });
         let refused = connection::connect(address, &key("b")).await.err();
         assert!(
-            matches!(refused, Some(CloseReason::Refused("another key"))),
+            matches!(
+                refused,
+                Some(CloseReason::Refused(Malformed("another key")))
+            ),
             "{refused:?}"
         );
         let refused = planner.await.unwrap();
         assert!(
-            matches!(refused, Some(CloseReason::Refused("another key"))),
+            matches!(
+                refused,
+                Some(CloseReason::Refused(Malformed("another key")))
+            ),
             "{refused:?}"
         );
     });
@@ -115,7 +132,7 @@
         let begun = Instant::now();
         let over = connection::accept(stream, &key("a")).await.err();
         assert!(
-            matches!(over, Some(CloseReason::Broken("no greeting in time"))),
+            matches!(over, Some(CloseReason::GreetingTimeout)),
             "{over:?}"
         );
         assert!(begun.elapsed() < Duration::from_secs(5));
@@ -126,7 +143,10 @@
         let (stream, _) = listener.accept().await.unwrap();
         let over = connection::accept(stream, &key("a")).await.err();
         assert!(
-            matches!(over, Some(CloseReason::Refused("not of this protocol"))),
+            matches!(
+                over,
+                Some(CloseReason::Refused(Malformed("not of this protocol")))
+            ),
             "{over:?}"
         );
     });
@@ -143,7 +163,10 @@
             tokio::time::sleep(SOON).await;
             drop(ends);
         });
-        let (mut sender, _receiver) = connection::connect(address, &key("a")).await.ok().unwrap();
+        let Connection {
+            mut sender,
+            receiver: _receiver,
+        } = connection::connect(address, &key("a")).await.unwrap();
         let mut spoken = 0;
         while sender.may_send() {
             assert!(spoken < 100_000, "it goes on for ever");
--- a/crates/flaxdeck-channel/tests/recorded_messages.rs
+++ b/crates/flaxdeck-channel/tests/recorded_messages.rs
@@ -1,6 +1,12 @@
 //! Frames between forwarders and planners, recorded from version 3 of the protocol (revision 45b174f) under a fixed
 //! key and fixed nonces. Today's code has to read each of them, and to write the same bytes.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use bytes::BytesMut;
 use flaxdeck_channel::authenticated::{FrameSigner, FrameVerifier, Greeting, Key, Role};
 use flaxdeck_channel::messages::{FromForwarder, FromPlanner};
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/connecting.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/connecting.rs
@@ -5,8 +5,8 @@
 use flaxdeck::Span;
 use flaxdeck_channel::connection;
 use flaxdeck_channel::connection::CloseReason;
+use flaxdeck_channel::connection::Connection;
 use flaxdeck_channel::connection::Receiver;
-use flaxdeck_channel::connection::Sender;
 use flaxdeck_channel::messages::FromPlanner;
 use flaxdeck_control::membership::PlannerId;
 use flaxdeck_net::clock;
@@ -36,17 +36,17 @@
     loop {
         count(Counter::planners_connects);
         match connection::connect(address, &client.options.key).await {
-            Ok((sender, receiver)) => {
+            Ok(connected) => {
                 log::info!("planner {number} at {address} is connected");
                 backoff.answered(router.clock.now());
-                let over = client.converse(&router, planner, sender, receiver).await;
-                log::warn!("planner {number} at {address}: the conversation is over: {over:?}");
+                let over = client.converse(&router, planner, connected).await;
+                log::warn!("planner {number} at {address}: the conversation is over: {over}");
             }
-            Err(CloseReason::Refused(why)) => {
+            Err(why) if why.is_refusal() => {
                 count(Counter::planners_refused);
                 log::warn!("planner {number} at {address} is refused: {why}");
             }
-            Err(CloseReason::Broken(why)) => log::debug!("planner {number} at {address}: {why}"),
+            Err(why) => log::debug!("planner {number} at {address}: {why}"),
         }
         // With the last of them unreached there is nobody to ask but the coordinator.
         if client.planners.unreachable(planner) {
@@ -62,14 +62,13 @@
         &self,
         router: &Router,
         planner: PlannerId,
-        sender: Sender,
-        receiver: Receiver,
+        connection: Connection,
     ) -> CloseReason {
         self.session.connected(planner);
-        self.planners.opened(planner, sender);
+        self.planners.opened(planner, connection.sender);
         self.report_now();
         self.planner_connected(router, planner);
-        let over = self.receive(router, planner, receiver).await;
+        let over = self.receive(router, planner, connection.receiver).await;
         self.planners.closed(planner);
         self.planner_disconnected(router, planner);
         over
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/mod.rs
@@ -116,7 +116,7 @@
         watch: &mut Watch,
     ) -> ControlClient {
         let numbering = watch.numbering();
-        let expedited_reconnect = watch.urgency(!options.planners.is_empty());
+        let expedited_reconnect = watch.expedited_reconnect(!options.planners.is_empty());
         let now = router.clock.now();
         let count = options.planners.len();
         let mut session = ForwarderSession::start(now, epoch, options.session, count as u32);
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -12,7 +12,7 @@
 
 use flaxdeck::{Health, ListKind};
 use flaxdeck_channel::authenticated::Key;
-use flaxdeck_channel::connection::{self, CloseReason, Receiver, Sender};
+use flaxdeck_channel::connection::{self, CloseReason, Connection, Receiver, Sender};
 use flaxdeck_channel::messages::{FromForwarder, FromPlanner};
 use flaxdeck_channel::watch::{Event, NumberedEvents, Watch, WatchEvent};
 use flaxdeck_control::messages::{Epoch, RelayedEvent, Report};
@@ -26,6 +26,7 @@
 use flaxdeck_net::listener::Listener;
 use flaxdeck_net::metrics;
 use flaxdeck_recovery::EventPosition;
+use flaxdeck_wire::Malformed;
 use tokio::net::TcpStream;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::Notify;
@@ -295,7 +296,7 @@
             .peer_addr()
             .map_or("somebody gone".to_owned(), |peer| peer.to_string());
         let over = match connection::accept(stream, &self.key).await {
-            Ok((sender, receiver)) => {
+            Ok(Connection { sender, receiver }) => {
                 let number = self.next.get();
                 self.next.set(number + 1);
                 let sender = Rc::new(RefCell::new(sender));
@@ -310,11 +311,11 @@
             Err(over) => over,
         };
         match over {
-            CloseReason::Refused(why) => {
+            CloseReason::Refused(Malformed(why)) => {
                 self.refused.set(self.refused.get() + 1);
                 tracing::warn!(peer, why, refused = self.refused.get(), "a peer is refused");
             }
-            CloseReason::Broken(why) => tracing::info!(peer, why, "a conversation is over"),
+            over => tracing::info!(peer, why = over.to_string(), "a conversation is over"),
         }
     }
 
@@ -331,7 +332,7 @@
             };
             let from = report.envelope.from;
             if *known.get_or_insert(from) != from {
-                return CloseReason::Refused("a second forwarder on one connection");
+                return CloseReason::Refused(Malformed("a second forwarder on one connection"));
             }
             if self
                 .speakers
