--- a/crates/flaxdeck-channel/src/connection.rs
+++ b/crates/flaxdeck-channel/src/connection.rs
@@ -106,7 +106,7 @@
     inbound: Inbound,
     outbound: Outbound,
     verifier: FrameVerifier,
-    heard_at: Instant,
+    last_received_at: Instant,
 }
 
 /// Connects to a planner and greets it.
@@ -154,7 +154,7 @@
             inbound,
             outbound,
             verifier,
-            heard_at: Instant::now(),
+            last_received_at: Instant::now(),
         },
     })
 }
@@ -221,7 +221,7 @@
                 Parsed::Whole(message) => {
                     let length = before - self.inbound.bytes.len();
                     count_message(message.kind().counters_in(), length);
-                    self.heard_at = Instant::now();
+                    self.last_received_at = Instant::now();
                     return Ok(message);
                 }
                 Parsed::Short(missing) => self.read_and_write(missing).await?,
@@ -240,7 +240,7 @@
                 Err(error) => Err(CloseReason::Read(error)),
             },
             written = self.outbound.step(), if pending => written.map_err(CloseReason::Write),
-            () = sleep_until(self.heard_at + SILENT_AFTER) => Err(CloseReason::Silent),
+            () = sleep_until(self.last_received_at + SILENT_AFTER) => Err(CloseReason::Silent),
             () = self.outbound.notified() => Ok(()),
         }
     }
--- a/crates/flaxdeck-channel/src/watch/protocol.rs
+++ b/crates/flaxdeck-channel/src/watch/protocol.rs
@@ -134,7 +134,7 @@
     numbering: Rc<RefCell<Numbering>>,
     backoff: ReconnectBackoff,
     /// When the connection came up, last had a whole frame, or began one.
-    heard_at: Time,
+    last_received_at: Time,
     /// All has come that the coordinator had when the connection came up.
     is_current: bool,
     /// Tells that where events come without a pause.
@@ -147,7 +147,7 @@
         WatchProtocol {
             numbering: Rc::new(RefCell::new(numbering)),
             backoff: ReconnectBackoff::new(seed, MIN_BACKOFF, MAX_BACKOFF),
-            heard_at: now,
+            last_received_at: now,
             is_current: false,
             live_edge: LiveEdge::default(),
         }
@@ -181,7 +181,7 @@
 
     /// A connection is up; gives the number from which events are to be asked for on it.
     pub fn connected(&mut self, now: Time) -> u64 {
-        self.heard_at = now;
+        self.last_received_at = now;
         self.is_current = false;
         self.live_edge = LiveEdge::default();
         self.numbering.borrow_mut().ask(now)
@@ -202,7 +202,7 @@
 
     /// A whole frame has come.
     pub fn frame(&mut self, now: Time, frame: Frame) -> Action {
-        self.heard_at = now;
+        self.last_received_at = now;
         match frame.event {
             None => self.heartbeat(now),
             Some(event) => self.event(now, frame.number, frame.bytes, event),
@@ -275,14 +275,14 @@
     }
 
     fn silent_at(&self) -> Time {
-        self.heard_at + SILENT_AFTER
+        self.last_received_at + SILENT_AFTER
     }
 
     /// Bytes have come, the first of a frame or more of one. Guards against a frame that comes byte by byte and never
     /// ends.
     pub fn bytes_read(&mut self, now: Time, begins_frame: bool) -> Action {
         if begins_frame {
-            self.heard_at = now;
+            self.last_received_at = now;
         } else if now >= self.silent_at() {
             return self.disconnect(Disconnect::Ended);
         }
--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -384,7 +384,7 @@
     let lease_terms = files::lease_terms(&plan, world.window);
     let (name, listen) = (planner.name.clone(), planner.listen);
     let (cadence, counters) = (files::cadence(&plan), files.counters.clone());
-    let start = || {
+    let start = || -> Result<flaxdeck_planner::Start, String> {
         let (watch, known) = world.watch(&name)?;
         Ok(flaxdeck_planner::Start {
             name,
@@ -398,7 +398,7 @@
             counters,
         })
     };
-    Ok(flaxdeck_planner::run(start)?)
+    Ok(flaxdeck_planner::run(start).map_err(|error| error.to_string())?)
 }
 
 fn check(file: &str, explain: bool, json: bool, window_ms: u64) -> Result<(), Stop> {
--- a/crates/flaxdeck-dispatcher/src/routing/task_set.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/task_set.rs
@@ -14,8 +14,8 @@
 /// The tasks that one owner has started and that have not ended. Those left are aborted by [`TaskSet::abort_all`], or
 /// when the set is dropped.
 ///
-/// Unlike tokio's `JoinSet`, nobody has to ask for tasks that have ended: each takes its own entry out, so spawning
-/// one takes nothing of the time slice of the task that does it.
+/// Unlike tokio's `JoinSet`, nobody has to reap tasks that have ended: each takes its own entry out. That keeps it out of
+/// the way of a request, whose task is spawned while a client's connection is read.
 #[derive(Default)]
 pub(super) struct TaskSet {
     running: Rc<Handles>,
--- /dev/null
+++ b/crates/flaxdeck-planner/src/coordinator.rs
@@ -0,0 +1,31 @@
+//! Following the coordinator.
+
+use std::rc::Rc;
+
+use flaxdeck_channel::watch::Watch;
+use flaxdeck_channel::watch::WatchEvent;
+
+use crate::state::State;
+
+/// Applies what the coordinator says, until it is aborted.
+pub(crate) async fn follow(state: Rc<State>, mut watch: Watch) {
+    loop {
+        let relayed = match watch.next().await {
+            WatchEvent::Heartbeat => None,
+            WatchEvent::Event(position, frame, event) => {
+                Some(state.apply_event(position, &frame, event))
+            }
+            WatchEvent::Relisted(mark, event, doubt) => {
+                tracing::warn!(
+                    ?mark,
+                    ?doubt,
+                    "the coordinator's numbering is another: its list is taken anew"
+                );
+                state.apply_list(event);
+                state.begin_at(mark);
+                None
+            }
+        };
+        state.coordinator_alive(relayed, watch.is_current());
+    }
+}
--- a/crates/flaxdeck-planner/src/events.rs
+++ b/crates/flaxdeck-planner/src/events.rs
@@ -1,19 +1,42 @@
 //! The coordinator's events as subscribers get them: the list of hosts as it stands, who is connected, and the
-//! publisher that decides who is told what and when.
+//! publisher that decides who is sent what and when.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use flaxdeck::{Health, HostId, ListKind, Time};
-use flaxdeck_distribution::messages::{Delivery, Subscription};
+use flaxdeck::Health;
+use flaxdeck::HostId;
+use flaxdeck::ListKind;
+use flaxdeck::Time;
+use flaxdeck_channel::watch::Event;
+use flaxdeck_distribution::Cadence;
+use flaxdeck_distribution::Content;
+use flaxdeck_distribution::Fingerprint;
+use flaxdeck_distribution::Publisher;
+use flaxdeck_distribution::Retention;
+use flaxdeck_distribution::SubscriberId;
+use flaxdeck_distribution::messages::Delivery;
+use flaxdeck_distribution::messages::Subscription;
 use flaxdeck_distribution::publisher::Counters;
-use flaxdeck_distribution::{Cadence, Content, Fingerprint, Publisher, Retention, SubscriberId};
 use flaxdeck_recovery::EventPosition;
 use flaxdeck_terms::Names;
-use flaxdeck_wire::frames::{AddressedEndpoint, Event, whole_list};
+use flaxdeck_wire::frames::AddressedEndpoint;
+use flaxdeck_wire::frames::whole_list;
 
-/// What a planner knows of the coordinator's events, and who follows them here.
-pub struct Events {
+/// How much a planner holds of the coordinator's events.
+pub(crate) struct Load {
+    /// Forwarders that subscribe.
+    pub(crate) subscribers: usize,
+    /// Events that are held for them.
+    pub(crate) events: usize,
+    /// The bytes of those.
+    pub(crate) bytes: usize,
+    /// What was counted since the start.
+    pub(crate) counters: Counters,
+}
+
+/// Owns what a planner knows of the coordinator's events, and which subscriber has which of them.
+pub(crate) struct Events {
     publisher: Publisher,
     hosts: BTreeMap<HostId, AddressedEndpoint>,
     names: Rc<Names>,
@@ -21,7 +44,7 @@
 
 impl Events {
     /// A planner that has just started and has heard nothing of the coordinator.
-    pub fn start(now: Time, cadence: Cadence, names: Rc<Names>) -> Events {
+    pub(crate) fn start(now: Time, cadence: Cadence, names: Rc<Names>) -> Events {
         let publisher = Publisher::start(now, cadence, Retention::default(), EventPosition::NONE);
         Events {
             publisher,
@@ -31,12 +54,12 @@
     }
 
     /// All that is known here ends with that event, and nothing that was told before leads to it.
-    pub fn begins_at(&mut self, now: Time, mark: EventPosition) {
-        self.publisher.renumbered(now, mark);
+    pub(crate) fn begins_at(&mut self, now: Time, position: EventPosition) {
+        self.publisher.renumbered(now, position);
     }
 
     /// Takes in what an event says of hosts.
-    pub fn list(&mut self, event: &Event) {
+    pub(crate) fn list(&mut self, event: &Event) {
         let Event::Hosts(list_kind, endpoints) = event else {
             return;
         };
@@ -46,16 +69,24 @@
         for endpoint in endpoints {
             let host = endpoint.listed.host.clone();
             match endpoint.listed.health {
-                Health::Removed => drop(self.hosts.remove(&host)),
+                Health::Removed => {
+                    self.hosts.remove(&host);
+                }
                 Health::InService | Health::Draining => {
-                    drop(self.hosts.insert(host, endpoint.clone()))
+                    self.hosts.insert(host, endpoint.clone());
                 }
             }
         }
     }
 
-    /// The coordinator has told an event, which came in that frame.
-    pub fn told(&mut self, now: Time, mark: EventPosition, frame: &[u8], event: &Event) {
+    /// The coordinator has announced an event, which came in that frame.
+    pub(crate) fn apply(
+        &mut self,
+        now: Time,
+        position: EventPosition,
+        frame: &[u8],
+        event: &Event,
+    ) {
         let content = match event {
             Event::Purged {
                 object: Some(object),
@@ -65,36 +96,36 @@
             Event::Hosts(..) => Content::HostChange(frame.to_vec()),
         };
         self.list(event);
-        self.publisher.event(now, mark, content);
+        self.publisher.event(now, position, content);
     }
 
     /// The coordinator was heard; `current` if all is known here that it had to tell.
-    pub fn coordinator_heard(&mut self, now: Time, current: bool) {
+    pub(crate) fn coordinator_alive(&mut self, now: Time, current: bool) {
         self.publisher.coordinator_heard(now, current);
     }
 
     /// A forwarder asks for events, or for no more of them.
-    pub fn subscribe(&mut self, now: Time, id: SubscriberId, subscription: Subscription) {
+    pub(crate) fn subscribe(&mut self, now: Time, id: SubscriberId, subscription: Subscription) {
         self.publisher.subscribe(now, id, subscription);
     }
 
     /// A forwarder's conversation has ended.
-    pub fn leave(&mut self, id: SubscriberId) {
+    pub(crate) fn leave(&mut self, id: SubscriberId) {
         self.publisher.leave(id);
     }
 
-    /// Who is to be told something now.
-    pub fn due(&mut self, now: Time) -> Vec<SubscriberId> {
+    /// Who is to be sent something now.
+    pub(crate) fn due(&mut self, now: Time) -> Vec<SubscriberId> {
         self.publisher.due(now)
     }
 
     /// When somebody is due next.
-    pub fn next_due(&self) -> Option<Time> {
+    pub(crate) fn next_due(&self) -> Option<Time> {
         self.publisher.next_due()
     }
 
-    /// What a subscriber is told now; its position moves by it.
-    pub fn delivery(&mut self, now: Time, id: SubscriberId) -> Option<Delivery> {
+    /// What a subscriber is sent now; its position moves by it.
+    pub(crate) fn delivery(&mut self, now: Time, id: SubscriberId) -> Option<Delivery> {
         let Events {
             publisher,
             hosts,
@@ -110,8 +141,14 @@
         })
     }
 
-    /// Subscribers, events kept and their bytes, and what was counters since the start.
-    pub fn load(&self) -> ((usize, usize, usize), Counters) {
-        (self.publisher.size(), self.publisher.counters)
+    /// How much is held now, and the counters since the start.
+    pub(crate) fn load(&self) -> Load {
+        let (subscribers, events, bytes) = self.publisher.size();
+        Load {
+            subscribers,
+            events,
+            bytes,
+            counters: self.publisher.counters,
+        }
     }
 }
--- /dev/null
+++ b/crates/flaxdeck-planner/src/server.rs
@@ -0,0 +1,119 @@
+//! The process: it starts the planner's tasks, owns them and ends them with the first signal.
+
+use std::io;
+use std::net::SocketAddr;
+use std::process;
+use std::rc::Rc;
+use std::time::Duration;
+
+use flaxdeck_channel::authenticated::Key;
+use flaxdeck_control::messages::Epoch;
+use flaxdeck_control::planner::Planner;
+use flaxdeck_net::budget::Budget;
+use flaxdeck_net::clock::Clock;
+use flaxdeck_net::counters_file;
+use flaxdeck_net::listener::Listener;
+use flaxdeck_net::metrics;
+use tokio::signal::unix::Signal;
+use tokio::signal::unix::SignalKind;
+use tokio::signal::unix::signal;
+use tokio::task::JoinSet;
+use tokio::time::interval;
+use tokio::time::sleep;
+
+use crate::MAX_CONNECTIONS;
+use crate::RunError;
+use crate::Start;
+use crate::coordinator;
+use crate::events::Events;
+use crate::publishing;
+use crate::session;
+use crate::state::State;
+
+/// Between lines of counters in the log.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// After an accept that failed.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
+
+/// Serves until a signal comes. All tasks are its own and end with it.
+pub(crate) async fn serve<E>(start: Start) -> Result<(), RunError<E>> {
+    let mut terminate = receive(SignalKind::terminate())?;
+    let mut interrupt = receive(SignalKind::interrupt())?;
+    let clock = Clock::start();
+    let epoch = Epoch::new(clock.now(), process::id());
+    let planner = Planner::start(clock.now(), epoch, start.lease_terms, start.own);
+    let events = Events::start(clock.now(), start.cadence, start.watch.names());
+    let state = Rc::new(State::new(clock, planner, events));
+    for (_, event) in start.known {
+        state.apply_list(event);
+    }
+    state.begin_at(start.watch.numbering().borrow().last());
+    let listener = Listener::open(start.listen).map_err(|error| refused(start.listen, error))?;
+    let address = listener
+        .address()
+        .map_err(|error| refused(start.listen, error))?;
+    let mut tasks = JoinSet::new();
+    tasks.spawn_local(coordinator::follow(state.clone(), start.watch));
+    tasks.spawn_local(accept(state.clone(), start.key, listener));
+    tasks.spawn_local(publishing::publish(state.clone()));
+    tasks.spawn_local(log_counters(state.clone()));
+    if let Some(path) = start.counters {
+        counters_file::spawn(path);
+    }
+    let lease_terms = start.lease_terms;
+    tracing::info!(
+        planner = start.name,
+        epoch = epoch.0,
+        "listening at {address}, {lease_terms:?}"
+    );
+    tokio::select! {
+        _ = terminate.recv() => {}
+        _ = interrupt.recv() => {}
+    }
+    log_line(&state);
+    tracing::info!("asked to end; what was granted runs off by itself");
+    tasks.shutdown().await;
+    Ok(())
+}
+
+fn receive<E>(kind: SignalKind) -> Result<Signal, RunError<E>> {
+    signal(kind).map_err(RunError::Signals)
+}
+
+fn refused<E>(address: SocketAddr, error: io::Error) -> RunError<E> {
+    RunError::Listen { address, error }
+}
+
+/// Accepts forwarders until it is aborted; it owns their sessions, which end with it.
+async fn accept(state: Rc<State>, key: Key, listener: Listener) {
+    let budget = Budget::new(MAX_CONNECTIONS);
+    let mut sessions = JoinSet::new();
+    loop {
+        let permit = budget.wait_for(1).await;
+        // Sessions that have ended are asked for, so that the set does not grow.
+        while sessions.try_join_next().is_some() {}
+        match listener.accept().await {
+            Ok(stream) => {
+                sessions.spawn_local(session::serve(state.clone(), key.clone(), stream, permit));
+            }
+            Err(error) => {
+                tracing::warn!(%error, "accept");
+                sleep(ACCEPT_PAUSE).await;
+            }
+        }
+    }
+}
+
+async fn log_counters(state: Rc<State>) {
+    let mut ticks = interval(LOG_INTERVAL);
+    ticks.tick().await;
+    loop {
+        ticks.tick().await;
+        log_line(&state);
+    }
+}
+
+fn log_line(state: &State) {
+    state.log_status();
+    tracing::info!("traffic: {}", metrics::line());
+}
