--- a/crates/flaxdeck-channel/tests/authenticated.rs
+++ b/crates/flaxdeck-channel/tests/authenticated.rs
@@ -1,8 +1,14 @@
 //! Sealed frames: those that are genuine and in their place open, all others do not.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use bytes::BytesMut;
 use flaxdeck_channel::authenticated::{
-    FrameSigner, FrameVerifier, Greeting, Key, Malformed, Role, VERSION,
+    FrameSigner, FrameVerifier, Greeting, InvalidFrame, Key, Role, VERSION,
 };
 use flaxdeck_control::messages::{Envelope, Epoch, Guidance, Report};
 use flaxdeck_wire::Parsed;
@@ -60,20 +66,11 @@
         seals.sign(&report(2)).unwrap(),
     );
     assert!(open(&mut opens, &first).is_ok());
-    assert_eq!(
-        open(&mut opens, &first),
-        Err(Malformed("a frame out of its place"))
-    );
+    assert_eq!(open(&mut opens, &first), Err(InvalidFrame::OutOfOrder));
     let (_, (_, mut opens)) = pair([1, 2]);
-    assert_eq!(
-        open(&mut opens, &second),
-        Err(Malformed("a frame out of its place"))
-    );
+    assert_eq!(open(&mut opens, &second), Err(InvalidFrame::OutOfOrder));
     let (_, (_, mut other)) = pair([1, 3]);
-    assert_eq!(
-        open(&mut other, &first),
-        Err(Malformed("a frame that is not genuine"))
-    );
+    assert_eq!(open(&mut other, &first), Err(InvalidFrame::NotGenuine));
     for at in 4..first.len() {
         let mut changed = first.to_vec();
         changed[at] ^= 1;
@@ -91,21 +88,18 @@
     };
     let bytes = Greeting::new(Role::Forwarder, [9; 16]).bytes(&key('a'));
     assert_eq!(read(&bytes, Role::Forwarder), Ok(()));
-    assert_eq!(
-        read(&bytes, Role::Planner),
-        Err(Malformed("the wrong side of this protocol"))
-    );
+    assert_eq!(read(&bytes, Role::Planner), Err(InvalidFrame::WrongSide));
     let other = Greeting::new(Role::Forwarder, [9; 16]).bytes(&key('b'));
-    assert_eq!(read(&other, Role::Forwarder), Err(Malformed("another key")));
+    assert_eq!(read(&other, Role::Forwarder), Err(InvalidFrame::OtherKey));
     let mut later = bytes.to_vec();
     later[4] = VERSION + 1;
     assert_eq!(
         read(&later, Role::Forwarder),
-        Err(Malformed("another version of this protocol"))
+        Err(InvalidFrame::OtherVersion)
     );
     assert_eq!(
         read(b"GET / HTTP/1.1\r\n", Role::Forwarder),
-        Err(Malformed("not of this protocol"))
+        Err(InvalidFrame::NotThisProtocol)
     );
 }
 
--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -106,6 +106,7 @@
                 false,
                 seed,
             )
+            .map_err(|fault| fault.to_string())
         };
         watch().map_err(|fault: String| format!("{}: {fault}", self.file))
     }
--- a/crates/flaxdeck-dispatcher/src/program/start.rs
+++ b/crates/flaxdeck-dispatcher/src/program/start.rs
@@ -71,7 +71,8 @@
         names.clone(),
         trusts,
         seed,
-    )?;
+    )
+    .map_err(|fault| fault.to_string())?;
     let limits = fields.inner("limits").map_err(|fault| fault.to_string())?;
     let (memory_mb, sockets) = (
         limits
--- a/tests/documents.rs
+++ b/tests/documents.rs
@@ -56,19 +56,25 @@
 /// The file or folder that a link of this page leads to.
 fn file_of(page: &Path, link: &Link) -> PathBuf {
     let target = link.target.split('#').next().unwrap_or_default();
-    page.parent().expect("a page stands in a folder").join(target)
+    page.parent()
+        .expect("a page stands in a folder")
+        .join(target)
 }
 
 /// Whether a source file defines an item of that name.
 fn defines(source: &str, name: &str) -> bool {
-    ["fn", "struct", "enum", "trait", "type", "const", "static", "mod"]
-        .iter()
-        .any(|keyword| {
-            source.match_indices(&format!("{keyword} {name}")).any(|(at, found)| {
+    [
+        "fn", "struct", "enum", "trait", "type", "const", "static", "mod",
+    ]
+    .iter()
+    .any(|keyword| {
+        source
+            .match_indices(&format!("{keyword} {name}"))
+            .any(|(at, found)| {
                 let next = source[at + found.len()..].chars().next();
                 next.is_none_or(|next| !next.is_alphanumeric() && next != '_')
             })
-        })
+    })
 }
 
 #[test]
@@ -89,7 +95,10 @@
     let (mut checked, mut lost) = (0, Vec::new());
     for page in pages() {
         for link in links(&read(&page)) {
-            let named = link.text.strip_prefix('`').and_then(|text| text.strip_suffix('`'));
+            let named = link
+                .text
+                .strip_prefix('`')
+                .and_then(|text| text.strip_suffix('`'));
             let (Some(name), true) = (named, link.target.ends_with(".rs")) else {
                 continue;
             };
@@ -97,7 +106,11 @@
             checked += 1;
             for part in name.trim_end_matches("()").split("::") {
                 if !defines(&source, part) {
-                    lost.push(format!("{}: {part} of {name} in {}", page.display(), link.target));
+                    lost.push(format!(
+                        "{}: {part} of {name} in {}",
+                        page.display(),
+                        link.target
+                    ));
                 }
             }
         }
