--- a/crates/flaxdeck-cli/src/compare.rs
+++ b/crates/flaxdeck-cli/src/compare.rs
@@ -45,12 +45,12 @@
         out.requests as f64 / took,
         out.digest
     );
-    let breaches = out.verdict.map_or(Vec::new(), |verdict| verdict.breaches);
+    let breaches = out.verdict.map_or(Vec::new(), |verdict| verdict.violations);
     println!("rules broken: {}", breaches.len());
     for breach in breaches.iter().take(10) {
         println!(
             "  rule {} at {:.0} ms: {}",
-            breach.rule, breach.at, breach.what
+            breach.rule, breach.at_ms, breach.description
         );
     }
     if breaches.is_empty() {
--- a/crates/flaxdeck-cli/src/demo.rs
+++ b/crates/flaxdeck-cli/src/demo.rs
@@ -78,7 +78,7 @@
         fleet.world.wait_until(at);
         let so_far = fleet.world.verdict();
         let (asked, ended) = (
-            so_far.asked,
+            so_far.requests,
             so_far.served + so_far.rejected + so_far.failed + so_far.left,
         );
         let (served, rejected, failed) = (so_far.served, so_far.rejected, so_far.failed);
@@ -108,7 +108,10 @@
     } else {
         "SOME UNACCOUNTED FOR"
     };
-    println!("\nrequests sent                     {:>8}", verdict.asked);
+    println!(
+        "\nrequests sent                     {:>8}",
+        verdict.requests
+    );
     println!("  served                           {:>8}", verdict.served);
     println!(
         "  rejected, with a time to come back {:>6}",
@@ -135,19 +138,19 @@
     );
     println!(
         "most asked of a cold host          {:>8.2} of what it bears",
-        verdict.most_of_bound
+        verdict.peak_cold_load
     );
     println!(
         "rules broken                       {:>8}",
-        verdict.breaches.len()
+        verdict.violations.len()
     );
-    for breach in verdict.breaches.iter().take(10) {
+    for breach in verdict.violations.iter().take(10) {
         println!(
             "  rule {} at {:.0} ms: {}",
-            breach.rule, breach.at, breach.what
+            breach.rule, breach.at_ms, breach.description
         );
     }
-    if verdict.breaches.is_empty() && verdict.all_accounted_for() && told.wrong_bytes == 0 {
+    if verdict.violations.is_empty() && verdict.all_accounted_for() && told.wrong_bytes == 0 {
         Ok(())
     } else {
         Err(Stop(1, "the demo found something broken".into()))
--- a/crates/flaxdeck-cli/src/levels.rs
+++ b/crates/flaxdeck-cli/src/levels.rs
@@ -5,7 +5,7 @@
 
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
 use flaxdeck_emulator::{FailureMode, Kind, Layout, Load, World};
-use flaxdeck_invariants::RecordedEvent;
+use flaxdeck_invariants::{RecordEntry, RecordedEvent, SamplingPeriod, mean_cold_load};
 
 use crate::Stop;
 
@@ -147,26 +147,31 @@
             .unwrap_or(0.0)
     };
     let failing = (begins + FAILS_AT)..(begins + MENDED_AT);
-    let arrived = |(at, seen): &&(f64, RecordedEvent)| {
-        failing.contains(at) && matches!(seen, RecordedEvent::Arrived { host } if *host == parent)
+    let arrived = |entry: &&RecordEntry| {
+        failing.contains(&entry.at_ms)
+            && matches!(&entry.event, RecordedEvent::WorkArrived { host } if *host == parent)
     };
     let offs: Vec<f64> = record
         .iter()
         .filter(arrived)
-        .map(|(at, _)| at - failing.start)
+        .map(|entry| entry.at_ms - failing.start)
         .collect();
     let terms = fleet.world.terms();
     let until = begins + FAILS_AT;
-    let cold_use =
-        flaxdeck_invariants::use_while_cold(&terms, &record, &cache, 3_000.0, until, 50.0) * FACTOR;
+    let period = SamplingPeriod {
+        after_start_ms: 3_000.0,
+        until_ms: until,
+        step_ms: 50.0,
+    };
+    let cold_use = mean_cold_load(&terms, &record, &cache, period) * FACTOR;
     let each = |way: usize| (after[way] - before[way]) as f64 / seconds / forwarders as f64;
     Ok(Row {
         in_time: took.iter().filter(|took| **took <= IN_TIME).count() as f64
-            / verdict.asked.max(1) as f64,
+            / verdict.requests.max(1) as f64,
         rejected: verdict.rejected,
         origin_fills: fleet.world.fills_at_origin(),
         cold_use,
-        cold_most: verdict.most_of_bound,
+        cold_most: verdict.peak_cold_load,
         failed_offs: offs.len(),
         last_off: offs
             .iter()
@@ -174,7 +179,7 @@
             .filter(|at| *at < 3_500.0)
             .fold(0.0, f64::max),
         bytes: [each(0), each(1)],
-        breaches: verdict.breaches.len(),
+        breaches: verdict.violations.len(),
         median: at(0.5),
         tail: at(0.99),
     })
--- a/crates/flaxdeck-cli/src/recovery.rs
+++ b/crates/flaxdeck-cli/src/recovery.rs
@@ -519,9 +519,9 @@
     }
     let verdict = fleet.world.verdict();
     let mut breaches: Vec<String> = verdict
-        .breaches
+        .violations
         .iter()
-        .map(|breach| format!("rule {}: {}", breach.rule, breach.what))
+        .map(|breach| format!("rule {}: {}", breach.rule, breach.description))
         .collect();
     if clients.wrong_bytes() > 0 {
         breaches.push(format!(
@@ -533,7 +533,7 @@
         slices,
         intervals,
         breaches,
-        most_of_bound: verdict.most_of_bound,
+        most_of_bound: verdict.peak_cold_load,
         even: verdict.all_accounted_for(),
     })
 }
--- a/crates/flaxdeck-cli/tests/coming_back.rs
+++ b/crates/flaxdeck-cli/tests/coming_back.rs
@@ -63,7 +63,7 @@
     let verdict = fleet.world.verdict();
     assert!(verdict.all_accounted_for(), "{verdict:?}");
     assert_eq!(clients.wrong_bytes(), 0);
-    assert_eq!(verdict.breaches, [], "{:#?}", fleet.lines());
+    assert_eq!(verdict.violations, [], "{:#?}", fleet.lines());
     verdict
 }
 
@@ -449,7 +449,7 @@
     assert_eq!(count(&lines, "can't be opened"), 1, "{lines:#?}");
     let verdict = kept(&fleet, &clients);
     assert!(
-        verdict.served * 10 > verdict.asked * 8,
+        verdict.served * 10 > verdict.requests * 8,
         "service went on: {verdict:?}"
     );
 }
@@ -572,7 +572,7 @@
 fn kept_with_clocks_apart(ms: i64, planners: usize) {
     let (fleet, clients, begins) = with_clocks_apart(ms, planners);
     let verdict = kept(&fleet, &clients);
-    let used = verdict.most_of_bound;
+    let used = verdict.peak_cold_load;
     assert!(
         (0.05..0.8).contains(&used),
         "cold hosts got {used} of what they bear: a part, and no more than theirs"
--- a/crates/flaxdeck-cli/tests/events.rs
+++ b/crates/flaxdeck-cli/tests/events.rs
@@ -45,7 +45,7 @@
     }
 
     fn served_share(&self) -> f64 {
-        self.verdict.served as f64 / self.verdict.asked.max(1) as f64
+        self.verdict.served as f64 / self.verdict.requests.max(1) as f64
     }
 }
 
@@ -119,11 +119,11 @@
     });
     let faulty = day(setup, Layout::default(), purges_per_s, faults);
     for (what, day) in [("the twin", &twin), ("the day", &faulty)] {
-        assert_eq!(day.verdict.breaches, [], "{what}: {:#?}", day.lines);
+        assert_eq!(day.verdict.violations, [], "{what}: {:#?}", day.lines);
         println!(
             "{what}: {:.4} of {} served",
             day.served_share(),
-            day.verdict.asked
+            day.verdict.requests
         );
     }
     let least = twin.served_share() * OF_THE_TWIN;
@@ -227,7 +227,7 @@
         };
         [kill(begins + 1_200.0), kill(begins + 3_400.0)].concat()
     });
-    assert_eq!(day.verdict.breaches, [], "{:#?}", day.lines);
+    assert_eq!(day.verdict.violations, [], "{:#?}", day.lines);
 }
 
 #[test]
@@ -238,5 +238,5 @@
             (begins + 2_500.0, Fault::Drain("s-0000ca01".into())),
         ]
     });
-    assert_eq!(day.verdict.breaches, [], "{:#?}", day.lines);
+    assert_eq!(day.verdict.violations, [], "{:#?}", day.lines);
 }
--- a/crates/flaxdeck-cli/tests/levels.rs
+++ b/crates/flaxdeck-cli/tests/levels.rs
@@ -60,7 +60,7 @@
 
 fn kept(fleet: &Fleet, clients: &Clients) -> Verdict {
     let verdict = judged(fleet, clients);
-    assert_eq!(verdict.breaches, [], "{:?}", &fleet.lines());
+    assert_eq!(verdict.violations, [], "{:?}", &fleet.lines());
     verdict
 }
 
@@ -98,7 +98,7 @@
     let verdict = kept(&fleet, &clients);
     assert_eq!(verdict.left, 0);
     assert!(
-        verdict.asked > 900 && verdict.served * 100 >= verdict.asked * 98,
+        verdict.requests > 900 && verdict.served * 100 >= verdict.requests * 98,
         "{verdict:?}"
     );
 }
@@ -114,7 +114,7 @@
     fleet.play(&planners).unwrap();
     wait_for(&fleet, "guidance is now Ageing");
     let verdict = kept(&fleet, &clients);
-    assert!(verdict.served * 100 >= verdict.asked * 98, "{verdict:?}");
+    assert!(verdict.served * 100 >= verdict.requests * 98, "{verdict:?}");
 }
 
 #[test]
@@ -207,7 +207,7 @@
     let verdict = kept(&fleet, &clients);
     assert_eq!(fleet.world.fell_over(), 0);
     assert!(
-        verdict.most_of_bound > 0.15,
+        verdict.peak_cold_load > 0.15,
         "the cold cache is asked for something: {verdict:?}"
     );
 }
@@ -270,5 +270,5 @@
         )])
         .unwrap();
     let verdict = kept(&fleet, &clients);
-    assert!(verdict.served * 100 >= verdict.asked * 98, "{verdict:?}");
+    assert!(verdict.served * 100 >= verdict.requests * 98, "{verdict:?}");
 }
--- a/crates/flaxdeck-emulator/src/clients.rs
+++ b/crates/flaxdeck-emulator/src/clients.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use flaxdeck_invariants::{Answer, RecordedEvent};
+use flaxdeck_invariants::{FinalAnswer, RecordedEvent};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rmpv::Value;
@@ -51,7 +51,7 @@
 /// What a dispatcher has answered.
 pub struct Spoken {
     pub call: u32,
-    pub how: Answer,
+    pub how: FinalAnswer,
     /// Milliseconds to stay away, if it told any.
     pub after: Option<f64>,
     pub body: Vec<u8>,
@@ -205,9 +205,9 @@
             } = planned.next().expect("just seen");
             call += 1;
             let (now, request) = (world.now(), format!("{name:08x}{call:08x}"));
-            world.see(RecordedEvent::Asked {
+            world.record(RecordedEvent::RequestSent {
                 request: request.clone(),
-                by: now + wait as f64,
+                deadline_ms: now + wait as f64,
             });
             open.lock().expect("no holder panics").insert(
                 call,
@@ -240,7 +240,7 @@
             tally.lock().expect("no holder panics").broken += 1;
             // Only who lost his connection has left; one that waits in vain on a whole one is a breach.
             left.into_keys().for_each(|call| {
-                world.see(RecordedEvent::Left {
+                world.record(RecordedEvent::ClientLeft {
                     request: format!("{name:08x}{call:08x}"),
                 })
             });
@@ -325,15 +325,15 @@
         let body = body.unwrap_or(&[]).to_vec();
         return Some(Spoken {
             call,
-            how: Answer::Served,
+            how: FinalAnswer::Served,
             after: None,
             body,
         });
     }
     let error = parts[2].as_array()?;
     let how = match error.first().and_then(Value::as_str)? {
-        "Backoff" => Answer::Rejected,
-        "Lost" => Answer::Failed,
+        "Backoff" => FinalAnswer::Rejected,
+        "Lost" => FinalAnswer::Failed,
         _ => return None,
     };
     let told = error.get(1).and_then(Value::as_map).into_iter().flatten();
@@ -357,13 +357,13 @@
 ) {
     let now = world.now();
     let asked = open.lock().expect("no holder panics").remove(&spoken.call);
-    if let Some(asked) = asked.filter(|_| spoken.how == Answer::Served) {
+    if let Some(asked) = asked.filter(|_| spoken.how == FinalAnswer::Served) {
         match made_of(&asked.object, &spoken.body) {
             Some(_) if asked.write => {}
-            Some(made) => world.see(RecordedEvent::Copy {
+            Some(made) => world.record(RecordedEvent::CopyServed {
                 object: asked.object.clone(),
-                sent: asked.sent,
-                made,
+                sent_ms: asked.sent,
+                made_ms: made,
             }),
             None => tally.lock().expect("no holder panics").wrong_bytes += 1,
         }
@@ -373,8 +373,8 @@
             .took
             .push(now - asked.sent);
     }
-    world.see(RecordedEvent::Answered {
+    world.record(RecordedEvent::Answered {
         request: format!("{name:08x}{:08x}", spoken.call),
-        how: spoken.how,
+        answer: spoken.how,
     });
 }
--- a/crates/flaxdeck-emulator/src/hosts.rs
+++ b/crates/flaxdeck-emulator/src/hosts.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use flaxdeck_invariants::RecordedEvent;
+use flaxdeck_invariants::{RecordEntry, RecordedEvent};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::net::{TcpListener, TcpStream};
@@ -164,12 +164,12 @@
         return Taken::Gone;
     };
     let work = kb / KB_PER_MS + START;
-    state.record.push((
-        now,
-        RecordedEvent::Arrived {
+    state.record.push(RecordEntry {
+        at_ms: now,
+        event: RecordedEvent::WorkArrived {
             host: id.to_owned(),
         },
-    ));
+    });
     match host.failure_mode {
         FailureMode::Silent => return Taken::Silent,
         FailureMode::Fail => return Taken::Failed,
@@ -206,13 +206,13 @@
         host.spent -= old;
         host.work.pop_front();
     }
-    state.record.push((
-        now,
-        RecordedEvent::Work {
+    state.record.push(RecordEntry {
+        at_ms: now,
+        event: RecordedEvent::WorkRequested {
             host: id.to_owned(),
-            cost: work,
+            cost_ms: work,
         },
-    ));
+    });
     let bears = world.layout.factor * pace * host.places * world.layout.fall_ms;
     if pace < 1.0 && host.spent > bears {
         (host.up, host.run) = (false, host.run + 1);
@@ -243,7 +243,7 @@
     let ended = match taken {
         Taken::Until(until) => {
             let made = if field("class") == "submit" {
-                world.see(RecordedEvent::Ran {
+                world.record(RecordedEvent::EffectApplied {
                     effect: format!("{request} {object}"),
                 });
                 Ok(world.now())
--- a/crates/flaxdeck-emulator/src/lib.rs
+++ b/crates/flaxdeck-emulator/src/lib.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 pub use clients::{Clients, Load, Told, object_of_rank};
-use flaxdeck_invariants::{InvariantTerms, RecordedEvent, Verdict};
+use flaxdeck_invariants::{InvariantTerms, RecordEntry, RecordedEvent, Verdict};
 pub use proxy::{Proxy, Wire};
 pub use retrying_clients::{End, Patience, RequestOutcome, RetryingClients};
 use serde_json::{Value, json};
@@ -152,12 +152,12 @@
         let now = self.now();
         let mut state = self.inside.lock();
         state.purged.insert(object.to_owned(), now);
-        state.record.push((
-            now,
-            RecordedEvent::Purged {
+        state.record.push(RecordEntry {
+            at_ms: now,
+            event: RecordedEvent::ObjectPurged {
                 object: object.to_owned(),
             },
-        ));
+        });
     }
 
     /// What a dispatcher is started with.
@@ -268,7 +268,9 @@
                 .push((known, coordinator::frame(known, 2, &payload)));
             let list = coordinator::whole(&self.inside, &state);
             state.lists.push((known, list));
-            state.record.extend(seen.map(|seen| (now, seen)));
+            state
+                .record
+                .extend(seen.map(|event| RecordEntry { at_ms: now, event }));
         }
         self.inside.changed.notify_waiters();
     }
@@ -284,7 +286,7 @@
         self.set_state(id, 1);
         self.tell(
             id,
-            Some(RecordedEvent::Withdrawn {
+            Some(RecordedEvent::HostWithdrawn {
                 host: id.to_owned(),
             }),
         );
@@ -295,7 +297,7 @@
         self.set_state(id, 0);
         self.tell(
             id,
-            Some(RecordedEvent::Announced {
+            Some(RecordedEvent::HostAnnounced {
                 host: id.to_owned(),
             }),
         );
@@ -319,12 +321,12 @@
         let now = self.now();
         let run = {
             let mut state = self.inside.lock();
-            state.record.push((
-                now,
-                RecordedEvent::Started {
+            state.record.push(RecordEntry {
+                at_ms: now,
+                event: RecordedEvent::HostStarted {
                     host: id.to_owned(),
                 },
-            ));
+            });
             let host = state.hosts.get_mut(id).ok_or("a host went")?;
             host.run += 1;
             (host.up, host.started, host.failure_mode, host.state) =
@@ -343,7 +345,7 @@
         ));
         self.tell(
             id,
-            Some(RecordedEvent::Announced {
+            Some(RecordedEvent::HostAnnounced {
                 host: id.to_owned(),
             }),
         );
@@ -376,12 +378,12 @@
             let list = coordinator::whole(&self.inside, &state);
             state.lists.push((known, list));
             state.purged.insert(object.to_owned(), now);
-            state.record.push((
-                now,
-                RecordedEvent::Purged {
+            state.record.push(RecordEntry {
+                at_ms: now,
+                event: RecordedEvent::ObjectPurged {
                     object: object.to_owned(),
                 },
-            ));
+            });
         }
         self.inside.changed.notify_waiters();
     }
@@ -410,17 +412,17 @@
             .iter()
             .filter(|(_, host)| host.kind != Kind::Origin);
         InvariantTerms {
-            grace: 1000.0,
-            purge_grace: layout.purge_grace_ms,
-            slack: 50.0,
-            window: layout.fall_ms,
-            ramps: cold
-                .map(|(id, host)| (id.clone(), self.inside.ramp(host.places)))
+            withdrawal_grace_ms: 1000.0,
+            purge_grace_ms: layout.purge_grace_ms,
+            deadline_slack_ms: 50.0,
+            load_window_ms: layout.fall_ms,
+            slow_starts: cold
+                .map(|(id, host)| (id.clone(), self.inside.slow_start(host.places)))
                 .collect(),
         }
     }
 
-    pub fn record(&self) -> Vec<(f64, RecordedEvent)> {
+    pub fn record(&self) -> Vec<RecordEntry> {
         self.inside.lock().record.clone()
     }
 
--- a/crates/flaxdeck-emulator/src/retrying_clients.rs
+++ b/crates/flaxdeck-emulator/src/retrying_clients.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use flaxdeck_invariants::{Answer, RecordedEvent};
+use flaxdeck_invariants::{FinalAnswer, RecordedEvent};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -243,9 +243,9 @@
         let (call, now) = (self.call, self.world.now());
         (want.tries, want.sent) = (want.tries + 1, now);
         let request = self.request(call);
-        self.world.see(RecordedEvent::Asked {
+        self.world.record(RecordedEvent::RequestSent {
             request: request.clone(),
-            by: now + self.wait as f64,
+            deadline_ms: now + self.wait as f64,
         });
         let again = want.tries > 1 && now > first;
         let bytes = message(call, &request, &want.object, want.write, self.wait, again);
@@ -318,7 +318,7 @@
         self.hang_up();
         self.away_since = Some(self.world.now());
         for (call, mut want) in std::mem::take(&mut self.open) {
-            self.world.see(RecordedEvent::Left {
+            self.world.record(RecordedEvent::ClientLeft {
                 request: self.request(call),
             });
             want.broken = true;
@@ -334,30 +334,34 @@
     fn answered(&mut self, spoken: Spoken) {
         let Some(want) = self.open.remove(&spoken.call) else {
             let request = self.request(spoken.call);
-            return self.world.see(RecordedEvent::Answered {
+            return self.world.record(RecordedEvent::Answered {
                 request,
-                how: spoken.how,
+                answer: spoken.how,
             });
         };
-        self.world.see(RecordedEvent::Answered {
+        self.world.record(RecordedEvent::Answered {
             request: self.request(spoken.call),
-            how: spoken.how,
+            answer: spoken.how,
         });
         match spoken.how {
-            Answer::Served => {
+            FinalAnswer::Served => {
                 match made_of(&want.object, &spoken.body) {
                     Some(_) if want.write => {}
                     Some(made) => {
                         let (object, sent) = (want.object.clone(), want.sent);
-                        self.world.see(RecordedEvent::Copy { object, sent, made });
+                        self.world.record(RecordedEvent::CopyServed {
+                            object,
+                            sent_ms: sent,
+                            made_ms: made,
+                        });
                     }
                     None => self.tally.lock().expect("no holder panics").wrong_bytes += 1,
                 }
                 let took = self.world.now() - want.first.unwrap_or(want.sent);
                 self.over(&want, End::Served(took));
             }
-            Answer::Rejected => self.again(want, Some(spoken.after)),
-            Answer::Failed => self.over(&want, End::Failed),
+            FinalAnswer::Rejected => self.again(want, Some(spoken.after)),
+            FinalAnswer::Failed => self.over(&want, End::Failed),
         }
     }
 
--- a/crates/flaxdeck-emulator/src/world.rs
+++ b/crates/flaxdeck-emulator/src/world.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use flaxdeck_invariants::{Ramp, RecordedEvent};
+use flaxdeck_invariants::{RecordEntry, RecordedEvent, SlowStartTerms};
 use serde_json::{Value, json};
 use tokio::sync::Notify;
 
@@ -141,7 +141,7 @@
 /// What stands still or moves in one world.
 pub struct State {
     pub hosts: BTreeMap<String, HostState>,
-    pub record: Vec<(f64, RecordedEvent)>,
+    pub record: Vec<RecordEntry>,
     /// The coordinator's numbered frames, and the same as configurations hold them.
     pub frames: Vec<(u64, Vec<u8>)>,
     pub events: Vec<(u64, Value)>,
@@ -218,25 +218,27 @@
         self.state.lock().expect("no holder panics")
     }
 
-    pub fn see(&self, seen: RecordedEvent) {
-        let at = self.now();
-        self.lock().record.push((at, seen));
+    /// Puts what was seen into the record, with the present time.
+    pub fn record(&self, event: RecordedEvent) {
+        let at_ms = self.now();
+        self.lock().record.push(RecordEntry { at_ms, event });
     }
 
-    pub fn ramp(&self, places: f64) -> Ramp {
+    pub fn slow_start(&self, places: f64) -> SlowStartTerms {
         let layout = &self.layout;
-        Ramp {
-            places,
-            from: layout.cold_from,
-            within: layout.warm_within_ms,
-            factor: layout.factor,
+        SlowStartTerms {
+            slots: places,
+            initial_fraction: layout.cold_from,
+            duration_ms: layout.warm_within_ms,
+            overload_factor: layout.factor,
         }
     }
 
     /// The part of its capacity that a host has.
     pub fn part(&self, host: &HostState, at: f64) -> f64 {
-        host.started
-            .map_or(1.0, |started| self.ramp(host.places).part(at - started))
+        host.started.map_or(1.0, |started| {
+            self.slow_start(host.places).capacity_fraction(at - started)
+        })
     }
 
     /// A host's line as configurations hold it.
--- a/crates/flaxdeck-experiments/src/pairs.rs
+++ b/crates/flaxdeck-experiments/src/pairs.rs
@@ -149,9 +149,9 @@
         let Some(verdict) = &outcome.verdict else {
             return;
         };
-        self.breaches[way] += verdict.breaches.len() as u64;
-        if let Some(breach) = verdict.breaches.first() {
-            let told = || format!("{day}: rule {}: {}", breach.rule, breach.what);
+        self.breaches[way] += verdict.violations.len() as u64;
+        if let Some(breach) = verdict.violations.first() {
+            let told = || format!("{day}: rule {}: {}", breach.rule, breach.description);
             self.first_breach.get_or_insert_with(told);
         }
     }
--- a/crates/flaxdeck-fleet/src/model.rs
+++ b/crates/flaxdeck-fleet/src/model.rs
@@ -8,7 +8,7 @@
 
 use flaxdeck::Time;
 use flaxdeck_control::planner::Planner;
-use flaxdeck_invariants::RecordedEvent;
+use flaxdeck_invariants::RecordEntry;
 use rand_pcg::Pcg64Mcg;
 
 pub use crate::outcome::Outcome;
@@ -69,8 +69,8 @@
     coordinator_events: Vec<CoordinatorEvent>,
     conditions: Conditions,
     outcome: Outcome,
-    /// What was seen, with its time, if the run is judged.
-    record: Vec<(f64, RecordedEvent)>,
+    /// What was seen, if the run is judged.
+    record: Vec<RecordEntry>,
 }
 
 /// A time of the run as the decisions know it.
--- a/crates/flaxdeck-fleet/src/model/attempts.rs
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -3,7 +3,7 @@
 use flaxdeck::{
     AttemptEnded, AttemptIndex, AttemptOutcome, FillOutcome, HostId, LoadReport, RequestId, Span,
 };
-use flaxdeck_invariants::{Answer, RecordedEvent};
+use flaxdeck_invariants::{FinalAnswer, RecordedEvent};
 
 use super::events::Event;
 use super::{Model, time};
@@ -123,13 +123,18 @@
         let want = &self.wants[attempt.want as usize];
         if !want.write && want.out.is_some() {
             let object = want.object.to_string();
-            self.see(RecordedEvent::Copy {
+            self.see(RecordedEvent::CopyServed {
                 object,
-                sent: attempt.sent,
-                made: attempt.made,
+                sent_ms: attempt.sent,
+                made_ms: attempt.made,
             });
         }
-        self.answered(attempt.forwarder, attempt.request, Answer::Served, None);
+        self.answered(
+            attempt.forwarder,
+            attempt.request,
+            FinalAnswer::Served,
+            None,
+        );
     }
 
     /// An attempt's end as its forwarder's decision engine learns of it.
--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: what they want, their tries for it, and how each try ends for them.
 
 use flaxdeck::{ClassId, GroupId, ObjectId, Request, RequestId, Span};
-use flaxdeck_invariants::{Answer, RecordedEvent};
+use flaxdeck_invariants::{FinalAnswer, RecordedEvent};
 use rand::Rng;
 
 use super::events::Event;
@@ -119,9 +119,9 @@
         });
         self.outcome.requests += 1;
         let by = self.now + self.shape.wait_ms;
-        self.see(RecordedEvent::Asked {
+        self.see(RecordedEvent::RequestSent {
             request: request.0.to_string(),
-            by,
+            deadline_ms: by,
         });
         self.after(self.shape.wait_ms, Event::ClientStops { want: id, tries });
         self.forwarders[forwarder].open.insert(
@@ -211,7 +211,7 @@
         &mut self,
         n: usize,
         request: RequestId,
-        how: Answer,
+        how: FinalAnswer,
         retry_after: Option<Span>,
     ) {
         let Some(OpenRequest { want, .. }) = self.forwarders[n].open.remove(&request) else {
@@ -219,16 +219,16 @@
         };
         self.see(RecordedEvent::Answered {
             request: request.0.to_string(),
-            how,
+            answer: how,
         });
         self.note([request.0, how as u64, (self.now * 1000.0) as u64]);
         match how {
-            Answer::Served => self.want_served(want),
-            Answer::Rejected => {
+            FinalAnswer::Served => self.want_served(want),
+            FinalAnswer::Rejected => {
                 self.outcome.rejected += 1;
                 self.retry(want, retry_after.map_or(RETRY_AFTER_FAILURE_MS, Span::ms));
             }
-            Answer::Failed => {
+            FinalAnswer::Failed => {
                 self.outcome.failed += 1;
                 self.retry_unless_write(want, RETRY_AFTER_FAILURE_MS);
             }
--- a/crates/flaxdeck-fleet/src/model/coordinator.rs
+++ b/crates/flaxdeck-fleet/src/model/coordinator.rs
@@ -69,7 +69,7 @@
             health: Health::Draining,
             ..self.endpoint(at)
         };
-        self.see(RecordedEvent::Withdrawn {
+        self.see(RecordedEvent::HostWithdrawn {
             host: self.hosts[at].id.clone(),
         });
         self.publish(CoordinatorEvent::Endpoint(endpoint));
@@ -101,8 +101,8 @@
         let host = &mut self.hosts[at];
         (host.up, host.started, host.failure_mode) = (true, Some(self.now), FailureMode::Serve);
         let id = host.id.clone();
-        self.see(RecordedEvent::Started { host: id.clone() });
-        self.see(RecordedEvent::Announced { host: id });
+        self.see(RecordedEvent::HostStarted { host: id.clone() });
+        self.see(RecordedEvent::HostAnnounced { host: id });
         let endpoint = self.endpoint(at);
         self.publish(CoordinatorEvent::Endpoint(endpoint));
     }
--- a/crates/flaxdeck-fleet/src/model/decisions.rs
+++ b/crates/flaxdeck-fleet/src/model/decisions.rs
@@ -1,7 +1,7 @@
 //! What a forwarder's decisions ask for is carried out.
 
 use flaxdeck::{Attempt, AttemptOutcome, Cancel, Decisions, FillOutcome, Final};
-use flaxdeck_invariants::Answer;
+use flaxdeck_invariants::FinalAnswer;
 
 use super::attempts::OpenAttempt;
 use super::events::Event;
@@ -24,9 +24,9 @@
                     request,
                     retry_after,
                 } => {
-                    self.answered(n, request, Answer::Rejected, retry_after);
+                    self.answered(n, request, FinalAnswer::Rejected, retry_after);
                 }
-                Final::Failed { request } => self.answered(n, request, Answer::Failed, None),
+                Final::Failed { request } => self.answered(n, request, FinalAnswer::Failed, None),
             }
         }
         // Every wish stands beside the earlier ones.
--- a/crates/flaxdeck-fleet/src/model/fault_effects.rs
+++ b/crates/flaxdeck-fleet/src/model/fault_effects.rs
@@ -175,7 +175,7 @@
         if self.shape.judged {
             let objects: BTreeSet<u64> = self.wants.iter().map(|want| want.object).collect();
             for object in objects {
-                self.see(RecordedEvent::Purged {
+                self.see(RecordedEvent::ObjectPurged {
                     object: object.to_string(),
                 });
             }
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -139,7 +139,7 @@
         for n in 0..count {
             let open = std::mem::take(&mut self.forwarders[n].open);
             for (request, OpenRequest { want, .. }) in open {
-                self.see(RecordedEvent::Left {
+                self.see(RecordedEvent::ClientLeft {
                     request: request.0.to_string(),
                 });
                 self.retry_unless_write(want, RETRY_AFTER_LOST_FORWARDER_MS);
--- a/crates/flaxdeck-fleet/src/model/record.rs
+++ b/crates/flaxdeck-fleet/src/model/record.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck_invariants::{InvariantTerms, Ramp, RecordedEvent, Verdict, check};
+use flaxdeck_invariants::{
+    InvariantTerms, RecordEntry, RecordedEvent, SlowStartTerms, Verdict, check,
+};
 
 use super::clients::Want;
 use super::{Model, Outcome};
@@ -19,7 +21,8 @@
     /// Puts what was seen into the record, if the run is judged.
     pub(super) fn see(&mut self, seen: RecordedEvent) {
         if self.shape.judged {
-            self.record.push((self.now, seen));
+            let at_ms = self.now;
+            self.record.push(RecordEntry { at_ms, event: seen });
         }
     }
 
@@ -41,24 +44,25 @@
     fn verdict(&self) -> Verdict {
         // The coordinator's own lateness is no dispatcher's fault.
         let terms = InvariantTerms {
-            grace: GRACE_MS + self.shape.coordinator_delay_ms,
-            purge_grace: PURGE_GRACE_MS + self.shape.coordinator_delay_ms,
-            slack: SLACK_MS,
-            window: self.shape.window_ms,
-            ramps: self.ramps(),
+            withdrawal_grace_ms: GRACE_MS + self.shape.coordinator_delay_ms,
+            purge_grace_ms: PURGE_GRACE_MS + self.shape.coordinator_delay_ms,
+            deadline_slack_ms: SLACK_MS,
+            load_window_ms: self.shape.window_ms,
+            slow_starts: self.slow_starts(),
         };
         check(&terms, &self.record)
     }
 
-    fn ramps(&self) -> BTreeMap<String, Ramp> {
-        let ramp = |host: &Host| Ramp {
-            places: host.places,
-            from: self.shape.cold_from,
-            within: self.shape.warm_within_ms,
-            factor: self.shape.factor,
+    fn slow_starts(&self) -> BTreeMap<String, SlowStartTerms> {
+        let slow_start = |host: &Host| SlowStartTerms {
+            slots: host.places,
+            initial_fraction: self.shape.cold_from,
+            duration_ms: self.shape.warm_within_ms,
+            overload_factor: self.shape.factor,
         };
         let cold = self.hosts.iter().filter(|host| host.kind != Kind::Origin);
-        cold.map(|host| (host.id.clone(), ramp(host))).collect()
+        cold.map(|host| (host.id.clone(), slow_start(host)))
+            .collect()
     }
 
     /// The part served of all reads, of the tenth with the largest objects, and of the fifth below that.
--- a/crates/flaxdeck-fleet/src/model/service.rs
+++ b/crates/flaxdeck-fleet/src/model/service.rs
@@ -42,7 +42,7 @@
         if !self.hosts[at].up {
             return Some(AttemptOutcome::NotConnected);
         }
-        self.see(RecordedEvent::Arrived {
+        self.see(RecordedEvent::WorkArrived {
             host: self.hosts[at].id.clone(),
         });
         match self.hosts[at].failure_mode {
@@ -68,9 +68,9 @@
     fn falls_over(&mut self, at: usize, cost: f64) -> bool {
         let shape = self.shape;
         let asked = self.hosts[at].book(self.now, cost, shape.window_ms);
-        self.see(RecordedEvent::Work {
+        self.see(RecordedEvent::WorkRequested {
             host: self.hosts[at].id.clone(),
-            cost,
+            cost_ms: cost,
         });
         let host = &self.hosts[at];
         let part = host.part(self.now, shape.cold_from, shape.warm_within_ms);
@@ -129,7 +129,7 @@
             };
             if want.write {
                 let effect = attempt.request.0.to_string();
-                self.see(RecordedEvent::Ran { effect });
+                self.see(RecordedEvent::EffectApplied { effect });
             }
         }
         let mut wait = self.work(at, kb);
--- a/crates/flaxdeck-fleet/tests/days.rs
+++ b/crates/flaxdeck-fleet/tests/days.rs
@@ -17,9 +17,9 @@
 fn kept(out: &Outcome, what: &str) {
     let verdict = out.verdict.as_ref().unwrap();
     assert!(
-        verdict.breaches.is_empty(),
+        verdict.violations.is_empty(),
         "{what}: {:?}",
-        &verdict.breaches[..verdict.breaches.len().min(3)]
+        &verdict.violations[..verdict.violations.len().min(3)]
     );
     assert_eq!(
         out.requests,
--- /dev/null
+++ b/crates/flaxdeck-invariants/src/rules/purges.rs
@@ -0,0 +1,45 @@
+//! Rule 5: no copy older than a purge is handed out after the grace.
+
+use std::collections::BTreeMap;
+
+use crate::{Rule, Verdict};
+
+/// Knows when each object was purged.
+pub(crate) struct PurgeChecker<'a> {
+    grace_ms: f64,
+    purges_ms: BTreeMap<&'a str, Vec<f64>>,
+}
+
+impl<'a> PurgeChecker<'a> {
+    pub(crate) fn new(grace_ms: f64) -> PurgeChecker<'a> {
+        PurgeChecker {
+            grace_ms,
+            purges_ms: BTreeMap::new(),
+        }
+    }
+
+    pub(crate) fn purged(&mut self, at_ms: f64, object: &'a str) {
+        self.purges_ms.entry(object).or_default().push(at_ms);
+    }
+
+    /// A request that was sent within the grace may still get an older copy.
+    pub(crate) fn copy_served(
+        &self,
+        at_ms: f64,
+        object: &str,
+        sent_ms: f64,
+        made_ms: f64,
+        verdict: &mut Verdict,
+    ) {
+        let purges = self.purges_ms.get(object).into_iter().flatten().copied();
+        let broken = purges.filter(|purge| made_ms < *purge && sent_ms >= purge + self.grace_ms);
+        if let Some(purge) = broken.max_by(f64::total_cmp) {
+            let late_ms = sent_ms - purge;
+            let older_ms = purge - made_ms;
+            let description = format!(
+                "{object}: a copy {older_ms:.0} ms older than its purge, {late_ms:.0} ms after it"
+            );
+            verdict.add_violation(Rule::NoCopyOlderThanPurge, at_ms, description);
+        }
+    }
+}
--- a/crates/flaxdeck-invariants/tests/rules.rs
+++ b/crates/flaxdeck-invariants/tests/rules.rs
@@ -2,116 +2,159 @@
 
 use std::collections::BTreeMap;
 
-use flaxdeck_invariants::{Answer, InvariantTerms, Ramp, RecordedEvent, check};
+use flaxdeck_invariants::{
+    FinalAnswer, InvariantTerms, RecordEntry, RecordedEvent, Rule, SlowStartTerms, check,
+};
 
 fn terms() -> InvariantTerms {
-    let ramp = Ramp {
-        places: 2.0,
-        from: 0.1,
-        within: 10_000.0,
-        factor: 2.0,
+    let slow_start = SlowStartTerms {
+        slots: 2.0,
+        initial_fraction: 0.1,
+        duration_ms: 10_000.0,
+        overload_factor: 2.0,
     };
-    let ramps = BTreeMap::from([("a".to_owned(), ramp)]);
     InvariantTerms {
-        grace: 1000.0,
-        purge_grace: 500.0,
-        slack: 10.0,
-        window: 1000.0,
-        ramps,
+        withdrawal_grace_ms: 1000.0,
+        purge_grace_ms: 500.0,
+        deadline_slack_ms: 10.0,
+        load_window_ms: 1000.0,
+        slow_starts: BTreeMap::from([("a".to_owned(), slow_start)]),
     }
 }
 
-fn rules(record: &[(f64, RecordedEvent)]) -> Vec<u8> {
-    check(&terms(), record)
-        .breaches
-        .iter()
-        .map(|breach| breach.rule)
+/// The rules that a record of events breaks, by their times in milliseconds.
+fn broken_rules(events: &[(f64, RecordedEvent)]) -> Vec<Rule> {
+    let entry = |(at_ms, event): &(f64, RecordedEvent)| RecordEntry {
+        at_ms: *at_ms,
+        event: event.clone(),
+    };
+    let record: Vec<RecordEntry> = events.iter().map(entry).collect();
+    let violations = check(&terms(), &record).violations;
+    violations
+        .into_iter()
+        .map(|violation| violation.rule)
         .collect()
 }
 
-fn s(text: &str) -> String {
-    text.to_owned()
+fn request_sent() -> RecordedEvent {
+    RecordedEvent::RequestSent {
+        request: "p".to_owned(),
+        deadline_ms: 100.0,
+    }
+}
+
+fn answered() -> RecordedEvent {
+    RecordedEvent::Answered {
+        request: "p".to_owned(),
+        answer: FinalAnswer::Served,
+    }
 }
 
 #[test]
-fn each_rule_is_found_broken_and_found_kept() {
-    let asked = |by| RecordedEvent::Asked {
-        request: s("p"),
-        by,
-    };
-    let answered = RecordedEvent::Answered {
-        request: s("p"),
-        how: Answer::Served,
-    };
-    assert_eq!(rules(&[(0.0, asked(100.0)), (50.0, answered.clone())]), []);
+fn a_request_needs_exactly_one_answer_before_its_deadline() {
+    let broken = [Rule::OneAnswerInTime];
     assert_eq!(
-        rules(&[(0.0, asked(100.0)), (150.0, answered.clone())]),
-        [1]
+        broken_rules(&[(0.0, request_sent()), (50.0, answered())]),
+        []
     );
     assert_eq!(
-        rules(&[
-            (0.0, asked(100.0)),
-            (5.0, answered.clone()),
-            (6.0, answered)
-        ]),
-        [1]
+        broken_rules(&[(0.0, request_sent()), (150.0, answered())]),
+        broken
     );
-    assert_eq!(rules(&[(0.0, asked(100.0))]), [1]);
     assert_eq!(
-        rules(&[
-            (0.0, asked(100.0)),
-            (1.0, RecordedEvent::Left { request: s("p") })
-        ]),
-        []
+        broken_rules(&[(0.0, request_sent()), (5.0, answered()), (6.0, answered())]),
+        broken
     );
+    assert_eq!(broken_rules(&[(0.0, request_sent())]), broken);
+}
 
-    let ran = RecordedEvent::Ran { effect: s("e") };
-    assert_eq!(rules(&[(0.0, ran.clone())]), []);
-    assert_eq!(rules(&[(0.0, ran.clone()), (9.0, ran)]), [2]);
+#[test]
+fn a_request_whose_client_left_needs_no_answer() {
+    let left = RecordedEvent::ClientLeft {
+        request: "p".to_owned(),
+    };
+    assert_eq!(broken_rules(&[(0.0, request_sent()), (1.0, left)]), []);
+}
 
-    let (gone, arrived) = (
-        RecordedEvent::Withdrawn { host: s("a") },
-        RecordedEvent::Arrived { host: s("a") },
+#[test]
+fn an_effect_may_happen_once() {
+    let applied = RecordedEvent::EffectApplied {
+        effect: "e".to_owned(),
+    };
+    assert_eq!(broken_rules(&[(0.0, applied.clone())]), []);
+    assert_eq!(
+        broken_rules(&[(0.0, applied.clone()), (9.0, applied)]),
+        [Rule::NoDoubleEffect]
     );
-    assert_eq!(rules(&[(0.0, gone.clone()), (900.0, arrived.clone())]), []);
+}
+
+#[test]
+fn a_withdrawn_host_gets_no_work_after_the_grace_until_it_is_announced_again() {
+    let host = || "a".to_owned();
+    let withdrawn = RecordedEvent::HostWithdrawn { host: host() };
+    let arrived = RecordedEvent::WorkArrived { host: host() };
+    let announced = RecordedEvent::HostAnnounced { host: host() };
     assert_eq!(
-        rules(&[(0.0, gone.clone()), (1100.0, arrived.clone())]),
-        [3]
+        broken_rules(&[(0.0, withdrawn.clone()), (900.0, arrived.clone())]),
+        []
+    );
+    assert_eq!(
+        broken_rules(&[(0.0, withdrawn.clone()), (1100.0, arrived.clone())]),
+        [Rule::NothingToWithdrawnHosts]
+    );
+    assert_eq!(
+        broken_rules(&[(0.0, withdrawn), (500.0, announced), (1100.0, arrived)]),
+        []
     );
-    let back = RecordedEvent::Announced { host: s("a") };
-    assert_eq!(rules(&[(0.0, gone), (500.0, back), (1100.0, arrived)]), []);
+}
 
-    let (starts, work) = (RecordedEvent::Started { host: s("a") }, |cost| {
-        RecordedEvent::Work { host: s("a"), cost }
-    });
-    assert_eq!(rules(&[(0.0, starts.clone()), (1.0, work(390.0))]), []);
+#[test]
+fn a_cold_host_is_not_asked_for_more_than_it_bears_within_a_window() {
+    let started = RecordedEvent::HostStarted {
+        host: "a".to_owned(),
+    };
+    let work = |cost_ms| RecordedEvent::WorkRequested {
+        host: "a".to_owned(),
+        cost_ms,
+    };
     assert_eq!(
-        rules(&[
-            (0.0, starts.clone()),
+        broken_rules(&[(0.0, started.clone()), (1.0, work(390.0))]),
+        []
+    );
+    assert_eq!(
+        broken_rules(&[
+            (0.0, started.clone()),
             (1.0, work(250.0)),
             (900.0, work(500.0))
         ]),
-        [4]
+        [Rule::NoOverloadedSlowStart]
     );
     assert_eq!(
-        rules(&[(0.0, starts), (1.0, work(250.0)), (1100.0, work(500.0))]),
+        broken_rules(&[(0.0, started), (1.0, work(250.0)), (1100.0, work(500.0))]),
         []
     );
+}
 
-    let (purge, copy) = (RecordedEvent::Purged { object: s("o") }, |sent, made| {
-        RecordedEvent::Copy {
-            object: s("o"),
-            sent,
-            made,
-        }
-    });
+#[test]
+fn a_copy_older_than_its_purge_is_not_served_after_the_grace() {
+    let purged = RecordedEvent::ObjectPurged {
+        object: "o".to_owned(),
+    };
+    let copy = |sent_ms, made_ms| RecordedEvent::CopyServed {
+        object: "o".to_owned(),
+        sent_ms,
+        made_ms,
+    };
     assert_eq!(
-        rules(&[(10.0, purge.clone()), (600.0, copy(400.0, 5.0))]),
+        broken_rules(&[(10.0, purged.clone()), (600.0, copy(400.0, 5.0))]),
         []
     );
     assert_eq!(
-        rules(&[(10.0, purge.clone()), (600.0, copy(520.0, 5.0))]),
-        [5]
+        broken_rules(&[(10.0, purged.clone()), (600.0, copy(520.0, 5.0))]),
+        [Rule::NoCopyOlderThanPurge]
+    );
+    assert_eq!(
+        broken_rules(&[(10.0, purged), (600.0, copy(520.0, 15.0))]),
+        []
     );
-    assert_eq!(rules(&[(10.0, purge), (600.0, copy(520.0, 15.0))]), []);
 }
--- a/crates/flaxdeck-scale/src/service.rs
+++ b/crates/flaxdeck-scale/src/service.rs
@@ -150,12 +150,12 @@
         let p99_ms = took.get(took.len() * 99 / 100).copied().unwrap_or(f64::NAN);
         let mut broken = BTreeMap::new();
         verdict
-            .breaches
+            .violations
             .iter()
-            .for_each(|breach| *broken.entry(breach.rule).or_default() += 1);
-        let share = verdict.served as f64 / verdict.asked.max(1) as f64;
+            .for_each(|breach| *broken.entry(breach.rule.number()).or_default() += 1);
+        let share = verdict.served as f64 / verdict.requests.max(1) as f64;
         Served {
-            asked: verdict.asked,
+            asked: verdict.requests,
             share,
             p99_ms,
             broken,
