--- a/crates/flaxdeck-invariants/src/cold_load.rs
+++ b/crates/flaxdeck-invariants/src/cold_load.rs
@@ -44,8 +44,8 @@
 
 fn last_start(record: &[RecordEntry], host: &str, until_ms: f64) -> Option<f64> {
     let of_host = |entry: &&RecordEntry| matches!(&entry.event, RecordedEvent::HostStarted { host: started } if started == host);
-    let starts = record.iter().filter(of_host).map(|entry| entry.at_ms);
-    starts.filter(|at_ms| *at_ms <= until_ms).next_back()
+    let mut starts = record.iter().filter(of_host).map(|entry| entry.at_ms);
+    starts.rfind(|at_ms| *at_ms <= until_ms)
 }
 
 /// Milliseconds of work that a host was asked for after `from_ms`, up to and with `to_ms`.
