--- a/crates/flaxdeck-cli/src/capacity.rs
+++ b/crates/flaxdeck-cli/src/capacity.rs
@@ -7,12 +7,12 @@
 use flaxdeck_scale::fit::line::{self, SlopeRow};
 use flaxdeck_scale::{capacity, charts, files, fit, target};
 
-use crate::{Stop, faulty};
+use crate::exit::{ExitError, usage_error};
 
-/// What is asked of `flaxdeck capacity`.
+/// Arguments of `flaxdeck capacity`.
 #[derive(Args)]
 #[command(args_conflicts_with_subcommands = true, subcommand_negates_reqs = true)]
-pub struct Asked {
+pub(crate) struct Arguments {
     #[command(subcommand)]
     task: Option<Task>,
     /// The lines that `capacity fit` wrote
@@ -41,22 +41,23 @@
     },
 }
 
-impl From<CapacityError> for Stop {
-    fn from(error: CapacityError) -> Stop {
-        faulty(error.to_string())
+impl From<CapacityError> for ExitError {
+    fn from(error: CapacityError) -> ExitError {
+        usage_error(error.to_string())
     }
 }
 
-pub fn run(asked: &Asked) -> Result<(), Stop> {
-    match (&asked.task, &asked.slopes, &asked.target) {
+/// Fits slopes, draws charts, or prints the capacity page.
+pub(crate) fn run(arguments: &Arguments) -> Result<(), ExitError> {
+    match (&arguments.task, &arguments.slopes, &arguments.target) {
         (Some(Task::Fit { runs, slopes }), ..) => fit_runs(runs, slopes),
         (Some(Task::Charts { runs, folder }), ..) => draw(runs, folder),
         (None, Some(slopes), Some(target)) => print_page(slopes, target),
-        (None, ..) => Err(faulty("name the slopes and the target")),
+        (None, ..) => Err(usage_error("name the slopes and the target")),
     }
 }
 
-fn fit_runs(runs: &Path, slopes: &Path) -> Result<(), Stop> {
+fn fit_runs(runs: &Path, slopes: &Path) -> Result<(), ExitError> {
     let measurements = files::read_runs(runs)?;
     let lines = fit::fit(&measurements);
     let rows: Vec<SlopeRow> = lines.iter().flat_map(line::rows).collect();
@@ -73,14 +74,14 @@
     Ok(())
 }
 
-fn draw(runs: &Path, folder: &Path) -> Result<(), Stop> {
+fn draw(runs: &Path, folder: &Path) -> Result<(), ExitError> {
     for path in charts::draw(&files::read_runs(runs)?, folder)? {
         println!("{}", path.display());
     }
     Ok(())
 }
 
-fn print_page(slopes: &Path, target: &Path) -> Result<(), Stop> {
+fn print_page(slopes: &Path, target: &Path) -> Result<(), ExitError> {
     let text = files::read_text(target)?;
     let name = target.display().to_string();
     let target = target::read(&name, &text).map_err(CapacityError::Target)?;
--- a/crates/flaxdeck-cli/src/compare.rs
+++ b/crates/flaxdeck-cli/src/compare.rs
@@ -1,166 +1,196 @@
-//! `flaxdeck compare A B` and `flaxdeck model FILE`: shapes of the fleet, played in virtual time.
+//! `flaxdeck compare A B`: two scenarios of the fleet, played in pairs in virtual time.
 
 use std::io::IsTerminal;
-use std::time::Instant;
+use std::time::Duration;
 
-use flaxdeck_experiments::{Comparison, Limits, Verdict};
+use clap::Args;
+use flaxdeck_experiments::{Comparison, Interval, Limits, Metric, Verdict};
+use flaxdeck_fleet::faults::KINDS;
+use serde_json::{Value, json};
 
-use crate::{Stop, faulty, shapes};
+use crate::exit::{ExitError, usage_error};
+use crate::scenario_files;
 
-fn word(verdict: Verdict) -> &'static str {
-    match verdict {
-        Verdict::Better => "B is better",
-        Verdict::Worse => "B is worse",
-        Verdict::Same => "no difference that matters",
-        Verdict::NotKnownYet => "not known yet",
-    }
+/// Arguments of `flaxdeck compare`.
+#[derive(Args)]
+pub(crate) struct Arguments {
+    a: String,
+    b: String,
+    /// Seconds to spend
+    #[arg(long, default_value_t = 60)]
+    budget_s: u64,
+    /// Pairs at most
+    #[arg(long, default_value_t = 10_000)]
+    pairs: u64,
+    /// The chance that any interval is ever wrong
+    #[arg(long, default_value_t = 0.05)]
+    level: f64,
+    /// Differences up to this don't matter
+    #[arg(long, default_value_t = 0.005)]
+    matters: f64,
+    /// Kinds of faults to draw, one a pair in turn
+    #[arg(long, value_delimiter = ',')]
+    kinds: Vec<String>,
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// Give A and B seeds of their own, to see what noise alone does
+    #[arg(long)]
+    apart: bool,
+    /// Judge every run by the rules
+    #[arg(long)]
+    judged: bool,
+    /// Print JSON, for programs
+    #[arg(long)]
+    json: bool,
 }
 
-/// Plays one day and tells what came of it.
-pub fn model(file: &str, seed: u64) -> Result<(), Stop> {
-    let mut shape = shapes::read(file)?;
-    shape.judged = true;
-    let begun = Instant::now();
-    let out = flaxdeck_fleet::run(&shape, seed);
-    let took = begun.elapsed().as_secs_f64();
-    println!(
-        "wants {}, in time {}, late {}, lost {}, gain {:.4}",
-        out.wants,
-        out.in_time,
-        out.late,
-        out.lost,
-        out.gain()
-    );
-    println!(
-        "requests {}: served {}, rejected {}, failed {}",
-        out.requests, out.served, out.rejected, out.failed
-    );
-    println!(
-        "attempts {}, hits {}, fills at parents {}, at the origin {}, hosts fallen over {}",
-        out.attempts, out.hits, out.parent_fills, out.origin_fills, out.fell_over
-    );
-    println!(
-        "{} events in {took:.2} s, {:.0} requests a second; digest {:016x}",
-        out.events,
-        out.requests as f64 / took,
-        out.digest
-    );
-    let breaches = out.verdict.map_or(Vec::new(), |verdict| verdict.violations);
-    println!("rules broken: {}", breaches.len());
-    for breach in breaches.iter().take(10) {
-        println!(
-            "  rule {} at {:.0} ms: {}",
-            breach.rule, breach.at_ms, breach.description
-        );
-    }
-    if breaches.is_empty() {
-        Ok(())
-    } else {
-        Err(Stop(1, "a rule was broken".into()))
+impl Arguments {
+    fn limits(&self) -> Result<Limits, ExitError> {
+        for kind in &self.kinds {
+            if !KINDS.contains(&kind.as_str()) {
+                let known = KINDS.join(" ");
+                return Err(usage_error(format!(
+                    "--kinds: {kind} is no kind of fault, it is one of: {known}"
+                )));
+            }
+        }
+        if !(self.level > 0.0 && self.level < 1.0) {
+            let level = self.level;
+            return Err(usage_error(format!(
+                "--level: {level} is not between 0 and 1"
+            )));
+        }
+        Ok(Limits {
+            budget: Duration::from_secs(self.budget_s),
+            max_pairs: self.pairs,
+            error_level: self.level,
+            min_effect: self.matters,
+            fault_kinds: self.kinds.clone(),
+            seed: self.seed,
+            independent_seeds: self.apart,
+        })
     }
 }
 
-pub struct Asked {
-    pub a: String,
-    pub b: String,
-    pub limits: Limits,
-    pub judged: bool,
-    pub json: bool,
+fn verdict_text(verdict: Verdict) -> &'static str {
+    match verdict {
+        Verdict::Better => "B is better",
+        Verdict::Worse => "B is worse",
+        Verdict::Same => "no difference that matters",
+        Verdict::Undecided => "not known yet",
+    }
 }
 
-pub fn compare(asked: &Asked) -> Result<(), Stop> {
-    for kind in &asked.limits.kinds {
-        if !flaxdeck_fleet::faults::KINDS.contains(&kind.as_str()) {
-            let known = flaxdeck_fleet::faults::KINDS.join(" ");
-            return Err(faulty(format!(
-                "--kinds: {kind} is no kind of fault, it is one of: {known}"
-            )));
-        }
-    }
-    if !(asked.limits.level > 0.0 && asked.limits.level < 1.0) {
-        return Err(faulty(format!(
-            "--level: {} is not between 0 and 1",
-            asked.limits.level
-        )));
-    }
-    let (mut a, mut b) = (shapes::read(&asked.a)?, shapes::read(&asked.b)?);
-    (a.judged, b.judged) = (asked.judged, asked.judged);
-    let shown = std::io::stderr().is_terminal() && !asked.json;
-    let comparison = flaxdeck_experiments::compare(&a, &b, &asked.limits, |so_far| {
-        if shown {
-            let (low, high) = so_far.figures[0]
-                .sequence
-                .interval()
-                .unwrap_or((f64::NAN, f64::NAN));
-            eprint!(
-                "\r{} pairs, {:.0} s, gain {low:+.4} to {high:+.4}   ",
-                so_far.pairs,
-                so_far.took.as_secs_f64()
-            );
+/// Plays pairs until the answer is clear, and prints it.
+pub(crate) fn run(arguments: &Arguments) -> Result<(), ExitError> {
+    let limits = arguments.limits()?;
+    let mut a = scenario_files::read(&arguments.a)?;
+    let mut b = scenario_files::read(&arguments.b)?;
+    a.check_invariants = arguments.judged;
+    b.check_invariants = arguments.judged;
+    let show_progress = std::io::stderr().is_terminal() && !arguments.json;
+    let comparison = flaxdeck_experiments::compare(&a, &b, &limits, |so_far| {
+        if show_progress {
+            print_progress(so_far);
         }
     });
-    if shown {
+    if show_progress {
         eprintln!();
     }
-    if asked.json {
-        print_json(&comparison, asked)
+    if arguments.json {
+        print_json(&comparison, &limits);
     } else {
-        print_table(&comparison, asked)
+        print_table(&comparison, &limits);
     }
-    if comparison.breaches == [0, 0] {
+    if comparison.violations.a == 0 && comparison.violations.b == 0 {
         Ok(())
     } else {
-        Err(Stop(1, "a rule was broken".into()))
+        Err(ExitError::failed("a rule was broken"))
     }
 }
 
-fn print_table(comparison: &Comparison, asked: &Asked) {
-    if let Some(breach) = &comparison.first_breach {
+fn print_progress(comparison: &Comparison) {
+    let Interval { low, high } = comparison.metrics[0]
+        .differences
+        .interval()
+        .unwrap_or(Interval {
+            low: f64::NAN,
+            high: f64::NAN,
+        });
+    eprint!(
+        "\r{} pairs, {:.0} s, gain {low:+.4} to {high:+.4}   ",
+        comparison.pairs,
+        comparison.took.as_secs_f64()
+    );
+}
+
+fn print_table(comparison: &Comparison, limits: &Limits) {
+    if let Some(violation) = &comparison.first_violation {
         println!(
-            "RULES BROKEN: {} in A, {} in B; first: {breach}\n",
-            comparison.breaches[0], comparison.breaches[1]
+            "RULES BROKEN: {} in A, {} in B; first: {violation}\n",
+            comparison.violations.a, comparison.violations.b
         );
     }
     let seconds = comparison.took.as_secs_f64();
     println!(
         "{} pairs in {seconds:.1} s; all intervals together hold at {:.0} %",
         comparison.pairs,
-        100.0 * (1.0 - asked.limits.level)
+        100.0 * (1.0 - limits.error_level)
     );
     println!(
         "{:<24} {:>9} {:>9} {:>9}  {:<22} verdict",
         "figure (more is better)", "A", "B", "B - A", "interval"
     );
-    for figure in &comparison.figures {
-        let sequence = &figure.sequence;
-        let interval = sequence
-            .interval()
-            .map_or("too few pairs".into(), |(low, high)| {
-                format!("{low:+.4} to {high:+.4}")
-            });
-        let [a, b] = figure.means;
-        let verdict = word(sequence.verdict(asked.limits.matters));
-        println!(
-            "{:<24} {a:>9.4} {b:>9.4} {:>+9.4}  {interval:<22} {verdict}",
-            figure.name,
-            sequence.mean()
-        );
+    for metric in &comparison.metrics {
+        print_metric(metric, limits);
     }
 }
 
-fn print_json(comparison: &Comparison, asked: &Asked) {
-    let row = |figure: &flaxdeck_experiments::Figure| {
-        let sequence = &figure.sequence;
-        let interval = sequence.interval().map(|(low, high)| [low, high]);
-        serde_json::json!({"name": figure.name, "a": figure.means[0], "b": figure.means[1],
-            "difference": sequence.mean(), "interval": interval, "pairs": sequence.count(),
-            "verdict": word(sequence.verdict(asked.limits.matters))})
+fn print_metric(metric: &Metric, limits: &Limits) {
+    let differences = &metric.differences;
+    let interval = match differences.interval() {
+        Some(Interval { low, high }) => format!("{low:+.4} to {high:+.4}"),
+        None => "too few pairs".into(),
     };
-    let rows: Vec<_> = comparison.figures.iter().map(row).collect();
+    println!(
+        "{:<24} {:>9.4} {:>9.4} {:>+9.4}  {interval:<22} {}",
+        metric.name,
+        metric.means.a,
+        metric.means.b,
+        differences.mean(),
+        verdict_text(differences.verdict(limits.min_effect))
+    );
+}
+
+fn metric_json(metric: &Metric, limits: &Limits) -> Value {
+    let differences = &metric.differences;
+    let interval = differences.interval().map(|ends| [ends.low, ends.high]);
+    json!({
+        "name": metric.name,
+        "a": metric.means.a,
+        "b": metric.means.b,
+        "difference": differences.mean(),
+        "interval": interval,
+        "pairs": differences.count(),
+        "verdict": verdict_text(differences.verdict(limits.min_effect)),
+    })
+}
+
+fn print_json(comparison: &Comparison, limits: &Limits) {
+    let metrics = comparison.metrics.iter();
+    let rows: Vec<Value> = metrics.map(|metric| metric_json(metric, limits)).collect();
+    let violations = comparison.violations;
     println!(
         "{}",
-        serde_json::json!({"pairs": comparison.pairs, "seconds": comparison.took.as_secs_f64(), "figures": rows,
-            "seed": asked.limits.seed, "level": asked.limits.level, "matters": asked.limits.matters,
-            "breaches": comparison.breaches, "first_breach": comparison.first_breach})
+        json!({
+            "pairs": comparison.pairs,
+            "seconds": comparison.took.as_secs_f64(),
+            "figures": rows,
+            "seed": limits.seed,
+            "level": limits.error_level,
+            "matters": limits.min_effect,
+            "breaches": [violations.a, violations.b],
+            "first_breach": comparison.first_violation,
+        })
     );
 }
--- a/crates/flaxdeck-cli/src/demo.rs
+++ b/crates/flaxdeck-cli/src/demo.rs
@@ -4,105 +4,157 @@
 use std::time::Duration;
 
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
-use flaxdeck_emulator::{Clients, Kind, Layout, Load, World};
+use flaxdeck_emulator::{Clients, Kind, Layout, Load, Told, World};
+use flaxdeck_invariants::Verdict;
 
-use crate::Stop;
+use crate::exit::{self, ExitError};
 
-/// The demo's course, in milliseconds from when clients begin.
-const COLD_AT: f64 = 1_000.0;
-const KILL_AT: f64 = 4_000.0;
-const DRAIN_AT: f64 = 6_500.0;
-const END: f64 = 10_000.0;
+/// The demo's course, in milliseconds from when clients begin: a cache restarts, ...
+const COLD_CACHE_MS: f64 = 1_000.0;
+/// ... a planner is killed, ...
+const PLANNER_KILL_MS: f64 = 4_000.0;
+/// ... another cache drains, ...
+const DRAIN_MS: f64 = 6_500.0;
+/// ... and clients end.
+const END_MS: f64 = 10_000.0;
+/// Forwarders that have just started leave cold hosts alone for some seconds: they might have lent their quotas.
+const SETTLED_MS: f64 = 4_500.0;
+/// The clients' last requests have ended by then.
+const LAST_ANSWERS_MS: f64 = 4_000.0;
 const FORWARDERS: usize = 3;
+const PLANNERS: usize = 2;
+/// Violations that are printed in full.
+const PRINTED_VIOLATIONS: usize = 10;
 
-pub fn run(rate: f64, alone: bool, shown: bool) -> Result<(), Stop> {
-    let binary =
-        std::env::current_exe().map_err(|error| format!("no path of this program: {error}"))?;
+/// A fault of the demo.
+struct Step {
+    /// Milliseconds from when clients begin.
+    at_ms: f64,
+    description: &'static str,
+    fault: Fault,
+}
+
+/// Plays the demo and prints a line for each second, then a table.
+pub(crate) fn run(rate: f64, alone: bool, show_logs: bool) -> Result<(), ExitError> {
     let world = World::start(Layout {
         forwarders: FORWARDERS,
         ..Layout::default()
-    })?;
+    })
+    .map_err(ExitError::failed)?;
     let caches = world.hosts(Kind::Cache);
-    let planners = if alone { 0 } else { 2 };
+    let planners = if alone { 0 } else { PLANNERS };
     let setup = Setup {
-        shown,
-        ..Setup::of(binary, planners, FORWARDERS)
+        shown: show_logs,
+        ..Setup::of(exit::own_binary()?, planners, FORWARDERS)
     };
-    let mut fleet = Fleet::start(world, setup)?;
+    let mut fleet = Fleet::start(world, setup).map_err(ExitError::failed)?;
     println!(
         "a world of {} caches, 2 parents, an origin and a coordinator, on loopback",
         caches.len()
     );
-    println!(
-        "{FORWARDERS} forwarders, {}",
-        if alone { "no planner" } else { "2 planners" }
-    );
-    // Forwarders that have just started leave cold hosts alone for some seconds: they might have lent their shares.
-    let begins = fleet.world.now() + 4_500.0;
-    let load = Load {
+    let planners = if alone { "no planner" } else { "2 planners" };
+    println!("{FORWARDERS} forwarders, {planners}");
+    let begins = fleet.world.now() + SETTLED_MS;
+    let clients = fleet.world.clients(&fleet.addresses(), &load(rate, begins));
+    play(&mut fleet, steps(&caches, alone), begins)?;
+    let limit = fleet.world.now() + LAST_ANSWERS_MS;
+    while !clients.done() && fleet.world.now() < limit {
+        sleep(Duration::from_millis(20));
+    }
+    print_results(&fleet, &clients)
+}
+
+fn load(rate: f64, begins: f64) -> Load {
+    Load {
         seed: 7,
         rates: vec![rate, rate / 3.0, rate / 10.0],
         objects: 2_000,
         power: 0.8,
         writes: 0.02,
         from_ms: begins,
-        to_ms: begins + END,
+        to_ms: begins + END_MS,
         wait_ms: 2_500,
         names_from: 0,
-    };
-    let clients = fleet.world.clients(&fleet.addresses(), &load);
-    let mut script = vec![
-        (
-            COLD_AT,
-            "a cache starts anew, cold and empty",
-            Fault::RestartHost(caches[0].clone()),
-        ),
-        (
-            DRAIN_AT,
-            "another cache drains",
-            Fault::Drain(caches[1].clone()),
-        ),
-    ];
+    }
+}
+
+/// The demo's faults, in order.
+fn steps(caches: &[String], alone: bool) -> Vec<Step> {
+    let mut steps = vec![Step {
+        at_ms: COLD_CACHE_MS,
+        description: "a cache starts anew, cold and empty",
+        fault: Fault::RestartHost(caches[0].clone()),
+    }];
     if !alone {
-        script.insert(1, (KILL_AT, "a planner is killed", Fault::KillPlanner(0)));
+        steps.push(Step {
+            at_ms: PLANNER_KILL_MS,
+            description: "a planner is killed",
+            fault: Fault::KillPlanner(0),
+        });
     }
+    steps.push(Step {
+        at_ms: DRAIN_MS,
+        description: "another cache drains",
+        fault: Fault::Drain(caches[1].clone()),
+    });
+    steps
+}
+
+/// Causes the faults and prints a line for each second.
+fn play(fleet: &mut Fleet, steps: Vec<Step>, begins: f64) -> Result<(), ExitError> {
     println!("\n     s    sent    served  rejected     failed  open");
-    let mut script = script.into_iter().peekable();
-    for second in 0..=(END / 1000.0) as u64 {
+    let mut steps = steps.into_iter().peekable();
+    for second in 0..=(END_MS / 1000.0) as u64 {
         let at = begins + second as f64 * 1000.0;
-        while let Some((when, what, fault)) = script.next_if(|(when, ..)| begins + when <= at) {
-            fleet.world.wait_until(begins + when);
-            fleet.cause(&fault)?;
-            println!("        {what}");
+        while let Some(step) = steps.next_if(|step| begins + step.at_ms <= at) {
+            fleet.world.wait_until(begins + step.at_ms);
+            fleet.cause(&step.fault).map_err(ExitError::failed)?;
+            println!("        {}", step.description);
         }
         fleet.world.wait_until(at);
         let so_far = fleet.world.verdict();
-        let (asked, ended) = (
-            so_far.requests,
-            so_far.served + so_far.rejected + so_far.failed + so_far.left,
-        );
+        let sent = so_far.requests;
         let (served, rejected, failed) = (so_far.served, so_far.rejected, so_far.failed);
+        let open = sent - (served + rejected + failed + so_far.left);
+        println!("{second:>6}  {sent:>6}  {served:>8}  {rejected:>8}  {failed:>9}  {open:>4}");
+    }
+    Ok(())
+}
+
+fn print_results(fleet: &Fleet, clients: &Clients) -> Result<(), ExitError> {
+    let verdict = fleet.world.verdict();
+    let told = clients.told();
+    print_requests(&verdict, &told);
+    println!(
+        "fills at the origin                {:>8}",
+        fleet.world.fills_at_origin()
+    );
+    println!(
+        "latest work after a drain          {:>8.0} ms, 1000 allowed",
+        verdict.latest_arrival
+    );
+    println!(
+        "most asked of a cold host          {:>8.2} of what it bears",
+        verdict.peak_cold_load
+    );
+    println!(
+        "rules broken                       {:>8}",
+        verdict.violations.len()
+    );
+    for violation in verdict.violations.iter().take(PRINTED_VIOLATIONS) {
         println!(
-            "{second:>6}  {asked:>6}  {served:>8}  {rejected:>8}  {failed:>9}  {:>4}",
-            asked - ended
+            "  rule {} at {:.0} ms: {}",
+            violation.rule, violation.at_ms, violation.description
         );
     }
-    finish(&fleet, &clients)
+    if verdict.violations.is_empty() && verdict.all_accounted_for() && told.wrong_bytes == 0 {
+        Ok(())
+    } else {
+        Err(ExitError::failed("the demo found something broken"))
+    }
 }
 
-fn finish(fleet: &Fleet, clients: &Clients) -> Result<(), Stop> {
-    let limit = fleet.world.now() + 4_000.0;
-    while !clients.done() && fleet.world.now() < limit {
-        sleep(Duration::from_millis(20));
-    }
-    let (verdict, told) = (fleet.world.verdict(), clients.told());
-    let mut took = told.took;
-    took.sort_by(f64::total_cmp);
-    let at = |part: f64| {
-        took.get((took.len() as f64 * part) as usize)
-            .copied()
-            .unwrap_or(0.0)
-    };
+fn print_requests(verdict: &Verdict, told: &Told) {
     let accounted = if verdict.all_accounted_for() {
         "all accounted for"
     } else {
@@ -124,35 +176,8 @@
     );
     println!(
         "time of an answer, median and 99th {:>8.1} {:.1} ms",
-        at(0.5),
-        at(0.99)
+        told.latency_quantile(0.5),
+        told.latency_quantile(0.99)
     );
     println!("answers with wrong bytes           {:>8}", told.wrong_bytes);
-    println!(
-        "fills at the origin                {:>8}",
-        fleet.world.fills_at_origin()
-    );
-    println!(
-        "latest work after a drain          {:>8.0} ms, 1000 allowed",
-        verdict.latest_arrival
-    );
-    println!(
-        "most asked of a cold host          {:>8.2} of what it bears",
-        verdict.peak_cold_load
-    );
-    println!(
-        "rules broken                       {:>8}",
-        verdict.violations.len()
-    );
-    for breach in verdict.violations.iter().take(10) {
-        println!(
-            "  rule {} at {:.0} ms: {}",
-            breach.rule, breach.at_ms, breach.description
-        );
-    }
-    if verdict.violations.is_empty() && verdict.all_accounted_for() && told.wrong_bytes == 0 {
-        Ok(())
-    } else {
-        Err(Stop(1, "the demo found something broken".into()))
-    }
 }
--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -13,77 +13,74 @@
 use flaxdeck_terms::fields::Fields;
 use serde_json::Value;
 
-use crate::{Stop, faulty};
+use crate::exit::{ExitError, file_faults, usage_error};
 
-pub fn text(file: &str) -> Result<String, Stop> {
+/// The text of a file that the operator named.
+pub(crate) fn read_text(file: &str) -> Result<String, ExitError> {
     std::fs::read_to_string(file)
-        .map_err(|error| faulty(format!("{file}: cannot be read: {error}")))
+        .map_err(|error| usage_error(format!("{file}: cannot be read: {error}")))
 }
 
 /// A path that stands in a file, relative to that file's own place.
-pub fn beside(file: &str, path: &str) -> PathBuf {
+pub(crate) fn beside(file: &str, path: &str) -> PathBuf {
     Path::new(file).parent().unwrap_or(Path::new("")).join(path)
 }
 
-/// The plan with its shared key; the key's file is looked for beside the plan.
-pub fn plan(file: &str) -> Result<(Plan, Key), Stop> {
-    let lines = |faults: Vec<flaxdeck_plan::Fault>| {
-        faulty(
-            faults
-                .iter()
-                .map(ToString::to_string)
-                .collect::<Vec<_>>()
-                .join("\n"),
-        )
-    };
-    let plan = flaxdeck_plan::read(file, &text(file)?).map_err(lines)?;
+/// A plan with the key that its instances share.
+pub(crate) struct KeyedPlan {
+    pub plan: Plan,
+    pub key: Key,
+}
+
+/// Reads a plan and its key, whose file is looked for beside the plan.
+pub(crate) fn read_plan(file: &str) -> Result<KeyedPlan, ExitError> {
+    let text = read_text(file)?;
+    let plan = flaxdeck_plan::read(file, &text).map_err(|faults| file_faults(&faults))?;
     let path = beside(file, &plan.key_file);
     let path = path.to_string_lossy();
-    let key = Key::from_hex(&text(&path)?).map_err(|why| faulty(format!("{path}: {why}")))?;
-    Ok((plan, key))
+    let key = Key::from_hex(&read_text(&path)?)
+        .map_err(|error| usage_error(format!("{path}: {error}")))?;
+    Ok(KeyedPlan { plan, key })
 }
 
 /// What the platform's JSON says to all instances.
-pub struct World {
+pub(crate) struct Platform {
     file: String,
     value: Value,
     /// The time within which a cold host's load counts together.
     pub window: Span,
 }
 
-pub fn world(file: &str) -> Result<World, Stop> {
-    let value: Value = serde_json::from_str(&text(file)?).map_err(|error| {
-        faulty(format!(
-            "{file}:{}:{}: not JSON: {error}",
-            error.line(),
-            error.column()
-        ))
+/// Reads the platform's JSON.
+pub(crate) fn read_platform(file: &str) -> Result<Platform, ExitError> {
+    let value: Value = serde_json::from_str(&read_text(file)?).map_err(|error| {
+        let (line, column) = (error.line(), error.column());
+        usage_error(format!("{file}:{line}:{column}: not JSON: {error}"))
     })?;
     let window = || {
         let settings = Fields::of(&value, "the whole")?.inner("settings")?;
         flaxdeck_terms::read(&settings).map(|(terms, _)| terms.fall_window)
     };
-    let window = window().map_err(|fault| faulty(format!("{file}: settings: {fault}")))?;
-    Ok(World {
+    let window = window().map_err(|fault| usage_error(format!("{file}: settings: {fault}")))?;
+    Ok(Platform {
         file: file.to_owned(),
         value,
         window,
     })
 }
 
-impl World {
+impl Platform {
     /// Where the instance listens: the name that its state bears.
-    pub fn listen(&self) -> Result<String, Stop> {
+    pub(crate) fn listen(&self) -> Result<String, ExitError> {
         let listen = || {
-            Fields::of(&self.value, "the whole")?
-                .text("listen")
-                .map(str::to_owned)
+            let fields = Fields::of(&self.value, "the whole")?;
+            fields.text("listen").map(str::to_owned)
         };
-        listen().map_err(|fault: String| faulty(format!("{}: {fault}", self.file)))
+        listen().map_err(|fault: String| usage_error(format!("{}: {fault}", self.file)))
     }
 
     /// The watch from the coordinator, and what it has said already, for an instance of that name.
-    pub fn watch(&self, name: &str) -> Result<(Watch, NumberedEvents), String> {
+    pub(crate) fn watch(&self, name: &str) -> Result<(Watch, NumberedEvents), String> {
         let watch = || {
             let fields = Fields::of(&self.value, "the whole")?;
             let (_, names) = flaxdeck_terms::read(&fields.inner("settings")?)?;
@@ -109,19 +106,20 @@
 }
 
 /// Between two batches of events, where the plan has events come in batches.
-pub fn batch_every(plan: &Plan) -> Option<Span> {
+pub(crate) fn batch_interval(plan: &Plan) -> Option<Span> {
     match plan.events {
         Events::EachEvent => None,
         Events::Digest { batch_ms } => Some(Span::from_ms(u64::from(batch_ms))),
     }
 }
 
-/// How often a planner tells subscribers of events.
-pub fn cadence(plan: &Plan) -> Cadence {
-    batch_every(plan).map_or_else(Cadence::default, Cadence::of_batches)
+/// How often a planner sends events to its subscribers.
+pub(crate) fn cadence(plan: &Plan) -> Cadence {
+    batch_interval(plan).map_or_else(Cadence::default, Cadence::of_batches)
 }
 
-pub fn lease_terms(plan: &Plan, window: Span) -> LeaseTerms {
+/// The times of leases that follow from a plan and the platform's window.
+pub(crate) fn lease_terms(plan: &Plan, window: Span) -> LeaseTerms {
     let granted = Span::from_ms(u64::from(plan.granted_ms));
     LeaseTerms::of(window, granted, (plan.drift * 1000.0).ceil() as u32)
 }
--- /dev/null
+++ b/crates/flaxdeck-cli/src/forward.rs
@@ -0,0 +1,90 @@
+//! `flaxdeck forward`: a forwarder, alone or guided by the planners of the plan.
+
+use std::time::Duration;
+
+use flaxdeck::Span;
+use flaxdeck_channel::authenticated::Key;
+use flaxdeck_control::LeaseTerms;
+use flaxdeck_control::forwarder::ForwarderOptions;
+use flaxdeck_control::messages::SlotId;
+use flaxdeck_dispatcher::{Digests, Guidelines, Keeps};
+use flaxdeck_plan::{Blind, LogForm, Plan};
+
+use crate::exit::ExitError;
+use crate::files::{self, KeyedPlan};
+use crate::instance::InstanceFiles;
+use crate::log;
+
+/// The offset basis and the prime of the 64-bit FNV-1a hash.
+const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x100_0000_01b3;
+
+/// Carries requests until SIGTERM.
+pub(crate) fn run(options: &InstanceFiles) -> Result<(), ExitError> {
+    options.prepare_process();
+    let Some(file) = &options.plan else {
+        return run_alone(options);
+    };
+    let KeyedPlan { plan, key } = files::read_plan(file)?;
+    let platform = files::read_platform(&options.config)?;
+    let _log = log::start(&plan.log_levels, plan.log_form)?;
+    let listen = platform.listen()?;
+    let keeps = plan.state_folder.as_ref().map(|folder| Keeps {
+        folder: files::beside(file, folder),
+        name: listen.clone(),
+    });
+    let guidelines = Guidelines {
+        keeps,
+        counters: options.counters.clone(),
+        ..guidelines_of_plan(&plan, key, platform.window, &listen)
+    };
+    flaxdeck_dispatcher::run_guided(Some(&options.config), Some(guidelines))
+        .map_err(ExitError::failed)
+}
+
+/// Without a plan a forwarder goes by its own picture alone.
+fn run_alone(options: &InstanceFiles) -> Result<(), ExitError> {
+    let _log = log::start("info", LogForm::Text)?;
+    flaxdeck_dispatcher::run_guided(Some(&options.config), None).map_err(ExitError::failed)
+}
+
+/// What a plan tells a forwarder that listens there.
+pub(crate) fn guidelines_of_plan(plan: &Plan, key: Key, window: Span, listen: &str) -> Guidelines {
+    let digests = files::batch_interval(plan).map(|_| Digests {
+        cadence: files::cadence(plan),
+        report_idle_every: Span::from_ms(u64::from(plan.report_idle_ms)),
+    });
+    Guidelines {
+        keeps: None,
+        planners: plan.planners.iter().map(|planner| planner.listen).collect(),
+        key,
+        stance: forwarder_options(plan, files::lease_terms(plan, window), listen),
+        report_every: Duration::from_millis(u64::from(plan.report_every_ms)),
+        digests,
+        counters: None,
+    }
+}
+
+fn forwarder_options(plan: &Plan, lease_terms: LeaseTerms, listen: &str) -> ForwarderOptions {
+    let blind_after = match plan.blind {
+        Blind::RejectAfter { ms } => Some(Span::of_ms(ms)),
+        Blind::GoOn => None,
+    };
+    ForwarderOptions {
+        lease_terms,
+        reserve: plan.reserve,
+        seated: plan.seated,
+        seat: slot_of_address(listen),
+        blind_after,
+    }
+}
+
+/// The slot of the instance that listens there; 0 where the system chooses the port, which is another at each start.
+fn slot_of_address(listen: &str) -> SlotId {
+    if listen.ends_with(":0") {
+        return SlotId(0);
+    }
+    let mix = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+    let hash = listen.bytes().fold(FNV_OFFSET, mix);
+    SlotId(hash.max(1))
+}
--- a/crates/flaxdeck-cli/src/levels.rs
+++ b/crates/flaxdeck-cli/src/levels.rs
@@ -1,80 +1,103 @@
 //! `flaxdeck levels`: the same day with planners and without, side by side, on loopback.
 
+use std::ops::Range;
 use std::thread::sleep;
 use std::time::Duration;
 
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
-use flaxdeck_emulator::{FailureMode, Kind, Layout, Load, World};
+use flaxdeck_emulator::{Clients, FailureMode, Kind, Layout, Load, Told, World};
 use flaxdeck_invariants::{RecordEntry, RecordedEvent, SamplingPeriod, mean_cold_load};
 
-use crate::Stop;
+use crate::exit::{self, ExitError};
 
-/// The day's course, in milliseconds from when clients begin.
-const COLD_AT: f64 = 1_000.0;
-const FAILS_AT: f64 = 9_000.0;
-const MENDED_AT: f64 = 13_000.0;
-const END: f64 = 15_000.0;
-/// The promise of the stand-ins' pages, in milliseconds.
-const IN_TIME: f64 = 400.0;
-
-/// Of its capacity, what a cold cache bears.
-const FACTOR: f64 = 2.0;
+/// The day's course, in milliseconds from when clients begin: a cache restarts, ...
+const COLD_CACHE_MS: f64 = 1_000.0;
+/// ... a parent begins to fail, ...
+const PARENT_FAILS_MS: f64 = 9_000.0;
+/// ... is mended, ...
+const PARENT_MENDED_MS: f64 = 13_000.0;
+/// ... and clients end.
+const END_MS: f64 = 15_000.0;
+/// Rare objects are asked for from so long before the parent's fault on.
+const RARE_LOAD_LEAD_MS: f64 = 500.0;
+/// Forwarders that have just started leave cold hosts alone for some seconds: they might have lent their quotas.
+const SETTLED_MS: f64 = 4_800.0;
+/// The clients' last requests have ended by then.
+const LAST_ANSWERS_MS: f64 = 10_000.0;
+/// The latency objective of the stand-ins' pages, in milliseconds.
+const OBJECTIVE_MS: f64 = 400.0;
+/// How many times its capacity a cold cache bears.
+const OVERLOAD_FACTOR: f64 = 2.0;
+/// Attempts at the failed parent that come later than this, in milliseconds, are further probes of it.
+const LAST_ATTEMPT_BEFORE_MS: f64 = 3_500.0;
+/// When the use of the cold cache is sampled: from so long after its start on, ...
+const SAMPLES_AFTER_MS: f64 = 3_000.0;
+/// ... in such steps.
+const SAMPLE_STEP_MS: f64 = 50.0;
 
+/// The figures of one run.
 struct Row {
     in_time: f64,
     rejected: u64,
     origin_fills: u64,
-    cold_use: f64,
-    cold_most: f64,
-    failed_offs: usize,
-    last_off: f64,
-    bytes: [f64; 2],
-    breaches: usize,
-    median: f64,
-    tail: f64,
+    mean_cold_load: f64,
+    peak_cold_load: f64,
+    attempts_at_failed: usize,
+    /// Milliseconds from the parent's fault.
+    last_attempt_ms: f64,
+    report_bytes_per_s: f64,
+    guidance_bytes_per_s: f64,
+    violations: usize,
+    median_ms: f64,
+    p99_ms: f64,
 }
 
-pub fn run(forwarders: &[usize], rate: f64, runs: u64, seed: u64) -> Result<(), Stop> {
+/// Plays each number of forwarders with planners and without, and prints a row for each run.
+pub(crate) fn run(forwarders: &[usize], rate: f64, runs: u64, seed: u64) -> Result<(), ExitError> {
     println!(
         "forwarders  planners  seed  in time  rejected  origin  cold use  cold most  at failed parent  last, ms  \
          reports, B/s  guidance, B/s  median, ms  99th, ms  broken"
     );
-    let mut broken = 0;
+    let mut violations = 0;
     for count in forwarders {
         for seed in seed..seed + runs {
             for planners in [0, 2] {
                 let row = play(*count, planners, rate, seed)?;
-                println!(
-                    "{count:>10}  {planners:>8}  {seed:>4}  {:>7.4}  {:>7}  {:>6}  {:>8.3}  {:>9.3}  {:>16}  {:>8.0}  {:>12.0}  {:>13.0}  {:>10.1}  {:>8.1}  {:>6}",
-                    row.in_time,
-                    row.rejected,
-                    row.origin_fills,
-                    row.cold_use,
-                    row.cold_most,
-                    row.failed_offs,
-                    row.last_off,
-                    row.bytes[0],
-                    row.bytes[1],
-                    row.median,
-                    row.tail,
-                    row.breaches,
-                );
-                broken += row.breaches;
+                print_row(*count, planners, seed, &row);
+                violations += row.violations;
             }
         }
     }
-    if broken == 0 {
+    if violations == 0 {
         Ok(())
     } else {
-        Err(Stop(1, format!("{broken} times a rule was broken")))
+        Err(ExitError::failed(format!(
+            "{violations} times a rule was broken"
+        )))
     }
 }
 
-fn play(forwarders: usize, planners: usize, rate: f64, seed: u64) -> Result<Row, Stop> {
-    let binary =
-        std::env::current_exe().map_err(|error| format!("no path of this program: {error}"))?;
-    let layout = Layout {
-        factor: FACTOR,
+fn print_row(forwarders: usize, planners: usize, seed: u64, row: &Row) {
+    println!(
+        "{forwarders:>10}  {planners:>8}  {seed:>4}  {:>7.4}  {:>7}  {:>6}  {:>8.3}  {:>9.3}  {:>16}  {:>8.0}  {:>12.0}  {:>13.0}  {:>10.1}  {:>8.1}  {:>6}",
+        row.in_time,
+        row.rejected,
+        row.origin_fills,
+        row.mean_cold_load,
+        row.peak_cold_load,
+        row.attempts_at_failed,
+        row.last_attempt_ms,
+        row.report_bytes_per_s,
+        row.guidance_bytes_per_s,
+        row.median_ms,
+        row.p99_ms,
+        row.violations,
+    );
+}
+
+fn layout(forwarders: usize) -> Layout {
+    Layout {
+        factor: OVERLOAD_FACTOR,
         caches: 3,
         parents: 3,
         forwarders,
@@ -82,105 +105,136 @@
         cache_places: 24.0,
         warm_within_ms: 60_000.0,
         ..Layout::default()
-    };
-    let world = World::start(layout)?;
-    let (cache, parent) = (
-        world.hosts(Kind::Cache)[0].clone(),
-        world.hosts(Kind::Parent)[0].clone(),
-    );
-    let mut fleet = Fleet::start(world, Setup::of(binary, planners, forwarders))?;
-    let begins = fleet.world.now() + 4_800.0;
-    // Nine tenths of the load come to one forwarder.
+    }
+}
+
+/// Nine tenths of the load come to one forwarder.
+fn uneven_load(forwarders: usize, rate: f64, seed: u64, begins: f64) -> Load {
     let others = rate * 0.1 / (forwarders.max(2) - 1) as f64;
-    let rates: Vec<f64> = (0..forwarders)
-        .map(|n| if n == 0 { rate * 0.9 } else { others })
-        .collect();
-    let load = Load {
+    let mut rates = vec![others; forwarders];
+    if let Some(first) = rates.first_mut() {
+        *first = rate * 0.9;
+    }
+    Load {
         seed,
         rates,
         objects: 600,
         power: 0.9,
         writes: 0.0,
         from_ms: begins,
-        to_ms: begins + END,
+        to_ms: begins + END_MS,
         wait_ms: 2_500,
         names_from: 0,
-    };
-    let clients = fleet.world.clients(&fleet.addresses(), &load);
-    // Objects asked for once, evenly at all forwarders, so that each needs its parents.
-    let rare = Load {
+    }
+}
+
+/// Objects asked for once, evenly at all forwarders, so that each needs its parents.
+fn rare_load(forwarders: usize, rate: f64, seed: u64, begins: f64) -> Load {
+    Load {
         seed: seed + 1,
         rates: vec![rate * 0.15 / forwarders as f64],
         objects: 1_000_000,
         power: 0.0,
-        from_ms: begins + FAILS_AT - 500.0,
+        from_ms: begins + PARENT_FAILS_MS - RARE_LOAD_LEAD_MS,
         names_from: 100_000,
-        ..load
-    };
-    let rare = fleet.world.clients(&fleet.addresses(), &rare);
+        ..uneven_load(forwarders, rate, seed, begins)
+    }
+}
+
+fn play(forwarders: usize, planners: usize, rate: f64, seed: u64) -> Result<Row, ExitError> {
+    let world = World::start(layout(forwarders)).map_err(ExitError::failed)?;
+    let cache = world.hosts(Kind::Cache)[0].clone();
+    let parent = world.hosts(Kind::Parent)[0].clone();
+    let setup = Setup::of(exit::own_binary()?, planners, forwarders);
+    let mut fleet = Fleet::start(world, setup).map_err(ExitError::failed)?;
+    let begins = fleet.world.now() + SETTLED_MS;
+    let addresses = fleet.addresses();
+    let clients = [
+        uneven_load(forwarders, rate, seed, begins),
+        rare_load(forwarders, rate, seed, begins),
+    ]
+    .map(|load| fleet.world.clients(&addresses, &load));
     fleet.world.wait_until(begins);
-    let before = fleet.spoken();
-    let script = [
-        (begins + COLD_AT, Fault::RestartHost(cache.clone())),
-        (
-            begins + FAILS_AT,
-            Fault::HostManner(parent.clone(), FailureMode::Fail),
-        ),
-        (
-            begins + MENDED_AT,
-            Fault::HostManner(parent.clone(), FailureMode::Serve),
-        ),
-    ];
-    fleet.play(&script)?;
-    let limit = fleet.world.now() + 10_000.0;
-    while !(clients.done() && rare.done()) && fleet.world.now() < limit {
+    let [reports_before, guidance_before] = fleet.spoken();
+    let failing = begins + PARENT_FAILS_MS..begins + PARENT_MENDED_MS;
+    fleet
+        .play(&[
+            (begins + COLD_CACHE_MS, Fault::RestartHost(cache.clone())),
+            (
+                failing.start,
+                Fault::HostManner(parent.clone(), FailureMode::Fail),
+            ),
+            (
+                failing.end,
+                Fault::HostManner(parent.clone(), FailureMode::Serve),
+            ),
+        ])
+        .map_err(ExitError::failed)?;
+    wait_for_clients(&fleet, &clients);
+    let forwarder_seconds = (fleet.world.now() - begins) / 1000.0 * forwarders as f64;
+    let [reports, guidance] = fleet.spoken();
+    let attempts = attempts_at(&parent, &failing, &fleet.world.record());
+    Ok(Row {
+        attempts_at_failed: attempts.len(),
+        last_attempt_ms: last_attempt(&attempts),
+        report_bytes_per_s: (reports - reports_before) as f64 / forwarder_seconds,
+        guidance_bytes_per_s: (guidance - guidance_before) as f64 / forwarder_seconds,
+        mean_cold_load: cold_load(&fleet.world, &cache, failing.start),
+        ..client_figures(&fleet.world, &clients)
+    })
+}
+
+fn wait_for_clients(fleet: &Fleet, clients: &[Clients]) {
+    let limit = fleet.world.now() + LAST_ANSWERS_MS;
+    while !clients.iter().all(Clients::done) && fleet.world.now() < limit {
         sleep(Duration::from_millis(20));
     }
-    let seconds = (fleet.world.now() - begins) / 1000.0;
-    let after = fleet.spoken();
-    let (verdict, record) = (fleet.world.verdict(), fleet.world.record());
-    let mut took = [clients.told().took, rare.told().took].concat();
-    took.sort_by(f64::total_cmp);
-    let at = |part: f64| {
-        took.get((took.len() as f64 * part) as usize)
-            .copied()
-            .unwrap_or(0.0)
-    };
-    let failing = (begins + FAILS_AT)..(begins + MENDED_AT);
+}
+
+/// Milliseconds from the beginning of a fault at which work arrived at its host while it lasted.
+fn attempts_at(host: &str, failing: &Range<f64>, record: &[RecordEntry]) -> Vec<f64> {
     let arrived = |entry: &&RecordEntry| {
         failing.contains(&entry.at_ms)
-            && matches!(&entry.event, RecordedEvent::WorkArrived { host } if *host == parent)
+            && matches!(&entry.event, RecordedEvent::WorkArrived { host: at } if at == host)
     };
-    let offs: Vec<f64> = record
-        .iter()
-        .filter(arrived)
-        .map(|entry| entry.at_ms - failing.start)
-        .collect();
-    let terms = fleet.world.terms();
-    let until = begins + FAILS_AT;
+    let attempts = record.iter().filter(arrived);
+    attempts.map(|entry| entry.at_ms - failing.start).collect()
+}
+
+/// The last attempt before further probes, in milliseconds.
+fn last_attempt(attempts: &[f64]) -> f64 {
+    let early = attempts.iter().filter(|at| **at < LAST_ATTEMPT_BEFORE_MS);
+    early.copied().fold(0.0, f64::max)
+}
+
+/// The mean use of the cold cache, as a multiple of its capacity.
+fn cold_load(world: &World, cache: &str, until_ms: f64) -> f64 {
     let period = SamplingPeriod {
-        after_start_ms: 3_000.0,
-        until_ms: until,
-        step_ms: 50.0,
+        after_start_ms: SAMPLES_AFTER_MS,
+        until_ms,
+        step_ms: SAMPLE_STEP_MS,
     };
-    let cold_use = mean_cold_load(&terms, &record, &cache, period) * FACTOR;
-    let each = |way: usize| (after[way] - before[way]) as f64 / seconds / forwarders as f64;
-    Ok(Row {
-        in_time: took.iter().filter(|took| **took <= IN_TIME).count() as f64
-            / verdict.requests.max(1) as f64,
+    mean_cold_load(&world.terms(), &world.record(), cache, period) * OVERLOAD_FACTOR
+}
+
+/// The figures that follow from what clients saw; the others are nought.
+fn client_figures(world: &World, clients: &[Clients]) -> Row {
+    let verdict = world.verdict();
+    let told = Told::merged(clients.iter().map(Clients::told));
+    let latencies = told.took.iter();
+    let in_time = latencies.filter(|took| **took <= OBJECTIVE_MS).count();
+    Row {
+        in_time: in_time as f64 / verdict.requests.max(1) as f64,
         rejected: verdict.rejected,
-        origin_fills: fleet.world.fills_at_origin(),
-        cold_use,
-        cold_most: verdict.peak_cold_load,
-        failed_offs: offs.len(),
-        last_off: offs
-            .iter()
-            .copied()
-            .filter(|at| *at < 3_500.0)
-            .fold(0.0, f64::max),
-        bytes: [each(0), each(1)],
-        breaches: verdict.violations.len(),
-        median: at(0.5),
-        tail: at(0.99),
-    })
+        origin_fills: world.fills_at_origin(),
+        mean_cold_load: 0.0,
+        peak_cold_load: verdict.peak_cold_load,
+        attempts_at_failed: 0,
+        last_attempt_ms: 0.0,
+        report_bytes_per_s: 0.0,
+        guidance_bytes_per_s: 0.0,
+        violations: verdict.violations.len(),
+        median_ms: told.latency_quantile(0.5),
+        p99_ms: told.latency_quantile(0.99),
+    }
 }
--- a/crates/flaxdeck-cli/src/log.rs
+++ b/crates/flaxdeck-cli/src/log.rs
@@ -5,13 +5,13 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-use crate::{Stop, faulty};
+use crate::exit::{ExitError, usage_error};
 
 /// Lines that may wait to be written.
-const LINES: usize = 4096;
+const MAX_QUEUED_LINES: usize = 4096;
 
 /// To be kept until the end: dropping it writes the last lines, and how many were lost.
-pub struct Log {
+pub(crate) struct Log {
     lost: ErrorCounter,
     _writer: WorkerGuard,
 }
@@ -27,12 +27,13 @@
     }
 }
 
-pub fn start(levels: &str, form: LogForm) -> Result<Log, Stop> {
+/// Starts the log of this process, with levels by module.
+pub(crate) fn start(levels: &str, form: LogForm) -> Result<Log, ExitError> {
     let filter = EnvFilter::try_new(levels)
-        .map_err(|error| faulty(format!("log levels {levels:?}: {error}")))?;
+        .map_err(|error| usage_error(format!("log levels {levels:?}: {error}")))?;
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(LINES)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .thread_name("log")
         .finish(std::io::stderr());
     let lost = writer.error_counter();
@@ -41,11 +42,11 @@
         .with_writer(writer)
         .with_ansi(false);
     // Records of the libraries that log by `log` come in by the subscriber's own bridge.
-    let set = match form {
+    let started = match form {
         LogForm::Text => builder.try_init(),
         LogForm::Json => builder.json().flatten_event(true).try_init(),
     };
-    set.map_err(|error| Stop(1, format!("no log: {error}")))?;
+    started.map_err(|error| ExitError::failed(format!("no log: {error}")))?;
     Ok(Log {
         lost,
         _writer: guard,
--- /dev/null
+++ b/crates/flaxdeck-cli/src/model.rs
@@ -0,0 +1,59 @@
+//! `flaxdeck model FILE`: one day of a model of the fleet, played in virtual time and judged by the rules.
+
+use std::time::Instant;
+
+use crate::exit::ExitError;
+use crate::scenario_files;
+
+/// Violations that are printed in full.
+const PRINTED_VIOLATIONS: usize = 10;
+
+/// Plays one day and prints what came of it.
+pub(crate) fn run(file: &str, seed: u64) -> Result<(), ExitError> {
+    let mut scenario = scenario_files::read(file)?;
+    scenario.check_invariants = true;
+    let started = Instant::now();
+    let outcome = flaxdeck_fleet::run(&scenario, seed);
+    let took_s = started.elapsed().as_secs_f64();
+    println!(
+        "wants {}, in time {}, late {}, lost {}, gain {:.4}",
+        outcome.operations,
+        outcome.in_time,
+        outcome.late,
+        outcome.lost,
+        outcome.gain()
+    );
+    println!(
+        "requests {}: served {}, rejected {}, failed {}",
+        outcome.requests, outcome.served, outcome.rejected, outcome.failed
+    );
+    println!(
+        "attempts {}, hits {}, fills at parents {}, at the origin {}, hosts fallen over {}",
+        outcome.attempts,
+        outcome.hits,
+        outcome.parent_fills,
+        outcome.origin_fills,
+        outcome.overloaded_hosts
+    );
+    println!(
+        "{} events in {took_s:.2} s, {:.0} requests a second; digest {:016x}",
+        outcome.events,
+        outcome.requests as f64 / took_s,
+        outcome.digest
+    );
+    let violations = outcome
+        .verdict
+        .map_or(Vec::new(), |verdict| verdict.violations);
+    println!("rules broken: {}", violations.len());
+    for violation in violations.iter().take(PRINTED_VIOLATIONS) {
+        println!(
+            "  rule {} at {:.0} ms: {}",
+            violation.rule, violation.at_ms, violation.description
+        );
+    }
+    if violations.is_empty() {
+        Ok(())
+    } else {
+        Err(ExitError::failed("a rule was broken"))
+    }
+}
--- /dev/null
+++ b/crates/flaxdeck-cli/src/recovery/table.rs
@@ -0,0 +1,160 @@
+//! The printed table: a row for each kind of trial, and slices where they are asked for.
+
+use flaxdeck_emulator::{INTERVAL, IntervalCounters};
+use flaxdeck_experiments::recovery::{ExcessLosses, SLICE_MS, Slice, median_and_worst};
+
+use super::arguments::Trial;
+use super::play::{END_MS, KILLED_MS, Run};
+
+const HEAD: [&str; 16] = [
+    "world",
+    "forwarders",
+    "planners",
+    "killed",
+    "state",
+    "full, s",
+    "worst",
+    "in hand",
+    "while down",
+    "after",
+    "held most",
+    "turned away",
+    "lists/s",
+    "origin refuses",
+    "of bound",
+    "broken",
+];
+/// The narrowest column.
+const MIN_WIDTH: usize = 9;
+/// Violations of a row that are printed in full.
+const PRINTED_VIOLATIONS: usize = 3;
+
+/// Cells under their names.
+fn aligned(cells: &[String]) -> String {
+    let cell = |(cell, name): (&String, &&str)| {
+        let width = name.len().max(MIN_WIDTH);
+        format!("{cell:>width$}")
+    };
+    let cells: Vec<String> = cells.iter().zip(&HEAD).map(cell).collect();
+    cells.join("  ")
+}
+
+/// Prints the names of the columns.
+pub(crate) fn print_head() {
+    println!("{}", aligned(&HEAD.map(String::from)));
+}
+
+/// What the runs of one row came to.
+#[derive(Default)]
+pub(crate) struct Row {
+    full_ms: Vec<Option<f64>>,
+    losses: Vec<ExcessLosses>,
+    violations: Vec<String>,
+    peak_cold_load: f64,
+    peak_connections: u32,
+    refused_connections: u32,
+    lists_per_s: u32,
+    refused_origin_fills: u32,
+}
+
+/// The sum of a counter between two times of the day, in milliseconds.
+fn sum(run: &Run, counter: fn(&IntervalCounters) -> u32, from_ms: f64, to_ms: f64) -> u32 {
+    let from = (from_ms / INTERVAL) as usize;
+    let to = (to_ms / INTERVAL) as usize;
+    let within = run.intervals.iter().take(to).skip(from);
+    within.map(counter).sum()
+}
+
+impl Row {
+    /// Adds a run with how its service came back beside its twin.
+    pub(crate) fn add(&mut self, run: &Run, full_ms: Option<f64>, losses: ExcessLosses) {
+        self.full_ms.push(full_ms);
+        self.losses.push(losses);
+        self.peak_cold_load = self.peak_cold_load.max(run.peak_cold_load);
+        let held = run.intervals.iter().map(|interval| interval.held_most);
+        self.peak_connections = self.peak_connections.max(held.max().unwrap_or(0));
+        let refused = sum(run, |interval| interval.turned_away, KILLED_MS, END_MS);
+        self.refused_connections = self.refused_connections.max(refused);
+        let seconds = KILLED_MS as u32 / 1000..END_MS as u32 / 1000;
+        let lists = seconds.map(|second| {
+            let from_ms = f64::from(second) * 1000.0;
+            sum(
+                run,
+                |interval| interval.list_calls,
+                from_ms,
+                from_ms + 1000.0,
+            )
+        });
+        self.lists_per_s = self.lists_per_s.max(lists.max().unwrap_or(0));
+        self.refused_origin_fills +=
+            sum(run, |interval| interval.origin_refused, KILLED_MS, END_MS);
+    }
+
+    /// Adds what a run, or a twin, broke.
+    pub(crate) fn add_violations(&mut self, run: &Run) {
+        self.violations.extend(run.violations.iter().cloned());
+        if !run.all_accounted_for {
+            let unaccounted = "some request was not accounted for";
+            self.violations.push(unaccounted.into());
+        }
+    }
+
+    /// How often a rule was broken.
+    pub(crate) fn violations(&self) -> usize {
+        self.violations.len()
+    }
+
+    fn mean_loss(&self, loss: fn(&ExcessLosses) -> f64) -> String {
+        let sum: f64 = self.losses.iter().map(loss).sum();
+        format!("{:.0}", sum / self.losses.len() as f64)
+    }
+
+    /// Prints the row, and the first violations below it.
+    pub(crate) fn print(&self, trial: &Trial, runs: u64) {
+        let times = median_and_worst(&self.full_ms);
+        let seconds = |ms: Option<f64>| match ms {
+            Some(ms) => format!("{:.1}", ms / 1000.0),
+            None => "never".to_owned(),
+        };
+        let cells = [
+            trial.environment_name(),
+            trial.forwarders.to_string(),
+            trial.planners.to_string(),
+            trial.killed.to_string(),
+            trial.state_name(),
+            seconds(times.median),
+            seconds(times.worst),
+            self.mean_loss(|losses| losses.in_flight),
+            self.mean_loss(|losses| losses.while_down),
+            self.mean_loss(|losses| losses.after_restart),
+            self.peak_connections.to_string(),
+            self.refused_connections.to_string(),
+            self.lists_per_s.to_string(),
+            (self.refused_origin_fills / runs.max(1) as u32).to_string(),
+            format!("{:.2}", self.peak_cold_load),
+            self.violations.len().to_string(),
+        ];
+        println!("{}", aligned(&cells));
+        for violation in self.violations.iter().take(PRINTED_VIOLATIONS) {
+            println!("    {violation}");
+        }
+    }
+}
+
+/// Prints each slice of a run, and its twin's in brackets.
+pub(crate) fn print_slices(run: &[Slice], twin: &[Slice]) {
+    for (index, (run, twin)) in run.iter().zip(twin).enumerate() {
+        println!(
+            "    {:>5.1} s  in time {:.4} ({:.4})  rejected {} ({})  hits {:.3} ({:.3})  turned away {} ({})",
+            index as f64 * SLICE_MS / 1000.0,
+            run.in_time_fraction(),
+            twin.in_time_fraction(),
+            run.rejected,
+            twin.rejected,
+            run.hit_ratio(),
+            twin.hit_ratio(),
+            run.refused_connections,
+            twin.refused_connections
+        );
+    }
+}
--- a/crates/flaxdeck-cli/src/scale.rs
+++ b/crates/flaxdeck-cli/src/scale.rs
@@ -14,11 +14,14 @@
 use serde::de::DeserializeOwned;
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::{Stop, faulty, files, guidelines, log};
+use crate::exit::{self, ExitError, file_faults, usage_error};
+use crate::files::{self, KeyedPlan};
+use crate::forward::guidelines_of_plan;
+use crate::log;
 
-/// What `flaxdeck scale` is asked.
+/// Arguments of `flaxdeck scale`.
 #[derive(Args)]
-pub struct Asked {
+pub(crate) struct Arguments {
     /// The scale file: sizes, rates, times, a fault
     file: String,
     /// Write the rows of results there, as CSV
@@ -55,57 +58,58 @@
 }
 
 /// One run to be played.
-struct Planned {
+struct PlannedRun {
     distribution: Distribution,
     point: Point,
     seed: u64,
     fault: Option<Fault>,
 }
 
-pub fn run(asked: &Asked) -> Result<(), Stop> {
-    let lines = |faults: Vec<flaxdeck_plan::Fault>| {
-        faulty(
-            faults
-                .iter()
-                .map(ToString::to_string)
-                .collect::<Vec<_>>()
-                .join("\n"),
-        )
-    };
-    let scenario = scenario::read(&asked.file, &files::text(&asked.file)?).map_err(lines)?;
-    let planned = planned(&scenario, asked)?;
-    for Planned { point, .. } in &planned {
+/// Plays the runs of a scale file, and prints a line for each.
+pub(crate) fn run(arguments: &Arguments) -> Result<(), ExitError> {
+    let file = &arguments.file;
+    let text = files::read_text(file)?;
+    let scenario = scenario::read(file, &text).map_err(|faults| file_faults(&faults))?;
+    let planned = plan_runs(&scenario, arguments)?;
+    for PlannedRun { point, .. } in &planned {
         bounds::check(point)
-            .map_err(|over| faulty(format!("{}: {point:?} takes {over}", asked.file)))?;
+            .map_err(|error| usage_error(format!("{file}: {point:?} takes {error}")))?;
     }
     println!("{HEAD}");
-    if asked.check {
+    if arguments.check {
         return Ok(());
     }
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|error| format!("no runtime: {error}"))?;
-    runtime.block_on(until_ended(play_all(asked, &scenario, &planned)))
+    let runtime = runtime.map_err(|error| ExitError::failed(format!("no runtime: {error}")))?;
+    runtime.block_on(until_ended(play_all(arguments, &scenario, &planned)))
 }
 
 /// Plays on unless somebody ends the program; what was started is ended either way.
-async fn until_ended(playing: impl Future<Output = Result<(), Stop>>) -> Result<(), Stop> {
-    let signals = |kind| signal(kind).map_err(|error| format!("no signals: {error}"));
-    let (mut interrupt, mut terminate) = (
-        signals(SignalKind::interrupt())?,
-        signals(SignalKind::terminate())?,
-    );
+async fn until_ended(
+    playing: impl Future<Output = Result<(), ExitError>>,
+) -> Result<(), ExitError> {
+    let listen =
+        |kind| signal(kind).map_err(|error| ExitError::failed(format!("no signals: {error}")));
+    let mut interrupt = listen(SignalKind::interrupt())?;
+    let mut terminate = listen(SignalKind::terminate())?;
     tokio::select! {
         played = playing => played,
-        _ = interrupt.recv() => Err(Stop(1, "ended by ctrl-c, and all that was started with it".into())),
-        _ = terminate.recv() => Err(Stop(1, "ended by SIGTERM, and all that was started with it".into())),
+        _ = interrupt.recv() => Err(ended_by("ctrl-c")),
+        _ = terminate.recv() => Err(ended_by("SIGTERM")),
     }
 }
 
+fn ended_by(signal: &str) -> ExitError {
+    ExitError::failed(format!(
+        "ended by {signal}, and all that was started with it"
+    ))
+}
+
 /// All runs of a file: each with a fault beside a twin that has none, and the ways of distribution beside each other.
-fn planned(scenario: &Scenario, asked: &Asked) -> Result<Vec<Planned>, Stop> {
-    let mut distributions: Vec<Distribution> = asked
+fn plan_runs(scenario: &Scenario, arguments: &Arguments) -> Result<Vec<PlannedRun>, ExitError> {
+    let mut distributions: Vec<Distribution> = arguments
         .distribution
         .iter()
         .map(|name| name.distribution())
@@ -113,14 +117,13 @@
     if distributions.is_empty() {
         distributions.push(scenario.distribution);
     }
-    let points: Vec<Point> = match asked.point {
+    let points: Vec<Point> = match arguments.point {
         None => scenario.points.clone(),
         Some(at) => {
             let point = at.checked_sub(1).and_then(|at| scenario.points.get(at));
-            vec![
-                *point
-                    .ok_or_else(|| faulty(format!("there are {} points", scenario.points.len())))?,
-            ]
+            vec![*point.ok_or_else(|| {
+                usage_error(format!("there are {} points", scenario.points.len()))
+            })?]
         }
     };
     let mut planned = Vec::new();
@@ -128,7 +131,7 @@
         for run in 0..scenario.runs {
             let seed = scenario.seed + u64::from(run);
             for distribution in &distributions {
-                let planned_with = |fault| Planned {
+                let planned_with = |fault| PlannedRun {
                     distribution: *distribution,
                     point,
                     seed,
@@ -142,15 +145,18 @@
     Ok(planned)
 }
 
-async fn play_all(asked: &Asked, scenario: &Scenario, planned: &[Planned]) -> Result<(), Stop> {
-    let binary =
-        std::env::current_exe().map_err(|error| format!("no path of this program: {error}"))?;
+async fn play_all(
+    arguments: &Arguments,
+    scenario: &Scenario,
+    planned: &[PlannedRun],
+) -> Result<(), ExitError> {
+    let binary = exit::own_binary()?;
     let bar = ProgressBar::new(planned.len() as u64);
     let style = ProgressStyle::with_template("{elapsed_precise} {bar:30} {pos}/{len} {msg}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     bar.enable_steady_tick(Duration::from_millis(200));
     let mut rows: Vec<Measurement> = Vec::new();
-    for Planned {
+    for PlannedRun {
         distribution,
         point,
         seed,
@@ -166,16 +172,18 @@
             point: *point,
             seed: *seed,
             fault: *fault,
-            keeps_files: asked.keep_files,
+            keeps_files: arguments.keep_files,
             binary: &binary,
         };
         let progress = |what: &str| bar.set_message(what.to_owned());
-        let played = run::play(&one, &progress).await?;
+        let played = run::play(&one, &progress)
+            .await
+            .map_err(ExitError::failed)?;
         bar.suspend(|| println!("{}", line(&one, &played.rows)));
         bar.inc(1);
         rows.extend(played.rows.rows);
-        if let Some(out) = &asked.out {
-            report::write(out, &rows)?;
+        if let Some(out) = &arguments.out {
+            report::write(out, &rows).map_err(ExitError::failed)?;
         }
     }
     bar.finish_and_clear();
@@ -185,7 +193,7 @@
 const HEAD: &str = "distribution  hollow  hosts  purges/s  planners  fault                bytes/s  messages/s  headers/s  cores  planner  coordinator  delay ms: median      99th     worst  expected      lost  replaced  doubled  disordered  machine idle";
 
 /// A run in a line: bytes, messages and cores of one hollow forwarder, cores of a planner and the coordinator.
-fn line(asked: &run::Asked, rows: &Rows) -> String {
+fn line(options: &run::Asked, rows: &Rows) -> String {
     let hollow = |metrics: &[Metric]| -> f64 {
         metrics
             .iter()
@@ -194,17 +202,17 @@
     };
     let one = |metric: Metric| hollow(&[metric]);
     let cores = |role: Role| rows.sum(role, Metric::Cores).unwrap_or(f64::NAN);
-    let distribution = match asked.scenario.distribution {
+    let distribution = match options.scenario.distribution {
         Distribution::EachEvent => "each-event",
         Distribution::Digest => "digest",
     };
-    let fault = asked.fault.map_or("none", |fault| fault.kind.word());
+    let fault = options.fault.map_or("none", |fault| fault.kind.word());
     format!(
         "{distribution:<12}  {:>6}  {:>5}  {:>8}  {:>8}  {fault:<19}  {:>7.0}  {:>10.1}  {:>9.0}  {:.4}  {:>7.3}  {:>11.3}  {:>16.1}  {:>8.1}  {:>8.1}  {:>8}  {:>8}  {:>8}  {:>7}  {:>10}  {:>12.2}",
-        asked.point.hollow,
-        asked.point.hosts,
-        asked.point.purges_per_s,
-        asked.point.planners,
+        options.point.hollow,
+        options.point.hosts,
+        options.point.purges_per_s,
+        options.point.planners,
         hollow(&[Metric::BytesInPerS, Metric::BytesOutPerS]),
         hollow(&[Metric::MessagesInPerS, Metric::MessagesOutPerS]),
         one(Metric::HeaderBytesPerS),
@@ -224,24 +232,24 @@
     )
 }
 
-fn orders<T: DeserializeOwned>(path: &Path) -> Result<T, Stop> {
-    let text = files::text(&path.to_string_lossy())?;
-    serde_json::from_str(&text).map_err(|error| faulty(format!("{}: {error}", path.display())))
+fn read_orders<T: DeserializeOwned>(path: &Path) -> Result<T, ExitError> {
+    let text = files::read_text(&path.to_string_lossy())?;
+    serde_json::from_str(&text).map_err(|error| usage_error(format!("{}: {error}", path.display())))
 }
 
 /// A process of hollow forwarders.
-pub fn hollow(path: &Path) -> Result<(), Stop> {
-    let orders: HollowOrders = orders(path)?;
-    let (plan, key) = files::plan(&orders.plan.to_string_lossy())?;
-    let window = files::world(&orders.configuration.to_string_lossy())?.window;
+pub(crate) fn run_hollow_forwarders(path: &Path) -> Result<(), ExitError> {
+    let orders: HollowOrders = read_orders(path)?;
+    let KeyedPlan { plan, key } = files::read_plan(&orders.plan.to_string_lossy())?;
+    let window = files::read_platform(&orders.configuration.to_string_lossy())?.window;
     let _log = log::start("warn", LogForm::Text)?;
-    let guidelines = |name: &str| guidelines(&plan, key.clone(), window, name);
-    Ok(flaxdeck_scale::hollow::run(&orders, guidelines)?)
+    let guidelines = |name: &str| guidelines_of_plan(&plan, key.clone(), window, name);
+    flaxdeck_scale::hollow::run(&orders, guidelines).map_err(ExitError::failed)
 }
 
 /// The stand-in coordinator.
-pub fn coordinator(path: &Path) -> Result<(), Stop> {
-    let orders: CoordinatorOrders = orders(path)?;
+pub(crate) fn run_coordinator(path: &Path) -> Result<(), ExitError> {
+    let orders: CoordinatorOrders = read_orders(path)?;
     let _log = log::start("warn", LogForm::Text)?;
-    Ok(flaxdeck_scale::coordinator::run(orders)?)
+    flaxdeck_scale::coordinator::run(orders).map_err(ExitError::failed)
 }
--- a/crates/flaxdeck-cli/src/state.rs
+++ b/crates/flaxdeck-cli/src/state.rs
@@ -5,70 +5,116 @@
 use flaxdeck::Span;
 use flaxdeck_net::clock::since_boot;
 use flaxdeck_recovery::EventPosition;
-use flaxdeck_recovery::restored_state::{self, Now, StoredState, Uptime};
+use flaxdeck_recovery::restored_state::{self, Now, StoredState, Uptime, Verdict};
 use flaxdeck_store::{Folder, look};
+use serde_json::{Value, json};
 
-use crate::{Stop, faulty};
+use crate::exit::{ExitError, usage_error};
 
-pub fn show(folder: &str, json: bool) -> Result<(), Stop> {
+/// What a state folder holds.
+struct Inspection {
+    instance: String,
+    generation: u64,
+    /// Records after the snapshot.
+    records: usize,
+    damage: Option<String>,
+    stored: Stored,
+    /// What would be believed of it now.
+    verdicts: Vec<Verdict>,
+}
+
+enum Stored {
+    Nothing,
+    OtherVersion,
+    State(StoredState),
+}
+
+/// Reads a state folder, judges it and prints the verdicts.
+pub(crate) fn run(folder: &str, as_json: bool) -> Result<(), ExitError> {
+    let inspection = inspect(folder)?;
+    if as_json {
+        print_json(&inspection);
+    } else if let Stored::State(_) = inspection.stored {
+        print_text(&inspection);
+    }
+    match (inspection.damage, inspection.stored) {
+        (Some(damage), _) => Err(ExitError::failed(format!("{folder}: damaged: {damage}"))),
+        (None, Stored::Nothing) => Err(ExitError::failed(format!(
+            "{folder}: no state is kept here"
+        ))),
+        (None, Stored::OtherVersion) => Err(ExitError::failed(format!(
+            "{folder}: the state is of another version"
+        ))),
+        (None, Stored::State(_)) => Ok(()),
+    }
+}
+
+fn inspect(folder: &str) -> Result<Inspection, ExitError> {
     if !Path::new(folder).is_dir() {
-        return Err(faulty(format!("{folder}: there is no such folder")));
+        return Err(usage_error(format!("{folder}: there is no such folder")));
     }
-    let mut disk =
-        Folder::open(Path::new(folder)).map_err(|error| faulty(format!("{folder}: {error}")))?;
+    let mut disk = Folder::open(Path::new(folder))
+        .map_err(|error| usage_error(format!("{folder}: {error}")))?;
     let found = look(&mut disk);
-    let damage = found.damage.as_ref().map(ToString::to_string);
-    let kept = found
-        .snapshot
-        .as_ref()
-        .map(|snapshot| StoredState::read(snapshot, &found.records));
+    let stored = match &found.snapshot {
+        None => Stored::Nothing,
+        Some(snapshot) => match StoredState::read(snapshot, &found.records) {
+            Ok(state) => Stored::State(state),
+            Err(_) => Stored::OtherVersion,
+        },
+    };
+    let verdicts = match &stored {
+        Stored::State(state) => restored_state::judge(state.clone(), now()).verdicts,
+        Stored::Nothing | Stored::OtherVersion => Vec::new(),
+    };
+    Ok(Inspection {
+        instance: found.name.to_string(),
+        generation: found.generation,
+        records: found.records.len(),
+        damage: found.damage.as_ref().map(ToString::to_string),
+        stored,
+        verdicts,
+    })
+}
+
+/// The facts that the state is judged by: this machine's, without a configuration.
+fn now() -> Now {
     let (boot, ms) = since_boot();
-    let now = Now {
+    Now {
         uptime: Uptime { boot, ms },
         file: EventPosition::NONE,
         waits: Span::ZERO,
-    };
-    let read = kept.as_ref().and_then(|kept| kept.as_ref().ok()).cloned();
-    let verdicts = read
-        .clone()
-        .map(|kept| restored_state::judge(kept, now).verdicts)
-        .unwrap_or_default();
-    let (event, hosts) = read
-        .as_ref()
-        .map_or((0, 0), |kept| (kept.event.number, kept.lines.len()));
-    if json {
-        let rows: Vec<_> = verdicts
-            .iter()
-            .map(|verdict| serde_json::json!({"item": verdict.item, "believed": verdict.believed, "why": verdict.why}))
-            .collect();
-        println!(
-            "{}",
-            serde_json::json!({"instance": found.name, "generation": found.generation, "event": event,
-                "hosts": hosts, "records": found.records.len(), "damage": damage, "judged": rows})
-        );
-    } else if read.is_some() {
-        println!(
-            "state of {}, generation {}, {} records after the snapshot",
-            found.name,
-            found.generation,
-            found.records.len()
-        );
-        for verdict in &verdicts {
-            println!(
-                "  {:<8} {}: {}",
-                verdict.item,
-                if verdict.believed { "yes" } else { "no " },
-                verdict.why
-            );
-        }
     }
-    match (damage, kept) {
-        (Some(damage), _) => Err(Stop(1, format!("{folder}: damaged: {damage}"))),
-        (None, None) => Err(Stop(1, format!("{folder}: no state is kept here"))),
-        (None, Some(Err(_))) => Err(Stop(
-            1,
-            format!("{folder}: the state is of another version"),
-        )),
-        (None, Some(Ok(_))) => Ok(()),
+}
+
+fn print_json(inspection: &Inspection) {
+    let row = |verdict: &Verdict| json!({"item": verdict.item, "believed": verdict.believed, "why": verdict.why});
+    let judged: Vec<Value> = inspection.verdicts.iter().map(row).collect();
+    let (event, hosts) = match &inspection.stored {
+        Stored::State(state) => (state.event.number, state.lines.len()),
+        Stored::Nothing | Stored::OtherVersion => (0, 0),
+    };
+    println!(
+        "{}",
+        json!({
+            "instance": inspection.instance,
+            "generation": inspection.generation,
+            "event": event,
+            "hosts": hosts,
+            "records": inspection.records,
+            "damage": inspection.damage,
+            "judged": judged,
+        })
+    );
+}
+
+fn print_text(inspection: &Inspection) {
+    println!(
+        "state of {}, generation {}, {} records after the snapshot",
+        inspection.instance, inspection.generation, inspection.records
+    );
+    for verdict in &inspection.verdicts {
+        let believed = if verdict.believed { "yes" } else { "no " };
+        println!("  {:<8} {believed}: {}", verdict.item, verdict.why);
     }
 }
--- a/crates/flaxdeck-cli/tests/capacity.rs
+++ b/crates/flaxdeck-cli/tests/capacity.rs
@@ -1,5 +1,11 @@
 //! `flaxdeck capacity` as a program: files in, tables out, exit codes.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
--- a/crates/flaxdeck-cli/tests/coming_back.rs
+++ b/crates/flaxdeck-cli/tests/coming_back.rs
@@ -2,6 +2,12 @@
 //! a coordinator that may have lost its own memory, with clocks that were set. Each world's record goes to the checker
 //! of the rules.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::thread::sleep;
--- a/crates/flaxdeck-cli/tests/commands.rs
+++ b/crates/flaxdeck-cli/tests/commands.rs
@@ -1,5 +1,11 @@
 //! The program's sub-commands as people and scripts meet them.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
--- a/crates/flaxdeck-cli/tests/events.rs
+++ b/crates/flaxdeck-cli/tests/events.rs
@@ -1,6 +1,12 @@
 //! Events by one planner's batches and purge digests, among processes with faults between them. Each fault stands beside
 //! its twin, the same day without it; rule 5 (nothing older than a purge after its grace) is judged over the record.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::path::PathBuf;
 use std::thread::sleep;
 use std::time::Duration;
--- a/crates/flaxdeck-cli/tests/levels.rs
+++ b/crates/flaxdeck-cli/tests/levels.rs
@@ -1,6 +1,12 @@
 //! Forwarders and planners as processes on loopback, among stand-ins, with the faults that the two levels are for.
 //! Each world's record goes to the checker of the rules; each story's own point is asserted beside that.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::path::PathBuf;
 use std::thread::sleep;
 use std::time::Duration;
--- a/crates/flaxdeck-cli/tests/scale.rs
+++ b/crates/flaxdeck-cli/tests/scale.rs
@@ -1,5 +1,11 @@
 //! A small scale run with the real programs: fifty hollow forwarders, two planners, a stand-in coordinator.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::path::Path;
 use std::process::{Command, Stdio};
 use std::thread::sleep;
--- a/crates/flaxdeck-emulator/src/clients.rs
+++ b/crates/flaxdeck-emulator/src/clients.rs
@@ -73,6 +73,27 @@
     pub broken: u64,
 }
 
+impl Told {
+    /// What several groups of clients saw together.
+    pub fn merged(parts: impl IntoIterator<Item = Told>) -> Told {
+        let mut all = Told::default();
+        for part in parts {
+            all.took.extend(part.took);
+            all.wrong_bytes += part.wrong_bytes;
+            all.broken += part.broken;
+        }
+        all
+    }
+
+    /// The time in milliseconds within which that fraction of the answers came, from 0 to 1; 0 without answers.
+    pub fn latency_quantile(&self, fraction: f64) -> f64 {
+        let mut sorted = self.took.clone();
+        sorted.sort_by(f64::total_cmp);
+        let index = (sorted.len() as f64 * fraction) as usize;
+        sorted.get(index).copied().unwrap_or(0.0)
+    }
+}
+
 pub struct Clients {
     tally: Arc<Mutex<Tally>>,
     open: Arc<AtomicU64>,
--- a/crates/flaxdeck-fleet/src/faults.rs
+++ b/crates/flaxdeck-fleet/src/faults.rs
@@ -1,92 +1,94 @@
 //! Faults as data: what goes wrong, when and for how long; written down by hand, or drawn from ranges by a seed.
+//!
+//! Hosts, forwarders, planners and zones are named by their places in the model's lists.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-/// What goes wrong. Hosts, forwarders and planners are told by their places in the model's lists.
+/// What goes wrong.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// So large a part of all caches and parents dies at once; each starts again, cold, at the kind's end.
-    Die {
-        /// The part, from 0 to 1.
-        part: f64,
+    /// A fraction of all caches and parents crashes at once; each restarts, cold, at the fault's end.
+    HostCrash {
+        /// From 0 to 1.
+        fraction: f64,
     },
-    /// Caches are drained and started again one after another, so many at a time.
-    Deploy {
+    /// Caches are drained and restarted, one batch after another.
+    RollingRestart {
         /// Caches that are drained together.
-        at_once: usize,
+        batch: usize,
     },
-    /// The coordinator's events come so much later.
-    LateRegister {
+    /// The coordinator's events come later.
+    CoordinatorDelay {
         /// Milliseconds that are added.
-        ms: f64,
+        added_ms: f64,
     },
-    /// All caches of a place are lost.
-    LostZone {
-        /// The location.
+    /// All caches of a zone are lost.
+    ZoneLoss {
+        /// The zone.
         zone: usize,
     },
     /// All parents but the last are lost.
-    LostHub,
-    /// So large a part of the caches takes requests and answers none.
-    Hang {
-        /// The part, from 0 to 1.
-        part: f64,
+    ParentLoss,
+    /// A fraction of the caches takes requests and answers none.
+    SilentCaches {
+        /// From 0 to 1.
+        fraction: f64,
     },
-    /// So large a part of the caches answers that it failed.
-    Fail {
-        /// The part, from 0 to 1.
-        part: f64,
+    /// A fraction of the caches answers that it failed.
+    FailingCaches {
+        /// From 0 to 1.
+        fraction: f64,
     },
-    /// So large a part of the caches takes so many times as long.
-    Slow {
-        /// The part, from 0 to 1.
-        part: f64,
-        /// The factor.
-        times: f64,
+    /// A fraction of the caches is slow.
+    SlowCaches {
+        /// From 0 to 1.
+        fraction: f64,
+        /// How many times as long they take.
+        factor: f64,
     },
-    /// The origin takes so many times as long.
+    /// The origin is slow.
     SlowOrigin {
-        /// The factor.
-        times: f64,
+        /// How many times as long it takes.
+        factor: f64,
     },
     /// The origin answers that it failed.
-    OriginRefuses,
+    FailingOrigin,
     /// Every object is purged.
     PurgeAll,
-    /// So many objects a second are asked for that nobody asks for again.
+    /// Objects are asked for that nobody asks for again.
     Scan {
-        /// Requests a second.
-        rate: f64,
+        /// Objects a second.
+        requests_per_s: f64,
     },
-    /// So large a part of all requests goes to one object.
-    Hot {
-        /// The part, from 0 to 1.
-        part: f64,
+    /// A fraction of all requests goes to one object.
+    HotObject {
+        /// From 0 to 1.
+        fraction: f64,
     },
-    /// All load is so many times as high.
+    /// All load rises.
     Overload {
-        /// The factor.
-        times: f64,
+        /// How many times as high it is.
+        factor: f64,
     },
-    /// So large a part of the forwarders is killed; they start again at once.
-    KillForwarders {
-        /// The part, from 0 to 1.
-        part: f64,
+    /// A fraction of the forwarders is killed; they restart at once.
+    ForwarderCrash {
+        /// From 0 to 1.
+        fraction: f64,
     },
-    /// All planners say nothing.
+    /// No planner sends anything.
     SilentPlanners,
     /// Each forwarder hears only one planner, every other one another.
-    SplitPlanners,
+    PartitionedPlanners,
 }
 
 /// One fault of a day.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// Milliseconds from the beginning of the day.
+    /// When it begins, in milliseconds of the run.
     pub at_ms: f64,
     /// Milliseconds until it ends.
-    pub lasts_ms: f64,
+    pub duration_ms: f64,
     /// What goes wrong.
     pub kind: FaultKind,
 }
@@ -113,63 +115,84 @@
 ];
 
 impl FaultKind {
-    /// The kind of that kind, whose strengths are asked for by their words: part, times, at-once, zone, ms, rate.
-    /// None for an unknown kind.
-    pub fn of(kind: &str, mut ask: impl FnMut(&'static str) -> f64) -> Option<FaultKind> {
-        Some(match kind {
-            "die" => FaultKind::Die { part: ask("part") },
-            "deploy" => FaultKind::Deploy {
-                at_once: ask("at-once") as usize,
+    /// The kind of a name out of [`KINDS`], whose parameters are asked for by their words in files: part, times, at-once,
+    /// zone, ms, rate. None for an unknown name.
+    pub fn from_name(
+        name: &str,
+        mut parameter: impl FnMut(&'static str) -> f64,
+    ) -> Option<FaultKind> {
+        Some(match name {
+            "die" => FaultKind::HostCrash {
+                fraction: parameter("part"),
             },
-            "late-register" => FaultKind::LateRegister { ms: ask("ms") },
-            "lost-zone" => FaultKind::LostZone {
-                zone: ask("zone") as usize,
+            "deploy" => FaultKind::RollingRestart {
+                batch: parameter("at-once") as usize,
             },
-            "lost-hub" => FaultKind::LostHub,
-            "hang" => FaultKind::Hang { part: ask("part") },
-            "fail" => FaultKind::Fail { part: ask("part") },
-            "slow" => FaultKind::Slow {
-                part: ask("part"),
-                times: ask("times"),
+            "late-register" => FaultKind::CoordinatorDelay {
+                added_ms: parameter("ms"),
+            },
+            "lost-zone" => FaultKind::ZoneLoss {
+                zone: parameter("zone") as usize,
+            },
+            "lost-hub" => FaultKind::ParentLoss,
+            "hang" => FaultKind::SilentCaches {
+                fraction: parameter("part"),
+            },
+            "fail" => FaultKind::FailingCaches {
+                fraction: parameter("part"),
+            },
+            "slow" => FaultKind::SlowCaches {
+                fraction: parameter("part"),
+                factor: parameter("times"),
             },
             "slow-origin" => FaultKind::SlowOrigin {
-                times: ask("times"),
+                factor: parameter("times"),
             },
-            "origin-refuses" => FaultKind::OriginRefuses,
+            "origin-refuses" => FaultKind::FailingOrigin,
             "purge-all" => FaultKind::PurgeAll,
-            "scan" => FaultKind::Scan { rate: ask("rate") },
-            "hot" => FaultKind::Hot { part: ask("part") },
+            "scan" => FaultKind::Scan {
+                requests_per_s: parameter("rate"),
+            },
+            "hot" => FaultKind::HotObject {
+                fraction: parameter("part"),
+            },
             "overload" => FaultKind::Overload {
-                times: ask("times"),
+                factor: parameter("times"),
+            },
+            "kill-forwarders" => FaultKind::ForwarderCrash {
+                fraction: parameter("part"),
             },
-            "kill-forwarders" => FaultKind::KillForwarders { part: ask("part") },
             "silent-planners" => FaultKind::SilentPlanners,
-            "split-planners" => FaultKind::SplitPlanners,
+            "split-planners" => FaultKind::PartitionedPlanners,
             _ => return None,
         })
     }
 }
 
-/// One fault of a kind with its strength drawn, within a day of that length; none for an unknown kind.
-pub fn draw(kind: &str, zones: usize, day_ms: f64, chance: &mut Pcg64Mcg) -> Option<Fault> {
-    let part = chance.random_range(0.15..0.35);
-    let times = chance.random_range(2.0..6.0);
-    let kind = FaultKind::of(kind, |what| match (what, kind) {
-        ("part", "die") => 0.2,
-        ("part", "kill-forwarders") => 0.5,
-        ("part", _) => part,
-        ("times", "overload") => chance.random_range(1.3..2.0),
-        ("times", _) => times,
-        ("at-once", _) => f64::from(chance.random_range(1..3)),
-        ("zone", _) => chance.random_range(0..zones.max(1)) as f64,
-        ("ms", _) => chance.random_range(2_000.0..6_000.0),
-        _ => chance.random_range(20.0..80.0),
-    })?;
-    let at_ms = day_ms * chance.random_range(0.25..0.45);
-    let lasts_ms = day_ms * chance.random_range(0.2..0.35);
-    Some(Fault {
-        at_ms,
-        lasts_ms,
-        kind,
-    })
+impl Fault {
+    /// A fault of a kind out of [`KINDS`] with its parameters and time drawn, within a run of that length; none for an
+    /// unknown kind.
+    pub fn draw(kind: &str, zones: usize, run_ms: f64, rng: &mut Pcg64Mcg) -> Option<Fault> {
+        // Drawn for every kind, so that the same seed gives the same times whatever the kind.
+        let fraction = rng.random_range(0.15..0.35);
+        let factor = rng.random_range(2.0..6.0);
+        let kind = FaultKind::from_name(kind, |word| match (word, kind) {
+            ("part", "die") => 0.2,
+            ("part", "kill-forwarders") => 0.5,
+            ("part", _) => fraction,
+            ("times", "overload") => rng.random_range(1.3..2.0),
+            ("times", _) => factor,
+            ("at-once", _) => f64::from(rng.random_range(1..3)),
+            ("zone", _) => rng.random_range(0..zones.max(1)) as f64,
+            ("ms", _) => rng.random_range(2_000.0..6_000.0),
+            _ => rng.random_range(20.0..80.0),
+        })?;
+        let at_ms = run_ms * rng.random_range(0.25..0.45);
+        let duration_ms = run_ms * rng.random_range(0.2..0.35);
+        Some(Fault {
+            at_ms,
+            duration_ms,
+            kind,
+        })
+    }
 }
--- a/crates/flaxdeck-fleet/src/lib.rs
+++ b/crates/flaxdeck-fleet/src/lib.rs
@@ -1,19 +1,28 @@
-//! A model of the whole fleet in virtual time: clients, forwarders with the real decisions, planners with the real
-//! guidance, hosts, links, a late coordinator, faults. One event queue, one thread, one source of chance: the same shape
-//! and seed give the same run. Assumptions and limits are in `docs/comparing.md`.
-
-#![warn(missing_docs)]
+//! A model of the whole fleet in virtual time: clients, forwarders with the real decision engine, planners with the real
+//! guidance, hosts, links, a late coordinator, faults. One event queue, one thread, one seeded source of randomness: the
+//! same scenario and seed give the same run. Assumptions and limits are in `docs/comparing.md`.
+//!
+//! [`run`] plays a [`Scenario`] and gives its [`Outcome`]:
+//!
+//! ```
+//! use flaxdeck_fleet::{Scenario, run};
+//!
+//! let scenario = Scenario { duration_ms: 500.0, zones: 1, ..Scenario::default() };
+//! let outcome = run(&scenario, 7);
+//! assert_eq!(outcome.operations, outcome.in_time + outcome.late + outcome.lost);
+//! ```
 
+pub mod cache;
 pub mod faults;
-pub mod hosts;
-pub mod links;
-pub mod model;
+pub mod host;
+pub mod link;
+mod model;
 pub mod outcome;
 pub mod queue;
-pub mod shape;
+pub mod scenario;
 pub mod traffic;
 
 pub use faults::{Fault, FaultKind};
 pub use model::run;
 pub use outcome::Outcome;
-pub use shape::Shape;
+pub use scenario::Scenario;
--- a/crates/flaxdeck-fleet/src/model.rs
+++ b/crates/flaxdeck-fleet/src/model.rs
@@ -1,8 +1,9 @@
 //! The run itself: the state of the whole fleet, and the loop that takes its events one by one.
 //!
 //! Each module below does one job on that state: `build` makes it, `events` says what can happen and who handles it,
-//! `clients` and `attempts` follow a request, `service`, `fills` and `sites` are the hosts and links, `forwarders`,
-//! `decisions`, `planners` and `coordinator` the control side, `faults` the faults and `record` what is kept.
+//! `clients` and `attempts` follow a request, `service`, `fills` and `links` are the hosts and links, `deployment`,
+//! `forwarders`, `decisions`, `planners` and `coordinator` the control side, `fault_effects` the faults and `record` the
+//! results.
 
 use std::collections::HashMap;
 
@@ -11,60 +12,60 @@
 use flaxdeck_invariants::RecordEntry;
 use rand_pcg::Pcg64Mcg;
 
-pub use crate::outcome::Outcome;
-pub use crate::shape::Shape;
-
-use crate::hosts::Host;
-use crate::queue::Queue;
+use crate::host::Host;
+use crate::outcome::Outcome;
+use crate::queue::EventQueue;
+use crate::scenario::Scenario;
 use crate::traffic::Traffic;
 use attempts::OpenAttempt;
-use clients::Want;
+use clients::Operation;
 use coordinator::CoordinatorEvent;
 use events::Event;
 use fault_effects::Conditions;
 use forwarders::Forwarder;
-use sites::Site;
+use links::ZoneLink;
 
 mod attempts;
 mod build;
 mod clients;
 mod coordinator;
 mod decisions;
+mod deployment;
 mod events;
 mod fault_effects;
 mod fills;
 mod forwarders;
+mod links;
 mod planners;
 mod record;
 mod service;
-mod sites;
 
 /// The fleet's clock begins here, so that what is "long past" has room before it.
 const EPOCH_MS: f64 = 1_000_000.0;
 /// Groups that objects are purged by.
 const GROUPS: u64 = 16;
 
-/// The state of one run. Hosts, forwarders, planners and sites are named by their places in its lists, attempts and
-/// wants by their numbers.
+/// The state of one run. Hosts, forwarders, planners and zones are named by their indices in its lists, operations by
+/// the order in which they began, attempts and requests by their ids.
 struct Model<'a> {
-    shape: &'a Shape,
+    scenario: &'a Scenario,
     /// Milliseconds since the beginning.
     now: f64,
-    queue: Queue<Event>,
-    chance: Pcg64Mcg,
+    queue: EventQueue<Event>,
+    rng: Pcg64Mcg,
     traffic: Traffic,
     hosts: Vec<Host>,
-    /// Places of hosts by their names.
-    names: HashMap<String, usize>,
+    /// The index of each host by its id.
+    host_indices: HashMap<String, usize>,
     forwarders: Vec<Forwarder>,
     planners: Vec<Planner>,
-    sites: Vec<Site>,
-    wants: Vec<Want>,
+    zone_links: Vec<ZoneLink>,
+    operations: Vec<Operation>,
     attempts: HashMap<u64, OpenAttempt>,
-    /// The want of each request.
+    /// The operation of each request, by the request's id.
     requests: HashMap<u64, u64>,
-    /// The next number of a request or an attempt.
-    next: u64,
+    /// The next id of a request or an attempt.
+    next_id: u64,
     /// What the coordinator has published, in order.
     coordinator_events: Vec<CoordinatorEvent>,
     conditions: Conditions,
@@ -83,9 +84,9 @@
     time.ms() - EPOCH_MS
 }
 
-/// Plays a shape's day.
-pub fn run(shape: &Shape, seed: u64) -> Outcome {
-    let mut model = Model::new(shape, seed);
+/// Plays a scenario; the same seed gives the same outcome.
+pub fn run(scenario: &Scenario, seed: u64) -> Outcome {
+    let mut model = Model::new(scenario, seed);
     model.play();
     model.finish()
 }
@@ -93,10 +94,11 @@
 impl Model<'_> {
     /// Takes events until none is left, or until long after the last client has given up.
     fn play(&mut self) {
-        let shape = self.shape;
-        let end = shape.day_ms + shape.wait_ms * f64::from(shape.tries) * 2.0;
-        while let Some((at, event)) = self.queue.take() {
-            self.now = at as f64 / 1000.0;
+        let scenario = self.scenario;
+        let patience_ms = scenario.client_timeout_ms * f64::from(scenario.max_tries);
+        let end = scenario.duration_ms + patience_ms * 2.0;
+        while let Some((at_us, event)) = self.queue.pop() {
+            self.now = at_us as f64 / 1000.0;
             if self.now > end {
                 break;
             }
@@ -105,16 +107,16 @@
         }
     }
 
-    /// Plans an event for so many milliseconds from now.
-    fn after(&mut self, ms: f64, event: Event) {
-        let at = (self.now + ms.max(0.0)) * 1000.0;
-        self.queue.put(at.round() as u64, event);
+    /// Schedules an event for so many milliseconds from now.
+    fn schedule(&mut self, after_ms: f64, event: Event) {
+        let at_us = (self.now + after_ms.max(0.0)) * 1000.0;
+        self.queue.push(at_us.round() as u64, event);
     }
 
-    /// The next number of a request or an attempt.
-    fn number(&mut self) -> u64 {
-        let number = self.next;
-        self.next += 1;
-        number
+    /// The next id of a request or an attempt.
+    fn next_id(&mut self) -> u64 {
+        let id = self.next_id;
+        self.next_id += 1;
+        id
     }
 }
--- a/crates/flaxdeck-fleet/src/model/build.rs
+++ b/crates/flaxdeck-fleet/src/model/build.rs
@@ -10,116 +10,119 @@
 
 use super::events::Event;
 use super::fault_effects::Conditions;
+use super::links::{SAMPLE_MS, ZoneLink};
 use super::planners::lease_terms;
-use super::sites::{SAMPLE_MS, Site};
-use super::{Model, Outcome, Shape, time};
-use crate::hosts::{Host, Kind};
-use crate::queue::Queue;
+use super::{Model, time};
+use crate::host::{Host, HostKind};
+use crate::outcome::Outcome;
+use crate::queue::EventQueue;
+use crate::scenario::Scenario;
 use crate::traffic::Traffic;
 
-/// The hosts of a shape: caches by location, then parents, the origin last.
-fn hosts(shape: &Shape) -> Vec<Host> {
-    let [cache_places, parent_places, origin_places] = shape.places;
-    let [cache_kb, parent_kb] = shape.keeps_kb;
+/// The zone of hosts that serve all zones.
+const NO_ZONE: usize = usize::MAX;
+/// Ids of caches are numbered from here, ...
+const FIRST_CACHE_ID: usize = 0xca00;
+/// ... each zone's so far from the next one's; ids of parents from here.
+const CACHE_IDS_PER_ZONE: usize = 256;
+const FIRST_PARENT_ID: usize = 0x9a_0000;
+const ORIGIN_ID: usize = 1;
+
+fn host_id(number: usize) -> String {
+    format!("s-{number:08x}")
+}
+
+/// The hosts of a scenario: caches by zone, then parents, the origin last.
+fn hosts(scenario: &Scenario) -> Vec<Host> {
+    let slots = scenario.slots;
     let mut hosts = Vec::new();
-    for zone in 0..shape.zones {
-        for n in 0..shape.caches {
-            let id = format!("s-{:08x}", 0xca00 + zone * 256 + n);
-            hosts.push(Host::new(id, Kind::Cache, zone, cache_places, cache_kb));
+    for zone in 0..scenario.zones {
+        for n in 0..scenario.caches_per_zone {
+            let id = host_id(FIRST_CACHE_ID + zone * CACHE_IDS_PER_ZONE + n);
+            let cache = Host::new(id, HostKind::Cache, zone, slots.cache, scenario.cache_kb);
+            hosts.push(cache);
         }
     }
-    for n in 0..shape.parents {
-        let id = format!("s-{:08x}", 0x9a0000 + n);
-        hosts.push(Host::new(
-            id,
-            Kind::Parent,
-            usize::MAX,
-            parent_places,
-            parent_kb,
-        ));
+    for n in 0..scenario.parents {
+        let (id, kb) = (host_id(FIRST_PARENT_ID + n), scenario.parent_kb);
+        hosts.push(Host::new(id, HostKind::Parent, NO_ZONE, slots.parent, kb));
     }
-    hosts.push(Host::new(
-        "s-00000001".into(),
-        Kind::Origin,
-        usize::MAX,
-        origin_places,
-        0.0,
-    ));
+    let id = host_id(ORIGIN_ID);
+    hosts.push(Host::new(id, HostKind::Origin, NO_ZONE, slots.origin, 0.0));
     hosts
 }
 
-/// The planners of a shape, which know all its hosts.
-fn planners(shape: &Shape, hosts: &[Host]) -> Vec<Planner> {
+/// The planners of a scenario, which know all its hosts.
+fn planners(scenario: &Scenario, hosts: &[Host]) -> Vec<Planner> {
     let start = |n: usize| {
         Planner::start(
             time(0.0),
             Epoch(n as u64 + 1),
-            lease_terms(shape.window_ms),
+            lease_terms(scenario.load_window_ms),
             QuotaFraction::NONE,
         )
     };
-    let mut planners: Vec<Planner> = (0..shape.planners).map(start).collect();
+    let mut planners: Vec<Planner> = (0..scenario.planners).map(start).collect();
     for host in hosts {
-        planners
-            .iter_mut()
-            .for_each(|planner| planner.listed(time(0.0), &host.id, Some(0)));
+        for planner in &mut planners {
+            planner.listed(time(0.0), &host.id, Some(0));
+        }
     }
     planners
 }
 
 impl Model<'_> {
-    /// The fleet of a shape, with its forwarders started and its first events planned.
-    pub(super) fn new(shape: &Shape, seed: u64) -> Model<'_> {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let traffic = Traffic::new(shape.law.clone(), &mut chance);
-        let hosts = hosts(shape);
-        let names = hosts
-            .iter()
-            .enumerate()
-            .map(|(at, host)| (host.id.clone(), at))
-            .collect();
-        let planners = planners(shape, &hosts);
+    /// The fleet of a scenario, with its forwarders started and its first events scheduled.
+    pub(super) fn new(scenario: &Scenario, seed: u64) -> Model<'_> {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let traffic = Traffic::new(scenario.traffic.clone(), &mut rng);
+        let hosts = hosts(scenario);
+        let ids = hosts.iter().map(|host| host.id.clone());
+        let host_indices = ids.zip(0..).collect();
+        let planners = planners(scenario, &hosts);
+        let zone_link = |_| ZoneLink::new(scenario.link_kb_per_ms);
         let mut model = Model {
-            shape,
+            scenario,
             now: 0.0,
-            queue: Queue::default(),
-            chance,
+            queue: EventQueue::default(),
+            rng,
             traffic,
             hosts,
-            names,
+            host_indices,
             forwarders: Vec::new(),
             planners,
-            sites: (0..shape.zones)
-                .map(|_| Site::new(shape.link_pace))
-                .collect(),
-            wants: Vec::new(),
+            zone_links: (0..scenario.zones).map(zone_link).collect(),
+            operations: Vec::new(),
             attempts: HashMap::new(),
             requests: HashMap::new(),
-            next: 0,
+            next_id: 0,
             coordinator_events: Vec::new(),
-            conditions: Conditions::usual(shape),
+            conditions: Conditions::usual(scenario),
             outcome: Outcome::default(),
             record: Vec::new(),
         };
         model.start_forwarders();
-        model.plan_first_events();
+        model.schedule_first_events();
         model
     }
 
     fn start_forwarders(&mut self) {
-        for n in 0..self.shape.zones * self.shape.forwarders {
-            let forwarder = self.forwarder(n, 0);
+        for index in 0..self.scenario.zones * self.scenario.forwarders_per_zone {
+            let forwarder = self.new_forwarder(index, 0);
             self.forwarders.push(forwarder);
-            self.listen(n);
+            self.receive_full_list(index);
         }
     }
 
-    fn plan_first_events(&mut self) {
-        (0..self.shape.zones).for_each(|zone| self.after(0.0, Event::Arrival { zone }));
-        self.after(SAMPLE_MS, Event::Samples);
-        for (at, fault) in self.shape.faults.iter().enumerate() {
-            self.after(fault.at_ms, Event::FaultBegins { fault: at });
-            self.after(fault.at_ms + fault.lasts_ms, Event::FaultEnds { fault: at });
+    fn schedule_first_events(&mut self) {
+        for zone in 0..self.scenario.zones {
+            self.schedule(0.0, Event::Arrival { zone });
+        }
+        self.schedule(SAMPLE_MS, Event::LoadSample);
+        for (index, fault) in self.scenario.faults.iter().enumerate() {
+            let end_ms = fault.at_ms + fault.duration_ms;
+            self.schedule(fault.at_ms, Event::FaultStarts { fault: index });
+            self.schedule(end_ms, Event::FaultEnds { fault: index });
         }
     }
 }
--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -1,176 +1,187 @@
-//! Clients: what they want, their tries for it, and how each try ends for them.
+//! Clients: the operations that they want done, the requests that they send for each, and how each request ends.
 
 use flaxdeck::{ClassId, GroupId, ObjectId, Request, RequestId, Span};
 use flaxdeck_invariants::{FinalAnswer, RecordedEvent};
 use rand::Rng;
 
+use super::deployment::{OBJECTIVE_MS, OBJECTIVE_STRETCH};
 use super::events::Event;
 use super::forwarders::OpenRequest;
 use super::{GROUPS, Model, time};
 
-/// The latency objective of any request, in milliseconds, ...
-pub(super) const OBJECTIVE_MS: u64 = 400;
-/// ... to which so many times the time is added that a place takes to send it.
-pub(super) const STRETCH: f64 = 2.0;
-/// What a write sends.
+/// KB that a write sends.
 const WRITE_KB: f64 = 5.0;
+/// The object that a fault makes hot_fraction: the most popular one.
+const HOT_OBJECT: u64 = 0;
 /// Objects of scans are numbered from here, past all that the traffic's law knows.
-const SCANNED_FROM: u64 = 1_000_000_000;
-/// Milliseconds until a client retries: after a try without an answer, ...
+const FIRST_SCANNED_OBJECT: u64 = 1_000_000_000;
+/// Milliseconds until a client retries: after a request without an answer, ...
 const RETRY_AFTER_TIMEOUT_MS: f64 = 100.0;
 /// ... after one that failed, or was rejected without a time, ...
 const RETRY_AFTER_FAILURE_MS: f64 = 200.0;
 /// ... and after its forwarder died.
-pub(super) const RETRY_AFTER_LOST_FORWARDER_MS: f64 = 300.0;
+const RETRY_AFTER_LOST_FORWARDER_MS: f64 = 300.0;
 
-/// What a client wants, and how far it has got.
-pub(super) struct Want {
+/// What a client wants done, and how far it has got.
+pub(super) struct Operation {
     pub(super) zone: usize,
     pub(super) object: u64,
     pub(super) kb: f64,
     pub(super) write: bool,
-    /// When the latency objective of its first try is past.
-    pub(super) objective: f64,
+    /// When the latency objective of its first request is past.
+    pub(super) objective_ms: f64,
+    /// Requests sent so far.
     pub(super) tries: u32,
-    /// Its attempts, over all tries.
+    /// The attempts of all its requests.
     pub(super) attempts: Vec<u64>,
-    /// The try that is out.
-    pub(super) out: Option<Try>,
-    pub(super) over: bool,
+    /// The request that waits for its answer.
+    pub(super) pending: Option<PendingRequest>,
+    /// Served or given up.
+    pub(super) ended: bool,
     pub(super) served: bool,
 }
 
-/// A client's try: the forwarder that has it, in which run, and as which request.
+/// A request without an answer: the forwarder that has it, and in which incarnation.
 #[derive(Clone, Copy)]
-pub(super) struct Try {
+pub(super) struct PendingRequest {
     forwarder: usize,
-    run: u32,
+    incarnation: u32,
     request: RequestId,
 }
 
 impl Model<'_> {
-    /// The next client of a location comes, and plans the one after it.
-    pub(super) fn client_comes(&mut self, zone: usize) {
-        if self.now >= self.shape.day_ms {
+    /// The next client of a zone comes; schedules the one after it.
+    pub(super) fn client_arrives(&mut self, zone: usize) {
+        if self.now >= self.scenario.duration_ms {
             return;
         }
-        let gap = self.traffic.gap(self.conditions.load, &mut self.chance);
-        self.after(gap, Event::Arrival { zone });
-        let hot = self.conditions.hot > 0.0 && self.chance.random_bool(self.conditions.hot);
+        let gap = self
+            .traffic
+            .next_gap_ms(self.conditions.load_factor, &mut self.rng);
+        self.schedule(gap, Event::Arrival { zone });
+        let hot_fraction = self.conditions.hot_fraction;
+        let hot = hot_fraction > 0.0 && self.rng.random_bool(hot_fraction);
         let object = if hot {
-            0
+            HOT_OBJECT
         } else {
-            self.traffic.object(&mut self.chance)
+            self.traffic.draw_object(&mut self.rng)
         };
-        let write = self.traffic.writes(&mut self.chance);
-        self.want(zone, object, write);
+        let write = self.traffic.draw_write(&mut self.rng);
+        self.start_operation(zone, object, write);
     }
 
     /// The next client of a scan comes, while it lasts.
-    pub(super) fn scan_comes(&mut self) {
-        if self.conditions.scan_rate <= 0.0 {
+    pub(super) fn scan_request(&mut self) {
+        if self.conditions.scan_per_s <= 0.0 {
             return;
         }
-        let gap = 1_000.0 / self.conditions.scan_rate;
-        self.after(gap, Event::Scan);
+        let gap = 1_000.0 / self.conditions.scan_per_s;
+        self.schedule(gap, Event::Scan);
         self.conditions.scanned += 1;
-        let zone = self.chance.random_range(0..self.shape.zones);
-        self.want(zone, SCANNED_FROM + self.conditions.scanned, false);
+        let zone = self.rng.random_range(0..self.scenario.zones);
+        self.start_operation(zone, FIRST_SCANNED_OBJECT + self.conditions.scanned, false);
     }
 
-    fn want(&mut self, zone: usize, object: u64, write: bool) {
+    fn start_operation(&mut self, zone: usize, object: u64, write: bool) {
         let kb = if write {
             WRITE_KB
         } else {
-            self.traffic.kb(object)
+            self.traffic.size_kb(object)
         };
-        let objective = self.now + OBJECTIVE_MS as f64 + STRETCH * kb / self.shape.place_pace;
-        self.wants.push(Want {
+        let objective_ms =
+            self.now + OBJECTIVE_MS as f64 + OBJECTIVE_STRETCH * kb / self.scenario.slot_kb_per_ms;
+        self.operations.push(Operation {
             zone,
             object,
             kb,
             write,
-            objective,
+            objective_ms,
             tries: 0,
             attempts: Vec::new(),
-            out: None,
-            over: false,
+            pending: None,
+            ended: false,
             served: false,
         });
-        self.outcome.wants += 1;
-        self.try_want(self.wants.len() as u64 - 1);
+        self.outcome.operations += 1;
+        self.send_request(self.operations.len() as u64 - 1);
     }
 
-    /// A client asks one of its location's forwarders.
-    pub(super) fn try_want(&mut self, id: u64) {
-        let place = self.chance.random_range(0..self.shape.forwarders);
-        let want = &mut self.wants[id as usize];
-        if want.over {
+    /// A client sends a request for an operation to one of its zone's forwarders.
+    pub(super) fn send_request(&mut self, id: u64) {
+        let in_zone = self.rng.random_range(0..self.scenario.forwarders_per_zone);
+        let operation = &mut self.operations[id as usize];
+        if operation.ended {
             return;
         }
-        want.tries += 1;
-        let (tries, forwarder) = (want.tries, want.zone * self.shape.forwarders + place);
-        let request = RequestId(self.number());
-        let run = self.forwarders[forwarder].run;
-        self.wants[id as usize].out = Some(Try {
+        operation.tries += 1;
+        let tries = operation.tries;
+        let forwarder = operation.zone * self.scenario.forwarders_per_zone + in_zone;
+        let request = RequestId(self.next_id());
+        let incarnation = self.forwarders[forwarder].incarnation;
+        self.operations[id as usize].pending = Some(PendingRequest {
             forwarder,
-            run,
+            incarnation,
             request,
         });
+        self.requests.insert(request.0, id);
         self.outcome.requests += 1;
-        let by = self.now + self.shape.wait_ms;
-        self.see(RecordedEvent::RequestSent {
+        let timeout_ms = self.scenario.client_timeout_ms;
+        let deadline_ms = self.now + timeout_ms;
+        self.record_event(RecordedEvent::RequestSent {
             request: request.0.to_string(),
-            deadline_ms: by,
+            deadline_ms,
         });
-        self.after(self.shape.wait_ms, Event::ClientStops { want: id, tries });
-        self.forwarders[forwarder].open.insert(
-            request,
-            OpenRequest {
-                want: id,
-                attempts: 0,
+        self.schedule(
+            timeout_ms,
+            Event::ClientTimeout {
+                operation: id,
+                tries,
             },
         );
-        self.requests.insert(request.0, id);
-        let told = self.request(request, id);
+        let open = OpenRequest {
+            operation: id,
+            attempts: 0,
+        };
+        self.forwarders[forwarder].open.insert(request, open);
+        let described = self.describe_request(request, id);
         let decisions = self.forwarders[forwarder]
             .engine
-            .request(time(self.now), told);
+            .request(time(self.now), described);
         self.decide(forwarder, decisions);
     }
 
-    /// What the forwarder is told of a try.
-    fn request(&self, id: RequestId, want: u64) -> Request {
-        let want = &self.wants[want as usize];
+    /// A request as its forwarder learns of it.
+    fn describe_request(&self, id: RequestId, operation: u64) -> Request {
+        let operation = &self.operations[operation as usize];
         Request {
             id,
-            class: ClassId(usize::from(want.write)),
-            object: ObjectId(want.object),
+            class: ClassId(usize::from(operation.write)),
+            object: ObjectId(operation.object),
             part: 0,
-            group: GroupId(want.object % GROUPS),
-            size_kb: Some(want.kb),
-            deadline: time(self.now + self.shape.wait_ms),
-            again: want.tries > 1,
+            group: GroupId(operation.object % GROUPS),
+            size_kb: Some(operation.kb),
+            deadline: time(self.now + self.scenario.client_timeout_ms),
+            again: operation.tries > 1,
         }
     }
 
-    /// A client waits no longer: it hangs up if the try has no answer yet, and goes on to the next.
-    pub(super) fn client_stops(&mut self, id: u64, tries: u32) {
-        let want = &mut self.wants[id as usize];
-        if want.over || want.tries != tries {
+    /// A client waits no longer: it hangs up if its request has no answer yet, and retries.
+    pub(super) fn client_times_out(&mut self, id: u64, tries: u32) {
+        let operation = &mut self.operations[id as usize];
+        if operation.ended || operation.tries != tries {
             return;
         }
-        // This try had its answer, and the next one waits for its time.
-        let Some(Try {
+        // This request had its answer, and the next one waits for its time.
+        let Some(PendingRequest {
             forwarder,
-            run,
+            incarnation,
             request,
-        }) = want.out.take()
+        }) = operation.pending.take()
         else {
             return;
         };
-        // Unanswered on a whole connection: the record shows it.
-        if self.forwarders[forwarder].run == run
+        // Unanswered on a connection that stands: the record shows it.
+        if self.forwarders[forwarder].incarnation == incarnation
             && self.forwarders[forwarder].open.remove(&request).is_some()
         {
             let decisions = self.forwarders[forwarder]
@@ -182,19 +193,24 @@
     }
 
     /// The client retries after a while, or gives up once it has tried often enough.
-    pub(super) fn retry(&mut self, id: u64, after_ms: f64) {
-        let want = &mut self.wants[id as usize];
-        want.out = None;
-        if want.tries >= self.shape.tries {
+    fn retry(&mut self, id: u64, after_ms: f64) {
+        let operation = &mut self.operations[id as usize];
+        operation.pending = None;
+        if operation.tries >= self.scenario.max_tries {
             return self.give_up(id);
         }
-        let jitter = self.chance.random_range(0.8..1.2);
-        self.after(after_ms * jitter, Event::Try { want: id });
+        let jitter = self.rng.random_range(0.8..1.2);
+        self.schedule(after_ms * jitter, Event::Retry { operation: id });
+    }
+
+    /// The client of a forwarder that crashed has lost its connection.
+    pub(super) fn retry_after_lost_forwarder(&mut self, id: u64) {
+        self.retry_unless_write(id, RETRY_AFTER_LOST_FORWARDER_MS);
     }
 
     /// Retries a read; a write that may have run is not retried.
-    pub(super) fn retry_unless_write(&mut self, id: u64, after_ms: f64) {
-        if self.wants[id as usize].write {
+    fn retry_unless_write(&mut self, id: u64, after_ms: f64) {
+        if self.operations[id as usize].write {
             self.give_up(id);
         } else {
             self.retry(id, after_ms);
@@ -202,44 +218,49 @@
     }
 
     fn give_up(&mut self, id: u64) {
-        self.wants[id as usize].over = true;
+        self.operations[id as usize].ended = true;
         self.outcome.lost += 1;
     }
 
     /// A forwarder answers a request, unless it had its answer before.
-    pub(super) fn answered(
+    pub(super) fn answer(
         &mut self,
-        n: usize,
+        forwarder: usize,
         request: RequestId,
-        how: FinalAnswer,
+        answer: FinalAnswer,
         retry_after: Option<Span>,
     ) {
-        let Some(OpenRequest { want, .. }) = self.forwarders[n].open.remove(&request) else {
+        let Some(OpenRequest { operation, .. }) = self.forwarders[forwarder].open.remove(&request)
+        else {
             return;
         };
-        self.see(RecordedEvent::Answered {
+        self.record_event(RecordedEvent::Answered {
             request: request.0.to_string(),
-            answer: how,
+            answer,
         });
-        self.note([request.0, how as u64, (self.now * 1000.0) as u64]);
-        match how {
-            FinalAnswer::Served => self.want_served(want),
+        self.mix_into_digest([request.0, answer as u64, (self.now * 1000.0) as u64]);
+        match answer {
+            FinalAnswer::Served => self.operation_served(operation),
             FinalAnswer::Rejected => {
                 self.outcome.rejected += 1;
-                self.retry(want, retry_after.map_or(RETRY_AFTER_FAILURE_MS, Span::ms));
+                self.retry(
+                    operation,
+                    retry_after.map_or(RETRY_AFTER_FAILURE_MS, Span::ms),
+                );
             }
             FinalAnswer::Failed => {
                 self.outcome.failed += 1;
-                self.retry_unless_write(want, RETRY_AFTER_FAILURE_MS);
+                self.retry_unless_write(operation, RETRY_AFTER_FAILURE_MS);
             }
         }
     }
 
-    fn want_served(&mut self, id: u64) {
-        let want = &mut self.wants[id as usize];
-        (want.over, want.served) = (true, true);
+    fn operation_served(&mut self, id: u64) {
+        let operation = &mut self.operations[id as usize];
+        operation.ended = true;
+        operation.served = true;
         self.outcome.served += 1;
-        if self.now <= want.objective {
+        if self.now <= operation.objective_ms {
             self.outcome.in_time += 1;
         } else {
             self.outcome.late += 1;
--- a/crates/flaxdeck-fleet/src/model/coordinator.rs
+++ b/crates/flaxdeck-fleet/src/model/coordinator.rs
@@ -9,43 +9,47 @@
 
 use super::events::Event;
 use super::{GROUPS, Model, time};
-use crate::hosts::{FailureMode, Job, Kind};
+use crate::host::{FailureMode, HostKind, Job};
 
 /// Milliseconds by which an event reaches forwarders at different times.
 const JITTER_MS: f64 = 20.0;
 /// Milliseconds from a host's withdrawal to its restart.
 const DRAIN_MS: f64 = 1_500.0;
 
-/// An event of the coordinator; they are numbered from 1.
+/// An event of the coordinator; events are numbered from 1.
 #[derive(Clone)]
 pub(super) enum CoordinatorEvent {
     /// A host's endpoint has changed.
     Endpoint(Endpoint),
-    /// All that was made before that time is purged.
-    PurgeAll(f64),
+    /// All that was made before that time, in milliseconds, is purged.
+    PurgeAll { made_before_ms: f64 },
 }
 
 impl Model<'_> {
-    /// A host's endpoint.
-    pub(super) fn endpoint(&self, at: usize) -> Endpoint {
-        let host = &self.hosts[at];
+    /// A host's endpoint as the coordinator lists it.
+    pub(super) fn endpoint(&self, host: usize) -> Endpoint {
+        let host = &self.hosts[host];
         let role = match host.kind {
-            Kind::Cache => Role::Cache,
-            Kind::Parent => Role::Parent,
-            Kind::Origin => Role::Origin,
+            HostKind::Cache => Role::Cache,
+            HostKind::Parent => Role::Parent,
+            HostKind::Origin => Role::Origin,
+        };
+        let health = if host.up {
+            Health::InService
+        } else {
+            Health::Removed
         };
         Endpoint {
             host: HostId(host.id.as_str().into()),
-            weight: host.places,
-            zone: (host.kind == Kind::Cache).then_some(ZoneId(host.zone)),
+            weight: host.slots,
+            zone: (host.kind == HostKind::Cache).then_some(ZoneId(host.zone)),
             cell: CellId(0),
             role,
-            health: if host.up {
-                Health::InService
-            } else {
-                Health::Removed
-            },
-            started: host.started.map(|at| Time::at_ms(time(at).ms().floor())),
+            health,
+            // Lists hold whole milliseconds.
+            started: host
+                .started_ms
+                .map(|at_ms| Time::at_ms(time(at_ms).ms().floor())),
         }
     }
 
@@ -53,99 +57,102 @@
     pub(super) fn publish(&mut self, event: CoordinatorEvent) {
         self.coordinator_events.push(event);
         let number = self.coordinator_events.len() as u64;
-        let delay = self.conditions.coordinator_ms;
+        let delay_ms = self.conditions.coordinator_delay_ms;
         for forwarder in 0..self.forwarders.len() {
-            let jitter = self.chance.random_range(0.0..JITTER_MS);
-            self.after(delay + jitter, Event::ForwarderHears { forwarder, number });
+            let jitter_ms = self.rng.random_range(0.0..JITTER_MS);
+            let arrival = Event::CoordinatorToForwarder { forwarder, number };
+            self.schedule(delay_ms + jitter_ms, arrival);
         }
         for planner in 0..self.planners.len() {
-            self.after(delay, Event::PlannerHears { planner, number });
+            self.schedule(delay_ms, Event::CoordinatorToPlanner { planner, number });
         }
     }
 
-    /// A host is withdrawn, and starts again a while later.
-    pub(super) fn drain(&mut self, at: usize) {
+    /// Publishes a host's endpoint with that health.
+    fn publish_health(&mut self, host: usize, health: Health) {
         let endpoint = Endpoint {
-            health: Health::Draining,
-            ..self.endpoint(at)
+            health,
+            ..self.endpoint(host)
         };
-        self.see(RecordedEvent::HostWithdrawn {
-            host: self.hosts[at].id.clone(),
-        });
         self.publish(CoordinatorEvent::Endpoint(endpoint));
-        self.after(DRAIN_MS, Event::Restart { host: at });
     }
 
-    /// A host dies with all that it has in hand.
-    pub(super) fn kill(&mut self, at: usize) {
-        for job in self.hosts[at].die() {
+    /// A host is withdrawn, and restarts a while later.
+    pub(super) fn drain_host(&mut self, host: usize) {
+        self.record_event(RecordedEvent::HostWithdrawn {
+            host: self.hosts[host].id.clone(),
+        });
+        self.publish_health(host, Health::Draining);
+        self.schedule(DRAIN_MS, Event::Restart { host });
+    }
+
+    /// A host crashes with all that it has in hand.
+    pub(super) fn crash_host(&mut self, host: usize) {
+        for job in self.hosts[host].crash() {
             match job {
-                Job::Answer(id) => self.end(id, AttemptOutcome::Broken, FillOutcome::Nothing),
-                Job::Fill(id) | Job::Behind(id) => {
-                    self.fill_failed(id, FillOutcome::SourceUnreached)
+                Job::Answer(id) => {
+                    self.end_attempt(id, AttemptOutcome::Broken, FillOutcome::Nothing);
+                }
+                Job::FillCache(id) | Job::FillParent(id) => {
+                    self.fill_failed(id, FillOutcome::SourceUnreached);
                 }
             }
         }
-        let endpoint = Endpoint {
-            health: Health::Removed,
-            ..self.endpoint(at)
-        };
-        self.publish(CoordinatorEvent::Endpoint(endpoint));
+        self.publish_health(host, Health::Removed);
     }
 
     /// A host starts, cold.
-    pub(super) fn restart(&mut self, at: usize) {
-        if self.hosts[at].up {
-            self.kill(at);
+    pub(super) fn restart_host(&mut self, host: usize) {
+        if self.hosts[host].up {
+            self.crash_host(host);
         }
-        let host = &mut self.hosts[at];
-        (host.up, host.started, host.failure_mode) = (true, Some(self.now), FailureMode::Serve);
-        let id = host.id.clone();
-        self.see(RecordedEvent::HostStarted { host: id.clone() });
-        self.see(RecordedEvent::HostAnnounced { host: id });
-        let endpoint = self.endpoint(at);
-        self.publish(CoordinatorEvent::Endpoint(endpoint));
+        let state = &mut self.hosts[host];
+        state.up = true;
+        state.started_ms = Some(self.now);
+        state.failure_mode = FailureMode::Healthy;
+        let id = state.id.clone();
+        self.record_event(RecordedEvent::HostStarted { host: id.clone() });
+        self.record_event(RecordedEvent::HostAnnounced { host: id });
+        self.publish_health(host, Health::InService);
     }
 
     /// The event of that number reaches a forwarder; if it is new, so are those before it that it lacks.
-    pub(super) fn forwarder_hears(&mut self, n: usize, number: u64) {
-        let last = self.forwarders[n].last_event;
+    pub(super) fn forwarder_receives_event(&mut self, forwarder: usize, number: u64) {
+        let last = self.forwarders[forwarder].last_event;
         if number <= last {
             return;
         }
         for number in last + 1..=number {
-            self.apply(n, number);
+            self.apply_event(forwarder, number);
         }
         let now = time(self.now);
-        self.forwarders[n]
-            .guide
-            .iter_mut()
-            .for_each(|guide| guide.coordinator_heard(now));
+        if let Some(session) = &mut self.forwarders[forwarder].session {
+            session.coordinator_heard(now);
+        }
     }
 
     /// A forwarder applies the event of that number.
-    pub(super) fn apply(&mut self, n: usize, number: u64) {
-        self.forwarders[n].last_event = number;
+    pub(super) fn apply_event(&mut self, forwarder: usize, number: u64) {
+        let now = time(self.now);
+        self.forwarders[forwarder].last_event = number;
         match self.coordinator_events[number as usize - 1].clone() {
             CoordinatorEvent::Endpoint(endpoint) => {
-                let now = time(self.now);
-                let decisions =
-                    self.forwarders[n]
-                        .engine
-                        .list(now, ListKind::Delta, vec![endpoint]);
-                self.decide(n, decisions);
+                let engine = &mut self.forwarders[forwarder].engine;
+                let decisions = engine.list(now, ListKind::Delta, vec![endpoint]);
+                self.decide(forwarder, decisions);
+            }
+            CoordinatorEvent::PurgeAll { made_before_ms } => {
+                self.purge_groups(forwarder, time(made_before_ms));
             }
-            CoordinatorEvent::PurgeAll(made) => self.purge(n, time(made)),
         }
     }
 
-    fn purge(&mut self, n: usize, made: Time) {
+    fn purge_groups(&mut self, forwarder: usize, made_before: Time) {
+        let now = time(self.now);
         for group in 0..GROUPS {
-            let decisions =
-                self.forwarders[n]
-                    .engine
-                    .purge(time(self.now), None, GroupId(group), made);
-            self.decide(n, decisions);
+            let engine = &mut self.forwarders[forwarder].engine;
+            let decisions = engine.purge(now, None, GroupId(group), made_before);
+            self.decide(forwarder, decisions);
         }
     }
 }
--- a/crates/flaxdeck-fleet/src/model/decisions.rs
+++ b/crates/flaxdeck-fleet/src/model/decisions.rs
@@ -7,88 +7,91 @@
 use super::events::Event;
 use super::{Model, ms};
 
+/// Milliseconds until a decision engine wakes at the earliest: the event queue's grain.
+const MIN_WAKE_MS: f64 = 0.001;
+
 impl Model<'_> {
     /// Carries out decisions: cancellations first, then attempts, answers, and the next waking.
-    pub(super) fn decide(&mut self, n: usize, decisions: Decisions) {
-        decisions
-            .cancels
-            .into_iter()
-            .for_each(|cancel| self.cancel(&cancel));
-        decisions
-            .attempts
-            .into_iter()
-            .for_each(|attempt| self.begin_attempt(n, &attempt));
-        for last in decisions.finals {
-            match last {
+    pub(super) fn decide(&mut self, forwarder: usize, decisions: Decisions) {
+        for cancel in decisions.cancels {
+            self.cancel(&cancel);
+        }
+        for attempt in decisions.attempts {
+            self.start_attempt(forwarder, &attempt);
+        }
+        for answer in decisions.finals {
+            match answer {
                 Final::Rejected {
                     request,
                     retry_after,
-                } => {
-                    self.answered(n, request, FinalAnswer::Rejected, retry_after);
+                } => self.answer(forwarder, request, FinalAnswer::Rejected, retry_after),
+                Final::Failed { request } => {
+                    self.answer(forwarder, request, FinalAnswer::Failed, None);
                 }
-                Final::Failed { request } => self.answered(n, request, FinalAnswer::Failed, None),
             }
         }
-        // Every wish stands beside the earlier ones.
+        // Each wake-up stands beside the earlier ones.
         if let Some(wake) = decisions.wake {
-            let run = self.forwarders[n].run;
-            self.after(
-                (ms(wake) - self.now).max(0.001),
-                Event::Wake { forwarder: n, run },
-            );
+            let wake_up = Event::Wake {
+                forwarder,
+                incarnation: self.forwarders[forwarder].incarnation,
+            };
+            self.schedule((ms(wake) - self.now).max(MIN_WAKE_MS), wake_up);
         }
     }
 
     fn cancel(&mut self, cancel: &Cancel) {
-        let Some(want) = self.requests.get(&cancel.request.0) else {
+        let Some(operation) = self.requests.get(&cancel.request.0) else {
             return;
         };
-        for id in &self.wants[*want as usize].attempts {
+        for id in &self.operations[*operation as usize].attempts {
             let Some(attempt) = self.attempts.get_mut(id) else {
                 continue;
             };
-            if (attempt.request, attempt.index) == (cancel.request, cancel.index.0) {
+            if attempt.request == cancel.request && attempt.index == cancel.index.0 {
                 attempt.outcome = Some(AttemptOutcome::Cancelled);
             }
         }
     }
 
     /// A forwarder sends a request to a host.
-    fn begin_attempt(&mut self, n: usize, decided: &Attempt) {
-        let run = self.forwarders[n].run;
-        let Some(open) = self.forwarders[n].open.get_mut(&decided.request) else {
+    fn start_attempt(&mut self, forwarder: usize, decided: &Attempt) {
+        let incarnation = self.forwarders[forwarder].incarnation;
+        let Some(open) = self.forwarders[forwarder].open.get_mut(&decided.request) else {
             return;
         };
-        let (want, index) = (open.want, open.attempts);
+        let (operation, index) = (open.operation, open.attempts);
         open.attempts += 1;
-        let host = self.names[&*decided.host.0];
-        let source = self.names[&*decided.source.0];
-        let id = self.number();
+        let host = self.host_indices[&*decided.host.0];
+        let oldest_ms = match decided.oldest {
+            Some(age) => self.now - age.ms(),
+            None => f64::NEG_INFINITY,
+        };
+        let id = self.next_id();
         let attempt = OpenAttempt {
-            forwarder: n,
-            run,
+            forwarder,
+            incarnation,
             request: decided.request,
             index,
-            want,
+            operation,
             host,
-            source,
-            oldest: decided
-                .oldest
-                .map_or(f64::NEG_INFINITY, |age| self.now - age.ms()),
-            keep: decided.keep,
-            only_held: decided.only_held,
-            sent: self.now,
-            fill_begun: self.now,
-            waited: None,
+            source: self.host_indices[&*decided.source.0],
+            oldest_ms,
+            cache_rank: decided.keep,
+            only_cached: decided.only_held,
+            sent_ms: self.now,
+            fill_started_ms: self.now,
+            fill_took_ms: None,
             fill: FillOutcome::Nothing,
             outcome: None,
-            made: self.now,
-            through: None,
+            made_ms: self.now,
+            filling_parent: None,
         };
         self.outcome.attempts += 1;
         self.attempts.insert(id, attempt);
-        self.wants[want as usize].attempts.push(id);
-        self.after(self.distance(host), Event::AtHost { attempt: id });
-        self.after(decided.allow.ms(), Event::TimeUp { attempt: id });
+        self.operations[operation as usize].attempts.push(id);
+        let latency_ms = self.latency_ms(host);
+        self.schedule(latency_ms, Event::AttemptReachesHost { attempt: id });
+        self.schedule(decided.allow.ms(), Event::AttemptTimeout { attempt: id });
     }
 }
--- a/crates/flaxdeck-fleet/src/model/events.rs
+++ b/crates/flaxdeck-fleet/src/model/events.rs
@@ -4,69 +4,69 @@
 use flaxdeck_control::messages::{Guidance, Report};
 
 use super::{Model, time};
-use crate::hosts::Job;
+use crate::host::Job;
 
-/// What happens at one instant of a run. `run` counts the starts of a forwarder or host: what was planned before a
-/// restart no longer counts.
+/// What happens at one instant of a run. `incarnation` counts the starts of a forwarder or the crashes of a host: what was
+/// planned before one no longer counts.
 pub(super) enum Event {
-    /// The next client of a location comes.
+    /// The next client of a zone comes.
     Arrival { zone: usize },
     /// The next client of a scan comes.
     Scan,
     /// A client retries.
-    Try { want: u64 },
-    /// A client waits no longer for that try.
-    ClientStops { want: u64, tries: u32 },
+    Retry { operation: u64 },
+    /// A client waits no longer for the answer to that request of its operation.
+    ClientTimeout { operation: u64, tries: u32 },
     /// A forwarder's decision engine asked to be woken.
-    Wake { forwarder: usize, run: u32 },
+    Wake { forwarder: usize, incarnation: u32 },
     /// An attempt reaches its host.
-    AtHost { attempt: u64 },
+    AttemptReachesHost { attempt: u64 },
     /// An attempt's allowed time is up.
-    TimeUp { attempt: u64 },
-    /// A fill reaches its source: a parent or the origin, asked by a cache, or (`behind`) the origin, asked by a parent.
-    FillAt {
-        attempt: u64,
-        source: usize,
-        behind: bool,
-    },
+    AttemptTimeout { attempt: u64 },
+    /// A fill reaches its source.
+    FillReachesSource { source: usize, job: Job },
     /// A fill's source has said nothing for too long.
-    SourceSilent { attempt: u64 },
+    SourceTimeout { attempt: u64 },
     /// A host is done with a job.
-    Served { host: usize, run: u32, job: Job },
-    /// The next transfer of a location's link ends, unless another came or went since that turn.
-    TransferEnds { zone: usize, turn: u64 },
-    /// Word that an attempt has ended reaches its forwarder.
+    JobDone {
+        host: usize,
+        incarnation: u32,
+        job: Job,
+    },
+    /// The next transfer of a zone's link ends, unless another came or went since that version.
+    TransferEnds { zone: usize, version: u64 },
+    /// The end of an attempt reaches its forwarder.
     AttemptEnded { attempt: u64 },
     /// The coordinator's event of that number reaches a forwarder.
-    ForwarderHears { forwarder: usize, number: u64 },
+    CoordinatorToForwarder { forwarder: usize, number: u64 },
     /// The coordinator's event of that number reaches a planner.
-    PlannerHears { planner: usize, number: u64 },
+    CoordinatorToPlanner { planner: usize, number: u64 },
     /// A forwarder reports to all planners.
-    Report { forwarder: usize, run: u32 },
+    Report { forwarder: usize, incarnation: u32 },
     /// A report reaches a planner.
-    Reported {
+    ReportReachesPlanner {
         planner: usize,
         forwarder: usize,
         report: Box<Report>,
     },
     /// Guidance reaches a forwarder.
-    Guided {
+    GuidanceReachesForwarder {
         planner: usize,
         forwarder: usize,
-        run: u32,
+        incarnation: u32,
         guidance: Box<Guidance>,
     },
-    /// Hosts and links are sampled for what they tell of their load.
-    Samples,
+    /// Hosts and links are sampled for load reports.
+    LoadSample,
     /// Hosts have dropped by themselves what was made before that time.
-    PurgeSettles { made: f64 },
-    /// A fault of the shape begins.
-    FaultBegins { fault: usize },
-    /// A fault of the shape ends.
+    PurgeSettles { made_before_ms: f64 },
+    /// A fault of the scenario begins.
+    FaultStarts { fault: usize },
+    /// A fault of the scenario ends.
     FaultEnds { fault: usize },
-    /// A host starts again.
+    /// A host restarts.
     Restart { host: usize },
-    /// A host is withdrawn, to be started again.
+    /// A host is withdrawn, to be restarted.
     Drain { host: usize },
 }
 
@@ -74,77 +74,88 @@
     /// Handles one event.
     pub(super) fn dispatch(&mut self, event: Event) {
         match event {
-            Event::Arrival { zone } => self.client_comes(zone),
-            Event::Scan => self.scan_comes(),
-            Event::Try { want } => self.try_want(want),
-            Event::ClientStops { want, tries } => self.client_stops(want, tries),
-            Event::Wake { forwarder, run } => self.wake(forwarder, run),
-            Event::AtHost { attempt } => self.at_host(attempt),
-            Event::TimeUp { attempt } => self.time_up(attempt),
-            Event::FillAt {
-                attempt,
-                source,
-                behind,
-            } => {
-                let job = if behind {
-                    Job::Behind(attempt)
-                } else {
-                    Job::Fill(attempt)
-                };
-                self.fill_at(attempt, source, job);
+            Event::Arrival { zone } => self.client_arrives(zone),
+            Event::Scan => self.scan_request(),
+            Event::Retry { operation } => self.send_request(operation),
+            Event::ClientTimeout { operation, tries } => self.client_times_out(operation, tries),
+            Event::Wake {
+                forwarder,
+                incarnation,
+            } => self.wake(forwarder, incarnation),
+            Event::AttemptReachesHost { attempt } => self.attempt_reaches_host(attempt),
+            Event::AttemptTimeout { attempt } => self.attempt_times_out(attempt),
+            Event::FillReachesSource { source, job } => self.fill_reaches_source(source, job),
+            Event::SourceTimeout { attempt } => {
+                self.fill_failed(attempt, FillOutcome::SourceUnreached);
             }
-            Event::SourceSilent { attempt } => {
-                self.fill_failed(attempt, FillOutcome::SourceUnreached)
+            Event::JobDone {
+                host,
+                incarnation,
+                job,
+            } => {
+                if self.hosts[host].incarnation == incarnation {
+                    self.job_done(host, job);
+                }
             }
-            Event::Served { host, run, job } => {
-                if self.hosts[host].run == run {
-                    self.served(host, job);
+            Event::TransferEnds { zone, version } => self.transfer_ends(zone, version),
+            Event::AttemptEnded { attempt } => self.attempt_ended(attempt),
+            Event::LoadSample => self.sample_load(),
+            Event::PurgeSettles { made_before_ms } => {
+                for host in &mut self.hosts {
+                    host.cache.purge(made_before_ms);
                 }
             }
-            Event::TransferEnds { zone, turn } => self.transfer_ends(zone, turn),
-            Event::AttemptEnded { attempt } => self.ended(attempt),
-            Event::ForwarderHears { forwarder, number } => self.forwarder_hears(forwarder, number),
-            Event::PlannerHears { planner, number } => self.planner_hears(planner, number),
-            Event::Report { forwarder, run } => self.report(forwarder, run),
-            Event::Reported {
+            Event::FaultStarts { fault } => self.start_fault(fault),
+            Event::FaultEnds { fault } => self.end_fault(fault),
+            Event::Restart { host } => self.restart_host(host),
+            Event::Drain { host } => self.drain_host(host),
+            Event::CoordinatorToForwarder { .. }
+            | Event::CoordinatorToPlanner { .. }
+            | Event::Report { .. }
+            | Event::ReportReachesPlanner { .. }
+            | Event::GuidanceReachesForwarder { .. } => self.dispatch_control(event),
+        }
+    }
+
+    /// Handles an event between coordinator, forwarders and planners.
+    fn dispatch_control(&mut self, event: Event) {
+        match event {
+            Event::CoordinatorToForwarder { forwarder, number } => {
+                self.forwarder_receives_event(forwarder, number);
+            }
+            Event::CoordinatorToPlanner { planner, number } => {
+                self.planner_receives_event(planner, number);
+            }
+            Event::Report {
+                forwarder,
+                incarnation,
+            } => self.report(forwarder, incarnation),
+            Event::ReportReachesPlanner {
                 planner,
                 forwarder,
                 report,
-            } => self.reported(planner, forwarder, &report),
-            Event::Guided {
+            } => self.planner_receives_report(planner, forwarder, &report),
+            Event::GuidanceReachesForwarder {
                 planner,
                 forwarder,
-                run,
+                incarnation,
                 guidance,
-            } => {
-                self.guided(forwarder, planner, run, *guidance);
-            }
-            Event::Samples => self.sample(),
-            Event::PurgeSettles { made } => self
-                .hosts
-                .iter_mut()
-                .for_each(|host| host.copies.purge(made)),
-            Event::FaultBegins { fault } => self.fault_begins(fault),
-            Event::FaultEnds { fault } => self.fault_ends(fault),
-            Event::Restart { host } => self.restart(host),
-            Event::Drain { host } => self.drain(host),
+            } => self.forwarder_receives_guidance(forwarder, planner, incarnation, *guidance),
+            _ => {}
         }
     }
 
-    fn wake(&mut self, forwarder: usize, run: u32) {
-        if self.forwarders[forwarder].run == run {
+    fn wake(&mut self, forwarder: usize, incarnation: u32) {
+        if self.forwarders[forwarder].incarnation == incarnation {
             let decisions = self.forwarders[forwarder].engine.wake(time(self.now));
             self.decide(forwarder, decisions);
         }
     }
 
-    fn time_up(&mut self, attempt: u64) {
-        if self
-            .attempts
-            .get(&attempt)
-            .is_some_and(|attempt| attempt.outcome.is_none())
-        {
-            self.end(attempt, AttemptOutcome::TimedOut, FillOutcome::Nothing);
+    fn attempt_times_out(&mut self, id: u64) {
+        let attempt = self.attempts.get(&id);
+        if attempt.is_some_and(|attempt| attempt.outcome.is_none()) {
+            self.end_attempt(id, AttemptOutcome::TimedOut, FillOutcome::Nothing);
         }
     }
 }
--- a/crates/flaxdeck-fleet/src/model/fault_effects.rs
+++ b/crates/flaxdeck-fleet/src/model/fault_effects.rs
@@ -1,186 +1,208 @@
-//! Faults of the shape: what changes when one begins, and what is put back when it ends.
+//! Faults of the scenario: what changes when one begins, and what is put back when it ends.
 
 use std::collections::BTreeSet;
 
 use flaxdeck_invariants::RecordedEvent;
 use rand::Rng;
 
+use super::Model;
 use super::coordinator::CoordinatorEvent;
 use super::events::Event;
-use super::{Model, Shape};
 use crate::faults::FaultKind;
-use crate::hosts::{FailureMode, Host, Kind};
+use crate::host::{FailureMode, Host, HostKind};
+use crate::scenario::Scenario;
 
 /// Milliseconds until hosts have dropped by themselves what was purged; forwarders ask by age until then.
-const SETTLES_MS: f64 = 5_000.0;
-/// Milliseconds between the groups of hosts that a deploy starts again.
-const DEPLOY_STEP_MS: f64 = 2_500.0;
+const PURGE_SETTLES_MS: f64 = 5_000.0;
+/// Milliseconds between the batches of a rolling restart.
+const BATCH_INTERVAL_MS: f64 = 2_500.0;
 
 /// What faults have changed for now.
 pub(super) struct Conditions {
     /// Objects a second that a scan asks for.
-    pub(super) scan_rate: f64,
+    pub(super) scan_per_s: f64,
     /// How many it has asked for.
     pub(super) scanned: u64,
-    /// The part of all requests that goes to one object.
-    pub(super) hot: f64,
+    /// The fraction of all requests that goes to one object.
+    pub(super) hot_fraction: f64,
     /// How many times the usual load there is.
-    pub(super) load: f64,
+    pub(super) load_factor: f64,
     /// Milliseconds until the coordinator's events reach anybody.
-    pub(super) coordinator_ms: f64,
+    pub(super) coordinator_delay_ms: f64,
     /// How many times the usual time the origin takes.
-    pub(super) origin_times: f64,
+    pub(super) origin_factor: f64,
     /// Planners answer no report.
     pub(super) planners_silent: bool,
     /// Each forwarder and planner reach only every other one of each other.
-    pub(super) planners_split: bool,
-    /// The hosts that each fault of the shape has struck.
-    struck: Vec<Vec<usize>>,
+    pub(super) planners_partitioned: bool,
+    /// The hosts that each fault of the scenario affects.
+    affected: Vec<Vec<usize>>,
 }
 
 impl Conditions {
-    /// No fault has begun.
-    pub(super) fn usual(shape: &Shape) -> Conditions {
+    /// Those before any fault has begun.
+    pub(super) fn usual(scenario: &Scenario) -> Conditions {
         Conditions {
-            scan_rate: 0.0,
+            scan_per_s: 0.0,
             scanned: 0,
-            hot: 0.0,
-            load: 1.0,
-            coordinator_ms: shape.coordinator_delay_ms,
-            origin_times: 1.0,
+            hot_fraction: 0.0,
+            load_factor: 1.0,
+            coordinator_delay_ms: scenario.coordinator_delay_ms,
+            origin_factor: 1.0,
             planners_silent: false,
-            planners_split: false,
-            struck: vec![Vec::new(); shape.faults.len()],
+            planners_partitioned: false,
+            affected: vec![Vec::new(); scenario.faults.len()],
         }
     }
 }
 
 fn is_cache(host: &Host) -> bool {
-    host.kind == Kind::Cache
+    host.kind == HostKind::Cache
 }
 
 impl Model<'_> {
-    /// A fault of the shape begins.
-    pub(super) fn fault_begins(&mut self, at: usize) {
-        let kind = self.shape.faults[at].kind.clone();
-        let struck = self.struck_by(&kind);
+    /// The origin's index: it is the last host.
+    pub(super) fn origin(&self) -> usize {
+        self.hosts.len() - 1
+    }
+
+    /// A fault of the scenario begins.
+    pub(super) fn start_fault(&mut self, fault: usize) {
+        let kind = self.scenario.faults[fault].kind.clone();
+        let affected = self.draw_affected_hosts(&kind);
         match kind {
-            FaultKind::Die { .. } | FaultKind::LostZone { .. } | FaultKind::LostHub => {
-                struck.iter().for_each(|host| self.kill(*host));
+            FaultKind::HostCrash { .. } | FaultKind::ZoneLoss { .. } | FaultKind::ParentLoss => {
+                for host in &affected {
+                    self.crash_host(*host);
+                }
+            }
+            FaultKind::SilentCaches { .. } => self.set_failure_mode(&affected, FailureMode::Silent),
+            FaultKind::FailingCaches { .. } => {
+                self.set_failure_mode(&affected, FailureMode::Failing);
             }
-            FaultKind::Hang { .. } => self.set_failure_mode(&struck, FailureMode::Silent),
-            FaultKind::Fail { .. } => self.set_failure_mode(&struck, FailureMode::Fail),
-            FaultKind::Slow { times, .. } => {
-                self.set_failure_mode(&struck, FailureMode::Slow(times))
+            FaultKind::SlowCaches { factor, .. } => {
+                self.set_failure_mode(&affected, FailureMode::Slow(factor));
             }
-            FaultKind::Deploy { at_once } => self.deploy(at_once),
-            FaultKind::LateRegister { ms } => self.conditions.coordinator_ms += ms,
-            FaultKind::SlowOrigin { times } => self.conditions.origin_times = times,
-            FaultKind::OriginRefuses => {
-                self.set_failure_mode(&[self.hosts.len() - 1], FailureMode::Fail)
+            FaultKind::FailingOrigin => {
+                self.set_failure_mode(&[self.origin()], FailureMode::Failing);
             }
+            FaultKind::RollingRestart { batch } => self.rolling_restart(batch),
             FaultKind::PurgeAll => self.purge_all(),
-            FaultKind::Scan { rate } => {
-                self.conditions.scan_rate = rate;
-                self.after(0.0, Event::Scan);
+            FaultKind::ForwarderCrash { fraction } => self.crash_forwarders(fraction),
+            FaultKind::Scan { requests_per_s } => {
+                self.conditions.scan_per_s = requests_per_s;
+                self.schedule(0.0, Event::Scan);
             }
-            FaultKind::Hot { part } => self.conditions.hot = part,
-            FaultKind::Overload { times } => self.conditions.load = times,
-            FaultKind::KillForwarders { part } => self.kill_forwarders(part),
+            FaultKind::CoordinatorDelay { added_ms } => {
+                self.conditions.coordinator_delay_ms += added_ms;
+            }
+            FaultKind::SlowOrigin { factor } => self.conditions.origin_factor = factor,
+            FaultKind::HotObject { fraction } => self.conditions.hot_fraction = fraction,
+            FaultKind::Overload { factor } => self.conditions.load_factor = factor,
             FaultKind::SilentPlanners => self.conditions.planners_silent = true,
-            FaultKind::SplitPlanners => self.conditions.planners_split = true,
+            FaultKind::PartitionedPlanners => self.conditions.planners_partitioned = true,
         }
-        self.conditions.struck[at] = struck;
+        self.conditions.affected[fault] = affected;
     }
 
-    /// A fault of the shape ends.
-    pub(super) fn fault_ends(&mut self, at: usize) {
-        let struck = std::mem::take(&mut self.conditions.struck[at]);
-        match self.shape.faults[at].kind {
-            FaultKind::Die { .. } | FaultKind::LostZone { .. } | FaultKind::LostHub => {
-                struck.into_iter().for_each(|host| self.restart(host));
+    /// A fault of the scenario ends.
+    pub(super) fn end_fault(&mut self, fault: usize) {
+        let affected = std::mem::take(&mut self.conditions.affected[fault]);
+        match self.scenario.faults[fault].kind {
+            FaultKind::HostCrash { .. } | FaultKind::ZoneLoss { .. } | FaultKind::ParentLoss => {
+                for host in affected {
+                    self.restart_host(host);
+                }
             }
-            FaultKind::Hang { .. } | FaultKind::Fail { .. } | FaultKind::Slow { .. } => {
-                self.set_failure_mode(&struck, FailureMode::Serve);
+            FaultKind::SilentCaches { .. }
+            | FaultKind::FailingCaches { .. }
+            | FaultKind::SlowCaches { .. } => {
+                self.set_failure_mode(&affected, FailureMode::Healthy);
             }
-            FaultKind::LateRegister { ms } => {
-                let before = self.conditions.coordinator_ms - ms;
-                self.conditions.coordinator_ms = before.max(self.shape.coordinator_delay_ms);
+            FaultKind::FailingOrigin => {
+                self.set_failure_mode(&[self.origin()], FailureMode::Healthy);
             }
-            FaultKind::SlowOrigin { .. } => self.conditions.origin_times = 1.0,
-            FaultKind::OriginRefuses => {
-                self.set_failure_mode(&[self.hosts.len() - 1], FailureMode::Serve)
+            FaultKind::CoordinatorDelay { added_ms } => {
+                let before_ms = self.conditions.coordinator_delay_ms - added_ms;
+                let usual_ms = self.scenario.coordinator_delay_ms;
+                self.conditions.coordinator_delay_ms = before_ms.max(usual_ms);
             }
-            FaultKind::Scan { .. } => self.conditions.scan_rate = 0.0,
-            FaultKind::Hot { .. } => self.conditions.hot = 0.0,
-            FaultKind::Overload { .. } => self.conditions.load = 1.0,
+            FaultKind::SlowOrigin { .. } => self.conditions.origin_factor = 1.0,
+            FaultKind::Scan { .. } => self.conditions.scan_per_s = 0.0,
+            FaultKind::HotObject { .. } => self.conditions.hot_fraction = 0.0,
+            FaultKind::Overload { .. } => self.conditions.load_factor = 1.0,
             FaultKind::SilentPlanners => self.conditions.planners_silent = false,
-            FaultKind::SplitPlanners => self.conditions.planners_split = false,
-            FaultKind::Deploy { .. } | FaultKind::PurgeAll | FaultKind::KillForwarders { .. } => {}
+            FaultKind::PartitionedPlanners => self.conditions.planners_partitioned = false,
+            FaultKind::RollingRestart { .. }
+            | FaultKind::PurgeAll
+            | FaultKind::ForwarderCrash { .. } => {}
         }
     }
 
-    /// The hosts that a kind strikes.
-    fn struck_by(&mut self, kind: &FaultKind) -> Vec<usize> {
+    /// The hosts that a fault affects.
+    fn draw_affected_hosts(&mut self, kind: &FaultKind) -> Vec<usize> {
         match *kind {
-            FaultKind::Die { part } => self.draw_hosts(part, |host| host.kind != Kind::Origin),
-            FaultKind::LostZone { zone } => {
+            FaultKind::HostCrash { fraction } => {
+                self.draw_hosts(fraction, |host| host.kind != HostKind::Origin)
+            }
+            FaultKind::ZoneLoss { zone } => {
                 self.draw_hosts(1.0, |host| is_cache(host) && host.zone == zone)
             }
-            FaultKind::LostHub => {
-                let mut parents = self.draw_hosts(1.0, |host| host.kind == Kind::Parent);
+            FaultKind::ParentLoss => {
+                let mut parents = self.draw_hosts(1.0, |host| host.kind == HostKind::Parent);
                 parents.pop();
                 parents
             }
-            FaultKind::Hang { part } | FaultKind::Fail { part } | FaultKind::Slow { part, .. } => {
-                self.draw_hosts(part, is_cache)
-            }
+            FaultKind::SilentCaches { fraction }
+            | FaultKind::FailingCaches { fraction }
+            | FaultKind::SlowCaches { fraction, .. } => self.draw_hosts(fraction, is_cache),
             _ => Vec::new(),
         }
     }
 
-    /// So large a part of the hosts that the choice allows, drawn.
-    fn draw_hosts(&mut self, part: f64, choice: impl Fn(&Host) -> bool) -> Vec<usize> {
-        let mut all: Vec<usize> = (0..self.hosts.len())
-            .filter(|at| choice(&self.hosts[*at]))
+    /// Draws a fraction of the hosts that are eligible, rounded up.
+    fn draw_hosts(&mut self, fraction: f64, is_eligible: impl Fn(&Host) -> bool) -> Vec<usize> {
+        let mut hosts: Vec<usize> = (0..self.hosts.len())
+            .filter(|host| is_eligible(&self.hosts[*host]))
             .collect();
-        let count = ((all.len() as f64 * part).ceil() as usize).min(all.len());
-        for at in 0..count {
-            let with = self.chance.random_range(at..all.len());
-            all.swap(at, with);
+        let count = ((hosts.len() as f64 * fraction).ceil() as usize).min(hosts.len());
+        for index in 0..count {
+            let other = self.rng.random_range(index..hosts.len());
+            hosts.swap(index, other);
         }
-        all.truncate(count);
-        all
+        hosts.truncate(count);
+        hosts
     }
 
     fn set_failure_mode(&mut self, hosts: &[usize], failure_mode: FailureMode) {
-        hosts
-            .iter()
-            .for_each(|host| self.hosts[*host].failure_mode = failure_mode);
+        for host in hosts {
+            self.hosts[*host].failure_mode = failure_mode;
+        }
     }
 
-    /// All caches are drained and started again, so many at a time.
-    fn deploy(&mut self, at_once: usize) {
+    /// All caches are drained and restarted, so many at a time.
+    fn rolling_restart(&mut self, batch: usize) {
         let caches = self.draw_hosts(1.0, is_cache);
-        for (turn, group) in caches.chunks(at_once.max(1)).enumerate() {
-            let after = turn as f64 * DEPLOY_STEP_MS;
-            group
-                .iter()
-                .for_each(|host| self.after(after, Event::Drain { host: *host }));
+        for (index, batch) in caches.chunks(batch.max(1)).enumerate() {
+            for host in batch {
+                let after_ms = index as f64 * BATCH_INTERVAL_MS;
+                self.schedule(after_ms, Event::Drain { host: *host });
+            }
         }
     }
 
     /// Every object that was asked for is purged.
     fn purge_all(&mut self) {
-        if self.shape.judged {
-            let objects: BTreeSet<u64> = self.wants.iter().map(|want| want.object).collect();
+        if self.scenario.check_invariants {
+            let objects: BTreeSet<u64> = self.operations.iter().map(|done| done.object).collect();
             for object in objects {
-                self.see(RecordedEvent::ObjectPurged {
+                self.record_event(RecordedEvent::ObjectPurged {
                     object: object.to_string(),
                 });
             }
         }
-        self.publish(CoordinatorEvent::PurgeAll(self.now));
-        self.after(SETTLES_MS, Event::PurgeSettles { made: self.now });
+        let made_before_ms = self.now;
+        self.publish(CoordinatorEvent::PurgeAll { made_before_ms });
+        self.schedule(PURGE_SETTLES_MS, Event::PurgeSettles { made_before_ms });
     }
 }
--- a/crates/flaxdeck-fleet/src/model/fills.rs
+++ b/crates/flaxdeck-fleet/src/model/fills.rs
@@ -4,199 +4,180 @@
 
 use super::Model;
 use super::events::Event;
-use crate::hosts::{Job, Kind};
+use crate::host::{HostKind, Job};
 
 /// Milliseconds that a filling host waits for a source that says nothing.
-const SOURCE_SILENT_MS: f64 = 1_500.0;
-/// The rank that parents keep copies with.
+const SOURCE_TIMEOUT_MS: f64 = 1_500.0;
+/// The rank that parents cache copies with.
 const PARENT_RANK: u8 = 1;
 
 impl Model<'_> {
     /// A host lacks what it was asked for: it fills, or says so.
-    pub(super) fn lacks(&mut self, at: usize, job: Job) {
+    pub(super) fn cache_miss(&mut self, host: usize, job: Job) {
         let id = job.attempt();
         let Some(attempt) = self.attempts.get(&id) else {
             return;
         };
-        let kind = self.hosts[at].kind;
+        let kind = self.hosts[host].kind;
         match job {
-            // A cache that lacks it has its place wait for the fill.
-            Job::Answer(_) if attempt.source != at && kind == Kind::Cache => self.fill(id),
-            // A parent asked straight, past the caches, fetches it behind.
-            Job::Answer(_) if kind == Kind::Parent && !attempt.only_held => {
-                self.fill_behind(id, at)
+            // The slot of a cache that lacks it waits for the fill.
+            Job::Answer(_) if attempt.source != host && kind == HostKind::Cache => {
+                self.fill_cache(id);
+            }
+            // A parent that was asked directly, past the caches, fetches it from the origin.
+            Job::Answer(_) if kind == HostKind::Parent && !attempt.only_cached => {
+                self.fill_parent(id, host);
             }
             Job::Answer(_) => {
-                self.leave(at, job);
-                self.end(id, AttemptOutcome::NoCopy, FillOutcome::Nothing);
+                self.free_slot(host, job);
+                self.end_attempt(id, AttemptOutcome::NoCopy, FillOutcome::Nothing);
             }
-            Job::Fill(_) if !attempt.only_held => self.fill_behind(id, at),
-            Job::Fill(_) | Job::Behind(_) => {
-                self.leave(at, job);
+            Job::FillCache(_) if !attempt.only_cached => self.fill_parent(id, host),
+            Job::FillCache(_) | Job::FillParent(_) => {
+                self.free_slot(host, job);
                 self.fill_failed(id, FillOutcome::SourceLacks);
             }
         }
     }
 
     /// A cache asks the attempt's source.
-    fn fill(&mut self, id: u64) {
+    fn fill_cache(&mut self, id: u64) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        attempt.fill_begun = self.now;
+        attempt.fill_started_ms = self.now;
         attempt.fill = FillOutcome::Filled;
         let source = attempt.source;
         match self.hosts[source].kind {
-            Kind::Origin => self.outcome.origin_fills += 1,
-            Kind::Cache | Kind::Parent => self.outcome.parent_fills += 1,
+            HostKind::Origin => self.outcome.origin_fills += 1,
+            HostKind::Cache | HostKind::Parent => self.outcome.parent_fills += 1,
         }
-        self.after(
-            self.shape.far_ms,
-            Event::FillAt {
-                attempt: id,
-                source,
-                behind: false,
-            },
-        );
+        self.send_fill_request(source, Job::FillCache(id));
     }
 
     /// A parent asks the origin.
-    fn fill_behind(&mut self, id: u64, parent: usize) {
+    fn fill_parent(&mut self, id: u64, parent: usize) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        attempt.through = Some(parent);
+        attempt.filling_parent = Some(parent);
         attempt.fill = FillOutcome::FilledThroughOrigin;
-        let source = self.hosts.len() - 1;
-        self.after(
-            self.shape.far_ms,
-            Event::FillAt {
-                attempt: id,
-                source,
-                behind: true,
-            },
-        );
+        self.send_fill_request(self.origin(), Job::FillParent(id));
+    }
+
+    fn send_fill_request(&mut self, source: usize, job: Job) {
+        let arrival = Event::FillReachesSource { source, job };
+        self.schedule(self.scenario.far_latency_ms, arrival);
     }
 
     /// A fill reaches its source.
-    pub(super) fn fill_at(&mut self, id: u64, source: usize, job: Job) {
+    pub(super) fn fill_reaches_source(&mut self, source: usize, job: Job) {
+        let id = job.attempt();
         let Some(attempt) = self.attempts.get(&id) else {
             return;
         };
-        let kb = self.wants[attempt.want as usize].kb;
-        if self.hosts[source].kind == Kind::Origin && source != attempt.source {
+        let kb = self.operations[attempt.operation as usize].kb;
+        if self.hosts[source].kind == HostKind::Origin && source != attempt.source {
             self.outcome.origin_fills += 1;
         }
         match self.admit(source, job, kb) {
             None => {}
             Some(AttemptOutcome::TimedOut) => {
-                self.after(SOURCE_SILENT_MS, Event::SourceSilent { attempt: id })
+                self.schedule(SOURCE_TIMEOUT_MS, Event::SourceTimeout { attempt: id });
             }
             Some(AttemptOutcome::NotConnected | AttemptOutcome::Broken) => {
-                self.fill_failed(id, FillOutcome::SourceUnreached)
+                self.fill_failed(id, FillOutcome::SourceUnreached);
             }
             Some(_) => self.fill_failed(id, FillOutcome::SourceRefused),
         }
     }
 
-    /// The origin has answered a parent, which keeps it and goes on.
-    pub(super) fn filled_parent(&mut self, id: u64) {
+    /// The origin has answered a parent, which caches the copy and goes on with its own job.
+    pub(super) fn parent_filled(&mut self, id: u64) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        let Some(parent) = attempt.through else {
+        let Some(parent) = attempt.filling_parent else {
             return;
         };
-        attempt.made = self.now;
-        let straight = attempt.host == parent;
-        let want = &self.wants[attempt.want as usize];
-        let (object, kb) = (want.object, want.kb);
+        attempt.made_ms = self.now;
+        let job = if attempt.host == parent {
+            Job::Answer(id)
+        } else {
+            Job::FillCache(id)
+        };
+        let operation = &self.operations[attempt.operation as usize];
+        let (object, kb) = (operation.object, operation.kb);
         let host = &mut self.hosts[parent];
-        let run = host.run;
+        let incarnation = host.incarnation;
         if host.up {
-            host.copies.keep(object, PARENT_RANK, self.now, kb);
+            host.cache.insert(object, PARENT_RANK, self.now, kb);
         }
-        let job = if straight {
-            Job::Answer(id)
-        } else {
-            Job::Fill(id)
+        let wait_ms = self.scenario.far_latency_ms + self.service_ms(parent, kb);
+        let done = Event::JobDone {
+            host: parent,
+            incarnation,
+            job,
         };
-        let wait = self.shape.far_ms + self.work(parent, kb);
-        self.after(
-            wait,
-            Event::Served {
-                host: parent,
-                run,
-                job,
-            },
-        );
+        self.schedule(wait_ms, done);
     }
 
-    /// A source has sent its first byte, and the rest goes over the link of the cache's location.
-    pub(super) fn fill_sent(&mut self, id: u64) {
+    /// A source has sent its first byte, and the rest goes over the link of the cache's zone.
+    pub(super) fn send_fill(&mut self, id: u64) {
         let now = self.now;
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        attempt.waited = Some(now - attempt.fill_begun);
-        let (zone, kb) = (
-            self.hosts[attempt.host].zone,
-            self.wants[attempt.want as usize].kb,
-        );
-        self.sites[zone].begin(now, kb, id);
-        self.plan_transfer_end(zone);
+        attempt.fill_took_ms = Some(now - attempt.fill_started_ms);
+        let zone = self.hosts[attempt.host].zone;
+        let kb = self.operations[attempt.operation as usize].kb;
+        self.zone_links[zone].start_transfer(now, kb, id);
+        self.schedule_transfer_end(zone);
     }
 
     /// The whole object has come to the cache, which keeps it and answers.
-    pub(super) fn filled(&mut self, id: u64) {
+    pub(super) fn cache_filled(&mut self, id: u64) {
         let Some(attempt) = self.attempts.get(&id) else {
             return;
         };
-        let (at, keep, made) = (attempt.host, attempt.keep, attempt.made);
-        let want = &self.wants[attempt.want as usize];
-        let (object, kb) = (want.object, want.kb);
-        let host = &mut self.hosts[at];
-        if !host.served.contains(&Job::Answer(id)) {
-            return self.forget(id);
+        let index = attempt.host;
+        let operation = &self.operations[attempt.operation as usize];
+        let (object, kb) = (operation.object, operation.kb);
+        let host = &mut self.hosts[index];
+        if !host.running.contains(&Job::Answer(id)) {
+            return self.drop_attempt(id);
         }
-        host.copies.keep(object, keep, made, kb);
-        let run = host.run;
-        let wait = self.work(at, kb);
-        self.after(
-            wait,
-            Event::Served {
-                host: at,
-                run,
-                job: Job::Answer(id),
-            },
-        );
+        host.cache
+            .insert(object, attempt.cache_rank, attempt.made_ms, kb);
+        let done = Event::JobDone {
+            host: index,
+            incarnation: host.incarnation,
+            job: Job::Answer(id),
+        };
+        self.schedule(self.service_ms(index, kb), done);
     }
 
-    /// A fill came to nothing: its places are free, and its attempt has ended.
+    /// A fill came to nothing: its slots are free, and its attempt has ended.
     pub(super) fn fill_failed(&mut self, id: u64, fill: FillOutcome) {
         let now = self.now;
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        let (at, parent) = (attempt.host, attempt.through.take());
-        attempt.waited = Some(now - attempt.fill_begun);
-        // A parent that the origin failed has its own place back, and says whose fault it is.
-        if let Some(parent) = parent.filter(|parent| *parent != at) {
-            self.leave(parent, Job::Fill(id));
-            self.start(parent);
+        let host = attempt.host;
+        let filling_parent = attempt.filling_parent.take();
+        attempt.fill_took_ms = Some(now - attempt.fill_started_ms);
+        // A parent that the origin failed frees its own slot, and the origin is to blame.
+        if let Some(parent) = filling_parent.filter(|parent| *parent != host) {
+            self.free_slot(parent, Job::FillCache(id));
+            self.start_queued_jobs(parent);
         }
-        let fill = if parent.is_some() {
-            FillOutcome::OriginFailed
-        } else {
-            fill
-        };
-        self.leave(at, Job::Answer(id));
-        let outcome = if fill == FillOutcome::OriginFailed {
-            AttemptOutcome::Errored
+        let (outcome, fill) = if filling_parent.is_some() || fill == FillOutcome::OriginFailed {
+            (AttemptOutcome::Errored, FillOutcome::OriginFailed)
         } else {
-            AttemptOutcome::Rejected
+            (AttemptOutcome::Rejected, fill)
         };
-        self.end(id, outcome, fill);
-        self.start(at);
+        self.free_slot(host, Job::Answer(id));
+        self.end_attempt(id, outcome, fill);
+        self.start_queued_jobs(host);
     }
 }
--- a/crates/flaxdeck-fleet/src/model/planners.rs
+++ b/crates/flaxdeck-fleet/src/model/planners.rs
@@ -1,4 +1,4 @@
-//! Planners: the coordinator's events that reach them, the reports that reach them and the guidance that they send.
+//! Planners: the coordinator's events and the reports that reach them, and the guidance that they send.
 
 use flaxdeck::{Health, Span, ZoneId};
 use flaxdeck_control::LeaseTerms;
@@ -11,17 +11,27 @@
 use super::{Model, time};
 
 /// Milliseconds between a forwarder's reports.
-pub(super) const REPORT_MS: f64 = 200.0;
-/// Reports go on for so many milliseconds past the day, for those who still wait.
-const REPORTS_AFTER_MS: f64 = 5_000.0;
+pub(super) const REPORT_INTERVAL_MS: f64 = 200.0;
+/// Reports go on for so many milliseconds past the last arrival, for clients that still wait.
+const REPORTS_AFTER_END_MS: f64 = 5_000.0;
+/// Milliseconds that a lease lasts.
+const LEASE_MS: u64 = 1_200;
+/// Parts that a host's capacity is leased in.
+const LEASE_PARTS: u32 = 10;
+
+/// A report on its way to a planner.
+struct AddressedReport {
+    planner: usize,
+    report: Report,
+}
 
 /// What planners and forwarders promise each other, over a cold host's window.
 pub(super) fn lease_terms(window_ms: f64) -> LeaseTerms {
-    LeaseTerms::of(Span::of_ms(window_ms), Span::from_ms(1_200), 10)
+    LeaseTerms::of(Span::of_ms(window_ms), Span::from_ms(LEASE_MS), LEASE_PARTS)
 }
 
-/// The coordinator of the model never loses its numbering: a number is its event.
-fn mark(number: u64) -> EventPosition {
+/// The model's coordinator never loses its numbering, so an event's number identifies it.
+fn position(number: u64) -> EventPosition {
     EventPosition {
         number,
         hash: number,
@@ -30,107 +40,117 @@
 
 impl Model<'_> {
     /// The coordinator's event of that number reaches a planner.
-    pub(super) fn planner_hears(&mut self, planner: usize, number: u64) {
+    pub(super) fn planner_receives_event(&mut self, planner: usize, number: u64) {
         let now = time(self.now);
-        if let CoordinatorEvent::Endpoint(endpoint) = &self.coordinator_events[number as usize - 1]
-        {
-            let started = endpoint.started.map_or(0, |at| at.ms() as u64);
-            let started = (endpoint.health != Health::Removed).then_some(started);
-            self.planners[planner].listed(now, &endpoint.host.0, started);
+        let event = &self.coordinator_events[number as usize - 1];
+        if let CoordinatorEvent::Endpoint(endpoint) = event {
+            let started_ms = endpoint.started.map_or(0, |at| at.ms() as u64);
+            let listed = (endpoint.health != Health::Removed).then_some(started_ms);
+            self.planners[planner].listed(now, &endpoint.host.0, listed);
         }
-        let frame = number.to_be_bytes().to_vec();
-        self.planners[planner].coordinator(
-            now,
-            Some(RelayedEvent {
-                mark: mark(number),
-                frame,
-            }),
-            true,
-        );
+        let relayed = RelayedEvent {
+            mark: position(number),
+            frame: number.to_be_bytes().to_vec(),
+        };
+        self.planners[planner].coordinator(now, Some(relayed), true);
     }
 
-    /// A forwarder reports to the planners that it reaches, and plans its next report.
-    pub(super) fn report(&mut self, n: usize, run: u32) {
-        if self.forwarders[n].run != run || self.now > self.shape.day_ms + REPORTS_AFTER_MS {
+    /// A forwarder reports to the planners that it reaches, and schedules its next report.
+    pub(super) fn report(&mut self, forwarder: usize, incarnation: u32) {
+        let last_ms = self.scenario.duration_ms + REPORTS_AFTER_END_MS;
+        if self.forwarders[forwarder].incarnation != incarnation || self.now > last_ms {
             return;
         }
-        self.after(REPORT_MS, Event::Report { forwarder: n, run });
-        let reports = self.reports(n);
-        self.take_hints(n);
-        for (planner, report) in reports {
-            self.after(
-                self.shape.far_ms,
-                Event::Reported {
-                    planner,
-                    forwarder: n,
-                    report: Box::new(report),
-                },
-            );
+        let next = Event::Report {
+            forwarder,
+            incarnation,
+        };
+        self.schedule(REPORT_INTERVAL_MS, next);
+        let reports = self.make_reports(forwarder);
+        self.apply_guidance(forwarder);
+        for AddressedReport { planner, report } in reports {
+            let arrival = Event::ReportReachesPlanner {
+                planner,
+                forwarder,
+                report: Box::new(report),
+            };
+            self.schedule(self.scenario.far_latency_ms, arrival);
         }
     }
 
-    /// A forwarder's reports by the planners that they go to.
-    fn reports(&mut self, n: usize) -> Vec<(usize, Report)> {
+    /// A forwarder's reports to each planner that it reaches.
+    fn make_reports(&mut self, forwarder: usize) -> Vec<AddressedReport> {
         let now = time(self.now);
-        let reached: Vec<usize> = (0..self.planners.len())
-            .filter(|at| self.reaches(n, *at))
+        let planners = 0..self.planners.len();
+        let reached: Vec<usize> = planners
+            .filter(|planner| self.can_reach(forwarder, *planner))
             .collect();
-        let forwarder = &mut self.forwarders[n];
-        let Some(guide) = &mut forwarder.guide else {
+        let zone = ZoneId(forwarder / self.scenario.forwarders_per_zone);
+        let state = &mut self.forwarders[forwarder];
+        let Some(session) = &mut state.session else {
             return Vec::new();
         };
-        let observations = forwarder.engine.observations(now);
-        guide.stand(now, &observations);
-        guide.link(ZoneId(n / self.shape.forwarders), forwarder.engine.link);
-        let known = mark(forwarder.last_event);
-        let mut report = |at: usize| {
-            (
-                at,
-                guide.report(now, PlannerId(at as u32), &observations, known),
-            )
+        let observations = state.engine.observations(now);
+        session.stand(now, &observations);
+        session.link(zone, state.engine.link);
+        let last_event = position(state.last_event);
+        let report_to = |planner: usize| AddressedReport {
+            planner,
+            report: session.report(now, PlannerId(planner as u32), &observations, last_event),
         };
-        reached.into_iter().map(&mut report).collect()
+        reached.into_iter().map(report_to).collect()
     }
 
-    /// Whether a forwarder and a planner hear each other: each only every other one while planners are split.
-    fn reaches(&self, forwarder: usize, planner: usize) -> bool {
-        !self.conditions.planners_split || planner % 2 == forwarder % 2
+    /// Whether a forwarder and a planner hear each other: each only every other one during a partition.
+    fn can_reach(&self, forwarder: usize, planner: usize) -> bool {
+        !self.conditions.planners_partitioned || planner % 2 == forwarder % 2
     }
 
     /// A report reaches a planner, which sends guidance unless it is silent.
-    pub(super) fn reported(&mut self, planner: usize, forwarder: usize, report: &Report) {
+    pub(super) fn planner_receives_report(
+        &mut self,
+        planner: usize,
+        forwarder: usize,
+        report: &Report,
+    ) {
         if self.conditions.planners_silent {
             return;
         }
         let Ok(guidance) = self.planners[planner].report(time(self.now), report) else {
             return;
         };
-        let (run, guidance) = (self.forwarders[forwarder].run, Box::new(guidance));
-        self.after(
-            self.shape.far_ms,
-            Event::Guided {
-                planner,
-                forwarder,
-                run,
-                guidance,
-            },
-        );
+        let arrival = Event::GuidanceReachesForwarder {
+            planner,
+            forwarder,
+            incarnation: self.forwarders[forwarder].incarnation,
+            guidance: Box::new(guidance),
+        };
+        self.schedule(self.scenario.far_latency_ms, arrival);
     }
 
-    /// Guidance reaches a forwarder.
-    pub(super) fn guided(&mut self, n: usize, planner: usize, run: u32, guidance: Guidance) {
-        if self.forwarders[n].run != run || !self.reaches(n, planner) {
+    /// Guidance reaches a forwarder, unless it has restarted since its report.
+    pub(super) fn forwarder_receives_guidance(
+        &mut self,
+        forwarder: usize,
+        planner: usize,
+        incarnation: u32,
+        guidance: Guidance,
+    ) {
+        let state = &self.forwarders[forwarder];
+        if state.incarnation != incarnation || !self.can_reach(forwarder, planner) {
             return;
         }
-        let known = mark(self.forwarders[n].last_event);
-        let Some(guide) = &mut self.forwarders[n].guide else {
+        let last_event = position(state.last_event);
+        let Some(session) = &mut self.forwarders[forwarder].session else {
             return;
         };
-        let told = guide.guided(time(self.now), PlannerId(planner as u32), guidance, known);
-        let Ok(events) = told else { return };
-        events
-            .iter()
-            .for_each(|event| self.apply(n, event.mark.number));
-        self.take_hints(n);
+        let from = PlannerId(planner as u32);
+        let Ok(events) = session.guided(time(self.now), from, guidance, last_event) else {
+            return;
+        };
+        for event in events {
+            self.apply_event(forwarder, event.mark.number);
+        }
+        self.apply_guidance(forwarder);
     }
 }
--- a/crates/flaxdeck-fleet/src/model/record.rs
+++ b/crates/flaxdeck-fleet/src/model/record.rs
@@ -1,4 +1,4 @@
-//! What is kept of a run: the record that the rules are judged from, the digest, and the shares by size.
+//! The results of a run: the record that the rules are judged from, the digest, and what was served by size.
 
 use std::collections::BTreeMap;
 
@@ -6,48 +6,53 @@
     InvariantTerms, RecordEntry, RecordedEvent, SlowStartTerms, Verdict, check,
 };
 
-use super::clients::Want;
-use super::{Model, Outcome};
-use crate::hosts::{Host, Kind};
+use super::Model;
+use super::clients::Operation;
+use crate::host::{Host, HostKind};
+use crate::outcome::{Outcome, ServedBySize};
 
-/// Milliseconds of grace that the rules allow, past the coordinator's own lateness.
-const GRACE_MS: f64 = 1_000.0;
+/// Milliseconds of grace that the rules allow, past the coordinator's own delay: after a withdrawal, ...
+const WITHDRAWAL_GRACE_MS: f64 = 1_000.0;
+/// ... after a purge, ...
 const PURGE_GRACE_MS: f64 = 500.0;
-const SLACK_MS: f64 = 5.0;
+/// ... and after a client's deadline.
+const DEADLINE_SLACK_MS: f64 = 5.0;
 /// The prime of the digest's products.
-const DIGEST_PRIME: u64 = 0x100000001b3;
+const DIGEST_PRIME: u64 = 0x100_0000_01b3;
+/// Bits by which the digest is rotated after each word.
+const DIGEST_ROTATION: u32 = 17;
 
 impl Model<'_> {
-    /// Puts what was seen into the record, if the run is judged.
-    pub(super) fn see(&mut self, seen: RecordedEvent) {
-        if self.shape.judged {
+    /// Puts what was seen into the record, if the rules are judged.
+    pub(super) fn record_event(&mut self, event: RecordedEvent) {
+        if self.scenario.check_invariants {
             let at_ms = self.now;
-            self.record.push(RecordEntry { at_ms, event: seen });
+            self.record.push(RecordEntry { at_ms, event });
         }
     }
 
     /// Mixes words into the digest.
-    pub(super) fn note(&mut self, words: [u64; 3]) {
+    pub(super) fn mix_into_digest(&mut self, words: [u64; 3]) {
         for word in words {
             let mixed = (self.outcome.digest ^ word).wrapping_mul(DIGEST_PRIME);
-            self.outcome.digest = mixed.rotate_left(17);
+            self.outcome.digest = mixed.rotate_left(DIGEST_ROTATION);
         }
     }
 
     /// What came of the run.
     pub(super) fn finish(mut self) -> Outcome {
         self.outcome.served_by_size = self.served_by_size();
-        self.outcome.verdict = self.shape.judged.then(|| self.verdict());
+        self.outcome.verdict = self.scenario.check_invariants.then(|| self.verdict());
         self.outcome
     }
 
     fn verdict(&self) -> Verdict {
-        // The coordinator's own lateness is no dispatcher's fault.
+        let coordinator_delay_ms = self.scenario.coordinator_delay_ms;
         let terms = InvariantTerms {
-            withdrawal_grace_ms: GRACE_MS + self.shape.coordinator_delay_ms,
-            purge_grace_ms: PURGE_GRACE_MS + self.shape.coordinator_delay_ms,
-            deadline_slack_ms: SLACK_MS,
-            load_window_ms: self.shape.window_ms,
+            withdrawal_grace_ms: WITHDRAWAL_GRACE_MS + coordinator_delay_ms,
+            purge_grace_ms: PURGE_GRACE_MS + coordinator_delay_ms,
+            deadline_slack_ms: DEADLINE_SLACK_MS,
+            load_window_ms: self.scenario.load_window_ms,
             slow_starts: self.slow_starts(),
         };
         check(&terms, &self.record)
@@ -55,30 +60,33 @@
 
     fn slow_starts(&self) -> BTreeMap<String, SlowStartTerms> {
         let slow_start = |host: &Host| SlowStartTerms {
-            slots: host.places,
-            initial_fraction: self.shape.cold_from,
-            duration_ms: self.shape.warm_within_ms,
-            overload_factor: self.shape.factor,
+            slots: host.slots,
+            initial_fraction: self.scenario.slow_start_initial,
+            duration_ms: self.scenario.slow_start_ms,
+            overload_factor: self.scenario.overload_factor,
         };
-        let cold = self.hosts.iter().filter(|host| host.kind != Kind::Origin);
-        cold.map(|host| (host.id.clone(), slow_start(host)))
+        let hosts = self.hosts.iter();
+        let with_slow_start = hosts.filter(|host| host.kind != HostKind::Origin);
+        with_slow_start
+            .map(|host| (host.id.clone(), slow_start(host)))
             .collect()
     }
 
-    /// The part served of all reads, of the tenth with the largest objects, and of the fifth below that.
-    fn served_by_size(&self) -> [f64; 3] {
-        let mut reads: Vec<&Want> = self.wants.iter().filter(|want| !want.write).collect();
+    fn served_by_size(&self) -> ServedBySize {
+        let operations = self.operations.iter();
+        let mut reads: Vec<&Operation> = operations.filter(|operation| !operation.write).collect();
         reads.sort_by(|one, other| other.kb.total_cmp(&one.kb));
-        let (tenth, next) = (reads.len() / 10, reads.len() * 3 / 10);
-        [
-            served_part(&reads),
-            served_part(&reads[..tenth]),
-            served_part(&reads[tenth..next]),
-        ]
+        let tenth = reads.len() / 10;
+        let three_tenths = reads.len() * 3 / 10;
+        ServedBySize {
+            all: served_fraction(&reads),
+            largest_tenth: served_fraction(&reads[..tenth]),
+            next_fifth: served_fraction(&reads[tenth..three_tenths]),
+        }
     }
 }
 
-fn served_part(wants: &[&Want]) -> f64 {
-    let served = wants.iter().filter(|want| want.served).count();
-    served as f64 / wants.len().max(1) as f64
+fn served_fraction(operations: &[&Operation]) -> f64 {
+    let served = operations.iter().filter(|operation| operation.served);
+    served.count() as f64 / operations.len().max(1) as f64
 }
--- a/crates/flaxdeck-fleet/src/model/service.rs
+++ b/crates/flaxdeck-fleet/src/model/service.rs
@@ -1,161 +1,176 @@
-//! What hosts do: they take work in or refuse it, give it places, and are done with it.
+//! What hosts do with jobs: admit or reject them, give them slots, and finish them.
 
 use flaxdeck::{AttemptOutcome, FillOutcome};
 use flaxdeck_invariants::RecordedEvent;
 
 use super::Model;
 use super::events::Event;
-use crate::hosts::{FailureMode, Job, Kind};
+use crate::host::{FailureMode, HostKind, Job};
 
-/// Milliseconds of a place for any work, besides those by size.
-const WORK_MS: f64 = 0.5;
-/// So many jobs wait for each place.
-const WAITING_A_PLACE: usize = 4;
-/// Milliseconds until a host that fell over starts again.
-const FALLEN_MS: f64 = 5_000.0;
+/// Milliseconds of a slot for any job, besides those by size.
+const JOB_MS: f64 = 0.5;
+/// So many jobs wait for each slot.
+const QUEUE_PER_SLOT: usize = 4;
+/// Milliseconds until a host that crashed under its load restarts.
+const RESTART_AFTER_OVERLOAD_MS: f64 = 5_000.0;
 
 impl Model<'_> {
-    /// Milliseconds of an unhurried place for so many KB.
-    fn cost(&self, kb: f64) -> f64 {
-        kb / self.shape.place_pace + WORK_MS
+    /// Milliseconds of a slot at full pace for so many KB.
+    fn cost_ms(&self, kb: f64) -> f64 {
+        kb / self.scenario.slot_kb_per_ms + JOB_MS
     }
 
-    /// Milliseconds that a place of this host takes for so many KB.
-    pub(super) fn work(&self, at: usize, kb: f64) -> f64 {
-        let times = match self.hosts[at].failure_mode {
-            FailureMode::Slow(times) => times,
-            _ if self.hosts[at].kind == Kind::Origin => self.conditions.origin_times,
+    /// Milliseconds that a slot of this host takes for so many KB.
+    pub(super) fn service_ms(&self, host: usize, kb: f64) -> f64 {
+        let factor = match self.hosts[host].failure_mode {
+            FailureMode::Slow(factor) => factor,
+            _ if self.hosts[host].kind == HostKind::Origin => self.conditions.origin_factor,
             _ => 1.0,
         };
-        self.cost(kb) * times
+        self.cost_ms(kb) * factor
     }
 
-    /// Places that a host has: fewer during slow start.
-    fn capacity(&self, at: usize) -> usize {
-        let host = &self.hosts[at];
-        let part = host.part(self.now, self.shape.cold_from, self.shape.warm_within_ms);
-        ((host.places * part).round() as usize).max(1)
+    /// The fraction of its capacity that a host has: less during slow start.
+    fn capacity_fraction(&self, host: usize) -> f64 {
+        let scenario = self.scenario;
+        self.hosts[host].capacity_fraction(
+            self.now,
+            scenario.slow_start_initial,
+            scenario.slow_start_ms,
+        )
     }
 
-    /// A host takes in work; what it says to it at once, if it does not take it.
-    pub(super) fn admit(&mut self, at: usize, job: Job, kb: f64) -> Option<AttemptOutcome> {
-        if !self.hosts[at].up {
+    /// Slots that a host has: fewer during slow start.
+    fn available_slots(&self, host: usize) -> usize {
+        let slots = self.hosts[host].slots * self.capacity_fraction(host);
+        (slots.round() as usize).max(1)
+    }
+
+    /// A job arrives at a host; gives the outcome if the host doesn't take it.
+    pub(super) fn admit(&mut self, host: usize, job: Job, kb: f64) -> Option<AttemptOutcome> {
+        if !self.hosts[host].up {
             return Some(AttemptOutcome::NotConnected);
         }
-        self.see(RecordedEvent::WorkArrived {
-            host: self.hosts[at].id.clone(),
+        self.record_event(RecordedEvent::WorkArrived {
+            host: self.hosts[host].id.clone(),
         });
-        match self.hosts[at].failure_mode {
+        match self.hosts[host].failure_mode {
             FailureMode::Silent => return Some(AttemptOutcome::TimedOut),
-            FailureMode::Fail => return Some(AttemptOutcome::Errored),
-            FailureMode::Serve | FailureMode::Slow(_) => {}
+            FailureMode::Failing => return Some(AttemptOutcome::Errored),
+            FailureMode::Healthy | FailureMode::Slow(_) => {}
         }
-        if self.hosts[at].waiting.len() >= self.capacity(at) * WAITING_A_PLACE {
+        if self.hosts[host].queue.len() >= self.available_slots(host) * QUEUE_PER_SLOT {
             return Some(AttemptOutcome::Rejected);
         }
-        if self.falls_over(at, self.cost(kb)) {
-            self.outcome.fell_over += 1;
-            self.kill(at);
-            self.after(FALLEN_MS, Event::Restart { host: at });
+        if self.is_overloaded_by(host, self.cost_ms(kb)) {
+            self.outcome.overloaded_hosts += 1;
+            self.crash_host(host);
+            self.schedule(RESTART_AFTER_OVERLOAD_MS, Event::Restart { host });
             return Some(AttemptOutcome::Broken);
         }
-        self.hosts[at].waiting.push_back(job);
-        self.start(at);
+        self.hosts[host].queue.push_back(job);
+        self.start_queued_jobs(host);
         None
     }
 
-    /// Books work at a host; whether that is more than it can bear during slow start.
-    fn falls_over(&mut self, at: usize, cost: f64) -> bool {
-        let shape = self.shape;
-        let asked = self.hosts[at].book(self.now, cost, shape.window_ms);
-        self.see(RecordedEvent::WorkRequested {
-            host: self.hosts[at].id.clone(),
-            cost_ms: cost,
+    /// Adds work to a host's window; whether that is more than it bears during slow start.
+    fn is_overloaded_by(&mut self, host: usize, cost_ms: f64) -> bool {
+        let scenario = self.scenario;
+        let requested_ms = self.hosts[host].add_work(self.now, cost_ms, scenario.load_window_ms);
+        self.record_event(RecordedEvent::WorkRequested {
+            host: self.hosts[host].id.clone(),
+            cost_ms,
         });
-        let host = &self.hosts[at];
-        let part = host.part(self.now, shape.cold_from, shape.warm_within_ms);
-        let bearable = shape.factor * part * host.places * shape.window_ms;
-        part < 1.0 && host.kind != Kind::Origin && asked > bearable
+        let fraction = self.capacity_fraction(host);
+        let state = &self.hosts[host];
+        let bearable_ms =
+            scenario.overload_factor * fraction * state.slots * scenario.load_window_ms;
+        fraction < 1.0 && state.kind != HostKind::Origin && requested_ms > bearable_ms
     }
 
-    /// Gives free places to what waits.
-    pub(super) fn start(&mut self, at: usize) {
-        while self.hosts[at].up && self.hosts[at].busy < self.capacity(at) {
-            let Some(job) = self.hosts[at].waiting.pop_front() else {
+    /// Gives free slots to queued jobs.
+    pub(super) fn start_queued_jobs(&mut self, host: usize) {
+        while self.hosts[host].up && self.hosts[host].busy < self.available_slots(host) {
+            let Some(job) = self.hosts[host].queue.pop_front() else {
                 return;
             };
-            self.start_job(at, job);
+            self.start_job(host, job);
         }
     }
 
-    fn start_job(&mut self, at: usize, job: Job) {
+    fn start_job(&mut self, host: usize, job: Job) {
         let id = job.attempt();
         let Some(attempt) = self.attempts.get(&id) else {
             return;
         };
         if attempt.outcome.is_some() && matches!(job, Job::Answer(_)) {
-            return self.forget(id);
+            return self.drop_attempt(id);
         }
-        let (want, oldest) = (attempt.want, attempt.oldest);
-        let host = &mut self.hosts[at];
-        host.busy += 1;
-        host.served.push(job);
-        let held = match host.kind {
-            Kind::Origin => Some(self.now),
-            Kind::Cache | Kind::Parent => {
-                host.copies.look(self.wants[want as usize].object, oldest)
-            }
+        let object = self.operations[attempt.operation as usize].object;
+        let oldest_ms = attempt.oldest_ms;
+        let state = &mut self.hosts[host];
+        state.busy += 1;
+        state.running.push(job);
+        let made_ms = match state.kind {
+            HostKind::Origin => Some(self.now),
+            HostKind::Cache | HostKind::Parent => state.cache.lookup(object, oldest_ms),
         };
-        match held {
-            Some(made) => self.serve(at, job, made),
-            None => self.lacks(at, job),
+        match made_ms {
+            Some(made_ms) => self.serve(host, job, made_ms),
+            None => self.cache_miss(host, job),
         }
     }
 
     /// A host has what was asked for, made then, and works on it.
-    fn serve(&mut self, at: usize, job: Job, made: f64) {
+    fn serve(&mut self, host: usize, job: Job, made_ms: f64) {
         let Some(attempt) = self.attempts.get_mut(&job.attempt()) else {
             return;
         };
-        let (is_origin, run) = (self.hosts[at].kind == Kind::Origin, self.hosts[at].run);
-        attempt.made = made;
-        let want = &self.wants[attempt.want as usize];
-        let kb = want.kb;
+        attempt.made_ms = made_ms;
+        let is_origin = self.hosts[host].kind == HostKind::Origin;
+        let incarnation = self.hosts[host].incarnation;
+        let operation = &self.operations[attempt.operation as usize];
+        let kb = operation.kb;
         if matches!(job, Job::Answer(_)) {
             attempt.fill = if is_origin {
                 FillOutcome::Filled
             } else {
                 FillOutcome::Hit
             };
-            if want.write {
+            if operation.write {
                 let effect = attempt.request.0.to_string();
-                self.see(RecordedEvent::EffectApplied { effect });
+                self.record_event(RecordedEvent::EffectApplied { effect });
             }
         }
-        let mut wait = self.work(at, kb);
+        let mut wait_ms = self.service_ms(host, kb);
         if is_origin {
-            wait += self.shape.origin_ms * self.conditions.origin_times;
+            wait_ms += self.scenario.origin_latency_ms * self.conditions.origin_factor;
         }
-        self.after(wait, Event::Served { host: at, run, job });
+        let done = Event::JobDone {
+            host,
+            incarnation,
+            job,
+        };
+        self.schedule(wait_ms, done);
     }
 
-    /// A host gives a job's place free.
-    pub(super) fn leave(&mut self, at: usize, job: Job) {
-        let host = &mut self.hosts[at];
-        if let Some(place) = host.served.iter().position(|other| *other == job) {
-            host.served.swap_remove(place);
-            host.busy = host.busy.saturating_sub(1);
+    /// A job gives its slot free.
+    pub(super) fn free_slot(&mut self, host: usize, job: Job) {
+        let state = &mut self.hosts[host];
+        if let Some(index) = state.running.iter().position(|other| *other == job) {
+            state.running.swap_remove(index);
+            state.busy = state.busy.saturating_sub(1);
         }
     }
 
     /// A host is done with a job.
-    pub(super) fn served(&mut self, at: usize, job: Job) {
-        self.leave(at, job);
+    pub(super) fn job_done(&mut self, host: usize, job: Job) {
+        self.free_slot(host, job);
         match job {
-            Job::Answer(id) => self.end(id, AttemptOutcome::Answered, FillOutcome::Nothing),
-            Job::Behind(id) => self.filled_parent(id),
-            Job::Fill(id) => self.fill_sent(id),
+            Job::Answer(id) => self.end_attempt(id, AttemptOutcome::Answered, FillOutcome::Nothing),
+            Job::FillParent(id) => self.parent_filled(id),
+            Job::FillCache(id) => self.send_fill(id),
         }
-        self.start(at);
+        self.start_queued_jobs(host);
     }
 }
