--- a/crates/flaxdeck-fleet/src/queue.rs
+++ b/crates/flaxdeck-fleet/src/queue.rs
@@ -1,7 +1,7 @@
-//! The event queue: a wheel of short slots for what is near, a heap for what is far. Events of one time come out in
-//! the order in which they were put in, so that a run is the same each time.
+//! The event queue: a timing wheel for what is near, a heap for what is far. Events of one time come out in the order in
+//! which they were pushed, so that a run is the same each time.
 
-use std::cmp::Reverse;
+use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 /// Microseconds of one slot, as a power of two: about half a millisecond, so that a busy fleet has some events a slot.
@@ -9,122 +9,152 @@
 /// Slots of the wheel, a power of two: together about two seconds, past which little is planned.
 const SLOTS: usize = 4096;
 
-type Entry<T> = (u64, u64, Held<T>);
+/// An event with its place in the order. Only the time and the sequence number order entries.
+struct Entry<T> {
+    time_us: u64,
+    /// Counts the pushes of the queue.
+    sequence: u64,
+    event: T,
+}
+
+impl<T> Entry<T> {
+    fn order(&self) -> (u64, u64) {
+        (self.time_us, self.sequence)
+    }
 
-/// Compares as equal to all: only the time and the number order events.
-struct Held<T>(T);
+    fn slot(&self) -> u64 {
+        self.time_us >> SLOT_BITS
+    }
+}
 
-impl<T> PartialEq for Held<T> {
-    fn eq(&self, _: &Held<T>) -> bool {
-        true
+impl<T> PartialEq for Entry<T> {
+    fn eq(&self, other: &Entry<T>) -> bool {
+        self.order() == other.order()
     }
 }
-impl<T> Eq for Held<T> {}
-impl<T> PartialOrd for Held<T> {
-    fn partial_cmp(&self, other: &Held<T>) -> Option<std::cmp::Ordering> {
+
+impl<T> Eq for Entry<T> {}
+
+impl<T> PartialOrd for Entry<T> {
+    fn partial_cmp(&self, other: &Entry<T>) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl<T> Ord for Held<T> {
-    fn cmp(&self, _: &Held<T>) -> std::cmp::Ordering {
-        std::cmp::Ordering::Equal
+
+impl<T> Ord for Entry<T> {
+    fn cmp(&self, other: &Entry<T>) -> Ordering {
+        self.order().cmp(&other.order())
     }
 }
 
-/// Events by their times in microseconds. Putting one in takes constant time where it is near, logarithmic where it
-/// is far; taking one out constant time and a sort of its slot, amortised.
+/// Events by their times in microseconds. Pushing takes constant time where the event is near, logarithmic where it is
+/// far; popping takes constant time and a sort of its slot, amortised.
 ///
 /// Source: the timing wheels of Varghese and Lauck (1987), with an overflow heap in place of further wheels, as in
 /// Brown's calendar queues (1988) days far ahead are rare.
-pub struct Queue<T> {
+pub struct EventQueue<T> {
     slots: Vec<Vec<Entry<T>>>,
-    /// The slot that is being emptied, counted from the beginning of time; its events are sorted, the next one last.
-    at: u64,
+    /// The slot that is being emptied, counted from the beginning of time.
+    current_slot: u64,
+    /// That slot's events, the next one last.
     current: Vec<Entry<T>>,
-    near: usize,
-    far: BinaryHeap<Reverse<Entry<T>>>,
-    next: u64,
+    /// Events in the wheel, without the current slot's.
+    in_wheel: usize,
+    /// Events past the wheel's reach.
+    overflow: BinaryHeap<Reverse<Entry<T>>>,
+    next_sequence: u64,
 }
 
-impl<T> Default for Queue<T> {
-    fn default() -> Queue<T> {
-        let slots = (0..SLOTS).map(|_| Vec::new()).collect();
-        Queue {
-            slots,
-            at: 0,
+impl<T> Default for EventQueue<T> {
+    fn default() -> EventQueue<T> {
+        EventQueue {
+            slots: (0..SLOTS).map(|_| Vec::new()).collect(),
+            current_slot: 0,
             current: Vec::new(),
-            near: 0,
-            far: BinaryHeap::new(),
-            next: 0,
+            in_wheel: 0,
+            overflow: BinaryHeap::new(),
+            next_sequence: 0,
         }
     }
 }
 
-impl<T> Queue<T> {
-    /// An event at that time; one in the past comes next.
-    pub fn put(&mut self, time: u64, event: T) {
-        let entry = (time, self.next, Held(event));
-        self.next += 1;
-        let slot = (time >> SLOT_BITS).max(self.at);
-        if slot == self.at {
-            let place = self
-                .current
-                .partition_point(|other| (other.0, other.1) > (entry.0, entry.1));
+impl<T> EventQueue<T> {
+    /// Adds an event at that time; one in the past comes next.
+    pub fn push(&mut self, time_us: u64, event: T) {
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        let entry = Entry {
+            time_us,
+            sequence,
+            event,
+        };
+        if entry.slot() <= self.current_slot {
+            let place = self.current.partition_point(|other| *other > entry);
             self.current.insert(place, entry);
-        } else if slot < self.at + SLOTS as u64 {
-            self.slots[slot as usize % SLOTS].push(entry);
-            self.near += 1;
+        } else if entry.slot() < self.wheel_end() {
+            self.push_into_wheel(entry);
         } else {
-            self.far.push(Reverse(entry));
+            self.overflow.push(Reverse(entry));
         }
     }
 
-    /// The next event with its time.
-    pub fn take(&mut self) -> Option<(u64, T)> {
+    /// The next event with its time in microseconds.
+    pub fn pop(&mut self) -> Option<(u64, T)> {
         while self.current.is_empty() {
-            if self.near == 0 {
-                // Nothing within the wheel: it jumps to what is far.
-                let Reverse(first) = self.far.peek()?;
-                self.at = first.0 >> SLOT_BITS;
-            } else {
-                self.at += 1;
-                let slot = &mut self.slots[self.at as usize % SLOTS];
-                std::mem::swap(slot, &mut self.current);
-                self.near -= self.current.len();
-            }
-            self.bring_near();
-            self.current
-                .sort_unstable_by_key(|entry| Reverse((entry.0, entry.1)));
+            self.advance()?;
         }
-        self.current
-            .pop()
-            .map(|(time, _, Held(event))| (time, event))
+        let entry = self.current.pop()?;
+        Some((entry.time_us, entry.event))
+    }
+
+    /// Goes on to the next slot that may hold events; none if there are no events.
+    fn advance(&mut self) -> Option<()> {
+        if self.in_wheel == 0 {
+            // Nothing within the wheel: it jumps to what is far.
+            let Reverse(first) = self.overflow.peek()?;
+            self.current_slot = first.slot();
+        } else {
+            self.current_slot += 1;
+            let slot = &mut self.slots[self.current_slot as usize % SLOTS];
+            std::mem::swap(slot, &mut self.current);
+            self.in_wheel -= self.current.len();
+        }
+        self.refill_from_overflow();
+        self.current.sort_unstable_by(|a, b| b.cmp(a));
+        Some(())
     }
 
     /// Moves into the wheel what has come within its reach.
-    fn bring_near(&mut self) {
-        let end = self.at + SLOTS as u64;
-        while self
-            .far
-            .peek()
-            .is_some_and(|Reverse(first)| first.0 >> SLOT_BITS < end)
-        {
-            let Some(Reverse(entry)) = self.far.pop() else {
+    fn refill_from_overflow(&mut self) {
+        let end = self.wheel_end();
+        while let Some(Reverse(first)) = self.overflow.peek() {
+            if first.slot() >= end {
+                return;
+            }
+            let Some(Reverse(entry)) = self.overflow.pop() else {
                 return;
             };
-            let slot = entry.0 >> SLOT_BITS;
-            if slot <= self.at {
+            if entry.slot() <= self.current_slot {
                 self.current.push(entry);
             } else {
-                self.slots[slot as usize % SLOTS].push(entry);
-                self.near += 1;
+                self.push_into_wheel(entry);
             }
         }
     }
 
+    fn push_into_wheel(&mut self, entry: Entry<T>) {
+        self.slots[entry.slot() as usize % SLOTS].push(entry);
+        self.in_wheel += 1;
+    }
+
+    /// The first slot past the wheel's reach.
+    fn wheel_end(&self) -> u64 {
+        self.current_slot + SLOTS as u64
+    }
+
     /// Events that are left.
     pub fn len(&self) -> usize {
-        self.current.len() + self.near + self.far.len()
+        self.current.len() + self.in_wheel + self.overflow.len()
     }
 
     /// Whether none is left.
@@ -133,32 +163,36 @@
     }
 }
 
-/// The plain queue that the wheel is measured and tested against.
-pub struct Plain<T> {
+/// The plain heap that the wheel is tested against.
+pub struct HeapQueue<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
-    next: u64,
+    next_sequence: u64,
 }
 
-impl<T> Default for Plain<T> {
-    fn default() -> Plain<T> {
-        Plain {
+impl<T> Default for HeapQueue<T> {
+    fn default() -> HeapQueue<T> {
+        HeapQueue {
             heap: BinaryHeap::new(),
-            next: 0,
+            next_sequence: 0,
         }
     }
 }
 
-impl<T> Plain<T> {
-    /// An event at that time.
-    pub fn put(&mut self, time: u64, event: T) {
-        self.heap.push(Reverse((time, self.next, Held(event))));
-        self.next += 1;
+impl<T> HeapQueue<T> {
+    /// Adds an event at that time.
+    pub fn push(&mut self, time_us: u64, event: T) {
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        self.heap.push(Reverse(Entry {
+            time_us,
+            sequence,
+            event,
+        }));
     }
 
-    /// The next event with its time.
-    pub fn take(&mut self) -> Option<(u64, T)> {
-        self.heap
-            .pop()
-            .map(|Reverse((time, _, Held(event)))| (time, event))
+    /// The next event with its time in microseconds.
+    pub fn pop(&mut self) -> Option<(u64, T)> {
+        let Reverse(entry) = self.heap.pop()?;
+        Some((entry.time_us, entry.event))
     }
 }
--- a/crates/flaxdeck-fleet/tests/days.rs
+++ b/crates/flaxdeck-fleet/tests/days.rs
@@ -1,110 +1,124 @@
-//! Days of the model: the same again by the same seed, calm ones that go well, and each kind of kind with every request
-//! accounted for and no rule broken.
+//! Runs of the model: the same again by the same seed, quiet ones that go well, and each kind of fault with every
+//! request accounted for and no rule broken.
 
-use flaxdeck_fleet::{Outcome, Shape, faults, run};
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
+use flaxdeck_fleet::faults::KINDS;
+use flaxdeck_fleet::outcome::ServedBySize;
+use flaxdeck_fleet::{Fault, Outcome, Scenario, run};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-fn shape() -> Shape {
-    Shape {
-        day_ms: 16_000.0,
+fn scenario() -> Scenario {
+    Scenario {
+        duration_ms: 16_000.0,
         planners: 2,
-        judged: true,
-        ..Shape::default()
+        check_invariants: true,
+        ..Scenario::default()
     }
 }
 
-fn kept(out: &Outcome, what: &str) {
-    let verdict = out.verdict.as_ref().unwrap();
+/// Fails if a rule was broken, or a request or an operation has no end.
+fn assert_sound(outcome: &Outcome, what: &str) {
+    let verdict = outcome.verdict.as_ref().unwrap();
     assert!(
         verdict.violations.is_empty(),
         "{what}: {:?}",
         &verdict.violations[..verdict.violations.len().min(3)]
     );
     assert_eq!(
-        out.requests,
+        outcome.requests,
         verdict.served + verdict.rejected + verdict.failed + verdict.left,
         "{what}"
     );
     assert_eq!(
-        out.wants,
-        out.in_time + out.late + out.lost,
-        "{what}: every want has its end"
+        outcome.operations,
+        outcome.in_time + outcome.late + outcome.lost,
+        "{what}: every operation has its end"
     );
 }
 
 #[test]
 fn the_same_seed_gives_the_same_day_and_another_another() {
-    let (one, again, other) = (run(&shape(), 5), run(&shape(), 5), run(&shape(), 6));
+    let (one, again, other) = (
+        run(&scenario(), 5),
+        run(&scenario(), 5),
+        run(&scenario(), 6),
+    );
     assert_eq!(one, again);
     assert_ne!(one.digest, other.digest);
 }
 
 #[test]
-fn a_calm_day_goes_well() {
+fn a_quiet_day_goes_well() {
     for planners in [0, 2] {
         let out = run(
-            &Shape {
+            &Scenario {
                 planners,
-                ..shape()
+                ..scenario()
             },
             1,
         );
-        kept(&out, "calm");
+        assert_sound(&out, "calm");
         assert!(out.gain() > 0.97, "{out:?}");
         assert!(out.hits * 2 > out.attempts, "{out:?}");
     }
 }
 
 #[test]
-fn every_kind_of_trouble_ends_with_each_want_accounted_for_and_no_rule_broken() {
-    for (seed, kind) in (1..).zip(faults::KINDS) {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let mut shape = shape();
-        shape
-            .faults
-            .extend(faults::draw(kind, shape.zones, shape.day_ms, &mut chance));
-        let out = run(&shape, seed);
+fn every_kind_of_fault_ends_with_each_operation_accounted_for_and_no_rule_broken() {
+    for (seed, kind) in (1..).zip(KINDS) {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let mut scenario = scenario();
+        let fault = Fault::draw(kind, scenario.zones, scenario.duration_ms, &mut rng);
+        scenario.faults.extend(fault);
+        let out = run(&scenario, seed);
         println!(
-            "{kind}: gain {:.4}, {} wants, {} events",
+            "{kind}: gain {:.4}, {} operations, {} events",
             out.gain(),
-            out.wants,
+            out.operations,
             out.events
         );
-        kept(&out, kind);
+        assert_sound(&out, kind);
         assert!(out.gain() > 0.3, "{kind}: {out:?}");
     }
 }
 
 #[test]
-fn troubles_that_overlap_are_borne_as_well() {
-    let mut shape = shape();
-    let mut chance = Pcg64Mcg::seed_from_u64(9);
+fn faults_that_overlap_break_no_rule_either() {
+    let mut scenario = scenario();
+    let mut rng = Pcg64Mcg::seed_from_u64(9);
     for kind in ["die", "late-register", "silent-planners", "scan"] {
-        shape
-            .faults
-            .extend(faults::draw(kind, shape.zones, shape.day_ms, &mut chance));
+        let fault = Fault::draw(kind, scenario.zones, scenario.duration_ms, &mut rng);
+        scenario.faults.extend(fault);
     }
-    kept(&run(&shape, 9), "four at once");
+    assert_sound(&run(&scenario, 9), "four at once");
 }
 
-/// Plays days with many large objects; gives the part served of all reads, of the largest tenth and of the next fifth.
-fn by_size(rate: f64, link_pace: f64) -> Vec<[f64; 3]> {
+/// Plays days with many large objects; gives what was served by size.
+fn served_by_size(requests_per_s: f64, link_kb_per_ms: f64) -> Vec<ServedBySize> {
     let play = |seed| {
-        let mut pressed = shape();
-        (pressed.law.rate, pressed.law.spread, pressed.link_pace) = (rate, 1.2, link_pace);
-        let out = run(&pressed, seed);
-        kept(&out, "pressed");
+        let mut scenario = scenario();
+        scenario.traffic.requests_per_s = requests_per_s;
+        scenario.traffic.size_log_deviation = 1.2;
+        scenario.link_kb_per_ms = link_kb_per_ms;
+        let out = run(&scenario, seed);
+        assert_sound(&out, "pressed");
         out.served_by_size
     };
     (1..4).map(play).collect()
 }
 
-fn get_their_part(served: &[[f64; 3]], least: f64) {
-    for [all, largest, next] in served {
+fn assert_large_objects_get(least: f64, served: &[ServedBySize]) {
+    for by_size in served {
+        let (all, largest, next) = (by_size.all, by_size.largest_tenth, by_size.next_fifth);
         println!("{all:.3} of all, {largest:.3} of the largest tenth, {next:.3} of the next fifth");
         assert!(
-            *largest >= all * least && *next >= all * least,
+            largest >= all * least && next >= all * least,
             "{all}, {largest}, {next}"
         );
     }
@@ -113,27 +127,27 @@
 // The largest tenth of the reads, and the fifth below, get two thirds of what all get on quiet days, ...
 #[test]
 fn on_quiet_days_large_objects_get_two_thirds_of_the_served_share() {
-    get_their_part(&by_size(150.0, 60.0), 2.0 / 3.0);
+    assert_large_objects_get(2.0 / 3.0, &served_by_size(150.0, 60.0));
 }
 
 // ... and half of it where links or caches are asked for too much.
 #[test]
 fn under_pressure_large_objects_get_half_of_the_served_share() {
     let pressed = [
-        by_size(300.0, 60.0),
-        by_size(150.0, 25.0),
-        by_size(300.0, 25.0),
+        served_by_size(300.0, 60.0),
+        served_by_size(150.0, 25.0),
+        served_by_size(300.0, 25.0),
     ];
-    pressed
-        .iter()
-        .for_each(|served| get_their_part(served, 0.5));
+    for served in &pressed {
+        assert_large_objects_get(0.5, served);
+    }
     assert!(
-        pressed.iter().flatten().any(|[all, ..]| *all < 0.9),
+        pressed.iter().flatten().any(|by_size| by_size.all < 0.9),
         "some of these days press"
     );
 }
 
 #[test]
 fn at_three_times_the_usual_load_large_objects_get_half_of_the_served_share() {
-    get_their_part(&by_size(450.0, 60.0), 0.5);
+    assert_large_objects_get(0.5, &served_by_size(450.0, 60.0));
 }
--- a/crates/flaxdeck-fleet/tests/links.rs
+++ b/crates/flaxdeck-fleet/tests/links.rs
@@ -1,12 +1,14 @@
-//! Transfers over one link end when plain recomputation says.
+//! Transfers over one link end when plain recomputation says they do.
 
-use flaxdeck_fleet::links::Link;
+use flaxdeck_fleet::link::Link;
 
 use proptest::prelude::*;
 
 /// Plain recomputation: every transfer's rest is brought up to date at each step.
 fn plain(starts: &[(f64, f64)], pace: f64) -> Vec<f64> {
-    let (mut now, mut open, mut ends) = (0.0, Vec::<(usize, f64)>::new(), vec![0.0; starts.len()]);
+    let mut now = 0.0;
+    let mut open: Vec<(usize, f64)> = Vec::new();
+    let mut ends = vec![0.0; starts.len()];
     let mut next = 0;
     loop {
         let arrives = starts.get(next).map(|(at, _)| *at);
@@ -20,7 +22,9 @@
             },
         };
         let share = (to - now) * pace / open.len().max(1) as f64;
-        open.iter_mut().for_each(|(_, kb)| *kb -= share);
+        for (_, kb) in &mut open {
+            *kb -= share;
+        }
         now = to;
         open.retain(|(n, kb)| {
             if *kb < 1e-6 {
@@ -47,12 +51,16 @@
         let mut ends = vec![0.0; starts.len()];
         for (at, kb) in &starts {
             while let Some(end) = link.next_end().filter(|end| end <= at) {
-                link.ended(end).into_iter().for_each(|number| ends[number as usize] = end);
+                for transfer in link.take_ended(end) {
+                    ends[transfer as usize] = end;
+                }
             }
-            link.begin(*at, *kb);
+            link.start(*at, *kb);
         }
         while let Some(end) = link.next_end() {
-            link.ended(end).into_iter().for_each(|number| ends[number as usize] = end);
+            for transfer in link.take_ended(end) {
+                    ends[transfer as usize] = end;
+                }
         }
         for (ours, plain) in ends.iter().zip(expected) {
             prop_assert!((ours - plain).abs() < 0.05, "{} {}", ours, plain);
--- a/crates/flaxdeck-invariants/src/terms.rs
+++ b/crates/flaxdeck-invariants/src/terms.rs
@@ -18,8 +18,8 @@
 impl SlowStartTerms {
     /// The fraction of its capacity that a host has so many milliseconds after its start, from 0 to 1.
     pub fn capacity_fraction(&self, age_ms: f64) -> f64 {
-        let risen = age_ms / self.duration_ms.max(1.0);
-        (self.initial_fraction + (1.0 - self.initial_fraction) * risen).clamp(0.0, 1.0)
+        let initial = self.initial_fraction;
+        (initial + (1.0 - initial) * age_ms / self.duration_ms.max(1.0)).clamp(0.0, 1.0)
     }
 }
 
--- a/crates/flaxdeck-scale/tests/capacity.rs
+++ b/crates/flaxdeck-scale/tests/capacity.rs
@@ -1,5 +1,11 @@
 //! The capacity page over made-up slopes: its arithmetic, its marks, and that no figure is typed.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::path::{Path, PathBuf};
 
 use flaxdeck_scale::capacity::estimate::{Known, Lines};
--- a/crates/flaxdeck-scale/tests/charts.rs
+++ b/crates/flaxdeck-scale/tests/charts.rs
@@ -1,5 +1,11 @@
 //! Charts over made-up measurements.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::path::PathBuf;
 
 use flaxdeck_scale::charts;
--- a/crates/flaxdeck-scale/tests/files.rs
+++ b/crates/flaxdeck-scale/tests/files.rs
@@ -1,5 +1,11 @@
 //! Scale files: what they say, what is refused with its place, and sizes over a bound.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use flaxdeck_scale::bounds::{Bound, check};
 use flaxdeck_scale::measurement::Distribution;
 use flaxdeck_scale::scenario::{FaultKind, Point, read};
--- a/crates/flaxdeck-scale/tests/fit.rs
+++ b/crates/flaxdeck-scale/tests/fit.rs
@@ -1,5 +1,11 @@
 //! Lines fitted to made-up measurements.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use flaxdeck_scale::files;
 use flaxdeck_scale::fit::least_squares::least_squares;
 use flaxdeck_scale::fit::line::{self, Evidence, Line, SlopeRow};
--- a/crates/flaxdeck-scale/tests/recorded_files.rs
+++ b/crates/flaxdeck-scale/tests/recorded_files.rs
@@ -1,6 +1,12 @@
 //! Files of earlier revisions that have to stay readable: the recorded runs of the capacity page, the scale files and
 //! the sites of the plays, with a digest of each as revision 45b174f had it.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::path::{Path, PathBuf};
 
 use flaxdeck_scale::files::{read_table, table_text};
--- a/crates/flaxdeck-scale/tests/target.rs
+++ b/crates/flaxdeck-scale/tests/target.rs
@@ -1,5 +1,11 @@
 //! The target's file: faults with their places, and the means that follow from it.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use flaxdeck_scale::target::{self, Target};
 
 const FILE: &str = include_str!("../../../docs/capacity/target.plan");
