--- a/crates/flaxdeck-channel/src/watch/mod.rs
+++ b/crates/flaxdeck-channel/src/watch/mod.rs
@@ -27,6 +27,7 @@
 use flaxdeck_wire::frames;
 pub use flaxdeck_wire::frames::Event;
 pub use flaxdeck_wire::frames::NumberedEvents;
+use thiserror::Error;
 use tokio::time::Instant;
 use tokio::time::sleep;
 use tokio::time::timeout;
@@ -41,6 +42,18 @@
 /// How long a connection to the coordinator may take to come up: as long as the longest pause between two.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
 
+/// What a configuration says of the coordinator's events can't be used.
+#[derive(Debug, Error)]
+#[error("{0}")]
+pub struct InvalidKnownEvents(String);
+
+/// For readers of configurations, whose errors are texts that name the place too.
+impl From<InvalidKnownEvents> for String {
+    fn from(error: InvalidKnownEvents) -> String {
+        error.0
+    }
+}
+
 /// The two halves of a connection that is up.
 struct Link {
     inbound: Inbound,
@@ -68,15 +81,15 @@
     ///
     /// # Errors
     ///
-    /// If `known` does not hold the events of a configuration; the text says what of it.
+    /// If `known` does not hold the events of a configuration.
     pub fn start(
         address: SocketAddr,
         known: &Fields,
         names: Rc<Names>,
         trusts: bool,
         seed: u64,
-    ) -> Result<(Watch, NumberedEvents), String> {
-        let (number, events) = frames::known(known, &names)?;
+    ) -> Result<(Watch, NumberedEvents), InvalidKnownEvents> {
+        let (number, events) = frames::known(known, &names).map_err(InvalidKnownEvents)?;
         let hash = events
             .last()
             .filter(|(last, _)| *last == number)
@@ -284,7 +297,7 @@
 fn count_event(event: &WatchEvent) {
     match event {
         WatchEvent::Heartbeat => {}
-        WatchEvent::Event(..) => count(Counter::feed_events),
-        WatchEvent::Relisted(..) => count(Counter::feed_anew),
+        WatchEvent::Event { .. } => count(Counter::feed_events),
+        WatchEvent::Relisted { .. } => count(Counter::feed_anew),
     }
 }
--- a/crates/flaxdeck-channel/src/watch/protocol.rs
+++ b/crates/flaxdeck-channel/src/watch/protocol.rs
@@ -36,10 +36,24 @@
 pub enum WatchEvent {
     /// Nothing new, but it is there.
     Heartbeat,
-    /// An event that follows, and the frame that it came in, for who passes it on.
-    Event(EventPosition, Bytes, Event),
-    /// A whole list in place of all that was known.
-    Relisted(EventPosition, Event, Option<MissedPeriod>),
+    /// An event that follows.
+    Event {
+        /// Its place among the coordinator's events.
+        position: EventPosition,
+        /// The frame that it came in, for who passes it on.
+        frame: Bytes,
+        /// The event itself.
+        event: Event,
+    },
+    /// A full list in place of all that was known.
+    Relisted {
+        /// The last event that is part of it.
+        position: EventPosition,
+        /// The list.
+        list: Event,
+        /// What may have been announced to nobody here, if anything was known before.
+        missed: Option<MissedPeriod>,
+    },
 }
 
 /// One frame of the coordinator.
@@ -233,11 +247,19 @@
             Next::Skip => Action::Continue,
             Next::Apply => {
                 self.backoff.answered(now);
-                Action::Emit(WatchEvent::Event(position, bytes, event))
+                Action::Emit(WatchEvent::Event {
+                    position,
+                    frame: bytes,
+                    event,
+                })
             }
             Next::Adopt(missed) => {
                 self.backoff.answered(now);
-                Action::Emit(WatchEvent::Relisted(position, event, missed))
+                Action::Emit(WatchEvent::Relisted {
+                    position,
+                    list: event,
+                    missed,
+                })
             }
             Next::AskAgain(why) => self.disconnect(Disconnect::DoesNotFollow { number, why }),
         }
--- a/crates/flaxdeck-channel/tests/watch_protocol.rs
+++ b/crates/flaxdeck-channel/tests/watch_protocol.rs
@@ -36,7 +36,7 @@
     }
 }
 
-fn frame(number: u64, event: Option<Event>) -> Frame {
+fn frame_of(number: u64, event: Option<Event>) -> Frame {
     Frame {
         number,
         bytes: Bytes::from_static(b"as it came"),
@@ -69,13 +69,16 @@
 fn events_that_follow_are_emitted_once_with_the_frame_that_they_came_in() {
     let mut protocol = after_event_seven(true);
     assert_eq!(protocol.connected(at(10)), 7);
-    let emitted = protocol.frame(at(20), frame(8, Some(purge(8))));
-    let Action::Emit(WatchEvent::Event(position, bytes, _)) = emitted else {
+    let emitted = protocol.frame(at(20), frame_of(8, Some(purge(8))));
+    let Action::Emit(WatchEvent::Event {
+        position, frame, ..
+    }) = emitted
+    else {
         panic!("event 8 follows: {emitted:?}");
     };
-    assert_eq!((position.number, &bytes[..]), (8, &b"as it came"[..]));
+    assert_eq!((position.number, &frame[..]), (8, &b"as it came"[..]));
     assert_eq!(protocol.numbering().borrow().last(), position);
-    let again = protocol.frame(at(30), frame(8, Some(purge(8))));
+    let again = protocol.frame(at(30), frame_of(8, Some(purge(8))));
     assert!(matches!(again, Action::Continue), "{again:?}");
 }
 
@@ -84,7 +87,7 @@
     let mut protocol = after_event_seven(true);
     protocol.connected(at(0));
     assert!(!protocol.is_current());
-    let action = protocol.frame(at(10), frame(7, None));
+    let action = protocol.frame(at(10), frame_of(7, None));
     assert!(
         matches!(action, Action::Emit(WatchEvent::Heartbeat)),
         "{action:?}"
@@ -99,7 +102,7 @@
     let mut protocol = after_event_seven(false);
     assert_eq!(protocol.connected(at(0)), 6);
     assert_eq!(protocol.read_limit().timeout, Timeout::NothingThere);
-    let proof = protocol.frame(at(10), frame(7, Some(purge(7))));
+    let proof = protocol.frame(at(10), frame_of(7, Some(purge(7))));
     assert!(matches!(proof, Action::Continue), "{proof:?}");
     assert_eq!(protocol.numbering().borrow().sure(), Some(at(10)));
 }
@@ -108,7 +111,7 @@
 fn an_event_that_does_not_follow_has_all_asked_for_at_once() {
     let mut protocol = after_event_seven(false);
     protocol.connected(at(0));
-    let why = reason(protocol.frame(at(10), frame(7, Some(purge(70)))));
+    let why = reason(protocol.frame(at(10), frame_of(7, Some(purge(70)))));
     let expected = Disconnect::DoesNotFollow {
         number: 7,
         why: Why::OtherEvent,
@@ -116,7 +119,7 @@
     assert_eq!(why, expected);
     assert!(!why.pauses());
     assert_eq!(protocol.connected(at(20)), 0);
-    let why = reason(protocol.frame(at(30), frame(9, Some(purge(9)))));
+    let why = reason(protocol.frame(at(30), frame_of(9, Some(purge(9)))));
     let expected = Disconnect::DoesNotFollow {
         number: 9,
         why: Why::NoList,
@@ -140,7 +143,7 @@
 fn silence_ends_the_connection_after_two_heartbeats_that_are_missing() {
     let mut protocol = after_event_seven(true);
     protocol.connected(at(0));
-    protocol.frame(at(10), frame(7, None));
+    protocol.frame(at(10), frame_of(7, None));
     let limit = protocol.read_limit();
     assert_eq!(limit.timeout, Timeout::Silent);
     assert_eq!(limit.until, at(10 + 2200));
@@ -153,7 +156,7 @@
 fn a_frame_that_comes_byte_by_byte_and_never_ends_is_not_waited_for() {
     let mut protocol = after_event_seven(true);
     protocol.connected(at(0));
-    protocol.frame(at(10), frame(7, None));
+    protocol.frame(at(10), frame_of(7, None));
     let begins = protocol.bytes_read(at(2000), true);
     assert!(matches!(begins, Action::Continue), "{begins:?}");
     assert_eq!(protocol.read_limit().until, at(2000 + 2200));
--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -103,6 +103,7 @@
                 false,
                 seed,
             )
+            .map_err(String::from)
         };
         watch().map_err(|fault: String| format!("{}: {fault}", self.file))
     }
--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -11,6 +11,7 @@
 use flaxdeck_net::clock::Clock;
 use flaxdeck_recovery::EventPosition;
 use serde_json::Value;
+use thiserror::Error;
 
 use crate::program::start;
 use crate::program::start::Start;
@@ -21,6 +22,18 @@
 use crate::routing::StateDirectory;
 use crate::routing::restore;
 
+/// The platform's configuration can't be used; the text says what of it.
+#[derive(Debug, Error)]
+#[error("{0}")]
+pub struct InvalidConfiguration(String);
+
+/// For programs whose errors are texts.
+impl From<InvalidConfiguration> for String {
+    fn from(error: InvalidConfiguration) -> String {
+        error.0
+    }
+}
+
 /// The control side of a forwarder that takes no clients, on the `LocalSet` of the thread that started it. It owns all
 /// tasks that it has started: they end when it is dropped.
 pub struct HollowForwarder {
@@ -33,14 +46,14 @@
     ///
     /// # Errors
     ///
-    /// If the configuration can't be used; the text says what of it.
+    /// If the configuration can't be used.
     pub fn start(
         configuration: &Value,
         options: ControlClientOptions,
         instance: u32,
         listener: EventListener,
-    ) -> Result<HollowForwarder, String> {
-        let start = start::parse(configuration, None, false)?;
+    ) -> Result<HollowForwarder, InvalidConfiguration> {
+        let start = start::parse(configuration, None, false).map_err(InvalidConfiguration)?;
         let clock = Clock::start();
         Ok(HollowForwarder {
             router: begin(start, clock, Some(options), instance, Some(listener)),
--- a/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
@@ -45,14 +45,20 @@
         let client = self.control_client.get().filter(|_| watch.is_current());
         match event {
             WatchEvent::Heartbeat => {}
-            WatchEvent::Event(position, _, event) => {
+            WatchEvent::Event {
+                position, event, ..
+            } => {
                 if let Some(client) = client {
                     client.compare_clocks(self, &event);
                 }
                 self.apply_event(position, event);
             }
-            WatchEvent::Relisted(position, event, missed) => {
-                self.adopt_list(position, event, missed);
+            WatchEvent::Relisted {
+                position,
+                list,
+                missed,
+            } => {
+                self.adopt_list(position, list, missed);
             }
         }
         if let Some(client) = client {
--- a/crates/flaxdeck-planner/src/coordinator.rs
+++ b/crates/flaxdeck-planner/src/coordinator.rs
@@ -12,17 +12,23 @@
     loop {
         let relayed = match watch.next().await {
             WatchEvent::Heartbeat => None,
-            WatchEvent::Event(position, frame, event) => {
-                Some(state.apply_event(position, &frame, event))
-            }
-            WatchEvent::Relisted(mark, event, doubt) => {
+            WatchEvent::Event {
+                position,
+                frame,
+                event,
+            } => Some(state.apply_event(position, &frame, event)),
+            WatchEvent::Relisted {
+                position,
+                list,
+                missed,
+            } => {
                 tracing::warn!(
-                    ?mark,
-                    ?doubt,
+                    mark = ?position,
+                    doubt = ?missed,
                     "the coordinator's numbering is another: its list is taken anew"
                 );
-                state.apply_list(event);
-                state.begin_at(mark);
+                state.apply_list(list);
+                state.begin_at(position);
                 None
             }
         };
