--- a/crates/flaxdeck-channel/src/watch/mod.rs
+++ b/crates/flaxdeck-channel/src/watch/mod.rs
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// If `known` does not hold the events of a configuration; the text says what of it.
+    /// If `known` does not hold the events of a configuration.
     pub fn start(
         address: SocketAddr,
         known: &Fields,
@@ -282,7 +282,7 @@
 fn count_event(event: &WatchEvent) {
     match event {
         WatchEvent::Heartbeat => {}
-        WatchEvent::Event(..) => count(Counter::feed_events),
-        WatchEvent::Relisted(..) => count(Counter::feed_anew),
+        WatchEvent::Event { .. } => count(Counter::feed_events),
+        WatchEvent::Relisted { .. } => count(Counter::feed_anew),
     }
 }
