--- a/crates/flaxdeck-dispatcher/src/lib.rs
+++ b/crates/flaxdeck-dispatcher/src/lib.rs
@@ -6,5 +6,5 @@
 mod protocol;
 mod routing;
 
-pub use program::{run, run_guided};
+pub use program::{ConfigurationError, RunError, StartError, run, run_guided};
 pub use routing::{Digests, Guidelines, Keeps};
--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -1,166 +1,222 @@
-//! The process: start, signals, logger, counters.
+//! The process: start, signals, log, counters, and the end of all that at SIGTERM.
 
+mod error;
 mod logger;
 pub(crate) mod start;
 
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-use flaxdeck::Span;
+use flaxdeck::{Span, Time};
+use flaxdeck_net::clock::Clock;
+use flaxdeck_net::counters_file;
+use flaxdeck_net::listener::BoundAddress;
+use flaxdeck_net::metrics::{self, Counter, count};
 use serde_json::Value;
-use tokio::signal::unix::{SignalKind, signal};
+use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, interval, sleep};
 
 use crate::control;
 use crate::routing::{Guidelines, Router, accept};
-use flaxdeck_net::clock::Clock;
-use flaxdeck_net::counters_file;
-use flaxdeck_net::listener::BoundAddress;
-use flaxdeck_net::metrics::{self, Counter, count};
+
+pub use error::{ConfigurationError, RunError, StartError};
 
 /// Between lines of counters in the log.
-const COUNTERS: Duration = Duration::from_secs(10);
-/// After SIGTERM new clients go on coming for 0.4 s and requests for 0.2 s more; the rest is for late ones.
-const STAYS: Duration = Duration::from_millis(700);
+const COUNTERS_INTERVAL: Duration = Duration::from_secs(10);
+/// How long the process stays at least after SIGTERM: new clients go on coming for 0.4 s and requests for 0.2 s more; the
+/// rest is for late ones.
+const MIN_SHUTDOWN: Duration = Duration::from_millis(700);
 /// SIGKILL comes no sooner after SIGTERM than the longest wait of a client and this together.
-const BEFORE_KILL: Span = Span::from_ms(700);
+const KILL_DELAY: Span = Span::from_ms(700);
 /// A longest wait over this counts as this.
-const MAX_WAIT: Span = Span::from_ms(3000);
+const MAX_LONGEST_WAIT: Span = Span::from_ms(3000);
 /// Before the earliest SIGKILL: for answers to be written and the process to end.
-const SPARE: Span = Span::from_ms(200);
+const KILL_MARGIN: Span = Span::from_ms(200);
+/// The part of the margin in which the last answers are given, before connections are closed.
+const ANSWERS_PART: f64 = 0.5;
+/// The part of the margin by whose end all connections are closed.
+const CLOSING_PART: f64 = 0.75;
 /// Between looks whether all is answered.
-const LOOK: Duration = Duration::from_millis(10);
+const LOOK_INTERVAL: Duration = Duration::from_millis(10);
 /// Looks in a row that have to find nothing left: a request may be read between two.
-const LOOKS: u32 = 3;
+const MIN_IDLE_LOOKS: u32 = 3;
 
 /// One dispatcher by itself, as the platform starts it.
-pub fn run() -> Result<(), String> {
+///
+/// # Errors
+///
+/// A configuration that can't be used, or an address that can't be had.
+pub fn run() -> Result<(), RunError> {
     logger::start();
     let ended = run_guided(None, None);
     log::logger().flush();
     ended
 }
 
-/// A dispatcher that planners guide, if guidelines say so; the caller has set up the log. Without a path the
-/// configuration is the one that `GW_CONFIG` names.
-pub fn run_guided(path: Option<&str>, guidelines: Option<Guidelines>) -> Result<(), String> {
+/// A dispatcher that planners guide, if guidelines say so; the caller has set up the log. Without a path the configuration
+/// is the one that `GW_CONFIG` names.
+///
+/// # Errors
+///
+/// As [`run`].
+pub fn run_guided(path: Option<&str>, guidelines: Option<Guidelines>) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .build();
-    let runtime = runtime.map_err(|error| format!("no runtime: {error}"))?;
+        .build()
+        .map_err(RunError::Runtime)?;
     LocalSet::new().block_on(&runtime, serve(path, guidelines))
 }
 
-async fn serve(path: Option<&str>, guidelines: Option<Guidelines>) -> Result<(), String> {
+/// The signals that the platform sends.
+struct Signals {
+    terminate: Signal,
+    reload: Signal,
+}
+
+impl Signals {
+    fn catch() -> Result<Signals, RunError> {
+        Ok(Signals {
+            terminate: signal(SignalKind::terminate()).map_err(RunError::Signals)?,
+            reload: signal(SignalKind::hangup()).map_err(RunError::Signals)?,
+        })
+    }
+}
+
+/// What a later configuration is compared with.
+struct Running<'a> {
+    path: Option<&'a str>,
+    router: Rc<Router>,
+    address: SocketAddr,
+    settings: Value,
+    is_guided: bool,
+}
+
+async fn serve(path: Option<&str>, guidelines: Option<Guidelines>) -> Result<(), RunError> {
     let clock = Clock::start();
-    let signals = |kind| signal(kind).map_err(|error| format!("no signals: {error}"));
-    let (mut asked_to_end, mut asked_to_reload) = (
-        signals(SignalKind::terminate())?,
-        signals(SignalKind::hangup())?,
-    );
+    let mut signals = Signals::catch()?;
     let start = start::read(path, guidelines.is_none())?;
-    let (address, carriage, bounds, settings) = (
-        start.address,
-        start.carriage,
-        start.bounds,
-        start.settings.clone(),
-    );
-    let refused = |error| format!("cannot listen at {address}: {error}");
-    // Taken before anything is said in its name: while an earlier run still listens there, this one is none.
-    let claim = BoundAddress::bind(address).map_err(refused)?;
+    let address = start.address;
+    let bounds = start.bounds;
+    let longest_wait = start.connection_terms.longest_wait;
+    let settings = start.settings.clone();
+    let cannot_listen = |source: io::Error| RunError::Listen { address, source };
+    // Bound before anything is said in its name: while an earlier run still listens there, this one is none.
+    let bound = BoundAddress::bind(address).map_err(cannot_listen)?;
     let counters = guidelines
         .as_ref()
         .and_then(|guidelines| guidelines.counters.clone());
     let router = control::begin(start, clock, guidelines, std::process::id(), None);
-    let guided = router.is_guided();
-    counters.into_iter().for_each(counters_file::spawn);
+    if let Some(path) = counters {
+        counters_file::spawn(path);
+    }
     // A client that finds nobody listening turns to another dispatcher; a guess or a rejection would keep it here.
     tokio::select! {
         () = router.comes_back() => {}
-        _ = asked_to_end.recv() => return Ok(()),
+        _ = signals.terminate.recv() => return Ok(()),
     }
-    let listener = claim.listen().map_err(refused)?;
-    let at = listener.local_addr().map_err(refused)?;
+    let listener = bound.listen().map_err(cannot_listen)?;
+    let local_address = listener.local_addr().map_err(cannot_listen)?;
     spawn_local(router.clone().sweep());
     spawn_local(log_counters(router.clone()));
     spawn_local(accept(router.clone(), listener));
-    log::info!("listening at {at}, {bounds:?}");
-    loop {
-        tokio::select! {
-            _ = asked_to_end.recv() => break,
-            _ = asked_to_reload.recv() => reload(path, &router, address, &settings, guided),
-        }
-    }
-    let told = Instant::now();
+    log::info!("listening at {local_address}, {bounds:?}");
+    let running = Running {
+        path,
+        address,
+        settings,
+        is_guided: router.is_guided(),
+        router,
+    };
+    running.until_terminated(&mut signals).await;
+    shut_down(&running.router, clock, longest_wait).await;
+    Ok(())
+}
+
+/// Answers what is open and whoever still comes, then closes all connections, all before the earliest SIGKILL.
+async fn shut_down(router: &Router, clock: Clock, longest_wait: Span) {
     log::info!("asked to end");
-    let ends = clock.now() + (carriage.longest_wait.min(MAX_WAIT) + BEFORE_KILL).less(SPARE);
-    router.end_by(ends);
-    let mut rests = 0;
-    while told.elapsed() < STAYS || (rests < LOOKS && clock.now() < ends + SPARE * 0.5) {
-        sleep(LOOK).await;
-        rests = if router.at_rest() { rests + 1 } else { 0 };
-    }
+    let kill_after = longest_wait.min(MAX_LONGEST_WAIT) + KILL_DELAY;
+    let answers_by = clock.now() + kill_after.less(KILL_MARGIN);
+    router.end_by(answers_by);
+    wait_until_idle(router, clock, answers_by + KILL_MARGIN * ANSWERS_PART).await;
     router.end_clients();
-    while !router.is_alone() && clock.now() < ends + SPARE * 0.75 {
-        sleep(LOOK).await;
+    let closed_by = answers_by + KILL_MARGIN * CLOSING_PART;
+    while !router.is_alone() && clock.now() < closed_by {
+        sleep(LOOK_INTERVAL).await;
     }
-    log_line(&router);
+    log_load(router);
     router.keep_last();
-    Ok(())
 }
 
-/// Reads the configuration again. The coordinator, its events and the limits change in place; what can't is
-/// said, and one that can't be used changes nothing.
-fn reload(
-    path: Option<&str>,
-    router: &Router,
-    address: SocketAddr,
-    settings: &Value,
-    guided: bool,
-) {
-    let later = match start::read(path, !guided) {
-        Ok(later) => later,
-        Err(why) => {
-            count(Counter::reloads_refused);
-            return log::warn!("asked to read the configuration again, the old one stays: {why}");
+/// Waits for [`MIN_SHUTDOWN`] and until nothing is left to be answered, or until that time.
+async fn wait_until_idle(router: &Router, clock: Clock, until: Time) {
+    let begun = Instant::now();
+    let mut idle_looks = 0;
+    while begun.elapsed() < MIN_SHUTDOWN || (idle_looks < MIN_IDLE_LOOKS && clock.now() < until) {
+        sleep(LOOK_INTERVAL).await;
+        idle_looks = if router.at_rest() { idle_looks + 1 } else { 0 };
+    }
+}
+
+impl Running<'_> {
+    async fn until_terminated(&self, signals: &mut Signals) {
+        loop {
+            tokio::select! {
+                _ = signals.terminate.recv() => return,
+                _ = signals.reload.recv() => self.reload(),
+            }
         }
-    };
-    if later.address != address {
-        log::warn!("another address to listen at takes effect at the next start");
     }
-    // Places in lists of names may have moved, so the events count as told by the coordinator only.
-    let same = later.settings == *settings;
-    if !same {
-        log::warn!("other settings take effect at the next start");
+
+    /// Reads the configuration again. The coordinator, its events and the limits change in place; what can't is said, and
+    /// one that can't be used changes nothing.
+    fn reload(&self) {
+        let later = match start::read(self.path, !self.is_guided) {
+            Ok(later) => later,
+            Err(error) => {
+                count(Counter::reloads_refused);
+                log::warn!("asked to read the configuration again, the old one stays: {error}");
+                return;
+            }
+        };
+        if later.address != self.address {
+            log::warn!("another address to listen at takes effect at the next start");
+        }
+        // Places in lists of names may have moved, so the events count as told by the coordinator only.
+        let has_same_settings = later.settings == self.settings;
+        if !has_same_settings {
+            log::warn!("other settings take effect at the next start");
+        }
+        count(Counter::reloads);
+        log::info!("configuration read again, {:?}", later.bounds);
+        let known = if has_same_settings {
+            later.known
+        } else {
+            Vec::new()
+        };
+        self.router.reload(later.bounds, later.watch, known);
     }
-    count(Counter::reloads);
-    log::info!("configuration read again, {:?}", later.bounds);
-    router.reload(
-        later.bounds,
-        later.watch,
-        if same { later.known } else { Vec::new() },
-    );
 }
 
-fn log_line(router: &Router) {
+fn log_load(router: &Router) {
     let [requests, clients, hosts] = router.load();
     log::info!(
         "open: requests={requests} clients={clients} hosts={hosts}; counted: {}",
         metrics::line()
     );
-    router
-        .guidance_line()
-        .into_iter()
-        .for_each(|line| log::info!("{line}"));
+    if let Some(line) = router.guidance_line() {
+        log::info!("{line}");
+    }
 }
 
 async fn log_counters(router: Rc<Router>) {
-    let mut ticks = interval(COUNTERS);
+    let mut ticks = interval(COUNTERS_INTERVAL);
     ticks.tick().await;
     loop {
         ticks.tick().await;
-        log_line(&router);
+        log_load(&router);
     }
 }
--- a/crates/flaxdeck-dispatcher/src/program/start.rs
+++ b/crates/flaxdeck-dispatcher/src/program/start.rs
@@ -1,25 +1,40 @@
-//! What a dispatcher is told at its start: three variables and the JSON that one of them names.
+//! What a dispatcher is handed at its start: three variables and the JSON that one of them names.
 
 use std::env;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use flaxdeck::DeploymentTerms;
+use flaxdeck_channel::watch::{NumberedEvents, Watch};
+use flaxdeck_net::budget::{Bounds, MIN_SOCKETS};
 use flaxdeck_terms::fields::Fields;
 use flaxdeck_terms::{ConnectionTerms, Names};
 use serde_json::Value;
 
-use flaxdeck_channel::watch::{NumberedEvents, Watch};
-use flaxdeck_net::budget::{Bounds, MIN_SOCKETS};
+use super::error::{ConfigurationError, StartError};
 
-pub struct Start {
+/// Names the configuration's file.
+const CONFIG_VARIABLE: &str = "GW_CONFIG";
+/// Holds the address to listen at, in place of the configuration's.
+const LISTEN_VARIABLE: &str = "GW_LISTEN";
+
+/// What a configuration says.
+pub(crate) struct Start {
+    /// Where to listen.
     pub address: SocketAddr,
+    /// The coordinator's watch, from the last event that the configuration holds.
     pub watch: Watch,
+    /// The events that the configuration holds.
     pub known: NumberedEvents,
+    /// The figures that decisions use.
     pub terms: DeploymentTerms,
+    /// The names of the settings.
     pub names: Rc<Names>,
-    pub carriage: ConnectionTerms,
+    /// What the settings say of connections to hosts.
+    pub connection_terms: ConnectionTerms,
+    /// How much this process may hold.
     pub bounds: Bounds,
+    /// What chance is drawn from.
     pub seed: u64,
     /// As they stand in the file, to see whether a later one has others.
     pub settings: Value,
@@ -27,81 +42,94 @@
 
 /// Reads the file of that path, or else the one that the variable names. A lone dispatcher trusts the coordinator's
 /// numbers, as the platform's page has it.
-pub fn read(path: Option<&str>, trusts: bool) -> Result<Start, String> {
-    let named = || env::var("GW_CONFIG").map_err(|_| "GW_CONFIG is not set".to_owned());
-    let path = path.map_or_else(named, |path| Ok(path.to_owned()))?;
-    let text = std::fs::read(&path).map_err(|error| format!("cannot read {path}: {error}"))?;
-    let value: Value =
-        serde_json::from_slice(&text).map_err(|error| format!("{path} is not JSON: {error}"))?;
-    parse(&value, env::var("GW_LISTEN").ok(), trusts).map_err(|fault| format!("{path}: {fault}"))
+///
+/// # Errors
+///
+/// A file that is not named, can't be read or can't be used.
+pub(crate) fn read(path: Option<&str>, trusts: bool) -> Result<Start, StartError> {
+    let path = match path {
+        Some(path) => path.to_owned(),
+        None => env::var(CONFIG_VARIABLE).map_err(|_| StartError::NotSet)?,
+    };
+    let value = read_json(&path)?;
+    parse(&value, env::var(LISTEN_VARIABLE).ok(), trusts)
+        .map_err(|source| StartError::Configuration { path, source })
+}
+
+fn read_json(path: &str) -> Result<Value, StartError> {
+    let text = std::fs::read(path).map_err(|source| StartError::Read {
+        path: path.to_owned(),
+        source,
+    })?;
+    serde_json::from_slice(&text).map_err(|source| StartError::Json {
+        path: path.to_owned(),
+        source,
+    })
 }
 
 /// What a configuration says; the address to listen at may be given apart.
-pub fn parse(value: &Value, listen: Option<String>, trusts: bool) -> Result<Start, String> {
-    let fields = Fields::of(value, "the whole").map_err(|fault| fault.to_string())?;
-    let listen = listen.map_or_else(
-        || {
-            fields
-                .text("listen")
-                .map(str::to_owned)
-                .map_err(|fault| fault.to_string())
-        },
-        Ok,
-    )?;
-    let address = listen
-        .parse()
-        .map_err(|_| format!("listen: {listen} is no address"))?;
-    let coordinator = fields
-        .text("coordinator")
-        .map_err(|fault| fault.to_string())?;
-    let coordinator = coordinator
-        .parse()
-        .map_err(|_| format!("coordinator: {coordinator} is no address"))?;
-    let seed = fields.text("seed").map_err(|fault| fault.to_string())?;
-    let seed = u64::from_str_radix(seed, 16).map_err(|_| format!("seed: {seed} is not in hex"))?;
-    let settings = fields
-        .inner("settings")
-        .map_err(|fault| fault.to_string())?;
-    let (terms, names) =
-        flaxdeck_terms::read(&settings).map_err(|fault| format!("settings: {fault}"))?;
+///
+/// # Errors
+///
+/// The first field that is missing or can't be used.
+pub(crate) fn parse(
+    value: &Value,
+    listen: Option<String>,
+    trusts: bool,
+) -> Result<Start, ConfigurationError> {
+    let fields = Fields::of(value, "the whole")?;
+    let listen = match &listen {
+        Some(listen) => listen,
+        None => fields.text("listen")?,
+    };
+    let address = parse_address("listen", listen)?;
+    let coordinator = parse_address("coordinator", fields.text("coordinator")?)?;
+    let seed = parse_seed(fields.text("seed")?)?;
+    let settings = fields.inner("settings")?;
+    let (terms, names) = flaxdeck_terms::read(&settings).map_err(ConfigurationError::Settings)?;
     let names = Rc::new(names);
-    let (watch, known) = Watch::start(
-        coordinator,
-        &fields.inner("known").map_err(|fault| fault.to_string())?,
-        names.clone(),
-        trusts,
-        seed,
-    )?;
-    let limits = fields.inner("limits").map_err(|fault| fault.to_string())?;
-    let (memory_mb, sockets) = (
-        limits
-            .number("memory_mb")
-            .map_err(|fault| fault.to_string())?,
-        limits.whole("sockets").map_err(|fault| fault.to_string())?,
-    );
-    if memory_mb <= 0.0 {
-        return Err(format!(
-            "limits: field memory_mb is {memory_mb}, nothing fits in that"
-        ));
-    }
-    if sockets < MIN_SOCKETS {
-        return Err(format!(
-            "limits: field sockets is {sockets}, {MIN_SOCKETS} are needed at least"
-        ));
-    }
-    let bounds = Bounds::of(memory_mb, sockets as usize);
-    let carriage =
-        ConnectionTerms::read(&settings).map_err(|fault| format!("settings: {fault}"))?;
-    let settings = Value::Object(settings.0.clone());
+    let known = fields.inner("known")?;
+    let (watch, known) = Watch::start(coordinator, &known, names.clone(), trusts, seed)
+        .map_err(|error| ConfigurationError::Known(error.into()))?;
+    let bounds = parse_limits(&fields.inner("limits")?)?;
+    let connection_terms =
+        ConnectionTerms::read(&settings).map_err(ConfigurationError::Settings)?;
     Ok(Start {
         address,
         watch,
         known,
         terms,
         names,
-        carriage,
+        connection_terms,
         bounds,
         seed,
-        settings,
+        settings: Value::Object(settings.0.clone()),
     })
 }
+
+fn parse_address(field: &'static str, value: &str) -> Result<SocketAddr, ConfigurationError> {
+    value.parse().map_err(|source| ConfigurationError::Address {
+        field,
+        value: value.to_owned(),
+        source,
+    })
+}
+
+fn parse_seed(value: &str) -> Result<u64, ConfigurationError> {
+    u64::from_str_radix(value, 16).map_err(|source| ConfigurationError::Seed {
+        value: value.to_owned(),
+        source,
+    })
+}
+
+fn parse_limits(limits: &Fields) -> Result<Bounds, ConfigurationError> {
+    let memory_mb = limits.number("memory_mb")?;
+    let sockets = limits.whole("sockets")?;
+    if memory_mb <= 0.0 {
+        return Err(ConfigurationError::Memory { memory_mb });
+    }
+    if sockets < MIN_SOCKETS {
+        return Err(ConfigurationError::Sockets { sockets });
+    }
+    Ok(Bounds::of(memory_mb, sockets as usize))
+}
