--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -336,7 +336,8 @@
     files.begin_process();
     let Some(plan) = &files.plan else {
         let _log = log::start("info", LogForm::Text)?;
-        return Ok(flaxdeck_dispatcher::run_guided(Some(&files.config), None)?);
+        return Ok(flaxdeck_dispatcher::run_guided(Some(&files.config), None)
+            .map_err(|error| error.to_string())?);
     };
     let (plan, key) = files::plan(plan)?;
     let world = files::world(&files.config)?;
@@ -355,10 +356,10 @@
     };
     let mut guidelines = guidelines(&plan, key, world.window, &world.listen()?);
     (guidelines.keeps, guidelines.counters) = (keeps, files.counters.clone());
-    Ok(flaxdeck_dispatcher::run_guided(
-        Some(&files.config),
-        Some(guidelines),
-    )?)
+    Ok(
+        flaxdeck_dispatcher::run_guided(Some(&files.config), Some(guidelines))
+            .map_err(|error| error.to_string())?,
+    )
 }
 
 fn plan(files: &Files, name: &str) -> Result<(), Stop> {
--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -30,7 +30,7 @@
         instance: u32,
         watcher: Watcher,
     ) -> Result<HollowForwarder, String> {
-        let start = start::parse(configuration, None, false)?;
+        let start = start::parse(configuration, None, false).map_err(|error| error.to_string())?;
         Ok(HollowForwarder {
             router: begin(
                 start,
@@ -61,12 +61,12 @@
         mut known,
         terms,
         names,
-        carriage,
+        connection_terms,
         bounds,
         seed,
         ..
     } = start;
-    let router = Router::new(clock, seed, terms, names, carriage, bounds);
+    let router = Router::new(clock, seed, terms, names, connection_terms, bounds);
     // A guided forwarder keeps to what is its own from the first list on.
     if let Some(guidelines) = guidelines {
         let epoch = Epoch::new(clock.now(), instance);
--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -11,7 +11,9 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::Router;
-use crate::protocol::session::{Closer, Heard, Session, ShortReply};
+use crate::protocol::client_connection::{
+    ClientConnection, ClientEvent, ConnectionHandle, DirectAnswer,
+};
 use flaxdeck_net::budget::Permit;
 use flaxdeck_net::eviction::{self, Eviction};
 use flaxdeck_net::link::LINGER;
@@ -35,7 +37,7 @@
     quiet_since: Cell<Instant>,
     /// It has said something whole.
     spoke: Cell<bool>,
-    closer: Closer,
+    closer: ConnectionHandle,
 }
 
 /// Takes in clients for ever.
@@ -90,7 +92,7 @@
     pub(super) fn is_told_more(&self) -> bool {
         self.open_clients()
             .iter()
-            .any(|client| client.closer.is_midway() || client.closer.has_unread())
+            .any(|client| client.closer.has_partial_message() || client.closer.has_unread())
     }
 
     /// Ends all connections of clients, those too that are accepted from now on; what comes on them is not taken any more.
@@ -149,7 +151,7 @@
                 .values()
                 .any(|request| self.router.is_open(*request))
         };
-        closer.is_midway() || closer.unread() > 0 || has_open()
+        closer.has_partial_message() || closer.pending_answers() > 0 || has_open()
     }
 
     // After a pause of this process its clients' words may lie unread: who has said one is not silent.
@@ -159,7 +161,7 @@
 }
 
 fn serve(router: &Rc<Router>, stream: TcpStream, place: Permit) -> Weak<Client> {
-    let session = Session::new(stream, router.names.clone(), router.asked.clone());
+    let session = ClientConnection::new(stream, router.names.clone(), router.asked.clone());
     let (requests, quiet_since, spoke) = (
         RefCell::default(),
         Cell::new(Instant::now()),
@@ -169,7 +171,7 @@
         requests,
         quiet_since,
         spoke,
-        closer: session.closer(),
+        closer: session.handle(),
     });
     if router.ends.get() {
         client.closer.close();
@@ -179,17 +181,22 @@
     weak
 }
 
-async fn listen(router: Rc<Router>, mut session: Session, client: Rc<Client>, place: Permit) {
+async fn listen(
+    router: Rc<Router>,
+    mut session: ClientConnection,
+    client: Rc<Client>,
+    place: Permit,
+) {
     let mut in_a_row = 0;
     loop {
-        let heard = session.next().await;
+        let heard = session.next_event().await;
         if !client.hear(&router, &mut session, heard) {
             break;
         }
         in_a_row += 1;
         // A request may be taken back in the same breath, so all that has come is heard before any is handed off;
         // but one client that sends without end leaves the others their turns. What has ended does not go on for long.
-        if !session.has_more() || (in_a_row >= AT_ONCE && !session.is_over()) {
+        if !session.has_unprocessed() || (in_a_row >= AT_ONCE && !session.is_peer_closed()) {
             in_a_row = 0;
             yield_now().await;
         }
@@ -201,12 +208,12 @@
         .for_each(|request| router.leave(request));
     drop(client);
     if router.ends.get() {
-        session.end(LINGER).await;
+        session.close(LINGER).await;
         drop(place);
         return;
     }
     // Its place is free at once; few may take their time to end, and the longest at it goes first.
-    let end = spawn_local(session.end(LINGER)).abort_handle();
+    let end = spawn_local(session.close(LINGER)).abort_handle();
     let mut ending = router.ending.borrow_mut();
     ending.push_back(end);
     if ending.len() > MAX_ENDING {
@@ -219,48 +226,62 @@
 
 impl Client {
     /// Acts on what the client said; false once its connection is of no more use.
-    fn hear(&self, router: &Rc<Router>, session: &mut Session, heard: Heard) -> bool {
+    fn hear(
+        &self,
+        router: &Rc<Router>,
+        session: &mut ClientConnection,
+        heard: ClientEvent,
+    ) -> bool {
         let mut requests = self.requests.borrow_mut();
         requests.retain(|_, request| router.is_open(*request));
         self.quiet_since.set(Instant::now());
         self.spoke.set(true);
         match heard {
-            Heard::Request { call, .. } if requests.contains_key(&call) => {
+            ClientEvent::Request { call, .. } if requests.contains_key(&call) => {
                 count(Counter::clients_malformed);
                 log::debug!("a client's connection is closed: two requests of one number");
                 return false;
             }
             // Hosts tell requests apart by their ids alone, so a second one would meddle with the first.
-            Heard::Request { call, asked } if router.has_id(&asked.id) => {
+            ClientEvent::Request {
+                call,
+                request: asked,
+            } if router.has_id(&asked.id) => {
                 count(Counter::requests_id_in_use);
-                session.tell(call, ShortReply::Failed("Lost"));
+                session.answer_directly(call, DirectAnswer::Failed);
             }
-            Heard::Request { call, asked } => {
-                let fits = requests.len() + self.closer.unread() < MAX_OPEN;
+            ClientEvent::Request {
+                call,
+                request: asked,
+            } => {
+                let fits = requests.len() + self.closer.pending_answers() < MAX_OPEN;
                 let (slot, held) = (
                     router.slots.try_acquire(),
                     router.asked.try_acquire_many(asked.body.len()),
                 );
                 match held.filter(|_| fits && slot.is_some()) {
                     Some(held) => {
-                        requests.insert(call, router.take(asked, session.reply(call, slot), held));
+                        requests.insert(
+                            call,
+                            router.take(asked, session.responder(call, slot), held),
+                        );
                     }
                     None => {
                         count(Counter::requests_no_room);
-                        session.tell(call, ShortReply::Refused(router.retry_after()));
+                        session.answer_directly(call, DirectAnswer::Rejected(router.retry_after()));
                     }
                 }
             }
-            Heard::Unheld { call } => {
+            ClientEvent::NoMemory { call } => {
                 count(Counter::requests_no_room);
-                session.tell(call, ShortReply::Refused(router.retry_after()));
+                session.answer_directly(call, DirectAnswer::Rejected(router.retry_after()));
             }
-            Heard::Cancel { call } => requests
+            ClientEvent::Cancel { call } => requests
                 .remove(&call)
                 .into_iter()
                 .for_each(|request| router.leave(request)),
-            Heard::Other => {}
-            Heard::Over => return false,
+            ClientEvent::Answered => {}
+            ClientEvent::Closed => return false,
         }
         true
     }
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -27,7 +27,7 @@
 pub use keep::{Keeps, recall};
 pub use subscription::Digests;
 
-use crate::protocol::pool::Pool;
+use crate::protocol::host_connections::HostConnections;
 use flaxdeck_channel::watch::{Event, NumberedEvents, Watch, WatchEvent};
 use flaxdeck_net::budget::{Bounds, Budget};
 use flaxdeck_net::clock::Clock;
@@ -64,7 +64,7 @@
     ids: RefCell<BTreeSet<Bytes>>,
     names: Rc<Names>,
     zone: ZoneId,
-    pool: Rc<Pool>,
+    pool: Rc<HostConnections>,
     slots: Budget,
     /// Bytes that open requests hold, as they were asked and as they are answered.
     asked: Rc<Budget>,
@@ -110,7 +110,7 @@
             engine: RefCell::new(PolledEngine::start(clock.now(), seed, terms)),
             table: RefCell::new(BTreeMap::new()),
             ids: RefCell::new(BTreeSet::new()),
-            pool: Pool::new(names.clone(), carriage, bounds.hosts, answered.clone()),
+            pool: HostConnections::new(names.clone(), carriage, bounds.hosts, answered.clone()),
             names,
             zone,
             slots: Budget::new(bounds.requests),
@@ -134,7 +134,11 @@
 
     /// Requests that are open or whose answers are not written yet, client connections, host connections.
     pub fn load(&self) -> [usize; 3] {
-        [self.slots.in_use(), self.clients.in_use(), self.pool.open()]
+        [
+            self.slots.in_use(),
+            self.clients.in_use(),
+            self.pool.connections(),
+        ]
     }
 
     /// Nothing is left to be taken in or answered.
@@ -237,7 +241,7 @@
                         endpoint.listed.health
                     );
                 }
-                self.pool.list(list_kind, &endpoints);
+                self.pool.update_hosts(list_kind, &endpoints);
                 let lines = endpoints
                     .into_iter()
                     .map(|endpoint| endpoint.listed)
@@ -339,7 +343,7 @@
         let mut ticks = interval(SWEEP);
         loop {
             ticks.tick().await;
-            self.pool.sweep();
+            self.pool.close_expired();
         }
     }
 }
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -13,7 +13,8 @@
 use tokio::time::Instant;
 
 use super::{OpenRequest, Router};
-use crate::protocol::session::Reply;
+use crate::protocol::attempt::{ClearedAttempt, ReceivedReply};
+use crate::protocol::client_connection::Responder;
 use flaxdeck_net::budget::Permit;
 use flaxdeck_net::clock::to_duration;
 use flaxdeck_net::metrics::{Counter, assert_invariant, count};
@@ -37,9 +38,9 @@
     _held: Permit,
     entry: Rc<OpenRequest>,
     /// Until the request has its answer.
-    reply: Option<Reply>,
+    reply: Option<Responder>,
     out: Vec<Out>,
-    tasks: JoinSet<(AttemptIndex, (HostReply, Option<Permit>))>,
+    tasks: JoinSet<(AttemptIndex, ReceivedReply)>,
 }
 
 impl Router {
@@ -47,7 +48,7 @@
     pub(super) fn take(
         self: &Rc<Router>,
         asked: Box<ClientRequest>,
-        reply: Reply,
+        reply: Responder,
         held: Permit,
     ) -> RequestId {
         let (id, now) = (RequestId(self.next.get()), self.clock.now());
@@ -122,7 +123,7 @@
             tokio::select! {
                 () = self.entry.notify.notified() => {}
                 Some(ended) = self.tasks.join_next() => {
-                    if let Ok((index, (host_reply, held))) = ended {
+                    if let Ok((index, ReceivedReply { host_reply, permit: held })) = ended {
                         self.ended(index, host_reply, held);
                     }
                 }
@@ -201,7 +202,7 @@
             let clear = || {
                 let Clearance { oldest, sent_by } = router.clear(id, index)?;
                 let waits = until.checked_duration_since(Instant::now())?;
-                let wish = AttemptOptions {
+                let options = AttemptOptions {
                     class: &router.names.classes[asked.class.0],
                     timeout: Span::of_ms(waits.as_secs_f64() * 1000.0),
                     source: Some(&attempt.source).filter(|source| **source != attempt.host),
@@ -212,13 +213,16 @@
                     only_held: attempt.only_held,
                     renew: attempt.renew,
                 };
-                Some((wish, until.min(router.clock.instant(sent_by))))
+                Some(ClearedAttempt {
+                    options,
+                    sent_by: until.min(router.clock.instant(sent_by)),
+                })
             };
             (
                 index,
                 router
                     .pool
-                    .ask(&attempt.host, &asked, until, clear, &begins)
+                    .attempt(&attempt.host, &asked, until, clear, &begins)
                     .await,
             )
         });
