--- a/crates/flaxdeck-dispatcher/tests/cold_budget.rs
+++ b/crates/flaxdeck-dispatcher/tests/cold_budget.rs
@@ -1,6 +1,12 @@
 //! The cold host's budget holds for the fleet: what all dispatchers together ask of a cold cache and a cold parent stays
 //! within what the settings allow, though no dispatcher knows what the others ask.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 mod fleet;
 mod world;
 
@@ -187,9 +193,9 @@
     }
     thread::sleep(Duration::from_secs_f64(WINDOW_MS * 0.6 / 1000.0));
     over.store(true, Ordering::Relaxed);
-    clients
-        .into_iter()
-        .for_each(|client| client.join().unwrap());
+    for client in clients {
+        client.join().unwrap();
+    }
 
     let [cache, parent] = hosts.arrivals();
     let used = [
--- a/crates/flaxdeck-dispatcher/tests/connects.rs
+++ b/crates/flaxdeck-dispatcher/tests/connects.rs
@@ -1,36 +1,45 @@
 //! What comes to be known while a connection to a host is on its way up: whoever is asked after it must be asked by what
 //! holds then. A host whose queue is full takes no connection until it is opened.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 mod world;
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use world::*;
+use world::{
+    FullBacklogHost, KEY, World, attempt_in_flight, cache_with_full_backlog, error_text, key,
+    read_request, served,
+};
 
 // Rule 3: nothing new to a host that drains or is gone, or with it as fill source, whatever was decided before.
 #[test]
 fn a_host_that_drains_while_its_connection_comes_up_gets_nothing() {
     for state in [1, 2] {
-        let (mut world, clogged, host) = clogged_cache(|_| {});
-        let (mut client, n) = on_its_way(&world, 0);
+        let (mut world, cache_host, host) = cache_with_full_backlog(|_| {});
+        let (mut client, n) = attempt_in_flight(&world, 0);
         world.coordinator.change(&host, state, 0, 0);
-        world.logged(&["told: s-0000ca00"]);
-        clogged.open();
+        world.wait_for_log(&["told: s-0000ca00"]);
+        cache_host.open();
         assert!(served(&client.answer().unwrap(), &key(n)));
-        assert_eq!(clogged.heard(), Vec::<String>::new(), "state {state}");
+        assert_eq!(cache_host.heard(), Vec::<String>::new(), "state {state}");
     }
 }
 
 #[test]
 fn a_fill_source_that_drains_while_a_connection_comes_up_is_not_named() {
-    let (mut world, clogged, _) = clogged_cache(|_| {});
-    let (mut client, n) = on_its_way(&world, 0);
+    let (mut world, cache_host, _) = cache_with_full_backlog(|_| {});
+    let (mut client, n) = attempt_in_flight(&world, 0);
     let parent = world.parent.clone();
     world.coordinator.change(&parent, 1, 1, 1);
-    world.logged(&["told: s-00009a01"]);
-    clogged.open();
+    world.wait_for_log(&["told: s-00009a01"]);
+    cache_host.open();
     assert!(served(&client.answer().unwrap(), &key(n)));
-    let heard = clogged.heard();
+    let heard = cache_host.heard();
     assert!(
         heard.iter().all(|line| !line.contains("fetch=s-00009a01")),
         "{heard:?}"
@@ -40,8 +49,8 @@
 // Rule 5: the age limit is the one that holds when the request is written.
 #[test]
 fn a_purge_told_while_a_connection_comes_up_binds_the_request() {
-    let (mut world, clogged, _) = clogged_cache(|_| {});
-    let (mut client, n) = on_its_way(&world, 0);
+    let (mut world, cache_host, _) = cache_with_full_backlog(|_| {});
+    let (mut client, n) = attempt_in_flight(&world, 0);
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap()
@@ -49,10 +58,10 @@
     world
         .coordinator
         .purge_object(u64::from_str_radix(&key(n), 16).unwrap(), now);
-    world.logged(&["told: a purge"]);
-    clogged.open();
+    world.wait_for_log(&["told: a purge"]);
+    cache_host.open();
     assert!(served(&client.answer().unwrap(), &key(n)));
-    let heard = clogged.heard();
+    let heard = cache_host.heard();
     assert!(
         !heard.is_empty() && heard.iter().all(|line| line.contains(",newer=")),
         "{heard:?}"
@@ -62,11 +71,11 @@
 // How long the host is told that the dispatcher waits is what is left by then.
 #[test]
 fn the_time_that_a_connection_took_is_not_promised_to_the_host() {
-    let (world, clogged, _) = clogged_cache(|_| {});
-    let (mut client, n) = on_its_way(&world, 0);
-    clogged.open();
+    let (world, cache_host, _) = cache_with_full_backlog(|_| {});
+    let (mut client, n) = attempt_in_flight(&world, 0);
+    cache_host.open();
     assert!(served(&client.answer().unwrap(), &key(n)));
-    let heard = clogged.heard();
+    let heard = cache_host.heard();
     let wait = |line: &String| {
         line.split(",wait=")
             .nth(1)?
@@ -88,19 +97,20 @@
 #[test]
 fn what_its_client_left_while_a_connection_came_up_is_not_sent_on() {
     for (may_cancel, closes) in [(true, false), (true, true), (false, false), (false, true)] {
-        let (world, clogged, _) =
-            clogged_cache(|config| config["settings"]["allowed"]["cancel"] = may_cancel.into());
-        let (mut client, n) = on_its_way(&world, 0);
+        let (world, cache_host, _) = cache_with_full_backlog(|config| {
+            config["settings"]["allowed"]["cancel"] = may_cancel.into()
+        });
+        let (mut client, n) = attempt_in_flight(&world, 0);
         if !closes {
             client.cancel(1).unwrap();
         }
         let client = Some(client).filter(|_| !closes);
-        world.logged(&["left: "]);
+        world.wait_for_log(&["left: "]);
         // Its connection is tried again later than the other's was.
-        let (mut next, after) = on_its_way(&world, n + 1);
-        clogged.open();
+        let (mut next, after) = attempt_in_flight(&world, n + 1);
+        cache_host.open();
         assert!(served(&next.answer().unwrap(), &key(after)));
-        let heard = clogged.heard();
+        let heard = cache_host.heard();
         assert!(
             !heard.is_empty() && !heard.iter().any(|line| line.contains(&key(n))),
             "{may_cancel}, {heard:?}"
@@ -113,10 +123,10 @@
 // connection took.
 #[test]
 fn a_connection_that_outlasts_the_window_of_repeats_carries_none() {
-    let mut clogged = Clogged::start();
+    let mut cache_host = FullBacklogHost::start();
     let world = World::with(1, |config| {
         config["known"]["updates"][0]["endpoints"]["hosts"][2]["dial"] =
-            clogged.address.to_string().into();
+            cache_host.address.to_string().into();
         config["settings"]["allowed"]["connect_timeout_ms"] = 5000.into();
         let class = &mut config["settings"]["request_classes"][2];
         (class["effect"], class["key_scope"]) = ("deduplicated".into(), "all".into());
@@ -124,18 +134,21 @@
     });
     let mut client = world.client();
     client.request("submit", KEY, 5000, b"a form").unwrap();
-    let mut first = clogged.accept();
-    assert!(read_want(&mut first).is_some(), "the first attempt arrives");
+    let mut first = cache_host.accept();
+    assert!(
+        read_request(&mut first).is_some(),
+        "the first attempt arrives"
+    );
     let ran = std::time::Instant::now();
-    clogged.clog();
+    cache_host.fill_backlog();
     drop(first);
-    assert_eq!(word(client.answer().unwrap()), "Backoff");
+    assert_eq!(error_text(client.answer().unwrap()), "Backoff");
     assert!(
         ran.elapsed() < Duration::from_millis(1000),
         "answered once nothing may follow: {:?}",
         ran.elapsed()
     );
-    clogged.open();
+    cache_host.open();
     assert!(client.quiet_for(Duration::from_millis(1500)));
-    assert_eq!(clogged.heard(), Vec::<String>::new());
+    assert_eq!(cache_host.heard(), Vec::<String>::new());
 }
--- a/crates/flaxdeck-dispatcher/tests/departures.rs
+++ b/crates/flaxdeck-dispatcher/tests/departures.rs
@@ -1,6 +1,12 @@
 //! A client that closed, reset or cancelled has gone: no attempt, first or further, begins for it more than 0.1 s later.
 //! Each test brings several clients into one situation, has them leave in every way at once, and looks at the hosts.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 mod world;
 
 use std::net::{SocketAddr, TcpStream};
@@ -10,7 +16,10 @@
 use flaxdeck_toy::{Answer, Client, Manner};
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
-use world::*;
+use world::{
+    KEY, MAX_CANCEL_DELAY, Stalls, World, attempt_in_flight_over, cache_with_full_backlog, key,
+    served, unix_now, wait_for,
+};
 
 /// By then a leaving has to be noticed, so that what is on its way meanwhile has not begun when the client has gone.
 const NOTICED: Duration = Duration::from_millis(60);
@@ -117,7 +126,7 @@
 /// Has all of them leave at once: each is noticed in time, and no attempt begins for it after a tenth of a second, for so
 /// long. Gives what keeps connections open.
 fn leave_and_are_gone(world: &World, leavers: Vec<Leaver>, watched_for: Duration) {
-    let (before, count) = (world.left_at().len(), leavers.len());
+    let (before, count) = (world.left_times().len(), leavers.len());
     let keys: Vec<String> = leavers.iter().map(|leaver| leaver.key.clone()).collect();
     let mut stalls = Stalls::witnessed(world);
     let mut kept = Vec::new();
@@ -126,11 +135,11 @@
         stalls.sent();
     }
     let went = unix_now();
-    stalls.hear_witness();
+    stalls.await_witness();
     wait_for("all who left are noticed", || {
-        world.left_at().len() == before + count
+        world.left_times().len() == before + count
     });
-    let noticed = world.left_at().split_off(before);
+    let noticed = world.left_times().split_off(before);
     let late = noticed
         .into_iter()
         .max()
@@ -141,7 +150,7 @@
         late < NOTICED + stalled,
         "noticed after {late:?}, the machine {stalled:?} late"
     );
-    thread::sleep((went + GONE + stalled).saturating_sub(unix_now()));
+    thread::sleep((went + MAX_CANCEL_DELAY + stalled).saturating_sub(unix_now()));
     let begun: Vec<usize> = keys.iter().map(|key| attempts(world, key)).collect();
     thread::sleep(watched_for);
     let later: Vec<usize> = keys.iter().map(|key| attempts(world, key)).collect();
@@ -181,10 +190,9 @@
 #[test]
 fn no_second_copy_is_sent_for_a_client_that_has_left() {
     let world = World::with(2, silence_is_long);
-    world
-        .caches
-        .iter()
-        .for_each(|cache| cache.set(Manner::Silent));
+    for cache in &world.caches {
+        cache.set(Manner::Silent);
+    }
     let (leavers, stays) = (
         leavers(&world, "page"),
         Leaver::asks(Leaving::Close, world.client(), "page", 1),
@@ -201,10 +209,11 @@
 
 #[test]
 fn no_connection_that_comes_up_carries_the_request_of_a_client_that_has_left() {
-    let (world, clogged, _) = clogged_cache(|_| {});
+    let (world, cache_host, _) = cache_with_full_backlog(|_| {});
     let mut number = 0;
-    let mut on_its_way = |way| {
-        let (client, n) = on_its_way_over(&world, number, || connect(world.address, way, false));
+    let mut attempt_in_flight = |way| {
+        let (client, n) =
+            attempt_in_flight_over(&world, number, || connect(world.address, way, false));
         number = n + 1;
         Leaver {
             way,
@@ -213,31 +222,30 @@
             call: 1,
         }
     };
-    let leavers: Vec<Leaver> = EVERY_WAY.into_iter().map(&mut on_its_way).collect();
-    let mut stays = on_its_way(Leaving::Close);
+    let leavers: Vec<Leaver> = EVERY_WAY.into_iter().map(&mut attempt_in_flight).collect();
+    let mut stays = attempt_in_flight(Leaving::Close);
     let keys: Vec<String> = leavers.iter().map(|leaver| leaver.key.clone()).collect();
     leave_and_are_gone(&world, leavers, Duration::ZERO);
-    clogged.open();
+    cache_host.open();
     assert!(served(&stays.client.answer().unwrap(), &stays.key));
     // The system tries each connection that is still wanted again within this time.
     thread::sleep(Duration::from_millis(1200));
-    let heard = clogged.heard();
+    let heard = cache_host.heard();
     assert!(
         keys.iter()
             .all(|key| !heard.iter().any(|line| line.contains(key))),
         "{heard:?}"
     );
-    assert_eq!(clogged.taken(), 1, "connections");
+    assert_eq!(cache_host.taken(), 1, "connections");
 }
 
 #[test]
 fn a_client_that_leaves_its_answers_unread_has_left_all_the_same() {
     const UNREAD: usize = 20;
     let world = World::with(2, silence_is_long);
-    world
-        .caches
-        .iter()
-        .for_each(|cache| cache.set(Manner::Silent));
+    for cache in &world.caches {
+        cache.set(Manner::Silent);
+    }
     let crowd = EVERY_WAY.into_iter().enumerate().map(|(at, way)| {
         let mut client = connect(world.address, way, true);
         for _ in 0..UNREAD {
@@ -272,7 +280,9 @@
         silence_is_long(config);
         config["limits"]["memory_mb"] = 0.7.into();
     });
-    world.hosts().for_each(|host| host.set(Manner::Silent));
+    for host in world.hosts() {
+        host.set(Manner::Silent);
+    }
     let mut fills = world.client();
     fills.request("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of 48,000 that there are
     wait_for("memory is full", || !world.origin.heard("want").is_empty());
@@ -308,7 +318,7 @@
         client.alive().unwrap();
         assert!(matches!(client.answer().unwrap(), Answer::Alive { .. }));
     }
-    world.stand_still();
+    world.pause();
     // Those have spoken before, the others wait to be taken in.
     let late = EVERY_WAY
         .into_iter()
@@ -322,10 +332,10 @@
     let keys: Vec<String> = leavers.iter().map(|leaver| leaver.key.clone()).collect();
     let kept: Vec<Option<Client>> = leavers.into_iter().map(Leaver::leaves).collect();
     let mut stays = Leaver::asks(Leaving::Close, world.client(), "page", 2);
-    thread::sleep(GONE * 2);
+    thread::sleep(MAX_CANCEL_DELAY * 2);
     world.signal("CONT");
     assert!(served(&stays.client.answer().unwrap(), &stays.key));
-    thread::sleep(GONE * 2);
+    thread::sleep(MAX_CANCEL_DELAY * 2);
     let begun: Vec<usize> = keys.iter().map(|key| attempts(&world, key)).collect();
     assert_eq!(
         begun,
--- a/crates/flaxdeck-dispatcher/tests/descriptors.rs
+++ b/crates/flaxdeck-dispatcher/tests/descriptors.rs
@@ -1,6 +1,12 @@
 //! Idle clients fill all descriptors while the coordinator is away: its watch comes back within a second of it, and
 //! attempts go on.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 mod world;
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,7 +17,7 @@
 
 use flaxdeck_toy::{Answer, Client, Coordinator, Manner};
 use socket2::{Domain, Socket, Type};
-use world::*;
+use world::{Stalls, World, key, served, wait_for};
 
 /// Descriptors that the process may have, by its settings and by the system.
 const DESCRIPTORS: usize = 72;
@@ -66,10 +72,9 @@
 /// A client that has so many requests out at once, over and over; gives how many of them were served. Between two rounds
 /// it rests and may be closed to make room.
 fn busy(world: &World, over: &Arc<AtomicBool>) -> JoinHandle<usize> {
-    world
-        .caches
-        .iter()
-        .for_each(|cache| cache.set(Manner::Late(200)));
+    for cache in &world.caches {
+        cache.set(Manner::Late(200));
+    }
     let (address, over) = (world.address, over.clone());
     thread::spawn(move || {
         let mut served = 0;
@@ -123,7 +128,7 @@
         let mut back = Coordinator::on(TcpListener::from(away), 1 + n as u64).unwrap();
         back.change(&host, 1 - state as u8, 0, 0);
         let health = if state == 0 { "Draining" } else { "InService" };
-        world.logged(&["told: ", &host.id, health]);
+        world.wait_for_log(&["told: ", &host.id, health]);
         let took = returned.elapsed();
         assert!(took < BACK_WITHIN + stalls.so_far(), "back after {took:?}");
         back.end();
@@ -134,7 +139,7 @@
     let served = busy.join().unwrap();
     assert!(served > 4 * AT_ONCE as usize, "{served} served");
     world.terminate();
-    world.logged(&["counted: "]);
+    world.wait_for_log(&["counted: "]);
     let log = world.log.lock().unwrap();
     let counters = log.iter().rfind(|line| line.contains("counted: ")).unwrap();
     let none_lacked = ["accept_errors", "must_not_happen"]
--- a/crates/flaxdeck-dispatcher/tests/endings.rs
+++ b/crates/flaxdeck-dispatcher/tests/endings.rs
@@ -1,6 +1,12 @@
 //! What is still owed when something ends: each test makes the instant happen and looks at both ends. docs/endings.md
 //! names the row of each.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 mod world;
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,9 +15,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use flaxdeck_toy::{Answer, Client, Coordinator, Manner, request_message};
+use flaxdeck_toy::{Answer, Client, Manner, request_message};
 use socket2::{Domain, Socket, Type};
-use world::*;
+use world::{
+    KEY, MAX_CANCEL_DELAY, Stalls, World, attempt_in_flight, cache_with_full_backlog, key,
+    read_request, served, unix_now, unused_address, wait_for,
+};
 
 /// A client whose connection takes few bytes that it has not read.
 fn narrow(address: SocketAddr) -> Client {
@@ -21,16 +30,6 @@
     Client::over(TcpStream::from(socket)).unwrap()
 }
 
-/// An address at which nobody listens, and what keeps it from being given to others.
-fn nobody() -> (Socket, SocketAddr) {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket
-        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
-        .unwrap();
-    let address = socket.local_addr().unwrap().as_socket().unwrap();
-    (socket, address)
-}
-
 fn fields<'a>(id: &'a str, key: &'a str) -> [(&'a str, &'a str); 4] {
     [("id", id), ("wait", "2500"), ("key", key), ("slice", "0")]
 }
@@ -67,7 +66,7 @@
 
 // A close over unread bytes resets the connection, and what the client has not read yet goes with it.
 #[test]
-fn answers_arrive_whole_though_their_client_is_closed_as_malformed() {
+fn answers_arrive_complete_when_their_client_is_closed_as_malformed() {
     let world = World::start(1);
     let mut client = narrow(world.address);
     unread_answers(&world, &mut client, 20);
@@ -81,7 +80,7 @@
 
 // The same at the end of the process, while a client goes on sending until the last moment.
 #[test]
-fn answers_arrive_whole_though_the_process_ends_in_the_middle_of_what_a_client_says() {
+fn answers_arrive_complete_when_the_process_ends_while_a_client_sends() {
     let mut world = World::with(1, |config| {
         for class in config["settings"]["request_classes"]
             .as_array_mut()
@@ -103,7 +102,7 @@
 
 // A client that rests until the dispatcher ends it gets an end that it can tell from a failure.
 #[test]
-fn a_client_that_rests_at_a_planned_end_is_closed_and_not_reset() {
+fn an_idle_client_is_closed_and_not_reset_at_shutdown() {
     let mut world = World::start(1);
     let mut clients: Vec<Client> = (0..5).map(|_| world.client()).collect();
     for client in &mut clients {
@@ -127,12 +126,12 @@
 }
 
 #[test]
-fn half_a_message_at_a_planned_end_is_waited_for() {
+fn a_partial_message_at_shutdown_is_waited_for() {
     let mut world = World::start(1);
     let mut client = world.client();
     let message = request_message(1, "page", &fields("9b1f03aa5c7e2d41", KEY), b"");
     world.terminate();
-    world.logged(&["asked to end"]);
+    world.wait_for_log(&["asked to end"]);
     client.send(&message[..40]).unwrap();
     thread::sleep(Duration::from_millis(1200)); // well past the time for which every planned end stays
     client.send(&message[40..]).unwrap();
@@ -142,23 +141,23 @@
 }
 
 #[test]
-fn signals_that_come_together_end_the_process_once_and_well() {
+fn signals_that_come_together_shut_the_process_down_once() {
     let mut world = World::start(1);
     world.caches[0].set(Manner::Late(500));
     let mut client = world.client();
     client.request("page", KEY, 2400, b"").unwrap();
     wait_for("sent on", || !world.caches[0].heard("want").is_empty());
-    ["HUP", "TERM", "HUP", "TERM"]
-        .into_iter()
-        .for_each(|name| world.signal(name));
+    for name in ["HUP", "TERM", "HUP", "TERM"] {
+        world.signal(name);
+    }
     assert!(served(&client.answer().unwrap(), KEY));
     world.signal("TERM");
     assert!(world.process.wait().unwrap().success());
 }
 
 #[test]
-fn a_planned_end_with_the_coordinator_away_answers_what_is_open() {
-    let (_held, gone) = nobody();
+fn a_shutdown_without_the_coordinator_answers_open_requests() {
+    let (_held, gone) = unused_address();
     let mut world = World::with(1, |config| config["coordinator"] = gone.to_string().into());
     world.caches[0].set(Manner::Late(500));
     let mut client = world.client();
@@ -171,40 +170,42 @@
 
 // A client that has left is not waited for: not behind answers that lie unread, ...
 #[test]
-fn a_leaving_is_noticed_though_the_answers_before_it_lie_unread() {
-    let (world, clogged, _) = clogged_cache(|_| {});
-    let (client, n) = on_its_way(&world, 0);
-    let mut client = client;
+fn a_cancellation_is_noticed_behind_unread_answers() {
+    let (world, cache_host, _) = cache_with_full_backlog(|_| {});
+    let (mut client, n) = attempt_in_flight(&world, 0);
     // More than its connection takes, so that answers wait in the process, and refusals behind them.
     let writes = 700;
     let mut writer = client.again().unwrap();
     let written = thread::spawn(move || {
-        (0..writes).for_each(|_| {
-            writer
-                .request("submit", KEY, 2400, &[7; 40_000])
-                .map(drop)
-                .unwrap_or_default()
-        });
+        for _ in 0..writes {
+            let _ = writer.request("submit", KEY, 2400, &[7; 40_000]); // it may be refused meanwhile
+        }
     });
     written.join().unwrap();
     let mut stalls = Stalls::witnessed(&world);
     client.cancel(1).unwrap();
     stalls.sent();
     let cancelled = unix_now();
-    stalls.hear_witness();
-    world.logged(&["left: "]);
-    let late = world.left_at()[0].saturating_sub(cancelled);
-    assert!(late < GONE + stalls.so_far(), "{late:?}");
-    clogged.open();
+    stalls.await_witness();
+    world.wait_for_log(&["left: "]);
+    let late = world.left_times()[0].saturating_sub(cancelled);
+    assert!(late < MAX_CANCEL_DELAY + stalls.so_far(), "{late:?}");
+    cache_host.open();
     thread::sleep(Duration::from_millis(1500)); // the system's next try of the connection
-    assert!(clogged.heard().iter().all(|line| !line.contains(&key(n))));
+    assert!(
+        cache_host
+            .heard()
+            .iter()
+            .all(|line| !line.contains(&key(n)))
+    );
 }
 
 // ... not behind a write that there is no memory for, which is refused at once instead, ...
 #[test]
-fn a_leaving_is_noticed_though_memory_is_full_and_what_finds_none_is_refused_at_once() {
-    let (world, clogged, _) = clogged_cache(|config| config["limits"]["memory_mb"] = 0.7.into());
-    let (mut client, n) = on_its_way(&world, 0);
+fn a_cancellation_is_noticed_while_memory_is_full_and_what_finds_none_is_rejected_at_once() {
+    let (world, cache_host, _) =
+        cache_with_full_backlog(|config| config["limits"]["memory_mb"] = 0.7.into());
+    let (mut client, n) = attempt_in_flight(&world, 0);
     world.origin.set(Manner::Silent);
     let mut fills = world.client();
     fills.request("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of 48,000 that there are
@@ -217,10 +218,10 @@
     client.cancel(1).unwrap();
     stalls.sent();
     let cancelled = unix_now();
-    stalls.hear_witness();
-    world.logged(&["left: "]);
-    let late = world.left_at()[0].saturating_sub(cancelled);
-    assert!(late < GONE + stalls.so_far(), "{late:?}");
+    stalls.await_witness();
+    world.wait_for_log(&["left: "]);
+    let late = world.left_times()[0].saturating_sub(cancelled);
+    assert!(late < MAX_CANCEL_DELAY + stalls.so_far(), "{late:?}");
     let answer = client.answer().unwrap();
     assert!(
         matches!(&answer, Answer::Error { call, word, .. } if *call == refused && word == "Backoff")
@@ -231,32 +232,38 @@
         asked.elapsed()
     );
     client.request("page", &key(n + 100), 2000, b"").unwrap();
-    clogged.open();
+    cache_host.open();
     assert!(
         served(&client.answer().unwrap(), &key(n + 100)),
         "its connection goes on"
     );
-    assert!(clogged.heard().iter().all(|line| !line.contains(&key(n))));
+    assert!(
+        cache_host
+            .heard()
+            .iter()
+            .all(|line| !line.contains(&key(n)))
+    );
 }
 
 // ... and a connection that comes up for it alone is dropped, also where no attempt may be taken back.
 #[test]
-fn a_connection_that_its_client_no_longer_waits_for_is_dropped() {
+fn a_connection_that_no_client_waits_for_is_dropped() {
     for may_cancel in [true, false] {
-        let (world, clogged, _) =
-            clogged_cache(|config| config["settings"]["allowed"]["cancel"] = may_cancel.into());
-        let (client, _) = on_its_way(&world, 0);
+        let (world, cache_host, _) = cache_with_full_backlog(|config| {
+            config["settings"]["allowed"]["cancel"] = may_cancel.into()
+        });
+        let (client, _) = attempt_in_flight(&world, 0);
         drop(client);
-        world.logged(&["left: "]);
-        clogged.open();
+        world.wait_for_log(&["left: "]);
+        cache_host.open();
         thread::sleep(Duration::from_millis(2500)); // two more tries of the system
-        assert_eq!(clogged.taken(), 0, "{may_cancel}");
+        assert_eq!(cache_host.taken(), 0, "{may_cancel}");
     }
 }
 
 // A half-close can't be told from a close, and a reset says the same: nothing is owed, and nothing goes on for it.
 #[test]
-fn a_client_that_shuts_or_resets_its_connection_has_left() {
+fn a_client_that_half_closes_or_resets_has_its_requests_cancelled() {
     for resets in [false, true] {
         let world = World::start(1);
         world.caches[0].set(Manner::Silent);
@@ -273,7 +280,7 @@
             assert!(client.ended());
         }
         drop(client);
-        world.logged(&["left: "]);
+        world.wait_for_log(&["left: "]);
         wait_for("given up", || {
             !world.caches[0].heard("never_mind").is_empty()
         });
@@ -286,7 +293,7 @@
 }
 
 #[test]
-fn who_floods_and_takes_nothing_costs_its_own_connection_only() {
+fn a_flooding_client_that_reads_nothing_loses_only_its_own_connection() {
     let world = World::start(1);
     let mut flood = narrow(world.address);
     let over = Arc::new(AtomicBool::new(false));
@@ -309,7 +316,7 @@
 
 // Past a bound on what it is owed, and sooner than one that only takes nothing.
 #[test]
-fn a_client_owed_more_answers_than_it_could_ever_await_is_ended_as_flooding() {
+fn a_client_owed_more_answers_than_the_bound_is_closed_as_flooding() {
     let mut world = World::start(1);
     let mut flood = narrow(world.address);
     // More than its connection takes, so that answers wait in the process and the rest is owed.
@@ -320,19 +327,19 @@
     assert_eq!(asked, 700, "what is owed until then is within the bound");
     assert!(served(&world.request("page", KEY, 2000, b""), KEY));
     world.terminate();
-    world.logged(&["counted: ", "clients_flooding=1"]);
+    world.wait_for_log(&["counted: ", "clients_flooding=1"]);
     assert!(world.process.wait().unwrap().success());
 }
 
 #[test]
-fn a_host_that_never_ends_its_answer_costs_no_request_its_own_and_no_other() {
+fn a_response_that_never_ends_delays_no_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             thread::spawn(move || {
                 let mut stream = stream;
-                let Some((line, _)) = read_want(&mut stream) else {
+                let Some((line, _)) = read_request(&mut stream) else {
                     return;
                 };
                 let head = format!(
@@ -367,142 +374,3 @@
     client.request("submit", KEY, 900, b"a form").unwrap();
     assert!(matches!(client.answer().unwrap(), Answer::Served { .. }));
 }
-
-#[test]
-fn a_coordinator_whose_frame_never_ends_is_asked_again_in_time() {
-    let mut world = World::start(2);
-    let draining = world.caches[0].clone();
-    world.coordinator.change(&draining, 0, 0, 0);
-    world.logged(&["told: s-0000ca00 InService"]);
-    world.coordinator.trickle();
-    let began = Instant::now();
-    world.coordinator.change(&draining, 1, 0, 0);
-    world.logged(&["told: s-0000ca00 Draining"]);
-    assert!(
-        began.elapsed() < Duration::from_millis(4000),
-        "{:?}",
-        began.elapsed()
-    );
-}
-
-#[test]
-fn a_coordinator_moved_by_a_new_configuration_while_the_old_one_is_away_is_heard() {
-    let (_held, gone) = nobody();
-    let world = World::with(2, |config| config["coordinator"] = gone.to_string().into());
-    world.logged(&["no connection to the coordinator"]);
-    let mut later = Coordinator::start("127.0.0.1:0", 1).unwrap();
-    let mut config: serde_json::Value = serde_json::from_str(&world.config).unwrap();
-    config["coordinator"] = later.address.to_string().into();
-    std::fs::write(&world.path, config.to_string()).unwrap();
-    world.signal("HUP");
-    later.change(&world.caches[0], 1, 0, 0);
-    world.logged(&["told: s-0000ca00 Draining"]);
-    assert!(world.spares(&world.caches[0].clone()));
-}
-
-/// A cache that keeps half of each answer back for a while; the answer to `large` is large, all others are not.
-fn halting_cache(large: String) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = listener.local_addr().unwrap();
-    thread::spawn(move || {
-        for stream in listener.incoming().flatten() {
-            let large = large.clone();
-            thread::spawn(move || {
-                let mut stream = stream;
-                while let Some((line, _)) = read_want(&mut stream) {
-                    let size = if line.contains(&large) {
-                        230_000
-                    } else {
-                        30_000
-                    };
-                    let id = line.split(' ').nth(1).unwrap();
-                    let head = format!("{id} data version=v1,how=hit {size}\r\n");
-                    let mut send =
-                        |bytes: &[u8]| std::io::Write::write_all(&mut stream, bytes).is_ok();
-                    let first = send(head.as_bytes()) && send(&vec![7; size / 2]);
-                    thread::sleep(Duration::from_millis(200));
-                    if !(first && send(&vec![7; size - size / 2]) && send(b"\r\n")) {
-                        return;
-                    }
-                }
-            });
-        }
-    });
-    address
-}
-
-// Budget is given in the order in which it was asked for, so small answers that come and go don't starve a large one.
-#[test]
-fn a_large_answer_gets_its_room_among_many_small_ones() {
-    let large = key(99);
-    let address = halting_cache(large.clone());
-    let world = World::with(1, |config| {
-        config["limits"]["memory_mb"] = 0.7.into(); // 240,000 bytes for answers
-        config["known"]["updates"][0]["endpoints"]["hosts"][0]["dial"] = address.to_string().into();
-        config["settings"]["family_info"]["client_kb_per_s"] = 50.into(); // none is overdue
-        for class in config["settings"]["request_classes"]
-            .as_array_mut()
-            .unwrap()
-        {
-            class["objective_ms"] = 6000.into();
-            class["deadline_ms"] = 8000.into();
-        }
-    });
-    let over = Arc::new(AtomicBool::new(false));
-    let small: Vec<_> = (0..6)
-        .map(|n| {
-            let (mut client, over) = (world.client(), over.clone());
-            thread::sleep(Duration::from_millis(35)); // so that some of them hold room at any time
-            thread::spawn(move || {
-                let mut served = 0;
-                while !over.load(Ordering::Relaxed) {
-                    client.request("page", &key(n), 7000, b"").unwrap();
-                    served += u32::from(matches!(client.answer().unwrap(), Answer::Served { .. }));
-                }
-                served
-            })
-        })
-        .collect();
-    thread::sleep(Duration::from_millis(500));
-    let mut client = world.client();
-    let asked = Instant::now();
-    client.request("clip", &large, 4000, b"").unwrap();
-    let answer = client.answer().unwrap();
-    assert!(
-        matches!(&answer, Answer::Served { body, .. } if body.len() == 230_000),
-        "{:?}",
-        asked.elapsed()
-    );
-    over.store(true, Ordering::Relaxed);
-    let served: Vec<u32> = small
-        .into_iter()
-        .map(|small| small.join().unwrap())
-        .collect();
-    assert!(served.iter().all(|served| *served > 0), "{served:?}");
-}
-
-// Requests that hold room while their answers wait for some can't hold all of it.
-#[test]
-fn writes_that_fill_memory_leave_room_for_their_answers() {
-    let world = World::with(1, |config| config["limits"]["memory_mb"] = 0.8.into());
-    let mut clients: Vec<Client> = (0..7).map(|_| world.client()).collect();
-    let asked = Instant::now();
-    clients
-        .iter_mut()
-        .for_each(|client| assert!(client.request("submit", KEY, 2400, &[7; 40_000]).is_ok()));
-    let answers: Vec<Answer> = clients
-        .iter_mut()
-        .map(|client| client.answer().unwrap())
-        .collect();
-    assert!(
-        answers
-            .iter()
-            .any(|answer| matches!(answer, Answer::Served { .. })),
-        "{answers:?}"
-    );
-    assert!(
-        asked.elapsed() < Duration::from_millis(1500),
-        "{:?}",
-        asked.elapsed()
-    );
-}
--- a/crates/flaxdeck-dispatcher/tests/fleet/mod.rs
+++ b/crates/flaxdeck-dispatcher/tests/fleet/mod.rs
@@ -22,10 +22,10 @@
 const LOOK: Duration = Duration::from_millis(2);
 
 /// A line of a process's log, with when it was read here.
-pub type Logged = (Instant, String);
+pub(crate) type Logged = (Instant, String);
 
 /// One dispatcher, which comes back at the address of its first start.
-pub struct Dispatcher {
+pub(crate) struct Dispatcher {
     config: Value,
     process: Child,
     address: Option<SocketAddr>,
@@ -34,7 +34,7 @@
 
 impl Dispatcher {
     /// Starts one that listens at any port; does not wait for it.
-    pub fn spawn(mut config: Value) -> Dispatcher {
+    pub(crate) fn spawn(mut config: Value) -> Dispatcher {
         config["listen"] = "127.0.0.1:0".into();
         let (process, log) = start(&config);
         Dispatcher {
@@ -46,7 +46,7 @@
     }
 
     /// Where it listens, once it does.
-    pub fn address(&mut self) -> SocketAddr {
+    pub(crate) fn address(&mut self) -> SocketAddr {
         let begun = Instant::now();
         while self.address.is_none() {
             assert!(
@@ -65,20 +65,20 @@
     }
 
     /// Kills it without a word (SIGKILL).
-    pub fn kill(&mut self) {
+    pub(crate) fn kill(&mut self) {
         self.address();
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
 
     /// Starts it again after a kill; does not wait for it.
-    pub fn restart(&mut self) {
+    pub(crate) fn restart(&mut self) {
         self.config["listen"] = self.address().to_string().into();
         (self.process, self.log) = start(&self.config);
     }
 
     /// When this run of it logged a line with these words.
-    pub fn logged(&self, words: &str) -> Option<Instant> {
+    pub(crate) fn logged(&self, words: &str) -> Option<Instant> {
         self.log
             .lock()
             .unwrap()
@@ -103,13 +103,15 @@
     let log: Arc<Mutex<Vec<Logged>>> = Arc::default();
     let keeps = log.clone();
     thread::spawn(move || {
-        lines.for_each(|line| keeps.lock().unwrap().push((Instant::now(), line)))
+        for line in lines {
+            keeps.lock().unwrap().push((Instant::now(), line));
+        }
     });
     (process, log)
 }
 
 /// Asks one dispatcher for a new object each time, at that rate and of that size in KB, until it is over; looks for it again where it went.
-pub fn ask(
+pub(crate) fn ask(
     address: SocketAddr,
     (rate, kb): (f64, f64),
     seed: u64,
--- a/crates/flaxdeck-dispatcher/tests/mass_restart.rs
+++ b/crates/flaxdeck-dispatcher/tests/mass_restart.rs
@@ -1,6 +1,12 @@
 //! Many dispatchers killed and started again together, under load, before a coordinator that answers few calls at once:
 //! nine in ten are ready in time.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 mod fleet;
 mod world;
 
@@ -60,6 +66,56 @@
     })
 }
 
+/// Load on all dispatchers until it is over, with how many requests were served.
+fn load(
+    addresses: &[SocketAddr],
+    over: &Arc<AtomicBool>,
+    served: &Arc<AtomicU32>,
+) -> Vec<JoinHandle<()>> {
+    let load = |(at, address): (usize, &SocketAddr)| {
+        let seed = at as u64 + 1;
+        ask(*address, (RATE, KB), seed, over.clone(), served.clone())
+    };
+    addresses.iter().enumerate().map(load).collect()
+}
+
+/// When each dispatcher has served a request for the first time; none if it does not in time.
+fn first_served(addresses: &[SocketAddr]) -> Vec<Option<Instant>> {
+    let first: Vec<JoinHandle<Option<Instant>>> = addresses
+        .iter()
+        .enumerate()
+        .map(|(at, address)| served_first(*address, 900_000 + at as u32))
+        .collect();
+    first
+        .into_iter()
+        .map(|first| first.join().unwrap())
+        .collect()
+}
+
+/// When a dispatcher heard of the drain that it had missed.
+fn drain_heard(dispatcher: &Dispatcher) -> Option<Instant> {
+    dispatcher.logged("told: s-0000ca00 Draining")
+}
+
+/// After what time each dispatcher was ready: it has served a request and heard of the drain. In order; without those that
+/// were not ready in time.
+fn ready_times(
+    started: Instant,
+    served_at: &[Option<Instant>],
+    dispatchers: &[Dispatcher],
+) -> Vec<Duration> {
+    let ready = served_at
+        .iter()
+        .zip(dispatchers)
+        .filter_map(|(served, dispatcher)| {
+            let ready = (*served)?.max(drain_heard(dispatcher)?);
+            Some(ready.duration_since(started)).filter(|took| *took < READY_WITHIN)
+        });
+    let mut ready: Vec<Duration> = ready.collect();
+    ready.sort();
+    ready
+}
+
 #[test]
 fn nine_in_ten_of_thirty_killed_together_are_ready_in_time() {
     let host = |id| Host::start(id, "127.0.0.1:0").unwrap();
@@ -79,53 +135,33 @@
     let mut dispatchers: Vec<Dispatcher> = (0..DISPATCHERS).map(start).collect();
     let addresses: Vec<SocketAddr> = dispatchers.iter_mut().map(Dispatcher::address).collect();
     let (over, served): (Arc<AtomicBool>, Arc<AtomicU32>) = Default::default();
-    let load = |(at, address): (usize, &SocketAddr)| {
-        ask(
-            *address,
-            (RATE, KB),
-            at as u64 + 1,
-            over.clone(),
-            served.clone(),
-        )
-    };
-    let load: Vec<JoinHandle<()>> = addresses.iter().enumerate().map(load).collect();
+    let load = load(&addresses, &over, &served);
     thread::sleep(Duration::from_millis(500));
 
-    dispatchers.iter_mut().for_each(Dispatcher::kill);
+    for dispatcher in &mut dispatchers {
+        dispatcher.kill();
+    }
     // What they miss meanwhile they only hear from the coordinator.
     coordinator.answers_few(CALLS_AT_ONCE, CALL_TAKES);
     coordinator.change(&caches[0], 1, 0, 0);
     let started = Instant::now();
-    dispatchers.iter_mut().for_each(Dispatcher::restart);
-    let first = addresses
-        .iter()
-        .enumerate()
-        .map(|(at, address)| served_first(*address, 900_000 + at as u32));
-    let first: Vec<JoinHandle<Option<Instant>>> = first.collect();
-    let served_at: Vec<Option<Instant>> = first
-        .into_iter()
-        .map(|first| first.join().unwrap())
-        .collect();
-    let told = |dispatcher: &Dispatcher| dispatcher.logged("told: s-0000ca00 Draining");
+    for dispatcher in &mut dispatchers {
+        dispatcher.restart();
+    }
+    let served_at = first_served(&addresses);
     let all_told = || {
         dispatchers
             .iter()
-            .all(|dispatcher| told(dispatcher).is_some())
+            .all(|dispatcher| drain_heard(dispatcher).is_some())
     };
     while started.elapsed() < READY_WITHIN && !all_told() {
         thread::sleep(AGAIN);
     }
-    let ready = served_at
-        .iter()
-        .zip(&dispatchers)
-        .filter_map(|(served, dispatcher)| {
-            let ready = (*served)?.max(told(dispatcher)?);
-            Some(ready.duration_since(started)).filter(|took| *took < READY_WITHIN)
-        });
-    let mut ready: Vec<Duration> = ready.collect();
-    ready.sort();
+    let ready = ready_times(started, &served_at, &dispatchers);
     over.store(true, Ordering::Relaxed);
-    load.into_iter().for_each(|load| load.join().unwrap());
+    for load in load {
+        load.join().unwrap();
+    }
     let served_in_time = served_at.iter().flatten().count();
     println!(
         "{} ready, {served_in_time} served; the last after {:?}, {served:?} of the load",
--- a/crates/flaxdeck-dispatcher/tests/recorded_state.rs
+++ b/crates/flaxdeck-dispatcher/tests/recorded_state.rs
@@ -1,6 +1,12 @@
 //! A forwarder's state folder as revision 45b174f wrote it: a snapshot, and a log with every kind of record. Today's
 //! code has to read it, also where the log ends in the middle of a record, and to write the same bytes.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::path::{Path, PathBuf};
 
 use flaxdeck_recovery::EventPosition;
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -1,6 +1,12 @@
 //! Settings of others: whatever they say within the platform's form, the module answers each request once and in time,
 //! and the process serves or says in one line what it can't.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 mod world;
 
 use std::collections::BTreeMap;
@@ -17,7 +23,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Value, json};
-use world::*;
+use world::{CONFIG, KEY, SOON, World, command};
 
 const NAMES: [&str; 8] = [
     "clip",
@@ -30,31 +36,34 @@
     "x",
 ];
 
+/// A request class of that name, drawn as [`draw`] draws.
+fn draw_class(name: &str, one_of: &mut impl FnMut(&[f64]) -> f64) -> Value {
+    let mut class = json!({
+        "name": name,
+        "objective_ms": one_of(&[20.0, 300.0, 5000.0]),
+        "aim_stretch": one_of(&[0.0, 1.5, 8.0]),
+        "deadline_ms": one_of(&[50.0, 400.0, 2500.0, 180_000.0]),
+        "nobody_knows_this": {"deep": [1, null]},
+    });
+    match one_of(&[0.0, 1.0, 2.0, 3.0, 4.0]) as u32 {
+        0 => class["effect"] = "idempotent".into(),
+        1 => class["effect"] = "at_most_once".into(),
+        scope => {
+            class["effect"] = "deduplicated".into();
+            class["key_scope"] = ["all", "zone", "cell"][scope as usize - 2].into();
+            class["memory_span_ms"] = one_of(&[0.0, 1.0, 350.0, 60_000.0]).into();
+        }
+    }
+    class
+}
+
 /// Settings within the platform's form, drawn from a seed.
 fn draw(seed: u64) -> Value {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let mut one_of = |of: &[f64]| of[chance.random_range(0..of.len())];
     let count = one_of(&[1.0, 2.0, 3.0, 5.0]) as usize;
     let classes: Vec<Value> = (0..count)
-        .map(|at| {
-            let mut class = json!({
-                "name": NAMES[(at * 3 + seed as usize) % NAMES.len()],
-                "objective_ms": one_of(&[20.0, 300.0, 5000.0]),
-                "aim_stretch": one_of(&[0.0, 1.5, 8.0]),
-                "deadline_ms": one_of(&[50.0, 400.0, 2500.0, 180_000.0]),
-                "nobody_knows_this": {"deep": [1, null]},
-            });
-            match one_of(&[0.0, 1.0, 2.0, 3.0, 4.0]) as u32 {
-                0 => class["effect"] = "idempotent".into(),
-                1 => class["effect"] = "at_most_once".into(),
-                scope => {
-                    class["effect"] = "deduplicated".into();
-                    class["key_scope"] = ["all", "zone", "cell"][scope as usize - 2].into();
-                    class["memory_span_ms"] = one_of(&[0.0, 1.0, 350.0, 60_000.0]).into();
-                }
-            }
-            class
-        })
+        .map(|at| draw_class(NAMES[(at * 3 + seed as usize) % NAMES.len()], &mut one_of))
         .collect();
     let mut flag = |of: f64| one_of(&[0.0, 1.0]) < of;
     let through: Vec<bool> = (0..count).map(|_| flag(0.5)).collect();
@@ -109,125 +118,201 @@
     }
 }
 
-// Hosts that answer none, some, or everything with an error: each request has its one end by its deadline.
-#[test]
-fn whatever_the_settings_each_request_is_answered_once_and_by_its_deadline() {
-    for seed in 0..400 {
+/// Requests that come one after the other.
+const REQUESTS: u64 = 40;
+
+/// An attempt, with when it ends.
+struct InFlight {
+    ends: Time,
+    request: RequestId,
+    index: AttemptIndex,
+    host: HostId,
+}
+
+/// One decision engine under settings of a seed, among hosts that answer none, some, or everything with an error.
+struct Trial {
+    seed: u64,
+    chance: Pcg64Mcg,
+    engine: PolledEngine,
+    now: Time,
+    tick: Span,
+    may_cancel: bool,
+    /// How long each class's requests wait, in milliseconds.
+    waits_ms: Vec<f64>,
+    /// The deadlines of requests that have no answer yet.
+    open: BTreeMap<RequestId, Time>,
+    in_flight: Vec<InFlight>,
+}
+
+impl Trial {
+    fn start(seed: u64) -> Trial {
         let settings = draw(seed);
-        let (terms, names) =
-            flaxdeck_terms::read(&Fields::of(&settings, "settings").unwrap()).unwrap();
-        let (tick, classes, cancels) = (terms.tick, names.classes.len(), terms.may_cancel);
-        let start = Time::at_ms(1e9);
-        let mut engine = PolledEngine::start(start, seed, terms);
-        let parents = seed % 3; // none at every third
-        let mut hosts = vec![
-            listed("s-0000ca00", Role::Cache, 0, None),
-            listed("s-0000ca01", Role::Cache, 0, Some(start)),
-            listed("s-00000001", Role::Origin, 0, None),
-        ];
-        hosts.extend(
-            (0..parents).map(|n| listed(&format!("s-00009a0{n}"), Role::Parent, 0, Some(start))),
+        let fields = Fields::of(&settings, "settings").unwrap();
+        let (terms, names) = flaxdeck_terms::read(&fields).unwrap();
+        let (tick, may_cancel) = (terms.tick, terms.may_cancel);
+        let now = Time::at_ms(1e9);
+        let mut engine = PolledEngine::start(now, seed, terms);
+        let hosts = hosts(seed % 3, now); // no parent at every third
+        engine.report(now, Input::EndpointList(ListKind::Full, hosts));
+        let deadline_ms = |at: usize| settings["request_classes"][at]["deadline_ms"].as_f64();
+        let deadlines: Vec<f64> = (0..names.classes.len())
+            .map(|at| deadline_ms(at).unwrap())
+            .collect();
+        let longest = deadlines.iter().copied().fold(0.0, f64::max).min(3000.0);
+        Trial {
+            seed,
+            chance: Pcg64Mcg::seed_from_u64(seed),
+            engine,
+            now,
+            tick,
+            may_cancel,
+            waits_ms: deadlines.iter().map(|ms| ms.min(longest)).collect(),
+            open: BTreeMap::new(),
+            in_flight: Vec::new(),
+        }
+    }
+
+    fn longest_wait_ms(&self) -> f64 {
+        self.waits_ms.iter().copied().fold(0.0, f64::max)
+    }
+
+    /// A new request comes.
+    fn request(&mut self, number: u64) {
+        let class = number as usize % self.waits_ms.len();
+        let deadline = self.now + Span::of_ms(self.waits_ms[class]);
+        let id = RequestId(number);
+        let object = ObjectId(self.chance.random_range(0..10));
+        let size_kb = self.chance.random_range(1.0..3000.0);
+        self.open.insert(id, deadline);
+        let request = Request {
+            id,
+            class: ClassId(class),
+            object,
+            part: 0,
+            group: GroupId(3),
+            size_kb: Some(size_kb).filter(|_| self.seed.is_multiple_of(2)),
+            deadline,
+            again: false,
+        };
+        self.engine.report(self.now, Input::RequestArrived(request));
+    }
+
+    /// Takes all steps of a request that are due.
+    fn take_steps(&mut self, id: RequestId) {
+        let seed = self.seed;
+        loop {
+            match self.engine.pick(id) {
+                Step::Wait => return,
+                Step::Attempt(index, attempt) => {
+                    assert!(
+                        self.open.contains_key(&id),
+                        "seed {seed}: sent on after its end"
+                    );
+                    let lasts = Span::of_ms(self.chance.random_range(1.0..400.0));
+                    self.in_flight.push(InFlight {
+                        ends: self.now + lasts,
+                        request: id,
+                        index,
+                        host: attempt.host,
+                    });
+                }
+                Step::Cancel(index) => self.cancel(id, index),
+                Step::Reject(_) | Step::Fail => {
+                    let Some(deadline) = self.open.remove(&id) else {
+                        panic!("seed {seed}: two ends")
+                    };
+                    assert!(
+                        self.now <= deadline + self.tick * 2.0,
+                        "seed {seed}: {id:?} too late"
+                    );
+                }
+            }
+        }
+    }
+
+    fn cancel(&mut self, id: RequestId, index: AttemptIndex) {
+        let seed = self.seed;
+        assert!(
+            self.may_cancel,
+            "seed {seed}: cancelled where that is not allowed"
         );
-        engine.report(start, Input::EndpointList(ListKind::Full, hosts));
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let mut open: BTreeMap<RequestId, (Time, u32)> = BTreeMap::new();
-        let mut out: Vec<(Time, RequestId, AttemptIndex, HostId)> = Vec::new();
-        let deadlines: Vec<f64> = (0..classes)
-            .map(|at| {
-                settings["request_classes"][at]["deadline_ms"]
-                    .as_f64()
-                    .unwrap()
-            })
+        self.in_flight
+            .retain(|attempt| (attempt.request, attempt.index) != (id, index));
+        if self.open.contains_key(&id) {
+            let host = HostId("s-0000ca00".into());
+            let ended = end(id, index, host, AttemptOutcome::Cancelled);
+            self.engine.report(self.now, Input::AttemptEnded(ended));
+        }
+    }
+
+    /// Ends the attempts whose time has come, each in some way.
+    fn end_attempts(&mut self) {
+        let now = self.now;
+        let ended: Vec<InFlight> = self
+            .in_flight
+            .extract_if(.., |attempt| attempt.ends <= now)
             .collect();
-        let (mut now, mut next) = (start, 0);
-        let last = deadlines
-            .iter()
-            .fold(0.0, |a: f64, b| a.max(*b))
-            .min(3000.0);
-        while now.since(start).ms() < last + 500.0 {
-            if next < 40 {
-                let class = next as usize % classes;
-                let deadline = now + Span::of_ms(deadlines[class].min(last));
-                let (object, id) = (ObjectId(chance.random_range(0..10)), RequestId(next));
-                let (class, group) = (ClassId(class), GroupId(3));
-                let size_kb = Some(chance.random_range(1.0..3000.0)).filter(|_| seed % 2 == 0);
-                let request = Request {
-                    id,
-                    class,
-                    object,
-                    part: 0,
-                    group,
-                    size_kb,
-                    deadline,
-                    again: false,
-                };
-                open.insert(id, (deadline, 0));
-                engine.report(now, Input::RequestArrived(request));
-                next += 1;
+        for attempt in ended {
+            let outcome = OUTCOMES[self.chance.random_range(0..OUTCOMES.len())];
+            if !self.open.contains_key(&attempt.request) {
+                continue;
             }
-            engine.tick(now);
-            for id in (0..next).map(RequestId) {
-                loop {
-                    match engine.pick(id) {
-                        Step::Wait => break,
-                        Step::Attempt(index, attempt) => {
-                            assert!(open.contains_key(&id), "seed {seed}: sent on after its end");
-                            out.push((
-                                now + Span::of_ms(chance.random_range(1.0..400.0)),
-                                id,
-                                index,
-                                attempt.host,
-                            ));
-                        }
-                        Step::Cancel(index) => {
-                            assert!(cancels, "seed {seed}: cancelled where that is not allowed");
-                            out.retain(|(_, of, at, _)| (*of, *at) != (id, index));
-                            if open.contains_key(&id) {
-                                let host = HostId("s-0000ca00".into());
-                                engine.report(
-                                    now,
-                                    Input::AttemptEnded(end(
-                                        id,
-                                        index,
-                                        host,
-                                        AttemptOutcome::Cancelled,
-                                    )),
-                                );
-                            }
-                        }
-                        Step::Reject(_) | Step::Fail => {
-                            let (deadline, _) = open
-                                .remove(&id)
-                                .unwrap_or_else(|| panic!("seed {seed}: two ends"));
-                            assert!(now <= deadline + tick * 2.0, "seed {seed}: {id:?} too late");
-                        }
-                    }
-                }
+            if outcome == AttemptOutcome::Answered {
+                self.open.remove(&attempt.request);
             }
-            for (_, id, index, host) in out
-                .extract_if(.., |(at, ..)| *at <= now)
-                .collect::<Vec<_>>()
-            {
-                let outcome = [
-                    AttemptOutcome::Answered,
-                    AttemptOutcome::Errored,
-                    AttemptOutcome::Rejected,
-                    AttemptOutcome::TimedOut,
-                    AttemptOutcome::NotConnected,
-                    AttemptOutcome::Broken,
-                    AttemptOutcome::Stale,
-                    AttemptOutcome::NotSent,
-                    AttemptOutcome::NoCopy,
-                ][chance.random_range(0..9)];
-                if open.contains_key(&id) {
-                    if outcome == AttemptOutcome::Answered {
-                        open.remove(&id);
-                    }
-                    engine.report(now, Input::AttemptEnded(end(id, index, host, outcome)));
-                }
+            let ended = end(attempt.request, attempt.index, attempt.host, outcome);
+            self.engine.report(now, Input::AttemptEnded(ended));
+        }
+    }
+}
+
+/// How an attempt may end.
+const OUTCOMES: [AttemptOutcome; 9] = [
+    AttemptOutcome::Answered,
+    AttemptOutcome::Errored,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::NotConnected,
+    AttemptOutcome::Broken,
+    AttemptOutcome::Stale,
+    AttemptOutcome::NotSent,
+    AttemptOutcome::NoCopy,
+];
+
+/// Two caches, the origin and so many parents.
+fn hosts(parents: u64, start: Time) -> Vec<Endpoint> {
+    let mut hosts = vec![
+        listed("s-0000ca00", Role::Cache, 0, None),
+        listed("s-0000ca01", Role::Cache, 0, Some(start)),
+        listed("s-00000001", Role::Origin, 0, None),
+    ];
+    hosts.extend(
+        (0..parents).map(|n| listed(&format!("s-00009a0{n}"), Role::Parent, 0, Some(start))),
+    );
+    hosts
+}
+
+// Hosts that answer none, some, or everything with an error: each request has its one end by its deadline.
+#[test]
+fn whatever_the_settings_each_request_is_answered_once_and_by_its_deadline() {
+    for seed in 0..400 {
+        let mut trial = Trial::start(seed);
+        let start = trial.now;
+        let last = trial.longest_wait_ms() + 500.0;
+        let mut requests = 0;
+        while trial.now.since(start).ms() < last {
+            if requests < REQUESTS {
+                trial.request(requests);
+                requests += 1;
+            }
+            trial.engine.tick(trial.now);
+            for id in (0..requests).map(RequestId) {
+                trial.take_steps(id);
             }
-            now = now + Span::of_ms(1.0);
+            trial.end_attempts();
+            trial.now = trial.now + Span::of_ms(1.0);
         }
+        let open = &trial.open;
         assert!(open.is_empty(), "seed {seed}: {open:?} never ended");
     }
 }
@@ -268,9 +353,9 @@
                 .unwrap();
             hosts.retain(|host| parents || host["class"] != "parent");
             if settings["zones"].as_array().unwrap().len() == 1 {
-                hosts
-                    .iter_mut()
-                    .for_each(|host| host["site"] = "here".into());
+                for host in hosts {
+                    host["site"] = "here".into();
+                }
             }
             config["settings"] = settings.clone();
         });
@@ -300,84 +385,75 @@
     }
 }
 
-// One line that names the field and what is wrong, and exit code 1.
-#[test]
-fn settings_that_cannot_be_served_are_refused_by_name() {
-    let class = |field: &'static str, value: Value| {
-        move |config: &mut Value| config["settings"]["request_classes"][0][field] = value.clone()
-    };
-    type Spoil = Box<dyn Fn(&mut Value)>;
-    let rows: Vec<(Spoil, [&str; 2])> = vec![
-        (
-            Box::new(class("effect", "twice".into())),
-            ["effect", "twice"],
-        ),
-        (
-            Box::new(class("effect", Value::Null)),
-            ["effect", "missing"],
-        ),
-        (
-            Box::new(class("deadline_ms", (-1).into())),
-            ["deadline_ms", "0 to 1e12"],
-        ),
-        (
-            Box::new(class("deadline_ms", 1e300.into())),
-            ["deadline_ms", "0 to 1e12"],
-        ),
-        (
-            Box::new(class("objective_ms", "soon".into())),
-            ["objective_ms", "0 to 1e12"],
-        ),
-        (Box::new(class("name", "a page".into())), ["name", "space"]),
-        (Box::new(class("name", "a,b=c".into())), ["name", "comma"]),
-        (Box::new(class("name", "".into())), ["name", "0 bytes"]),
-        (
-            Box::new(class("name", "n".repeat(300).into())),
-            ["name", "300 bytes"],
-        ),
-        (
-            Box::new(class("name", "page".into())),
-            ["name", "two classes"],
-        ),
-        (
-            Box::new(class("name", "alive".into())),
+/// A place in the configuration, what is put there, and two words of the line that says what is wrong with it.
+struct Refused {
+    place: &'static str,
+    value: Value,
+    words: [&'static str; 2],
+}
+
+fn refused(place: &'static str, value: impl Into<Value>, words: [&'static str; 2]) -> Refused {
+    Refused {
+        place,
+        value: value.into(),
+        words,
+    }
+}
+
+const FIRST_CLASS_NAME: &str = "/settings/request_classes/0/name";
+const FIRST_CLASS_EFFECT: &str = "/settings/request_classes/0/effect";
+const FIRST_CLASS_DEADLINE: &str = "/settings/request_classes/0/deadline_ms";
+
+fn refused_settings() -> Vec<Refused> {
+    let class = "/settings/request_classes/0/objective_ms";
+    let timeout = "/settings/allowed/connect_timeout_ms";
+    let range = "0 to 1e12";
+    vec![
+        refused(FIRST_CLASS_EFFECT, "twice", ["effect", "twice"]),
+        refused(FIRST_CLASS_EFFECT, Value::Null, ["effect", "missing"]),
+        refused(FIRST_CLASS_DEADLINE, -1, ["deadline_ms", range]),
+        refused(FIRST_CLASS_DEADLINE, 1e300, ["deadline_ms", range]),
+        refused(class, "soon", ["objective_ms", range]),
+        refused(FIRST_CLASS_NAME, "a page", ["name", "space"]),
+        refused(FIRST_CLASS_NAME, "a,b=c", ["name", "comma"]),
+        refused(FIRST_CLASS_NAME, "", ["name", "0 bytes"]),
+        refused(FIRST_CLASS_NAME, "n".repeat(300), ["name", "300 bytes"]),
+        refused(FIRST_CLASS_NAME, "page", ["name", "two classes"]),
+        refused(
+            FIRST_CLASS_NAME,
+            "alive",
             ["name", "whether a dispatcher is up"],
         ),
-        (
-            Box::new(|config| config["settings"]["request_classes"] = json!([])),
+        refused(
+            "/settings/request_classes",
+            json!([]),
             ["request_classes", "no class"],
         ),
-        (
-            Box::new(|config| config["settings"]["zone"] = "nowhere".into()),
-            ["zone", "nowhere"],
-        ),
-        (
-            Box::new(|config| config["settings"]["tick_ms"] = Value::Null),
-            ["tick_ms", "missing"],
-        ),
-        (
-            Box::new(|config| config["settings"]["allowed"]["connect_timeout_ms"] = 1e200.into()),
-            ["connect_timeout_ms", "0 to 1e12"],
-        ),
-        (
-            Box::new(|config| {
-                config["settings"]["request_classes"][2]["effect"] = "deduplicated".into()
-            }),
+        refused("/settings/zone", "nowhere", ["zone", "nowhere"]),
+        refused("/settings/tick_ms", Value::Null, ["tick_ms", "missing"]),
+        refused(timeout, 1e200, ["connect_timeout_ms", range]),
+        refused(
+            "/settings/request_classes/2/effect",
+            "deduplicated",
             ["key_scope", "None"],
         ),
-        (
-            Box::new(|config| config["limits"]["sockets"] = 12.into()),
-            ["sockets", "12"],
-        ),
-        (
-            Box::new(|config| config["limits"]["memory_mb"] = 0.into()),
-            ["memory_mb", "nothing fits"],
-        ),
-    ];
-    for (spoil, words) in rows {
+        refused("/limits/sockets", 12, ["sockets", "12"]),
+        refused("/limits/memory_mb", 0, ["memory_mb", "nothing fits"]),
+    ]
+}
+
+// One line that names the field and what is wrong, and exit code 1.
+#[test]
+fn settings_that_cannot_be_served_are_refused_by_name() {
+    for Refused {
+        place,
+        value,
+        words,
+    } in refused_settings()
+    {
         let mut config: Value = serde_json::from_str(CONFIG).unwrap();
         config["listen"] = "127.0.0.1:0".into();
-        spoil(&mut config);
+        *config.pointer_mut(place).unwrap() = value;
         let mut process = command(&config.to_string()).spawn().unwrap();
         let started = Instant::now();
         while process.try_wait().unwrap().is_none() && started.elapsed() < SOON {
