--- a/crates/flaxdeck-adapter/src/instance.rs
+++ b/crates/flaxdeck-adapter/src/instance.rs
@@ -83,7 +83,7 @@
         let row = Fields::of(row, "a list entry")?;
         let kind = row
             .text_or_none("shape")?
-            .and_then(|shape| index_of(&self.names.kinds, shape));
+            .and_then(|shape| index_of(&self.names.machine_kinds, shape));
         let health = health(row.text("mode")?)?;
         let zone = row
             .text_or_none("region_part")?
--- a/crates/flaxdeck-adapter/src/reply.rs
+++ b/crates/flaxdeck-adapter/src/reply.rs
@@ -5,10 +5,10 @@
 
 /// A fill that is under way may be joined.
 const JOIN: u8 = 1;
-/// Only a copy that is there will do.
-const ONLY_HELD: u8 = 2;
-/// The host is to make sure that its copy is current.
-const RENEW: u8 = 8;
+/// The source gives only what it has cached.
+const ONLY_CACHED: u8 = 2;
+/// The host makes sure that its copy is current.
+const REVALIDATE: u8 = 8;
 
 /// Adds the lines for the decisions of the instance named `who`.
 pub(crate) fn encode(who: &str, now: Time, decisions: Decisions, reply: &mut Vec<Value>) {
@@ -37,8 +37,8 @@
 
 fn encode_attempt(who: &str, attempt: &Attempt) -> Value {
     let bits = JOIN * u8::from(attempt.join)
-        + ONLY_HELD * u8::from(attempt.only_held)
-        + RENEW * u8::from(attempt.renew);
+        + ONLY_CACHED * u8::from(attempt.only_held)
+        + REVALIDATE * u8::from(attempt.renew);
     let mut action = json!({"event_type": "Obtain", "who": who, "request_id": attempt.request.0,
         "host": &*attempt.host.0, "miss_from": &*attempt.source.0, "allow_for_ms": attempt.allow.ms(),
         "bits": bits, "keep": attempt.keep});
--- a/crates/flaxdeck-adapter/tests/looks.rs
+++ b/crates/flaxdeck-adapter/tests/looks.rs
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_cache_is_asked_for_its_load_and_what_it_tells_of_the_link_is_heeded() {
+fn a_cache_is_health_checked_and_its_reported_link_load_is_heeded() {
     let told = json!({"event_type": "CheckResult", "who": "d-0", "host": "c:1", "reason": "S", "latency_ms": 2.0,
         "stats": [0.4, 0.7, 30.0]});
     let wake = json!({"event_type": "Elapsed", "who": "d-0", "ctx": 0});
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn nobody_is_asked_where_answers_tell_the_load_or_asking_is_not_allowed() {
+fn no_health_check_is_sent_where_responses_carry_the_load_or_checks_are_not_allowed() {
     for (via, probes) in [("inline", true), ("on_probe", false), ("off", true)] {
         let wake = json!({"event_type": "Elapsed", "who": "d-0", "ctx": 0});
         let batches = replies(&[(1000.0, started(via, probes)), (2500.0, vec![wake])]);
--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -153,9 +153,9 @@
 
 /// Waits for [`MIN_SHUTDOWN`] and until nothing is left to be answered, or until that time.
 async fn wait_until_idle(router: &Router, clock: Clock, until: Time) {
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut idle_looks = 0;
-    while begun.elapsed() < MIN_SHUTDOWN || (idle_looks < MIN_IDLE_LOOKS && clock.now() < until) {
+    while started.elapsed() < MIN_SHUTDOWN || (idle_looks < MIN_IDLE_LOOKS && clock.now() < until) {
         sleep(LOOK_INTERVAL).await;
         idle_looks = if router.at_rest() { idle_looks + 1 } else { 0 };
     }
--- a/crates/flaxdeck-dispatcher/src/protocol/attempt.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/attempt.rs
@@ -42,7 +42,7 @@
 impl HostConnections {
     /// Sends a request to a host and waits for its answer until that time. `clear` tells whether the attempt still
     /// stands; it is asked before a connection is looked for and again right before the first byte, as what the attempt
-    /// may ask for, and by when its last byte has to be written, can change meanwhile. Until `begun` is set nothing has
+    /// may ask for, and by when its last byte has to be written, can change meanwhile. Until `started` is set nothing has
     /// been written. Dropping the future cancels the attempt.
     pub(crate) async fn attempt<'a>(
         self: &Rc<HostConnections>,
@@ -50,7 +50,7 @@
         request: &ClientRequest,
         until: Instant,
         clear: impl Fn() -> Option<ClearedAttempt<'a>>,
-        begun: &Cell<bool>,
+        started: &Cell<bool>,
     ) -> ReceivedReply {
         let Some(cleared) = clear() else {
             return ReceivedReply::without_body(AttemptOutcome::Superseded);
@@ -74,7 +74,7 @@
             connection: Some(connection),
             written: false,
         };
-        begun.set(true);
+        started.set(true);
         match pending.write(request, &cleared, until).await {
             Ok(()) => pending.receive(until).await,
             Err(outcome) => ReceivedReply::without_body(outcome),
--- a/crates/flaxdeck-dispatcher/src/protocol/client_answers.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/client_answers.rs
@@ -12,7 +12,7 @@
 /// Answers queued for a client past which it is owed further ones by their numbers alone: twice what it may have open.
 const MAX_QUEUED: usize = 64;
 /// Answers owed to a client that takes none at which its connection is ended: far past what it may have open.
-const MAX_OWED: usize = 1024;
+const MAX_DEFERRED: usize = 1024;
 
 /// The one answer that a request gets; it can be sent once only. Dropped, it sends none.
 pub(crate) struct Responder {
@@ -72,22 +72,22 @@
 /// Direct answers owed to a client that takes none, beside what is queued for it.
 // Guards against a flood whose answers lie unread: what a client sends is read on all the same, for it may leave.
 #[derive(Default)]
-pub(super) struct OwedAnswers(VecDeque<OwedAnswer>);
+pub(super) struct DeferredAnswers(VecDeque<DeferredAnswer>);
 
-struct OwedAnswer {
+struct DeferredAnswer {
     call: u32,
     answer: DirectAnswer,
 }
 
-impl OwedAnswers {
+impl DeferredAnswers {
     pub(super) fn push(&mut self, call: u32, answer: DirectAnswer) {
-        self.0.push_back(OwedAnswer { call, answer });
+        self.0.push_back(DeferredAnswer { call, answer });
     }
 
     /// Queues what the client's connection may hold.
     pub(super) fn send(&mut self, outbound: &Outbound) {
         while outbound.pending_messages() < MAX_QUEUED {
-            let Some(OwedAnswer { call, answer }) = self.0.pop_front() else {
+            let Some(DeferredAnswer { call, answer }) = self.0.pop_front() else {
                 return;
             };
             outbound.send([answer.encode(call)], [None, None]);
@@ -96,6 +96,6 @@
 
     /// Whether more is owed than a client could ever await.
     pub(super) fn is_flood(&self) -> bool {
-        self.0.len() > MAX_OWED
+        self.0.len() > MAX_DEFERRED
     }
 }
--- a/crates/flaxdeck-dispatcher/src/protocol/client_connection.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/client_connection.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until};
 
-use super::client_answers::OwedAnswers;
+use super::client_answers::DeferredAnswers;
 pub(crate) use super::client_answers::{DirectAnswer, Responder};
 use super::message_read::{MessageRead, WaitOutcome};
 
@@ -68,16 +68,16 @@
     request_bytes: Rc<Budget>,
     /// What a message holds of it that is not complete yet.
     permit: Option<Permit>,
-    /// Since when a message is awaited that has to come: one that has begun, or the first of all.
+    /// Since when a message is awaited that has to come: one that has started, or the first of all.
     awaited_since: Option<Instant>,
     has_partial: Rc<Cell<bool>>,
     /// Since when messages have found no memory; until all that has come behind the first of them is processed.
-    memory_wanted_since: Option<Instant>,
+    memory_wait_since: Option<Instant>,
     /// Cloned into each responder, so that its count tells whether requests are open.
     open: Rc<()>,
     /// A request that is read past, with what is still to come of it.
     discarded: Option<PartialRequest>,
-    owed: OwedAnswers,
+    deferred: DeferredAnswers,
 }
 
 /// What others than its owner see of a client's connection, and end it by.
@@ -124,17 +124,17 @@
             permit: None,
             awaited_since: Some(Instant::now()),
             has_partial: Rc::default(),
-            memory_wanted_since: None,
+            memory_wait_since: None,
             open: Rc::new(()),
             discarded: None,
-            owed: OwedAnswers::default(),
+            deferred: DeferredAnswers::default(),
         }
     }
 
     /// Answers what no host has to be asked for, or keeps it owed while the client takes nothing.
     pub(crate) fn answer_directly(&mut self, call: u32, answer: DirectAnswer) {
-        self.owed.push(call, answer);
-        self.owed.send(&self.outbound);
+        self.deferred.push(call, answer);
+        self.deferred.send(&self.outbound);
     }
 
     /// What answers the request of that number, with the permit that it holds until the answer is written.
@@ -163,7 +163,7 @@
         self.has_unparsed()
             || match self.outbound.unread() {
                 Unread::Nothing => false,
-                Unread::Bytes => self.memory_wanted_since.is_some(),
+                Unread::Bytes => self.memory_wait_since.is_some(),
                 Unread::End => true,
             }
     }
@@ -180,11 +180,11 @@
     /// Waits for what the client sends next; meanwhile answers are written.
     pub(crate) async fn next_event(&mut self) -> ClientEvent {
         loop {
-            self.owed.send(&self.outbound);
+            self.deferred.send(&self.outbound);
             if self.outbound.is_closed() {
                 return ClientEvent::Closed;
             }
-            if self.owed.is_flood() {
+            if self.deferred.is_flood() {
                 count(Counter::clients_flooding);
                 return ClientEvent::Closed;
             }
@@ -273,8 +273,8 @@
         self.has_partial.set(has_partial);
         if has_partial {
             self.awaited_since.get_or_insert_with(Instant::now);
-        } else if self.memory_wanted_since.is_some() && !self.outbound.has_unread() {
-            self.memory_wanted_since = None;
+        } else if self.memory_wait_since.is_some() && !self.outbound.has_unread() {
+            self.memory_wait_since = None;
         }
     }
 
@@ -331,8 +331,8 @@
         } else {
             MAX_MEMORY_WAIT
         };
-        let wanted_since = *self.memory_wanted_since.get_or_insert_with(Instant::now);
-        Some(wanted_since + patience)
+        let wait_since = *self.memory_wait_since.get_or_insert_with(Instant::now);
+        Some(wait_since + patience)
     }
 }
 
--- a/crates/flaxdeck-dispatcher/tests/connects.rs
+++ b/crates/flaxdeck-dispatcher/tests/connects.rs
@@ -48,7 +48,7 @@
 
 // Rule 5: the age limit is the one that holds when the request is written.
 #[test]
-fn a_purge_told_while_a_connection_comes_up_binds_the_request() {
+fn a_purge_that_comes_while_a_connection_comes_up_binds_the_request() {
     let (mut world, cache_host, _) = cache_with_full_backlog(|_| {});
     let (mut client, n) = attempt_in_flight(&world, 0);
     let now = SystemTime::now()
@@ -70,7 +70,7 @@
 
 // How long the host is told that the dispatcher waits is what is left by then.
 #[test]
-fn the_time_that_a_connection_took_is_not_promised_to_the_host() {
+fn the_time_that_a_connection_took_is_taken_off_the_timeout() {
     let (world, cache_host, _) = cache_with_full_backlog(|_| {});
     let (mut client, n) = attempt_in_flight(&world, 0);
     cache_host.open();
@@ -95,7 +95,7 @@
 // A client that has left while its request waited for a connection: nothing is sent on for it, whether or not attempts
 // may be taken back.
 #[test]
-fn what_its_client_left_while_a_connection_came_up_is_not_sent_on() {
+fn a_request_left_while_a_connection_came_up_is_not_forwarded() {
     for (may_cancel, closes) in [(true, false), (true, true), (false, false), (false, true)] {
         let (world, cache_host, _) = cache_with_full_backlog(|config| {
             config["settings"]["allowed"]["cancel"] = may_cancel.into()
@@ -122,7 +122,7 @@
 // Rule 2: past the window in which repeats are dropped a deduplicated request is not sent again, however long its
 // connection took.
 #[test]
-fn a_connection_that_outlasts_the_window_of_repeats_carries_none() {
+fn a_connection_that_outlasts_the_deduplication_window_carries_no_retry() {
     let mut cache_host = FullBacklogHost::start();
     let world = World::with(1, |config| {
         config["known"]["updates"][0]["endpoints"]["hosts"][2]["dial"] =
--- a/crates/flaxdeck-dispatcher/tests/departures.rs
+++ b/crates/flaxdeck-dispatcher/tests/departures.rs
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn nothing_follows_a_refused_attempt_whose_client_has_left() {
+fn no_attempt_follows_a_rejected_one_whose_client_has_left() {
     let world = World::start(1);
     world.origin.set(Manner::Say("full"));
     let (leavers, stays) = (
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn no_second_copy_is_sent_for_a_client_that_has_left() {
+fn no_hedged_request_is_sent_for_a_client_that_has_left() {
     let world = World::with(2, silence_is_long);
     for cache in &world.caches {
         cache.set(Manner::Silent);
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_its_answers_unread_has_left_all_the_same() {
+fn a_client_that_leaves_its_answers_unread_has_left() {
     const UNREAD: usize = 20;
     let world = World::with(2, silence_is_long);
     for cache in &world.caches {
@@ -274,7 +274,7 @@
 
 // What a client says behind a write that there is no memory for is heard in time, its end too.
 #[test]
-fn a_client_that_leaves_behind_writes_without_memory_has_left_all_the_same() {
+fn a_client_that_leaves_behind_writes_without_memory_has_left() {
     const WRITES: usize = 8;
     let world = World::with(2, |config| {
         silence_is_long(config);
@@ -308,7 +308,7 @@
 
 // A process that could not run for a while reads the request and its client's end in one breath.
 #[test]
-fn who_asked_and_left_while_the_process_stood_still_reaches_no_host() {
+fn a_request_sent_and_left_while_the_process_was_stopped_reaches_no_host() {
     let world = World::start(1);
     let mut ready: Vec<Client> = EVERY_WAY
         .into_iter()
@@ -348,7 +348,7 @@
 // The wait for memory has its purpose: a write whose client has nothing else open gets what comes free in time. A try in
 // which the machine itself was late shows nothing.
 #[test]
-fn a_write_without_memory_still_waits_for_what_comes_free() {
+fn a_write_without_memory_waits_for_what_is_released() {
     const TRIES: usize = 20;
     let world = World::with(1, |config| config["limits"]["memory_mb"] = 0.7.into());
     for n in 1..=TRIES {
--- a/crates/flaxdeck-dispatcher/tests/descriptors.rs
+++ b/crates/flaxdeck-dispatcher/tests/descriptors.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn the_watch_is_back_in_time_and_attempts_go_on_though_idle_clients_fill_all_descriptors() {
+fn the_watch_reconnects_in_time_and_attempts_go_on_while_idle_clients_fill_all_descriptors() {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let first = taken(any);
     let coordinator = first.local_addr().unwrap().as_socket().unwrap();
--- a/crates/flaxdeck-dispatcher/tests/recorded_state.rs
+++ b/crates/flaxdeck-dispatcher/tests/recorded_state.rs
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_recorded_state_folder_is_read_whole() {
+fn a_recorded_state_folder_is_read_completely() {
     let (found, kept) = read("state");
     assert_eq!(found.damage, None);
     assert_eq!((found.generation, &found.name[..]), (1, INSTANCE));
--- a/crates/flaxdeck-net/src/counters_file.rs
+++ b/crates/flaxdeck-net/src/counters_file.rs
@@ -25,9 +25,9 @@
 
 fn write_lines(path: &Path, counters: &Reader) -> io::Result<()> {
     let mut file = File::create(path)?;
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
-        file.write_all(json_line(begun.elapsed(), counters).as_bytes())?;
+        file.write_all(json_line(started.elapsed(), counters).as_bytes())?;
         thread::sleep(INTERVAL);
     }
 }
--- a/crates/flaxdeck-net/src/eviction.rs
+++ b/crates/flaxdeck-net/src/eviction.rs
@@ -10,7 +10,7 @@
 /// What the choice depends on.
 pub trait Connection {
     /// It has sent a whole message.
-    fn has_spoken(&self) -> bool;
+    fn has_sent(&self) -> bool;
     /// When it last sent a whole message, or when it was accepted.
     fn quiet_since(&self) -> Instant;
     /// Something of it is open: a request, an answer that it has not taken, a message that has come in part.
@@ -27,7 +27,7 @@
     /// The one that has been idle longest.
     Idle(&'a C),
     /// None can be closed.
-    Nobody,
+    Nothing,
 }
 
 /// Those that never sent a message go first, all of them; else the longest idle does. A new one that has not spoken yet
@@ -46,19 +46,19 @@
     }
     match longest_idle(connections) {
         Some(connection) => Eviction::Idle(connection),
-        None => Eviction::Nobody,
+        None => Eviction::Nothing,
     }
 }
 
 fn is_silent(connection: &impl Connection, now: Instant) -> bool {
     let quiet = now.saturating_duration_since(connection.quiet_since());
-    !connection.has_spoken() && quiet > MIN_SILENCE && !connection.is_busy()
+    !connection.has_sent() && quiet > MIN_SILENCE && !connection.is_busy()
 }
 
 fn longest_idle<C: Connection>(connections: &[C]) -> Option<&C> {
     let mut idle: Vec<&C> = connections
         .iter()
-        .filter(|connection| connection.has_spoken() && !connection.is_busy())
+        .filter(|connection| connection.has_sent() && !connection.is_busy())
         .collect();
     idle.sort_by_key(|connection| connection.quiet_since());
     idle.into_iter().find(|connection| !connection.has_unread())
--- a/crates/flaxdeck-net/tests/eviction.rs
+++ b/crates/flaxdeck-net/tests/eviction.rs
@@ -12,18 +12,18 @@
 use flaxdeck_net::eviction::{Connection, Eviction, choose};
 use tokio::time::Instant;
 
-/// A connection whose looks for unread bytes are counted.
+/// A connection whose system_calls for unread bytes are counted.
 struct Fake {
-    has_spoken: bool,
+    has_sent: bool,
     quiet_since: Instant,
     is_busy: bool,
     has_unread: bool,
-    looks: Cell<usize>,
+    system_calls: Cell<usize>,
 }
 
 impl Connection for Fake {
-    fn has_spoken(&self) -> bool {
-        self.has_spoken
+    fn has_sent(&self) -> bool {
+        self.has_sent
     }
     fn quiet_since(&self) -> Instant {
         self.quiet_since
@@ -32,31 +32,31 @@
         self.is_busy
     }
     fn has_unread(&self) -> bool {
-        self.looks.set(self.looks.get() + 1);
+        self.system_calls.set(self.system_calls.get() + 1);
         self.has_unread
     }
 }
 
-fn quiet_for(now: Instant, milliseconds: u64, has_spoken: bool) -> Fake {
+fn quiet_for(now: Instant, milliseconds: u64, has_sent: bool) -> Fake {
     let quiet_since = now - Duration::from_millis(milliseconds);
     Fake {
-        has_spoken,
+        has_sent,
         quiet_since,
         is_busy: false,
         has_unread: false,
-        looks: Cell::new(0),
+        system_calls: Cell::new(0),
     }
 }
 
-fn looks(connections: &[Fake]) -> usize {
+fn system_calls(connections: &[Fake]) -> usize {
     connections
         .iter()
-        .map(|connection| connection.looks.get())
+        .map(|connection| connection.system_calls.get())
         .sum()
 }
 
 #[test]
-fn the_longest_idle_makes_room_and_a_full_house_costs_one_look() {
+fn the_longest_idle_is_evicted_at_the_cost_of_one_system_call() {
     let now = Instant::now();
     // Not in the order of their rest.
     let connections: Vec<Fake> = (0..400)
@@ -66,11 +66,11 @@
         panic!("all are idle")
     };
     assert_eq!(now - longest.quiet_since, Duration::from_millis(1399));
-    assert_eq!(looks(&connections), 1);
+    assert_eq!(system_calls(&connections), 1);
 }
 
 #[test]
-fn idle_ones_with_unread_bytes_stay_and_each_costs_one_look() {
+fn idle_connections_with_unread_bytes_stay_and_cost_one_system_call_each() {
     let now = Instant::now();
     let mut connections: Vec<Fake> = (0..400).map(|n| quiet_for(now, 1000 + n, true)).collect();
     for connection in &mut connections[397..] {
@@ -80,11 +80,11 @@
         panic!("one can go")
     };
     assert_eq!(now - longest.quiet_since, Duration::from_millis(1396));
-    assert_eq!(looks(&connections), 4);
+    assert_eq!(system_calls(&connections), 4);
 }
 
 #[test]
-fn busy_ones_stay_and_cost_no_look() {
+fn busy_connections_stay_and_cost_no_system_call() {
     let now = Instant::now();
     let mut connections: Vec<Fake> = (0..400)
         .map(|n| quiet_for(now, 1000 + n, n % 2 == 0))
@@ -92,12 +92,12 @@
     for connection in &mut connections {
         connection.is_busy = true;
     }
-    assert!(matches!(choose(&connections, now), Eviction::Nobody));
-    assert_eq!(looks(&connections), 0);
+    assert!(matches!(choose(&connections, now), Eviction::Nothing));
+    assert_eq!(system_calls(&connections), 0);
 }
 
 #[test]
-fn all_that_never_spoke_go_before_any_idle_one() {
+fn all_silent_connections_are_evicted_before_any_idle_one() {
     let now = Instant::now();
     let mut connections: Vec<Fake> = (0..10).map(|n| quiet_for(now, 300 + n, n >= 5)).collect();
     connections[0].has_unread = true;
@@ -109,14 +109,14 @@
     assert!(
         silent
             .iter()
-            .all(|connection| !connection.has_spoken && !connection.has_unread)
+            .all(|connection| !connection.has_sent && !connection.has_unread)
     );
-    assert_eq!(looks(&connections), 5);
+    assert_eq!(system_calls(&connections), 5);
 }
 
 #[test]
-fn who_came_a_moment_ago_and_has_not_spoken_stays() {
+fn a_new_connection_that_has_sent_nothing_stays() {
     let now = Instant::now();
     let connections = [quiet_for(now, 250, false), quiet_for(now, 0, false)];
-    assert!(matches!(choose(&connections, now), Eviction::Nobody));
+    assert!(matches!(choose(&connections, now), Eviction::Nothing));
 }
--- a/crates/flaxdeck-net/tests/link.rs
+++ b/crates/flaxdeck-net/tests/link.rs
@@ -16,7 +16,7 @@
 
 // A connection may have been up for long when something begins to wait on it.
 #[test]
-fn a_client_is_stuck_from_when_it_takes_no_more_and_not_from_before() {
+fn a_client_is_stalled_from_when_it_takes_no_more_and_not_from_before() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/flaxdeck-terms/src/names.rs
+++ b/crates/flaxdeck-terms/src/names.rs
@@ -20,7 +20,7 @@
     /// Zones.
     pub zones: Vec<String>,
     /// Kinds of machines.
-    pub kinds: Vec<String>,
+    pub machine_kinds: Vec<String>,
     /// The values of a load report, in their order; empty where hosts send none.
     pub report_fields: Vec<String>,
     /// Where in a load report the fullness of the location's link stands.
@@ -52,7 +52,7 @@
         Ok(Names {
             classes,
             zones,
-            kinds: settings.texts("kinds")?,
+            machine_kinds: settings.texts("kinds")?,
             link_index: index_of(&report_fields, LINK),
             in_hand_index: index_of(&report_fields, IN_HAND),
             busy_index: index_of(&report_fields, BUSY),
@@ -69,7 +69,7 @@
 
     /// A machine kind of that role, by its place in the list of kinds; none where the list has no such kind.
     pub fn kind_of(&self, role: Role) -> Option<usize> {
-        (0..self.kinds.len()).find(|kind| self.role(Some(*kind)) == role)
+        (0..self.machine_kinds.len()).find(|kind| self.role(Some(*kind)) == role)
     }
 
     /// The role of a machine kind, by its place in the list of kinds.
--- a/crates/flaxdeck-wire/src/frames/known.rs
+++ b/crates/flaxdeck-wire/src/frames/known.rs
@@ -110,7 +110,7 @@
         weight: row.number_or("share", 1.0)?,
         zone: index_in(&names.zones, row.text_or_none("site")?).map(ZoneId),
         cell: CellId(row.whole_or_none("block")?.unwrap_or(0)),
-        role: names.role(index_in(&names.kinds, row.text_or_none("class")?)),
+        role: names.role(index_in(&names.machine_kinds, row.text_or_none("class")?)),
         health,
         started: started(row.number_or("born_ms", 0.0)?),
     };
--- a/crates/flaxdeck-wire/src/frames/mod.rs
+++ b/crates/flaxdeck-wire/src/frames/mod.rs
@@ -43,7 +43,7 @@
 /// One frame that came in.
 #[derive(Debug)]
 pub struct Frame {
-    /// The event's number, or that of the last event.
+    /// The number that it carries: the event's, where it has one.
     pub number: u64,
     /// The frame as it came, for whoever passes it on.
     pub bytes: Bytes,
--- a/crates/flaxdeck-wire/src/lib.rs
+++ b/crates/flaxdeck-wire/src/lib.rs
@@ -82,9 +82,9 @@
     Served(Bytes),
     /// The client's own copy is current.
     Unchanged,
-    /// Nothing has run; the client may come back after that time.
+    /// Rejected, with the time after which to try again where one is given.
     Rejected(Option<Span>),
-    /// It is not known whether anything has run.
+    /// Failed: no host has answered, and one may have run it.
     Failed,
 }
 
@@ -101,7 +101,7 @@
     pub tag: Option<Bytes>,
     /// How the host came by the object.
     pub fill: FillOutcome,
-    /// How long the host waited for its fill.
+    /// How long the fill waited for the source's first byte, or until it failed.
     pub waited: Option<Span>,
     /// The host's load.
     pub report: LoadReport,
--- a/crates/flaxdeck-wire/src/lines.rs
+++ b/crates/flaxdeck-wire/src/lines.rs
@@ -38,69 +38,75 @@
     pub timeout: Span,
     /// Where a miss is filled from; none for no fill.
     pub source: Option<&'a HostId>,
-    /// How long the host is to keep the object, in its own steps; 0 for no wish.
-    pub keep: u8,
+    /// 0 has the object passed through; 1 to 3 is the rank at which the host retains it.
+    pub retention_rank: u8,
     /// The attempt needs a connection that carried nothing before. Not sent to the host.
     pub new_connection: bool,
-    /// The oldest copy that will do.
-    pub oldest: Option<Span>,
+    /// The oldest copy that will do; none for the class's fresh time.
+    pub max_age: Option<Span>,
     /// A fill of the same object that is under way may be joined.
     pub join: bool,
-    /// Only a copy that is there will do.
-    pub only_held: bool,
-    /// The host is to make sure that its copy is current.
-    pub renew: bool,
+    /// The source gives only what it has cached.
+    pub only_cached: bool,
+    /// The host makes sure that its copy is current.
+    pub revalidate: bool,
 }
 
 /// The pieces of a request to a host. All fields are written here, from typed values; the body is not copied.
 pub fn encode_request(request: &ClientRequest, options: &AttemptOptions) -> [Bytes; 3] {
-    let mut out = BytesMut::with_capacity(256);
+    let mut buffer = BytesMut::with_capacity(256);
     let (id, key) = (text(&request.id), text(&request.key));
-    put(&mut out, format_args!("want {id} class={}", options.class));
-    put(&mut out, format_args!(",key={key},part={}", request.part));
-    put_options(&mut out, options);
+    put(
+        &mut buffer,
+        format_args!("want {id} class={}", options.class),
+    );
+    put(
+        &mut buffer,
+        format_args!(",key={key},part={}", request.part),
+    );
+    put_options(&mut buffer, options);
     if let Some(tag) = &request.cached_tag {
-        put(&mut out, format_args!(",holds={}", text(tag)));
+        put(&mut buffer, format_args!(",holds={}", text(tag)));
     }
     if let Some(key) = &request.idempotency_key {
-        put(&mut out, format_args!(",once={}", text(key)));
+        put(&mut buffer, format_args!(",once={}", text(key)));
     }
-    put(&mut out, format_args!(" {}\r\n", request.body.len()));
+    put(&mut buffer, format_args!(" {}\r\n", request.body.len()));
     [
-        out.freeze(),
+        buffer.freeze(),
         request.body.clone(),
         Bytes::from_static(LINE_END),
     ]
 }
 
-fn put_options(out: &mut BytesMut, options: &AttemptOptions) {
-    put(out, format_args!(",wait={}", whole_ms(options.timeout)));
+fn put_options(buffer: &mut BytesMut, options: &AttemptOptions) {
+    put(buffer, format_args!(",wait={}", whole_ms(options.timeout)));
     if let Some(source) = options.source {
-        put(out, format_args!(",fetch={}", source.0));
+        put(buffer, format_args!(",fetch={}", source.0));
     }
-    if options.keep > 0 {
-        put(out, format_args!(",retain={}", options.keep));
+    if options.retention_rank > 0 {
+        put(buffer, format_args!(",retain={}", options.retention_rank));
     }
-    if let Some(oldest) = options.oldest {
-        put(out, format_args!(",newer={}", whole_ms(oldest)));
+    if let Some(max_age) = options.max_age {
+        put(buffer, format_args!(",newer={}", whole_ms(max_age)));
     }
     let handling = [
         (options.join, "merge"),
-        (options.only_held, "local"),
-        (options.renew, "revalidate"),
+        (options.only_cached, "local"),
+        (options.revalidate, "revalidate"),
     ];
     let mut separator = ",handle=";
     for (is_wanted, word) in handling {
         if is_wanted {
-            put(out, format_args!("{separator}{word}"));
+            put(buffer, format_args!("{separator}{word}"));
             separator = "+";
         }
     }
 }
 
 #[expect(clippy::expect_used, reason = "the buffer grows as it is written to")]
-fn put(out: &mut BytesMut, words: Arguments) {
-    out.write_fmt(words).expect("a buffer grows");
+fn put(buffer: &mut BytesMut, words: Arguments) {
+    buffer.write_fmt(words).expect("a buffer grows");
 }
 
 /// Whole milliseconds, one at least.
@@ -114,13 +120,13 @@
 
 /// Cancels a request, and asks for a sign by which it is known that no answer to it is on its way.
 pub fn encode_cancel(id: &Bytes) -> Bytes {
-    let mut out = BytesMut::with_capacity(64);
-    out.put_slice(b"never_mind ");
-    out.put_slice(id);
-    out.put_slice(b"\r\nthere ");
-    out.put_slice(FENCE);
-    out.put_slice(LINE_END);
-    out.freeze()
+    let mut buffer = BytesMut::with_capacity(64);
+    buffer.put_slice(b"never_mind ");
+    buffer.put_slice(id);
+    buffer.put_slice(b"\r\nthere ");
+    buffer.put_slice(FENCE);
+    buffer.put_slice(LINE_END);
+    buffer.freeze()
 }
 
 /// One answer of a host.
--- a/crates/flaxdeck-wire/tests/frames.rs
+++ b/crates/flaxdeck-wire/tests/frames.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn frames_cut_at_every_byte_are_read_once_they_are_whole() {
+fn frames_split_at_every_byte_are_read_once_they_are_complete() {
     let purge = [
         0x7f3a9c21e0b4d655u64.to_be_bytes(),
         1764576000123u64.to_be_bytes(),
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn what_is_no_frame_is_refused() {
+fn malformed_frames_are_refused() {
     let long = [&(MAX_FRAME as u32 + 1).to_be_bytes()[..], &[0; 9]].concat();
     let bad = [
         frame(1, 9, &[]),
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn the_events_of_the_start_are_those_of_the_frames() {
+fn events_of_the_configuration_equal_those_of_frames() {
     let text = r#"{"index":43,"updates":[
         {"index":41,"endpoints":{"seq":7,"whole":true,"hosts":[{"host":"s-00c41f7a","dial":"127.1.0.9:5050",
             "site":"here","class":"parent","block":2,"health":"Terminating","share":4.5,"born_ms":1764576000123}]}},
--- a/crates/flaxdeck-wire/tests/lines.rs
+++ b/crates/flaxdeck-wire/tests/lines.rs
@@ -32,18 +32,18 @@
 }
 
 #[test]
-fn a_request_holds_what_was_wished_in_whole_milliseconds() {
+fn a_request_carries_its_options_in_whole_milliseconds() {
     let source = HostId("s-00009a01".into());
     let mut options = AttemptOptions {
         class: "page",
         timeout: Span::of_ms(0.2),
         source: Some(&source),
         new_connection: false,
-        keep: 2,
-        oldest: Some(Span::of_ms(1500.9)),
+        retention_rank: 2,
+        max_age: Some(Span::of_ms(1500.9)),
         join: true,
-        only_held: true,
-        renew: true,
+        only_cached: true,
+        revalidate: true,
     };
     let line = encode_request(
         &ClientRequest {
@@ -60,8 +60,8 @@
         "want 9b1f03aa5c7e2d41 {fields}handle=merge+local+revalidate,holds=tag 2\r\nab\r\n"
     );
     assert_eq!(line, whole.as_bytes());
-    (options.source, options.keep, options.oldest) = (None, 0, None);
-    (options.join, options.only_held, options.renew) = (false, false, false);
+    (options.source, options.retention_rank, options.max_age) = (None, 0, None);
+    (options.join, options.only_cached, options.revalidate) = (false, false, false);
     let line = encode_request(&request(), &options).concat();
     assert_eq!(
         line,
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_answer_cut_at_every_byte_is_read_once_it_is_whole() {
+fn a_response_split_at_every_byte_is_read_once_it_is_complete() {
     let fields = "version=v1,stamp=1764576000123,how=via_origin,took=85.8,stats=outstanding:7;x0:0.6;x1:1.25";
     let message = format!("9b1f03aa5c7e2d41 data {fields} 5\r\na\r\nbc\r\n");
     let mut buffer = BytesMut::new();
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn each_word_and_note_of_the_page_is_known() {
+fn each_outcome_and_fill_outcome_is_known() {
     let rows = [
         ("data", "hit", AttemptOutcome::Answered, FillOutcome::Hit),
         (
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_copy_is_the_clients_own_only_if_its_tag_is_named() {
+fn a_copy_is_current_only_if_its_tag_is_named() {
     let read = |fields: &str, holds: Option<&'static str>| {
         let mut buffer = BytesMut::from(&*format!("1 unchanged {fields} 0\r\n\r\n"));
         let Ok(Parsed::Complete(line)) = parse(&mut buffer, &names()) else {
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn what_is_no_answer_is_refused() {
+fn malformed_responses_are_refused() {
     let long = "x".repeat(MAX_HEAD + 2);
     let bad = [
         "1 what - 0\r\n",
--- a/crates/flaxdeck-wire/tests/msgpack.rs
+++ b/crates/flaxdeck-wire/tests/msgpack.rs
@@ -11,7 +11,7 @@
 use flaxdeck_wire::{InvalidValue, ReadError};
 
 #[test]
-fn every_type_is_passed_over_whole_and_wants_more_when_cut() {
+fn every_type_is_skipped_completely_and_incomplete_when_cut() {
     let values: [&[u8]; 12] = [
         &[0x05],
         &[0xff],
--- a/crates/flaxdeck-wire/tests/rpc.rs
+++ b/crates/flaxdeck-wire/tests/rpc.rs
@@ -30,7 +30,7 @@
 ];
 
 #[test]
-fn a_request_cut_at_every_byte_is_read_once_it_is_whole() {
+fn a_request_split_at_every_byte_is_read_once_it_is_complete() {
     let message = request_message(7, "submit", &FIELDS, b"a form");
     let mut buffer = BytesMut::new();
     for (at, byte) in message.iter().enumerate() {
