--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -122,7 +122,7 @@
                 count(Counter::clients_closed_idle);
                 candidate.client.closer.close();
             }
-            Eviction::Nobody => {}
+            Eviction::Nothing => {}
         }
     }
 }
@@ -134,7 +134,7 @@
 }
 
 impl eviction::Connection for Candidate<'_> {
-    fn has_spoken(&self) -> bool {
+    fn has_sent(&self) -> bool {
         self.client.spoke.get()
     }
 
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -206,12 +206,12 @@
                     class: &router.names.classes[asked.class.0],
                     timeout: Span::of_ms(waits.as_secs_f64() * 1000.0),
                     source: Some(&attempt.source).filter(|source| **source != attempt.host),
-                    keep: attempt.keep,
+                    retention_rank: attempt.keep,
                     new_connection: attempt.fresh,
-                    oldest,
+                    max_age: oldest,
                     join: attempt.join,
-                    only_held: attempt.only_held,
-                    renew: attempt.renew,
+                    only_cached: attempt.only_held,
+                    revalidate: attempt.renew,
                 };
                 Some(ClearedAttempt {
                     options,
