--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -11,8 +11,8 @@
 use flaxdeck_net::clock::Clock;
 use flaxdeck_recovery::EventPosition;
 use serde_json::Value;
-use thiserror::Error;
 
+use crate::program::ConfigurationError;
 use crate::program::start;
 use crate::program::start::Start;
 pub use crate::routing::AppliedEvents;
@@ -22,18 +22,6 @@
 use crate::routing::StateDirectory;
 use crate::routing::restore;
 
-/// The platform's configuration can't be used; the text says what of it.
-#[derive(Debug, Error)]
-#[error("{0}")]
-pub struct InvalidConfiguration(String);
-
-/// For programs whose errors are texts.
-impl From<InvalidConfiguration> for String {
-    fn from(error: InvalidConfiguration) -> String {
-        error.0
-    }
-}
-
 /// The control side of a forwarder that takes no clients, on the `LocalSet` of the thread that started it. It owns all
 /// tasks that it has started: they end when it is dropped.
 pub struct HollowForwarder {
@@ -52,8 +40,8 @@
         options: ControlClientOptions,
         instance: u32,
         listener: EventListener,
-    ) -> Result<HollowForwarder, InvalidConfiguration> {
-        let start = start::parse(configuration, None, false).map_err(InvalidConfiguration)?;
+    ) -> Result<HollowForwarder, ConfigurationError> {
+        let start = start::parse(configuration, None, false)?;
         let clock = Clock::start();
         Ok(HollowForwarder {
             router: begin(start, clock, Some(options), instance, Some(listener)),
@@ -81,15 +69,17 @@
     instance: u32,
     listener: Option<EventListener>,
 ) -> Rc<Router> {
-    let (mut watch, mut known, seed) = (start.watch, start.known, start.seed);
-    let router = Router::new(
-        clock,
+    let Start {
+        mut watch,
+        mut known,
+        terms,
+        names,
+        connection_terms,
+        bounds,
         seed,
-        start.terms,
-        start.names,
-        start.carriage,
-        start.bounds,
-    );
+        ..
+    } = start;
+    let router = Router::new(clock, seed, terms, names, connection_terms, bounds);
     // A guided forwarder keeps to what is its own from the first list on.
     if let Some(options) = options {
         let epoch = Epoch::new(clock.now(), instance);
--- a/crates/flaxdeck-dispatcher/src/lib.rs
+++ b/crates/flaxdeck-dispatcher/src/lib.rs
@@ -6,7 +6,7 @@
 mod protocol;
 mod routing;
 
-pub use program::{run, run_guided};
+pub use program::{ConfigurationError, RunError, StartError, run, run_guided};
 pub use routing::ControlClientOptions;
 pub use routing::StateDirectory;
 pub use routing::SubscriptionOptions;
--- a/crates/flaxdeck-dispatcher/src/routing/client_connections.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/client_connections.rs
@@ -132,7 +132,7 @@
                 count(Counter::clients_closed_idle);
                 candidate.client.close();
             }
-            Eviction::Nobody => {}
+            Eviction::Nothing => {}
         }
     }
 }
@@ -144,7 +144,7 @@
 }
 
 impl eviction::Connection for Candidate<'_> {
-    fn has_spoken(&self) -> bool {
+    fn has_sent(&self) -> bool {
         self.client.has_sent()
     }
 
--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -22,10 +22,10 @@
 
 use super::Router;
 use super::request_table::RequestTable;
-use crate::protocol::session::Closer;
-use crate::protocol::session::Heard;
-use crate::protocol::session::Session;
-use crate::protocol::session::ShortReply;
+use crate::protocol::client_connection::ClientConnection;
+use crate::protocol::client_connection::ClientEvent;
+use crate::protocol::client_connection::ConnectionHandle;
+use crate::protocol::client_connection::DirectAnswer;
 
 /// Requests that one connection may have open by the protocol.
 const MAX_OPEN: usize = 32;
@@ -41,7 +41,7 @@
     quiet_since: Cell<Instant>,
     /// It has sent a whole message.
     has_sent: Cell<bool>,
-    closer: Closer,
+    handle: ConnectionHandle,
 }
 
 /// Accepts clients until it is aborted.
@@ -81,12 +81,12 @@
 }
 
 fn start_serving(router: &Rc<Router>, stream: TcpStream, permit: Permit) {
-    let session = Session::new(stream, router.names.clone(), router.request_bytes.clone());
+    let session = ClientConnection::new(stream, router.names.clone(), router.request_bytes.clone());
     let client = Rc::new(Client {
         requests: RefCell::default(),
         quiet_since: Cell::new(Instant::now()),
         has_sent: Cell::new(false),
-        closer: session.closer(),
+        handle: session.handle(),
     });
     if router.clients.is_closing() {
         client.close();
@@ -99,17 +99,22 @@
 }
 
 /// Serves a connection until it ends, and then sees to it that the other side learns of that.
-async fn serve(router: Rc<Router>, mut session: Session, client: Rc<Client>, permit: Permit) {
+async fn serve(
+    router: Rc<Router>,
+    mut session: ClientConnection,
+    client: Rc<Client>,
+    permit: Permit,
+) {
     let mut in_a_row = 0;
     loop {
-        let message = session.next().await;
+        let message = session.next_event().await;
         if !client.handle(&router, &mut session, message) {
             break;
         }
         in_a_row += 1;
         // A request may be cancelled in the same breath, so all that has come is read before any is handed off; but one
         // client that sends without end leaves the others their turns. What has ended does not go on for long.
-        if !session.has_more() || (in_a_row >= MAX_IN_A_ROW && !session.is_over()) {
+        if !session.has_unprocessed() || (in_a_row >= MAX_IN_A_ROW && !session.is_peer_closed()) {
             in_a_row = 0;
             yield_now().await;
         }
@@ -119,19 +124,19 @@
     }
     drop(client);
     if router.clients.is_closing() {
-        session.end(LINGER).await;
+        session.close(LINGER).await;
         drop(permit);
         return;
     }
     // Its permit is free at once; few may take their time to end, and the longest at it goes first.
-    let ending = spawn_local(session.end(LINGER)).abort_handle();
+    let ending = spawn_local(session.close(LINGER)).abort_handle();
     router.clients.add_ending(ending);
 }
 
 impl Client {
     /// Ends the connection at its next turn.
     pub(super) fn close(&self) {
-        self.closer.close();
+        self.handle.close();
     }
 
     /// Whether it has ever sent a whole message.
@@ -146,12 +151,12 @@
 
     /// Whether it has sent bytes that were not read.
     pub(super) fn has_unread_bytes(&self) -> bool {
-        self.closer.has_unread()
+        self.handle.has_unread()
     }
 
     /// Whether it has sent something that was not read to its end.
     pub(super) fn has_unread(&self) -> bool {
-        self.closer.is_midway() || self.closer.has_unread()
+        self.handle.has_partial_message() || self.handle.has_unread()
     }
 
     /// Whether something of it is open: a message midway, an answer that it has not read, or a request.
@@ -162,37 +167,48 @@
                 .values()
                 .any(|request| requests.is_open(*request))
         };
-        self.closer.is_midway() || self.closer.unread() > 0 || has_open()
+        self.handle.has_partial_message() || self.handle.pending_answers() > 0 || has_open()
     }
 
     /// Acts on what the client sent; false once its connection is of no more use.
-    fn handle(&self, router: &Rc<Router>, session: &mut Session, message: Heard) -> bool {
+    fn handle(
+        &self,
+        router: &Rc<Router>,
+        session: &mut ClientConnection,
+        message: ClientEvent,
+    ) -> bool {
         self.requests
             .borrow_mut()
             .retain(|_, request| router.requests.is_open(*request));
         self.quiet_since.set(Instant::now());
         self.has_sent.set(true);
         match message {
-            Heard::Request { call, .. } if self.requests.borrow().contains_key(&call) => {
+            ClientEvent::Request { call, .. } if self.requests.borrow().contains_key(&call) => {
                 count(Counter::clients_malformed);
                 log::debug!("a client's connection is closed: two requests of one number");
                 return false;
             }
             // Hosts tell requests apart by their ids alone, so a second one would meddle with the first.
-            Heard::Request { call, asked } if router.requests.has_client_id(&asked.id) => {
+            ClientEvent::Request {
+                call,
+                request: asked,
+            } if router.requests.has_client_id(&asked.id) => {
                 count(Counter::requests_id_in_use);
-                session.tell(call, ShortReply::Failed("Lost"));
+                session.answer_directly(call, DirectAnswer::Failed);
             }
-            Heard::Request { call, asked } => self.admit(router, session, call, asked),
-            Heard::Unheld { call } => refuse(router, session, call),
-            Heard::Cancel { call } => {
+            ClientEvent::Request {
+                call,
+                request: asked,
+            } => self.admit(router, session, call, asked),
+            ClientEvent::NoMemory { call } => refuse(router, session, call),
+            ClientEvent::Cancel { call } => {
                 let request = self.requests.borrow_mut().remove(&call);
                 if let Some(request) = request {
                     router.requests.client_left(request);
                 }
             }
-            Heard::Other => {}
-            Heard::Over => return false,
+            ClientEvent::Answered => {}
+            ClientEvent::Closed => return false,
         }
         true
     }
@@ -201,17 +217,17 @@
     fn admit(
         &self,
         router: &Rc<Router>,
-        session: &mut Session,
+        session: &mut ClientConnection,
         call: u32,
         asked: Box<ClientRequest>,
     ) {
         let mut requests = self.requests.borrow_mut();
-        let fits = requests.len() + self.closer.unread() < MAX_OPEN;
+        let fits = requests.len() + self.handle.pending_answers() < MAX_OPEN;
         let slot = router.slots.try_acquire();
         let bytes = router.request_bytes.try_acquire_many(asked.body.len());
         match bytes.filter(|_| fits && slot.is_some()) {
             Some(bytes) => {
-                let reply = session.reply(call, slot);
+                let reply = session.responder(call, slot);
                 requests.insert(call, router.start_request(asked, reply, bytes));
             }
             None => refuse(router, session, call),
@@ -220,7 +236,7 @@
 }
 
 /// Answers a request that finds no room.
-fn refuse(router: &Router, session: &mut Session, call: u32) {
+fn refuse(router: &Router, session: &mut ClientConnection, call: u32) {
     count(Counter::requests_no_room);
-    session.tell(call, ShortReply::Refused(router.retry_after()));
+    session.answer_directly(call, DirectAnswer::Rejected(router.retry_after()));
 }
--- a/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
@@ -85,7 +85,7 @@
         self.request_bytes.resize(bounds.request_bytes);
         self.answer_bytes.resize(bounds.response_bytes);
         self.clients.resize(bounds.clients);
-        self.pool.resize(bounds.hosts);
+        self.host_connections.resize(bounds.hosts);
         *self.later_configuration.borrow_mut() = Some(LaterConfiguration { watch, known });
         self.configuration_changed.notify_one();
     }
--- a/crates/flaxdeck-dispatcher/src/routing/events.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/events.rs
@@ -96,7 +96,7 @@
                 log::debug!("told: {} {:?}", listed.host.0, listed.health);
             }
         }
-        self.pool.list(list_kind, &endpoints);
+        self.host_connections.update_hosts(list_kind, &endpoints);
         let listed = endpoints
             .into_iter()
             .map(|endpoint| endpoint.listed)
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -53,7 +53,7 @@
 pub use persistence::StateDirectory;
 pub(crate) use persistence::restore;
 
-use crate::protocol::pool::Pool;
+use crate::protocol::host_connections::HostConnections;
 use client_connections::ClientConnections;
 use control_client::ControlClient;
 use coordinator::LaterConfiguration;
@@ -75,7 +75,7 @@
     /// How long it takes until hosts have dropped by themselves what was purged.
     purge_settles: Span,
     /// The connections to hosts.
-    pool: Rc<Pool>,
+    host_connections: Rc<HostConnections>,
     /// A permit for each request until its answer is written.
     slots: Budget,
     /// Bytes that open requests hold, as they were asked.
@@ -100,7 +100,7 @@
         seed: u64,
         terms: DeploymentTerms,
         names: Rc<Names>,
-        carriage: ConnectionTerms,
+        connection_terms: ConnectionTerms,
         bounds: Bounds,
     ) -> Rc<Router> {
         let answer_bytes = Rc::new(Budget::new(bounds.response_bytes));
@@ -110,7 +110,12 @@
             engine: RefCell::new(PolledEngine::start(clock.now(), seed, terms)),
             tick_changed: Notify::new(),
             requests: RequestTable::default(),
-            pool: Pool::new(names.clone(), carriage, bounds.hosts, answer_bytes.clone()),
+            host_connections: HostConnections::new(
+                names.clone(),
+                connection_terms,
+                bounds.hosts,
+                answer_bytes.clone(),
+            ),
             names,
             zone,
             purge_settles,
@@ -181,7 +186,7 @@
         [
             self.slots.in_use(),
             self.clients.budget.in_use(),
-            self.pool.open(),
+            self.host_connections.connections(),
         ]
     }
 
@@ -256,7 +261,7 @@
         let mut ticks = interval(IDLE_SWEEP_INTERVAL);
         loop {
             ticks.tick().await;
-            self.pool.sweep();
+            self.host_connections.close_expired();
         }
     }
 }
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -29,7 +29,8 @@
 
 use super::Router;
 use super::request_table::OpenRequest;
-use crate::protocol::session::Reply;
+use crate::protocol::attempt::ClearedAttempt;
+use crate::protocol::client_connection::Responder;
 
 /// An attempt that is not over. Its task is aborted when the attempt is cancelled.
 struct RunningAttempt {
@@ -58,7 +59,7 @@
     _bytes: Permit,
     entry: Rc<OpenRequest>,
     /// Until the request has its answer.
-    reply: Option<Reply>,
+    reply: Option<Responder>,
     /// The attempts that are not over.
     running: Vec<RunningAttempt>,
     tasks: JoinSet<EndedAttempt>,
@@ -69,7 +70,7 @@
     pub(super) fn start_request(
         self: &Rc<Router>,
         asked: Box<ClientRequest>,
-        reply: Reply,
+        reply: Responder,
         bytes: Permit,
     ) -> RequestId {
         let id = self.requests.next_id();
@@ -298,10 +299,10 @@
 impl AttemptSending {
     async fn run(self) -> EndedAttempt {
         let clear = || self.clear();
-        let (reply, bytes) = self
+        let received = self
             .router
-            .pool
-            .ask(
+            .host_connections
+            .attempt(
                 &self.attempt.host,
                 &self.asked,
                 self.until,
@@ -311,13 +312,13 @@
             .await;
         EndedAttempt {
             index: self.index,
-            reply,
-            bytes,
+            reply: received.host_reply,
+            bytes: received.permit,
         }
     }
 
     /// What the attempt asks for if it is sent now, and until when; none if it may not be sent any more.
-    fn clear(&self) -> Option<(AttemptOptions<'_>, Instant)> {
+    fn clear(&self) -> Option<ClearedAttempt<'_>> {
         let Clearance { oldest, sent_by } = self.router.clear(self.request, self.index)?;
         let waits = self.until.checked_duration_since(Instant::now())?;
         let attempt = &self.attempt;
@@ -325,14 +326,16 @@
             class: &self.router.names.classes[self.asked.class.0],
             timeout: Span::of_ms(waits.as_secs_f64() * 1000.0),
             source: Some(&attempt.source).filter(|source| **source != attempt.host),
-            keep: attempt.keep,
+            retention_rank: attempt.keep,
             new_connection: attempt.fresh,
-            oldest,
+            max_age: oldest,
             join: attempt.join,
-            only_held: attempt.only_held,
-            renew: attempt.renew,
+            only_cached: attempt.only_held,
+            revalidate: attempt.renew,
         };
-        let until = self.until.min(self.router.clock.instant(sent_by));
-        Some((options, until))
+        Some(ClearedAttempt {
+            options,
+            sent_by: self.until.min(self.router.clock.instant(sent_by)),
+        })
     }
 }
--- a/crates/flaxdeck-dispatcher/tests/recorded_state.rs
+++ b/crates/flaxdeck-dispatcher/tests/recorded_state.rs
@@ -1,6 +1,12 @@
 //! A forwarder's state folder as revision 45b174f wrote it: a snapshot, and a log with every kind of record. Today's
 //! code has to read it, also where the log ends in the middle of a record, and to write the same bytes.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::path::{Path, PathBuf};
 
 use flaxdeck_recovery::EventPosition;
@@ -103,7 +109,7 @@
 }
 
 #[test]
-fn a_recorded_state_folder_is_read_whole() {
+fn a_recorded_state_folder_is_read_completely() {
     let (found, kept) = read("state");
     assert_eq!(found.damage, None);
     assert_eq!((found.generation, &found.name[..]), (1, INSTANCE));
--- a/crates/flaxdeck-scale/src/hollow.rs
+++ b/crates/flaxdeck-scale/src/hollow.rs
@@ -54,7 +54,8 @@
         let mut configuration = configuration.clone();
         configuration["seed"] = format!("{:016x}", orders.seed ^ u64::from(number) << 16).into();
         let watcher = watcher(number, notes.clone(), begun.clone());
-        let forwarder = HollowForwarder::start(&configuration, guidelines, number, watcher)?;
+        let forwarder = HollowForwarder::start(&configuration, guidelines, number, watcher)
+            .map_err(|error| error.to_string())?;
         forwarders.push((forwarder, planners));
         sleep(BETWEEN_STARTS).await;
     }
