--- a/src/decision/answers.rs
+++ b/src/decision/answers.rs
@@ -36,7 +36,7 @@
 
     /// Rule: gives a request up shortly before its deadline.
     ///
-    /// Guards against a lost request: whatever else goes on, the client gets its answer while it listens.
+    /// Guards against a lost request: whatever else happens, the client gets its answer while it waits for it.
     pub(super) fn answer_before_deadline(&mut self, id: RequestId) -> bool {
         let Some(state) = self.requests.get(&id) else {
             return false;
--- a/src/decision/cache_selection.rs
+++ b/src/decision/cache_selection.rs
@@ -13,7 +13,7 @@
     ///
     /// `link_open` tells whether the location's link carries a fill.
     pub(super) fn select_cache(&self, state: &RequestState, link_open: bool) -> Option<HostId> {
-        let class = &self.classes[state.request.class.0];
+        let class = self.class_of(&state.request);
         let cost = class.warmup_cost(state.transfer_ms);
         let may_try = self.is_idempotent(state) && state.attempts == 0;
         let mut caches = self.in_hash_order(Role::Cache, &state.request);
--- a/src/decision/clearance.rs
+++ b/src/decision/clearance.rs
@@ -19,7 +19,7 @@
             .in_flight
             .iter()
             .find(|attempt| attempt.index == index)?;
-        let class = &self.classes[state.request.class.0];
+        let class = self.class_of(&state.request);
         let oldest = self.max_copy_age(&state.request, class, attempt.without_fill());
         let deadline = state.request.deadline;
         let sent_by = self.repeats_dropped_until(state).min(deadline) - self.answer_margin;
--- a/src/decision/dispatch.rs
+++ b/src/decision/dispatch.rs
@@ -76,7 +76,7 @@
     /// What the caller is asked to send.
     fn attempt_on(&self, route: &Route, state: &RequestState, patience: Span) -> Attempt {
         let request = &state.request;
-        let class = &self.classes[request.class.0];
+        let class = self.class_of(request);
         let idempotent = self.is_idempotent(state);
         // Where an overdue attempt can be neither cancelled nor hedged, it has to end by itself.
         let ends_itself = idempotent && !self.terms.may_duplicate && !self.terms.may_cancel;
--- a/src/decision/hedging.rs
+++ b/src/decision/hedging.rs
@@ -5,7 +5,10 @@
 use crate::{Cancel, HostId, RequestId, Span, Time};
 
 use super::DecisionEngine;
-use super::constants::{FAILURE_PENALTY, OVERDUE_ALLOWANCE, OVERDUE_FACTOR, SILENCE_FRACTION};
+use super::constants::{
+    FAILURE_PENALTY, OVERDUE_ALLOWANCE, OVERDUE_FACTOR, SILENCE_FRACTION,
+    SILENCE_PROOF_IF_CANCELLED, SILENCE_PROOF_IF_HEDGED,
+};
 use super::state::{AttemptState, Host, OverdueCause, Timer};
 
 /// A host that has answered nothing since an overdue attempt; the greatest is to blame.
@@ -50,8 +53,11 @@
                 host.record_slowdown(now, elapsed / state.transfer_ms.max(1.0));
             }
         }
-        // Where the attempt has to be cancelled, and what it has got is lost, silence needs a second proof.
-        let proof = if self.terms.may_duplicate { 1 } else { 2 };
+        let proof = if self.terms.may_duplicate {
+            SILENCE_PROOF_IF_HEDGED
+        } else {
+            SILENCE_PROOF_IF_CANCELLED
+        };
         let silent = count_silence(&mut self.hosts, attempt, now, proof);
         // Guards against blaming a host for one request that is large, or for what waits behind another.
         if !silent.is_empty() && silent.iter().all(|host| host.attempts < proof) {
--- a/src/decision/load_polls.rs
+++ b/src/decision/load_polls.rs
@@ -24,11 +24,11 @@
     }
 
     /// A host that was polled has told its load, or nothing.
-    pub fn seen(&mut self, now: Time, host: &HostId, told: LoadReport) -> Decisions {
+    pub fn seen(&mut self, now: Time, host: &HostId, report: LoadReport) -> Decisions {
         self.now = now;
-        self.record_link_report(told.link);
+        self.record_link_report(report.link);
         if let Some(host) = self.hosts.get_mut(host) {
-            host.record_report(now, told);
+            host.record_report(now, report);
         }
         self.wake(now)
     }
--- a/src/decision/measurements.rs
+++ b/src/decision/measurements.rs
@@ -1,7 +1,7 @@
 //! Latency and bandwidth of each source of fills, and whether the origin beats a parent (Tuxedo paper, section 3.2,
 //! table 1).
 
-use crate::{AttemptOutcome, ClassId, FillOutcome, HostId, Request, Role, SourceMeasurements};
+use crate::{AttemptOutcome, FillOutcome, HostId, Request, Role, SourceMeasurements};
 
 use super::DecisionEngine;
 use super::class_statistics::ClassStatistics;
@@ -146,7 +146,7 @@
             cache.record_slowdown(self.now, ended.took.ms() / expected_ms);
             let uncrowded = cache.in_flight <= cache.endpoint.weight;
             if uncrowded && !completed.size_known {
-                self.record_transfer(completed.class, ended.took.ms());
+                self.classes[completed.class.0].record_sample(ended.took.ms());
             }
         }
         let source = filled_by.and_then(|id| self.hosts.get_mut(&id));
@@ -158,8 +158,4 @@
             }
         }
     }
-
-    fn record_transfer(&mut self, class: ClassId, transfer_ms: f64) {
-        self.classes[class.0].record_sample(transfer_ms);
-    }
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -169,6 +169,7 @@
         self.wake(now)
     }
 
+    /// Takes in a line of the list: a host that has started anew keeps nothing but what is in flight there.
     fn update_host(&mut self, now: Time, line: Endpoint) {
         let host = self
             .hosts
@@ -193,25 +194,15 @@
     /// A client's request, to be given exactly one final answer.
     pub fn request(&mut self, now: Time, mut request: Request) -> Decisions {
         request.deadline = request.deadline.min(self.shutdown_at);
-        let class = &mut self.classes[request.class.0];
-        let kb_per_ms = self.terms.client_kb_per_s / 1000.0;
-        let known_ms = request
-            .size_kb
-            .filter(|_| kb_per_ms > 0.0)
-            .map(|kb| kb / kb_per_ms);
-        if let Some(transfer_ms) = known_ms {
-            class.record_sample(transfer_ms);
-        }
-        let transfer_ms = known_ms.unwrap_or(class.mean_transfer_ms);
-        self.mean_transfer_ms += (transfer_ms - self.mean_transfer_ms) / class.samples.max(1.0);
+        let transfer_ms = self.expect_transfer(&request);
         // A client that asks again waits since its first request, so what that was promised holds on.
         let promised = self
             .promised_objectives
             .remove(&ObjectPart::of(&request))
             .filter(|_| request.again);
-        let objective = promised.unwrap_or(
-            now + class.terms.objective + Span::of_ms(transfer_ms * class.terms.stretch),
-        );
+        let terms = &self.class_of(&request).terms;
+        let objective =
+            promised.unwrap_or(now + terms.objective + Span::of_ms(transfer_ms * terms.stretch));
         let id = request.id;
         self.timers.insert(Timer {
             at: request.deadline - self.answer_margin,
@@ -223,6 +214,27 @@
         self.wake(now)
     }
 
+    /// Milliseconds that the answer of a request is expected to take at full pace, by its size or its class's mean; takes
+    /// the request into the means.
+    fn expect_transfer(&mut self, request: &Request) -> f64 {
+        let class = &mut self.classes[request.class.0];
+        let kb_per_ms = self.terms.client_kb_per_s / 1000.0;
+        let by_size = match request.size_kb {
+            Some(kb) if kb_per_ms > 0.0 => Some(kb / kb_per_ms),
+            _ => None,
+        };
+        if let Some(transfer_ms) = by_size {
+            class.record_sample(transfer_ms);
+        }
+        let transfer_ms = by_size.unwrap_or(class.mean_transfer_ms);
+        self.mean_transfer_ms += (transfer_ms - self.mean_transfer_ms) / class.samples.max(1.0);
+        transfer_ms
+    }
+
+    fn class_of(&self, request: &Request) -> &ClassStatistics {
+        &self.classes[request.class.0]
+    }
+
     /// A purge of one object, or of a whole group, made at the given time.
     pub fn purge(
         &mut self,
--- a/src/decision/peers.rs
+++ b/src/decision/peers.rs
@@ -7,7 +7,7 @@
 use super::state::Host;
 
 impl DecisionEngine {
-    /// What other dispatchers tell, each time all of it that holds. Own samples outweigh theirs of that age.
+    /// What other dispatchers tell; each call replaces what the one before said. Own samples outweigh theirs of that age.
     pub fn guided(&mut self, now: Time, peer_hints: PeerHints) -> Decisions {
         self.now = now;
         self.list_trusted = peer_hints.list_trusted;
--- a/src/decision/retries.rs
+++ b/src/decision/retries.rs
@@ -7,7 +7,7 @@
 
 impl DecisionEngine {
     pub(super) fn is_idempotent(&self, state: &RequestState) -> bool {
-        self.classes[state.request.class.0].terms.repeats == Repeats::Idempotent
+        self.class_of(&state.request).terms.repeats == Repeats::Idempotent
     }
 
     /// Decides whether a request may have another attempt.
@@ -24,7 +24,7 @@
         let Some(first_run) = first_possible_run(state) else {
             return true;
         };
-        match self.classes[state.request.class.0].terms.repeats {
+        match self.class_of(&state.request).terms.repeats {
             Repeats::Idempotent => true,
             Repeats::AtMostOnce => false,
             Repeats::Deduplicated { remembered, .. } => {
@@ -37,7 +37,7 @@
     ///
     /// Guards against a deduplicated request that runs a second time at a host which does not know of the first.
     pub(super) fn in_deduplication_scope(&self, state: &RequestState, host: &Host) -> bool {
-        let repeats = self.classes[state.request.class.0].terms.repeats;
+        let repeats = self.class_of(&state.request).terms.repeats;
         let Repeats::Deduplicated { scope, .. } = repeats else {
             return true;
         };
@@ -55,7 +55,7 @@
 
     /// When the hosts that drop repeats forget a request that may have run; never if nothing is at stake.
     pub(super) fn repeats_dropped_until(&self, state: &RequestState) -> Time {
-        let repeats = self.classes[state.request.class.0].terms.repeats;
+        let repeats = self.class_of(&state.request).terms.repeats;
         match (repeats, &state.may_have_run) {
             (Repeats::Deduplicated { remembered, .. }, Some(run)) => run.sent + remembered,
             _ => Time::NEVER,
@@ -64,7 +64,7 @@
 
     /// Decides whether a request may be answered as rejected, which promises that a retry has no second effect.
     pub(super) fn rejection_is_harmless(&self, state: &RequestState) -> bool {
-        match self.classes[state.request.class.0].terms.repeats {
+        match self.class_of(&state.request).terms.repeats {
             Repeats::Idempotent
             | Repeats::Deduplicated {
                 scope: Scope::All, ..
--- a/src/decision/route_selection.rs
+++ b/src/decision/route_selection.rs
@@ -45,7 +45,7 @@
     ///
     /// Guards against slow sources whose fills take up the caches: without an open source only a hit is asked for.
     pub(super) fn select_route(&self, state: &RequestState) -> Option<Route> {
-        let class = &self.classes[state.request.class.0];
+        let class = self.class_of(&state.request);
         let goes_through = class.terms.goes_through;
         let link_open = goes_through || self.link_admits(state, class.mean_transfer_ms);
         let cache = if goes_through && self.terms.direct {
--- a/src/decision/source_selection.rs
+++ b/src/decision/source_selection.rs
@@ -47,11 +47,11 @@
         self.note_unmet_demand(parents.first(), state.transfer_ms);
         let neighbours = NeighbourSet {
             state,
-            measure: Measure::for_request(&self.classes[state.request.class.0], &state.request),
+            measure: Measure::for_request(self.class_of(&state.request), &state.request),
             least_slowdown: self.least_slowdown(&parents),
         };
         parents.retain(|parent| self.may_fill(parent, state));
-        let chosen = if self.classes[state.request.class.0].terms.goes_through {
+        let chosen = if self.class_of(&state.request).terms.goes_through {
             let usable = parents.iter().find(|parent| parent.usable());
             self.origin().or(usable.copied())
         } else {
