--- a/src/decision/answers.rs
+++ b/src/decision/answers.rs
@@ -3,7 +3,7 @@
 use crate::{Cancel, Final, RequestId};
 
 use super::DecisionEngine;
-use super::state::{ObjectPart, Timer};
+use super::state::ObjectPart;
 
 impl DecisionEngine {
     /// Rule: forgets a request that is done, and cancels what it has in flight.
@@ -14,10 +14,7 @@
         let Some(state) = self.requests.remove(&id) else {
             return false;
         };
-        self.timers.remove(&Timer {
-            at: state.request.deadline - self.answer_margin,
-            request: id,
-        });
+        self.timers.remove(&state.answer_timer(self.answer_margin));
         for attempt in &state.in_flight {
             if self.terms.may_cancel {
                 self.decisions.cancels.push(Cancel {
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -204,11 +204,8 @@
         let objective =
             promised.unwrap_or(now + terms.objective + Span::of_ms(transfer_ms * terms.stretch));
         let id = request.id;
-        self.timers.insert(Timer {
-            at: request.deadline - self.answer_margin,
-            request: id,
-        });
         let state = RequestState::new(request, now, transfer_ms, objective);
+        self.timers.insert(state.answer_timer(self.answer_margin));
         self.requests.insert(id, state);
         self.ready.insert(id);
         self.wake(now)
@@ -263,12 +260,9 @@
     /// The process ends at that time: no request outlasts it.
     pub fn ends_at(&mut self, now: Time, ends: Time) -> Decisions {
         self.shutdown_at = ends;
-        for (id, state) in &mut self.requests {
+        for state in self.requests.values_mut() {
             state.request.deadline = state.request.deadline.min(ends);
-            self.timers.insert(Timer {
-                at: state.request.deadline - self.answer_margin,
-                request: *id,
-            });
+            self.timers.insert(state.answer_timer(self.answer_margin));
         }
         self.wake(now)
     }
--- a/src/decision/state.rs
+++ b/src/decision/state.rs
@@ -250,6 +250,14 @@
         self.objective.since(now).ms()
     }
 
+    /// When the request has to get its answer, a margin before its deadline.
+    pub(super) fn answer_timer(&self, margin: Span) -> Timer {
+        Timer {
+            at: self.request.deadline - margin,
+            request: self.request.id,
+        }
+    }
+
     pub(super) fn deadline_left(&self, now: Time) -> Span {
         self.request.deadline.since(now)
     }
