--- a/crates/flaxdeck-distribution/src/digest.rs
+++ b/crates/flaxdeck-distribution/src/digest.rs
@@ -11,20 +11,31 @@
 /// Low bits of a difference that are written as they are, at most: the width of a fingerprint.
 const MAX_LOW_BITS: u8 = 32;
 
-/// Why a digest was refused.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+/// Why a digest can't be decoded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum InvalidDigest {
     /// It claims more fingerprints than a message may hold.
-    TooMany,
+    #[error("it claims {0} fingerprints, where {MAX_PURGES} are allowed")]
+    TooMany(u32),
     /// It holds more bytes than its fingerprints can need.
-    TooLong,
+    #[error("its {length} bytes are more than the {most} that its fingerprints can need")]
+    TooLong {
+        /// Its bytes.
+        length: usize,
+        /// The most that its fingerprints can need.
+        most: usize,
+    },
     /// It claims more low bits than a fingerprint has.
-    LowBits,
+    #[error("it claims {0} low bits, where a fingerprint has {MAX_LOW_BITS}")]
+    LowBits(u8),
     /// It ends before its last fingerprint does.
+    #[error("it ends before its last fingerprint")]
     Truncated,
     /// A fingerprint is beyond the largest.
+    #[error("a fingerprint is beyond the largest")]
     OutOfRange,
     /// Something follows its last fingerprint.
+    #[error("something follows its last fingerprint")]
     TrailingBits,
 }
 
@@ -34,8 +45,9 @@
         fingerprints.sort_unstable();
         let low_bits = best_low_bits(&fingerprints);
         let mut bits = BitWriter::default();
-        differences(&fingerprints)
-            .for_each(|difference| write_rice(&mut bits, difference, low_bits));
+        for difference in differences(&fingerprints) {
+            write_rice(&mut bits, difference, low_bits);
+        }
         PurgeDigest {
             count: fingerprints.len() as u32,
             low_bits,
@@ -44,6 +56,10 @@
     }
 
     /// The fingerprints in it, sorted. Nothing is allocated before the count and the length were found possible.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidDigest`] if it is not what [`encode`](PurgeDigest::encode) can have written.
     pub fn decode(&self) -> Result<Vec<Fingerprint>, InvalidDigest> {
         self.check_sizes()?;
         let mut bits = BitReader {
@@ -65,10 +81,10 @@
 
     fn check_sizes(&self) -> Result<(), InvalidDigest> {
         if self.count > MAX_PURGES {
-            return Err(InvalidDigest::TooMany);
+            return Err(InvalidDigest::TooMany(self.count));
         }
         if self.low_bits > MAX_LOW_BITS {
-            return Err(InvalidDigest::LowBits);
+            return Err(InvalidDigest::LowBits(self.low_bits));
         }
         let count = self.count as usize;
         let least_bits = count * (1 + usize::from(self.low_bits));
@@ -77,8 +93,12 @@
         }
         // With the best number of low bits none needs more than with all bits written as they are.
         let most_bits = count * (1 + usize::from(MAX_LOW_BITS));
-        if self.bytes.len() > most_bits.div_ceil(BYTE_BITS) {
-            return Err(InvalidDigest::TooLong);
+        let most = most_bits.div_ceil(BYTE_BITS);
+        if self.bytes.len() > most {
+            return Err(InvalidDigest::TooLong {
+                length: self.bytes.len(),
+                most,
+            });
         }
         Ok(())
     }
@@ -109,11 +129,13 @@
 
 fn write_rice(bits: &mut BitWriter, difference: u32, low_bits: u8) {
     let difference = u64::from(difference);
-    (0..difference >> low_bits).for_each(|_| bits.write(true));
+    for _ in 0..difference >> low_bits {
+        bits.write(true);
+    }
     bits.write(false);
-    (0..low_bits)
-        .rev()
-        .for_each(|bit| bits.write(difference >> bit & 1 == 1));
+    for bit in (0..low_bits).rev() {
+        bits.write(difference >> bit & 1 == 1);
+    }
 }
 
 fn read_rice(bits: &mut BitReader, low_bits: u8) -> Result<u32, InvalidDigest> {
--- a/crates/flaxdeck-distribution/src/event_log.rs
+++ b/crates/flaxdeck-distribution/src/event_log.rs
@@ -1,16 +1,18 @@
 //! What a planner keeps of the coordinator's events, to pass them on in order to subscribers that are at different
 //! positions.
 //!
-//! Events are kept by time. A bound in bytes is the last resort: what it drops is counters and shortens how far back the
+//! Events are kept by time. A bound in bytes is the last resort: what it drops is counted and shortens how far back the
 //! log says that it reaches, so that whoever needs it is told that it is not there.
 
+mod excerpts;
+
 use std::collections::VecDeque;
 
 use flaxdeck::{Span, Time};
 use flaxdeck_recovery::EventPosition;
 
 use crate::fingerprint::Fingerprint;
-use crate::messages::*;
+use crate::messages::{FullEvent, MAX_FULL_BYTES};
 
 /// How long events are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -18,14 +20,14 @@
     /// Longer than hosts take to drop by themselves what was purged.
     pub keep_for: Span,
     /// The most bytes of events, with what is kept beside each.
-    pub bytes_most: usize,
+    pub max_bytes: usize,
 }
 
 impl Default for Retention {
     fn default() -> Retention {
         Retention {
             keep_for: Span::from_ms(30_000),
-            bytes_most: 16 * 1024 * 1024,
+            max_bytes: 16 * 1024 * 1024,
         }
     }
 }
@@ -57,26 +59,31 @@
 }
 
 /// Why nothing can follow a position here.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum NotKept {
     /// Its number is above the last one known: it may become known.
+    #[error("the position is ahead of the last event known")]
     Ahead,
-    /// It is before what is kept, or another event bears its number.
+    /// It is before what is kept, or another event has its number.
+    #[error("the position is before what is kept, or another event has its number")]
     Unknown,
 }
 
 /// The purges that are kept.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct KeptPurges {
+    /// Single objects.
     pub objects: Vec<Fingerprint>,
+    /// Groups, in the order of their numbers.
     pub groups: Vec<FullEvent>,
     /// How far back they are complete.
     pub reach: Span,
 }
 
-/// What was counters since the start.
+/// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Counters {
+    /// Events taken.
     pub events: u64,
     /// Events whose number was not above the last one; they were not taken.
     pub out_of_order: u64,
@@ -90,11 +97,27 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Entry {
-    mark: EventPosition,
+    position: EventPosition,
     at: Time,
     content: Content,
 }
 
+/// An event that is passed on at once.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct UrgentEvent {
+    number: u64,
+    at: Time,
+}
+
+/// How much a log keeps.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct LogSize {
+    /// Events.
+    pub events: usize,
+    /// Bytes of events, with what is kept beside each.
+    pub bytes: usize,
+}
+
 impl Entry {
     fn bytes(&self) -> usize {
         size_of::<Entry>() + self.content.frame_len()
@@ -108,11 +131,12 @@
     /// The position that the first entry follows.
     base: EventPosition,
     entries: VecDeque<Entry>,
-    /// Numbers of those among them that are passed on at once, with when they came.
-    urgent: VecDeque<(u64, Time)>,
+    /// Those among them that are passed on at once.
+    urgent: VecDeque<UrgentEvent>,
     bytes: usize,
     /// All events that came after this moment are kept.
     complete_after: Time,
+    /// Counts since the start.
     pub counters: Counters,
 }
 
@@ -141,34 +165,37 @@
 
     /// Keeps an event. One that does not follow the last has the log begin anew right before it, so that nobody is led
     /// over the gap.
-    pub fn append(&mut self, now: Time, mark: EventPosition, content: Content) {
+    pub fn append(&mut self, now: Time, position: EventPosition, content: Content) {
         let last = self.last();
-        if mark.number <= last.number {
+        if position.number <= last.number {
             self.counters.out_of_order += 1;
             return;
         }
         self.counters.events += 1;
-        if mark.number > last.number + 1 {
+        if position.number > last.number + 1 {
             self.counters.gaps += 1;
             // Nobody has that position, as no event has that hash: it is where the event follows from, no more.
             self.restart(
                 now,
                 EventPosition {
-                    number: mark.number - 1,
+                    number: position.number - 1,
                     hash: 0,
                 },
             );
         }
         if content.frame_len() > MAX_FULL_BYTES {
             self.counters.oversized += 1;
-            self.restart(now, mark);
+            self.restart(now, position);
             return;
         }
         if content.is_urgent() {
-            self.urgent.push_back((mark.number, now));
+            self.urgent.push_back(UrgentEvent {
+                number: position.number,
+                at: now,
+            });
         }
         let entry = Entry {
-            mark,
+            position,
             at: now,
             content,
         };
@@ -181,7 +208,7 @@
     pub fn prune(&mut self, now: Time) {
         while let Some(first) = self.entries.front() {
             let expired = now.since(first.at) > self.retention.keep_for;
-            if !expired && self.bytes <= self.retention.bytes_most {
+            if !expired && self.bytes <= self.retention.max_bytes {
                 break;
             }
             self.counters.shortened += u64::from(!expired);
@@ -192,26 +219,35 @@
     fn drop_first(&mut self) {
         if let Some(first) = self.entries.pop_front() {
             self.bytes -= first.bytes();
-            self.base = first.mark;
+            self.base = first.position;
             self.urgent
-                .pop_front_if(|(number, _)| *number <= first.mark.number);
+                .pop_front_if(|urgent| urgent.number <= first.position.number);
             self.complete_after = self.complete_after.max(first.at);
         }
     }
 
     /// The last event known.
     pub fn last(&self) -> EventPosition {
-        self.entries.back().map_or(self.base, |entry| entry.mark)
+        self.entries
+            .back()
+            .map_or(self.base, |entry| entry.position)
     }
 
     /// Whether events after that position are kept, none of which may have come yet.
+    ///
+    /// # Errors
+    ///
+    /// [`NotKept`] if the position is not known here.
     pub fn follows(&self, position: EventPosition) -> Result<(), NotKept> {
         self.index_after(position).map(|_| ())
     }
 
-    /// Entries and bytes kept.
-    pub fn size(&self) -> (usize, usize) {
-        (self.entries.len(), self.bytes)
+    /// How much is kept.
+    pub fn size(&self) -> LogSize {
+        LogSize {
+            events: self.entries.len(),
+            bytes: self.bytes,
+        }
     }
 
     /// When the first event after a position came; none if none has, or the position is not known.
@@ -225,8 +261,8 @@
         self.index_after(position).ok()?;
         let index = self
             .urgent
-            .partition_point(|(number, _)| *number <= position.number);
-        self.urgent.get(index).map(|(_, at)| *at)
+            .partition_point(|urgent| urgent.number <= position.number);
+        self.urgent.get(index).map(|urgent| urgent.at)
     }
 
     fn index_after(&self, position: EventPosition) -> Result<usize, NotKept> {
@@ -241,75 +277,8 @@
             .checked_sub(self.base.number + 1)
             .ok_or(NotKept::Unknown)? as usize;
         match self.entries.get(index) {
-            Some(entry) if entry.mark == position => Ok(index + 1),
+            Some(entry) if entry.position == position => Ok(index + 1),
             _ => Err(NotKept::Unknown),
         }
     }
-
-    /// The events after a position, as many as one batch may hold.
-    pub fn batch_after(&self, position: EventPosition) -> Result<Batch, NotKept> {
-        let index = self.index_after(position)?;
-        let (mut upto, mut frame_bytes) = (position, 0);
-        let (mut objects, mut events) = (Vec::new(), Vec::new());
-        for entry in self.entries.iter().skip(index) {
-            match &entry.content {
-                Content::ObjectPurge(_) if objects.len() == MAX_PURGES as usize => break,
-                Content::ObjectPurge(fingerprint) => objects.push(*fingerprint),
-                Content::GroupPurge(frame) | Content::HostChange(frame) => {
-                    frame_bytes += frame.len();
-                    if events.len() == MAX_FULL_EVENTS || frame_bytes > MAX_FULL_BYTES {
-                        break;
-                    }
-                    events.push(FullEvent {
-                        mark: entry.mark,
-                        frame: frame.clone(),
-                    });
-                }
-            }
-            upto = entry.mark;
-        }
-        Ok(Batch {
-            after: position,
-            upto,
-            purges: PurgeDigest::encode(objects),
-            events,
-        })
-    }
-
-    /// The latest purges, as many as one snapshot may hold with so many bytes of purges of groups, and how far back they
-    /// are complete.
-    ///
-    /// Each purge counts from when it came here, which is not before it was made: whoever has all that came within a
-    /// time has all that was made within it.
-    pub fn purges_since(&self, now: Time, group_bytes_most: usize) -> KeptPurges {
-        let mut kept = KeptPurges::default();
-        let (mut complete_after, mut frame_bytes) = (self.complete_after, 0);
-        for entry in self.entries.iter().rev() {
-            let fits = match &entry.content {
-                Content::ObjectPurge(_) => kept.objects.len() < MAX_PURGES as usize,
-                Content::GroupPurge(frame) => {
-                    frame_bytes += frame.len();
-                    kept.groups.len() < MAX_FULL_EVENTS && frame_bytes <= group_bytes_most
-                }
-                Content::HostChange(_) => true,
-            };
-            if !fits {
-                complete_after = complete_after.max(entry.at);
-                break;
-            }
-            match &entry.content {
-                Content::ObjectPurge(fingerprint) => kept.objects.push(*fingerprint),
-                Content::GroupPurge(frame) => {
-                    kept.groups.push(FullEvent {
-                        mark: entry.mark,
-                        frame: frame.clone(),
-                    });
-                }
-                Content::HostChange(_) => {}
-            }
-        }
-        kept.groups.reverse();
-        kept.reach = now.since(complete_after);
-        kept
-    }
 }
--- a/crates/flaxdeck-distribution/src/fingerprint.rs
+++ b/crates/flaxdeck-distribution/src/fingerprint.rs
@@ -7,8 +7,10 @@
 /// `docs/distribution.md` weighs other widths.
 pub const FINGERPRINT_BITS: u32 = 28;
 
-/// A hash of an object's id. Equal objects have equal fingerprints, so a purged object is always found; another object
-/// may share its fingerprint by chance, and then a copy is fetched anew that need not have been.
+/// A hash of an object's id.
+///
+/// Equal objects have equal fingerprints, so a purged object is always found; another object may share its fingerprint by
+/// chance, and then a copy is fetched anew that need not have been.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u32);
 
--- a/crates/flaxdeck-distribution/src/lib.rs
+++ b/crates/flaxdeck-distribution/src/lib.rs
@@ -1,17 +1,55 @@
-//! How the coordinator's numbered events reach forwarders by way of one planner each, as state machines without I/O,
-//! clocks or tasks: messages and the time go in, messages and timers come out. The reasons and the figures are in
-//! `docs/distribution.md`.
+//! How the coordinator's numbered events reach every forwarder by way of one planner each.
+//!
+//! State machines without I/O, clocks or tasks: messages and the time go in, messages and timers come out.
+//! `docs/distribution.md` gives the reasons and the figures.
 //!
 //! - [`messages`]: what a forwarder and a planner send each other about events.
 //! - [`fingerprint`] and [`digest`]: short names of purged objects and their coding.
-//! - [`cadence`]: how often a planner speaks, and when it counts as silent.
+//! - [`cadence`]: how often a planner speaks, and when it counts as lost.
 //! - [`event_log`]: what a planner keeps of the coordinator's events.
-//! - [`publisher`]: the planner's side: which subscriber is told what, and when.
+//! - [`publisher`]: the planner's side: which subscriber is sent what, and when.
 //! - [`subscriber`]: the forwarder's side: which planner it follows, and what of its messages is applied.
-//! - [`purge_index`]: the purges that a forwarder has to heed until hosts have dropped the copies by themselves.
+//! - [`purge_index`]: the purges that a forwarder has to apply until hosts have dropped the copies by themselves.
+//!
+//! Positions in the coordinator's numbering are [`flaxdeck_recovery::EventPosition`]s: the number of an event and a hash
+//! of what it tells, so that two numberings are told apart.
+//!
+//! A subscriber that is sent a batch:
+//!
+//! ```
+//! use flaxdeck::{ObjectId, Span, Time};
+//! use flaxdeck_distribution::{
+//!     Applied, Cadence, Content, Fingerprint, PlannerNumber, Publisher, Retention, Subscriber,
+//!     SubscriberId,
+//! };
+//! use flaxdeck_recovery::EventPosition;
+//!
+//! # fn main() -> Result<(), flaxdeck_distribution::DeliveryError> {
+//! let now = Time::at_ms(1_000_000.0);
+//! let position = |number| EventPosition { number, hash: number };
+//! let mut publisher =
+//!     Publisher::start(now, Cadence::default(), Retention::default(), position(7));
+//! let mut subscriber =
+//!     Subscriber::start(now, 1, 0, Cadence::default(), Span::from_ms(6_000));
+//! subscriber.set_position(now, position(7));
 //!
-//! Positions in the coordinator's numbering are [`flaxdeck_recovery::EventPosition`]s: the number of an event and a hash of what
-//! it tells, so that two numberings are told apart.
+//! let purge = Content::ObjectPurge(Fingerprint::of(ObjectId(42)));
+//! publisher.append_event(now, position(8), purge);
+//! subscriber.connected(now, PlannerNumber(0));
+//! for (_planner, subscription) in subscriber.actions(now) {
+//!     publisher.subscribe(now, SubscriberId(1), subscription);
+//! }
+//! for id in publisher.due(now) {
+//!     let Some(delivery) = publisher.update_for(now, id, &mut |_number| Vec::new()) else {
+//!         continue;
+//!     };
+//!     let applied = subscriber.receive(now, PlannerNumber(0), delivery)?;
+//!     assert!(matches!(applied, Applied::Events { purges, .. } if purges.len() == 1));
+//! }
+//! assert_eq!(subscriber.position(), position(8));
+//! # Ok(())
+//! # }
+//! ```
 
 pub mod cadence;
 pub mod digest;
@@ -28,4 +66,4 @@
 pub use fingerprint::Fingerprint;
 pub use publisher::{Publisher, SubscriberId};
 pub use purge_index::PurgeIndex;
-pub use subscriber::{Applied, PlannerNumber, Refused, Subscriber};
+pub use subscriber::{Applied, DeliveryError, InvalidDelivery, PlannerNumber, Subscriber};
--- /dev/null
+++ b/crates/flaxdeck-distribution/src/publisher/cache.rs
@@ -0,0 +1,41 @@
+//! What is sent to several subscribers is encoded once.
+
+use std::hash::{Hash, Hasher};
+
+use flaxdeck_recovery::EventPosition;
+
+use crate::messages::{Batch, Snapshot};
+
+/// The most batches that are kept encoded.
+const MAX_BATCHES: usize = 64;
+
+/// Encoded batches, the latest first, and the snapshot. It holds nothing that could not be made anew, so two publishers
+/// are equal whatever is in theirs.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Cache {
+    batches: Vec<Batch>,
+    pub(super) snapshot: Option<Snapshot>,
+}
+
+impl Cache {
+    pub(super) fn batch_after(&self, position: EventPosition) -> Option<&Batch> {
+        self.batches.iter().find(|batch| batch.after == position)
+    }
+
+    pub(super) fn insert(&mut self, batch: Batch) {
+        self.batches.truncate(MAX_BATCHES - 1);
+        self.batches.insert(0, batch);
+    }
+}
+
+impl PartialEq for Cache {
+    fn eq(&self, _: &Cache) -> bool {
+        true
+    }
+}
+
+impl Eq for Cache {}
+
+impl Hash for Cache {
+    fn hash<H: Hasher>(&self, _: &mut H) {}
+}
--- a/crates/flaxdeck-distribution/src/subscriber/checks.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/checks.rs
@@ -1,69 +1,75 @@
-//! Whether a delivery is whole and in order in itself, before anything of it is applied.
+//! Whether a delivery is complete and in order in itself, before anything of it is applied.
 
-use super::Invalid;
+use super::InvalidDelivery;
 use crate::fingerprint::Fingerprint;
-use crate::messages::*;
+use crate::messages::{Batch, FullEvent, MAX_FULL_BYTES, MAX_FULL_EVENTS, Snapshot};
 
-fn check_events(events: &[FullEvent]) -> Result<(), Invalid> {
+fn frame_bytes(events: &[FullEvent]) -> usize {
+    events.iter().map(|event| event.frame.len()).sum()
+}
+
+fn check_length(bytes: usize) -> Result<(), InvalidDelivery> {
+    if bytes > MAX_FULL_BYTES {
+        return Err(InvalidDelivery::TooLong(bytes));
+    }
+    Ok(())
+}
+
+fn check_events(events: &[FullEvent]) -> Result<(), InvalidDelivery> {
     if events.len() > MAX_FULL_EVENTS {
-        return Err(Invalid::TooManyEvents);
+        return Err(InvalidDelivery::TooManyEvents(events.len()));
     }
-    let bytes: usize = events.iter().map(|event| event.frame.len()).sum();
-    if bytes > MAX_FULL_BYTES {
-        return Err(Invalid::TooLong);
+    check_length(frame_bytes(events))?;
+    let is_increasing = events.is_sorted_by(|one, next| one.position.number < next.position.number);
+    if !is_increasing {
+        return Err(InvalidDelivery::Positions);
     }
-    let increasing = events
-        .windows(2)
-        .all(|pair| pair[0].mark.number < pair[1].mark.number);
-    increasing.then_some(()).ok_or(Invalid::Marks)
+    Ok(())
 }
 
-/// Whether a batch is whole and in order in itself; gives its purges.
-pub(super) fn check_batch(batch: &Batch) -> Result<Vec<Fingerprint>, Invalid> {
+/// Checks a batch; gives its purges.
+pub(super) fn check_batch(batch: &Batch) -> Result<Vec<Fingerprint>, InvalidDelivery> {
     let Batch {
         after,
-        upto,
+        last,
         purges,
         events,
     } = batch;
     check_events(events)?;
-    let numbers = upto
-        .number
-        .checked_sub(after.number)
-        .ok_or(Invalid::Range)?;
-    if numbers == 0 && upto != after {
-        return Err(Invalid::Range);
+    let range = InvalidDelivery::Range {
+        after: after.number,
+        last: last.number,
+    };
+    let numbers = last.number.checked_sub(after.number).ok_or(range)?;
+    if numbers == 0 && last != after {
+        return Err(range);
     }
-    if numbers != u64::from(purges.count) + events.len() as u64 {
-        return Err(Invalid::Count);
+    let held = u64::from(purges.count) + events.len() as u64;
+    if numbers != held {
+        return Err(InvalidDelivery::Count {
+            numbers,
+            events: held,
+        });
     }
-    let in_range =
-        |event: &FullEvent| event.mark.number > after.number && event.mark.number <= upto.number;
+    let is_in_range = |event: &FullEvent| {
+        event.position.number > after.number && event.position.number <= last.number
+    };
     let ends_well = events
         .last()
-        .is_none_or(|last| last.mark.number < upto.number || last.mark == *upto);
-    if !ends_well || !events.iter().all(in_range) {
-        return Err(Invalid::Marks);
+        .is_none_or(|event| event.position.number < last.number || event.position == *last);
+    if !ends_well || !events.iter().all(is_in_range) {
+        return Err(InvalidDelivery::Positions);
     }
-    purges.decode().map_err(Invalid::Digest)
+    Ok(purges.decode()?)
 }
 
-pub(super) fn check_snapshot(snapshot: &Snapshot) -> Result<Vec<Fingerprint>, Invalid> {
+/// Checks a snapshot; gives its purges.
+pub(super) fn check_snapshot(snapshot: &Snapshot) -> Result<Vec<Fingerprint>, InvalidDelivery> {
     check_events(&snapshot.group_purges)?;
-    let group_bytes: usize = snapshot
-        .group_purges
-        .iter()
-        .map(|event| event.frame.len())
-        .sum();
-    if snapshot.list.len() + group_bytes > MAX_FULL_BYTES {
-        return Err(Invalid::TooLong);
-    }
-    if snapshot
-        .group_purges
-        .last()
-        .is_some_and(|last| last.mark.number > snapshot.upto.number)
-    {
-        return Err(Invalid::Marks);
+    check_length(snapshot.list.len() + frame_bytes(&snapshot.group_purges))?;
+    let is_beyond = |event: &FullEvent| event.position.number > snapshot.position.number;
+    if snapshot.group_purges.last().is_some_and(is_beyond) {
+        return Err(InvalidDelivery::Positions);
     }
-    snapshot.purges.decode().map_err(Invalid::Digest)
+    Ok(snapshot.purges.decode()?)
 }
--- a/crates/flaxdeck-distribution/src/subscriber/coordinator_need.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/coordinator_need.rs
@@ -6,18 +6,18 @@
 use crate::cadence::Cadence;
 
 /// The coordinator is needed so long after a planner should have been left for another: by then none delivers.
-const NONE_DELIVERS: Span = Span::from_ms(500);
-/// With no conversation left there is nobody to wait for but a planner that is reached again at once.
-const NONE_CONNECTED: Span = Span::from_ms(100);
-/// All forwarders of a planner lose it at the same instant, so each waits up to so much longer before it calls the
-/// coordinator. A purge may wait for a batch, for this and for the call before it is in force.
-const SPREAD: Span = Span::from_ms(300);
+const NO_DELIVERY_MARGIN: Span = Span::from_ms(500);
+/// With no connection left there is nobody to wait for but a planner that is reached again at once.
+const MIN_DISCONNECTED_WAIT: Span = Span::from_ms(100);
+/// All forwarders of a planner lose it at the same instant, so each waits up to so much longer before it connects to
+/// the coordinator. A purge may wait for a batch, for this and for the connection before it is applied.
+const MAX_EXTRA_WAIT: Span = Span::from_ms(300);
 /// It is needed no more once planners have delivered for so long without a gap.
-const DELIVERS_AGAIN: Span = Span::from_ms(2_000);
+const STABLE_AFTER: Span = Span::from_ms(2_000);
 
 /// An unbroken time in which planners delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Served {
+struct Service {
     since: Time,
     last: Time,
     /// The coordinator was needed before it.
@@ -29,11 +29,11 @@
 pub(super) struct CoordinatorNeed {
     cadence: Cadence,
     started: Time,
-    /// How long this forwarder waits without any conversation.
-    patience: Span,
-    served: Option<Served>,
+    /// How long this forwarder waits without any connection.
+    disconnected_wait: Span,
+    service: Option<Service>,
     /// Since when no planner was connected; none from the next delivery on.
-    unconnected: Option<Time>,
+    disconnected_since: Option<Time>,
 }
 
 impl CoordinatorNeed {
@@ -43,60 +43,61 @@
         CoordinatorNeed {
             cadence,
             started: now,
-            patience: NONE_CONNECTED + SPREAD * share,
-            served: None,
-            unconnected: None,
+            disconnected_wait: MIN_DISCONNECTED_WAIT + MAX_EXTRA_WAIT * share,
+            service: None,
+            disconnected_since: None,
         }
     }
 
     /// A planner has delivered what was of use.
     pub(super) fn delivered(&mut self, now: Time) {
-        let interrupted = self.is_interrupted(now);
-        self.unconnected = None;
-        self.served = match self.served {
-            Some(served) if !interrupted => Some(Served {
+        let is_interrupted = self.is_interrupted(now);
+        self.disconnected_since = None;
+        self.service = match self.service {
+            Some(service) if !is_interrupted => Some(Service {
                 last: now,
-                ..served
+                ..service
             }),
-            _ => Some(Served {
+            _ => Some(Service {
                 since: now,
                 last: now,
-                after_need: interrupted,
+                after_need: is_interrupted,
             }),
         };
     }
 
-    /// The last conversation with a planner has ended.
-    pub(super) fn unconnected(&mut self, now: Time) {
-        self.unconnected.get_or_insert(now);
+    /// The last connection with a planner has ended.
+    pub(super) fn disconnected(&mut self, now: Time) {
+        self.disconnected_since.get_or_insert(now);
     }
 
     /// Whether the coordinator is needed: no planner has delivered for a short time, or planners have only just begun to
     /// again.
     pub(super) fn is_needed(&self, now: Time) -> bool {
-        let begun_again = self.served.filter(|served| served.after_need);
+        let resumed = self.service.filter(|service| service.after_need);
         self.is_interrupted(now)
-            || begun_again.is_some_and(|served| now.since(served.since) < DELIVERS_AGAIN)
+            || resumed.is_some_and(|service| now.since(service.since) < STABLE_AFTER)
     }
 
     fn is_interrupted(&self, now: Time) -> bool {
-        now >= self.silent_at() || self.unconnected_at().is_some_and(|at| now >= at)
+        now >= self.silent_at() || self.disconnected_at().is_some_and(|at| now >= at)
     }
 
     /// When [`is_needed`](CoordinatorNeed::is_needed) may change if nothing comes until then.
     pub(super) fn changes_at(&self) -> impl Iterator<Item = Time> {
-        let again = self.served.map(|served| served.since + DELIVERS_AGAIN);
-        [Some(self.silent_at()), self.unconnected_at(), again]
+        let again = self.service.map(|service| service.since + STABLE_AFTER);
+        [Some(self.silent_at()), self.disconnected_at(), again]
             .into_iter()
             .flatten()
     }
 
     fn silent_at(&self) -> Time {
-        let last = self.served.map_or(self.started, |served| served.last);
-        last + self.cadence.silent_after() + NONE_DELIVERS
+        let last = self.service.map_or(self.started, |service| service.last);
+        last + self.cadence.silence_timeout() + NO_DELIVERY_MARGIN
     }
 
-    fn unconnected_at(&self) -> Option<Time> {
-        self.unconnected.map(|since| since + self.patience)
+    fn disconnected_at(&self) -> Option<Time> {
+        self.disconnected_since
+            .map(|since| since + self.disconnected_wait)
     }
 }
--- a/crates/flaxdeck-distribution/tests/digest.rs
+++ b/crates/flaxdeck-distribution/tests/digest.rs
@@ -99,15 +99,15 @@
     };
     assert_eq!(
         decoded(&|digest| digest.count = MAX_PURGES + 1),
-        Err(InvalidDigest::TooMany)
+        Err(InvalidDigest::TooMany(MAX_PURGES + 1))
     );
     assert_eq!(
         decoded(&|digest| digest.count = u32::MAX),
-        Err(InvalidDigest::TooMany)
+        Err(InvalidDigest::TooMany(u32::MAX))
     );
     assert_eq!(
         decoded(&|digest| digest.low_bits = 33),
-        Err(InvalidDigest::LowBits)
+        Err(InvalidDigest::LowBits(33))
     );
     assert_eq!(
         decoded(&|digest| digest.bytes.truncate(2)),
@@ -119,7 +119,10 @@
     );
     assert_eq!(
         decoded(&|digest| digest.bytes = vec![0; 1 << 20]),
-        Err(InvalidDigest::TooLong)
+        Err(InvalidDigest::TooLong {
+            length: 1 << 20,
+            most: 13
+        })
     );
     let beyond = PurgeDigest {
         count: 2,
@@ -138,7 +141,10 @@
         low_bits: 0,
         bytes: vec![0],
     };
-    assert_eq!(none.decode(), Err(InvalidDigest::TooLong));
+    assert_eq!(
+        none.decode(),
+        Err(InvalidDigest::TooLong { length: 1, most: 0 })
+    );
     assert_eq!(PurgeDigest::default().decode(), Ok(Vec::new()));
 }
 
@@ -149,7 +155,7 @@
         .collect();
     assert!(is_whole(&PurgeDigest::encode(fingerprints(&numbers))));
     let digest = PurgeDigest::encode(fingerprints(&[&numbers[..], &[7]].concat()));
-    assert_eq!(digest.decode(), Err(InvalidDigest::TooMany));
+    assert_eq!(digest.decode(), Err(InvalidDigest::TooMany(MAX_PURGES + 1)));
 }
 
 /// A digest of a second at 330 purges a second takes close to 3.2 bytes a purge.
--- a/crates/flaxdeck-distribution/tests/distribution_model.rs
+++ b/crates/flaxdeck-distribution/tests/distribution_model.rs
@@ -13,7 +13,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use flaxdeck::{Span, Time};
-use flaxdeck_distribution::messages::*;
+use flaxdeck_distribution::messages::{Delivery, Subscription, Update};
 use flaxdeck_distribution::{
     Applied, Cadence, Content, Fingerprint, PlannerNumber, Publisher, Retention, Subscriber,
     SubscriberId,
@@ -247,7 +247,7 @@
         let now = self.now();
         let known = &mut self.planners[planner];
         (known.conversation, known.connected, known.echo) = (known.conversation + 1, true, 0);
-        known.publisher.leave(SubscriberId(0));
+        known.publisher.unsubscribe(SubscriberId(0));
         self.subscriber
             .connected(now, PlannerNumber(planner as u32));
         self.network.retain(|message| message.planner != planner);
@@ -296,7 +296,7 @@
     fn publisher(&self, now: Time) -> Publisher {
         let retention = Retention {
             keep_for: self.keep_for,
-            bytes_most: 1 << 20,
+            max_bytes: 1 << 20,
         };
         Publisher::start(now, Cadence::default(), retention, EventPosition::NONE)
     }
@@ -316,17 +316,17 @@
                 for event in &coordinator.events[place..] {
                     known
                         .publisher
-                        .event(now, event.mark, event.content.clone());
+                        .append_event(now, event.mark, event.content.clone());
                 }
             }
             Some(_) if self.broken == Broken::LogKeptOverRenumbering => {
                 for event in &coordinator.events {
                     known
                         .publisher
-                        .event(now, event.mark, event.content.clone());
+                        .append_event(now, event.mark, event.content.clone());
                 }
             }
-            _ => known.publisher.renumbered(now, coordinator.last()),
+            _ => known.publisher.restart_numbering(now, coordinator.last()),
         }
         known.follows = Some((current, coordinator.events.len()));
         known.publisher.coordinator_heard(now, true);
@@ -366,7 +366,7 @@
         match &mut delivery.update {
             Update::Batch(batch) => {
                 let moves = match self.broken {
-                    Broken::MovesBeforeApplying if batch.after == before => Some(batch.upto),
+                    Broken::MovesBeforeApplying if batch.after == before => Some(batch.last),
                     Broken::GapIgnored if batch.after.number > before.number => Some(batch.after),
                     Broken::HashNotCompared if batch.after.number == before.number => {
                         Some(batch.after)
@@ -376,7 +376,7 @@
                 let moves = moves.filter(|position| *position != before);
                 moves
                     .into_iter()
-                    .for_each(|position| state.subscriber.moved(now, position));
+                    .for_each(|position| state.subscriber.set_position(now, position));
             }
             Update::Snapshot(snapshot) if self.broken == Broken::ReachOverstated => {
                 snapshot.purges_reach_ms += 10_000;
@@ -387,7 +387,7 @@
         if older {
             delivery.coordinator_ago_ms = delivery.coordinator_ago_ms.map(|_| 0);
         }
-        state.subscriber.echoed(
+        state.subscriber.record_echo(
             number,
             if older {
                 now + SETTLES
@@ -395,7 +395,7 @@
                 Time::at_ms(echo as f64)
             },
         );
-        if let Ok(applied) = state.subscriber.delivered(now, number, delivery) {
+        if let Ok(applied) = state.subscriber.receive(now, number, delivery) {
             self.applies(state, before, applied);
         }
         self.check(state, before);
@@ -408,11 +408,11 @@
             Applied::Events {
                 purges,
                 events,
-                upto,
+                last: upto,
             } => {
                 let told = purges.iter().map(|purge| u64::from(purge.0));
                 let told: BTreeSet<u64> = told
-                    .chain(events.iter().map(|event| event.mark.hash))
+                    .chain(events.iter().map(|event| event.position.hash))
                     .collect();
                 if !follows_exactly(state, before, upto, &told) {
                     state.fails("a batch is not what follows the position");
@@ -422,7 +422,7 @@
             Applied::Snapshot {
                 purges,
                 group_purges,
-                copies_in_doubt,
+                may_miss_purges: copies_in_doubt,
                 ..
             } => {
                 state
@@ -432,7 +432,7 @@
                 state
                     .held
                     .purged
-                    .extend(group_purges.iter().map(|event| event.mark.hash));
+                    .extend(group_purges.iter().map(|event| event.position.hash));
                 if copies_in_doubt {
                     state.held.doubted = Some(now);
                 }
@@ -589,7 +589,9 @@
             renumberings: 0,
             wrong: None,
         };
-        state.subscriber.moved(now, state.coordinator().last());
+        state
+            .subscriber
+            .set_position(now, state.coordinator().last());
         (0..PLANNERS).for_each(|planner| state.connect(planner));
         self.settle(&mut state);
         for action in self.before {
--- a/crates/flaxdeck-distribution/tests/event_log.rs
+++ b/crates/flaxdeck-distribution/tests/event_log.rs
@@ -1,7 +1,8 @@
 //! What a planner keeps: by time, in order, without a gap, and nothing dropped unsaid.
 
 use flaxdeck::{Span, Time};
-use flaxdeck_distribution::messages::*;
+use flaxdeck_distribution::event_log::LogSize;
+use flaxdeck_distribution::messages::{MAX_FULL_BYTES, MAX_FULL_EVENTS, MAX_PURGES};
 use flaxdeck_distribution::{Content, EventLog, Fingerprint, NotKept, Retention};
 use flaxdeck_recovery::EventPosition;
 
@@ -27,7 +28,7 @@
 
 fn retention(bytes_most: usize) -> Retention {
     Retention {
-        bytes_most,
+        max_bytes: bytes_most,
         ..Retention::default()
     }
 }
@@ -45,7 +46,7 @@
     log.append(at(4), mark(14), purge(3));
     let batch = log.batch_after(BASE).unwrap();
     assert_eq!(
-        (batch.after, batch.upto, batch.purges.count),
+        (batch.after, batch.last, batch.purges.count),
         (BASE, mark(14), 2)
     );
     assert_eq!(
@@ -55,12 +56,12 @@
     let events: Vec<(u64, u8)> = batch
         .events
         .iter()
-        .map(|event| (event.mark.number, event.frame[0]))
+        .map(|event| (event.position.number, event.frame[0]))
         .collect();
     assert_eq!(events, [(12, 1), (13, 2)]);
     assert_eq!(log.batch_after(mark(13)).unwrap().purges.count, 1);
     let heartbeat = log.batch_after(mark(14)).unwrap();
-    assert_eq!((heartbeat.after, heartbeat.upto), (mark(14), mark(14)));
+    assert_eq!((heartbeat.after, heartbeat.last), (mark(14), mark(14)));
     assert_eq!(
         (log.next_after(mark(11)), log.next_urgent_after(mark(12))),
         (Some(at(2)), Some(at(3)))
@@ -100,13 +101,12 @@
     for number in 11..20_000 {
         log.append(at(number * 3), mark(number), purge(number));
     }
-    let (entries, _) = log.size();
-    assert_eq!(entries, 10_001, "30 s of 333 a second");
+    assert_eq!(log.size().events, 10_001, "30 s of 333 a second");
     assert_eq!(log.counters.shortened, 0);
     assert!(log.batch_after(mark(9_998)).is_ok());
     assert_eq!(log.batch_after(mark(9_997)), Err(NotKept::Unknown));
     log.prune(at(20_000 * 3 + 40_000));
-    assert_eq!((log.size(), log.last()), ((0, 0), mark(19_999)));
+    assert_eq!((log.size(), log.last()), (LogSize::default(), mark(19_999)));
     assert!(
         log.batch_after(mark(19_999)).is_ok(),
         "who has all follows without anything kept"
@@ -119,7 +119,10 @@
     for number in 11..1_011 {
         log.append(at(number), mark(number), purge(number));
     }
-    let (entries, bytes) = log.size();
+    let LogSize {
+        events: entries,
+        bytes,
+    } = log.size();
     assert!(bytes <= 20_000 && entries > 100);
     assert_eq!(log.counters.shortened as usize, 1_000 - entries);
     let kept = log.purges_since(at(1_010), MAX_FULL_BYTES);
@@ -169,7 +172,11 @@
         log.append(at(number), mark(number), Content::GroupPurge(vec![0; 100]));
     }
     let kept = log.purges_since(at(20), 450);
-    let numbers: Vec<u64> = kept.groups.iter().map(|event| event.mark.number).collect();
+    let numbers: Vec<u64> = kept
+        .groups
+        .iter()
+        .map(|event| event.position.number)
+        .collect();
     assert_eq!(
         (numbers, kept.reach),
         (vec![17, 18, 19, 20], Span::from_ms(4))
@@ -197,10 +204,10 @@
         assert!(
             bytes <= MAX_FULL_BYTES
                 && batch.after == position
-                && batch.upto.number > position.number
+                && batch.last.number > position.number
         );
         told += u64::from(batch.purges.count) + batch.events.len() as u64;
-        (position, batches) = (batch.upto, batches + 1);
+        (position, batches) = (batch.last, batches + 1);
     }
     assert_eq!((told, batches), (9_600, 7));
 }
--- a/crates/flaxdeck-distribution/tests/figures.rs
+++ b/crates/flaxdeck-distribution/tests/figures.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use flaxdeck::{Span, Time};
-use flaxdeck_distribution::messages::*;
+use flaxdeck_distribution::messages::{Batch, Delivery, FullEvent, Update};
 use flaxdeck_distribution::{
     Applied, Cadence, Content, Fingerprint, PlannerNumber, Publisher, Retention, Subscriber,
     SubscriberId,
@@ -59,7 +59,7 @@
     let start = || Publisher::start(at(0), cadence, Retention::default(), BASE);
     let mut publishers = [start(), start()];
     let mut subscriber = Subscriber::start(at(0), 2, 1, cadence, SETTLES);
-    subscriber.moved(at(0), BASE);
+    subscriber.set_position(at(0), BASE);
     (0..2).for_each(|planner| subscriber.connected(at(0), PlannerNumber(planner)));
     let (mut to_planners, mut to_forwarder) = (VecDeque::new(), VecDeque::new());
     let (mut measured, mut told) = (Measured::default(), BTreeMap::new());
@@ -87,7 +87,7 @@
             };
             told.insert(last.number, (ms, kind));
             for publisher in &mut publishers {
-                publisher.event(at(ms), last, content.clone());
+                publisher.append_event(at(ms), last, content.clone());
                 publisher.coordinator_heard(at(ms), true);
             }
         }
@@ -126,7 +126,9 @@
             measured.messages += 1;
             measured.bytes += postcard::to_stdvec(&delivery).unwrap().len() as u64;
             let before = subscriber.position().number;
-            if let Ok(Applied::Events { upto, .. }) = subscriber.delivered(at(ms), from, delivery) {
+            if let Ok(Applied::Events { last: upto, .. }) =
+                subscriber.receive(at(ms), from, delivery)
+            {
                 for number in before + 1..=upto.number {
                     let (when, kind): (u64, usize) = told.remove(&number).expect("applied once");
                     measured.delays[kind].push(ms - when);
@@ -141,7 +143,7 @@
 
 fn cadence(batch_every: u64) -> Cadence {
     Cadence {
-        batch_every: Span::from_ms(batch_every),
+        batch_interval: Span::from_ms(batch_every),
         ..Cadence::default()
     }
 }
@@ -172,7 +174,7 @@
 #[test]
 fn one_message_an_event_for_comparison() {
     let purge = FullEvent {
-        mark: EventPosition {
+        position: EventPosition {
             number: 1 << 40,
             hash: u64::MAX,
         },
@@ -180,7 +182,7 @@
     };
     let one = Batch {
         events: vec![purge],
-        upto: EventPosition {
+        last: EventPosition {
             number: 1 << 40,
             hash: u64::MAX,
         },
--- a/crates/flaxdeck-distribution/tests/publisher.rs
+++ b/crates/flaxdeck-distribution/tests/publisher.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use flaxdeck::Time;
-use flaxdeck_distribution::messages::*;
+use flaxdeck_distribution::messages::{Batch, Delivery, MAX_PURGES, Subscription, Update};
 use flaxdeck_distribution::{Cadence, Content, Fingerprint, Publisher, Retention, SubscriberId};
 use flaxdeck_recovery::EventPosition;
 
@@ -49,7 +49,7 @@
             publisher.coordinator_heard(at(ms), true);
         }
         for (_, number, content) in events.iter().filter(|(when, ..)| *when == ms) {
-            publisher.event(at(ms), mark(*number), content.clone());
+            publisher.append_event(at(ms), mark(*number), content.clone());
         }
         for id in publisher.due(at(ms)) {
             sent.extend(
@@ -78,7 +78,7 @@
     assert_eq!(times, [5, 1_005, 2_005, 3_005, 4_005]);
     assert!(
         sent.iter()
-            .all(|(_, _, delivery)| batch(delivery).upto == BASE)
+            .all(|(_, _, delivery)| batch(delivery).last == BASE)
     );
     assert!(
         sent.iter()
@@ -109,7 +109,7 @@
     let mut position = BASE;
     for (.., delivery) in &sent {
         assert_eq!(batch(delivery).after, position);
-        position = batch(delivery).upto;
+        position = batch(delivery).last;
     }
     assert!(position.number > 10 + 2_800);
 }
@@ -159,7 +159,7 @@
     let (mut slow_batches, mut quick_batches, mut named) = (Vec::new(), 0, 0);
     for ms in 0..6_000 {
         publisher.coordinator_heard(at(ms), true);
-        publisher.event(at(ms), mark(11 + ms), purge(ms));
+        publisher.append_event(at(ms), mark(11 + ms), purge(ms));
         for id in publisher.due(at(ms)) {
             if id == slow && !(5_000..5_600).contains(&ms) {
                 named += 1;
@@ -183,7 +183,7 @@
         (BASE, MAX_PURGES)
     );
     assert_eq!(
-        slow_batches[1].after, slow_batches[0].upto,
+        slow_batches[1].after, slow_batches[0].last,
         "the rest follows at once"
     );
 }
@@ -191,7 +191,7 @@
 #[test]
 fn a_batch_that_is_not_all_vouches_for_nothing() {
     let mut publisher = publisher();
-    (11..6_011).for_each(|number| publisher.event(at(1), mark(number), purge(number)));
+    (11..6_011).for_each(|number| publisher.append_event(at(1), mark(number), purge(number)));
     publisher.subscribe(at(2), SubscriberId(1), Subscription::After(BASE));
     let sent = play(&mut publisher, 2..100, &[]);
     let told: Vec<(u32, bool)> = sent
@@ -209,7 +209,7 @@
 #[test]
 fn a_planner_gives_a_snapshot_only_while_it_knows_all_that_the_coordinator_has() {
     let mut publisher = Publisher::start(at(0), Cadence::default(), Retention::default(), BASE);
-    publisher.event(at(100), mark(11), purge(1));
+    publisher.append_event(at(100), mark(11), purge(1));
     let id = SubscriberId(1);
     publisher.subscribe(at(200), id, Subscription::FromSnapshot);
     let told = |publisher: &mut Publisher, ms: u64| {
@@ -217,7 +217,7 @@
         due.first()
             .map(|id| publisher.update_for(at(ms), *id, &mut list).unwrap())
     };
-    let behind = Update::Behind { upto: mark(11) };
+    let behind = Update::Behind { last: mark(11) };
     assert_eq!(told(&mut publisher, 200).unwrap().update, behind);
     publisher.coordinator_heard(at(300), false);
     assert_eq!(told(&mut publisher, 1_200).unwrap().update, behind);
@@ -227,7 +227,11 @@
         panic!("{delivery:?}")
     };
     assert_eq!(
-        (snapshot.upto, &snapshot.list[..], snapshot.purges_reach_ms),
+        (
+            snapshot.position,
+            &snapshot.list[..],
+            snapshot.purges_reach_ms
+        ),
         (mark(11), &[11][..], 1_400)
     );
     assert_eq!(
@@ -235,7 +239,7 @@
         (1, Some(0))
     );
     // From there it goes on by batches.
-    publisher.event(at(1_500), mark(12), purge(2));
+    publisher.append_event(at(1_500), mark(12), purge(2));
     publisher.coordinator_heard(at(1_500), true);
     let next = (1_501..2_500)
         .find_map(|ms| told(&mut publisher, ms))
@@ -246,14 +250,14 @@
     let delivery = told(&mut publisher, 4_000).unwrap();
     assert_eq!(
         (delivery.update, delivery.coordinator_ago_ms),
-        (Update::Behind { upto: mark(12) }, None)
+        (Update::Behind { last: mark(12) }, None)
     );
 }
 
 #[test]
 fn a_position_that_is_not_known_is_answered_by_what_can_be_given() {
     let mut publisher = publisher();
-    publisher.event(at(1), mark(11), purge(1));
+    publisher.append_event(at(1), mark(11), purge(1));
     let mut told = |position: EventPosition| {
         publisher.subscribe(at(2), SubscriberId(1), Subscription::After(position));
         let due = publisher.due(at(2));
@@ -262,7 +266,7 @@
             .unwrap()
             .update
     };
-    assert_eq!(told(mark(15)), Update::Behind { upto: mark(11) });
+    assert_eq!(told(mark(15)), Update::Behind { last: mark(11) });
     assert!(matches!(told(mark(3)), Update::Snapshot(_)));
     assert!(matches!(
         told(EventPosition {
@@ -276,19 +280,21 @@
 #[test]
 fn a_position_of_a_numbering_that_is_no_more_is_answered_by_the_state() {
     let mut publisher = publisher();
-    publisher.event(at(1), mark(11), purge(1));
+    publisher.append_event(at(1), mark(11), purge(1));
     let base = EventPosition { number: 2, hash: 9 };
-    publisher.renumbered(at(3), base);
+    publisher.restart_numbering(at(3), base);
     let mut told = |now: Time, position: EventPosition| {
         publisher.subscribe(now, SubscriberId(1), Subscription::After(position));
         let due = publisher.due(now);
         publisher.coordinator_heard(now, true);
         publisher.update_for(now, due[0], &mut list).unwrap().update
     };
-    assert!(matches!(told(at(3), mark(11)), Update::Snapshot(snapshot) if snapshot.upto == base));
+    assert!(
+        matches!(told(at(3), mark(11)), Update::Snapshot(snapshot) if snapshot.position == base)
+    );
     assert_eq!(
         told(at(4), mark(12)),
-        Update::Behind { upto: base },
+        Update::Behind { last: base },
         "never known here"
     );
     let other = EventPosition {
@@ -297,12 +303,12 @@
     };
     assert_eq!(
         told(at(5), other),
-        Update::Behind { upto: base },
+        Update::Behind { last: base },
         "not of that numbering either"
     );
     assert_eq!(
         told(at(70_000), mark(11)),
-        Update::Behind { upto: base },
+        Update::Behind { last: base },
         "long forgotten"
     );
 }
@@ -315,7 +321,7 @@
     publisher
         .update_for(at(0), SubscriberId(1), &mut list)
         .unwrap();
-    publisher.renumbered(at(200), EventPosition { number: 2, hash: 9 });
+    publisher.restart_numbering(at(200), EventPosition { number: 2, hash: 9 });
     assert_eq!(publisher.due(at(200)), [SubscriberId(1)]);
 }
 
@@ -325,7 +331,7 @@
     let ids = [SubscriberId(1), SubscriberId(2)];
     ids.iter()
         .for_each(|id| publisher.subscribe(at(0), *id, Subscription::After(BASE)));
-    publisher.leave(ids[0]);
+    publisher.unsubscribe(ids[0]);
     publisher.subscribe(at(1), ids[1], Subscription::None);
     assert_eq!(
         (publisher.due(at(1)), publisher.next_due()),
--- a/crates/flaxdeck-distribution/tests/purge_index.rs
+++ b/crates/flaxdeck-distribution/tests/purge_index.rs
@@ -22,8 +22,8 @@
 #[test]
 fn a_purge_counts_until_it_has_settled_and_from_when_it_was_last_told() {
     let mut index = PurgeIndex::new(SETTLES);
-    index.told(at(0), &of(&[1, 2]));
-    index.told(at(3_000), &of(&[2, 3]));
+    index.record(at(0), &of(&[1, 2]));
+    index.record(at(3_000), &of(&[2, 3]));
     assert_eq!(index.purged_at(at(3_000), ObjectId(1)), Some(at(0)));
     assert_eq!(index.purged_at(at(3_000), ObjectId(2)), Some(at(3_000)));
     assert_eq!(index.purged_at(at(3_000), ObjectId(4)), None);
@@ -37,18 +37,18 @@
 #[test]
 fn a_storm_beyond_the_bound_puts_all_copies_from_before_in_doubt_until_they_have_settled() {
     let mut index = PurgeIndex::bounded(SETTLES, 100);
-    index.told(at(0), &of(&[1, 2]));
-    index.told(at(10), &of(&[3]));
-    assert_eq!(index.overflowed(at(10)), None);
-    index.told(at(20), &of(&(1_000..1_098).collect::<Vec<_>>()));
+    index.record(at(0), &of(&[1, 2]));
+    index.record(at(10), &of(&[3]));
+    assert_eq!(index.incomplete_before(at(10)), None);
+    index.record(at(20), &of(&(1_000..1_098).collect::<Vec<_>>()));
     assert_eq!(index.len(), 100);
-    assert_eq!(index.overflowed(at(20)), Some(at(0)));
+    assert_eq!(index.incomplete_before(at(20)), Some(at(0)));
     assert_eq!(
         index.purged_at(at(20), ObjectId(3)),
         Some(at(10)),
         "still known"
     );
-    assert_eq!(index.overflowed(at(7_000)), None);
+    assert_eq!(index.incomplete_before(at(7_000)), None);
 }
 
 proptest! {
@@ -64,12 +64,12 @@
         let (mut now, mut all) = (0, Vec::new());
         for (pause, objects) in told {
             now += pause;
-            index.told(at(now), &of(&objects));
+            index.record(at(now), &of(&objects));
             all.extend(objects.into_iter().map(|object| (at(now), object)));
             for object in 0..30 {
                 let last = all.iter().rev().find(|(_, purged)| *purged == object).map(|(told, _)| *told);
                 let unsettled = last.filter(|last| at(now).since(*last) <= SETTLES);
-                let from = index.purged_at(at(now), ObjectId(object)).max(index.overflowed(at(now)));
+                let from = index.purged_at(at(now), ObjectId(object)).max(index.incomplete_before(at(now)));
                 prop_assert!(from >= unsettled, "object {} purged at {:?}, known {:?}", object, unsettled, from);
             }
             prop_assert!(index.len() <= most);
@@ -94,7 +94,7 @@
             ObjectId(if sequential { next } else { chance.random() })
         };
         for _ in 0..PURGED {
-            index.told(at(0), &[Fingerprint::of(id(&mut chance))]);
+            index.record(at(0), &[Fingerprint::of(id(&mut chance))]);
         }
         let matched = (0..asked)
             .filter(|_| index.purged_at(at(1), id(&mut chance)).is_some())
--- a/crates/flaxdeck-distribution/tests/safe_side.rs
+++ b/crates/flaxdeck-distribution/tests/safe_side.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use flaxdeck::{ObjectId, Span, Time};
-use flaxdeck_distribution::messages::*;
+use flaxdeck_distribution::messages::{Delivery, FullEvent, Subscription};
 use flaxdeck_distribution::{
     Applied, Cadence, Content, Fingerprint, PlannerNumber, Publisher, PurgeIndex, Retention,
     Subscriber, SubscriberId,
@@ -213,7 +213,7 @@
     fn start(ms: u64, play: &Play) -> Planner {
         let retention = Retention {
             keep_for: Span::from_ms(play.keep_for),
-            bytes_most: play.bytes_most,
+            max_bytes: play.bytes_most,
         };
         Planner {
             publisher: Publisher::start(at(ms), Cadence::default(), retention, EventPosition::NONE),
@@ -237,12 +237,15 @@
         match self.follows {
             Some((run, place)) if run == coordinator.run => {
                 for event in &coordinator.events[place..] {
-                    self.publisher.event(now, event.mark, content(&event.told));
+                    self.publisher
+                        .append_event(now, event.mark, content(&event.told));
                 }
             }
             // A planner finds out when it comes back to the coordinator.
             _ if self.follows.is_some() && chance.random_bool(0.95) => return,
-            _ => self.publisher.renumbered(now, coordinator.last().mark),
+            _ => self
+                .publisher
+                .restart_numbering(now, coordinator.last().mark),
         }
         (self.follows, self.hosts) = (
             Some((coordinator.run, coordinator.events.len())),
@@ -304,7 +307,7 @@
         match told {
             Told::Object(object) => self
                 .index
-                .told(at(ms), &[Fingerprint::of(ObjectId(*object))]),
+                .record(at(ms), &[Fingerprint::of(ObjectId(*object))]),
             Told::Group { group, made_ms } => self.groups.push((*group, *made_ms)),
             Told::Hosts(hosts) => self.hosts = *hosts,
         }
@@ -321,7 +324,7 @@
             Applied::Nothing => {}
             Applied::Events { purges, events, .. } => {
                 let skip = usize::from(broken == Broken::PurgeForgotten).min(purges.len());
-                self.index.told(at(ms), &purges[skip..]);
+                self.index.record(at(ms), &purges[skip..]);
                 full(events)
                     .iter()
                     .for_each(|told| self.applies_in_full(ms, told));
@@ -330,10 +333,10 @@
                 list,
                 purges,
                 group_purges,
-                copies_in_doubt,
+                may_miss_purges: copies_in_doubt,
                 ..
             } => {
-                self.index.told(at(ms), &purges);
+                self.index.record(at(ms), &purges);
                 full(group_purges)
                     .iter()
                     .for_each(|told| self.applies_in_full(ms, told));
@@ -355,7 +358,7 @@
         let told = self
             .index
             .purged_at(now, ObjectId(object))
-            .max(self.index.overflowed(now));
+            .max(self.index.incomplete_before(now));
         let told = told.map_or(0, |told| told.since(at(0)).ms() as u64);
         let groups = self
             .groups
@@ -395,7 +398,8 @@
         }
         self.watch = Some((ms + chance.random_range(0..TRANSIT), run));
         if coordinator.last().mark != position {
-            self.subscriber.moved(at(ms), coordinator.last().mark);
+            self.subscriber
+                .set_position(at(ms), coordinator.last().mark);
         }
     }
 }
@@ -517,7 +521,7 @@
     fn disconnect(&mut self, ms: u64, planner: usize) {
         let known = &mut self.planners[planner];
         (known.connected, known.restarts_at) = (false, ms + self.chance.random_range(50..1_500));
-        known.publisher.leave(SubscriberId(0));
+        known.publisher.unsubscribe(SubscriberId(0));
         self.forwarder
             .subscriber
             .disconnected(at(ms), PlannerNumber(planner as u32));
@@ -611,12 +615,8 @@
                 }
                 Body::Tells { echo, delivery } => {
                     let number = PlannerNumber(planner as u32);
-                    self.forwarder.subscriber.echoed(number, at(echo));
-                    match self
-                        .forwarder
-                        .subscriber
-                        .delivered(at(ms), number, delivery)
-                    {
+                    self.forwarder.subscriber.record_echo(number, at(echo));
+                    match self.forwarder.subscriber.receive(at(ms), number, delivery) {
                         Ok(applied) => self.forwarder.applies(ms, applied, self.broken),
                         Err(_) => self.seen.refused += 1,
                     }
@@ -643,7 +643,7 @@
         let vouched = self
             .forwarder
             .subscriber
-            .vouched()
+            .confirmed_at()
             .filter(|_| !self.play.put_back);
         let claimed =
             |event: &Event| vouched.is_some_and(|vouched| at(event.made + TRANSIT) < vouched);
@@ -695,7 +695,7 @@
         let Some(vouched) = self
             .forwarder
             .subscriber
-            .vouched()
+            .confirmed_at()
             .filter(|_| !self.play.put_back)
         else {
             return Ok(());
@@ -715,7 +715,7 @@
         let counters = self.forwarder.subscriber.counters;
         self.seen.batches += counters.batches;
         self.seen.snapshots += counters.snapshots;
-        self.seen.doubts += counters.doubts;
+        self.seen.doubts += counters.incomplete_snapshots;
         self.seen.duplicates += counters.duplicates;
     }
 }
--- a/crates/flaxdeck-distribution/tests/subscriber.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber.rs
@@ -1,10 +1,13 @@
 //! The forwarder's side: what is applied, what is refused, and whom it follows.
 
 use flaxdeck::{Span, Time};
-use flaxdeck_distribution::messages::*;
-use flaxdeck_distribution::subscriber::{Counters, Invalid};
+use flaxdeck_distribution::messages::{
+    Batch, Delivery, FullEvent, MAX_FULL_BYTES, MAX_PURGES, PurgeDigest, Snapshot, Subscription,
+    Update,
+};
+use flaxdeck_distribution::subscriber::{Counters, InvalidDelivery};
 use flaxdeck_distribution::{
-    Applied, Cadence, Fingerprint, InvalidDigest, PlannerNumber, Refused, Subscriber,
+    Applied, Cadence, DeliveryError, Fingerprint, InvalidDigest, PlannerNumber, Subscriber,
 };
 use flaxdeck_recovery::EventPosition;
 
@@ -33,7 +36,7 @@
 
 fn event(number: u64) -> FullEvent {
     FullEvent {
-        mark: mark(number),
+        position: mark(number),
         frame: vec![number as u8],
     }
 }
@@ -42,7 +45,7 @@
 fn purges(after: u64, upto: u64) -> Batch {
     Batch {
         after: mark(after),
-        upto: mark(upto),
+        last: mark(upto),
         purges: digest(upto - after),
         events: Vec::new(),
     }
@@ -61,14 +64,14 @@
 
 fn behind() -> Delivery {
     Delivery {
-        update: Update::Behind { upto: mark(1) },
+        update: Update::Behind { last: mark(1) },
         coordinator_ago_ms: None,
     }
 }
 
 fn snapshot(upto: u64) -> Snapshot {
     Snapshot {
-        upto: mark(upto),
+        position: mark(upto),
         list: vec![1, 2, 3],
         purges: digest(4),
         group_purges: vec![event(upto - 1)],
@@ -89,7 +92,7 @@
         .find(|preference| prefers(*preference) == ONE)
         .unwrap();
     let mut subscriber = Subscriber::start(at(0), 2, preference, Cadence::default(), SETTLES);
-    subscriber.moved(at(0), mark(position));
+    subscriber.set_position(at(0), mark(position));
     subscriber
 }
 
@@ -124,12 +127,12 @@
 fn batches_that_follow_are_applied_and_move_the_position() {
     let mut subscriber = connected(10);
     let mut batch = purges(10, 15);
-    (batch.upto, batch.events) = (mark(17), vec![event(12), event(17)]);
-    let applied = subscriber.delivered(at(50), ONE, told(batch)).unwrap();
+    (batch.last, batch.events) = (mark(17), vec![event(12), event(17)]);
+    let applied = subscriber.receive(at(50), ONE, told(batch)).unwrap();
     let Applied::Events {
         purges: applied,
         events,
-        upto,
+        last: upto,
     } = applied
     else {
         panic!("{applied:?}")
@@ -140,7 +143,7 @@
         (mark(17), Some(ONE))
     );
     assert_eq!(
-        subscriber.delivered(at(90), ONE, told(purges(17, 17))),
+        subscriber.receive(at(90), ONE, told(purges(17, 17))),
         Ok(Applied::Nothing)
     );
     assert_eq!(
@@ -158,16 +161,16 @@
 fn what_was_known_already_is_passed_over() {
     let mut subscriber = connected(10);
     subscriber
-        .delivered(at(50), ONE, told(purges(10, 15)))
+        .receive(at(50), ONE, told(purges(10, 15)))
         .unwrap();
     for _ in 0..3 {
         assert_eq!(
-            subscriber.delivered(at(60), ONE, told(purges(10, 15))),
+            subscriber.receive(at(60), ONE, told(purges(10, 15))),
             Ok(Applied::Nothing)
         );
     }
     assert_eq!(
-        subscriber.delivered(at(60), ONE, told(purges(8, 12))),
+        subscriber.receive(at(60), ONE, told(purges(8, 12))),
         Ok(Applied::Nothing)
     );
     assert_eq!(
@@ -180,11 +183,14 @@
 fn a_gap_is_refused_counted_and_the_position_told_anew() {
     let mut subscriber = connected(10);
     subscriber
-        .delivered(at(50), ONE, told(purges(10, 15)))
+        .receive(at(50), ONE, told(purges(10, 15)))
         .unwrap();
     assert_eq!(
-        subscriber.delivered(at(550), ONE, told(purges(20, 25))),
-        Err(Refused::Gap)
+        subscriber.receive(at(550), ONE, told(purges(20, 25))),
+        Err(DeliveryError::Gap {
+            after: mark(20),
+            position: mark(15)
+        })
     );
     assert_eq!(
         (subscriber.counters.gaps, subscriber.position()),
@@ -203,7 +209,7 @@
     assert_eq!(subscriber.actions(at(650)), []);
     assert!(
         subscriber
-            .delivered(at(660), ONE, told(purges(15, 26)))
+            .receive(at(660), ONE, told(purges(15, 26)))
             .is_ok()
     );
     assert_eq!(subscriber.position(), mark(26));
@@ -212,9 +218,9 @@
 #[test]
 fn half_of_a_batch_that_the_coordinator_told_itself_is_not_applied() {
     let mut subscriber = connected(10);
-    subscriber.moved(at(20), mark(12));
+    subscriber.set_position(at(20), mark(12));
     assert_eq!(
-        subscriber.delivered(at(50), ONE, told(purges(10, 15))),
+        subscriber.receive(at(50), ONE, told(purges(10, 15))),
         Ok(Applied::Nothing)
     );
     assert_eq!(
@@ -241,18 +247,18 @@
         },
         Batch {
             after: other,
-            upto: other,
+            last: other,
             ..purges(10, 10)
         },
         Batch {
-            upto: other,
+            last: other,
             ..purges(8, 10)
         },
     ];
     for batch in batches {
         assert_eq!(
-            subscriber.delivered(at(50), ONE, told(batch)),
-            Err(Refused::OtherNumbering)
+            subscriber.receive(at(50), ONE, told(batch)),
+            Err(DeliveryError::OtherNumbering(other))
         );
     }
     assert_eq!(
@@ -266,7 +272,7 @@
     let full = |numbers: std::ops::RangeInclusive<u64>| numbers.map(event).collect::<Vec<_>>();
     let batch = |after: u64, upto: u64, purged: u64, events: Vec<FullEvent>| Batch {
         after: mark(after),
-        upto: mark(upto),
+        last: mark(upto),
         purges: digest(purged),
         events,
     };
@@ -276,108 +282,120 @@
         damaged
     };
     let long = FullEvent {
-        mark: mark(12),
+        position: mark(12),
         frame: vec![0; MAX_FULL_BYTES],
     };
     let cases = [
         (
             "ends before it begins",
             batch(10, 9, 0, Vec::new()),
-            Invalid::Range,
+            InvalidDelivery::Range { after: 10, last: 9 },
         ),
         (
             "a heartbeat of another event",
             Batch {
-                upto: EventPosition {
+                last: EventPosition {
                     number: 10,
                     hash: 9,
                 },
                 ..purges(10, 10)
             },
-            Invalid::Range,
+            InvalidDelivery::Range {
+                after: 10,
+                last: 10,
+            },
         ),
         (
             "one event too few",
             batch(10, 15, 4, Vec::new()),
-            Invalid::Count,
+            InvalidDelivery::Count {
+                numbers: 5,
+                events: 4,
+            },
         ),
         (
             "one too many",
             batch(10, 15, 5, full(15..=15)),
-            Invalid::Count,
+            InvalidDelivery::Count {
+                numbers: 5,
+                events: 6,
+            },
         ),
         (
             "a number far away",
             batch(10, u64::MAX, 5, Vec::new()),
-            Invalid::Count,
+            InvalidDelivery::Count {
+                numbers: u64::MAX - 10,
+                events: 5,
+            },
         ),
         (
             "an event before its range",
             batch(10, 15, 4, full(10..=10)),
-            Invalid::Marks,
+            InvalidDelivery::Positions,
         ),
         (
             "an event after its range",
             batch(10, 15, 4, full(16..=16)),
-            Invalid::Marks,
+            InvalidDelivery::Positions,
         ),
         (
             "events out of order",
             batch(10, 15, 3, vec![event(13), event(12)]),
-            Invalid::Marks,
+            InvalidDelivery::Positions,
         ),
         (
             "an event twice",
             batch(10, 15, 3, vec![event(13), event(13)]),
-            Invalid::Marks,
+            InvalidDelivery::Positions,
         ),
         (
             "another event at its end",
             Batch {
-                upto: EventPosition {
+                last: EventPosition {
                     number: 15,
                     hash: 1,
                 },
                 ..batch(10, 15, 4, full(15..=15))
             },
-            Invalid::Marks,
+            InvalidDelivery::Positions,
         ),
         (
             "too many events",
             batch(10, 267, 0, full(11..=267)),
-            Invalid::TooManyEvents,
+            InvalidDelivery::TooManyEvents(257),
         ),
         (
             "too long",
             batch(10, 12, 0, vec![event(11), long]),
-            Invalid::TooLong,
+            InvalidDelivery::TooLong(MAX_FULL_BYTES + 1),
         ),
         (
             "another count of purges",
             damaged(&|purges| (purges.count, purges.bytes) = (5, digest(6).bytes)),
-            Invalid::Digest(InvalidDigest::TrailingBits),
+            InvalidDelivery::Digest(InvalidDigest::TrailingBits),
         ),
         (
             "cut off",
             damaged(&|purges| purges.bytes.truncate(2)),
-            Invalid::Digest(InvalidDigest::Truncated),
+            InvalidDelivery::Digest(InvalidDigest::Truncated),
         ),
         (
             "too many purges",
             purges(10, 11 + u64::from(MAX_PURGES)),
-            Invalid::Digest(InvalidDigest::TooMany),
+            InvalidDelivery::Digest(InvalidDigest::TooMany(MAX_PURGES + 1)),
         ),
     ];
     let mut subscriber = connected(10);
     for (count, (what, batch, why)) in cases.into_iter().enumerate() {
-        let before = (subscriber.position(), subscriber.vouched());
+        let before = (subscriber.position(), subscriber.confirmed_at());
         assert_eq!(
-            subscriber.delivered(at(50), ONE, told(batch)),
-            Err(Refused::Invalid(why)),
+            subscriber.receive(at(50), ONE, told(batch)),
+            Err(DeliveryError::Invalid(why)),
             "{what}"
         );
         assert_eq!(
-            (subscriber.position(), subscriber.vouched()),
+            (subscriber.position(), subscriber.confirmed_at()),
             before,
             "{what}"
         );
@@ -392,7 +410,7 @@
     assert_eq!((batches, applied, events), (0, 0, 0));
     assert!(
         subscriber
-            .delivered(at(60), ONE, told(purges(10, 15)))
+            .receive(at(60), ONE, told(purges(10, 15)))
             .is_ok(),
         "what is right still applies"
     );
@@ -408,35 +426,38 @@
     let cases = [
         (
             change(&|snapshot| snapshot.list = vec![0; MAX_FULL_BYTES + 1]),
-            Invalid::TooLong,
+            InvalidDelivery::TooLong(MAX_FULL_BYTES + 2),
         ),
         (
             change(&|snapshot| snapshot.list = vec![0; MAX_FULL_BYTES]),
-            Invalid::TooLong,
+            InvalidDelivery::TooLong(MAX_FULL_BYTES + 1),
         ),
         (
             change(&|snapshot| snapshot.group_purges = vec![event(31)]),
-            Invalid::Marks,
+            InvalidDelivery::Positions,
         ),
         (
             change(&|snapshot| snapshot.group_purges = vec![event(9), event(8)]),
-            Invalid::Marks,
+            InvalidDelivery::Positions,
         ),
         (
             change(&|snapshot| snapshot.group_purges = (1..258).map(event).collect()),
-            Invalid::TooManyEvents,
+            InvalidDelivery::TooManyEvents(257),
         ),
         (
             change(&|snapshot| snapshot.purges.low_bits = 40),
-            Invalid::Digest(InvalidDigest::LowBits),
+            InvalidDelivery::Digest(InvalidDigest::LowBits(40)),
+        ),
+        (
+            snapshot_delivery(snapshot(30), None),
+            InvalidDelivery::NotCurrent,
         ),
-        (snapshot_delivery(snapshot(30), None), Invalid::NotCurrent),
     ];
     let mut subscriber = connected(10);
     for (delivery, why) in cases {
         assert_eq!(
-            subscriber.delivered(at(900), ONE, delivery),
-            Err(Refused::Invalid(why))
+            subscriber.receive(at(900), ONE, delivery),
+            Err(DeliveryError::Invalid(why))
         );
     }
     assert_eq!(
@@ -450,12 +471,12 @@
     let mut subscriber = connected(10);
     subscriber.disconnected(at(5), ONE);
     assert_eq!(
-        subscriber.delivered(at(6), ONE, told(purges(10, 12))),
-        Err(Refused::NotConnected)
+        subscriber.receive(at(6), ONE, told(purges(10, 12))),
+        Err(DeliveryError::NotConnected(ONE))
     );
     assert_eq!(
-        subscriber.delivered(at(6), PlannerNumber(9), told(purges(10, 12))),
-        Err(Refused::NotConnected)
+        subscriber.receive(at(6), PlannerNumber(9), told(purges(10, 12))),
+        Err(DeliveryError::NotConnected(PlannerNumber(9)))
     );
     assert_eq!(
         (subscriber.position(), subscriber.counters.not_connected),
@@ -472,14 +493,14 @@
         [(ONE, Subscription::FromSnapshot)]
     );
     let applied = subscriber
-        .delivered(at(30), ONE, snapshot_delivery(snapshot(30), Some(900)))
+        .receive(at(30), ONE, snapshot_delivery(snapshot(30), Some(900)))
         .unwrap();
     let Applied::Snapshot {
         list,
         purges,
         group_purges,
-        upto,
-        copies_in_doubt,
+        position: upto,
+        may_miss_purges: copies_in_doubt,
     } = applied
     else {
         panic!("{applied:?}")
@@ -490,7 +511,7 @@
     );
     assert!(!copies_in_doubt);
     assert_eq!(
-        subscriber.delivered(at(90), ONE, told(purges_from(30))),
+        subscriber.receive(at(90), ONE, told(purges_from(30))),
         Ok(applied_from(30))
     );
 }
@@ -503,7 +524,7 @@
     Applied::Events {
         purges: vec![Fingerprint(0)],
         events: Vec::new(),
-        upto: mark(number + 1),
+        last: mark(number + 1),
     }
 }
 
@@ -526,9 +547,9 @@
             },
             Some(0),
         );
-        let applied = subscriber.delivered(at(30), ONE, delivery).unwrap();
+        let applied = subscriber.receive(at(30), ONE, delivery).unwrap();
         assert!(
-            matches!(applied, Applied::Snapshot { copies_in_doubt, .. } if copies_in_doubt == doubt),
+            matches!(applied, Applied::Snapshot { may_miss_purges: copies_in_doubt, .. } if copies_in_doubt == doubt),
             "{reach}"
         );
     }
@@ -538,21 +559,21 @@
 fn a_snapshot_older_than_what_is_known_here_is_not_taken() {
     let mut subscriber = connected(10);
     subscriber
-        .delivered(at(1_000), ONE, told(purges(10, 15)))
+        .receive(at(1_000), ONE, told(purges(10, 15)))
         .unwrap();
     // Its planner has not heard the coordinator since the position moved.
-    subscriber.echoed(ONE, at(1_400));
+    subscriber.record_echo(ONE, at(1_400));
     let stale = snapshot_delivery(snapshot(30), Some(500));
     assert_eq!(
-        subscriber.delivered(at(1_500), ONE, stale),
-        Err(Refused::Stale)
+        subscriber.receive(at(1_500), ONE, stale),
+        Err(DeliveryError::StaleSnapshot(mark(30)))
     );
     // It has now, but its number is lower, and nobody asked for that.
-    subscriber.echoed(ONE, at(2_000));
+    subscriber.record_echo(ONE, at(2_000));
     let lower = snapshot_delivery(snapshot(12), Some(0));
     assert_eq!(
-        subscriber.delivered(at(2_000), ONE, lower),
-        Err(Refused::Stale)
+        subscriber.receive(at(2_000), ONE, lower),
+        Err(DeliveryError::StaleSnapshot(mark(12)))
     );
     assert_eq!(
         (subscriber.counters.stale, subscriber.position()),
@@ -563,10 +584,10 @@
         subscriber.actions(at(2_000)),
         [(ONE, Subscription::FromSnapshot)]
     );
-    subscriber.echoed(ONE, at(2_040));
+    subscriber.record_echo(ONE, at(2_040));
     let lower = snapshot_delivery(snapshot(12), Some(0));
     assert!(matches!(
-        subscriber.delivered(at(2_050), ONE, lower),
+        subscriber.receive(at(2_050), ONE, lower),
         Ok(Applied::Snapshot { .. })
     ));
     assert_eq!(subscriber.position(), mark(12));
@@ -576,12 +597,12 @@
 fn a_snapshot_with_a_higher_number_that_nobody_asked_for_is_taken_if_it_knows_more() {
     let mut subscriber = connected(10);
     subscriber
-        .delivered(at(1_000), ONE, told(purges(10, 15)))
+        .receive(at(1_000), ONE, told(purges(10, 15)))
         .unwrap();
-    subscriber.echoed(ONE, at(2_000));
+    subscriber.record_echo(ONE, at(2_000));
     let newer = snapshot_delivery(snapshot(30), Some(0));
     assert!(matches!(
-        subscriber.delivered(at(2_050), ONE, newer),
+        subscriber.receive(at(2_050), ONE, newer),
         Ok(Applied::Snapshot { .. })
     ));
 }
@@ -592,10 +613,10 @@
         at(0),
         2,
         7,
-        Cadence::of_batches(Span::from_ms(150)),
+        Cadence::with_batch_interval(Span::from_ms(150)),
         SETTLES,
     );
-    let silent = Cadence::of_batches(Span::from_ms(150)).silent_after();
+    let silent = Cadence::with_batch_interval(Span::from_ms(150)).silence_timeout();
     (0..2).for_each(|number| subscriber.connected(at(0), PlannerNumber(number)));
     let first = subscriber.followed().unwrap();
     subscriber.actions(at(0));
@@ -618,7 +639,7 @@
 fn a_planner_that_ends_or_falls_silent_is_left_for_the_other() {
     let mut subscriber = connected(10);
     subscriber
-        .delivered(at(10), ONE, told(purges(10, 11)))
+        .receive(at(10), ONE, told(purges(10, 11)))
         .unwrap();
     subscriber.disconnected(at(20), ONE);
     assert_eq!(
@@ -626,13 +647,13 @@
         [(OTHER, Subscription::After(mark(11)))]
     );
     subscriber
-        .delivered(at(30), OTHER, told(purges(11, 12)))
+        .receive(at(30), OTHER, told(purges(11, 12)))
         .unwrap();
     assert!(!subscriber.needs_coordinator(at(1_000)));
 
     let mut subscriber = connected(10);
     subscriber
-        .delivered(at(10), ONE, told(purges(10, 11)))
+        .receive(at(10), ONE, told(purges(10, 11)))
         .unwrap();
     assert_eq!(subscriber.actions(at(1_509)), []);
     assert_eq!(subscriber.next_change(at(1_000)), Some(at(1_510)));
@@ -647,10 +668,10 @@
     assert_eq!(subscriber.counters.failovers, 1);
     // Both deliver for a moment; each event is applied once.
     subscriber
-        .delivered(at(1_520), OTHER, told(purges(11, 15)))
+        .receive(at(1_520), OTHER, told(purges(11, 15)))
         .unwrap();
     assert_eq!(
-        subscriber.delivered(at(1_530), ONE, told(purges(11, 13))),
+        subscriber.receive(at(1_530), ONE, told(purges(11, 13))),
         Ok(Applied::Nothing)
     );
     assert_eq!(subscriber.position(), mark(15));
@@ -664,10 +685,10 @@
         ..told(purges(10, 10))
     };
     for ms in (0..1_500).step_by(100) {
-        subscriber.delivered(at(ms), ONE, lost()).unwrap();
+        subscriber.receive(at(ms), ONE, lost()).unwrap();
         assert_eq!(subscriber.followed(), Some(ONE));
     }
-    subscriber.delivered(at(1_500), ONE, lost()).unwrap();
+    subscriber.receive(at(1_500), ONE, lost()).unwrap();
     assert_eq!(subscriber.followed(), Some(OTHER));
 }
 
@@ -680,7 +701,7 @@
     let heard = |subscriber: &mut Subscriber, ms: u64| {
         let position = subscriber.position().number;
         subscriber
-            .delivered(at(ms), OTHER, told(purges(position, position + 1)))
+            .receive(at(ms), OTHER, told(purges(position, position + 1)))
             .unwrap();
         subscriber.actions(at(ms))
     };
@@ -695,7 +716,7 @@
     );
     assert_eq!(subscriber.followed(), Some(OTHER));
     let next = purges(position.number, position.number + 1);
-    subscriber.delivered(at(5_250), ONE, told(next)).unwrap();
+    subscriber.receive(at(5_250), ONE, told(next)).unwrap();
     assert_eq!(subscriber.followed(), Some(ONE));
     assert_eq!(subscriber.actions(at(5_250)), [(OTHER, Subscription::None)]);
 }
@@ -710,7 +731,7 @@
             let position = subscriber.position().number;
             assert!(
                 subscriber
-                    .delivered(at(ms), OTHER, told(purges(position, position + 1)))
+                    .receive(at(ms), OTHER, told(purges(position, position + 1)))
                     .is_ok()
             );
         }
@@ -738,7 +759,7 @@
         for (to, subscription) in subscriber.actions(at(ms)) {
             if subscription != Subscription::None {
                 asked.push((ms, to, subscription));
-                subscriber.delivered(at(ms), to, behind()).unwrap();
+                subscriber.receive(at(ms), to, behind()).unwrap();
             }
         }
     }
@@ -761,19 +782,22 @@
         purges_reach_ms: 900,
         ..snapshot(30)
     };
-    let applied = subscriber.delivered(at(4_000), to, snapshot_delivery(restarted, Some(10)));
+    let applied = subscriber.receive(at(4_000), to, snapshot_delivery(restarted, Some(10)));
     assert!(
         matches!(
             applied,
             Ok(Applied::Snapshot {
-                copies_in_doubt: true,
+                may_miss_purges: true,
                 ..
             })
         ),
         "{applied:?}"
     );
     assert_eq!(
-        (subscriber.position(), subscriber.counters.doubts),
+        (
+            subscriber.position(),
+            subscriber.counters.incomplete_snapshots
+        ),
         (mark(30), 1)
     );
 }
@@ -784,12 +808,12 @@
     assert!(!subscriber.needs_coordinator(at(1_900)));
     assert_eq!(subscriber.next_change(at(0)), Some(at(2_000)));
     assert!(subscriber.needs_coordinator(at(2_000)));
-    subscriber.moved(at(2_100), mark(10));
+    subscriber.set_position(at(2_100), mark(10));
     subscriber.connected(at(2_200), ONE);
     subscriber.actions(at(2_200));
     for (position, ms) in (10..).zip((2_300..9_000).step_by(500)) {
         subscriber
-            .delivered(at(ms), ONE, told(purges(position, position + 1)))
+            .receive(at(ms), ONE, told(purges(position, position + 1)))
             .unwrap();
         assert_eq!(subscriber.needs_coordinator(at(ms)), ms < 4_300, "at {ms}");
     }
@@ -800,14 +824,14 @@
 /// From when on a subscriber of that preference needs the coordinator, after both its planners ended at 100 ms.
 fn needs_coordinator_after_both_ended(preference: u64) -> u64 {
     let mut subscriber = Subscriber::start(at(0), 2, preference, Cadence::default(), SETTLES);
-    subscriber.moved(at(0), mark(10));
+    subscriber.set_position(at(0), mark(10));
     [ONE, OTHER]
         .into_iter()
         .for_each(|planner| subscriber.connected(at(0), planner));
     subscriber.actions(at(0));
     let followed = subscriber.followed().unwrap();
     subscriber
-        .delivered(at(90), followed, told(purges(10, 11)))
+        .receive(at(90), followed, told(purges(10, 11)))
         .unwrap();
     subscriber.disconnected(at(100), ONE);
     assert!(
@@ -843,7 +867,7 @@
 fn a_planner_that_is_reached_again_at_once_spares_the_coordinator_the_call() {
     let mut subscriber = connected(10);
     subscriber
-        .delivered(at(90), ONE, told(purges(10, 11)))
+        .receive(at(90), ONE, told(purges(10, 11)))
         .unwrap();
     [ONE, OTHER]
         .into_iter()
@@ -851,7 +875,7 @@
     subscriber.connected(at(150), ONE);
     subscriber.actions(at(150));
     subscriber
-        .delivered(at(180), ONE, told(purges(11, 12)))
+        .receive(at(180), ONE, told(purges(11, 12)))
         .unwrap();
     assert!((180..1_600).all(|ms| !subscriber.needs_coordinator(at(ms))));
     // One that is reached and tells nothing spares it nothing.
@@ -864,7 +888,7 @@
         "{needed:?}"
     );
     subscriber
-        .delivered(at(700), ONE, told(purges(12, 13)))
+        .receive(at(700), ONE, told(purges(12, 13)))
         .unwrap();
     assert!(
         subscriber.needs_coordinator(at(750)),
@@ -872,7 +896,7 @@
     );
     for (position, ms) in (13..).zip((1_200..4_000).step_by(500)) {
         subscriber
-            .delivered(at(ms), ONE, told(purges(position, position + 1)))
+            .receive(at(ms), ONE, told(purges(position, position + 1)))
             .unwrap();
         assert_eq!(subscriber.needs_coordinator(at(ms)), ms < 2_700, "at {ms}");
     }
@@ -882,7 +906,7 @@
 fn a_planner_that_knows_no_coordinator_or_position_does_not_count() {
     let mut subscriber = connected(10);
     for ms in (0..3_000).step_by(100) {
-        subscriber.delivered(at(ms), ONE, behind()).unwrap();
+        subscriber.receive(at(ms), ONE, behind()).unwrap();
     }
     assert!(subscriber.needs_coordinator(at(3_000)));
 }
@@ -890,21 +914,21 @@
 #[test]
 fn it_is_vouched_for_by_when_a_planner_with_all_events_heard_the_coordinator() {
     let mut subscriber = connected(10);
-    assert_eq!(subscriber.vouched(), None);
+    assert_eq!(subscriber.confirmed_at(), None);
     subscriber
-        .delivered(at(1_000), ONE, told(purges(10, 11)))
+        .receive(at(1_000), ONE, told(purges(10, 11)))
         .unwrap();
     assert_eq!(
-        subscriber.vouched(),
+        subscriber.confirmed_at(),
         Some(at(460)),
         "40 ms before it was written, 500 before now at most"
     );
-    subscriber.echoed(ONE, at(1_900));
+    subscriber.record_echo(ONE, at(1_900));
     subscriber
-        .delivered(at(2_000), ONE, told(purges(11, 11)))
+        .receive(at(2_000), ONE, told(purges(11, 11)))
         .unwrap();
     assert_eq!(
-        subscriber.vouched(),
+        subscriber.confirmed_at(),
         Some(at(1_860)),
         "the conversation tells when it was written"
     );
@@ -912,8 +936,8 @@
         coordinator_ago_ms: None,
         ..told(purges(11, 12))
     };
-    subscriber.delivered(at(5_000), ONE, not_all).unwrap();
-    assert_eq!(subscriber.vouched(), Some(at(1_860)));
+    subscriber.receive(at(5_000), ONE, not_all).unwrap();
+    assert_eq!(subscriber.confirmed_at(), Some(at(1_860)));
 }
 
 #[test]
@@ -922,7 +946,7 @@
     for preference in 0..2_400_u64 {
         let mut subscriber =
             Subscriber::start(at(0), 24, preference * 31, Cadence::default(), SETTLES);
-        subscriber.moved(at(0), mark(1));
+        subscriber.set_position(at(0), mark(1));
         (0..24).for_each(|planner| subscriber.connected(at(0), PlannerNumber(planner)));
         // Steadily connected, the most preferred is asked in the end.
         let asked = subscriber.actions(at(5_000));
