--- a/crates/flaxdeck-channel/tests/recorded_messages.rs
+++ b/crates/flaxdeck-channel/tests/recorded_messages.rs
@@ -157,7 +157,7 @@
 
 fn full_event() -> FullEvent {
     FullEvent {
-        mark: mark(51),
+        position: mark(51),
         frame: vec![
             0, 0, 0, 19, 0, 0, 0, 0, 0, 0, 0, 51, 4, 0, 17, 0, 0, 1, 154, 0, 0, 0, 0,
         ],
@@ -196,12 +196,12 @@
     let (_, verifier) = forwarder.keys(&planner, &key());
     let batch = Batch {
         after: mark(50),
-        upto: mark(52),
+        last: mark(52),
         purges: digest(),
         events: vec![full_event()],
     };
     let snapshot = Snapshot {
-        upto: mark(60),
+        position: mark(60),
         list: vec![0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 60, 1],
         purges: digest(),
         group_purges: vec![full_event()],
@@ -219,7 +219,7 @@
         delivery(Update::Batch(Batch::default()), None),
         delivery(Update::Batch(batch), Some(12)),
         delivery(Update::Snapshot(Box::new(snapshot)), Some(13)),
-        delivery(Update::Behind { upto: mark(61) }, Some(14)),
+        delivery(Update::Behind { last: mark(61) }, Some(14)),
     ];
     check("from-planner.bin", signer, verifier, &messages);
 }
--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -118,7 +118,7 @@
 
 /// How often a planner tells subscribers of events.
 pub fn cadence(plan: &Plan) -> Cadence {
-    batch_every(plan).map_or_else(Cadence::default, Cadence::of_batches)
+    batch_every(plan).map_or_else(Cadence::default, Cadence::with_batch_interval)
 }
 
 pub fn lease_terms(plan: &Plan, window: Span) -> LeaseTerms {
--- a/crates/flaxdeck-dispatcher/src/routing/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/subscription.rs
@@ -92,7 +92,7 @@
 
     /// When, on this clock, all was last known here that the coordinator had.
     pub fn vouched(&self) -> Option<Time> {
-        self.subscriber.borrow().vouched()
+        self.subscriber.borrow().confirmed_at()
     }
 
     /// The planner that tells the events, if one does.
@@ -115,7 +115,7 @@
     fn catch_up_with_numbering(&self, now: Time) {
         let last = self.numbering.borrow().last();
         if self.knows_unsettled.get() && last != self.subscriber.borrow().position() {
-            self.subscriber.borrow_mut().moved(now, last);
+            self.subscriber.borrow_mut().set_position(now, last);
         }
     }
 
@@ -135,7 +135,7 @@
     events: &[FullEvent],
     names: &flaxdeck_terms::Names,
 ) -> Option<Vec<(EventPosition, Event)>> {
-    let read = |event: &FullEvent| Some((event.mark, frames::read(&event.frame, names).ok()??));
+    let read = |event: &FullEvent| Some((event.position, frames::read(&event.frame, names).ok()??));
     events.iter().map(read).collect()
 }
 
@@ -224,13 +224,13 @@
         let applied = subscription
             .subscriber
             .borrow_mut()
-            .delivered(now, planner, delivery);
+            .receive(now, planner, delivery);
         match applied {
             Ok(Applied::Nothing) => {}
             Ok(Applied::Events {
                 purges,
                 events,
-                upto,
+                last: upto,
             }) => {
                 self.apply_batch(&subscription, before, upto, &purges, &events);
             }
@@ -238,11 +238,11 @@
                 list,
                 purges,
                 group_purges,
-                upto,
-                copies_in_doubt,
+                position: upto,
+                may_miss_purges: copies_in_doubt,
             }) => {
                 let list = FullEvent {
-                    mark: upto,
+                    position: upto,
                     frame: list,
                 };
                 self.apply_snapshot(
@@ -285,7 +285,10 @@
             .borrow_mut()
             .accept_batch(now, before, upto, whole_at)
         {
-            return subscription.subscriber.borrow_mut().moved(now, before);
+            return subscription
+                .subscriber
+                .borrow_mut()
+                .set_position(now, before);
         }
         if before == upto {
             return;
@@ -309,7 +312,7 @@
         group_purges: &[FullEvent],
         copies_in_doubt: bool,
     ) {
-        let (now, upto) = (self.clock.now(), list.mark);
+        let (now, upto) = (self.clock.now(), list.position);
         let before = subscription.numbering.borrow().last();
         let whole = frames::read(&list.frame, &self.names)
             .ok()
@@ -351,7 +354,10 @@
     /// Nothing of a delivery is applied that holds what can't be read.
     fn unreadable(&self, subscription: &EventSubscription, now: Time, before: EventPosition) {
         count(Counter::events_unreadable);
-        subscription.subscriber.borrow_mut().moved(now, before);
+        subscription
+            .subscriber
+            .borrow_mut()
+            .set_position(now, before);
         if subscription.should_tell_refusal(now) {
             log::warn!("a planner passed on an event that can't be read");
         }
@@ -368,8 +374,8 @@
 
     /// Objects were purged: those that are asked for right now are told of at once, the others once they are.
     fn purged(&self, subscription: &EventSubscription, now: Time, purges: &[Fingerprint]) {
-        subscription.purges.borrow_mut().told(now, purges);
-        let dropped = subscription.purges.borrow().overflowed(now);
+        subscription.purges.borrow_mut().record(now, purges);
+        let dropped = subscription.purges.borrow().incomplete_before(now);
         if dropped.is_some() && subscription.dropped_told.replace(dropped) != dropped {
             count(Counter::copies_doubted);
             self.doubt_copies(now);
--- a/crates/flaxdeck-planner/src/events.rs
+++ b/crates/flaxdeck-planner/src/events.rs
@@ -6,7 +6,7 @@
 
 use flaxdeck::{Health, HostId, ListKind, Time};
 use flaxdeck_distribution::messages::{Delivery, Subscription};
-use flaxdeck_distribution::publisher::Counters;
+use flaxdeck_distribution::publisher::{Counters, PublisherSize};
 use flaxdeck_distribution::{Cadence, Content, Fingerprint, Publisher, Retention, SubscriberId};
 use flaxdeck_recovery::EventPosition;
 use flaxdeck_terms::Names;
@@ -32,7 +32,7 @@
 
     /// All that is known here ends with that event, and nothing that was told before leads to it.
     pub fn begins_at(&mut self, now: Time, mark: EventPosition) {
-        self.publisher.renumbered(now, mark);
+        self.publisher.restart_numbering(now, mark);
     }
 
     /// Takes in what an event says of hosts.
@@ -65,7 +65,7 @@
             Event::Hosts(..) => Content::HostChange(frame.to_vec()),
         };
         self.list(event);
-        self.publisher.event(now, mark, content);
+        self.publisher.append_event(now, mark, content);
     }
 
     /// The coordinator was heard; `current` if all is known here that it had to tell.
@@ -80,7 +80,7 @@
 
     /// A forwarder's conversation has ended.
     pub fn leave(&mut self, id: SubscriberId) {
-        self.publisher.leave(id);
+        self.publisher.unsubscribe(id);
     }
 
     /// Who is to be told something now.
@@ -111,7 +111,7 @@
     }
 
     /// Subscribers, events kept and their bytes, and what was counters since the start.
-    pub fn load(&self) -> ((usize, usize, usize), Counters) {
+    pub fn load(&self) -> (PublisherSize, Counters) {
         (self.publisher.size(), self.publisher.counters)
     }
 }
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -377,8 +377,14 @@
             ?counters,
             "counted"
         );
-        let ((subscribers, kept, bytes), counters) = self.events.borrow().load();
-        tracing::info!(subscribers, kept, bytes, ?counters, "events");
+        let (size, counters) = self.events.borrow().load();
+        tracing::info!(
+            subscribers = size.subscribers,
+            kept = size.log.events,
+            bytes = size.log.bytes,
+            ?counters,
+            "events"
+        );
         tracing::info!("traffic: {}", metrics::line());
     }
 
