--- a/crates/flaxdeck-control/tests/lease_schedule.rs
+++ b/crates/flaxdeck-control/tests/lease_schedule.rs
@@ -12,7 +12,9 @@
     ) {
         let at = |time: u64| Time::at_ms(time as f64);
         let mut stairs = LeaseSchedule::default();
-        promises.iter().for_each(|(amount, until)| stairs.add(QuotaFraction(*amount), at(*until)));
+        for (amount, until) in promises.iter() {
+            stairs.add(QuotaFraction(*amount), at(*until));
+        }
         for look in looks {
             let plain = promises.iter().filter(|(_, until)| *until > look).map(|(amount, _)| *amount).max();
             prop_assert_eq!(stairs.amount_at(at(look)), QuotaFraction(plain.unwrap_or(0)));
--- a/crates/flaxdeck-control/tests/membership.rs
+++ b/crates/flaxdeck-control/tests/membership.rs
@@ -96,9 +96,9 @@
 fn a_planner_that_has_just_come_back_takes_over_only_once_it_is_steady() {
     let mut planners: Vec<PlannerStatus> =
         (0..2).map(|n| PlannerStatus::new(PlannerId(n))).collect();
-    planners
-        .iter_mut()
-        .for_each(|known| known.admit(at(0), Epoch(1), 1).unwrap());
+    for known in &mut planners {
+        known.admit(at(0), Epoch(1), 1).unwrap();
+    }
     let of_second = (0..)
         .map(incarnation)
         .find(|incarnation| lease_holder(at(1), &planners, incarnation) == Some(PlannerId(1)));
--- a/crates/flaxdeck-control/tests/report_suppression.rs
+++ b/crates/flaxdeck-control/tests/report_suppression.rs
@@ -71,7 +71,9 @@
 
 fn planner() -> Planner {
     let mut planner = Planner::start(at(0), Epoch(1), lease_terms(), QuotaFraction::NONE);
-    (0..HOSTS).for_each(|n| planner.update_host(at(0), &host(n).0, Some(0)));
+    for n in 0..HOSTS {
+        planner.update_host(at(0), &host(n).0, Some(0));
+    }
     planner
 }
 
--- a/crates/flaxdeck-distribution/tests/digest.rs
+++ b/crates/flaxdeck-distribution/tests/digest.rs
@@ -1,6 +1,12 @@
 //! The coding of purge digests: what goes in comes out, what is damaged is refused or stays within its count, and what
 //! a purge costs in bytes.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use flaxdeck_distribution::messages::{MAX_PURGES, PurgeDigest};
 use flaxdeck_distribution::{Fingerprint, InvalidDigest};
 use proptest::prelude::*;
--- a/crates/flaxdeck-distribution/tests/event_log.rs
+++ b/crates/flaxdeck-distribution/tests/event_log.rs
@@ -1,5 +1,11 @@
 //! What a planner keeps: by time, in order, without a gap, and nothing dropped unsaid.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use flaxdeck::{Span, Time};
 use flaxdeck_distribution::event_log::LogSize;
 use flaxdeck_distribution::messages::{MAX_FULL_BYTES, MAX_FULL_EVENTS, MAX_PURGES};
@@ -15,7 +21,7 @@
     Time::at_ms(100_000.0 + ms as f64)
 }
 
-fn mark(number: u64) -> EventPosition {
+fn position(number: u64) -> EventPosition {
     EventPosition {
         number,
         hash: number * 7,
@@ -40,14 +46,14 @@
 #[test]
 fn a_batch_tells_all_that_follows_in_order() {
     let mut log = log();
-    log.append(at(1), mark(11), purge(11));
-    log.append(at(2), mark(12), Content::HostChange(vec![1]));
-    log.append(at(3), mark(13), Content::GroupPurge(vec![2]));
-    log.append(at(4), mark(14), purge(3));
+    log.append(at(1), position(11), purge(11));
+    log.append(at(2), position(12), Content::HostChange(vec![1]));
+    log.append(at(3), position(13), Content::GroupPurge(vec![2]));
+    log.append(at(4), position(14), purge(3));
     let batch = log.batch_after(BASE).unwrap();
     assert_eq!(
         (batch.after, batch.last, batch.purges.count),
-        (BASE, mark(14), 2)
+        (BASE, position(14), 2)
     );
     assert_eq!(
         batch.purges.decode(),
@@ -59,15 +65,24 @@
         .map(|event| (event.position.number, event.frame[0]))
         .collect();
     assert_eq!(events, [(12, 1), (13, 2)]);
-    assert_eq!(log.batch_after(mark(13)).unwrap().purges.count, 1);
-    let heartbeat = log.batch_after(mark(14)).unwrap();
-    assert_eq!((heartbeat.after, heartbeat.last), (mark(14), mark(14)));
+    assert_eq!(log.batch_after(position(13)).unwrap().purges.count, 1);
+    let heartbeat = log.batch_after(position(14)).unwrap();
+    assert_eq!(
+        (heartbeat.after, heartbeat.last),
+        (position(14), position(14))
+    );
     assert_eq!(
-        (log.next_after(mark(11)), log.next_urgent_after(mark(12))),
+        (
+            log.next_after(position(11)),
+            log.next_urgent_after(position(12))
+        ),
         (Some(at(2)), Some(at(3)))
     );
     assert_eq!(
-        (log.next_after(mark(14)), log.next_urgent_after(mark(13))),
+        (
+            log.next_after(position(14)),
+            log.next_urgent_after(position(13))
+        ),
         (None, None)
     );
 }
@@ -75,8 +90,8 @@
 #[test]
 fn a_position_is_known_to_the_hash() {
     let mut log = log();
-    log.append(at(1), mark(11), purge(1));
-    assert_eq!(log.batch_after(mark(12)), Err(NotKept::Ahead));
+    log.append(at(1), position(11), purge(1));
+    assert_eq!(log.batch_after(position(12)), Err(NotKept::Ahead));
     assert_eq!(
         log.batch_after(EventPosition {
             number: 11,
@@ -91,7 +106,7 @@
         }),
         Err(NotKept::Unknown)
     );
-    assert_eq!(log.batch_after(mark(9)), Err(NotKept::Unknown));
+    assert_eq!(log.batch_after(position(9)), Err(NotKept::Unknown));
     assert_eq!(log.batch_after(EventPosition::NONE), Err(NotKept::Unknown));
 }
 
@@ -99,16 +114,19 @@
 fn events_are_kept_for_their_time_at_any_rate() {
     let mut log = log();
     for number in 11..20_000 {
-        log.append(at(number * 3), mark(number), purge(number));
+        log.append(at(number * 3), position(number), purge(number));
     }
     assert_eq!(log.size().events, 10_001, "30 s of 333 a second");
     assert_eq!(log.counters.shortened, 0);
-    assert!(log.batch_after(mark(9_998)).is_ok());
-    assert_eq!(log.batch_after(mark(9_997)), Err(NotKept::Unknown));
+    assert!(log.batch_after(position(9_998)).is_ok());
+    assert_eq!(log.batch_after(position(9_997)), Err(NotKept::Unknown));
     log.prune(at(20_000 * 3 + 40_000));
-    assert_eq!((log.size(), log.last()), (LogSize::default(), mark(19_999)));
+    assert_eq!(
+        (log.size(), log.last()),
+        (LogSize::default(), position(19_999))
+    );
     assert!(
-        log.batch_after(mark(19_999)).is_ok(),
+        log.batch_after(position(19_999)).is_ok(),
         "who has all follows without anything kept"
     );
 }
@@ -117,7 +135,7 @@
 fn the_bound_in_bytes_shortens_the_reach_and_is_counted() {
     let mut log = EventLog::start(at(0), retention(20_000), BASE);
     for number in 11..1_011 {
-        log.append(at(number), mark(number), purge(number));
+        log.append(at(number), position(number), purge(number));
     }
     let LogSize {
         events: entries,
@@ -137,27 +155,27 @@
 #[test]
 fn purges_reach_back_to_the_start_of_the_log_at_most() {
     let mut log = log();
-    log.append(at(500), mark(11), purge(1));
-    log.append(at(600), mark(12), Content::GroupPurge(vec![3]));
+    log.append(at(500), position(11), purge(1));
+    log.append(at(600), position(12), Content::GroupPurge(vec![3]));
     let kept = log.purges_since(at(2_000), MAX_FULL_BYTES);
     assert_eq!(
         (kept.objects.len(), kept.groups.len(), kept.reach),
         (1, 1, Span::from_ms(2_000))
     );
-    log.restart(at(2_500), mark(3));
+    log.restart(at(2_500), position(3));
     let kept = log.purges_since(at(3_000), MAX_FULL_BYTES);
     assert_eq!(
         (kept.objects.len(), kept.groups.len(), kept.reach),
         (0, 0, Span::from_ms(500))
     );
-    assert_eq!(log.batch_after(mark(12)), Err(NotKept::Ahead));
+    assert_eq!(log.batch_after(position(12)), Err(NotKept::Ahead));
 }
 
 #[test]
 fn a_snapshot_holds_the_latest_purges_and_says_how_far_they_reach() {
     let mut log = log();
     for number in 11..11 + 2 * u64::from(MAX_PURGES) {
-        log.append(at(number), mark(number), purge(number));
+        log.append(at(number), position(number), purge(number));
     }
     let last = 10 + 2 * u64::from(MAX_PURGES);
     let kept = log.purges_since(at(last), MAX_FULL_BYTES);
@@ -169,7 +187,11 @@
 fn a_snapshots_purges_of_groups_fit_beside_its_list() {
     let mut log = log();
     for number in 11..21 {
-        log.append(at(number), mark(number), Content::GroupPurge(vec![0; 100]));
+        log.append(
+            at(number),
+            position(number),
+            Content::GroupPurge(vec![0; 100]),
+        );
     }
     let kept = log.purges_since(at(20), 450);
     let numbers: Vec<u64> = kept
@@ -187,12 +209,12 @@
 fn a_long_way_to_catch_up_takes_several_batches_in_order() {
     let mut log = log();
     for number in 11..9_011 {
-        log.append(at(number), mark(number), purge(number));
+        log.append(at(number), position(number), purge(number));
     }
     for number in 9_011..9_611 {
         log.append(
             at(number),
-            mark(number),
+            position(number),
             Content::HostChange(vec![0; 2_000]),
         );
     }
@@ -215,28 +237,28 @@
 #[test]
 fn nobody_is_led_over_a_gap_or_an_event_too_long_to_be_passed_on() {
     let mut log = log();
-    log.append(at(1), mark(11), purge(1));
-    log.append(at(2), mark(14), purge(2));
+    log.append(at(1), position(11), purge(1));
+    log.append(at(2), position(14), purge(2));
     assert_eq!(
-        (log.counters.gaps, log.batch_after(mark(11))),
+        (log.counters.gaps, log.batch_after(position(11))),
         (1, Err(NotKept::Unknown))
     );
     assert_eq!(
         log.purges_since(at(5), MAX_FULL_BYTES).reach,
         Span::from_ms(3)
     );
-    assert_eq!(log.last(), mark(14));
+    assert_eq!(log.last(), position(14));
     log.append(
         at(6),
-        mark(15),
+        position(15),
         Content::HostChange(vec![0; MAX_FULL_BYTES + 1]),
     );
     assert_eq!(
-        (log.counters.oversized, log.batch_after(mark(14))),
+        (log.counters.oversized, log.batch_after(position(14))),
         (1, Err(NotKept::Unknown))
     );
-    assert!(log.batch_after(mark(15)).is_ok());
-    log.append(at(7), mark(15), purge(1));
-    log.append(at(7), mark(3), purge(1));
-    assert_eq!((log.counters.out_of_order, log.last()), (2, mark(15)));
+    assert!(log.batch_after(position(15)).is_ok());
+    log.append(at(7), position(15), purge(1));
+    log.append(at(7), position(3), purge(1));
+    assert_eq!((log.counters.out_of_order, log.last()), (2, position(15)));
 }
--- a/crates/flaxdeck-distribution/tests/figures.rs
+++ b/crates/flaxdeck-distribution/tests/figures.rs
@@ -1,10 +1,16 @@
 //! Figures for `docs/distribution.md`, in virtual time: messages, bytes and delays of one forwarder at 330 purges a second
 //! with a change of hosts a second, by interval of batches, and the worst delay where its planner ends or hangs.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::collections::{BTreeMap, VecDeque};
 
 use flaxdeck::{Span, Time};
-use flaxdeck_distribution::messages::{Batch, Delivery, FullEvent, Update};
+use flaxdeck_distribution::messages::{Batch, Delivery, FullEvent, Subscription, Update};
 use flaxdeck_distribution::{
     Applied, Cadence, Content, Fingerprint, PlannerNumber, Publisher, Retention, Subscriber,
     SubscriberId,
@@ -55,90 +61,170 @@
     }
 }
 
-fn play(cadence: Cadence, id: u64, lasts: u64, first: Planner) -> Measured {
-    let start = || Publisher::start(at(0), cadence, Retention::default(), BASE);
-    let mut publishers = [start(), start()];
-    let mut subscriber = Subscriber::start(at(0), 2, 1, cadence, SETTLES);
-    subscriber.set_position(at(0), BASE);
-    (0..2).for_each(|planner| subscriber.connected(at(0), PlannerNumber(planner)));
-    let (mut to_planners, mut to_forwarder) = (VecDeque::new(), VecDeque::new());
-    let (mut measured, mut told) = (Measured::default(), BTreeMap::new());
-    let (mut last, mut lost) = (BASE, None);
-    for ms in 0..lasts {
-        for publisher in &mut publishers {
-            if ms % 1_000 == 0 {
-                publisher.coordinator_heard(at(ms), true);
-            }
+/// A message on its way, and when it comes.
+struct InTransit<T> {
+    comes: u64,
+    planner: PlannerNumber,
+    message: T,
+}
+
+/// When an event was told, and whether it is a purge (0) or a change (1).
+struct ToldEvent {
+    ms: u64,
+    kind: usize,
+}
+
+/// Two planners and a forwarder at the full rate of events.
+struct Play {
+    first: Planner,
+    /// The planner that ended or hangs.
+    lost: Option<PlannerNumber>,
+    publishers: [Publisher; 2],
+    subscriber: Subscriber,
+    id: SubscriberId,
+    last: EventPosition,
+    told: BTreeMap<u64, ToldEvent>,
+    to_planners: VecDeque<InTransit<Subscription>>,
+    to_forwarder: VecDeque<InTransit<Delivery>>,
+    measured: Measured,
+}
+
+fn pop_arrived<T>(ms: u64, queue: &mut VecDeque<InTransit<T>>) -> Option<InTransit<T>> {
+    queue.pop_front_if(|in_transit| in_transit.comes <= ms)
+}
+
+impl Play {
+    fn new(cadence: Cadence, id: u64, first: Planner) -> Play {
+        let start = || Publisher::start(at(0), cadence, Retention::default(), BASE);
+        let mut subscriber = Subscriber::start(at(0), 2, 1, cadence, SETTLES);
+        subscriber.set_position(at(0), BASE);
+        for planner in 0..2 {
+            subscriber.connected(at(0), PlannerNumber(planner));
         }
-        let mut contents = Vec::new();
-        if ms % PURGE_EVERY == 0 {
-            contents.push((
-                0,
-                Content::ObjectPurge(Fingerprint((ms as u32).wrapping_mul(0x9e37_79b9))),
-            ));
+        Play {
+            first,
+            lost: None,
+            publishers: [start(), start()],
+            subscriber,
+            id: SubscriberId(id),
+            last: BASE,
+            told: BTreeMap::new(),
+            to_planners: VecDeque::new(),
+            to_forwarder: VecDeque::new(),
+            measured: Measured::default(),
         }
-        if ms % CHANGE_EVERY == 0 {
-            contents.push((1, Content::HostChange(vec![7; CHANGE_BYTES])));
+    }
+
+    fn run(mut self, lasts: u64) -> Measured {
+        for ms in 0..lasts {
+            self.tell_events(ms);
+            self.lose_planner(ms);
+            self.ask(ms);
+            self.publish(ms);
+            self.receive(ms);
+            self.measured.needed_coordinator |= self.subscriber.needs_coordinator(at(ms));
         }
-        for (kind, content) in contents {
-            last = EventPosition {
-                number: last.number + 1,
-                hash: last.hash + 3,
-            };
-            told.insert(last.number, (ms, kind));
-            for publisher in &mut publishers {
-                publisher.append_event(at(ms), last, content.clone());
+        self.measured.left = self.told.len();
+        self.measured
+    }
+
+    fn tell_events(&mut self, ms: u64) {
+        if ms.is_multiple_of(1_000) {
+            for publisher in &mut self.publishers {
                 publisher.coordinator_heard(at(ms), true);
             }
         }
-        let gone = match first {
-            Planner::Lives => false,
-            Planner::Ends(when) | Planner::Hangs(when) => ms >= when,
+        if ms.is_multiple_of(PURGE_EVERY) {
+            let fingerprint = Fingerprint((ms as u32).wrapping_mul(0x9e37_79b9));
+            self.tell(ms, 0, &Content::ObjectPurge(fingerprint));
+        }
+        if ms.is_multiple_of(CHANGE_EVERY) {
+            self.tell(ms, 1, &Content::HostChange(vec![7; CHANGE_BYTES]));
+        }
+    }
+
+    fn tell(&mut self, ms: u64, kind: usize, content: &Content) {
+        self.last = EventPosition {
+            number: self.last.number + 1,
+            hash: self.last.hash + 3,
         };
-        if first == Planner::Ends(ms) {
-            lost = subscriber.followed();
-            subscriber.disconnected(at(ms), lost.unwrap());
+        self.told.insert(self.last.number, ToldEvent { ms, kind });
+        for publisher in &mut self.publishers {
+            publisher.append_event(at(ms), self.last, content.clone());
+            publisher.coordinator_heard(at(ms), true);
+        }
+    }
+
+    fn lose_planner(&mut self, ms: u64) {
+        if self.first == Planner::Ends(ms) {
+            self.lost = self.subscriber.followed();
+            self.subscriber
+                .disconnected(at(ms), self.lost.expect("one is followed"));
         }
-        if first == Planner::Hangs(ms) {
-            lost = subscriber.followed();
+        if self.first == Planner::Hangs(ms) {
+            self.lost = self.subscriber.followed();
         }
-        for (to, subscription) in subscriber.actions(at(ms)) {
-            measured.asked += 1;
-            to_planners.push_back((ms + TRANSIT, to, subscription));
+    }
+
+    fn ask(&mut self, ms: u64) {
+        for (planner, message) in self.subscriber.actions(at(ms)) {
+            self.measured.asked += 1;
+            self.to_planners.push_back(InTransit {
+                comes: ms + TRANSIT,
+                planner,
+                message,
+            });
         }
-        while to_planners.front().is_some_and(|(comes, ..)| *comes <= ms) {
-            let (_, to, subscription) = to_planners.pop_front().unwrap();
-            publishers[to.0 as usize].subscribe(at(ms), SubscriberId(id), subscription);
+        while let Some(asked) = pop_arrived(ms, &mut self.to_planners) {
+            let publisher = &mut self.publishers[asked.planner.0 as usize];
+            publisher.subscribe(at(ms), self.id, asked.message);
         }
-        for (number, publisher) in publishers.iter_mut().enumerate() {
-            let number = PlannerNumber(number as u32);
+    }
+
+    fn publish(&mut self, ms: u64) {
+        let is_gone = match self.first {
+            Planner::Lives => false,
+            Planner::Ends(when) | Planner::Hangs(when) => ms >= when,
+        };
+        for (number, publisher) in self.publishers.iter_mut().enumerate() {
+            let planner = PlannerNumber(number as u32);
             for due in publisher.due(at(ms)) {
-                let delivery = publisher
+                let message = publisher
                     .update_for(at(ms), due, &mut |_| Vec::new())
-                    .unwrap();
-                if !(gone && Some(number) == lost) {
-                    to_forwarder.push_back((ms + TRANSIT, number, delivery));
+                    .expect("it has subscribed");
+                if !(is_gone && Some(planner) == self.lost) {
+                    self.to_forwarder.push_back(InTransit {
+                        comes: ms + TRANSIT,
+                        planner,
+                        message,
+                    });
                 }
             }
         }
-        while to_forwarder.front().is_some_and(|(comes, ..)| *comes <= ms) {
-            let (_, from, delivery) = to_forwarder.pop_front().unwrap();
-            measured.messages += 1;
-            measured.bytes += postcard::to_stdvec(&delivery).unwrap().len() as u64;
-            let before = subscriber.position().number;
-            if let Ok(Applied::Events { last: upto, .. }) =
-                subscriber.receive(at(ms), from, delivery)
-            {
-                for number in before + 1..=upto.number {
-                    let (when, kind): (u64, usize) = told.remove(&number).expect("applied once");
-                    measured.delays[kind].push(ms - when);
+    }
+
+    fn receive(&mut self, ms: u64) {
+        while let Some(InTransit {
+            planner, message, ..
+        }) = pop_arrived(ms, &mut self.to_forwarder)
+        {
+            self.measured.messages += 1;
+            let bytes = postcard::to_stdvec(&message).expect("it can be written");
+            self.measured.bytes += bytes.len() as u64;
+            let before = self.subscriber.position().number;
+            let applied = self.subscriber.receive(at(ms), planner, message);
+            if let Ok(Applied::Events { last, .. }) = applied {
+                for number in before + 1..=last.number {
+                    let told = self.told.remove(&number).expect("applied once");
+                    self.measured.delays[told.kind].push(ms - told.ms);
                 }
             }
         }
-        measured.needed_coordinator |= subscriber.needs_coordinator(at(ms));
     }
-    measured.left = told.len();
-    measured
+}
+
+fn play(cadence: Cadence, id: u64, lasts: u64, first: Planner) -> Measured {
+    Play::new(cadence, id, first).run(lasts)
 }
 
 fn cadence(batch_every: u64) -> Cadence {
@@ -159,7 +245,9 @@
         for id in 0..16 {
             let mut one = play(cadence(interval), id, LASTS, Planner::Lives);
             (all.messages, all.bytes) = (all.messages + one.messages, all.bytes + one.bytes);
-            (0..2).for_each(|kind| all.delays[kind].append(&mut one.delays[kind]));
+            for kind in 0..2 {
+                all.delays[kind].append(&mut one.delays[kind]);
+            }
             assert!(!one.needed_coordinator && one.asked == 1);
         }
         let [messages, bytes] =
--- a/crates/flaxdeck-distribution/tests/publisher.rs
+++ b/crates/flaxdeck-distribution/tests/publisher.rs
@@ -1,5 +1,11 @@
 //! The planner's side: when subscribers are told what.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::collections::BTreeMap;
 
 use flaxdeck::Time;
@@ -16,7 +22,7 @@
     Time::at_ms(100_000.0 + ms as f64)
 }
 
-fn mark(number: u64) -> EventPosition {
+fn position(number: u64) -> EventPosition {
     EventPosition {
         number,
         hash: number * 7,
@@ -49,7 +55,7 @@
             publisher.coordinator_heard(at(ms), true);
         }
         for (_, number, content) in events.iter().filter(|(when, ..)| *when == ms) {
-            publisher.append_event(at(ms), mark(*number), content.clone());
+            publisher.append_event(at(ms), position(*number), content.clone());
         }
         for id in publisher.due(at(ms)) {
             sent.extend(
@@ -133,13 +139,16 @@
 #[test]
 fn subscribers_are_spread_over_the_interval_and_share_what_is_encoded() {
     let mut publisher = publisher();
-    (0..1_600)
-        .for_each(|id| publisher.subscribe(at(0), SubscriberId(id), Subscription::After(BASE)));
+    for id in 0..1_600 {
+        publisher.subscribe(at(0), SubscriberId(id), Subscription::After(BASE));
+    }
     let events: Vec<(u64, u64, Content)> = (1..=1_650).map(|n| (n * 3, 10 + n, purge(n))).collect();
     let sent = play(&mut publisher, 0..5_000, &events);
     let mut each_tenth: BTreeMap<u64, usize> = BTreeMap::new();
     let settled = sent.iter().filter(|(ms, ..)| (1_000..5_000).contains(ms));
-    settled.for_each(|(ms, ..)| *each_tenth.entry(ms / 125).or_default() += 1);
+    for (ms, ..) in settled {
+        *each_tenth.entry(ms / 125).or_default() += 1;
+    }
     println!(
         "messages each 125 ms: {:?}",
         each_tenth.values().collect::<Vec<_>>()
@@ -159,7 +168,7 @@
     let (mut slow_batches, mut quick_batches, mut named) = (Vec::new(), 0, 0);
     for ms in 0..6_000 {
         publisher.coordinator_heard(at(ms), true);
-        publisher.append_event(at(ms), mark(11 + ms), purge(ms));
+        publisher.append_event(at(ms), position(11 + ms), purge(ms));
         for id in publisher.due(at(ms)) {
             if id == slow && !(5_000..5_600).contains(&ms) {
                 named += 1;
@@ -191,7 +200,9 @@
 #[test]
 fn a_batch_that_is_not_all_vouches_for_nothing() {
     let mut publisher = publisher();
-    (11..6_011).for_each(|number| publisher.append_event(at(1), mark(number), purge(number)));
+    for number in 11..6_011 {
+        publisher.append_event(at(1), position(number), purge(number));
+    }
     publisher.subscribe(at(2), SubscriberId(1), Subscription::After(BASE));
     let sent = play(&mut publisher, 2..100, &[]);
     let told: Vec<(u32, bool)> = sent
@@ -209,7 +220,7 @@
 #[test]
 fn a_planner_gives_a_snapshot_only_while_it_knows_all_that_the_coordinator_has() {
     let mut publisher = Publisher::start(at(0), Cadence::default(), Retention::default(), BASE);
-    publisher.append_event(at(100), mark(11), purge(1));
+    publisher.append_event(at(100), position(11), purge(1));
     let id = SubscriberId(1);
     publisher.subscribe(at(200), id, Subscription::FromSnapshot);
     let told = |publisher: &mut Publisher, ms: u64| {
@@ -217,7 +228,7 @@
         due.first()
             .map(|id| publisher.update_for(at(ms), *id, &mut list).unwrap())
     };
-    let behind = Update::Behind { last: mark(11) };
+    let behind = Update::Behind { last: position(11) };
     assert_eq!(told(&mut publisher, 200).unwrap().update, behind);
     publisher.coordinator_heard(at(300), false);
     assert_eq!(told(&mut publisher, 1_200).unwrap().update, behind);
@@ -232,32 +243,32 @@
             &snapshot.list[..],
             snapshot.purges_reach_ms
         ),
-        (mark(11), &[11][..], 1_400)
+        (position(11), &[11][..], 1_400)
     );
     assert_eq!(
         (snapshot.purges.count, delivery.coordinator_ago_ms),
         (1, Some(0))
     );
     // From there it goes on by batches.
-    publisher.append_event(at(1_500), mark(12), purge(2));
+    publisher.append_event(at(1_500), position(12), purge(2));
     publisher.coordinator_heard(at(1_500), true);
     let next = (1_501..2_500)
         .find_map(|ms| told(&mut publisher, ms))
         .unwrap();
-    assert_eq!(batch(&next).after, mark(11));
+    assert_eq!(batch(&next).after, position(11));
     // The coordinator is silent: no more snapshots.
     publisher.subscribe(at(4_000), id, Subscription::FromSnapshot);
     let delivery = told(&mut publisher, 4_000).unwrap();
     assert_eq!(
         (delivery.update, delivery.coordinator_ago_ms),
-        (Update::Behind { last: mark(12) }, None)
+        (Update::Behind { last: position(12) }, None)
     );
 }
 
 #[test]
 fn a_position_that_is_not_known_is_answered_by_what_can_be_given() {
     let mut publisher = publisher();
-    publisher.append_event(at(1), mark(11), purge(1));
+    publisher.append_event(at(1), position(11), purge(1));
     let mut told = |position: EventPosition| {
         publisher.subscribe(at(2), SubscriberId(1), Subscription::After(position));
         let due = publisher.due(at(2));
@@ -266,8 +277,8 @@
             .unwrap()
             .update
     };
-    assert_eq!(told(mark(15)), Update::Behind { last: mark(11) });
-    assert!(matches!(told(mark(3)), Update::Snapshot(_)));
+    assert_eq!(told(position(15)), Update::Behind { last: position(11) });
+    assert!(matches!(told(position(3)), Update::Snapshot(_)));
     assert!(matches!(
         told(EventPosition {
             number: 11,
@@ -280,7 +291,7 @@
 #[test]
 fn a_position_of_a_numbering_that_is_no_more_is_answered_by_the_state() {
     let mut publisher = publisher();
-    publisher.append_event(at(1), mark(11), purge(1));
+    publisher.append_event(at(1), position(11), purge(1));
     let base = EventPosition { number: 2, hash: 9 };
     publisher.restart_numbering(at(3), base);
     let mut told = |now: Time, position: EventPosition| {
@@ -290,10 +301,10 @@
         publisher.update_for(now, due[0], &mut list).unwrap().update
     };
     assert!(
-        matches!(told(at(3), mark(11)), Update::Snapshot(snapshot) if snapshot.position == base)
+        matches!(told(at(3), position(11)), Update::Snapshot(snapshot) if snapshot.position == base)
     );
     assert_eq!(
-        told(at(4), mark(12)),
+        told(at(4), position(12)),
         Update::Behind { last: base },
         "never known here"
     );
@@ -307,7 +318,7 @@
         "not of that numbering either"
     );
     assert_eq!(
-        told(at(70_000), mark(11)),
+        told(at(70_000), position(11)),
         Update::Behind { last: base },
         "long forgotten"
     );
@@ -329,8 +340,9 @@
 fn nobody_is_served_after_leaving() {
     let mut publisher = publisher();
     let ids = [SubscriberId(1), SubscriberId(2)];
-    ids.iter()
-        .for_each(|id| publisher.subscribe(at(0), *id, Subscription::After(BASE)));
+    for id in ids.iter() {
+        publisher.subscribe(at(0), *id, Subscription::After(BASE));
+    }
     publisher.unsubscribe(ids[0]);
     publisher.subscribe(at(1), ids[1], Subscription::None);
     assert_eq!(
@@ -344,8 +356,9 @@
 #[test]
 fn the_cost_of_serving_is_printed() {
     let mut publisher = publisher();
-    (0..1_000)
-        .for_each(|id| publisher.subscribe(at(0), SubscriberId(id), Subscription::After(BASE)));
+    for id in 0..1_000 {
+        publisher.subscribe(at(0), SubscriberId(id), Subscription::After(BASE));
+    }
     let events: Vec<(u64, u64, Content)> = (1..=3_300).map(|n| (n * 3, 10 + n, purge(n))).collect();
     let started = std::time::Instant::now();
     let sent = play(&mut publisher, 0..10_000, &events);
--- a/crates/flaxdeck-recovery/tests/restored_state.rs
+++ b/crates/flaxdeck-recovery/tests/restored_state.rs
@@ -350,9 +350,9 @@
 fn a_purge_made_by_a_clock_that_is_ahead_has_no_other_forgotten() {
     let hour = 3_600_000;
     let mut state = StoredState::default();
-    [purged(1, 1_000_000), purged(2, 1_000_000 + hour)]
-        .into_iter()
-        .for_each(|purge| state.apply(purge));
+    for purge in [purged(1, 1_000_000), purged(2, 1_000_000 + hour)] {
+        state.apply(purge);
+    }
     state.forget_settled(Time::at_ms(1_002_000.0), SETTLES);
     assert_eq!(
         state.purges.len(),
@@ -363,9 +363,9 @@
     assert_eq!((state.purges.len(), copies_from(&state, 1)), (1, 0));
     // This machine's own clock may be ahead as well: then the latest purge counts.
     let mut state = StoredState::default();
-    [purged(1, 1_000_000), purged(2, 1_002_000)]
-        .into_iter()
-        .for_each(|purge| state.apply(purge));
+    for purge in [purged(1, 1_000_000), purged(2, 1_002_000)] {
+        state.apply(purge);
+    }
     state.forget_settled(Time::at_ms(9e9), SETTLES);
     assert_eq!(state.purges.len(), 2);
 }
