--- a/crates/flaxdeck-store/src/disk.rs
+++ b/crates/flaxdeck-store/src/disk.rs
@@ -6,27 +6,67 @@
 
 /// Files of one folder, by name.
 pub trait Disk {
-    /// All bytes of a file, up to a bound; none if there is no such file.
-    fn read(&mut self, name: &str, most: usize) -> io::Result<Option<Vec<u8>>>;
+    /// All bytes of a file; none if there is no such file.
+    ///
+    /// # Errors
+    ///
+    /// That of the system, or `FileTooLarge` if it has more than `max_bytes`.
+    fn read(&mut self, name: &str, max_bytes: usize) -> io::Result<Option<Vec<u8>>>;
+
     /// Makes a file anew with these bytes.
+    ///
+    /// # Errors
+    ///
+    /// That of the system.
     fn create(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
+
+    /// Adds bytes to the end of a file.
+    ///
+    /// # Errors
+    ///
+    /// That of the system.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// What was written to a file is on the disk once this has come back well.
+
+    /// What was written to a file is on the disk once this has returned.
+    ///
+    /// # Errors
+    ///
+    /// That of the system; what was written may be lost then.
     fn sync(&mut self, name: &str) -> io::Result<()>;
+
+    /// Gives a file another name, in place of any file of that name.
+    ///
+    /// # Errors
+    ///
+    /// That of the system.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// The same for renames in the folder.
+
+    /// Renames in the folder are on the disk once this has returned.
+    ///
+    /// # Errors
+    ///
+    /// That of the system; the renames may be lost then.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
+struct OpenFile {
+    name: String,
+    file: File,
+}
+
 /// A folder of the file system.
 pub struct Folder {
     path: PathBuf,
     /// The file that is appended to, kept open.
-    open: Option<(String, File)>,
+    open: Option<OpenFile>,
 }
 
 impl Folder {
-    /// Makes the folder if it is not there.
+    /// Opens a folder; makes it if it is not there.
+    ///
+    /// # Errors
+    ///
+    /// That of the system.
     pub fn open(path: &Path) -> io::Result<Folder> {
         std::fs::create_dir_all(path)?;
         Ok(Folder {
@@ -36,26 +76,26 @@
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
-        if self.open.as_ref().is_none_or(|(open, _)| open != name) {
-            let file = OpenOptions::new().append(true).open(self.path.join(name))?;
-            self.open = Some((name.to_owned(), file));
-        }
-        self.open
-            .as_mut()
-            .map(|(_, file)| file)
-            .ok_or_else(|| ErrorKind::NotFound.into())
+        let open = match self.open.take().filter(|open| open.name == name) {
+            Some(open) => open,
+            None => OpenFile {
+                name: name.to_owned(),
+                file: OpenOptions::new().append(true).open(self.path.join(name))?,
+            },
+        };
+        Ok(&mut self.open.insert(open).file)
     }
 }
 
 impl Disk for Folder {
-    fn read(&mut self, name: &str, most: usize) -> io::Result<Option<Vec<u8>>> {
+    fn read(&mut self, name: &str, max_bytes: usize) -> io::Result<Option<Vec<u8>>> {
         let file = match File::open(self.path.join(name)) {
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
             opened => opened?,
         };
         let mut bytes = Vec::new();
-        file.take(most as u64 + 1).read_to_end(&mut bytes)?;
-        if bytes.len() > most {
+        file.take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
+        if bytes.len() > max_bytes {
             return Err(io::Error::new(
                 ErrorKind::FileTooLarge,
                 "larger than a store's file can be",
@@ -72,7 +112,10 @@
             .open(self.path.join(name))?;
         file.set_len(0)?;
         file.write_all(bytes)?;
-        self.open = Some((name.to_owned(), file));
+        self.open = Some(OpenFile {
+            name: name.to_owned(),
+            file,
+        });
         Ok(())
     }
 
@@ -86,8 +129,8 @@
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         std::fs::rename(self.path.join(from), self.path.join(to))?;
-        if let Some((open, _)) = self.open.as_mut().filter(|(open, _)| open == from) {
-            *open = to.to_owned();
+        if let Some(open) = self.open.as_mut().filter(|open| open.name == from) {
+            open.name = to.to_owned();
         }
         Ok(())
     }
--- a/crates/flaxdeck-store/src/faulty.rs
+++ b/crates/flaxdeck-store/src/faulty.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that crashes and fails as told: what was not synced may be lost, in part or whole, and a rename
+//! A disk in memory that crashes and fails as told: what was not synced may be lost, in part or all, and a rename
 //! that the folder was not synced after may not have been.
 
 use std::collections::BTreeMap;
@@ -10,42 +10,66 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskFault {
     /// This operation and all later ones that write fail.
-    Full { from: usize },
+    Full {
+        /// The first operation that fails.
+        from: usize,
+    },
     /// This sync fails once; later ones claim to have worked, as some systems do.
-    SyncFails { at: usize },
+    SyncFails {
+        /// The operation.
+        at: usize,
+    },
     /// The power goes before this operation.
-    Crash { before: usize },
+    Crash {
+        /// The first operation that does not happen.
+        before: usize,
+    },
     /// Half of what this operation writes is written, then the power goes.
-    Torn { at: usize },
+    Torn {
+        /// The operation.
+        at: usize,
+    },
 }
 
+/// A file's bytes.
 #[derive(Clone, Default)]
-struct Held {
-    /// As a running program sees it, and how much of it is surely on the disk.
+struct FileState {
+    /// As a running program sees them.
     bytes: Vec<u8>,
+    /// As they are surely on the disk.
     synced: Vec<u8>,
 }
 
-/// The disk.
+/// A disk in memory.
 #[derive(Clone, Default)]
-pub struct Faulty {
-    files: BTreeMap<String, Held>,
+pub struct FaultyDisk {
+    files: BTreeMap<String, FileState>,
     /// Files by their names as they are surely on the disk.
-    named: BTreeMap<String, Held>,
+    named: BTreeMap<String, FileState>,
+    /// Operations that write, so far.
     pub operations: usize,
+    /// What goes wrong.
     pub fault: Option<DiskFault>,
     crashed: bool,
 }
 
-impl Faulty {
-    /// An empty disk with something in store.
-    pub fn with(fault: DiskFault) -> Faulty {
-        Faulty {
+impl FaultyDisk {
+    /// An empty disk with that fault.
+    pub fn with_fault(fault: DiskFault) -> FaultyDisk {
+        FaultyDisk {
             fault: Some(fault),
-            ..Faulty::default()
+            ..FaultyDisk::default()
         }
     }
 
+    fn check_power(&self) -> io::Result<()> {
+        if self.crashed {
+            return Err(Error::other("the power is gone"));
+        }
+        Ok(())
+    }
+
+    /// Counts an operation that writes; gives its number unless it fails.
     fn step(&mut self) -> io::Result<usize> {
         let at = self.operations;
         self.operations += 1;
@@ -71,46 +95,46 @@
 
     /// What is found after the power has come back. `kept` draws how much of each file that was not synced is there
     /// all the same, and whether a rename is: 0 for nothing, 1 for all.
-    pub fn after_crash(&self, mut kept: impl FnMut() -> f64) -> Faulty {
+    pub fn after_crash(&self, mut kept: impl FnMut() -> f64) -> FaultyDisk {
         let names = if kept() < 0.5 {
             &self.named
         } else {
             &self.files
         };
-        let file = |held: &Held, part: f64| {
+        let surviving = |file: &FileState, part: f64| {
             // What was appended since the sync is there up to some point.
-            let sure = if held.bytes.starts_with(&held.synced) {
-                held.synced.len()
+            let sure = if file.bytes.starts_with(&file.synced) {
+                file.synced.len()
             } else {
                 0
             };
-            let end = sure + ((held.bytes.len() - sure) as f64 * part) as usize;
-            let bytes = held.bytes[..end].to_vec();
-            Held {
+            let end = sure + ((file.bytes.len() - sure) as f64 * part) as usize;
+            let bytes = file.bytes[..end].to_vec();
+            FileState {
                 synced: bytes.clone(),
                 bytes,
             }
         };
-        let files: BTreeMap<String, Held> = names
+        let files: BTreeMap<String, FileState> = names
             .iter()
-            .map(|(name, held)| (name.clone(), file(held, kept())))
+            .map(|(name, file)| (name.clone(), surviving(file, kept())))
             .collect();
-        Faulty {
+        FaultyDisk {
             named: files.clone(),
             files,
-            ..Faulty::default()
+            ..FaultyDisk::default()
         }
     }
 
     /// The bytes of a file, for tests to spoil.
     pub fn bytes_of(&mut self, name: &str) -> Option<&mut Vec<u8>> {
-        self.files.get_mut(name).map(|held| &mut held.bytes)
+        self.files.get_mut(name).map(|file| &mut file.bytes)
     }
 }
 
-impl Disk for Faulty {
-    fn read(&mut self, name: &str, _most: usize) -> io::Result<Option<Vec<u8>>> {
-        Ok(self.files.get(name).map(|held| held.bytes.clone()))
+impl Disk for FaultyDisk {
+    fn read(&mut self, name: &str, _max_bytes: usize) -> io::Result<Option<Vec<u8>>> {
+        Ok(self.files.get(name).map(|file| file.bytes.clone()))
     }
 
     fn create(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
@@ -118,16 +142,12 @@
         let bytes = self.part(at, bytes).to_vec();
         self.files.insert(
             name.to_owned(),
-            Held {
+            FileState {
                 bytes,
                 synced: Vec::new(),
             },
         );
-        if self.crashed {
-            Err(Error::other("the power is gone"))
-        } else {
-            Ok(())
-        }
+        self.check_power()
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
@@ -138,33 +158,29 @@
             .ok_or(ErrorKind::NotFound)?
             .bytes
             .extend(bytes);
-        if self.crashed {
-            Err(Error::other("the power is gone"))
-        } else {
-            Ok(())
-        }
+        self.check_power()
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let at = self.step()?;
         if self.fault == Some(DiskFault::SyncFails { at }) {
             // What could not be written is thrown away, and nobody will hear of it again.
-            let held = self.files.get_mut(name).ok_or(ErrorKind::NotFound)?;
-            held.bytes = held.synced.clone();
+            let file = self.files.get_mut(name).ok_or(ErrorKind::NotFound)?;
+            file.bytes = file.synced.clone();
             return Err(Error::other("input/output error"));
         }
-        let held = self.files.get_mut(name).ok_or(ErrorKind::NotFound)?;
-        held.synced = held.bytes.clone();
+        let file = self.files.get_mut(name).ok_or(ErrorKind::NotFound)?;
+        file.synced = file.bytes.clone();
         if let Some(named) = self.named.get_mut(name) {
-            *named = held.clone();
+            *named = file.clone();
         }
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         self.step()?;
-        let held = self.files.remove(from).ok_or(ErrorKind::NotFound)?;
-        self.files.insert(to.to_owned(), held);
+        let file = self.files.remove(from).ok_or(ErrorKind::NotFound)?;
+        self.files.insert(to.to_owned(), file);
         Ok(())
     }
 
--- a/crates/flaxdeck-store/tests/crashes.rs
+++ b/crates/flaxdeck-store/tests/crashes.rs
@@ -1,19 +1,25 @@
 //! What a store gives back after crashes at every operation, cuts at every byte, flipped bits and failing disks: some
 //! state that it was told, no older than what it said was kept, and never anything else.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-use flaxdeck_store::faulty::{DiskFault, Faulty};
-use flaxdeck_store::{Folder, Store, look};
+use flaxdeck_store::faulty::{DiskFault, FaultyDisk};
+use flaxdeck_store::{Folder, Store, inspect};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 /// The states told one after another are counts: a snapshot holds one, each record the next.
-fn state(disk: &mut Faulty) -> Option<u64> {
-    let found = look(disk);
+fn state(disk: &mut FaultyDisk) -> Option<u64> {
+    let found = inspect(disk);
     let number = |bytes: &Vec<u8>| u64::from_be_bytes(bytes[..8].try_into().unwrap());
     let mut last = number(found.snapshot.as_ref()?);
     for record in &found.records {
@@ -32,7 +38,7 @@
 }
 
 /// Tells states from 1 up, a snapshot at each fifth; gives the last one that was said to be kept.
-fn run(store: &mut Store<Faulty>, from: u64, count: u64) -> u64 {
+fn run(store: &mut Store<FaultyDisk>, from: u64, count: u64) -> u64 {
     let mut kept = from;
     for n in from + 1..=from + count {
         let told = if n % 5 == 0 {
@@ -56,7 +62,7 @@
         before in 4usize..90, torn in any::<bool>(), seed in any::<u64>()
     ) {
         let fault = if torn { DiskFault::Torn { at: before } } else { DiskFault::Crash { before } };
-        let disk = Faulty::with(fault);
+        let disk = FaultyDisk::with_fault(fault);
         let Ok(mut store) = Store::begin(disk, "f1", &body(0)) else { return Ok(()) };
         let kept = run(&mut store, 0, 40);
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
@@ -74,16 +80,16 @@
     fn a_cut_or_a_flipped_bit_is_told_with_its_place_and_nothing_is_made_up(
         flip in any::<bool>(), at in 0.0f64..1.0, bit in 0u8..8, log in any::<bool>()
     ) {
-        let mut store = Store::begin(Faulty::default(), "f1", &body(0)).unwrap();
+        let mut store = Store::begin(FaultyDisk::default(), "f1", &body(0)).unwrap();
         run(&mut store, 0, 9);
         let mut disk = store.into_disk();
         let bytes = disk.bytes_of(if log { "log" } else { "snapshot" }).unwrap();
         let place = (bytes.len() as f64 * at) as usize;
         if flip { bytes[place] ^= 1 << bit } else { bytes.truncate(place) }
-        let found = look(&mut disk);
+        let found = inspect(&mut disk);
         if log {
             prop_assert!((5..=9).contains(&state(&mut disk).unwrap()));
-            let told = found.damage.map_or(place, |damage| damage.at);
+            let told = found.damage.map_or(place, |damage| damage.offset);
             prop_assert!(told <= place, "told at {told}, is at {place}");
         } else {
             prop_assert_eq!(found.snapshot, None);
@@ -94,7 +100,7 @@
 
 #[test]
 fn a_log_cut_at_every_byte_is_read_up_to_there() {
-    let mut store = Store::begin(Faulty::default(), "f1", &body(0)).unwrap();
+    let mut store = Store::begin(FaultyDisk::default(), "f1", &body(0)).unwrap();
     run(&mut store, 0, 4);
     let disk = store.into_disk();
     let whole = disk.clone().bytes_of("log").unwrap().clone();
@@ -112,13 +118,13 @@
 #[test]
 fn a_sync_that_failed_is_never_taken_back_by_a_later_one() {
     for at in 0..60 {
-        let disk = Faulty::with(DiskFault::SyncFails { at });
+        let disk = FaultyDisk::with_fault(DiskFault::SyncFails { at });
         let Ok(mut store) = Store::begin(disk, "f1", &body(0)) else {
             continue;
         };
         let kept = run(&mut store, 0, 12);
         if kept < 12 {
-            assert!(store.broken().is_some());
+            assert!(store.failure().is_some());
             assert!(
                 store.record(&body(kept + 1)).is_err(),
                 "nothing is kept from then on"
@@ -132,25 +138,27 @@
 #[test]
 fn a_full_disk_leaves_what_was_there() {
     for from in 0..60 {
-        let disk = Faulty::with(DiskFault::Full { from });
+        let disk = FaultyDisk::with_fault(DiskFault::Full { from });
         let Ok(mut store) = Store::begin(disk, "f1", &body(0)) else {
             continue;
         };
         let kept = run(&mut store, 0, 12);
-        let why = store.broken().cloned();
-        assert!(kept == 12 || why.is_some_and(|why| why.0.starts_with("it can't be written: ")));
+        let failure = store.failure().map(ToString::to_string);
+        assert!(
+            kept == 12 || failure.is_some_and(|text| text.starts_with("it can't be written: "))
+        );
         assert!(state(&mut store.into_disk()).unwrap() >= kept);
     }
 }
 
 #[test]
 fn another_instances_store_is_refused_by_name_and_left_alone() {
-    let mut store = Store::begin(Faulty::default(), "f1", &body(0)).unwrap();
+    let mut store = Store::begin(FaultyDisk::default(), "f1", &body(0)).unwrap();
     run(&mut store, 0, 3);
     let disk = store.into_disk();
     let refused = Store::begin(disk.clone(), "f2", &body(0)).err().unwrap();
     assert!(
-        refused.0.contains("the store of f1, not of f2"),
+        refused.to_string().contains("the store of f1, not of f2"),
         "{refused:?}"
     );
     assert_eq!(state(&mut disk.clone()), Some(3));
@@ -158,7 +166,7 @@
 
 #[test]
 fn one_put_back_from_earlier_is_an_earlier_state_and_nothing_else() {
-    let mut store = Store::begin(Faulty::default(), "f1", &body(0)).unwrap();
+    let mut store = Store::begin(FaultyDisk::default(), "f1", &body(0)).unwrap();
     run(&mut store, 0, 3);
     let yesterday = store.into_disk();
     let mut store = Store::begin(yesterday.clone(), "f1", &body(3)).unwrap();
@@ -166,9 +174,9 @@
     let mut mixed = store.into_disk();
     // The log of today behind the snapshot of yesterday, as a careless copy would leave it.
     *mixed.bytes_of("snapshot").unwrap() = yesterday.clone().bytes_of("snapshot").unwrap().clone();
-    let found = look(&mut mixed);
+    let found = inspect(&mut mixed);
     assert_eq!(found.records.len(), 0);
-    assert_eq!(found.damage.unwrap().why, "it follows another snapshot");
+    assert_eq!(found.damage.unwrap().reason, "it follows another snapshot");
 }
 
 /// The far end of the test below: writes states without end, and says each that is kept.
@@ -216,7 +224,7 @@
             .lines()
             .filter_map(|line| line.rsplit_once("kept ")?.1.parse::<u64>().ok())
             .max();
-        let found = look(&mut Folder::open(&folder).unwrap());
+        let found = inspect(&mut Folder::open(&folder).unwrap());
         let number = |bytes: &Vec<u8>| u64::from_be_bytes(bytes[..8].try_into().unwrap());
         let last = found.records.last().or(found.snapshot.as_ref()).map(number);
         assert!(
