--- a/crates/flaxdeck-cli/src/state.rs
+++ b/crates/flaxdeck-cli/src/state.rs
@@ -7,7 +7,7 @@
 use flaxdeck_recovery::EventPosition;
 use flaxdeck_recovery::restored_state::{self, CurrentFacts};
 use flaxdeck_recovery::stored_state::{StoredState, Uptime};
-use flaxdeck_store::{Folder, look};
+use flaxdeck_store::{Folder, inspect};
 
 use crate::{Stop, faulty};
 
@@ -17,7 +17,7 @@
     }
     let mut disk =
         Folder::open(Path::new(folder)).map_err(|error| faulty(format!("{folder}: {error}")))?;
-    let found = look(&mut disk);
+    let found = inspect(&mut disk);
     let damage = found.damage.as_ref().map(ToString::to_string);
     let kept = found
         .snapshot
@@ -44,13 +44,13 @@
             .collect();
         println!(
             "{}",
-            serde_json::json!({"instance": found.name, "generation": found.generation, "event": event,
+            serde_json::json!({"instance": found.instance, "generation": found.generation, "event": event,
                 "hosts": hosts, "records": found.records.len(), "damage": damage, "judged": rows})
         );
     } else if read.is_some() {
         println!(
             "state of {}, generation {}, {} records after the snapshot",
-            found.name,
+            found.instance,
             found.generation,
             found.records.len()
         );
--- a/crates/flaxdeck-dispatcher/src/routing/keep.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/keep.rs
@@ -21,7 +21,7 @@
 use flaxdeck_recovery::stored_state::{
     self, StateChange, StoredEndpoint, StoredPurge, StoredRating, StoredState, Uptime,
 };
-use flaxdeck_store::{Folder, Store, look};
+use flaxdeck_store::{Folder, Store, inspect};
 use flaxdeck_wire::frames::AddressedEndpoint;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
@@ -149,7 +149,7 @@
             return recalled;
         }
     };
-    let found = look(&mut folder);
+    let found = inspect(&mut folder);
     if let Some(damage) = &found.damage {
         count(Counter::state_damaged);
         log::warn!("the state is read up to its damage, {damage}");
@@ -158,12 +158,12 @@
         log::info!("no state is kept in {}", keeps.folder.display());
         return recalled;
     };
-    if found.name != keeps.name {
+    if found.instance != keeps.name {
         count(Counter::state_damaged);
         log::error!(
             "the state in {} is of {}, not of {}: none is used",
             keeps.folder.display(),
-            found.name,
+            found.instance,
             keeps.name
         );
         return recalled;
@@ -403,10 +403,10 @@
     work: Receiver<Job>,
     tells: &UnboundedSender<Wrote>,
 ) {
-    let disk = Folder::open(folder).map_err(|error| flaxdeck_store::StoreError(error.to_string()));
+    let disk = Folder::open(folder).map_err(flaxdeck_store::StoreError::folder);
     let mut store = match disk.and_then(|disk| Store::begin(disk, name, first)) {
         Ok(store) => store,
-        Err(broken) => return drop(tells.send(Wrote::Failed(broken.0))),
+        Err(broken) => return drop(tells.send(Wrote::Failed(broken.to_string()))),
     };
     let _ = tells.send(Wrote::Begun(store.generation()));
     for job in work {
@@ -423,7 +423,7 @@
             }
         };
         if let Err(broken) = told {
-            let _ = tells.send(Wrote::Failed(broken.0));
+            let _ = tells.send(Wrote::Failed(broken.to_string()));
             return;
         }
     }
--- a/crates/flaxdeck-dispatcher/tests/recorded_state.rs
+++ b/crates/flaxdeck-dispatcher/tests/recorded_state.rs
@@ -8,7 +8,7 @@
     StateChange, StoredEndpoint, StoredMeasurements, StoredPurge, StoredRating, StoredState,
     Uptime, encode,
 };
-use flaxdeck_store::{Folder, Store, look};
+use flaxdeck_store::{Folder, Store, inspect};
 
 const INSTANCE: &str = "forwarder-at-127.0.0.1:7400";
 
@@ -94,9 +94,9 @@
     state
 }
 
-fn read(folder: &str) -> (flaxdeck_store::Found, StoredState) {
+fn read(folder: &str) -> (flaxdeck_store::StoreContents, StoredState) {
     let mut disk = Folder::open(&recorded(folder)).expect("a recorded folder");
-    let found = look(&mut disk);
+    let found = inspect(&mut disk);
     let body = found.snapshot.as_ref().expect("a snapshot");
     let kept = StoredState::read(body, &found.records).expect("records of this version");
     (found, kept)
@@ -106,7 +106,7 @@
 fn a_recorded_state_folder_is_read_whole() {
     let (found, kept) = read("state");
     assert_eq!(found.damage, None);
-    assert_eq!((found.generation, &found.name[..]), (1, INSTANCE));
+    assert_eq!((found.generation, &found.instance[..]), (1, INSTANCE));
     assert_eq!(found.records.len(), 4);
     assert_eq!(kept, state_after(4));
     assert_eq!(kept.last_event, mark(43));
@@ -117,7 +117,10 @@
 fn a_log_that_ends_in_the_middle_of_a_record_is_read_up_to_it() {
     let (found, kept) = read("state-cut");
     let damage = found.damage.expect("the log is cut");
-    assert_eq!((damage.file, damage.why), ("log", "a record ends too soon"));
+    assert_eq!(
+        (damage.file, damage.reason),
+        ("log", "a record ends too soon")
+    );
     assert_eq!(found.records.len(), 3);
     assert_eq!(kept, state_after(3));
 }
