--- a/crates/flaxdeck-plan/src/form.rs
+++ b/crates/flaxdeck-plan/src/form.rs
@@ -1,43 +1,32 @@
 //! Forms of the file with their places: `(word argument ...)`. Every fault names the place, what is wrong, why, and
 //! how to mend it; reading goes on after one, so that a file's faults come together.
 
-use std::fmt;
-
 use lexpr::Value;
 use lexpr::datum::Ref;
 
 /// Where in the file, counted from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
+    /// The line.
     pub line: usize,
+    /// The column.
     pub column: usize,
 }
 
 /// One thing that is wrong with a file.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
+#[error("{file}:{}:{}: {problem}, {reason}, {remedy}", .place.line, .place.column)]
 pub struct Fault {
+    /// The file's name.
     pub file: String,
+    /// Where it stands.
     pub place: Place,
-    pub what: String,
-    pub why: String,
-    pub mend: String,
-}
-
-impl fmt::Display for Fault {
-    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        let Fault {
-            file,
-            place,
-            what,
-            why,
-            mend,
-        } = self;
-        write!(
-            out,
-            "{file}:{}:{}: {what}, {why}, {mend}",
-            place.line, place.column
-        )
-    }
+    /// What is wrong.
+    pub problem: String,
+    /// Why that is wrong.
+    pub reason: String,
+    /// How to mend it.
+    pub remedy: String,
 }
 
 /// What is wrong with a file so far.
@@ -47,29 +36,36 @@
 }
 
 impl Faults {
+    /// Those of a file of that name, none yet.
     pub fn of(file: &str) -> Faults {
         Faults {
             file: file.to_owned(),
             found: Vec::new(),
         }
     }
+
+    /// Adds one.
     pub fn add(
         &mut self,
         place: Place,
-        what: String,
-        why: impl Into<String>,
-        mend: impl Into<String>,
+        problem: String,
+        reason: impl Into<String>,
+        remedy: impl Into<String>,
     ) {
-        let (file, why, mend) = (self.file.clone(), why.into(), mend.into());
         self.found.push(Fault {
-            file,
+            file: self.file.clone(),
             place,
-            what,
-            why,
-            mend,
+            problem,
+            reason: reason.into(),
+            remedy: remedy.into(),
         });
     }
-    /// All of them in the order of the file, or the value if there are none.
+
+    /// The value if there are none.
+    ///
+    /// # Errors
+    ///
+    /// All faults in the order of the file.
     pub fn or<T>(mut self, value: T) -> Result<T, Vec<Fault>> {
         self.found.sort();
         if self.found.is_empty() {
@@ -82,7 +78,9 @@
 
 /// A form that is being read: each word may be taken once, what is left over is a fault.
 pub struct Form<'a> {
+    /// The word that it begins with.
     pub word: String,
+    /// Where it begins.
     pub place: Place,
     arguments: Vec<Ref<'a>>,
 }
@@ -210,6 +208,7 @@
         number
     }
 
+    /// A text in double quotes.
     pub fn text(&self, faults: &mut Faults) -> Option<(String, Place)> {
         let (value, at) = self.value(faults)?;
         match value.as_str() {
@@ -222,6 +221,7 @@
         }
     }
 
+    /// Yes or no.
     pub fn flag(&self, faults: &mut Faults) -> Option<bool> {
         let (value, at) = self.value(faults)?;
         let flag = value.as_bool().or(match value.as_symbol() {
--- a/crates/flaxdeck-plan/tests/events.rs
+++ b/crates/flaxdeck-plan/tests/events.rs
@@ -1,6 +1,12 @@
 //! The words of a plan that say how events reach forwarders, and how often reports go out.
 
-use flaxdeck_plan::{Events, read};
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
+use flaxdeck_plan::{EventDelivery, read};
 
 fn plan(rest: &str) -> String {
     format!("(plan (key-file \"k\") (planners (planner (name a) (listen \"127.0.0.1:1\"))) {rest})")
@@ -15,8 +21,11 @@
 #[test]
 fn without_a_word_each_event_is_told_by_itself_and_reports_go_on_evenly() {
     let read = |rest| read("x.plan", &plan(rest)).unwrap();
-    assert_eq!(read("").events, Events::EachEvent);
-    assert_eq!(read("(events (by each-event))").events, Events::EachEvent);
+    assert_eq!(read("").events, EventDelivery::EachEvent);
+    assert_eq!(
+        read("(events (by each-event))").events,
+        EventDelivery::EachEvent
+    );
     assert_eq!(
         (read("").report_every_ms, read("").report_idle_ms),
         (200, 200)
@@ -31,12 +40,12 @@
         &plan("(events (by digest)) (reports (every-ms 100) (idle-ms 1500))"),
     )
     .unwrap();
-    assert_eq!(plan.events, Events::Digest { batch_ms: 1_000 });
+    assert_eq!(plan.events, EventDelivery::Digest { batch_ms: 1_000 });
     assert_eq!(plan.report_idle_ms, 1_500);
     let text = self::plan("(events (by digest) (batch-ms 250))");
     assert_eq!(
         read("x.plan", &text).unwrap().events,
-        Events::Digest { batch_ms: 250 }
+        EventDelivery::Digest { batch_ms: 250 }
     );
 }
 
--- a/crates/flaxdeck-plan/tests/plan.rs
+++ b/crates/flaxdeck-plan/tests/plan.rs
@@ -1,5 +1,11 @@
 //! The operator's file: the one that comes with the program is good, faulty ones are refused with place and reason.
 
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use flaxdeck_plan::read;
 
 const GOOD: &str = include_str!("../../../deploy/two-levels.plan");
@@ -18,7 +24,7 @@
     let plan = read("two-levels.plan", GOOD).unwrap();
     assert_eq!(plan.planners.len(), 2);
     assert_eq!(
-        (plan.reserve, plan.granted_ms, plan.seated),
+        (plan.reserve, plan.grant_ms, plan.has_slot),
         (0.0, 1_200, true)
     );
 }
--- a/crates/flaxdeck-plan/tests/recorded_plan.rs
+++ b/crates/flaxdeck-plan/tests/recorded_plan.rs
@@ -1,7 +1,13 @@
 //! `deploy/two-levels.plan` as revision 45b174f read it, from a copy of the file as it was then: every word of it has
 //! to keep its meaning.
 
-use flaxdeck_plan::{Blind, Events, LogForm, Plan, Planner, read};
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "a failed expectation fails the test"
+)]
+
+use flaxdeck_plan::{EventDelivery, LogFormat, Plan, Planner, WithoutContact, read};
 
 const RECORDED: &str = include_str!("fixtures/two-levels.plan");
 
@@ -21,14 +27,14 @@
             planner("p2", "127.0.0.1:7502"),
         ],
         reserve: 0.0,
-        granted_ms: 1_200,
+        grant_ms: 1_200,
         drift: 0.01,
-        seated: true,
+        has_slot: true,
         report_every_ms: 200,
         report_idle_ms: 200,
-        events: Events::EachEvent,
-        blind: Blind::RejectAfter { ms: 2_500.0 },
-        log_form: LogForm::Text,
+        events: EventDelivery::EachEvent,
+        without_contact: WithoutContact::RejectAfter { ms: 2_500.0 },
+        log_format: LogFormat::Text,
         state_folder: None,
         log_levels: "info".into(),
     };
