--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -9,7 +9,7 @@
 use flaxdeck_channel::watch::{NumberedEvents, Watch};
 use flaxdeck_control::LeaseTerms;
 use flaxdeck_distribution::Cadence;
-use flaxdeck_plan::{Events, Plan};
+use flaxdeck_plan::{EventDelivery, Plan};
 use flaxdeck_terms::fields::Fields;
 use serde_json::Value;
 
@@ -111,8 +111,8 @@
 /// Between two batches of events, where the plan has events come in batches.
 pub fn batch_every(plan: &Plan) -> Option<Span> {
     match plan.events {
-        Events::EachEvent => None,
-        Events::Digest { batch_ms } => Some(Span::from_ms(u64::from(batch_ms))),
+        EventDelivery::EachEvent => None,
+        EventDelivery::Digest { batch_ms } => Some(Span::from_ms(u64::from(batch_ms))),
     }
 }
 
@@ -122,6 +122,6 @@
 }
 
 pub fn lease_terms(plan: &Plan, window: Span) -> LeaseTerms {
-    let granted = Span::from_ms(u64::from(plan.granted_ms));
+    let granted = Span::from_ms(u64::from(plan.grant_ms));
     LeaseTerms::new(window, granted, (plan.drift * 1000.0).ceil() as u32)
 }
--- a/crates/flaxdeck-cli/src/log.rs
+++ b/crates/flaxdeck-cli/src/log.rs
@@ -1,7 +1,7 @@
 //! The log of the long-running sub-commands: `tracing`, as text or JSON lines on standard error, written by a thread
 //! of its own. A reader who stops reading holds up nobody; lines past the queue are lost and counted.
 
-use flaxdeck_plan::LogForm;
+use flaxdeck_plan::LogFormat;
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
@@ -27,7 +27,7 @@
     }
 }
 
-pub fn start(levels: &str, form: LogForm) -> Result<Log, Stop> {
+pub fn start(levels: &str, form: LogFormat) -> Result<Log, Stop> {
     let filter = EnvFilter::try_new(levels)
         .map_err(|error| faulty(format!("log levels {levels:?}: {error}")))?;
     let (writer, guard) = NonBlockingBuilder::default()
@@ -42,8 +42,8 @@
         .with_ansi(false);
     // Records of the libraries that log by `log` come in by the subscriber's own bridge.
     let set = match form {
-        LogForm::Text => builder.try_init(),
-        LogForm::Json => builder.json().flatten_event(true).try_init(),
+        LogFormat::Text => builder.try_init(),
+        LogFormat::Json => builder.json().flatten_event(true).try_init(),
     };
     set.map_err(|error| Stop(1, format!("no log: {error}")))?;
     Ok(Log {
--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -24,7 +24,7 @@
 use flaxdeck_dispatcher::{Digests, Guidelines, Keeps};
 use flaxdeck_experiments::Limits;
 use flaxdeck_net::clock;
-use flaxdeck_plan::{Blind, LogForm, Plan};
+use flaxdeck_plan::{LogFormat, Plan, WithoutContact};
 
 /// Exit codes that scripts can use: 0 done, 1 failed while running, 2 a file or the command line has faults.
 const FAULTY: u8 = 2;
@@ -303,14 +303,14 @@
     } else {
         hash.max(1)
     });
-    let blind_after = match plan.blind {
-        Blind::RejectAfter { ms } => Some(Span::of_ms(ms)),
-        Blind::GoOn => None,
+    let blind_after = match plan.without_contact {
+        WithoutContact::RejectAfter { ms } => Some(Span::of_ms(ms)),
+        WithoutContact::GoOn => None,
     };
     ForwarderOptions {
         lease_terms,
         reserve: plan.reserve,
-        has_slot: plan.seated,
+        has_slot: plan.has_slot,
         slot: seat,
         unconfirmed_limit: blind_after,
     }
@@ -335,12 +335,12 @@
 fn forward(files: &Files) -> Result<(), Stop> {
     files.begin_process();
     let Some(plan) = &files.plan else {
-        let _log = log::start("info", LogForm::Text)?;
+        let _log = log::start("info", LogFormat::Text)?;
         return Ok(flaxdeck_dispatcher::run_guided(Some(&files.config), None)?);
     };
     let (plan, key) = files::plan(plan)?;
     let world = files::world(&files.config)?;
-    let _log = log::start(&plan.log_levels, plan.log_form)?;
+    let _log = log::start(&plan.log_levels, plan.log_format)?;
     let file = files.plan.as_deref().unwrap_or_default();
     let folder = plan
         .state_folder
@@ -377,7 +377,7 @@
         ))
     })?;
     let world = files::world(&files.config)?;
-    let _log = log::start(&plan.log_levels, plan.log_form)?;
+    let _log = log::start(&plan.log_levels, plan.log_format)?;
     let own = QuotaFraction::rounded_down(plan.reserve / plan.planners.len() as f64);
     let lease_terms = files::lease_terms(&plan, world.window);
     let (name, listen) = (planner.name.clone(), planner.listen);
@@ -405,8 +405,8 @@
     if json {
         let row = |fault: &flaxdeck_plan::Fault| {
             let (line, column) = (fault.place.line, fault.place.column);
-            serde_json::json!({"file": fault.file, "line": line, "column": column, "what": fault.what,
-                "why": fault.why, "mend": fault.mend})
+            serde_json::json!({"file": fault.file, "line": line, "column": column, "what": fault.problem,
+                "why": fault.reason, "mend": fault.remedy})
         };
         let rows: Vec<_> = read.as_ref().err().into_iter().flatten().map(row).collect();
         println!(
--- a/crates/flaxdeck-cli/src/scale.rs
+++ b/crates/flaxdeck-cli/src/scale.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use clap::{Args, ValueEnum};
-use flaxdeck_plan::LogForm;
+use flaxdeck_plan::LogFormat;
 use flaxdeck_scale::measurement::{Distribution, Measurement, Metric, Role};
 use flaxdeck_scale::messages::{CoordinatorOrders, HollowOrders};
 use flaxdeck_scale::report::{self, Rows};
@@ -234,7 +234,7 @@
     let orders: HollowOrders = orders(path)?;
     let (plan, key) = files::plan(&orders.plan.to_string_lossy())?;
     let window = files::world(&orders.configuration.to_string_lossy())?.window;
-    let _log = log::start("warn", LogForm::Text)?;
+    let _log = log::start("warn", LogFormat::Text)?;
     let guidelines = |name: &str| guidelines(&plan, key.clone(), window, name);
     Ok(flaxdeck_scale::hollow::run(&orders, guidelines)?)
 }
@@ -242,6 +242,6 @@
 /// The stand-in coordinator.
 pub fn coordinator(path: &Path) -> Result<(), Stop> {
     let orders: CoordinatorOrders = orders(path)?;
-    let _log = log::start("warn", LogForm::Text)?;
+    let _log = log::start("warn", LogFormat::Text)?;
     Ok(flaxdeck_scale::coordinator::run(orders)?)
 }
--- a/crates/flaxdeck-scale/src/capacity/page/fields.rs
+++ b/crates/flaxdeck-scale/src/capacity/page/fields.rs
@@ -3,7 +3,7 @@
 use flaxdeck_control::messages::MAX_EVENTS;
 use flaxdeck_control::planner::{FORWARDER_TIMEOUT, MAX_RELAYED_EVENTS};
 use flaxdeck_net::listener::BACKLOG;
-use flaxdeck_plan::Blind;
+use flaxdeck_plan::WithoutContact;
 use flaxdeck_recovery::reconnect_backoff::{MAX_INITIAL_DELAY, MIN_INITIAL_DELAY};
 use flaxdeck_recovery::stored_state;
 use serde::Serialize;
@@ -127,8 +127,8 @@
 
 /// After how long a dispatcher that hears nobody rejects requests, by the plan file's default.
 fn blind() -> String {
-    match default_plan().map(|plan| plan.blind) {
-        Some(Blind::RejectAfter { ms }) => span(ms / 1e3),
-        Some(Blind::GoOn) | None => NOT_SHOWN.to_owned(),
+    match default_plan().map(|plan| plan.without_contact) {
+        Some(WithoutContact::RejectAfter { ms }) => span(ms / 1e3),
+        Some(WithoutContact::GoOn) | None => NOT_SHOWN.to_owned(),
     }
 }
--- a/crates/flaxdeck-scale/src/capacity/state.rs
+++ b/crates/flaxdeck-scale/src/capacity/state.rs
@@ -146,7 +146,7 @@
             needed: target.machines,
             bound: Some(Bound {
                 most: MAX_PLANNERS as f64,
-                name: "`MAX_PLANNERS` in `crates/flaxdeck-plan/src/lib.rs`",
+                name: "`MAX_PLANNERS` in `crates/flaxdeck-plan/src/plan.rs`",
             }),
             bytes_each: Bytes::NotShown,
             kept: "while the plan names them".into(),
