--- a/crates/flaxdeck-cli/src/check.rs
+++ b/crates/flaxdeck-cli/src/check.rs
@@ -54,9 +54,9 @@
             "file": fault.file,
             "line": fault.place.line,
             "column": fault.place.column,
-            "what": fault.what,
-            "why": fault.why,
-            "mend": fault.mend,
+            "what": fault.problem,
+            "why": fault.reason,
+            "mend": fault.remedy,
         })
     };
     let rows: Vec<Value> = faults.iter().map(row).collect();
--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -9,7 +9,7 @@
 use flaxdeck_channel::watch::{NumberedEvents, Watch};
 use flaxdeck_control::LeaseTerms;
 use flaxdeck_distribution::Cadence;
-use flaxdeck_plan::{Events, Plan};
+use flaxdeck_plan::{EventDelivery, Plan};
 use flaxdeck_terms::SettingsError;
 use flaxdeck_terms::fields::Fields;
 use serde_json::Value;
@@ -112,18 +112,18 @@
 /// Between two batches of events, where the plan has events come in batches.
 pub(crate) fn batch_interval(plan: &Plan) -> Option<Span> {
     match plan.events {
-        Events::EachEvent => None,
-        Events::Digest { batch_ms } => Some(Span::from_ms(u64::from(batch_ms))),
+        EventDelivery::EachEvent => None,
+        EventDelivery::Digest { batch_ms } => Some(Span::from_ms(u64::from(batch_ms))),
     }
 }
 
 /// How often a planner sends events to its subscribers.
 pub(crate) fn cadence(plan: &Plan) -> Cadence {
-    batch_interval(plan).map_or_else(Cadence::default, Cadence::of_batches)
+    batch_interval(plan).map_or_else(Cadence::default, Cadence::with_batch_interval)
 }
 
 /// The times of leases that follow from a plan and the platform's window.
 pub(crate) fn lease_terms(plan: &Plan, window: Span) -> LeaseTerms {
-    let granted = Span::from_ms(u64::from(plan.granted_ms));
+    let granted = Span::from_ms(u64::from(plan.grant_ms));
     LeaseTerms::new(window, granted, (plan.drift * 1000.0).ceil() as u32)
 }
--- a/crates/flaxdeck-cli/src/forward.rs
+++ b/crates/flaxdeck-cli/src/forward.rs
@@ -8,7 +8,7 @@
 use flaxdeck_control::forwarder::ForwarderOptions;
 use flaxdeck_control::messages::SlotId;
 use flaxdeck_dispatcher::{ControlClientOptions, StateDirectory, SubscriptionOptions};
-use flaxdeck_plan::{Blind, LogForm, Plan};
+use flaxdeck_plan::{LogFormat, Plan, WithoutContact};
 
 use crate::exit::ExitError;
 use crate::files::{self, KeyedPlan};
@@ -27,7 +27,7 @@
     };
     let KeyedPlan { plan, key } = files::read_plan(file)?;
     let platform = files::read_platform(&options.config)?;
-    let _log = log::start(&plan.log_levels, plan.log_form)?;
+    let _log = log::start(&plan.log_levels, plan.log_format)?;
     let listen = platform.listen()?;
     let state_directory = plan.state_folder.as_ref().map(|folder| StateDirectory {
         folder: files::beside(file, folder),
@@ -44,7 +44,7 @@
 
 /// Without a plan a forwarder goes by its own picture alone.
 fn run_alone(options: &InstanceFiles) -> Result<(), ExitError> {
-    let _log = log::start("info", LogForm::Text)?;
+    let _log = log::start("info", LogFormat::Text)?;
     flaxdeck_dispatcher::run_guided(Some(&options.config), None).map_err(ExitError::failed)
 }
 
@@ -71,14 +71,14 @@
 }
 
 fn forwarder_options(plan: &Plan, lease_terms: LeaseTerms, listen: &str) -> ForwarderOptions {
-    let unconfirmed_limit = match plan.blind {
-        Blind::RejectAfter { ms } => Some(Span::of_ms(ms)),
-        Blind::GoOn => None,
+    let unconfirmed_limit = match plan.without_contact {
+        WithoutContact::RejectAfter { ms } => Some(Span::of_ms(ms)),
+        WithoutContact::GoOn => None,
     };
     ForwarderOptions {
         lease_terms,
         reserve: plan.reserve,
-        has_slot: plan.seated,
+        has_slot: plan.has_slot,
         slot: slot_of_address(listen),
         unconfirmed_limit,
     }
--- a/crates/flaxdeck-cli/src/log.rs
+++ b/crates/flaxdeck-cli/src/log.rs
@@ -1,7 +1,7 @@
 //! The log of the long-running sub-commands: `tracing`, as text or JSON lines on standard error, written by a thread
 //! of its own. A reader who stops reading holds up nobody; lines past the queue are lost and counted.
 
-use flaxdeck_plan::LogForm;
+use flaxdeck_plan::LogFormat;
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
@@ -28,7 +28,7 @@
 }
 
 /// Starts the log of this process, with levels by module.
-pub(crate) fn start(levels: &str, form: LogForm) -> Result<Log, ExitError> {
+pub(crate) fn start(levels: &str, form: LogFormat) -> Result<Log, ExitError> {
     let filter = EnvFilter::try_new(levels)
         .map_err(|error| usage_error(format!("log levels {levels:?}: {error}")))?;
     let (writer, guard) = NonBlockingBuilder::default()
@@ -43,8 +43,8 @@
         .with_ansi(false);
     // Records of the libraries that log by `log` come in by the subscriber's own bridge.
     let started = match form {
-        LogForm::Text => builder.try_init(),
-        LogForm::Json => builder.json().flatten_event(true).try_init(),
+        LogFormat::Text => builder.try_init(),
+        LogFormat::Json => builder.json().flatten_event(true).try_init(),
     };
     started.map_err(|error| ExitError::failed(format!("no log: {error}")))?;
     Ok(Log {
--- a/crates/flaxdeck-cli/src/plan.rs
+++ b/crates/flaxdeck-cli/src/plan.rs
@@ -23,7 +23,7 @@
         )));
     };
     let platform = files::read_platform(&options.config)?;
-    let _log = log::start(&plan.log_levels, plan.log_form)?;
+    let _log = log::start(&plan.log_levels, plan.log_format)?;
     let start = || -> Result<_, String> {
         let (watch, known) = platform.watch(&planner.name)?;
         Ok(flaxdeck_planner::Start {
--- a/crates/flaxdeck-cli/src/scale.rs
+++ b/crates/flaxdeck-cli/src/scale.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use clap::{Args, ValueEnum};
-use flaxdeck_plan::LogForm;
+use flaxdeck_plan::LogFormat;
 use flaxdeck_scale::measurement::{Distribution, Measurement, Metric, Role};
 use flaxdeck_scale::messages::{CoordinatorOrders, HollowOrders};
 use flaxdeck_scale::report::{self, Rows};
@@ -242,7 +242,7 @@
     let orders: HollowOrders = read_orders(path)?;
     let KeyedPlan { plan, key } = files::read_plan(&orders.plan.to_string_lossy())?;
     let window = files::read_platform(&orders.configuration.to_string_lossy())?.window;
-    let _log = log::start("warn", LogForm::Text)?;
+    let _log = log::start("warn", LogFormat::Text)?;
     let options = |name: &str| control_client_options(&plan, key.clone(), window, name);
     flaxdeck_scale::hollow::run(&orders, options).map_err(ExitError::failed)
 }
@@ -250,6 +250,6 @@
 /// The stand-in coordinator.
 pub(crate) fn run_coordinator(path: &Path) -> Result<(), ExitError> {
     let orders: CoordinatorOrders = read_orders(path)?;
-    let _log = log::start("warn", LogForm::Text)?;
+    let _log = log::start("warn", LogFormat::Text)?;
     flaxdeck_scale::coordinator::run(orders).map_err(ExitError::failed)
 }
--- a/crates/flaxdeck-cli/src/state.rs
+++ b/crates/flaxdeck-cli/src/state.rs
@@ -7,7 +7,7 @@
 use flaxdeck_recovery::EventPosition;
 use flaxdeck_recovery::restored_state::{self, CurrentFacts, Verdict};
 use flaxdeck_recovery::stored_state::{StoredState, Uptime};
-use flaxdeck_store::{Folder, look};
+use flaxdeck_store::{Folder, inspect};
 use serde_json::{Value, json};
 
 use crate::exit::{ExitError, usage_error};
@@ -32,7 +32,7 @@
 
 /// Reads a state folder, judges it and prints the verdicts.
 pub(crate) fn run(folder: &str, as_json: bool) -> Result<(), ExitError> {
-    let inspection = inspect(folder)?;
+    let inspection = inspect_folder(folder)?;
     if as_json {
         print_json(&inspection);
     } else if let Stored::State(_) = inspection.stored {
@@ -50,13 +50,13 @@
     }
 }
 
-fn inspect(folder: &str) -> Result<Inspection, ExitError> {
+fn inspect_folder(folder: &str) -> Result<Inspection, ExitError> {
     if !Path::new(folder).is_dir() {
         return Err(usage_error(format!("{folder}: there is no such folder")));
     }
     let mut disk = Folder::open(Path::new(folder))
         .map_err(|error| usage_error(format!("{folder}: {error}")))?;
-    let found = look(&mut disk);
+    let found = inspect(&mut disk);
     let stored = match &found.snapshot {
         None => Stored::Nothing,
         Some(snapshot) => match StoredState::read(snapshot, &found.records) {
@@ -69,7 +69,7 @@
         Stored::Nothing | Stored::OtherVersion => Vec::new(),
     };
     Ok(Inspection {
-        instance: found.name.to_string(),
+        instance: found.instance.to_string(),
         generation: found.generation,
         records: found.records.len(),
         damage: found.damage.as_ref().map(ToString::to_string),
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/delivery.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/delivery.rs
@@ -55,7 +55,7 @@
 fn read_all(events: &[FullEvent], names: &Names) -> Option<Vec<PositionedEvent>> {
     let read = |event: &FullEvent| {
         Some(PositionedEvent {
-            position: event.mark,
+            position: event.position,
             event: frames::read(&event.frame, names).ok()??,
         })
     };
@@ -162,7 +162,7 @@
             Applied::Events {
                 purges,
                 events,
-                upto,
+                last: upto,
             } => {
                 let batch = Batch {
                     after,
@@ -176,8 +176,8 @@
                 list,
                 purges,
                 group_purges,
-                upto,
-                copies_in_doubt,
+                position: upto,
+                may_miss_purges: copies_in_doubt,
             } => {
                 let snapshot = Snapshot {
                     position: upto,
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/purges.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/purges.rs
@@ -39,8 +39,8 @@
     /// of any object are in doubt.
     pub(super) fn add(&self, now: Time, purges: &[Fingerprint]) -> bool {
         let mut index = self.index.borrow_mut();
-        index.told(now, purges);
-        let overflow = index.overflowed(now);
+        index.record(now, purges);
+        let overflow = index.incomplete_before(now);
         overflow.is_some() && self.overflow_noted.replace(overflow) != overflow
     }
 
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/stored_state.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/stored_state.rs
@@ -37,10 +37,7 @@
             }
             WriteEvent::Failed(error) => {
                 count(Counter::state_broken);
-                log::error!(
-                    "no state is kept any more, and nothing is lent: {}",
-                    error.0
-                );
+                log::error!("no state is kept any more, and nothing is lent: {}", error);
             }
         }
     }
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/subscription.rs
@@ -9,8 +9,8 @@
 use flaxdeck_control::membership::PlannerId;
 use flaxdeck_distribution::Applied;
 use flaxdeck_distribution::Cadence;
+use flaxdeck_distribution::DeliveryError;
 use flaxdeck_distribution::PlannerNumber;
-use flaxdeck_distribution::Refused;
 use flaxdeck_distribution::Subscriber;
 use flaxdeck_distribution::messages::Delivery;
 use flaxdeck_distribution::messages::Subscription;
@@ -95,7 +95,7 @@
 
     /// When, on this clock, all was last known here that the coordinator had.
     pub(super) fn current_at(&self) -> Option<Time> {
-        self.subscriber.borrow().vouched()
+        self.subscriber.borrow().confirmed_at()
     }
 
     /// The planner that delivers the events, if one does.
@@ -126,10 +126,10 @@
         now: Time,
         planner: PlannerId,
         delivery: Delivery,
-    ) -> Result<Applied, Refused> {
+    ) -> Result<Applied, DeliveryError> {
         self.subscriber
             .borrow_mut()
-            .delivered(now, PlannerNumber(planner.0), delivery)
+            .receive(now, PlannerNumber(planner.0), delivery)
     }
 
     /// What is to be sent to planners now.
@@ -149,13 +149,13 @@
     pub(super) fn catch_up(&self, now: Time, position: EventPosition) {
         let mut subscriber = self.subscriber.borrow_mut();
         if self.knows_unsettled.get() && position != subscriber.position() {
-            subscriber.moved(now, position);
+            subscriber.set_position(now, position);
         }
     }
 
     /// What was delivered is not applied: the position is still this one.
     pub(super) fn reset_position(&self, now: Time, position: EventPosition) {
-        self.subscriber.borrow_mut().moved(now, position);
+        self.subscriber.borrow_mut().set_position(now, position);
     }
 
     /// When something falls due by itself.
--- a/crates/flaxdeck-dispatcher/src/routing/persistence/restore.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/persistence/restore.rs
@@ -16,8 +16,8 @@
 use flaxdeck_recovery::restored_state::Verdict;
 use flaxdeck_recovery::stored_state::StoredState;
 use flaxdeck_store::Folder;
-use flaxdeck_store::Found;
-use flaxdeck_store::look;
+use flaxdeck_store::StoreContents;
+use flaxdeck_store::inspect;
 
 use super::StateDirectory;
 use super::conversion::addressed_endpoint;
@@ -68,7 +68,7 @@
 }
 
 /// What the directory holds; none if it can't be opened.
-fn read(directory: &StateDirectory) -> Option<Found> {
+fn read(directory: &StateDirectory) -> Option<StoreContents> {
     let mut folder = match Folder::open(&directory.folder) {
         Ok(folder) => folder,
         Err(error) => {
@@ -79,7 +79,7 @@
             return None;
         }
     };
-    let found = look(&mut folder);
+    let found = inspect(&mut folder);
     if let Some(damage) = &found.damage {
         count(Counter::state_damaged);
         log::warn!("the state is read up to its damage, {damage}");
@@ -88,17 +88,17 @@
 }
 
 /// The state in what was found; none if there is none, or if it is another's or of another version.
-fn stored_state(directory: &StateDirectory, found: &Found) -> Option<StoredState> {
+fn stored_state(directory: &StateDirectory, found: &StoreContents) -> Option<StoredState> {
     let folder = directory.folder.display();
     let Some(snapshot) = &found.snapshot else {
         log::info!("no state is kept in {folder}");
         return None;
     };
-    if found.name != directory.name {
+    if found.instance != directory.name {
         count(Counter::state_damaged);
         log::error!(
             "the state in {folder} is of {}, not of {}: none is used",
-            found.name,
+            found.instance,
             directory.name
         );
         return None;
--- a/crates/flaxdeck-dispatcher/src/routing/persistence/writer_thread.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/persistence/writer_thread.rs
@@ -56,7 +56,7 @@
     jobs: Receiver<WriteJob>,
     events: &UnboundedSender<WriteEvent>,
 ) -> Result<(), StoreError> {
-    let folder = Folder::open(&directory.folder).map_err(|error| StoreError(error.to_string()))?;
+    let folder = Folder::open(&directory.folder).map_err(StoreError::folder)?;
     let mut store = Store::begin(folder, &directory.name, first)?;
     let generation = store.generation();
     send(events, WriteEvent::Started { generation });
--- a/crates/flaxdeck-planner/src/events.rs
+++ b/crates/flaxdeck-planner/src/events.rs
@@ -55,7 +55,7 @@
 
     /// All that is known here ends with that event, and nothing that was told before leads to it.
     pub(crate) fn begins_at(&mut self, now: Time, position: EventPosition) {
-        self.publisher.renumbered(now, position);
+        self.publisher.restart_numbering(now, position);
     }
 
     /// Takes in what an event says of hosts.
@@ -96,7 +96,7 @@
             Event::Hosts(..) => Content::HostChange(frame.to_vec()),
         };
         self.list(event);
-        self.publisher.event(now, position, content);
+        self.publisher.append_event(now, position, content);
     }
 
     /// The coordinator was heard; `current` if all is known here that it had to tell.
@@ -111,7 +111,7 @@
 
     /// A forwarder's conversation has ended.
     pub(crate) fn leave(&mut self, id: SubscriberId) {
-        self.publisher.leave(id);
+        self.publisher.unsubscribe(id);
     }
 
     /// Who is to be sent something now.
@@ -143,11 +143,11 @@
 
     /// How much is held now, and the counters since the start.
     pub(crate) fn load(&self) -> Load {
-        let (subscribers, events, bytes) = self.publisher.size();
+        let size = self.publisher.size();
         Load {
-            subscribers,
-            events,
-            bytes,
+            subscribers: size.subscribers,
+            events: size.log.events,
+            bytes: size.log.bytes,
             counters: self.publisher.counters,
         }
     }
