--- a/crates/flaxdeck-dispatcher/src/protocol/attempt.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/attempt.rs
@@ -136,7 +136,7 @@
 }
 
 impl PendingAttempt<'_> {
-    #[expect(
+    #[allow(
         clippy::expect_used,
         reason = "the connection is given up only where the attempt ends"
     )]
--- a/crates/flaxdeck-dispatcher/tests/world/mod.rs
+++ b/crates/flaxdeck-dispatcher/tests/world/mod.rs
@@ -1,15 +1,15 @@
 //! A toy world round the built dispatcher, shared by the test files.
 
-#![allow(dead_code, unused_imports, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses a part")]
 
 mod full_backlog;
 mod stalls;
 
-use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::io::{BufRead, BufReader};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
-use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
+use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -18,10 +18,12 @@
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 
+#[allow(unused_imports, reason = "each test file uses a part")]
 pub(crate) use full_backlog::{
     FullBacklogHost, attempt_in_flight, attempt_in_flight_over, cache_with_full_backlog,
     read_request, serve,
 };
+#[allow(unused_imports, reason = "each test file uses a part")]
 pub(crate) use stalls::{MAX_CANCEL_DELAY, Stalls};
 
 /// The configuration of the toy world.
