--- a/crates/flaxdeck-cli/src/demo.rs
+++ b/crates/flaxdeck-cli/src/demo.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
-use flaxdeck_emulator::{Clients, Kind, Layout, Load, Told, World};
+use flaxdeck_emulator::{ClientStatistics, Clients, HostKind, Layout, Load, World};
 use flaxdeck_invariants::Verdict;
 
 use crate::exit::{self, ExitError};
@@ -41,11 +41,11 @@
         ..Layout::default()
     })
     .map_err(ExitError::failed)?;
-    let caches = world.hosts(Kind::Cache);
+    let caches = world.hosts(HostKind::Cache);
     let planners = if alone { 0 } else { PLANNERS };
     let setup = Setup {
-        shown: show_logs,
-        ..Setup::of(exit::own_binary()?, planners, FORWARDERS)
+        shows_logs: show_logs,
+        ..Setup::new(exit::own_binary()?, planners, FORWARDERS)
     };
     let mut fleet = Fleet::start(world, setup).map_err(ExitError::failed)?;
     println!(
@@ -58,7 +58,7 @@
     let clients = fleet.world.clients(&fleet.addresses(), &load(rate, begins));
     play(&mut fleet, steps(&caches, alone), begins)?;
     let limit = fleet.world.now() + LAST_ANSWERS_MS;
-    while !clients.done() && fleet.world.now() < limit {
+    while !clients.is_done() && fleet.world.now() < limit {
         sleep(Duration::from_millis(20));
     }
     print_results(&fleet, &clients)
@@ -67,14 +67,14 @@
 fn load(rate: f64, begins: f64) -> Load {
     Load {
         seed: 7,
-        rates: vec![rate, rate / 3.0, rate / 10.0],
+        requests_per_s: vec![rate, rate / 3.0, rate / 10.0],
         objects: 2_000,
-        power: 0.8,
-        writes: 0.02,
+        popularity_exponent: 0.8,
+        write_fraction: 0.02,
         from_ms: begins,
         to_ms: begins + END_MS,
-        wait_ms: 2_500,
-        names_from: 0,
+        timeout_ms: 2_500,
+        first_connection: 0,
     }
 }
 
@@ -108,7 +108,7 @@
         let at = begins + second as f64 * 1000.0;
         while let Some(step) = steps.next_if(|step| begins + step.at_ms <= at) {
             fleet.world.wait_until(begins + step.at_ms);
-            fleet.cause(&step.fault).map_err(ExitError::failed)?;
+            fleet.inject(&step.fault).map_err(ExitError::failed)?;
             println!("        {}", step.description);
         }
         fleet.world.wait_until(at);
@@ -123,7 +123,7 @@
 
 fn print_results(fleet: &Fleet, clients: &Clients) -> Result<(), ExitError> {
     let verdict = fleet.world.verdict();
-    let told = clients.told();
+    let told = clients.statistics();
     print_requests(&verdict, &told);
     println!(
         "fills at the origin                {:>8}",
@@ -154,7 +154,7 @@
     }
 }
 
-fn print_requests(verdict: &Verdict, told: &Told) {
+fn print_requests(verdict: &Verdict, told: &ClientStatistics) {
     let accounted = if verdict.all_accounted_for() {
         "all accounted for"
     } else {
--- a/crates/flaxdeck-cli/src/levels.rs
+++ b/crates/flaxdeck-cli/src/levels.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
-use flaxdeck_emulator::{Clients, FailureMode, Kind, Layout, Load, Told, World};
+use flaxdeck_emulator::{ClientStatistics, Clients, FailureMode, HostKind, Layout, Load, World};
 use flaxdeck_invariants::{RecordEntry, RecordedEvent, SamplingPeriod, mean_cold_load};
 
 use crate::exit::{self, ExitError};
@@ -97,13 +97,13 @@
 
 fn layout(forwarders: usize) -> Layout {
     Layout {
-        factor: OVERLOAD_FACTOR,
+        overload_factor: OVERLOAD_FACTOR,
         caches: 3,
         parents: 3,
         forwarders,
-        cold_from: 0.15,
-        cache_places: 24.0,
-        warm_within_ms: 60_000.0,
+        slow_start_initial: 0.15,
+        cache_slots: 24.0,
+        slow_start_ms: 60_000.0,
         ..Layout::default()
     }
 }
@@ -117,14 +117,14 @@
     }
     Load {
         seed,
-        rates,
+        requests_per_s: rates,
         objects: 600,
-        power: 0.9,
-        writes: 0.0,
+        popularity_exponent: 0.9,
+        write_fraction: 0.0,
         from_ms: begins,
         to_ms: begins + END_MS,
-        wait_ms: 2_500,
-        names_from: 0,
+        timeout_ms: 2_500,
+        first_connection: 0,
     }
 }
 
@@ -132,20 +132,20 @@
 fn rare_load(forwarders: usize, rate: f64, seed: u64, begins: f64) -> Load {
     Load {
         seed: seed + 1,
-        rates: vec![rate * 0.15 / forwarders as f64],
+        requests_per_s: vec![rate * 0.15 / forwarders as f64],
         objects: 1_000_000,
-        power: 0.0,
+        popularity_exponent: 0.0,
         from_ms: begins + PARENT_FAILS_MS - RARE_LOAD_LEAD_MS,
-        names_from: 100_000,
+        first_connection: 100_000,
         ..uneven_load(forwarders, rate, seed, begins)
     }
 }
 
 fn play(forwarders: usize, planners: usize, rate: f64, seed: u64) -> Result<Row, ExitError> {
     let world = World::start(layout(forwarders)).map_err(ExitError::failed)?;
-    let cache = world.hosts(Kind::Cache)[0].clone();
-    let parent = world.hosts(Kind::Parent)[0].clone();
-    let setup = Setup::of(exit::own_binary()?, planners, forwarders);
+    let cache = world.hosts(HostKind::Cache)[0].clone();
+    let parent = world.hosts(HostKind::Parent)[0].clone();
+    let setup = Setup::new(exit::own_binary()?, planners, forwarders);
     let mut fleet = Fleet::start(world, setup).map_err(ExitError::failed)?;
     let begins = fleet.world.now() + SETTLED_MS;
     let addresses = fleet.addresses();
@@ -155,30 +155,30 @@
     ]
     .map(|load| fleet.world.clients(&addresses, &load));
     fleet.world.wait_until(begins);
-    let [reports_before, guidance_before] = fleet.spoken();
+    let before = fleet.control_bytes();
     let failing = begins + PARENT_FAILS_MS..begins + PARENT_MENDED_MS;
     fleet
         .play(&[
             (begins + COLD_CACHE_MS, Fault::RestartHost(cache.clone())),
             (
                 failing.start,
-                Fault::HostManner(parent.clone(), FailureMode::Fail),
+                Fault::HostFailureMode(parent.clone(), FailureMode::Failing),
             ),
             (
                 failing.end,
-                Fault::HostManner(parent.clone(), FailureMode::Serve),
+                Fault::HostFailureMode(parent.clone(), FailureMode::Healthy),
             ),
         ])
         .map_err(ExitError::failed)?;
     wait_for_clients(&fleet, &clients);
     let forwarder_seconds = (fleet.world.now() - begins) / 1000.0 * forwarders as f64;
-    let [reports, guidance] = fleet.spoken();
+    let after = fleet.control_bytes();
     let attempts = attempts_at(&parent, &failing, &fleet.world.record());
     Ok(Row {
         attempts_at_failed: attempts.len(),
         last_attempt_ms: last_attempt(&attempts),
-        report_bytes_per_s: (reports - reports_before) as f64 / forwarder_seconds,
-        guidance_bytes_per_s: (guidance - guidance_before) as f64 / forwarder_seconds,
+        report_bytes_per_s: (after.reports - before.reports) as f64 / forwarder_seconds,
+        guidance_bytes_per_s: (after.guidance - before.guidance) as f64 / forwarder_seconds,
         mean_cold_load: cold_load(&fleet.world, &cache, failing.start),
         ..client_figures(&fleet.world, &clients)
     })
@@ -186,7 +186,7 @@
 
 fn wait_for_clients(fleet: &Fleet, clients: &[Clients]) {
     let limit = fleet.world.now() + LAST_ANSWERS_MS;
-    while !clients.iter().all(Clients::done) && fleet.world.now() < limit {
+    while !clients.iter().all(Clients::is_done) && fleet.world.now() < limit {
         sleep(Duration::from_millis(20));
     }
 }
@@ -214,14 +214,14 @@
         until_ms,
         step_ms: SAMPLE_STEP_MS,
     };
-    mean_cold_load(&world.terms(), &world.record(), cache, period) * OVERLOAD_FACTOR
+    mean_cold_load(&world.invariant_terms(), &world.record(), cache, period) * OVERLOAD_FACTOR
 }
 
 /// The figures that follow from what clients saw; the others are nought.
 fn client_figures(world: &World, clients: &[Clients]) -> Row {
     let verdict = world.verdict();
-    let told = Told::merged(clients.iter().map(Clients::told));
-    let latencies = told.took.iter();
+    let told = ClientStatistics::merged(clients.iter().map(Clients::statistics));
+    let latencies = told.latencies_ms.iter();
     let in_time = latencies.filter(|took| **took <= OBJECTIVE_MS).count();
     Row {
         in_time: in_time as f64 / verdict.requests.max(1) as f64,
--- a/crates/flaxdeck-cli/src/recovery/play.rs
+++ b/crates/flaxdeck-cli/src/recovery/play.rs
@@ -6,7 +6,8 @@
 
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
 use flaxdeck_emulator::{
-    End, INTERVAL, IntervalCounters, Kind, Layout, Load, Patience, RetryingClients, World,
+    HostKind, INTERVAL_MS, IntervalCounters, Layout, Load, OperationEnd, RetryPolicy,
+    RetryingClients, World,
 };
 use flaxdeck_experiments::recovery::{SLICE_MS, Slice};
 
@@ -44,7 +45,7 @@
 fn layout(arguments: &Arguments, trial: Trial) -> Layout {
     let base = Layout {
         caches: arguments.caches,
-        cache_places: arguments.places,
+        cache_slots: arguments.places,
         parents: 3,
         forwarders: trial.forwarders,
         sockets: 1024,
@@ -53,15 +54,15 @@
     match trial.environment {
         Environment::Plain => base,
         Environment::Connections => Layout {
-            host_connections: arguments.connections,
+            max_host_connections: arguments.connections,
             ..base
         },
         Environment::Lists => Layout {
-            lists_per_s: 3.0,
+            coordinator_calls_per_s: 3.0,
             ..base
         },
         Environment::Cold => Layout {
-            origin_places: 8.0,
+            origin_slots: 8.0,
             ..base
         },
     }
@@ -79,19 +80,19 @@
     let world = World::start(layout(arguments, trial)).map_err(ExitError::failed)?;
     let keeps_state = trial.state != SavedState::None;
     let setup = Setup {
-        first_file: trial.environment == Environment::Lists,
-        state: keeps_state,
-        ..Setup::of(binary, trial.planners, trial.forwarders)
+        keeps_first_config: trial.environment == Environment::Lists,
+        keeps_state,
+        ..Setup::new(binary, trial.planners, trial.forwarders)
     };
     let mut fleet = Fleet::start(world, setup).map_err(ExitError::failed)?;
     if keeps_state {
         // State is kept from the second start on.
         for forwarder in 0..trial.forwarders {
             fleet
-                .cause(&Fault::KillForwarder(forwarder))
+                .inject(&Fault::KillForwarder(forwarder))
                 .map_err(ExitError::failed)?;
             fleet
-                .cause(&Fault::StartForwarder(forwarder))
+                .inject(&Fault::StartForwarder(forwarder))
                 .map_err(ExitError::failed)?;
         }
     }
@@ -103,14 +104,14 @@
     let rate = arguments.load * slots / MEAN_SERVICE_MS * 1000.0;
     Load {
         seed: trial.seed,
-        rates: vec![rate / trial.forwarders as f64],
+        requests_per_s: vec![rate / trial.forwarders as f64],
         objects: 3_000,
-        power: 0.8,
-        writes: 0.01,
+        popularity_exponent: 0.8,
+        write_fraction: 0.01,
         from_ms: begins - WARMUP_MS,
         to_ms: begins + END_MS,
-        wait_ms: 2_500,
-        names_from: 0,
+        timeout_ms: 2_500,
+        first_connection: 0,
     }
 }
 
@@ -118,10 +119,10 @@
 fn script(fleet: &Fleet, trial: Trial, begins: f64) -> Vec<(f64, Fault)> {
     let killed = begins + KILLED_MS;
     let up = begins + UP_MS;
-    let caches = fleet.world.hosts(Kind::Cache);
+    let caches = fleet.world.hosts(HostKind::Cache);
     let mut script = Vec::new();
     if trial.environment == Environment::Cold {
-        let parents = fleet.world.hosts(Kind::Parent);
+        let parents = fleet.world.hosts(HostKind::Parent);
         let cold = [&caches[0], &caches[1], &parents[0]];
         script.extend(cold.map(|host| (killed, Fault::RestartHost(host.clone()))));
     }
@@ -153,9 +154,13 @@
 pub(crate) fn play(arguments: &Arguments, trial: Trial) -> Result<Run, ExitError> {
     let mut fleet = start_fleet(arguments, trial)?;
     let begins = fleet.world.now() + SETTLED_MS;
-    let policies: &[Patience] = match trial.environment {
-        Environment::Connections => &[Patience::AtOnce],
-        _ => &[Patience::AsTold, Patience::AtOnce, Patience::GivesUp],
+    let policies: &[RetryPolicy] = match trial.environment {
+        Environment::Connections => &[RetryPolicy::Immediate],
+        _ => &[
+            RetryPolicy::HonorRetryAfter,
+            RetryPolicy::Immediate,
+            RetryPolicy::Never,
+        ],
     };
     let load = load(arguments, trial, begins);
     let clients = fleet
@@ -164,14 +169,14 @@
     let script = script(&fleet, trial, begins);
     fleet.play(&script).map_err(ExitError::failed)?;
     let limit = begins + END_MS + DRAIN_MS;
-    while !clients.done() && fleet.world.now() < limit {
+    while !clients.is_done() && fleet.world.now() < limit {
         sleep(Duration::from_millis(20));
     }
     Ok(collect(&fleet, &clients, begins))
 }
 
 fn collect(fleet: &Fleet, clients: &RetryingClients, begins: f64) -> Run {
-    let first = (begins / INTERVAL) as usize;
+    let first = (begins / INTERVAL_MS) as usize;
     let intervals: Vec<IntervalCounters> =
         fleet.world.intervals().into_iter().skip(first).collect();
     let verdict = fleet.world.verdict();
@@ -197,25 +202,26 @@
 fn slices(clients: &RetryingClients, intervals: &[IntervalCounters], begins: f64) -> Vec<Slice> {
     let mut slices = vec![Slice::default(); (END_MS / SLICE_MS) as usize];
     for outcome in clients.outcomes() {
-        let index = (outcome.first - begins) / SLICE_MS;
+        let index = (outcome.started_ms - begins) / SLICE_MS;
         if index < 0.0 {
             continue;
         }
         let Some(slice) = slices.get_mut(index as usize) else {
             continue;
         };
-        let in_time = matches!(outcome.end, End::Served(took) if took <= OBJECTIVE_MS);
+        let in_time =
+            matches!(outcome.end, OperationEnd::Served { after_ms } if after_ms <= OBJECTIVE_MS);
         slice.operations += 1;
         slice.in_time += u64::from(in_time);
-        slice.rejected += u64::from(outcome.end == End::Rejected);
+        slice.rejected += u64::from(outcome.end == OperationEnd::Rejected);
     }
     for (index, interval) in intervals.iter().enumerate() {
-        let Some(slice) = slices.get_mut((index as f64 * INTERVAL / SLICE_MS) as usize) else {
+        let Some(slice) = slices.get_mut((index as f64 * INTERVAL_MS / SLICE_MS) as usize) else {
             break;
         };
         slice.cache_answers += u64::from(interval.cache_answers);
         slice.cache_hits += u64::from(interval.cache_hits);
-        slice.refused_connections += u64::from(interval.turned_away);
+        slice.refused_connections += u64::from(interval.connections_refused);
     }
     slices
 }
--- a/crates/flaxdeck-cli/src/recovery/table.rs
+++ b/crates/flaxdeck-cli/src/recovery/table.rs
@@ -1,6 +1,6 @@
 //! The printed table: a row for each kind of trial, and slices where they are asked for.
 
-use flaxdeck_emulator::{INTERVAL, IntervalCounters};
+use flaxdeck_emulator::{INTERVAL_MS, IntervalCounters};
 use flaxdeck_experiments::recovery::{ExcessLosses, SLICE_MS, Slice, median_and_worst};
 
 use super::arguments::Trial;
@@ -59,8 +59,8 @@
 
 /// The sum of a counter between two times of the day, in milliseconds.
 fn sum(run: &Run, counter: fn(&IntervalCounters) -> u32, from_ms: f64, to_ms: f64) -> u32 {
-    let from = (from_ms / INTERVAL) as usize;
-    let to = (to_ms / INTERVAL) as usize;
+    let from = (from_ms / INTERVAL_MS) as usize;
+    let to = (to_ms / INTERVAL_MS) as usize;
     let within = run.intervals.iter().take(to).skip(from);
     within.map(counter).sum()
 }
@@ -71,23 +71,35 @@
         self.full_ms.push(full_ms);
         self.losses.push(losses);
         self.peak_cold_load = self.peak_cold_load.max(run.peak_cold_load);
-        let held = run.intervals.iter().map(|interval| interval.held_most);
+        let held = run
+            .intervals
+            .iter()
+            .map(|interval| interval.peak_connections);
         self.peak_connections = self.peak_connections.max(held.max().unwrap_or(0));
-        let refused = sum(run, |interval| interval.turned_away, KILLED_MS, END_MS);
+        let refused = sum(
+            run,
+            |interval| interval.connections_refused,
+            KILLED_MS,
+            END_MS,
+        );
         self.refused_connections = self.refused_connections.max(refused);
         let seconds = KILLED_MS as u32 / 1000..END_MS as u32 / 1000;
         let lists = seconds.map(|second| {
             let from_ms = f64::from(second) * 1000.0;
             sum(
                 run,
-                |interval| interval.list_calls,
+                |interval| interval.coordinator_calls,
                 from_ms,
                 from_ms + 1000.0,
             )
         });
         self.lists_per_s = self.lists_per_s.max(lists.max().unwrap_or(0));
-        self.refused_origin_fills +=
-            sum(run, |interval| interval.origin_refused, KILLED_MS, END_MS);
+        self.refused_origin_fills += sum(
+            run,
+            |interval| interval.origin_fills_refused,
+            KILLED_MS,
+            END_MS,
+        );
     }
 
     /// Adds what a run, or a twin, broke.
--- a/crates/flaxdeck-cli/tests/coming_back.rs
+++ b/crates/flaxdeck-cli/tests/coming_back.rs
@@ -14,17 +14,23 @@
 use std::time::Duration;
 
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
-use flaxdeck_emulator::{End, Kind, Layout, Load, Patience, RetryingClients, Wire, World};
+use flaxdeck_emulator::{
+    HostKind, Layout, LinkState, Load, OperationEnd, RetryPolicy, RetryingClients, World,
+};
 use flaxdeck_invariants::Verdict;
 
-const ALL: [Patience; 3] = [Patience::AsTold, Patience::AtOnce, Patience::GivesUp];
+const ALL: [RetryPolicy; 3] = [
+    RetryPolicy::HonorRetryAfter,
+    RetryPolicy::Immediate,
+    RetryPolicy::Never,
+];
 
 fn setup(planners: usize, forwarders: usize) -> Setup {
     let binary = PathBuf::from(env!("CARGO_BIN_EXE_flaxdeck"));
     Setup {
         guided: true,
-        plan_words: "(blind (after-ms 900))",
-        ..Setup::of(binary, planners, forwarders)
+        plan_forms: "(blind (after-ms 900))",
+        ..Setup::new(binary, planners, forwarders)
     }
 }
 
@@ -42,14 +48,14 @@
     let begins = fleet.world.now() + 200.0;
     let load = Load {
         seed: 5,
-        rates: vec![rate],
+        requests_per_s: vec![rate],
         objects: 300,
-        power: 0.8,
-        writes: 0.05,
+        popularity_exponent: 0.8,
+        write_fraction: 0.05,
         from_ms: begins,
         to_ms: begins + lasts,
-        wait_ms: 2_500,
-        names_from: 0,
+        timeout_ms: 2_500,
+        first_connection: 0,
     };
     (
         fleet
@@ -62,7 +68,7 @@
 /// Waits for the clients and judges; every request must be accounted for, no byte wrong and no rule broken.
 fn kept(fleet: &Fleet, clients: &RetryingClients) -> Verdict {
     let limit = fleet.world.now() + 20_000.0;
-    while !clients.done() {
+    while !clients.is_done() {
         assert!(fleet.world.now() < limit, "the clients do not end");
         sleep(Duration::from_millis(10));
     }
@@ -78,11 +84,11 @@
     let outcomes: Vec<_> = clients
         .outcomes()
         .into_iter()
-        .filter(|outcome| (from..to).contains(&outcome.first))
+        .filter(|outcome| (from..to).contains(&outcome.started_ms))
         .collect();
     let served = outcomes
         .iter()
-        .filter(|outcome| matches!(outcome.end, End::Served(_)))
+        .filter(|outcome| matches!(outcome.end, OperationEnd::Served { .. }))
         .count();
     served as f64 / outcomes.len().max(1) as f64
 }
@@ -102,7 +108,7 @@
 #[test]
 fn a_coordinator_that_forgets_its_numbers_is_followed_again_and_its_next_drain_obeyed() {
     let mut fleet = fleet(setup(2, 2), Layout::default());
-    let caches = fleet.world.hosts(Kind::Cache);
+    let caches = fleet.world.hosts(HostKind::Cache);
     let (clients, begins) = clients(&fleet, 60.0, 5_000.0);
     let object = format!("{:016x}", 77);
     let mut script: Vec<(f64, Fault)> = (0..20)
@@ -124,13 +130,13 @@
 #[test]
 fn a_coordinator_put_back_from_a_backup_brings_no_withdrawn_host_into_use() {
     let mut fleet = fleet(setup(2, 2), Layout::default());
-    let caches = fleet.world.hosts(Kind::Cache);
+    let caches = fleet.world.hosts(HostKind::Cache);
     let (clients, begins) = clients(&fleet, 60.0, 5_000.0);
     let script = [
         (begins + 200.0, Fault::Purge(format!("{:016x}", 77))),
         (begins + 500.0, Fault::Drain(caches[0].clone())),
         // From before the drain: its list has that host in service.
-        (begins + 1_000.0, Fault::PutBackCoordinator(1)),
+        (begins + 1_000.0, Fault::RollBackCoordinator(1)),
         (begins + 2_500.0, Fault::Drain(caches[1].clone())),
     ];
     fleet.play(&script).unwrap();
@@ -146,17 +152,17 @@
 #[test]
 fn a_new_numbering_that_has_come_past_the_old_one_meanwhile_is_not_taken_for_it() {
     let mut fleet = fleet(setup(0, 1), Layout::default());
-    let caches = fleet.world.hosts(Kind::Cache);
+    let caches = fleet.world.hosts(HostKind::Cache);
     let (clients, begins) = clients(&fleet, 60.0, 6_000.0);
     let mut script = vec![
         (begins + 300.0, Fault::Purge(format!("{:016x}", 76))),
-        (begins + 500.0, Fault::CoordinatorWire(0, Wire::Cut)),
+        (begins + 500.0, Fault::CoordinatorLink(0, LinkState::Cut)),
         (begins + 600.0, Fault::LoseNumbering),
         // Event 2 of the new numbering; it is also the number of the last event known to the forwarder.
         (begins + 800.0, Fault::Drain(caches[0].clone())),
         (begins + 900.0, Fault::Purge(format!("{:016x}", 78))),
     ];
-    script.push((begins + 1_100.0, Fault::CoordinatorWire(0, Wire::Whole)));
+    script.push((begins + 1_100.0, Fault::CoordinatorLink(0, LinkState::Up)));
     fleet.play(&script).unwrap();
     // The wire is whole again 300 ms after the drain; asked again within a second at most.
     let verdict = kept(&fleet, &clients);
@@ -167,7 +173,7 @@
 #[test]
 fn a_coordinator_that_numbers_far_ahead_is_followed() {
     let mut fleet = fleet(setup(1, 2), Layout::default());
-    let caches = fleet.world.hosts(Kind::Cache);
+    let caches = fleet.world.hosts(HostKind::Cache);
     let (clients, begins) = clients(&fleet, 60.0, 4_000.0);
     let script = [
         (begins + 500.0, Fault::JumpAhead(1_000_000)),
@@ -189,13 +195,13 @@
         };
         let mut fleet = fleet(
             Setup {
-                first_file: true,
-                plan_words: blind,
+                keeps_first_config: true,
+                plan_forms: blind,
                 ..setup(planners, 3)
             },
             Layout::default(),
         );
-        let caches = fleet.world.hosts(Kind::Cache);
+        let caches = fleet.world.hosts(HostKind::Cache);
         let (clients, begins) = clients(&fleet, 50.0, 5_000.0);
         // The most asked for, purged when every cache holds it.
         let hot = format!("{:016x}", 0x9e37_79b9_7f4a_7c15u64);
@@ -223,7 +229,7 @@
     let (clients, begins) = clients(&fleet, 40.0, 4_000.0);
     let script = [
         (begins + 500.0, Fault::KillPlanner(0)),
-        (begins + 600.0, Fault::ClocksApart(-3_600_000)),
+        (begins + 600.0, Fault::SkewClocks(-3_600_000)),
         (begins + 600.0, Fault::StartPlanner(0)),
     ];
     fleet.play(&script).unwrap();
@@ -244,17 +250,17 @@
 #[test]
 fn with_a_coordinator_of_few_lists_all_are_back_by_way_of_the_planners() {
     let layout = Layout {
-        lists_per_s: 3.0,
+        coordinator_calls_per_s: 3.0,
         ..Layout::default()
     };
     let mut fleet = fleet(
         Setup {
-            first_file: true,
+            keeps_first_config: true,
             ..setup(2, 6)
         },
         layout,
     );
-    let caches = fleet.world.hosts(Kind::Cache);
+    let caches = fleet.world.hosts(HostKind::Cache);
     sleep(Duration::from_millis(3_000)); // until the coordinator has answered all of them once
     let (clients, begins) = clients(&fleet, 30.0, 6_000.0);
     let mut script: Vec<(f64, Fault)> = all(6, begins + 1_000.0, Fault::KillForwarder).collect();
@@ -300,26 +306,26 @@
 fn one_that_comes_back_into_a_partition_serves_by_whom_it_reaches_or_not_at_all() {
     let mut fleet = fleet(
         Setup {
-            first_file: true,
+            keeps_first_config: true,
             ..setup(1, 3)
         },
         Layout::default(),
     );
-    let caches = fleet.world.hosts(Kind::Cache);
+    let caches = fleet.world.hosts(HostKind::Cache);
     let (clients, begins) = clients(&fleet, 40.0, 6_000.0);
     let mut script: Vec<(f64, Fault)> = all(3, begins + 1_000.0, Fault::KillForwarder).collect();
     script.push((begins + 1_010.0, Fault::Drain(caches[0].clone())));
     // The first reaches the planner alone, the second the coordinator alone, the third has both open and dead.
     for (forwarder, wires) in [
-        (0, [Wire::Cut, Wire::Whole]),
-        (1, [Wire::Whole, Wire::Held]),
-        (2, [Wire::Held; 2]),
+        (0, [LinkState::Cut, LinkState::Up]),
+        (1, [LinkState::Up, LinkState::Stalled]),
+        (2, [LinkState::Stalled; 2]),
     ] {
         script.push((
             begins + 1_100.0,
-            Fault::CoordinatorWire(forwarder, wires[0]),
+            Fault::CoordinatorLink(forwarder, wires[0]),
         ));
-        script.push((begins + 1_100.0, Fault::PlannerWire(forwarder, 0, wires[1])));
+        script.push((begins + 1_100.0, Fault::PlannerLink(forwarder, 0, wires[1])));
     }
     script.extend(all(3, begins + 2_200.0, Fault::StartForwarder));
     fleet.play(&script).unwrap();
@@ -343,8 +349,8 @@
 /// State is kept from the second start on.
 fn with_state(planners: usize, forwarders: usize) -> Setup {
     Setup {
-        state: true,
-        first_file: true,
+        keeps_state: true,
+        keeps_first_config: true,
         ..setup(planners, forwarders)
     }
 }
@@ -362,11 +368,11 @@
 fn restart_all(fleet: &mut Fleet, count: usize, meanwhile: impl FnOnce(&mut Fleet)) -> Vec<String> {
     let before = fleet.lines().len();
     for n in 0..count {
-        fleet.cause(&Fault::KillForwarder(n)).unwrap();
+        fleet.inject(&Fault::KillForwarder(n)).unwrap();
     }
     meanwhile(fleet);
     for n in 0..count {
-        fleet.cause(&Fault::StartForwarder(n)).unwrap();
+        fleet.inject(&Fault::StartForwarder(n)).unwrap();
     }
     sleep(Duration::from_millis(700));
     fleet.lines().split_off(before)
@@ -380,18 +386,18 @@
 fn a_drain_known_before_the_kill_is_obeyed_though_nobody_can_be_reached_after_it() {
     let mut fleet = fleet(
         Setup {
-            plan_words: "(blind (then go-on))",
+            plan_forms: "(blind (then go-on))",
             ..with_state(1, 2)
         },
         Layout::default(),
     );
-    let caches = fleet.world.hosts(Kind::Cache);
+    let caches = fleet.world.hosts(HostKind::Cache);
     restart_all(&mut fleet, 2, |_| {});
     let (clients, begins) = clients(&fleet, 40.0, 5_000.0);
     let mut script = vec![(begins + 300.0, Fault::Drain(caches[0].clone()))];
     script.extend(all(2, begins + 1_400.0, Fault::KillForwarder));
-    script.extend((0..2).map(|n| (begins + 1_400.0, Fault::CoordinatorWire(n, Wire::Cut))));
-    script.extend((0..2).map(|n| (begins + 1_400.0, Fault::PlannerWire(n, 0, Wire::Cut))));
+    script.extend((0..2).map(|n| (begins + 1_400.0, Fault::CoordinatorLink(n, LinkState::Cut))));
+    script.extend((0..2).map(|n| (begins + 1_400.0, Fault::PlannerLink(n, 0, LinkState::Cut))));
     script.extend(all(2, begins + 1_600.0, Fault::StartForwarder));
     fleet.play(&script).unwrap();
     kept(&fleet, &clients);
@@ -417,12 +423,12 @@
         "nothing was lent: {lines:#?}"
     );
     assert_eq!(count(&lines, "kept ratings: believed"), 2, "{lines:#?}");
-    let old = fleet.state(0).with_extension("old");
-    copy(&fleet.state(0), &old);
+    let old = fleet.state_folder(0).with_extension("old");
+    copy(&fleet.state_folder(0), &old);
     // One lost, one with a flipped bit in its snapshot.
     let lines = restart_all(&mut fleet, 2, |fleet| {
-        fs::remove_dir_all(fleet.state(0)).unwrap();
-        let path = fleet.state(1).join("snapshot");
+        fs::remove_dir_all(fleet.state_folder(0)).unwrap();
+        let path = fleet.state_folder(1).join("snapshot");
         let mut bytes = fs::read(&path).unwrap();
         let middle = bytes.len() / 2;
         bytes[middle] ^= 4;
@@ -432,10 +438,10 @@
     assert_eq!(count(&lines, "snapshot at byte"), 1, "{lines:#?}");
     // One cut in the log, one with the other's state.
     let lines = restart_all(&mut fleet, 2, |fleet| {
-        let path = fleet.state(0).join("log");
+        let path = fleet.state_folder(0).join("log");
         let bytes = fs::read(&path).unwrap();
         fs::write(&path, &bytes[..bytes.len() - 1]).unwrap();
-        copy(&fleet.state(0), &fleet.state(1));
+        copy(&fleet.state_folder(0), &fleet.state_folder(1));
     });
     assert_eq!(count(&lines, "none is used"), 1, "{lines:#?}");
     assert_eq!(
@@ -444,13 +450,13 @@
         "{lines:#?}"
     );
     // One from earlier, one whose folder is a file.
-    let caches = fleet.world.hosts(Kind::Cache);
-    fleet.cause(&Fault::Drain(caches[0].clone())).unwrap();
+    let caches = fleet.world.hosts(HostKind::Cache);
+    fleet.inject(&Fault::Drain(caches[0].clone())).unwrap();
     sleep(Duration::from_millis(1_100));
     let lines = restart_all(&mut fleet, 2, |fleet| {
-        copy(&old, &fleet.state(0));
-        fs::remove_dir_all(fleet.state(1)).unwrap();
-        fs::write(fleet.state(1), "no folder").unwrap();
+        copy(&old, &fleet.state_folder(0));
+        fs::remove_dir_all(fleet.state_folder(1)).unwrap();
+        fs::write(fleet.state_folder(1), "no folder").unwrap();
     });
     assert_eq!(count(&lines, "can't be opened"), 1, "{lines:#?}");
     let verdict = kept(&fleet, &clients);
@@ -464,25 +470,25 @@
 fn what_was_lent_is_known_to_the_next_run() {
     let layout = Layout {
         caches: 1,
-        cache_places: 32.0,
-        cold_from: 0.1,
+        cache_slots: 32.0,
+        slow_start_initial: 0.1,
         ..Layout::default()
     };
     let mut fleet = fleet(with_state(1, 2), layout);
     restart_all(&mut fleet, 2, |_| {});
-    let cache = fleet.world.hosts(Kind::Cache)[0].clone();
+    let cache = fleet.world.hosts(HostKind::Cache)[0].clone();
     // The second forwarder has little to do and lends; it is killed while that is out, twice.
     let begins = fleet.world.now() + 4_800.0;
     let load = Load {
         seed: 5,
-        rates: vec![200.0, 10.0],
+        requests_per_s: vec![200.0, 10.0],
         objects: 300,
-        power: 0.8,
-        writes: 0.0,
+        popularity_exponent: 0.8,
+        write_fraction: 0.0,
         from_ms: begins,
         to_ms: begins + 7_000.0,
-        wait_ms: 2_500,
-        names_from: 0,
+        timeout_ms: 2_500,
+        first_connection: 0,
     };
     let clients = fleet
         .world
@@ -496,7 +502,7 @@
     ];
     fleet.play(&script).unwrap();
     kept(&fleet, &clients);
-    assert_eq!(fleet.world.fell_over(), 0);
+    assert_eq!(fleet.world.overloaded_hosts(), 0);
     assert!(
         logged(
             &fleet,
@@ -528,8 +534,8 @@
     // With planners that have just started nobody can tell.
     let lines = restart_all(&mut fleet, 3, |fleet| {
         for planner in 0..2 {
-            fleet.cause(&Fault::KillPlanner(planner)).unwrap();
-            fleet.cause(&Fault::StartPlanner(planner)).unwrap();
+            fleet.inject(&Fault::KillPlanner(planner)).unwrap();
+            fleet.inject(&Fault::StartPlanner(planner)).unwrap();
         }
     });
     assert_eq!(full(&lines), Vec::<f64>::new());
@@ -542,8 +548,8 @@
     // So cold, and for so long, that a cache taken for warm falls over. Without planners nobody vouches between two words
     // of the coordinator, a second apart.
     let layout = Layout {
-        cold_from: 0.01,
-        warm_within_ms: 600_000.0,
+        slow_start_initial: 0.01,
+        slow_start_ms: 600_000.0,
         ..Layout::default()
     };
     let blind = if planners > 0 {
@@ -553,14 +559,14 @@
     };
     let mut fleet = fleet(
         Setup {
-            plan_words: blind,
+            plan_forms: blind,
             ..setup(planners, 3)
         },
         layout,
     );
-    let caches = fleet.world.hosts(Kind::Cache);
+    let caches = fleet.world.hosts(HostKind::Cache);
     let (clients, begins) = clients(&fleet, 450.0, 9_500.0);
-    let mut script = vec![(begins + 200.0, Fault::ClocksApart(ms))];
+    let mut script = vec![(begins + 200.0, Fault::SkewClocks(ms))];
     script.extend(all(3, begins + 200.0, Fault::KillForwarder));
     script.extend(all(3, begins + 300.0, Fault::StartForwarder));
     let hot = |n: u64| format!("{:016x}", n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
@@ -583,7 +589,7 @@
         (0.05..0.8).contains(&used),
         "cold hosts got {used} of what they bear: a part, and no more than theirs"
     );
-    assert_eq!(fleet.world.fell_over(), 0, "{ms} ms apart");
+    assert_eq!(fleet.world.overloaded_hosts(), 0, "{ms} ms apart");
     assert!(
         logged(&fleet, "ahead of the coordinator's") >= 3,
         "each says so: {:#?}",
--- a/crates/flaxdeck-cli/tests/events.rs
+++ b/crates/flaxdeck-cli/tests/events.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use flaxdeck_emulator::fleet::{Fault, Fleet, Setup};
-use flaxdeck_emulator::{Clients, Layout, Load, Wire, World};
+use flaxdeck_emulator::{Clients, Layout, LinkState, Load, World};
 use flaxdeck_invariants::Verdict;
 
 /// Batches at which a planner that hangs is left within the graces of these worlds.
@@ -73,14 +73,14 @@
     let begins = fleet.world.now() + 1_000.0;
     let load = Load {
         seed: 17,
-        rates: vec![80.0],
+        requests_per_s: vec![80.0],
         objects: 200,
-        power: 0.9,
-        writes: 0.02,
+        popularity_exponent: 0.9,
+        write_fraction: 0.02,
         from_ms: begins,
         to_ms: begins + LASTS_MS,
-        wait_ms: 2_500,
-        names_from: 0,
+        timeout_ms: 2_500,
+        first_connection: 0,
     };
     let clients = fleet.world.clients(&fleet.addresses(), &load);
     let mut script = purges(begins + 200.0, begins + LASTS_MS - 1_500.0, purges_per_s);
@@ -96,21 +96,21 @@
 
 fn judged(fleet: &Fleet, clients: &Clients) -> Verdict {
     let limit = fleet.world.now() + 20_000.0;
-    while !clients.done() {
+    while !clients.is_done() {
         assert!(fleet.world.now() < limit, "the clients do not end");
         sleep(Duration::from_millis(10));
     }
     let verdict = fleet.world.verdict();
     assert!(verdict.all_accounted_for(), "{verdict:?}");
-    assert_eq!(clients.told().wrong_bytes, 0);
+    assert_eq!(clients.statistics().wrong_bytes, 0);
     verdict
 }
 
 fn setup(planners: usize, forwarders: usize) -> Setup {
     let binary = PathBuf::from(env!("CARGO_BIN_EXE_flaxdeck"));
     Setup {
-        plan_words: DIGESTS,
-        ..Setup::of(binary, planners, forwarders)
+        plan_forms: DIGESTS,
+        ..Setup::new(binary, planners, forwarders)
     }
 }
 
@@ -188,13 +188,13 @@
         let late = |planner| {
             (
                 begins + 1_000.0,
-                Fault::PlannerWire(0, planner, Wire::Late(150)),
+                Fault::PlannerLink(0, planner, LinkState::Delayed(150)),
             )
         };
         let whole = |planner| {
             (
                 begins + 3_500.0,
-                Fault::PlannerWire(0, planner, Wire::Whole),
+                Fault::PlannerLink(0, planner, LinkState::Up),
             )
         };
         vec![late(0), late(1), whole(0), whole(1)]
@@ -221,7 +221,7 @@
 #[test]
 fn a_forwarder_killed_and_back_hands_out_nothing_older_than_a_purge() {
     let state = Setup {
-        state: true,
+        keeps_state: true,
         ..setup(2, 2)
     };
     let day = day(state, Layout::default(), 20.0, |begins| {
--- a/crates/flaxdeck-emulator/src/clients.rs
+++ b/crates/flaxdeck-emulator/src/clients.rs
@@ -1,401 +1,292 @@
 //! Clients: an open loop of requests over some connections to each dispatcher. When a request is sent was settled before
-//! the first one; no answer is waited for. Every answer's bytes are checked, and a second answer is written down.
+//! the first one; no answer is waited for. Every answer's bytes are checked, and a second answer is recorded.
 
 use std::collections::{BTreeMap, HashMap};
-use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
+use std::vec::IntoIter;
 
 use flaxdeck_invariants::{FinalAnswer, RecordedEvent};
-use rand::{Rng, SeedableRng};
-use rand_pcg::Pcg64Mcg;
-use rmpv::Value;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use tokio::net::tcp::OwnedReadHalf;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::mpsc;
+use tokio::task::JoinHandle;
 use tokio::time::{sleep, sleep_until};
 
-use crate::world::{SharedState, kb_of, made_of};
-
-/// What is asked for, by whom and how often.
-#[derive(Clone, Debug)]
-pub struct Load {
-    pub seed: u64,
-    /// Requests a second at each dispatcher, in order; dispatchers past the list get the last.
-    pub rates: Vec<f64>,
-    /// Objects, drawn with a popularity that falls by this power of the rank.
-    pub objects: u64,
-    pub power: f64,
-    /// The share of requests that are at-most-once writes.
-    pub writes: f64,
-    pub from_ms: f64,
-    pub to_ms: f64,
-    pub wait_ms: u64,
-    /// The number of the first connection, where several loads run at once: requests are named after it.
-    pub names_from: usize,
-}
+use crate::load::{Load, PlannedRequest};
+use crate::objects::made_ms;
+use crate::requests::{AnswerMessage, RequestMessage, request_id, take_answer};
+use crate::state::SharedState;
+use crate::sync::lock;
 
 /// Connections to one dispatcher.
 const CONNECTIONS: usize = 8;
-
-/// One request with its time.
-pub struct Planned {
-    pub at: f64,
-    pub object: String,
-    pub write: bool,
-}
-
-/// What a dispatcher has answered.
-pub struct Spoken {
-    pub call: u32,
-    pub how: FinalAnswer,
-    /// Milliseconds to stay away, if it told any.
-    pub after: Option<f64>,
-    pub body: Vec<u8>,
-}
-
-#[derive(Default)]
-struct Tally {
-    /// By the time in milliseconds that an answer took.
-    took: Vec<f64>,
-    wrong_bytes: u64,
-    broken: u64,
-}
+/// Until a client that found no dispatcher tries again.
+const RECONNECT: Duration = Duration::from_millis(50);
+/// Milliseconds past the last request's deadline in which a late answer is still seen.
+const LATE_ANSWERS_MS: f64 = 500.0;
+/// Between looks whether the last answers have come.
+const POLL: Duration = Duration::from_millis(5);
+/// Bytes that are read at once.
+const BUFFER_BYTES: usize = 64 * 1024;
 
 /// What clients saw beside the record.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
-    pub took: Vec<f64>,
+pub struct ClientStatistics {
+    /// The milliseconds that each served answer took.
+    pub latencies_ms: Vec<f64>,
+    /// Answers whose bytes were not the object's own.
     pub wrong_bytes: u64,
-    pub broken: u64,
+    /// Connections that broke.
+    pub broken_connections: u64,
 }
 
-impl Told {
+impl ClientStatistics {
     /// What several groups of clients saw together.
-    pub fn merged(parts: impl IntoIterator<Item = Told>) -> Told {
-        let mut all = Told::default();
+    pub fn merged(parts: impl IntoIterator<Item = ClientStatistics>) -> ClientStatistics {
+        let mut all = ClientStatistics::default();
         for part in parts {
-            all.took.extend(part.took);
+            all.latencies_ms.extend(part.latencies_ms);
             all.wrong_bytes += part.wrong_bytes;
-            all.broken += part.broken;
+            all.broken_connections += part.broken_connections;
         }
         all
     }
 
-    /// The time in milliseconds within which that fraction of the answers came, from 0 to 1; 0 without answers.
+    /// Milliseconds within which that fraction of the answers came, from 0 to 1; 0 without answers.
     pub fn latency_quantile(&self, fraction: f64) -> f64 {
-        let mut sorted = self.took.clone();
+        let mut sorted = self.latencies_ms.clone();
         sorted.sort_by(f64::total_cmp);
         let index = (sorted.len() as f64 * fraction) as usize;
         sorted.get(index).copied().unwrap_or(0.0)
     }
 }
 
+/// Clients of some dispatchers.
 pub struct Clients {
-    tally: Arc<Mutex<Tally>>,
-    open: Arc<AtomicU64>,
-}
-
-/// The object of that popularity, counted from 0.
-pub fn object_of_rank(rank: u64) -> u64 {
-    (rank + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
-}
-
-/// The requests at one dispatcher, all settled before the first is sent.
-pub fn draw(load: &Load, dispatcher: usize) -> Vec<Planned> {
-    let mut chance = Pcg64Mcg::seed_from_u64(load.seed ^ (dispatcher as u64) << 32);
-    let rate = load
-        .rates
-        .get(dispatcher)
-        .or(load.rates.last())
-        .copied()
-        .unwrap_or(0.0);
-    let mut weights = Vec::with_capacity(load.objects as usize);
-    let mut sum = 0.0;
-    for rank in 1..=load.objects {
-        sum += (rank as f64).powf(-load.power);
-        weights.push(sum);
-    }
-    let (mut at, mut planned) = (load.from_ms, Vec::new());
-    if rate <= 0.0 {
-        return planned;
-    }
-    loop {
-        at += -(1.0 - chance.random::<f64>()).ln() * 1000.0 / rate;
-        if at >= load.to_ms {
-            return planned;
-        }
-        let rank = weights.partition_point(|weight| *weight < chance.random::<f64>() * sum) as u64;
-        let write = chance.random_bool(load.writes);
-        let object = format!("{:016x}", object_of_rank(rank));
-        planned.push(Planned { at, object, write });
-    }
+    statistics: Arc<Mutex<ClientStatistics>>,
+    /// Connections that still have requests.
+    running: Arc<AtomicU64>,
 }
 
 impl Clients {
     /// Starts clients of these dispatchers; to be called within the world's runtime.
-    pub fn start(world: &Arc<SharedState>, dispatchers: &[SocketAddr], load: &Load) -> Clients {
+    pub(crate) fn start(
+        world: &Arc<SharedState>,
+        dispatchers: &[SocketAddr],
+        load: &Load,
+    ) -> Clients {
         let clients = Clients {
-            tally: Arc::default(),
-            open: Arc::default(),
+            statistics: Arc::default(),
+            running: Arc::default(),
         };
-        for (at, address) in dispatchers.iter().enumerate() {
-            let mut connections: Vec<Vec<Planned>> = (0..CONNECTIONS).map(|_| Vec::new()).collect();
-            for (n, planned) in draw(load, at).into_iter().enumerate() {
-                connections[n % CONNECTIONS].push(planned);
-            }
-            for (connection, planned) in connections.into_iter().enumerate() {
-                clients.open.fetch_add(1, Ordering::SeqCst);
-                let (world, tally, open) =
-                    (world.clone(), clients.tally.clone(), clients.open.clone());
-                let (address, wait) = (*address, load.wait_ms);
-                let name = load.names_from + at * CONNECTIONS + connection;
+        for (dispatcher, address) in dispatchers.iter().enumerate() {
+            let dealt = load.by_connection(dispatcher, CONNECTIONS);
+            for (index, requests) in dealt.into_iter().enumerate() {
+                let connection = Connection {
+                    world: world.clone(),
+                    number: load.first_connection + dispatcher * CONNECTIONS + index,
+                    timeout_ms: load.timeout_ms,
+                    last_call: 0,
+                    pending: Arc::default(),
+                    statistics: clients.statistics.clone(),
+                };
+                clients.running.fetch_add(1, Ordering::SeqCst);
+                let running = clients.running.clone();
+                let address = *address;
                 tokio::spawn(async move {
-                    run(&world, address, name, planned, wait, &tally).await;
-                    open.fetch_sub(1, Ordering::SeqCst);
+                    connection.run(address, requests).await;
+                    running.fetch_sub(1, Ordering::SeqCst);
                 });
             }
         }
         clients
     }
 
-    pub fn done(&self) -> bool {
-        self.open.load(Ordering::SeqCst) == 0
+    /// Whether all requests have ended.
+    pub fn is_done(&self) -> bool {
+        self.running.load(Ordering::SeqCst) == 0
     }
 
-    pub fn told(&self) -> Told {
-        let tally = self.tally.lock().expect("no holder panics");
-        Told {
-            took: tally.took.clone(),
-            wrong_bytes: tally.wrong_bytes,
-            broken: tally.broken,
-        }
+    /// What the clients saw so far.
+    pub fn statistics(&self) -> ClientStatistics {
+        lock(&self.statistics).clone()
     }
 }
 
-struct Open {
+/// A request without an answer.
+struct PendingRequest {
     object: String,
-    sent: f64,
+    sent_ms: f64,
     write: bool,
 }
 
-/// One connection's requests; a connection that breaks is opened again, and what was open on it has left.
-async fn run(
-    world: &Arc<SharedState>,
-    address: SocketAddr,
-    name: usize,
-    planned: Vec<Planned>,
-    wait: u64,
-    tally: &Arc<Mutex<Tally>>,
-) {
-    let (mut call, mut planned) = (0u32, planned.into_iter().peekable());
-    while planned.peek().is_some() {
-        let Ok(stream) = TcpStream::connect(address).await else {
-            // Who finds no dispatcher has not asked: what was due meanwhile is lost to this one.
-            sleep(Duration::from_millis(50)).await;
-            while planned
-                .next_if(|planned| planned.at < world.now())
-                .is_some()
-            {}
-            continue;
+/// One connection's requests; a connection that breaks is opened again, and what was pending on it has left.
+struct Connection {
+    world: Arc<SharedState>,
+    number: usize,
+    timeout_ms: u64,
+    last_call: u32,
+    pending: Arc<Mutex<HashMap<u32, PendingRequest>>>,
+    statistics: Arc<Mutex<ClientStatistics>>,
+}
+
+type Requests = std::iter::Peekable<IntoIter<PlannedRequest>>;
+
+impl Connection {
+    async fn run(mut self, address: SocketAddr, requests: Vec<PlannedRequest>) {
+        let mut requests = requests.into_iter().peekable();
+        while requests.peek().is_some() {
+            let Ok(stream) = TcpStream::connect(address).await else {
+                // Who finds no dispatcher has not sent: what was due meanwhile is lost to this one.
+                sleep(RECONNECT).await;
+                let now_ms = self.world.now();
+                while requests.next_if(|request| request.at_ms < now_ms).is_some() {}
+                continue;
+            };
+            // A delay matters only to measurements.
+            let _ = stream.set_nodelay(true);
+            let (read, mut write) = stream.into_split();
+            let (ended_sender, mut ended) = mpsc::channel::<()>(1);
+            let reader = self.start_reader(read, ended_sender);
+            self.send_requests(&mut requests, &mut write, &mut ended)
+                .await;
+            self.wait_for_last_answers(&reader).await;
+            self.close(&reader);
+        }
+    }
+
+    /// Reads answers in a task of its own, which drops the sender when the connection ends.
+    fn start_reader(&self, read: OwnedReadHalf, ended: mpsc::Sender<()>) -> JoinHandle<()> {
+        let reader = Reader {
+            world: self.world.clone(),
+            connection: self.number,
+            pending: self.pending.clone(),
+            statistics: self.statistics.clone(),
+            _ended: ended,
         };
-        let _ = stream.set_nodelay(true);
-        let (read, mut write) = stream.into_split();
-        let open: Arc<Mutex<HashMap<u32, Open>>> = Arc::default();
-        let (over, mut ended) = mpsc::channel::<()>(1);
-        let hears = tokio::spawn(hear(
-            world.clone(),
-            read,
-            name,
-            open.clone(),
-            tally.clone(),
-            over,
-        ));
-        while let Some(next) = planned.peek() {
+        tokio::spawn(reader.run(read))
+    }
+
+    /// Sends each request at its time, until none is left or the connection ends.
+    async fn send_requests(
+        &mut self,
+        requests: &mut Requests,
+        write: &mut OwnedWriteHalf,
+        ended: &mut mpsc::Receiver<()>,
+    ) {
+        while let Some(next) = requests.peek() {
             tokio::select! {
-                () = sleep_until(world.instant(next.at)) => {}
-                _ = ended.recv() => break,
+                () = sleep_until(self.world.instant(next.at_ms)) => {}
+                _ = ended.recv() => return,
             }
-            let Planned {
-                object,
-                write: writes,
-                ..
-            } = planned.next().expect("just seen");
-            call += 1;
-            let (now, request) = (world.now(), format!("{name:08x}{call:08x}"));
-            world.record(RecordedEvent::RequestSent {
-                request: request.clone(),
-                deadline_ms: now + wait as f64,
-            });
-            open.lock().expect("no holder panics").insert(
-                call,
-                Open {
-                    object: object.clone(),
-                    sent: now,
-                    write: writes,
-                },
-            );
-            if write
-                .write_all(&message(call, &request, &object, writes, wait, false))
-                .await
-                .is_err()
-            {
-                break;
+            let Some(request) = requests.next() else {
+                return;
+            };
+            let message = self.register(request);
+            if write.write_all(&message).await.is_err() {
+                return;
             }
         }
-        // The last answers, or the end of a connection that broke.
-        let limit = world.now() + wait as f64 + 500.0;
-        while !open.lock().expect("no holder panics").is_empty()
-            && world.now() < limit
-            && !hears.is_finished()
-        {
-            sleep(Duration::from_millis(5)).await;
-        }
-        let broke = hears.is_finished();
-        hears.abort();
-        let left: BTreeMap<u32, Open> = open.lock().expect("no holder panics").drain().collect();
-        if broke {
-            tally.lock().expect("no holder panics").broken += 1;
-            // Only who lost his connection has left; one that waits in vain on a whole one is a breach.
-            left.into_keys().for_each(|call| {
-                world.record(RecordedEvent::ClientLeft {
-                    request: format!("{name:08x}{call:08x}"),
-                })
-            });
-        }
     }
-}
 
-pub fn message(
-    call: u32,
-    request: &str,
-    object: &str,
-    writes: bool,
-    wait: u64,
-    again: bool,
-) -> Vec<u8> {
-    let text = |text: &str| Value::from(text);
-    let kb = kb_of(object).to_string();
-    let fields = [
-        ("id", request),
-        ("wait", &*wait.to_string()),
-        ("key", object),
-        ("slice", "0"),
-        ("set", "7"),
-        ("kb", &*kb),
-        ("retry", "1"),
-    ]
-    .map(|(name, value)| (text(name), text(value)));
-    let fields = &fields[..fields.len() - usize::from(!again)];
-    let class = if writes { "submit" } else { "page" };
-    let body = if writes {
-        b"a form".to_vec()
-    } else {
-        Vec::new()
-    };
-    let arguments = Value::Array(vec![Value::Map(fields.to_vec()), Value::Binary(body)]);
-    let whole = Value::Array(vec![
-        Value::from(0),
-        Value::from(call),
-        text(class),
-        arguments,
-    ]);
-    let mut bytes = Vec::new();
-    rmpv::encode::write_value(&mut bytes, &whole).expect("a vector grows");
-    bytes
-}
+    /// Records a request and gives its bytes.
+    fn register(&mut self, request: PlannedRequest) -> Vec<u8> {
+        self.last_call += 1;
+        let call = self.last_call;
+        let now_ms = self.world.now();
+        let id = request_id(self.number, call);
+        self.world.record(RecordedEvent::RequestSent {
+            request: id.clone(),
+            deadline_ms: now_ms + self.timeout_ms as f64,
+        });
+        let message = RequestMessage {
+            call,
+            id: &id,
+            object: &request.object,
+            write: request.write,
+            timeout_ms: self.timeout_ms,
+            is_retry: false,
+        };
+        let bytes = message.encode();
+        let pending = PendingRequest {
+            object: request.object,
+            sent_ms: now_ms,
+            write: request.write,
+        };
+        lock(&self.pending).insert(call, pending);
+        bytes
+    }
 
-async fn hear(
-    world: Arc<SharedState>,
-    mut from: OwnedReadHalf,
-    name: usize,
-    open: Arc<Mutex<HashMap<u32, Open>>>,
-    tally: Arc<Mutex<Tally>>,
-    _over: mpsc::Sender<()>,
-) {
-    let (mut bytes, mut piece) = (Vec::new(), vec![0; 64 * 1024]);
-    while let Ok(count @ 1..) = from.read(&mut piece).await {
-        bytes.extend_from_slice(&piece[..count]);
-        while let Some(spoken) = read(&mut bytes) {
-            let Ok(spoken) = spoken else { return };
-            answered(&world, name, &open, &tally, spoken);
+    /// Waits for the last answers, or the end of a connection that broke.
+    async fn wait_for_last_answers(&self, reader: &JoinHandle<()>) {
+        let limit = self.world.now() + self.timeout_ms as f64 + LATE_ANSWERS_MS;
+        while !lock(&self.pending).is_empty() && self.world.now() < limit && !reader.is_finished() {
+            sleep(POLL).await;
+        }
+    }
+
+    /// Ends the connection. Only who lost his connection has left; one that waits in vain on a connection that stands is a
+    /// violation.
+    fn close(&self, reader: &JoinHandle<()>) {
+        let broke = reader.is_finished();
+        reader.abort();
+        let left: BTreeMap<u32, PendingRequest> = lock(&self.pending).drain().collect();
+        if broke {
+            lock(&self.statistics).broken_connections += 1;
+            for call in left.into_keys() {
+                let request = request_id(self.number, call);
+                self.world.record(RecordedEvent::ClientLeft { request });
+            }
         }
     }
 }
 
-/// Takes one whole answer out of the head of the buffer; none while there is none.
-pub fn read(bytes: &mut Vec<u8>) -> Option<io::Result<Spoken>> {
-    let mut rest = &bytes[..];
-    let value = rmpv::decode::read_value(&mut rest).ok()?;
-    let used = bytes.len() - rest.len();
-    bytes.drain(..used);
-    Some(spoken(&value).ok_or_else(|| io::ErrorKind::InvalidData.into()))
+/// Reads a connection's answers.
+struct Reader {
+    world: Arc<SharedState>,
+    connection: usize,
+    pending: Arc<Mutex<HashMap<u32, PendingRequest>>>,
+    statistics: Arc<Mutex<ClientStatistics>>,
+    /// Dropped with the reader, which tells the writer that the connection has ended.
+    _ended: mpsc::Sender<()>,
 }
 
-fn spoken(value: &Value) -> Option<Spoken> {
-    let parts = value.as_array().filter(|parts| parts.len() == 4)?;
-    let call = parts[1].as_u64()? as u32;
-    if parts[2].is_nil() {
-        let body = parts[3]
-            .as_array()
-            .and_then(|result| result.first())
-            .and_then(Value::as_slice);
-        let body = body.unwrap_or(&[]).to_vec();
-        return Some(Spoken {
-            call,
-            how: FinalAnswer::Served,
-            after: None,
-            body,
-        });
+impl Reader {
+    async fn run(self, mut from: OwnedReadHalf) {
+        let mut bytes = Vec::new();
+        let mut piece = vec![0; BUFFER_BYTES];
+        while let Ok(count @ 1..) = from.read(&mut piece).await {
+            bytes.extend_from_slice(&piece[..count]);
+            while let Some(answer) = take_answer(&mut bytes) {
+                let Ok(answer) = answer else { return };
+                self.answered(&answer);
+            }
+        }
     }
-    let error = parts[2].as_array()?;
-    let how = match error.first().and_then(Value::as_str)? {
-        "Backoff" => FinalAnswer::Rejected,
-        "Lost" => FinalAnswer::Failed,
-        _ => return None,
-    };
-    let told = error.get(1).and_then(Value::as_map).into_iter().flatten();
-    let after = told
-        .filter(|(name, _)| name.as_str() == Some("after"))
-        .find_map(|(_, value)| value.as_str());
-    Some(Spoken {
-        call,
-        how,
-        after: after.and_then(|after| after.parse().ok()),
-        body: Vec::new(),
-    })
-}
 
-fn answered(
-    world: &SharedState,
-    name: usize,
-    open: &Mutex<HashMap<u32, Open>>,
-    tally: &Mutex<Tally>,
-    spoken: Spoken,
-) {
-    let now = world.now();
-    let asked = open.lock().expect("no holder panics").remove(&spoken.call);
-    if let Some(asked) = asked.filter(|_| spoken.how == FinalAnswer::Served) {
-        match made_of(&asked.object, &spoken.body) {
-            Some(_) if asked.write => {}
-            Some(made) => world.record(RecordedEvent::CopyServed {
-                object: asked.object.clone(),
-                sent_ms: asked.sent,
-                made_ms: made,
-            }),
-            None => tally.lock().expect("no holder panics").wrong_bytes += 1,
+    fn answered(&self, message: &AnswerMessage) {
+        let now_ms = self.world.now();
+        let pending = lock(&self.pending).remove(&message.call);
+        if let Some(pending) = pending.filter(|_| message.answer == FinalAnswer::Served) {
+            match made_ms(&pending.object, &message.body) {
+                Some(_) if pending.write => {}
+                Some(made_ms) => self.world.record(RecordedEvent::CopyServed {
+                    object: pending.object,
+                    sent_ms: pending.sent_ms,
+                    made_ms,
+                }),
+                None => lock(&self.statistics).wrong_bytes += 1,
+            }
+            let latency_ms = now_ms - pending.sent_ms;
+            lock(&self.statistics).latencies_ms.push(latency_ms);
         }
-        tally
-            .lock()
-            .expect("no holder panics")
-            .took
-            .push(now - asked.sent);
+        self.world.record(RecordedEvent::Answered {
+            request: request_id(self.connection, message.call),
+            answer: message.answer,
+        });
     }
-    world.record(RecordedEvent::Answered {
-        request: format!("{name:08x}{:08x}", spoken.call),
-        answer: spoken.how,
-    });
 }
--- /dev/null
+++ b/crates/flaxdeck-emulator/src/hosts/answers.rs
@@ -0,0 +1,97 @@
+//! What a host answers to a request.
+
+use std::collections::HashMap;
+use std::sync::Arc;
+
+use flaxdeck_invariants::RecordedEvent;
+use tokio::time::sleep_until;
+
+use super::admission::{Admission, admit};
+use super::fills::{Copy, CopyError, find_copy};
+use crate::objects::{body, size_kb};
+use crate::state::{HostKind, SharedState};
+
+/// The class of requests whose effect must not happen twice.
+const WRITE_CLASS: &str = "submit";
+
+/// An answer in the words of the line protocol.
+pub(super) struct Answer {
+    pub(super) word: &'static str,
+    pub(super) fields: String,
+    pub(super) body: Vec<u8>,
+}
+
+/// Answers a request; none if the host says nothing.
+pub(super) async fn answer(
+    world: &Arc<SharedState>,
+    id: &str,
+    fields: &HashMap<String, String>,
+    request: &str,
+) -> Option<Answer> {
+    let field = |name: &str| fields.get(name).map_or("", String::as_str);
+    let object = field("key");
+    let is_write = field("class") == WRITE_CLASS;
+    world.lock().hosts.get_mut(id)?.requests_in_hand += 1;
+    let copy = match admit(world, id, size_kb(object) as f64) {
+        Admission::Until(until_ms) => {
+            let copy = if is_write {
+                world.record(RecordedEvent::EffectApplied {
+                    effect: format!("{request} {object}"),
+                });
+                Ok(Copy::held(world.now()))
+            } else {
+                find_copy(world, id, object, field("fetch"), field("newer")).await
+            };
+            sleep_until(world.instant(until_ms)).await;
+            copy
+        }
+        Admission::Rejected => Err(CopyError::new("full")),
+        Admission::Failed => Err(CopyError::new("failed")),
+        Admission::Down | Admission::Silent => {
+            // The connection ends with the host, or the client gives up.
+            std::future::pending::<()>().await;
+            return None;
+        }
+    };
+    let load = end_request(world, id)?;
+    if !is_write {
+        count_answer(world, id, &copy);
+    }
+    Some(match copy {
+        Ok(copy) => {
+            let stamp = world.unix_ms(world.now());
+            let source = copy.source;
+            Answer {
+                word: "data",
+                fields: format!("version=v{object},stamp={stamp},{source},{load}"),
+                body: body(object, copy.made_ms),
+            }
+        }
+        Err(CopyError { word, fill }) => Answer {
+            word,
+            fields: fill.map_or(load.clone(), |fill| format!("{fill},{load}")),
+            body: Vec::new(),
+        },
+    })
+}
+
+/// A request has its answer; gives the host's load report.
+fn end_request(world: &SharedState, id: &str) -> Option<String> {
+    let mut state = world.lock();
+    let host = state.hosts.get_mut(id)?;
+    host.requests_in_hand = host.requests_in_hand.saturating_sub(1);
+    let outstanding = host.requests_in_hand;
+    Some(format!("stats=outstanding:{outstanding};x0:0.5;x1:0.1"))
+}
+
+fn count_answer(world: &SharedState, id: &str, copy: &Result<Copy, CopyError>) {
+    let Ok(copy) = copy else { return };
+    let now_ms = world.now();
+    let mut state = world.lock();
+    let host = state.hosts.get(id);
+    if host.is_some_and(|host| host.kind == HostKind::Cache) {
+        let interval = state.interval(now_ms);
+        interval.cache_answers += 1;
+        interval.cache_hits += u32::from(copy.is_hit());
+    }
+}
--- a/crates/flaxdeck-scale/src/service.rs
+++ b/crates/flaxdeck-scale/src/service.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use flaxdeck_emulator::{Clients, Kind, Layout, ListedHost, Load, World, object_of_rank};
+use flaxdeck_emulator::{Clients, HostKind, Layout, ListedHost, Load, World, object_of_rank};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::Value;
@@ -62,12 +62,12 @@
     };
     let id = u32::from_str_radix(host.id.strip_prefix("s-")?, 16).ok()?;
     let (zone, kind) = match host.kind {
-        Kind::Cache => (HERE, 0),
-        Kind::Parent => (HUB, 1),
-        Kind::Origin => (HUB, 2),
+        HostKind::Cache => (HERE, 0),
+        HostKind::Parent => (HUB, 1),
+        HostKind::Origin => (HUB, 2),
     };
     let address: SocketAddrV4 = address;
-    let weight = (host.places * 1000.0) as u32;
+    let weight = (host.slots * 1000.0) as u32;
     Some(Host {
         id,
         address,
@@ -84,7 +84,7 @@
     /// Starts hosts for so many real forwarders.
     pub fn start(forwarders: u32, seed: u64) -> Result<Service, String> {
         let layout = layout(forwarders as usize);
-        let world = World::start(layout.clone())?;
+        let world = World::start(layout.clone()).map_err(|error| error.to_string())?;
         let chance = Pcg64Mcg::seed_from_u64(seed);
         Ok(Service {
             world: Some(world),
@@ -100,7 +100,11 @@
 
     /// Its hosts, for the coordinator's list.
     pub fn hosts(&self) -> Vec<Host> {
-        self.world().listed().iter().filter_map(line).collect()
+        self.world()
+            .listed_hosts()
+            .iter()
+            .filter_map(line)
+            .collect()
     }
 
     /// The platform's settings for a real forwarder.
@@ -113,14 +117,14 @@
         let now = self.world().now();
         let load = Load {
             seed,
-            rates: vec![RATE],
+            requests_per_s: vec![RATE],
             objects: OBJECTS,
-            power: 0.8,
-            writes: 0.02,
+            popularity_exponent: 0.8,
+            write_fraction: 0.02,
             from_ms: now,
             to_ms: now + seconds * 1000.0,
-            wait_ms: WAIT_MS,
-            names_from: 0,
+            timeout_ms: WAIT_MS,
+            first_connection: 0,
         };
         self.clients = Some(self.world().clients(forwarders, &load));
     }
@@ -128,13 +132,13 @@
     /// Draws an object that clients ask for; it counts as purged from now on.
     pub fn purge(&mut self) -> u64 {
         let object = object_of_rank(self.chance.random_range(0..PURGED_RANKS));
-        self.world().purged_elsewhere(&format!("{object:016x}"));
+        self.world().record_purge(&format!("{object:016x}"));
         object
     }
 
     /// Whether all clients have had their answers.
     pub fn is_done(&self) -> bool {
-        self.clients.as_ref().is_none_or(Clients::done)
+        self.clients.as_ref().is_none_or(Clients::is_done)
     }
 
     /// What came of it.
@@ -143,9 +147,9 @@
         let mut took = self
             .clients
             .as_ref()
-            .map(Clients::told)
+            .map(Clients::statistics)
             .unwrap_or_default()
-            .took;
+            .latencies_ms;
         took.sort_by(f64::total_cmp);
         let p99_ms = took.get(took.len() * 99 / 100).copied().unwrap_or(f64::NAN);
         let mut broken = BTreeMap::new();
--- a/crates/flaxdeck-scale/src/stage/faults.rs
+++ b/crates/flaxdeck-scale/src/stage/faults.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::time::Duration;
 
-use flaxdeck_emulator::Wire;
+use flaxdeck_emulator::LinkState;
 use rustix::process::Signal;
 use tokio::time::Instant;
 
@@ -50,9 +50,9 @@
                 self.next_purge = next_purge.map(|_| until);
             }
             FaultKind::LinkCut => {
-                self.wire.iter().for_each(|wire| wire.set(Wire::Cut));
+                self.wire.iter().for_each(|wire| wire.set(LinkState::Cut));
                 self.pass_until(until).await?;
-                self.wire.iter().for_each(|wire| wire.set(Wire::Whole));
+                self.wire.iter().for_each(|wire| wire.set(LinkState::Up));
             }
             FaultKind::SlowReaders => {
                 while Instant::now() < until {
