--- a/crates/flaxdeck-cli/src/scale.rs
+++ b/crates/flaxdeck-cli/src/scale.rs
@@ -7,7 +7,8 @@
 use flaxdeck_plan::LogForm;
 use flaxdeck_scale::measurement::{Distribution, Measurement, Metric, Role};
 use flaxdeck_scale::messages::{CoordinatorOrders, HollowOrders};
-use flaxdeck_scale::report::{self, Rows};
+use flaxdeck_scale::options::RunOptions;
+use flaxdeck_scale::report::{self, RunRows};
 use flaxdeck_scale::scenario::{Fault, Point, Scenario};
 use flaxdeck_scale::{bounds, run, scenario};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -167,7 +168,7 @@
             distribution: *distribution,
             ..scenario.clone()
         };
-        let one = run::Asked {
+        let one = RunOptions {
             scenario: &scenario,
             point: *point,
             seed: *seed,
@@ -193,7 +194,7 @@
 const HEAD: &str = "distribution  hollow  hosts  purges/s  planners  fault                bytes/s  messages/s  headers/s  cores  planner  coordinator  delay ms: median      99th     worst  expected      lost  replaced  doubled  disordered  machine idle";
 
 /// A run in a line: bytes, messages and cores of one hollow forwarder, cores of a planner and the coordinator.
-fn line(options: &run::Asked, rows: &Rows) -> String {
+fn line(options: &RunOptions, rows: &RunRows) -> String {
     let hollow = |metrics: &[Metric]| -> f64 {
         metrics
             .iter()
--- a/crates/flaxdeck-cli/tests/scale.rs
+++ b/crates/flaxdeck-cli/tests/scale.rs
@@ -12,7 +12,8 @@
 use std::time::{Duration, Instant};
 
 use flaxdeck_scale::measurement::{Metric, Role};
-use flaxdeck_scale::run::{Asked, Played, play};
+use flaxdeck_scale::options::{MessageCount, RunOptions};
+use flaxdeck_scale::run::{RunResult, play};
 use flaxdeck_scale::scenario;
 
 const SMALL: &str =
@@ -26,10 +27,10 @@
     Path::new(env!("CARGO_BIN_EXE_flaxdeck"))
 }
 
-fn played(text: &str) -> Played {
+fn played(text: &str) -> RunResult {
     let scenario = scenario::read("small.scale", text).unwrap();
     let (point, seed, fault) = (scenario.points[0], scenario.seed, scenario.fault);
-    let asked = Asked {
+    let options = RunOptions {
         scenario: &scenario,
         point,
         seed,
@@ -41,7 +42,7 @@
         .enable_all()
         .build()
         .unwrap();
-    runtime.block_on(play(&asked, &|_| ())).unwrap()
+    runtime.block_on(play(&options, &|_| ())).unwrap()
 }
 
 fn is_alive(process: u32) -> bool {
@@ -51,9 +52,9 @@
 #[test]
 fn fifty_hollow_forwarders_miss_nothing_and_both_sides_count_the_same() {
     let begun = Instant::now();
-    let Played {
+    let RunResult {
         rows,
-        both_sides,
+        message_totals,
         processes,
     } = played(SMALL);
     let of = |role, metric| rows.sum(role, metric).unwrap();
@@ -72,23 +73,27 @@
         "lost, replaced, doubled, out of order"
     );
     assert!(hollow(Metric::DelayWorstMs) >= hollow(Metric::DelayMedianMs));
-    for side in &both_sides {
-        let [sent, received] = [side.sent, side.received].map(|[messages, _]| messages as f64);
+    for side in &message_totals {
+        let [sent, received] =
+            [side.sent, side.received].map(|count: MessageCount| count.messages as f64);
         let per_s = match side.kind {
             "feed" => 52.0,
             "reports" | "guidance" => 50.0 * 2.0 * 5.0,
             _ => 0.0,
         };
         assert!((sent - received).abs() <= per_s * ON_THEIR_WAY, "{side:?}");
-        let [sent, received] =
-            [side.sent, side.received].map(|[messages, bytes]| bytes as f64 / messages as f64);
+        let [sent, received] = [side.sent, side.received]
+            .map(|count: MessageCount| count.bytes as f64 / count.messages as f64);
         assert!(
             sent.is_nan() || (sent - received).abs() < 0.02 * sent,
             "bytes a message: {side:?}"
         );
     }
-    let feed = both_sides.iter().find(|side| side.kind == "feed").unwrap();
-    assert!(feed.received[0] > 52 * 35 * 5, "{feed:?}");
+    let feed = message_totals
+        .iter()
+        .find(|side| side.kind == "feed")
+        .unwrap();
+    assert!(feed.received.messages > 52 * 35 * 5, "{feed:?}");
     assert!(
         processes.len() == 5 && !processes.iter().any(|process| is_alive(*process)),
         "{processes:?}"
@@ -107,7 +112,7 @@
         "(scale (name \"small\") (seed 4) (sizes (hollow 40) (processes 2) (hosts 50) (planners 2))
         (rates (purges 60) (host-changes 2)) (times (settle-s 1) (window-s 6) (drain-s 3))
         (fault (kind region-restarted) (at-s 2) (lasts-s 0)))";
-    let Played {
+    let RunResult {
         rows, processes, ..
     } = played(text);
     let hollow = |metric| rows.sum(Role::HollowForwarder, metric).unwrap();
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -8,7 +8,11 @@
 use std::time::Instant;
 
 use flaxdeck::decision::DecisionEngine;
-use flaxdeck::{Role as HostRole, *};
+use flaxdeck::{
+    Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, CellId, ClassId, DeploymentTerms,
+    Endpoint, FillOutcome, GroupId, Health, HostId, ListKind, LoadReport, ObjectId, Repeats,
+    Request, RequestClass, RequestId, Role as HostRole, Span, Time, ZoneId,
+};
 use flaxdeck_scale::files;
 use flaxdeck_scale::fit::NO_FAULT;
 use flaxdeck_scale::measurement::{DECISIONS_RUN, Distribution, Measurement, Metric, Role};
--- a/crates/flaxdeck-scale/src/capacity/estimate.rs
+++ b/crates/flaxdeck-scale/src/capacity/estimate.rs
@@ -13,22 +13,26 @@
 pub enum Known {
     /// Measured at that size, not drawn out.
     Measured {
+        /// The size.
         at: Size,
     },
     /// Measured at that size only, though it grows with drivers that are larger elsewhere: a least value there.
     MeasuredBelow {
+        /// The size.
         at: Size,
     },
     /// Measured apart from any size of the fleet.
     MeasuredApart,
     /// Read off a line that is drawn out by that factor.
     Slope {
+        /// The driver at the size over the largest one measured, the worst of all terms.
         factor: f64,
         /// Drivers that were held elsewhere than at the size, with their value.
         held: Vec<(Term, f64)>,
         /// A part of it was only measured, at that size.
         partly_at: Option<Size>,
     },
+    /// No run shows it.
     NotShown,
 }
 
@@ -88,11 +92,14 @@
 /// A value at a size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Estimate {
+    /// The value; none where it is not shown.
     pub value: Option<f64>,
+    /// How it is known.
     pub known: Known,
 }
 
 impl Estimate {
+    /// Nothing is known.
     pub const NOT_SHOWN: Estimate = Estimate {
         value: None,
         known: Known::NotShown,
@@ -163,75 +170,74 @@
     }
 }
 
+/// The less known of two, with what both have of slopes and measurements.
 fn least_known(one: Known, other: Known) -> Known {
     match (one, other) {
         (Known::NotShown, _) | (_, Known::NotShown) => Known::NotShown,
         (Known::MeasuredApart, other) | (other, Known::MeasuredApart) => other,
-        (
-            Known::Slope {
-                factor,
-                mut held,
-                partly_at,
-            },
-            Known::Slope {
-                factor: other,
-                held: more,
-                partly_at: also,
-            },
-        ) => {
-            let new: Vec<(Term, f64)> = more
-                .into_iter()
-                .filter(|term| !held.contains(term))
-                .collect();
-            held.extend(new);
-            let partly_at = [partly_at, also].into_iter().flatten().reduce(smaller);
-            Known::Slope {
-                factor: factor.max(other),
-                held,
-                partly_at,
-            }
-        }
         (
             Known::Slope {
                 factor,
                 held,
                 partly_at,
             },
-            measured,
+            other,
         )
         | (
-            measured,
+            other,
             Known::Slope {
                 factor,
                 held,
                 partly_at,
             },
-        ) => {
-            let partly_at = [partly_at, measured.measured_at()]
-                .into_iter()
-                .flatten()
-                .reduce(smaller);
-            Known::Slope {
-                factor,
-                held,
-                partly_at,
-            }
-        }
-        (one, other) => {
-            let at = [one.measured_at(), other.measured_at()]
-                .into_iter()
-                .flatten()
-                .reduce(smaller);
-            let is_below = [&one, &other]
-                .iter()
-                .any(|known| matches!(known, Known::MeasuredBelow { .. }));
-            match at {
-                Some(at) if is_below => Known::MeasuredBelow { at },
-                Some(at) => Known::Measured { at },
-                None => Known::NotShown,
-            }
+        ) => slope_with(factor, held, partly_at, other),
+        (one, other) => less_measured(&one, &other),
+    }
+}
+
+/// A slope together with another slope, or with what was only measured.
+fn slope_with(
+    factor: f64,
+    mut held: Vec<(Term, f64)>,
+    partly_at: Option<Size>,
+    other: Known,
+) -> Known {
+    let other_at = other.measured_at();
+    let Known::Slope {
+        factor: other_factor,
+        held: other_held,
+        partly_at: other_partly_at,
+    } = other
+    else {
+        return Known::Slope {
+            factor,
+            held,
+            partly_at: smallest([partly_at, other_at]),
+        };
+    };
+    for term in other_held {
+        if !held.contains(&term) {
+            held.push(term);
         }
     }
+    Known::Slope {
+        factor: factor.max(other_factor),
+        held,
+        partly_at: smallest([partly_at, other_partly_at]),
+    }
+}
+
+fn less_measured(one: &Known, other: &Known) -> Known {
+    let is_below = |known: &Known| matches!(known, Known::MeasuredBelow { .. });
+    match smallest([one.measured_at(), other.measured_at()]) {
+        Some(at) if is_below(one) || is_below(other) => Known::MeasuredBelow { at },
+        Some(at) => Known::Measured { at },
+        None => Known::NotShown,
+    }
+}
+
+fn smallest(sizes: [Option<Size>; 2]) -> Option<Size> {
+    sizes.into_iter().flatten().reduce(smaller)
 }
 
 fn smaller(one: Size, other: Size) -> Size {
--- a/crates/flaxdeck-scale/src/capacity/events.rs
+++ b/crates/flaxdeck-scale/src/capacity/events.rs
@@ -9,7 +9,9 @@
 pub struct Event {
     /// By which the template knows it.
     pub key: &'static str,
+    /// Its name on the page.
     pub name: &'static str,
+    /// How large it is, in words.
     pub size: String,
     /// Faults of runs, by their words in a scale file, that show a part of it.
     pub faults: &'static [&'static str],
--- a/crates/flaxdeck-scale/src/capacity/faults.rs
+++ b/crates/flaxdeck-scale/src/capacity/faults.rs
@@ -10,17 +10,24 @@
 /// A run's fault under one distribution.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultRun {
+    /// The fault, as the scale file names it.
     pub fault: String,
+    /// How events reached the forwarders.
     pub distribution: Distribution,
+    /// The largest size at which it was measured.
     pub at: Size,
+    /// What was measured.
     pub figures: Vec<FaultFigure>,
 }
 
 /// A figure of the forwarders, and that of the twin without the fault.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultFigure {
+    /// What it is.
     pub name: &'static str,
+    /// With the fault.
     pub value: f64,
+    /// Without the fault, where that was measured.
     pub twin: Option<f64>,
 }
 
--- a/crates/flaxdeck-scale/src/capacity/page.rs
+++ b/crates/flaxdeck-scale/src/capacity/page.rs
@@ -19,13 +19,20 @@
 use crate::fit::line::{SlopeRow, lines};
 use crate::fit::{FULL_CORES, FULL_IDLE};
 use crate::target::Target;
-use cells::*;
-use fields::*;
+use cells::{
+    ChartCells, EventCells, FaultCells, OverCells, RoleTable, RunCells, StateCells, chart_cells,
+    event_cells, fault_cells, idle_percent, over, role_table, run_cells, state_cells,
+};
+use fields::{BoundFields, TargetFields, bound_fields, target_fields};
 
 const TEMPLATE: &str = include_str!("page.md.j2");
 const NOT_SHOWN: &str = "not shown";
 
 /// The page for these slopes and that target.
+///
+/// # Errors
+///
+/// [`CapacityError::Template`] if the template names a field that is not there.
 pub fn page(slopes: &[SlopeRow], target: &Target) -> Result<String, CapacityError> {
     let lines = lines(slopes);
     let basis = Basis {
@@ -53,8 +60,7 @@
         runs: run_cells(&basis.lines.runs()),
         bounds: bound_fields(target),
     };
-    let failed = |error: minijinja::Error| CapacityError::Template(format!("{error:#}"));
-    render(context).map_err(failed)
+    render(context).map_err(CapacityError::Template)
 }
 
 /// Fills the template in. A field that is not there is a fault.
--- a/crates/flaxdeck-scale/src/capacity/state.rs
+++ b/crates/flaxdeck-scale/src/capacity/state.rs
@@ -1,14 +1,12 @@
 //! What is kept by each role: entries at the size of the target, bytes each, how long, and the bound in the code.
 
+mod encoded;
+mod planner;
+
 use flaxdeck_control::messages::MAX_EVENTS;
-use flaxdeck_control::planner::{FORGOTTEN, MAX_LOG, MAX_MEMBERS, MAX_POOLS};
 use flaxdeck_distribution::messages::{MAX_FULL_EVENTS, MAX_PURGES};
 use flaxdeck_plan::{MAX_PLANNERS, Plan};
-use flaxdeck_planner::MAX_CONNECTIONS;
-use flaxdeck_recovery::EventPosition;
-use flaxdeck_recovery::restored_state::{
-    self, StateChange, StoredEndpoint, StoredPurge, StoredState,
-};
+use flaxdeck_recovery::restored_state;
 
 use super::figures::{figure, span};
 use super::rows::{Basis, DISTRIBUTIONS};
@@ -19,20 +17,26 @@
 /// What is kept of one kind.
 #[derive(Clone, Debug, PartialEq)]
 pub struct State {
+    /// Who keeps it.
     pub role: &'static str,
+    /// What is kept.
     pub what: &'static str,
     /// Entries that the target asks for.
     pub needed: f64,
     /// The most that the code keeps; none where it has no bound.
     pub bound: Option<Bound>,
+    /// How large an entry is.
     pub bytes_each: Bytes,
+    /// For how long, in words.
     pub kept: String,
 }
 
 /// A bound of the code, with where it stands.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bound {
+    /// Entries at most.
     pub most: f64,
+    /// The constant, with its file.
     pub name: &'static str,
 }
 
@@ -43,6 +47,7 @@
     BySlope([Option<f64>; 2]),
     /// As it is written to a file: encoded when the page is computed.
     Encoded(f64),
+    /// No run shows it.
     NotShown,
 }
 
@@ -61,7 +66,7 @@
 /// What all roles keep, role by role, the fullest bound of a role first.
 pub fn states(basis: Basis) -> Vec<State> {
     let mut states = dispatcher(basis);
-    states.extend(planner(basis));
+    states.extend(planner::planner(basis));
     states.extend(batches(basis));
     states.extend(store(basis));
     let order = [DISPATCHER, PLANNER, BATCH, STORE];
@@ -154,95 +159,6 @@
     ]
 }
 
-fn planner(basis: Basis) -> Vec<State> {
-    let target = basis.target;
-    let forgotten = span(FORGOTTEN.ms() / 1e3);
-    vec![
-        State {
-            role: PLANNER,
-            what: "dispatchers heard, if it hears every one",
-            needed: target.dispatchers,
-            bound: Some(members()),
-            bytes_each: memory(basis, Role::Planner, Term::Forwarders),
-            kept: format!("{forgotten} after its last report"),
-        },
-        State {
-            role: PLANNER,
-            what: "dispatchers heard, where the fleet is divided",
-            needed: target.dispatchers_a_planner(),
-            bound: Some(members()),
-            bytes_each: memory(basis, Role::Planner, Term::Forwarders),
-            kept: format!("{forgotten} after its last report"),
-        },
-        State {
-            role: PLANNER,
-            what: "connections, if it hears every one",
-            needed: target.dispatchers,
-            bound: Some(Bound {
-                most: MAX_CONNECTIONS as f64,
-                name: "`MAX_CONNECTIONS` in `crates/flaxdeck-planner/src/lib.rs`",
-            }),
-            bytes_each: Bytes::NotShown,
-            kept: "while open".into(),
-        },
-        State {
-            role: PLANNER,
-            what: "events to pass on, as far back as a purge may take",
-            needed: target.events_per_s() * target.purge_within_s,
-            bound: Some(events_kept()),
-            bytes_each: Bytes::NotShown,
-            kept: format!(
-                "by their count, which reaches {} back",
-                reach(MAX_LOG, target.events_per_s())
-            ),
-        },
-        State {
-            role: PLANNER,
-            what: "events to pass on, as far back as a purge may take, in a purge storm",
-            needed: (target.storm_per_s() + target.changes_per_s()) * target.purge_within_s,
-            bound: Some(events_kept()),
-            bytes_each: Bytes::NotShown,
-            kept: format!(
-                "by their count, which reaches {} back",
-                reach(MAX_LOG, target.storm_per_s() + target.changes_per_s())
-            ),
-        },
-        State {
-            role: PLANNER,
-            what: "hosts listed",
-            needed: target.hosts,
-            bound: None,
-            bytes_each: memory(basis, Role::Planner, Term::Hosts),
-            kept: "while listed".into(),
-        },
-        State {
-            role: PLANNER,
-            what: "lives of cold hosts, if all were cold",
-            needed: target.hosts,
-            bound: Some(Bound {
-                most: MAX_POOLS as f64,
-                name: "`MAX_POOLS` in `crates/flaxdeck-control/src/planner.rs`",
-            }),
-            bytes_each: Bytes::NotShown,
-            kept: "until nothing of it is lent or out".into(),
-        },
-    ]
-}
-
-fn members() -> Bound {
-    Bound {
-        most: MAX_MEMBERS as f64,
-        name: "`MAX_MEMBERS` in `crates/flaxdeck-control/src/planner.rs`",
-    }
-}
-
-fn events_kept() -> Bound {
-    Bound {
-        most: MAX_LOG as f64,
-        name: "`MAX_LOG` in `crates/flaxdeck-control/src/planner.rs`",
-    }
-}
-
 /// What one message with a digest holds, if it reaches as far back as a purge may take.
 fn batches(basis: Basis) -> Vec<State> {
     let target = basis.target;
@@ -287,7 +203,7 @@
             most: restored_state::MAX_PURGES as f64,
             name: "`MAX_PURGES` in `crates/flaxdeck-recovery/src/restored_state.rs`",
         }),
-        bytes_each: Bytes::Encoded(per_purge()),
+        bytes_each: Bytes::Encoded(encoded::per_purge()),
         kept: "until they have settled; past the bound copies from before count as purged".into(),
     };
     vec![
@@ -296,7 +212,7 @@
             what: "hosts listed",
             needed: target.hosts,
             bound: None,
-            bytes_each: Bytes::Encoded(per_host()),
+            bytes_each: Bytes::Encoded(encoded::per_host()),
             kept: "while listed".into(),
         },
         purges("purges, as far back as one may take", target.purges_per_s),
@@ -309,65 +225,11 @@
             what: "records in its log, each second",
             needed: target.events_per_s(),
             bound: None,
-            bytes_each: Bytes::Encoded(per_record()),
+            bytes_each: Bytes::Encoded(encoded::per_record()),
             kept: format!(
                 "until the next whole state; {} bytes a second",
-                figure(target.events_per_s() * per_record())
+                figure(target.events_per_s() * encoded::per_record())
             ),
         },
     ]
 }
-
-/// Numbers as large as those of real events, whose encoding is as long as theirs.
-const LARGE: u64 = u64::MAX / 3;
-/// Milliseconds of Unix time of these years.
-const SOME_TIME: u64 = 1_900_000_000_000;
-
-fn some_line() -> StoredEndpoint {
-    StoredEndpoint {
-        host: "s-00000000".into(),
-        address: ([10, 0, 0, 1], 7_000).into(),
-        weight: 1.0,
-        zone: Some(0),
-        cell: 0,
-        role: 0,
-        health: 0,
-        started: SOME_TIME,
-    }
-}
-
-fn some_purge() -> StoredPurge {
-    StoredPurge {
-        object: Some(LARGE),
-        group: 0,
-        made: SOME_TIME,
-    }
-}
-
-fn encoded(state: &impl serde::Serialize) -> f64 {
-    restored_state::bytes(state).len() as f64
-}
-
-fn per_host() -> f64 {
-    encoded(&StoredState {
-        lines: vec![some_line()],
-        ..StoredState::default()
-    }) - encoded(&StoredState::default())
-}
-
-fn per_purge() -> f64 {
-    encoded(&StoredState {
-        purges: vec![some_purge()],
-        ..StoredState::default()
-    }) - encoded(&StoredState::default())
-}
-
-fn per_record() -> f64 {
-    encoded(&StateChange::Purged(
-        EventPosition {
-            number: LARGE,
-            hash: LARGE,
-        },
-        some_purge(),
-    ))
-}
--- /dev/null
+++ b/crates/flaxdeck-scale/src/capacity/state/planner.rs
@@ -0,0 +1,117 @@
+//! What a planner keeps.
+
+use flaxdeck_control::planner::{FORGOTTEN, MAX_LOG, MAX_MEMBERS, MAX_POOLS};
+use flaxdeck_planner::MAX_CONNECTIONS;
+
+use super::{Bound, Bytes, PLANNER, State, memory, reach};
+use crate::capacity::figures::span;
+use crate::capacity::rows::Basis;
+use crate::fit::nature::Term;
+use crate::measurement::Role;
+
+/// What a planner keeps.
+pub(super) fn planner(basis: Basis) -> Vec<State> {
+    let mut states = members_heard(basis);
+    states.extend(relayed_events(basis));
+    states.extend(hosts(basis));
+    states
+}
+
+fn members_heard(basis: Basis) -> Vec<State> {
+    let target = basis.target;
+    let forgotten = span(FORGOTTEN.ms() / 1e3);
+    vec![
+        State {
+            role: PLANNER,
+            what: "dispatchers heard, if it hears every one",
+            needed: target.dispatchers,
+            bound: Some(max_members()),
+            bytes_each: memory(basis, Role::Planner, Term::Forwarders),
+            kept: format!("{forgotten} after its last report"),
+        },
+        State {
+            role: PLANNER,
+            what: "dispatchers heard, where the fleet is divided",
+            needed: target.dispatchers_a_planner(),
+            bound: Some(max_members()),
+            bytes_each: memory(basis, Role::Planner, Term::Forwarders),
+            kept: format!("{forgotten} after its last report"),
+        },
+        State {
+            role: PLANNER,
+            what: "connections, if it hears every one",
+            needed: target.dispatchers,
+            bound: Some(Bound {
+                most: MAX_CONNECTIONS as f64,
+                name: "`MAX_CONNECTIONS` in `crates/flaxdeck-planner/src/lib.rs`",
+            }),
+            bytes_each: Bytes::NotShown,
+            kept: "while open".into(),
+        },
+    ]
+}
+
+/// Events to pass on, as far back as a purge may take.
+fn relayed_events(basis: Basis) -> Vec<State> {
+    let target = basis.target;
+    let state = |what, events_per_s: f64| State {
+        role: PLANNER,
+        what,
+        needed: events_per_s * target.purge_within_s,
+        bound: Some(max_log()),
+        bytes_each: Bytes::NotShown,
+        kept: format!(
+            "by their count, which reaches {} back",
+            reach(MAX_LOG, events_per_s)
+        ),
+    };
+    vec![
+        state(
+            "events to pass on, as far back as a purge may take",
+            target.events_per_s(),
+        ),
+        state(
+            "events to pass on, as far back as a purge may take, in a purge storm",
+            target.storm_per_s() + target.changes_per_s(),
+        ),
+    ]
+}
+
+fn hosts(basis: Basis) -> Vec<State> {
+    let target = basis.target;
+    vec![
+        State {
+            role: PLANNER,
+            what: "hosts listed",
+            needed: target.hosts,
+            bound: None,
+            bytes_each: memory(basis, Role::Planner, Term::Hosts),
+            kept: "while listed".into(),
+        },
+        State {
+            role: PLANNER,
+            what: "lives of cold hosts, if all were cold",
+            needed: target.hosts,
+            bound: Some(Bound {
+                most: MAX_POOLS as f64,
+                name: "`MAX_POOLS` in `crates/flaxdeck-control/src/planner.rs`",
+            }),
+            bytes_each: Bytes::NotShown,
+            kept: "until nothing of it is lent or out".into(),
+        },
+    ]
+}
+
+fn max_members() -> Bound {
+    Bound {
+        most: MAX_MEMBERS as f64,
+        name: "`MAX_MEMBERS` in `crates/flaxdeck-control/src/planner.rs`",
+    }
+}
+
+fn max_log() -> Bound {
+    Bound {
+        most: MAX_LOG as f64,
+        name: "`MAX_LOG` in `crates/flaxdeck-control/src/planner.rs`",
+    }
+}
--- a/crates/flaxdeck-scale/src/charts.rs
+++ b/crates/flaxdeck-scale/src/charts.rs
@@ -80,7 +80,11 @@
     value: f64,
 }
 
-/// Draws all charts that the measurements have points for; tells the files written.
+/// Draws all charts that the measurements have points for; gives the files written.
+///
+/// # Errors
+///
+/// [`CapacityError::Chart`] if a chart can't be drawn, [`CapacityError::File`] if its file can't be written.
 pub fn draw(measurements: &[Measurement], folder: &Path) -> Result<Vec<PathBuf>, CapacityError> {
     let (lines, measurements) = (fit(measurements), counted(measurements));
     let mut written = Vec::new();
@@ -132,12 +136,12 @@
         let text = self
             .svg(&series, lines)
             .map_err(|cause| CapacityError::Chart {
-                path: path.display().to_string(),
+                path: path.to_owned(),
                 cause,
             })?;
-        std::fs::write(path, text).map_err(|error| CapacityError::File {
-            path: path.display().to_string(),
-            cause: error.to_string(),
+        std::fs::write(path, text).map_err(|source| CapacityError::File {
+            path: path.to_owned(),
+            source,
         })?;
         Ok(true)
     }
--- /dev/null
+++ b/crates/flaxdeck-scale/src/delivery.rs
@@ -0,0 +1,242 @@
+//! Whether every event reached every forwarder: what the logs of all forwarders come to beside the coordinator's own
+//! events. Delays, and events that were lost, doubled or out of order.
+
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::fs;
+use std::ops::Range;
+use std::path::Path;
+
+use hdrhistogram::Histogram;
+
+use crate::error::RunError;
+use crate::in_force_log::LogEntry;
+
+/// The longest delay that is told apart, in microseconds.
+const MAX_DELAY_US: u64 = 600_000_000;
+/// Significant digits of delays.
+const DELAY_DIGITS: u8 = 3;
+
+/// An event as the coordinator published it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PublishedEvent {
+    /// Its number in the coordinator's numbering of then.
+    pub number: u64,
+    /// The hash of all events up to it.
+    pub hash: u64,
+    /// When, in microseconds of the monotonic clock.
+    pub at_us: u64,
+}
+
+/// Writes events as text, one a line.
+///
+/// # Errors
+///
+/// If the file can't be written.
+pub fn write_events(path: &Path, events: &[PublishedEvent]) -> std::io::Result<()> {
+    let line =
+        |event: &PublishedEvent| format!("{} {:016x} {}\n", event.number, event.hash, event.at_us);
+    fs::write(path, events.iter().map(line).collect::<String>())
+}
+
+/// Reads what [`write_events`] wrote.
+///
+/// # Errors
+///
+/// [`RunError::File`] if the file can't be read, [`RunError::EventList`] if a line is no event.
+pub fn read_events(path: &Path) -> Result<Vec<PublishedEvent>, RunError> {
+    let text = fs::read_to_string(path).map_err(RunError::file(path))?;
+    let events: Option<Vec<PublishedEvent>> = text.lines().map(parse_event).collect();
+    events.ok_or_else(|| RunError::EventList {
+        path: path.to_owned(),
+    })
+}
+
+fn parse_event(line: &str) -> Option<PublishedEvent> {
+    let mut words = line.split(' ');
+    Some(PublishedEvent {
+        number: words.next()?.parse().ok()?,
+        hash: u64::from_str_radix(words.next()?, 16).ok()?,
+        at_us: words.next()?.parse().ok()?,
+    })
+}
+
+/// What became of the events of a window at all forwarders.
+#[derive(Clone, Debug)]
+pub struct DeliveryOutcome {
+    /// Events times forwarders that were to have them in force.
+    pub expected: u64,
+    /// Events that a forwarder never had in force.
+    pub lost: u64,
+    /// Events that came into force again.
+    pub doubled: u64,
+    /// Events that came into force after a later one.
+    pub out_of_order: u64,
+    /// Of those lost: covered by a whole list in whose place copies are doubted, or known at a restart.
+    pub replaced: u64,
+    /// Log entries of events that the coordinator never published.
+    pub unknown: u64,
+    /// Microseconds from the coordinator to in force.
+    pub delays: Histogram<u64>,
+}
+
+/// One forwarder's position in the coordinator's events, counted from 0 over all its numberings.
+struct Position {
+    started_us: u64,
+    last: usize,
+    missing: BTreeSet<usize>,
+    /// It was killed on purpose, so that nothing after its last entry is owed.
+    was_killed: bool,
+}
+
+/// Checks log entries, forwarder by forwarder in the order of time.
+pub struct DeliveryChecker<'a> {
+    events: &'a [PublishedEvent],
+    /// The events of the window, by their indices.
+    window: Range<usize>,
+    /// Indices by number and the low half of the hash.
+    indices: HashMap<(u32, u32), usize>,
+    indices_by_number: HashMap<u32, Vec<usize>>,
+    positions: BTreeMap<u32, Position>,
+    outcome: DeliveryOutcome,
+}
+
+impl<'a> DeliveryChecker<'a> {
+    /// Over all events that the coordinator published, judging those published within the window of time.
+    ///
+    /// # Panics
+    ///
+    /// Never: the bounds of the histogram are constants that fit.
+    pub fn new(events: &'a [PublishedEvent], from_us: u64, until_us: u64) -> DeliveryChecker<'a> {
+        let from = events.partition_point(|event| event.at_us < from_us);
+        let until = events.partition_point(|event| event.at_us < until_us);
+        let mut indices_by_number: HashMap<u32, Vec<usize>> = HashMap::new();
+        let mut indices = HashMap::new();
+        for (index, event) in events.iter().enumerate() {
+            let number = event.number as u32;
+            indices_by_number.entry(number).or_default().push(index);
+            indices.insert((number, event.hash as u32), index);
+        }
+        #[allow(clippy::expect_used, reason = "the bounds are constants that fit")]
+        let delays = Histogram::new_with_bounds(1, MAX_DELAY_US, DELAY_DIGITS)
+            .expect("the bounds of the histogram fit");
+        let outcome = DeliveryOutcome {
+            expected: 0,
+            lost: 0,
+            doubled: 0,
+            out_of_order: 0,
+            replaced: 0,
+            unknown: 0,
+            delays,
+        };
+        DeliveryChecker {
+            events,
+            window: from..until.max(from),
+            indices,
+            indices_by_number,
+            positions: BTreeMap::new(),
+            outcome,
+        }
+    }
+
+    /// The index of an entry's last event; of a whole list that was given out under a number, the last event that had it
+    /// by then.
+    fn index_of(&self, entry: &LogEntry) -> Option<usize> {
+        if let Some(index) = self.indices.get(&(entry.upto, entry.hash)) {
+            return Some(*index);
+        }
+        if entry.after.is_some() {
+            return None;
+        }
+        let numbered = self.indices_by_number.get(&entry.upto)?.iter().rev();
+        let mut by_then = numbered.filter(|index| self.events[**index].at_us <= entry.at_us);
+        by_then.next().copied()
+    }
+
+    /// Adds one log entry.
+    pub fn add(&mut self, entry: &LogEntry) {
+        let Some(upto) = self.index_of(entry) else {
+            self.outcome.unknown += 1;
+            return;
+        };
+        let Some(after) = entry.after else {
+            return self.full_list(entry, upto);
+        };
+        let count = entry.upto.saturating_sub(after) as usize;
+        let first = (upto + 1).saturating_sub(count);
+        for index in first..=upto {
+            self.in_force(entry, index);
+        }
+    }
+
+    /// A whole list came in place of what was known.
+    fn full_list(&mut self, entry: &LogEntry, upto: usize) {
+        let position = self.positions.entry(entry.forwarder);
+        let known = position.or_insert_with(|| Position {
+            started_us: entry.at_us,
+            last: upto,
+            missing: BTreeSet::new(),
+            was_killed: false,
+        });
+        let next = known.last + 1;
+        let skipped = next..(upto + 1).max(next);
+        let in_window = skipped.filter(|index| self.window.contains(index));
+        self.outcome.replaced += in_window.count() as u64;
+        known.last = known.last.max(upto);
+    }
+
+    fn in_force(&mut self, entry: &LogEntry, index: usize) {
+        let Some(position) = self.positions.get_mut(&entry.forwarder) else {
+            self.outcome.unknown += 1;
+            return;
+        };
+        if index > position.last {
+            position.missing.extend(position.last + 1..index);
+            position.last = index;
+        } else if position.missing.remove(&index) {
+            self.outcome.out_of_order += 1;
+        } else {
+            self.outcome.doubled += 1;
+            return;
+        }
+        let event = &self.events[index];
+        if self.window.contains(&index) && event.at_us >= position.started_us {
+            let delay_us = entry.at_us.saturating_sub(event.at_us).max(1);
+            self.outcome.delays.saturating_record(delay_us);
+        }
+    }
+
+    /// These forwarders were killed on purpose: what followed their last entries is not lost by anybody.
+    pub fn killed(&mut self, forwarders: Range<u32>) {
+        for (_, position) in self.positions.range_mut(forwarders) {
+            position.was_killed = true;
+        }
+    }
+
+    /// All entries are in.
+    pub fn outcome(mut self) -> DeliveryOutcome {
+        for position in self.positions.values() {
+            let owed = self.owed(position);
+            let tail = owed.clone().filter(|index| *index > position.last);
+            let gaps = position.missing.iter();
+            let gaps = gaps.filter(|index| owed.contains(index));
+            self.outcome.expected += owed.len() as u64;
+            self.outcome.lost += (tail.count() + gaps.count()) as u64;
+        }
+        self.outcome
+    }
+
+    /// The events of the window that a forwarder was to have in force.
+    fn owed(&self, position: &Position) -> Range<usize> {
+        let started_us = position.started_us;
+        let known = self
+            .events
+            .partition_point(|event| event.at_us < started_us);
+        let from = known.max(self.window.start);
+        let until = if position.was_killed {
+            self.window.end.min(position.last + 1)
+        } else {
+            self.window.end
+        };
+        from..until.max(from)
+    }
+}
--- a/crates/flaxdeck-scale/src/files.rs
+++ b/crates/flaxdeck-scale/src/files.rs
@@ -8,55 +8,75 @@
 use crate::error::CapacityError;
 use crate::measurement::Measurement;
 
-fn file_error(path: &Path, cause: impl ToString) -> CapacityError {
-    CapacityError::File {
-        path: path.display().to_string(),
-        cause: cause.to_string(),
+fn file_error(path: &Path) -> impl Fn(std::io::Error) -> CapacityError {
+    let path = path.to_owned();
+    move |source| CapacityError::File {
+        path: path.clone(),
+        source,
     }
 }
 
-fn table_error(path: &Path, cause: impl ToString) -> CapacityError {
-    CapacityError::Table {
-        path: path.display().to_string(),
-        cause: cause.to_string(),
+fn table_error(path: &Path) -> impl Fn(csv::Error) -> CapacityError {
+    let path = path.to_owned();
+    move |source| CapacityError::Table {
+        path: path.clone(),
+        source,
     }
 }
 
 /// The text of a file.
+///
+/// # Errors
+///
+/// [`CapacityError::File`] if it can't be read.
 pub fn read_text(path: &Path) -> Result<String, CapacityError> {
-    std::fs::read_to_string(path).map_err(|error| file_error(path, error))
+    std::fs::read_to_string(path).map_err(file_error(path))
 }
 
 /// All rows of a CSV file whose first line names the columns.
+///
+/// # Errors
+///
+/// [`CapacityError::File`] if it can't be read, [`CapacityError::Table`] if a row is not of that form.
 pub fn read_table<T: DeserializeOwned>(path: &Path) -> Result<Vec<T>, CapacityError> {
     let text = read_text(path)?;
     let mut reader = csv::Reader::from_reader(text.as_bytes());
     let rows: Result<Vec<T>, csv::Error> = reader.deserialize().collect();
-    rows.map_err(|error| table_error(path, error))
+    rows.map_err(table_error(path))
 }
 
 /// Rows as CSV text, with the names of the columns first.
-pub fn table_text<T: Serialize>(rows: &[T]) -> Result<String, String> {
-    let mut writer = csv::Writer::from_writer(Vec::new());
+///
+/// # Errors
+///
+/// If a row can't be put into CSV.
+pub fn table_text<T: Serialize>(rows: &[T]) -> Result<String, csv::Error> {
+    let mut text = Vec::new();
+    let mut writer = csv::Writer::from_writer(&mut text);
     for row in rows {
-        writer.serialize(row).map_err(|error| error.to_string())?;
+        writer.serialize(row)?;
     }
-    let bytes = writer.into_inner().map_err(|error| error.to_string())?;
-    String::from_utf8(bytes).map_err(|error| error.to_string())
+    writer.flush()?;
+    drop(writer);
+    Ok(String::from_utf8_lossy(&text).into_owned())
 }
 
 /// Writes rows as a CSV file.
+///
+/// # Errors
+///
+/// [`CapacityError::Table`] if a row can't be put into CSV, [`CapacityError::File`] if the file can't be written.
 pub fn write_table<T: Serialize>(path: &Path, rows: &[T]) -> Result<(), CapacityError> {
-    let text = table_text(rows).map_err(|cause| table_error(path, cause))?;
-    std::fs::write(path, text).map_err(|error| file_error(path, error))
+    let text = table_text(rows).map_err(table_error(path))?;
+    std::fs::write(path, text).map_err(file_error(path))
 }
 
 /// The CSV files of a folder, by name.
 fn tables_within(folder: &Path) -> Result<Vec<PathBuf>, CapacityError> {
-    let entries = std::fs::read_dir(folder).map_err(|error| file_error(folder, error))?;
+    let entries = std::fs::read_dir(folder).map_err(file_error(folder))?;
     let mut paths = Vec::new();
     for entry in entries {
-        let path = entry.map_err(|error| file_error(folder, error))?.path();
+        let path = entry.map_err(file_error(folder))?.path();
         if path.extension().is_some_and(|extension| extension == "csv") {
             paths.push(path);
         }
@@ -66,6 +86,10 @@
 }
 
 /// The measurements of all runs in a folder, file by file.
+///
+/// # Errors
+///
+/// As [`read_table`], and if the folder can't be read.
 pub fn read_runs(folder: &Path) -> Result<Vec<Measurement>, CapacityError> {
     let mut measurements = Vec::new();
     for path in tables_within(folder)? {
--- a/crates/flaxdeck-scale/src/fit/line.rs
+++ b/crates/flaxdeck-scale/src/fit/line.rs
@@ -10,12 +10,17 @@
 /// Whose figures are fitted together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Series {
+    /// How events reached the forwarders.
     pub distribution: Distribution,
     /// `none`, or the fault of the runs.
     pub fault: String,
+    /// Planners of the runs.
     pub planners: u32,
+    /// Whose figures they are.
     pub role: Role,
+    /// What was measured.
     pub metric: Metric,
+    /// The kind of message where the metric has kinds; else empty.
     pub kind: String,
 }
 
@@ -32,10 +37,13 @@
 /// One term of a line over the sizes measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FittedTerm {
+    /// The term.
     pub term: Term,
     /// None where the driver was not varied enough, can't be told from another one, or does less than the noise.
     pub coefficient: Option<f64>,
+    /// The least value of its driver that was measured.
     pub least: f64,
+    /// The largest value of its driver that was measured.
     pub most: f64,
     /// How many different values of the driver were measured.
     pub sizes: u32,
@@ -44,10 +52,13 @@
 /// A fitted line, with what was measured at the largest size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
+    /// Whose figures were fitted.
     pub series: Series,
+    /// How the line is known.
     pub evidence: Evidence,
     /// The constant first; empty where only what was measured is told.
     pub terms: Vec<FittedTerm>,
+    /// Points that were measured.
     pub points: u32,
     /// Points left out: a thread or the machine was full in their runs, or real forwarders took part uncounted.
     pub left_out: u32,
@@ -55,8 +66,9 @@
     pub residual: f64,
     /// The largest value of all points.
     pub largest: f64,
-    /// The largest size measured, and the value there.
+    /// The largest size measured.
     pub at: Size,
+    /// The value there.
     pub value: f64,
     /// Of runs with a fault: the value of those without it at that size.
     pub twin: Option<f64>,
@@ -107,29 +119,49 @@
 /// A row of `slopes.csv`: one term of a line, with what belongs to the whole line repeated beside it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SlopeRow {
+    /// As in [`Series`].
     pub distribution: Distribution,
+    /// As in [`Series`].
     pub fault: String,
+    /// As in [`Series`].
     pub planners: u32,
+    /// As in [`Series`].
     pub role: Role,
+    /// As in [`Series`].
     pub metric: Metric,
+    /// As in [`Series`].
     pub kind: String,
+    /// As in [`Line`].
     pub evidence: Evidence,
     /// None in the only row of what was measured and not fitted.
     pub term: Option<Term>,
+    /// As in [`FittedTerm`].
     pub coefficient: Option<f64>,
     /// What the coefficient is counted in.
     pub unit: String,
+    /// The least value of the term's driver.
     pub driver_least: Option<f64>,
+    /// The largest value of the term's driver.
     pub driver_most: Option<f64>,
+    /// Different values of the term's driver.
     pub driver_sizes: Option<u32>,
+    /// As in [`Line`].
     pub points: u32,
+    /// As in [`Line`].
     pub left_out: u32,
+    /// As in [`Line`].
     pub residual: f64,
+    /// As in [`Line`].
     pub largest: f64,
+    /// Forwarders at the largest size.
     pub at_forwarders: f64,
+    /// Hosts at the largest size.
     pub at_hosts: f64,
+    /// Purges a second at the largest size.
     pub at_purges_per_s: f64,
+    /// As in [`Line`].
     pub value: f64,
+    /// As in [`Line`].
     pub twin: Option<f64>,
     /// Separated by `;`.
     pub runs: String,
--- a/crates/flaxdeck-scale/src/fit/nature.rs
+++ b/crates/flaxdeck-scale/src/fit/nature.rs
@@ -8,7 +8,9 @@
 /// The sizes at which something is measured or foretold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Size {
+    /// Hollow forwarders, or dispatchers.
     pub forwarders: f64,
+    /// Hosts listed.
     pub hosts: f64,
     /// Purges a second.
     pub purges: f64,
@@ -37,6 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Term {
+    /// What there is without any driver.
     Constant,
     /// For each forwarder.
     Forwarders,
@@ -60,6 +63,7 @@
         }
     }
 
+    /// The driver's name on the page and in charts.
     pub fn name(self) -> &'static str {
         match self {
             Term::Constant => "constant",
@@ -86,19 +90,26 @@
 
 /// What a metric of a role goes with.
 pub fn nature(role: Role, metric: Metric) -> Nature {
-    use Metric::*;
     match metric {
-        DelayMedianMs | MicrosPerMessage | DecisionMicros | EventsExpected => Nature::Mean,
-        DelayP99Ms | DelayWorstMs | ServiceP99Ms => Nature::Most,
-        EventsLost | EventsDoubled | EventsOutOfOrder | EventsReplaced | RulesBroken => {
-            Nature::Most
-        }
-        ServedShare | MachineIdleShare => Nature::Least,
-        BytesInPerS | BytesOutPerS | MessagesInPerS | MessagesOutPerS | HeaderBytesPerS | Cores => {
-            rate(role)
-        }
-        ResidentBytes => memory(role),
-        Descriptors => descriptors(role),
+        Metric::DelayMedianMs
+        | Metric::MicrosPerMessage
+        | Metric::DecisionMicros
+        | Metric::EventsExpected => Nature::Mean,
+        Metric::DelayP99Ms | Metric::DelayWorstMs | Metric::ServiceP99Ms => Nature::Most,
+        Metric::EventsLost
+        | Metric::EventsDoubled
+        | Metric::EventsOutOfOrder
+        | Metric::EventsReplaced
+        | Metric::RulesBroken => Nature::Most,
+        Metric::ServedShare | Metric::MachineIdleShare => Nature::Least,
+        Metric::BytesInPerS
+        | Metric::BytesOutPerS
+        | Metric::MessagesInPerS
+        | Metric::MessagesOutPerS
+        | Metric::HeaderBytesPerS
+        | Metric::Cores => rate(role),
+        Metric::ResidentBytes => memory(role),
+        Metric::Descriptors => descriptors(role),
     }
 }
 
--- a/crates/flaxdeck-scale/src/hollow.rs
+++ b/crates/flaxdeck-scale/src/hollow.rs
@@ -11,86 +11,122 @@
 use tokio::task::LocalSet;
 use tokio::time::{interval, sleep};
 
-use crate::in_force::Notes;
+use crate::error::RunError;
+use crate::in_force_log::InForceLog;
 use crate::messages::{HollowOrders, HollowReply};
 use crate::processes::{self, Input};
 
 /// Between the starts of two forwarders of one process, so that their connections don't come all at once.
-const BETWEEN_STARTS: Duration = Duration::from_millis(4);
+const START_INTERVAL: Duration = Duration::from_millis(4);
 /// Between looks how many are current.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL: Duration = Duration::from_millis(100);
+/// A forwarder's number stands above this bit of its seed.
+const SEED_NUMBER_BITS: u32 = 16;
 
-type SharedNotes = Rc<RefCell<Notes>>;
+type SharedLog = Rc<RefCell<InForceLog>>;
+
+/// A started forwarder, with the number of planners of its plan.
+struct Started {
+    forwarder: HollowForwarder,
+    planners: usize,
+}
+
+impl Started {
+    fn is_connected(&self) -> bool {
+        self.forwarder.connected_planners() == self.planners
+    }
+}
 
 /// Runs until standard input closes. `guidelines` tells each forwarder, by the name that it stands for, what its plan
 /// says.
-pub fn run(orders: &HollowOrders, guidelines: impl Fn(&str) -> Guidelines) -> Result<(), String> {
+///
+/// # Errors
+///
+/// If a file can't be read or written, or a forwarder doesn't start.
+pub fn run(orders: &HollowOrders, guidelines: impl Fn(&str) -> Guidelines) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .build();
-    let runtime = runtime.map_err(|error| format!("no runtime: {error}"))?;
+        .build()
+        .map_err(RunError::Runtime)?;
     LocalSet::new().block_on(&runtime, serve(orders, guidelines))
 }
 
 async fn serve(
     orders: &HollowOrders,
     guidelines: impl Fn(&str) -> Guidelines,
-) -> Result<(), String> {
+) -> Result<(), RunError> {
     let mut input = Input::<()>::start();
-    let configuration = configuration(orders)?;
-    let notes = Notes::create(&orders.in_force);
-    let notes: SharedNotes = Rc::new(RefCell::new(
-        notes.map_err(|error| format!("no notes: {error}"))?,
-    ));
+    let configuration = read_configuration(orders)?;
+    let log = InForceLog::create(&orders.in_force).map_err(RunError::CreateLog)?;
+    let log: SharedLog = Rc::new(RefCell::new(log));
     counters_file::spawn(orders.counters.clone());
-    let (mut forwarders, begun) = (Vec::new(), Rc::new(Cell::new(0)));
+    let with_events = Rc::new(Cell::new(0));
+    let mut forwarders = Vec::new();
     for number in orders.first..orders.first + orders.count {
-        let mut guidelines = guidelines(&format!("hollow-{number}"));
-        guidelines.counters = None;
-        let planners = guidelines.planners.len();
+        let guidelines = guidelines(&format!("hollow-{number}"));
+        let watcher = watcher(number, log.clone(), with_events.clone());
         let mut configuration = configuration.clone();
-        configuration["seed"] = format!("{:016x}", orders.seed ^ u64::from(number) << 16).into();
-        let watcher = watcher(number, notes.clone(), begun.clone());
-        let forwarder = HollowForwarder::start(&configuration, guidelines, number, watcher)?;
-        forwarders.push((forwarder, planners));
-        sleep(BETWEEN_STARTS).await;
+        let seed = orders.seed ^ u64::from(number) << SEED_NUMBER_BITS;
+        configuration["seed"] = format!("{seed:016x}").into();
+        forwarders.push(start_forwarder(
+            &configuration,
+            guidelines,
+            number,
+            watcher,
+        )?);
+        sleep(START_INTERVAL).await;
     }
-    let (mut ticks, mut told) = (interval(LOOK), 0);
+    let mut ticks = interval(POLL);
+    let mut reported = 0;
     loop {
         tokio::select! {
             order = input.next() => if order.is_none() { break },
             _ = ticks.tick() => {
-                let connected = |(forwarder, planners): &&(HollowForwarder, usize)| {
-                    forwarder.connected_planners() == *planners
-                };
-                let current = forwarders.iter().filter(connected).count().min(begun.get()) as u32;
-                if current != told {
+                let connected = forwarders.iter().filter(|one| one.is_connected()).count();
+                let current = connected.min(with_events.get()) as u32;
+                if current != reported {
                     processes::say(&HollowReply::Current(current));
-                    told = current;
+                    reported = current;
                 }
             }
         }
     }
-    notes
-        .borrow_mut()
-        .flush()
-        .map_err(|error| format!("notes can't be written: {error}"))
+    log.borrow_mut().flush().map_err(RunError::WriteLog)
+}
+
+fn start_forwarder(
+    configuration: &Value,
+    guidelines: Guidelines,
+    number: u32,
+    watcher: Watcher,
+) -> Result<Started, RunError> {
+    let planners = guidelines.planners.len();
+    let guidelines = Guidelines {
+        counters: None,
+        ..guidelines
+    };
+    let forwarder = HollowForwarder::start(configuration, guidelines, number, watcher)
+        .map_err(|error| RunError::HollowForwarder(error.to_string()))?;
+    Ok(Started {
+        forwarder,
+        planners,
+    })
 }
 
-fn configuration(orders: &HollowOrders) -> Result<Value, String> {
-    let path = orders.configuration.display();
-    let text = std::fs::read(&orders.configuration).map_err(|error| format!("{path}: {error}"))?;
-    serde_json::from_slice(&text).map_err(|error| format!("{path}: {error}"))
+fn read_configuration(orders: &HollowOrders) -> Result<Value, RunError> {
+    let path = &orders.configuration;
+    let text = std::fs::read(path).map_err(RunError::file(path))?;
+    serde_json::from_slice(&text).map_err(RunError::json(path))
 }
 
-/// Notes what comes into force at one forwarder, and counts it among those that have begun with the first of it.
-fn watcher(number: u32, notes: SharedNotes, begun: Rc<Cell<usize>>) -> Watcher {
-    let first = Cell::new(true);
-    Box::new(move |what| {
-        if first.replace(false) {
-            begun.set(begun.get() + 1);
+/// Logs what comes into force at one forwarder, and counts it among those with events at the first of it.
+fn watcher(number: u32, entries: SharedLog, with_events: Rc<Cell<usize>>) -> Watcher {
+    let is_first = Cell::new(true);
+    Box::new(move |in_force| {
+        if is_first.replace(false) {
+            with_events.set(with_events.get() + 1);
         }
-        if let Err(error) = notes.borrow_mut().note(number, what) {
+        if let Err(error) = entries.borrow_mut().write(number, in_force) {
             log::error!("a note can't be written: {error}");
         }
     })
--- a/crates/flaxdeck-scale/src/report.rs
+++ b/crates/flaxdeck-scale/src/report.rs
@@ -1,9 +1,10 @@
-//! From what was read of the processes and noted by forwarders to rows of results.
+//! From what was read of the processes and logged by forwarders to rows of results.
 
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use crate::delays::Outcome;
+use crate::delivery::DeliveryOutcome;
+use crate::error::RunError;
 use crate::measurement::{Distribution, Measurement, Metric, Role};
 use crate::scenario::Point;
 use crate::usage::{Counters, Usage};
@@ -11,10 +12,10 @@
 /// Bytes of the IP and TCP headers (with time stamps) of a segment. Each message is taken to go in a segment of its
 /// own and to be acknowledged by another: an estimate, and an upper bound while messages are shorter than a segment.
 const HEADER_BYTES: f64 = 52.0;
-const SEGMENTS_A_MESSAGE: f64 = 2.0;
+const SEGMENTS_PER_MESSAGE: f64 = 2.0;
 
 /// The kinds of messages whose counters are read.
-pub const KINDS: [&str; 6] = [
+pub const MESSAGE_KINDS: [&str; 6] = [
     "feed",
     "greetings",
     "reports",
@@ -23,58 +24,76 @@
     "deliveries",
 ];
 
+/// What is counted of each kind of message, by the endings of the counters' names.
+const TRAFFIC_COUNTERS: [(Metric, &str); 4] = [
+    (Metric::BytesInPerS, "bytes_in"),
+    (Metric::BytesOutPerS, "bytes_out"),
+    (Metric::MessagesInPerS, "messages_in"),
+    (Metric::MessagesOutPerS, "messages_out"),
+];
+
 /// What all rows of a run have in common.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct RunHeader {
+    /// The scale file's name and the seed.
     pub name: String,
+    /// What the run's chance was drawn from.
     pub seed: u64,
+    /// How events reached the forwarders.
     pub distribution: Distribution,
+    /// Its size and rates.
     pub point: Point,
+    /// `none`, or the fault as the scale file names it.
     pub fault: String,
 }
 
-/// Two looks at one process, at the beginning and the end of the window.
+/// One process over the window.
 #[derive(Clone, Debug)]
-pub struct Looks {
+pub struct ProcessWindow {
+    /// What it is.
     pub role: Role,
     /// Hollow forwarders in it; 1 for any other process.
     pub instances: u32,
+    /// The window's length.
     pub seconds: f64,
-    pub usage: [Usage; 2],
-    pub counters: [Counters; 2],
+    /// What it had taken at the window's beginning, ...
+    pub usage_before: Usage,
+    /// ... and at its end.
+    pub usage_after: Usage,
+    /// Its counters at the window's beginning, ...
+    pub counters_before: Counters,
+    /// ... and at its end.
+    pub counters_after: Counters,
 }
 
 /// Rows of one run.
-pub struct Rows {
-    run: Run,
+pub struct RunRows {
+    header: RunHeader,
+    /// The rows so far.
     pub rows: Vec<Measurement>,
 }
 
-impl Rows {
-    pub fn of(run: Run) -> Rows {
-        Rows {
-            run,
+impl RunRows {
+    /// No rows yet.
+    pub fn new(header: RunHeader) -> RunRows {
+        RunRows {
+            header,
             rows: Vec::new(),
         }
     }
 
+    /// Adds a row; `kind` names the kind of message where the metric has kinds.
     pub fn add(&mut self, role: Role, metric: Metric, kind: &str, value: f64) {
-        let Run {
-            name,
-            seed,
-            distribution,
-            point,
-            fault,
-        } = &self.run;
+        let header = &self.header;
         self.rows.push(Measurement {
-            run: name.clone(),
-            seed: *seed,
-            distribution: *distribution,
-            hollow_forwarders: point.hollow,
-            hosts: point.hosts,
-            purges_per_s: point.purges_per_s,
-            planners: point.planners,
-            fault: fault.clone(),
+            run: header.name.clone(),
+            seed: header.seed,
+            distribution: header.distribution,
+            hollow_forwarders: header.point.hollow,
+            hosts: header.point.hosts,
+            purges_per_s: header.point.purges_per_s,
+            planners: header.point.planners,
+            fault: header.fault.clone(),
             role,
             metric,
             kind: kind.to_owned(),
@@ -83,95 +102,78 @@
     }
 
     /// What all processes of one role took and moved, as the mean of one instance.
-    pub fn add_role(&mut self, role: Role, looks: &[Looks]) {
-        let of_role: Vec<&Looks> = looks.iter().filter(|looks| looks.role == role).collect();
-        let instances: f64 = of_role.iter().map(|looks| f64::from(looks.instances)).sum();
+    pub fn add_role(&mut self, role: Role, processes: &[ProcessWindow]) {
+        let processes: Vec<&ProcessWindow> = processes
+            .iter()
+            .filter(|process| process.role == role)
+            .collect();
+        let instances = processes.iter().map(|process| f64::from(process.instances));
+        let instances: f64 = instances.sum();
         if instances == 0.0 {
             return;
         }
-        let mean = |of: &dyn Fn(&Looks) -> f64| {
-            of_role.iter().map(|looks| of(looks)).sum::<f64>() / instances
+        let messages = self.add_traffic(role, &counter_rates(&processes, instances));
+        let header_bytes = messages * SEGMENTS_PER_MESSAGE * HEADER_BYTES;
+        self.add(role, Metric::HeaderBytesPerS, "", header_bytes);
+        let mean = |value: fn(&ProcessWindow) -> f64| {
+            let sum: f64 = processes.iter().map(|process| value(process)).sum();
+            sum / instances
         };
-        let mut rates: BTreeMap<String, f64> = BTreeMap::new();
-        for looks in &of_role {
-            for (name, rate) in looks.counters[1].per_second_since(&looks.counters[0]) {
-                *rates.entry(name).or_default() += rate / instances;
-            }
+        let cores = mean(|process| {
+            (process.usage_after.cpu_s - process.usage_before.cpu_s) / process.seconds
+        });
+        self.add(role, Metric::Cores, "", cores);
+        if messages > 0.0 {
+            self.add(role, Metric::MicrosPerMessage, "", cores * 1e6 / messages);
         }
+        let resident = mean(|process| process.usage_after.resident_bytes as f64);
+        self.add(role, Metric::ResidentBytes, "", resident);
+        let descriptors = mean(|process| process.usage_after.descriptors as f64);
+        self.add(role, Metric::Descriptors, "", descriptors);
+    }
+
+    /// Bytes and messages of each kind; gives the messages of all kinds together, a second.
+    fn add_traffic(&mut self, role: Role, rates: &BTreeMap<String, f64>) -> f64 {
         let mut messages = 0.0;
-        for kind in KINDS {
-            for (metric, counted) in [
-                (Metric::BytesInPerS, "bytes_in"),
-                (Metric::BytesOutPerS, "bytes_out"),
-                (Metric::MessagesInPerS, "messages_in"),
-                (Metric::MessagesOutPerS, "messages_out"),
-            ] {
-                let rate = rates
-                    .get(&format!("{kind}_{counted}"))
-                    .copied()
-                    .unwrap_or(0.0);
-                let is_messages =
-                    matches!(metric, Metric::MessagesInPerS | Metric::MessagesOutPerS);
-                messages += if is_messages { rate } else { 0.0 };
+        for kind in MESSAGE_KINDS {
+            for (metric, counter) in TRAFFIC_COUNTERS {
+                let rate = rates.get(&format!("{kind}_{counter}")).copied();
+                let rate = rate.unwrap_or(0.0);
+                if matches!(metric, Metric::MessagesInPerS | Metric::MessagesOutPerS) {
+                    messages += rate;
+                }
                 if rate > 0.0 {
                     self.add(role, metric, kind, rate);
                 }
             }
         }
-        self.add(
-            role,
-            Metric::HeaderBytesPerS,
-            "",
-            messages * SEGMENTS_A_MESSAGE * HEADER_BYTES,
-        );
-        let cores = mean(&|looks| (looks.usage[1].cpu_s - looks.usage[0].cpu_s) / looks.seconds);
-        self.add(role, Metric::Cores, "", cores);
-        if messages > 0.0 {
-            self.add(role, Metric::MicrosPerMessage, "", cores * 1e6 / messages);
-        }
-        self.add(
-            role,
-            Metric::ResidentBytes,
-            "",
-            mean(&|looks| looks.usage[1].resident_bytes as f64),
-        );
-        self.add(
-            role,
-            Metric::Descriptors,
-            "",
-            mean(&|looks| looks.usage[1].descriptors as f64),
-        );
+        messages
     }
 
     /// What became of events at the forwarders of one role.
-    pub fn add_outcome(&mut self, role: Role, outcome: &Outcome) {
+    pub fn add_delivery(&mut self, role: Role, outcome: &DeliveryOutcome) {
         let ms = |us: u64| us as f64 / 1000.0;
         let delays = &outcome.delays;
         if !delays.is_empty() {
-            self.add(
-                role,
-                Metric::DelayMedianMs,
-                "",
-                ms(delays.value_at_quantile(0.5)),
-            );
-            self.add(
-                role,
-                Metric::DelayP99Ms,
-                "",
-                ms(delays.value_at_quantile(0.99)),
-            );
+            let median = ms(delays.value_at_quantile(0.5));
+            self.add(role, Metric::DelayMedianMs, "", median);
+            let p99 = ms(delays.value_at_quantile(0.99));
+            self.add(role, Metric::DelayP99Ms, "", p99);
             self.add(role, Metric::DelayWorstMs, "", ms(delays.max()));
         }
-        self.add(role, Metric::EventsExpected, "", outcome.expected as f64);
-        self.add(role, Metric::EventsLost, "", outcome.lost as f64);
-        self.add(role, Metric::EventsReplaced, "", outcome.replaced as f64);
-        self.add(role, Metric::EventsDoubled, "", outcome.doubled as f64);
-        self.add(
-            role,
-            Metric::EventsOutOfOrder,
-            "",
-            (outcome.out_of_order + outcome.unknown) as f64,
-        );
+        let counts = [
+            (Metric::EventsExpected, outcome.expected),
+            (Metric::EventsLost, outcome.lost),
+            (Metric::EventsReplaced, outcome.replaced),
+            (Metric::EventsDoubled, outcome.doubled),
+            (
+                Metric::EventsOutOfOrder,
+                outcome.out_of_order + outcome.unknown,
+            ),
+        ];
+        for (metric, count) in counts {
+            self.add(role, metric, "", count as f64);
+        }
     }
 
     /// The value of one metric over all its kinds; none if there is no such row.
@@ -184,15 +186,30 @@
     }
 }
 
-/// Writes rows as CSV, with a head.
-pub fn write(path: &Path, rows: &[Measurement]) -> Result<(), String> {
-    let failed = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
+/// The mean rate a second of each counter over all instances.
+fn counter_rates(processes: &[&ProcessWindow], instances: f64) -> BTreeMap<String, f64> {
+    let mut rates: BTreeMap<String, f64> = BTreeMap::new();
+    for process in processes {
+        let grown = &process.counters_after;
+        for (name, rate) in grown.per_second_since(&process.counters_before) {
+            *rates.entry(name).or_default() += rate / instances;
+        }
+    }
+    rates
+}
+
+/// Writes rows as CSV, with the names of the columns first.
+///
+/// # Errors
+///
+/// [`RunError::File`] if the folder can't be made or the file can't be written, [`RunError::Csv`] if a row can't.
+pub fn write(path: &Path, rows: &[Measurement]) -> Result<(), RunError> {
     if let Some(folder) = path.parent() {
-        std::fs::create_dir_all(folder).map_err(|error| failed(&error))?;
+        std::fs::create_dir_all(folder).map_err(RunError::file(path))?;
     }
-    let mut writer = csv::Writer::from_path(path).map_err(|error| failed(&error))?;
+    let mut writer = csv::Writer::from_path(path).map_err(RunError::csv(path))?;
     for row in rows {
-        writer.serialize(row).map_err(|error| failed(&error))?;
+        writer.serialize(row).map_err(RunError::csv(path))?;
     }
-    writer.flush().map_err(|error| failed(&error))
+    writer.flush().map_err(RunError::file(path))
 }
--- a/crates/flaxdeck-scale/src/run.rs
+++ b/crates/flaxdeck-scale/src/run.rs
@@ -1,105 +1,91 @@
 //! One run of one point: starts all processes, waits until they are current, measures over a window, ends them.
 
-use std::path::Path;
-
+use crate::cluster::{Cluster, RunFolder};
+use crate::error::RunError;
 use crate::measurement::{Metric, Role};
-use crate::report::{Rows, Run};
-use crate::scenario::{Fault, Point, Scenario};
-use crate::service::{Served, Service};
-use crate::stage::{Folder, Stage};
+use crate::options::{MessageTotals, RunOptions};
+use crate::report::{RunHeader, RunRows};
+use crate::service::{Service, ServiceOutcome};
 
-/// What a run is, beside its point.
-#[derive(Clone, Debug)]
-pub struct Asked<'a> {
-    pub scenario: &'a Scenario,
-    pub point: Point,
-    pub seed: u64,
-    pub fault: Option<Fault>,
-    /// The run's own files, with the logs of its processes, are left where they are.
-    pub keeps_files: bool,
-    /// The program `flaxdeck`.
-    pub binary: &'a Path,
-}
+/// The roles that rows are made for, in their order.
+const ROLES: [Role; 4] = [
+    Role::Coordinator,
+    Role::Planner,
+    Role::RealForwarder,
+    Role::HollowForwarder,
+];
+/// The rules are numbered from 1 to this.
+const RULES: u8 = 5;
 
 /// What one run gave.
-pub struct Played {
-    pub rows: Rows,
-    /// What both sides of all conversations counted, by kind.
-    pub both_sides: Vec<BothSides>,
+pub struct RunResult {
+    /// Its rows of results.
+    pub rows: RunRows,
+    /// What both sides of all connections counted, by kind.
+    pub message_totals: Vec<MessageTotals>,
     /// Ids of all processes that it started, in case somebody wants to see that they have gone.
     pub processes: Vec<u32>,
 }
 
-/// Messages and bytes of one kind since the start, as those counted who sent them and those who received them.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BothSides {
-    pub kind: &'static str,
-    pub sent: [u64; 2],
-    pub received: [u64; 2],
-}
-
 /// Plays one run; all that it started has ended when it returns, also when it is dropped before.
-pub async fn play(asked: &Asked<'_>, progress: &dyn Fn(&str)) -> Result<Played, String> {
-    let folder = Folder::create(asked.keeps_files)?;
-    if asked.keeps_files {
+///
+/// # Errors
+///
+/// If a process doesn't start, doesn't do what it is ordered, or fails, or a file of the run can't be read or written.
+pub async fn play(
+    options: &RunOptions<'_>,
+    progress: &dyn Fn(&str),
+) -> Result<RunResult, RunError> {
+    let folder = RunFolder::create(options.keeps_files)?;
+    if options.keeps_files {
         progress(&format!("files in {}", folder.path().display()));
     }
-    let mut stage = Stage::start(asked, folder.path(), progress).await?;
-    let measured = stage.measure(progress).await?;
-    let (both_sides, processes) = (
-        stage.both_sides(),
-        stage.processes().map(|process| process.id).collect(),
-    );
-    let served = stage.service.as_ref().map(Service::served);
-    let outcome = stage.end(&measured).await?;
-    let fault = asked
-        .fault
-        .map_or("none", |fault| fault.kind.word())
-        .to_owned();
-    let Scenario {
-        name, distribution, ..
-    } = asked.scenario;
-    let run = Run {
-        name: format!("{name}-{}", asked.seed),
-        seed: asked.seed,
-        distribution: *distribution,
-        point: asked.point,
-        fault,
-    };
-    let mut rows = Rows::of(run);
-    for role in [
-        Role::Coordinator,
-        Role::Planner,
-        Role::RealForwarder,
-        Role::HollowForwarder,
-    ] {
-        rows.add_role(role, &measured.looks);
+    let mut cluster = Cluster::start(options, folder.path(), progress).await?;
+    let window = cluster.measure(progress).await?;
+    let message_totals = cluster.message_totals();
+    let processes = cluster.processes().map(|process| process.id).collect();
+    let service = cluster.service.as_ref().map(Service::outcome);
+    let delivery = cluster.end(&window).await?;
+    let mut rows = RunRows::new(header(options));
+    for role in ROLES {
+        rows.add_role(role, &window.processes);
+    }
+    if let Some(idle) = window.idle_fraction {
+        rows.add(Role::Coordinator, Metric::MachineIdleShare, "", idle);
     }
-    measured
-        .idle
-        .into_iter()
-        .for_each(|idle| rows.add(Role::Coordinator, Metric::MachineIdleShare, "", idle));
-    rows.add_outcome(Role::HollowForwarder, &outcome);
-    served
-        .iter()
-        .for_each(|served| add_service(&mut rows, served));
-    Ok(Played {
+    rows.add_delivery(Role::HollowForwarder, &delivery);
+    if let Some(service) = &service {
+        add_service(&mut rows, service);
+    }
+    Ok(RunResult {
         rows,
-        both_sides,
+        message_totals,
         processes,
     })
 }
 
-fn add_service(rows: &mut Rows, served: &Served) {
-    rows.add(Role::RealForwarder, Metric::ServedShare, "", served.share);
-    rows.add(Role::RealForwarder, Metric::ServiceP99Ms, "", served.p99_ms);
-    for rule in 1..=5 {
-        let broken = served.broken.get(&rule).copied().unwrap_or(0);
-        rows.add(
-            Role::RealForwarder,
-            Metric::RulesBroken,
-            &format!("rule_{rule}"),
-            broken as f64,
-        );
+/// What all rows of a run have in common.
+fn header(options: &RunOptions<'_>) -> RunHeader {
+    let scenario = options.scenario;
+    RunHeader {
+        name: format!("{}-{}", scenario.name, options.seed),
+        seed: options.seed,
+        distribution: scenario.distribution,
+        point: options.point,
+        fault: options
+            .fault
+            .map_or("none", |fault| fault.kind.word())
+            .to_owned(),
+    }
+}
+
+fn add_service(rows: &mut RunRows, outcome: &ServiceOutcome) {
+    let role = Role::RealForwarder;
+    rows.add(role, Metric::ServedShare, "", outcome.served_fraction);
+    rows.add(role, Metric::ServiceP99Ms, "", outcome.p99_ms);
+    for rule in 1..=RULES {
+        let violations = outcome.violations.get(&rule).copied().unwrap_or(0);
+        let kind = format!("rule_{rule}");
+        rows.add(role, Metric::RulesBroken, &kind, violations as f64);
     }
 }
--- a/crates/flaxdeck-scale/src/scenario.rs
+++ b/crates/flaxdeck-scale/src/scenario.rs
@@ -9,15 +9,19 @@
 /// The size and the rates of one run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// Hollow forwarders, and the processes that they are divided between.
+    /// Hollow forwarders.
     pub hollow: u32,
+    /// The processes that they are divided between.
     pub processes: u32,
     /// Lines of the coordinator's list.
     pub hosts: u32,
+    /// Planners.
     pub planners: u32,
     /// Real forwarders under load.
     pub real: u32,
+    /// Purges a second.
     pub purges_per_s: f64,
+    /// Hosts a second that begin to drain or are back in service.
     pub host_changes_per_s: f64,
 }
 
@@ -66,8 +70,11 @@
 /// When something goes wrong, in seconds from the start of the window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
+    /// What goes wrong.
     pub kind: FaultKind,
+    /// When it begins.
     pub at_s: f64,
+    /// How long it lasts.
     pub lasts_s: f64,
 }
 
@@ -85,14 +92,21 @@
 /// What a scale file says, with the defaults where it says nothing.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
+    /// What rows of results bear.
     pub name: String,
+    /// The first run's seed.
     pub seed: u64,
     /// Runs of each point, each with a seed of its own.
     pub runs: u32,
+    /// Sizes and rates, each with runs of its own.
     pub points: Vec<Point>,
+    /// How long the parts of a run last.
     pub times: Times,
+    /// Milliseconds between the reports of a forwarder.
     pub report_every_ms: u32,
+    /// How events reach the forwarders.
     pub distribution: Distribution,
+    /// What goes wrong in the runs with a fault; none if there are none.
     pub fault: Option<Fault>,
 }
 
@@ -111,9 +125,13 @@
 const SIZES: &[&str] = &["hollow", "processes", "hosts", "planners", "real"];
 const RATES: &[&str] = &["purges", "host-changes"];
 /// Hollow forwarders of a process, unless the file says how many processes there are.
-const A_PROCESS: u32 = 100;
+const FORWARDERS_PER_PROCESS: u32 = 100;
 
 /// Reads a file's text; `file` is the name that faults bear.
+///
+/// # Errors
+///
+/// All faults of the file, each with its place.
 pub fn read(file: &str, text: &str) -> Result<Scenario, Vec<FileFault>> {
     let mut faults = Faults::of(file);
     let mut scenario = Scenario {
@@ -153,25 +171,37 @@
             faults,
         ),
     }
-    let whole = |value: Option<f64>, default: u32| value.map_or(default, |value| value as u32);
-    scenario.seed =
-        number(&mut forms, "seed", [0.0, 1e9], faults).map_or(scenario.seed, |seed| seed as u64);
-    scenario.runs = whole(
-        number(&mut forms, "runs", [1.0, 20.0], faults),
-        scenario.runs,
-    );
-    let every = number(&mut forms, "reports-ms", [20.0, 5_000.0], faults);
-    scenario.report_every_ms = whole(every, scenario.report_every_ms);
+    if let Some(seed) = number(&mut forms, "seed", [0.0, 1e9], faults) {
+        scenario.seed = seed as u64;
+    }
+    if let Some(runs) = number(&mut forms, "runs", [1.0, 20.0], faults) {
+        scenario.runs = runs as u32;
+    }
+    if let Some(every) = number(&mut forms, "reports-ms", [20.0, 5_000.0], faults) {
+        scenario.report_every_ms = every as u32;
+    }
     if let Some(form) = only(&mut forms, "distribution", faults) {
-        scenario.distribution = match form.choice(&["each-event", "digest"], faults) {
-            Some("digest") => Distribution::Digest,
-            _ => Distribution::EachEvent,
-        };
+        scenario.distribution = distribution(&form, faults);
     }
     if let Some(form) = only(&mut forms, "times", faults) {
         times(&mut scenario.times, &form, faults);
     }
-    let base = Point {
+    let base = base_point(&mut forms, faults);
+    scenario.fault =
+        only(&mut forms, "fault", faults).and_then(|form| fault(scenario.times, &form, faults));
+    scenario.points = points(base, &forms, faults);
+}
+
+fn distribution(form: &Form, faults: &mut Faults) -> Distribution {
+    match form.choice(&["each-event", "digest"], faults) {
+        Some("digest") => Distribution::Digest,
+        _ => Distribution::EachEvent,
+    }
+}
+
+/// The sizes and rates that all points have where they say nothing themselves.
+fn base_point(forms: &mut Vec<Form>, faults: &mut Faults) -> Point {
+    let mut base = Point {
         hollow: 100,
         processes: 0,
         hosts: 100,
@@ -180,30 +210,35 @@
         purges_per_s: 33.0,
         host_changes_per_s: 1.0,
     };
-    let mut base = base;
-    if let Some(form) = only(&mut forms, "sizes", faults) {
+    if let Some(form) = only(forms, "sizes", faults) {
         sizes(&mut base, &mut form.forms(SIZES, faults), faults);
     }
-    if let Some(form) = only(&mut forms, "rates", faults) {
+    if let Some(form) = only(forms, "rates", faults) {
         rates(&mut base, &mut form.forms(RATES, faults), faults);
     }
-    scenario.fault =
-        only(&mut forms, "fault", faults).and_then(|form| fault(scenario.times, &form, faults));
+    base
+}
+
+/// The points of the file; the base itself if it has none.
+fn points(base: Point, forms: &[Form], faults: &mut Faults) -> Vec<Point> {
+    let mut points = Vec::new();
+    let known: Vec<&str> = [SIZES, RATES].concat();
     for form in forms.iter().filter(|form| form.word == "point") {
-        let known: Vec<&str> = [SIZES, RATES].concat();
-        let (mut inner, mut point) = (form.forms(&known, faults), base);
+        let mut inner = form.forms(&known, faults);
+        let mut point = base;
         sizes(&mut point, &mut inner, faults);
         rates(&mut point, &mut inner, faults);
-        scenario.points.push(point);
+        points.push(point);
     }
-    if scenario.points.is_empty() {
-        scenario.points.push(base);
+    if points.is_empty() {
+        points.push(base);
     }
-    for point in &mut scenario.points {
+    for point in &mut points {
         if point.processes == 0 {
-            point.processes = point.hollow.div_ceil(A_PROCESS).max(1);
+            point.processes = point.hollow.div_ceil(FORWARDERS_PER_PROCESS).max(1);
         }
     }
+    points
 }
 
 fn missing(place: Place, word: &str, why: &str, mend: &str, faults: &mut Faults) {
@@ -211,8 +246,8 @@
 }
 
 fn sizes(point: &mut Point, forms: &mut Vec<Form>, faults: &mut Faults) {
-    let mut take = |word: &str, most: f64, into: &mut u32, least: f64| {
-        if let Some(value) = number(forms, word, [least, most], faults) {
+    let mut take = |word: &str, max: f64, into: &mut u32, min: f64| {
+        if let Some(value) = number(forms, word, [min, max], faults) {
             *into = value as u32;
         }
     };
@@ -241,8 +276,8 @@
 
 fn times(times: &mut Times, form: &Form, faults: &mut Faults) {
     let mut inner = form.forms(&["settle-s", "window-s", "drain-s"], faults);
-    let mut take = |word: &str, least: f64, into: &mut f64| {
-        if let Some(value) = number(&mut inner, word, [least, 120.0], faults) {
+    let mut take = |word: &str, min: f64, into: &mut f64| {
+        if let Some(value) = number(&mut inner, word, [min, 120.0], faults) {
             *into = value;
         }
     };
--- a/crates/flaxdeck-scale/src/target.rs
+++ b/crates/flaxdeck-scale/src/target.rs
@@ -12,16 +12,23 @@
 /// What the file says. All of it has to be there: a default would be a figure that nobody wrote down.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Target {
+    /// Dispatchers of the whole fleet.
     pub dispatchers: f64,
+    /// Sites that they stand in.
     pub sites: f64,
     /// Cache hosts.
     pub hosts: f64,
+    /// Regions.
     pub regions: f64,
+    /// Zones.
     pub zones: f64,
     /// Requests a second over the whole fleet at the peak.
     pub requests_per_s: f64,
+    /// Terabits a second to clients at the peak.
     pub tbit_per_s: f64,
+    /// Objects that are asked for.
     pub objects: f64,
+    /// Purges a second on an ordinary day.
     pub purges_per_s: f64,
     /// Seconds within which a purge is done everywhere.
     pub purge_within_s: f64,
@@ -29,17 +36,23 @@
     pub changes_per_day: f64,
     /// Seconds within which a change is in force everywhere.
     pub change_within_s: f64,
-    /// Of one dispatcher, for all control: part of a core, megabytes, bytes a second.
+    /// The fraction of a core of one dispatcher for all control.
     pub budget_cores: f64,
+    /// Megabytes of one dispatcher for all control.
     pub budget_memory_mb: f64,
+    /// Bytes a second of one dispatcher for all control, both ways.
     pub budget_bytes_per_s: f64,
     /// Machines set aside for control.
     pub machines: f64,
     /// Planners that each dispatcher converses with where the fleet is divided between the machines.
     pub planners_each: f64,
+    /// Machines that fail.
     pub failures_per_day: f64,
+    /// Dispatchers that are restarted.
     pub restarts_per_day: f64,
+    /// Racks that are lost.
     pub racks_per_week: f64,
+    /// Zones that are lost.
     pub zones_per_month: f64,
     /// Dispatchers of a rack.
     pub rack_dispatchers: f64,
@@ -47,8 +60,9 @@
     pub rolling_within_s: f64,
     /// Seconds for which a region is cut off.
     pub cut_off_s: f64,
-    /// Times the usual rate of purges in a storm, and its seconds.
+    /// Times the usual rate of purges in a storm.
     pub storm_times: f64,
+    /// Seconds that a storm lasts.
     pub storm_s: f64,
 }
 
@@ -56,8 +70,8 @@
 struct Field {
     form: &'static [&'static str],
     word: &'static str,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
     set: fn(&mut Target, f64),
 }
 
@@ -70,8 +84,8 @@
     Field {
         form,
         word,
-        least: bounds.0,
-        most: bounds.1,
+        min: bounds.0,
+        max: bounds.1,
         set,
     }
 }
@@ -180,6 +194,10 @@
 ];
 
 /// Reads a file's text; `file` is the name that faults bear.
+///
+/// # Errors
+///
+/// All faults of the file, each with its place.
 pub fn read(file: &str, text: &str) -> Result<Target, Vec<Fault>> {
     let mut faults = Faults::of(file);
     let mut target = Target::default();
@@ -202,10 +220,10 @@
     for field in fields {
         match only(&mut forms, field.word, faults) {
             Some(form) => {
-                let value = form.number(field.least, field.most, faults);
-                value
-                    .into_iter()
-                    .for_each(|value| (field.set)(target, value));
+                let value = form.number(field.min, field.max, faults);
+                if let Some(value) = value {
+                    (field.set)(target, value);
+                }
             }
             None => missing(form, field.word, faults),
         }
@@ -245,46 +263,67 @@
     pub fn events_per_s(&self) -> f64 {
         self.purges_per_s + self.changes_per_s()
     }
+
+    /// Changes of configuration a second.
     pub fn changes_per_s(&self) -> f64 {
         self.changes_per_day / SECONDS_A_DAY
     }
+
+    /// Seconds between two changes of configuration.
     pub fn change_each_s(&self) -> f64 {
         SECONDS_A_DAY / self.changes_per_day
     }
+
     /// Requests a second of one dispatcher, on average at the peak.
     pub fn requests_each_per_s(&self) -> f64 {
         self.requests_per_s / self.dispatchers
     }
+
+    /// Dispatchers of one site.
     pub fn dispatchers_a_site(&self) -> f64 {
         self.dispatchers / self.sites
     }
+
+    /// Dispatchers of one region.
     pub fn dispatchers_a_region(&self) -> f64 {
         self.dispatchers / self.regions
     }
+
+    /// Dispatchers of one zone.
     pub fn dispatchers_a_zone(&self) -> f64 {
         self.dispatchers / self.zones
     }
+
+    /// Cache hosts of one region.
     pub fn hosts_a_region(&self) -> f64 {
         self.hosts / self.regions
     }
+
+    /// Cache hosts of one zone.
     pub fn hosts_a_zone(&self) -> f64 {
         self.hosts / self.zones
     }
+
     /// Purges a second in a storm.
     pub fn storm_per_s(&self) -> f64 {
         self.purges_per_s * self.storm_times
     }
+
     /// Restarts a second in a rolling restart.
     pub fn rolling_per_s(&self) -> f64 {
         self.restarts_per_day / self.rolling_within_s
     }
+
+    /// Bytes of memory of one dispatcher for all control.
     pub fn budget_memory_bytes(&self) -> f64 {
         self.budget_memory_mb * BYTES_A_MB
     }
+
     /// Dispatchers that converse with one planner where the fleet is divided between the machines.
     pub fn dispatchers_a_planner(&self) -> f64 {
         (self.dispatchers * self.planners_each / self.machines).ceil()
     }
+
     /// The size at which a line is read off where every planner hears every dispatcher.
     pub fn size(&self) -> Size {
         Size {
@@ -293,6 +332,7 @@
             purges: self.purges_per_s,
         }
     }
+
     /// The same where the fleet is divided between the machines.
     pub fn size_of_a_group(&self) -> Size {
         Size {
--- a/crates/flaxdeck-scale/src/usage.rs
+++ b/crates/flaxdeck-scale/src/usage.rs
@@ -1,4 +1,4 @@
-//! What the system tells of a process: processor time, resident memory, descriptors; and what its own counters tell.
+//! What the system tells of a process: processor time, resident memory, descriptors; and its own counters.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -7,16 +7,18 @@
 /// Ticks of processor time a second, as `/proc` counts them on Linux.
 const TICKS_PER_S: f64 = 100.0;
 
-/// One look at a process.
+/// What a process has taken so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     /// Processor time since its start, in seconds.
     pub cpu_s: f64,
+    /// Resident memory.
     pub resident_bytes: u64,
+    /// Open descriptors.
     pub descriptors: u64,
 }
 
-/// Looks at a process; none once it has ended.
+/// Reads what a process has taken; none once it has ended.
 pub fn of(process: u32) -> Option<Usage> {
     let stat = fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
     // Fields after the name in brackets begin with the third.
@@ -35,8 +37,17 @@
     })
 }
 
-/// Processor time of the whole machine since its start, in ticks: all, and what nobody used.
-pub fn machine() -> Option<[u64; 2]> {
+/// Processor time of the whole machine since its start, in ticks.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MachineTime {
+    /// Of all kinds.
+    pub all: u64,
+    /// What nobody used, or what was waited for disks.
+    pub idle: u64,
+}
+
+/// Reads the processor time of the machine; none where the system does not tell.
+pub fn machine() -> Option<MachineTime> {
     let stat = fs::read_to_string("/proc/stat").ok()?;
     let fields = stat
         .lines()
@@ -45,13 +56,18 @@
         .split_whitespace();
     let ticks: Vec<u64> = fields.map_while(|field| field.parse().ok()).collect();
     // Idle, and waiting for disks, stand fourth and fifth; guests, who come last, are counted in the first two.
-    Some([ticks.iter().take(8).sum(), ticks.get(3)? + ticks.get(4)?])
+    Some(MachineTime {
+        all: ticks.iter().take(8).sum(),
+        idle: ticks.get(3)? + ticks.get(4)?,
+    })
 }
 
 /// One line of a file of counters.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counters {
+    /// Microseconds since the process started.
     pub elapsed_us: u64,
+    /// Each counter by its name.
     pub values: BTreeMap<String, u64>,
 }
 
@@ -65,7 +81,7 @@
 }
 
 impl Counters {
-    /// How much each counter has grown a second since an earlier look.
+    /// How much each counter has grown a second since an earlier line.
     pub fn per_second_since(&self, earlier: &Counters) -> BTreeMap<String, f64> {
         let seconds = self.elapsed_us.saturating_sub(earlier.elapsed_us) as f64 / 1e6;
         let rate = |(name, value): (&String, &u64)| {
--- a/crates/flaxdeck-scale/tests/delays.rs
+++ b/crates/flaxdeck-scale/tests/delivery.rs
@@ -1,12 +1,12 @@
-//! What the judge makes of notes: delays, and events lost, doubled, out of order or replaced.
+//! What the checker makes of notes: delays, and events lost, doubled, out of order or replaced.
 
-use flaxdeck_scale::delays::{Held, Judge, Outcome};
-use flaxdeck_scale::in_force::Note;
+use flaxdeck_scale::delivery::{DeliveryChecker, DeliveryOutcome, PublishedEvent};
+use flaxdeck_scale::in_force_log::LogEntry;
 
 /// Events 1 to 10, each a millisecond after the one before; the number is its own hash.
-fn events() -> Vec<Held> {
+fn events() -> Vec<PublishedEvent> {
     (1..=10)
-        .map(|number| Held {
+        .map(|number| PublishedEvent {
             number,
             hash: number,
             at_us: 1_000 * number,
@@ -14,8 +14,8 @@
         .collect()
 }
 
-fn note(after: Option<u32>, upto: u32, at_us: u64) -> Note {
-    Note {
+fn note(after: Option<u32>, upto: u32, at_us: u64) -> LogEntry {
+    LogEntry {
         forwarder: 7,
         after,
         upto,
@@ -25,19 +25,19 @@
 }
 
 /// Judges notes of one forwarder over events 3 to 10; what it knew at first was event 1.
-fn judged(notes: &[Note], killed: bool) -> Outcome {
+fn judged(notes: &[LogEntry], killed: bool) -> DeliveryOutcome {
     let events = events();
-    let mut judge = Judge::new(&events, 2_500, 11_000);
-    judge.take(&note(None, 1, 1_100));
-    notes.iter().for_each(|note| judge.take(note));
+    let mut checker = DeliveryChecker::new(&events, 2_500, 11_000);
+    checker.add(&note(None, 1, 1_100));
+    notes.iter().for_each(|note| checker.add(note));
     if killed {
-        judge.killed(0..8);
+        checker.killed(0..8);
     }
-    judge.outcome()
+    checker.outcome()
 }
 
-fn counts(outcome: &Outcome) -> [u64; 6] {
-    let Outcome {
+fn counts(outcome: &DeliveryOutcome) -> [u64; 6] {
+    let DeliveryOutcome {
         expected,
         lost,
         doubled,
@@ -58,7 +58,7 @@
 
 #[test]
 fn events_that_come_one_by_one_or_in_batches_are_all_counted_with_their_delays() {
-    let singly: Vec<Note> = (2..=10)
+    let singly: Vec<LogEntry> = (2..=10)
         .map(|upto| note(Some(upto - 1), upto, 1_000 * u64::from(upto) + 300))
         .collect();
     let outcome = judged(&singly, false);
@@ -117,14 +117,14 @@
 #[test]
 fn a_numbering_that_begins_anew_is_told_apart_by_the_hashes() {
     let mut events = events();
-    events.extend((1..=4).map(|number| Held {
+    events.extend((1..=4).map(|number| PublishedEvent {
         number,
         hash: 100 + number,
         at_us: 11_000 + 1_000 * number,
     }));
-    let mut judge = Judge::new(&events, 0, 20_000);
+    let mut checker = DeliveryChecker::new(&events, 0, 20_000);
     let mut take = |after, upto, hash, at_us| {
-        judge.take(&Note {
+        checker.add(&LogEntry {
             forwarder: 7,
             after,
             upto,
@@ -137,10 +137,10 @@
     take(None, 1, 101, 12_500);
     take(Some(1), 4, 104, 15_200);
     take(Some(4), 5, 999, 15_300);
-    let outcome = judge.outcome();
+    let outcome = checker.outcome();
     assert_eq!(
         counts(&outcome),
         [14, 0, 0, 0, 1, 1],
-        "the list replaced itself, 5 was never held"
+        "the list replaced itself, 5 was never event"
     );
 }
