--- a/examples/toy/src/client.rs
+++ b/examples/toy/src/client.rs
@@ -6,26 +6,37 @@
 use std::time::Duration;
 
 /// Longer than any answer takes.
-const PATIENCE: Duration = Duration::from_secs(20);
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// An answer with the number of what it answers.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
+    /// What was asked for.
     Served {
+        /// The number of the call.
         call: u32,
+        /// The bytes.
         body: Vec<u8>,
+        /// What the answer says of itself.
         fields: BTreeMap<String, String>,
     },
+    /// A rejection or a failure.
     Error {
+        /// The number of the call.
         call: u32,
+        /// Which of the two.
         word: String,
+        /// What the answer says of itself.
         fields: BTreeMap<String, String>,
     },
+    /// The dispatcher is alive.
     Alive {
+        /// The number of the call.
         call: u32,
     },
 }
 
+/// A client on one connection.
 pub struct Client {
     stream: TcpStream,
     next: u32,
@@ -63,17 +74,31 @@
 }
 
 impl Client {
+    /// A client on a connection of its own.
+    ///
+    /// # Errors
+    ///
+    /// If the connection can't be set up.
     pub fn connect(address: SocketAddr) -> io::Result<Client> {
         Client::over(TcpStream::connect(address)?)
     }
 
     /// A client on a connection that is up.
+    ///
+    /// # Errors
+    ///
+    /// If the connection can't be set up.
     pub fn over(stream: TcpStream) -> io::Result<Client> {
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
         Ok(Client { stream, next: 1 })
     }
 
+    /// Sends bytes as they are.
+    ///
+    /// # Errors
+    ///
+    /// If the connection can't be written to.
     pub fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes)
     }
@@ -86,8 +111,11 @@
         )
     }
 
-    /// Asks for part 0 of an object; gives the number of the call.
     /// The same connection once more, for a thread that reads beside one that writes.
+    ///
+    /// # Errors
+    ///
+    /// If the system has no more descriptors.
     pub fn again(&self) -> io::Result<Client> {
         Ok(Client {
             stream: self.stream.try_clone()?,
@@ -95,6 +123,11 @@
         })
     }
 
+    /// Asks for part 0 of an object; gives the number of the call.
+    ///
+    /// # Errors
+    ///
+    /// If the connection can't be written to.
     pub fn request(
         &mut self,
         class: &str,
@@ -117,11 +150,21 @@
         Ok(call)
     }
 
+    /// Cancels a request by the number of its call.
+    ///
+    /// # Errors
+    ///
+    /// If the connection can't be written to.
     pub fn cancel(&mut self, call: u32) -> io::Result<()> {
         let call = call.to_be_bytes();
         self.send(&[&[0x93, 2][..], &text("cancelRequest"), &[0x91, 0xce], &call].concat())
     }
 
+    /// Asks whether the dispatcher is alive; gives the number of the call.
+    ///
+    /// # Errors
+    ///
+    /// If the connection can't be written to.
     pub fn alive(&mut self) -> io::Result<u32> {
         let call = self.next;
         self.next += 1;
@@ -138,6 +181,10 @@
     }
 
     /// The next answer, whichever it is.
+    ///
+    /// # Errors
+    ///
+    /// If the connection ends or times out, or what comes is no answer.
     pub fn answer(&mut self) -> io::Result<Answer> {
         let bad = |what: &str| io::Error::new(ErrorKind::InvalidData, what.to_owned());
         if self.array()? != 4 || self.number()? != 1 {
@@ -170,6 +217,10 @@
     }
 
     /// Says that nothing more will come, and goes on reading.
+    ///
+    /// # Errors
+    ///
+    /// If the connection has ended.
     pub fn shut(&self) -> io::Result<()> {
         self.stream.shutdown(Shutdown::Write)
     }
@@ -182,14 +233,16 @@
 
     /// Whether nothing comes for so long.
     pub fn quiet_for(&mut self, time: Duration) -> bool {
-        self.stream
-            .set_read_timeout(Some(time))
-            .expect("a time-out that is not zero");
-        let quiet = matches!(self.stream.peek(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock);
-        self.stream
-            .set_read_timeout(Some(PATIENCE))
-            .expect("a time-out that is not zero");
-        quiet
+        self.set_read_timeout(time);
+        let read = self.stream.peek(&mut [0]);
+        self.set_read_timeout(READ_TIMEOUT);
+        matches!(read, Err(error) if error.kind() == ErrorKind::WouldBlock)
+    }
+
+    #[allow(clippy::expect_used, reason = "only a time-out of zero is refused")]
+    fn set_read_timeout(&self, time: Duration) {
+        let set = self.stream.set_read_timeout(Some(time));
+        set.expect("a time-out that is not zero");
     }
 
     fn take(&mut self, count: usize) -> io::Result<Vec<u8>> {
--- a/examples/toy/src/host.rs
+++ b/examples/toy/src/host.rs
@@ -2,14 +2,18 @@
 
 use std::collections::HashSet;
 use std::io::{self, BufRead, BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread::spawn;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// What ends a line and a body.
+const LINE_END: &[u8] = b"\r\n";
+
 /// How a host answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Manner {
+    /// As it should.
     Serve,
     /// With that word in place of `data`: `absent`, `full`, `failed` or `moot`.
     Say(&'static str),
@@ -31,12 +35,26 @@
     Extra,
 }
 
+/// A line that came in.
+struct ReceivedLine {
+    at: Instant,
+    line: String,
+    /// What followed it.
+    body: Vec<u8>,
+}
+
+impl ReceivedLine {
+    fn starts_with(&self, word: &str) -> bool {
+        self.line.split(' ').next() == Some(word)
+    }
+}
+
 #[derive(Default)]
-struct Inside {
-    held: HashSet<String>,
-    /// Every line that came in, with when and the body that followed.
-    heard: Vec<(Instant, String, Vec<u8>)>,
-    open: Vec<TcpStream>,
+struct State {
+    /// Objects that are cached.
+    cached: HashSet<String>,
+    received: Vec<ReceivedLine>,
+    connections: Vec<TcpStream>,
     manner: Option<Manner>,
     down: bool,
 }
@@ -44,19 +62,25 @@
 /// One host on loopback.
 #[derive(Clone)]
 pub struct Host {
+    /// Its id in the list.
     pub id: String,
+    /// Where it listens.
     pub address: SocketAddr,
-    inside: Arc<Mutex<Inside>>,
+    state: Arc<Mutex<State>>,
 }
 
 impl Host {
     /// Starts a host; port 0 lets the system choose.
+    ///
+    /// # Errors
+    ///
+    /// If it can't listen.
     pub fn start(id: &str, address: &str) -> io::Result<Host> {
         let listener = TcpListener::bind(address)?;
         let host = Host {
             id: id.into(),
             address: listener.local_addr()?,
-            inside: Arc::default(),
+            state: Arc::default(),
         };
         let serving = host.clone();
         spawn(move || {
@@ -66,6 +90,7 @@
                     return;
                 }
                 spawn(move || {
+                    // Whoever ends the connection has what he wants.
                     let _ = host.serve(stream);
                 });
             }
@@ -73,51 +98,54 @@
         Ok(host)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inside> {
-        self.inside.lock().expect("no holder panics")
+    #[allow(
+        clippy::expect_used,
+        reason = "a connection that panicked has spoiled the test"
+    )]
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().expect("no holder panics")
     }
 
+    /// Changes how it answers.
     pub fn set(&self, manner: Manner) {
         self.lock().manner = Some(manner);
     }
 
     /// The lines that start with that word, in their order.
     pub fn heard(&self, word: &str) -> Vec<(String, Vec<u8>)> {
-        let inside = self.lock();
-        let heard = inside
-            .heard
-            .iter()
-            .filter(|(_, line, _)| line.split(' ').next() == Some(word));
-        heard
-            .map(|(_, line, body)| (line.clone(), body.clone()))
+        let state = self.lock();
+        let lines = state.received.iter().filter(|line| line.starts_with(word));
+        lines
+            .map(|received| (received.line.clone(), received.body.clone()))
             .collect()
     }
 
     /// The same lines with when they came.
     pub fn arrivals(&self, word: &str) -> Vec<(Instant, String)> {
-        let inside = self.lock();
-        let heard = inside
-            .heard
-            .iter()
-            .filter(|(_, line, _)| line.split(' ').next() == Some(word));
-        heard.map(|(at, line, _)| (*at, line.clone())).collect()
+        let state = self.lock();
+        let lines = state.received.iter().filter(|line| line.starts_with(word));
+        lines
+            .map(|received| (received.at, received.line.clone()))
+            .collect()
     }
 
     /// Dies: its connections are reset, new ones are refused.
     pub fn kill(&self) {
         self.lock().down = true;
-        while TcpStream::connect(self.address).is_ok() {} // lets the listener end
-        self.lock()
-            .open
-            .drain(..)
-            .for_each(|stream| drop(stream.shutdown(std::net::Shutdown::Both)));
+        // A last connection lets the listener end.
+        while TcpStream::connect(self.address).is_ok() {}
+        for stream in self.lock().connections.drain(..) {
+            // It may have ended already.
+            let _ = stream.shutdown(Shutdown::Both);
+        }
     }
 
     fn serve(&self, stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        self.lock().open.push(stream.try_clone()?);
-        let (mut input, mut output) = (BufReader::new(stream.try_clone()?), stream);
-        let mut wants = 0;
+        self.lock().connections.push(stream.try_clone()?);
+        let mut input = BufReader::new(stream.try_clone()?);
+        let mut output = stream;
+        let mut requests = 0;
         loop {
             let mut line = String::new();
             if input.read_line(&mut line)? == 0 {
@@ -127,29 +155,22 @@
             let words: Vec<&str> = line.split(' ').collect();
             let mut body = Vec::new();
             if words[0] == "want" {
-                body.resize(
-                    words
-                        .last()
-                        .and_then(|length| length.parse().ok())
-                        .unwrap_or(0)
-                        + 2,
-                    0,
-                );
-                input.read_exact(&mut body)?;
-                body.truncate(body.len() - 2);
+                requests += 1;
+                body = read_body(&mut input, words.last().copied())?;
             }
-            wants += usize::from(words[0] == "want");
-            if wants > 1 && self.lock().manner == Some(Manner::Once) {
-                return output.shutdown(std::net::Shutdown::Both);
+            if requests > 1 && self.lock().manner == Some(Manner::Once) {
+                return output.shutdown(Shutdown::Both);
             }
-            self.lock()
-                .heard
-                .push((Instant::now(), line.clone(), body.clone()));
+            self.lock().received.push(ReceivedLine {
+                at: Instant::now(),
+                line: line.clone(),
+                body: body.clone(),
+            });
             match words[..] {
                 ["want", id, fields, _] => {
                     let goes_on = self.answer(&mut output, id, fields, &body)?;
                     if !goes_on {
-                        return output.shutdown(std::net::Shutdown::Both);
+                        return output.shutdown(Shutdown::Both);
                     }
                 }
                 ["there", tag] if self.lock().manner != Some(Manner::Silent) => {
@@ -181,7 +202,7 @@
         } else {
             sent.to_vec()
         };
-        let held = !self.lock().held.insert(object.clone()) || value("fetch").is_empty();
+        let held = !self.lock().cached.insert(object.clone()) || value("fetch").is_empty();
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
@@ -197,7 +218,7 @@
         );
         let mut say = |word: &str, told: &str, body: &[u8], id: &str| {
             let head = format!("{id} {word} {told} {}\r\n", body.len());
-            output.write_all(&[head.as_bytes(), body, b"\r\n"].concat())
+            output.write_all(&[head.as_bytes(), body, LINE_END].concat())
         };
         match manner {
             Manner::Serve | Manner::Once => say("data", &told, &body, id)?,
@@ -226,6 +247,15 @@
     }
 }
 
+/// The body that follows a request's line, whose last word is its length.
+fn read_body(input: &mut impl Read, length: Option<&str>) -> io::Result<Vec<u8>> {
+    let length = length.and_then(|length| length.parse().ok()).unwrap_or(0);
+    let mut body = vec![0; length + LINE_END.len()];
+    input.read_exact(&mut body)?;
+    body.truncate(length);
+    Ok(body)
+}
+
 /// What an object holds, the same at every host.
 pub fn body_of(object: &str) -> Vec<u8> {
     format!("the bytes of {object}. ").repeat(40).into_bytes()
--- a/examples/toy/src/main.rs
+++ b/examples/toy/src/main.rs
@@ -9,7 +9,7 @@
 
 const USAGE: &str = "usage: flaxdeck-toy world CONFIG | flaxdeck-toy request ADDRESS CLASS KEY";
 /// How long the client waits, in milliseconds.
-const WAIT: u64 = 2500;
+const TIMEOUT_MS: u64 = 2500;
 
 fn main() -> ExitCode {
     let words: Vec<String> = std::env::args().skip(1).collect();
@@ -62,7 +62,7 @@
     let mut client = Client::connect(address).map_err(|error| format!("{address}: {error}"))?;
     let body: &[u8] = if class == "submit" { b"a form" } else { b"" };
     client
-        .request(class, key, WAIT, body)
+        .request(class, key, TIMEOUT_MS, body)
         .map_err(|error| error.to_string())?;
     match client.answer().map_err(|error| error.to_string())? {
         Answer::Served { body, .. } => {
