--- a/crates/flaxdeck-control/src/quotas.rs
+++ b/crates/flaxdeck-control/src/quotas.rs
@@ -150,23 +150,16 @@
                 continue;
             }
             balance.record_demand(now, self.lease_terms.window, has_own_share);
-            let demanded = self
-                .peer_demand
-                .get(incarnation)
-                .is_some_and(|until| *until > now);
-            let spare = if demanded && has_own_share {
-                balance.spare(now, planner)
-            } else {
-                QuotaFraction::NONE
-            };
-            if spare > QuotaFraction::NONE && !permitted {
+            let demanded_until = self.peer_demand.get(incarnation);
+            let demanded = demanded_until.is_some_and(|until| *until > now);
+            let mut deposit = QuotaFraction::NONE;
+            if demanded && has_own_share {
+                deposit = balance.spare(now, planner);
+            }
+            if deposit > QuotaFraction::NONE && !permitted {
                 self.lending_permit.record_shortfall();
+                deposit = QuotaFraction::NONE;
             }
-            let deposit = if permitted {
-                spare
-            } else {
-                QuotaFraction::NONE
-            };
             let Offer { deposit, demand } =
                 balance.offer(now, planner, deposit, until, has_own_share);
             // One with neither still tells the attempts in flight.
--- a/crates/flaxdeck-control/tests/instance_slots.rs
+++ b/crates/flaxdeck-control/tests/instance_slots.rs
@@ -60,7 +60,7 @@
     assert!(!instance_slots.admit(at(200), SLOT, Epoch(9)));
     assert!(
         !instance_slots.admit(at(200), SlotId(0), Epoch(9)),
-        "whatever seat it tells"
+        "whatever slot it tells"
     );
     assert!(instance_slots.admit(at(300), SLOT, Epoch(3)));
     assert!(
--- a/crates/flaxdeck-control/tests/membership.rs
+++ b/crates/flaxdeck-control/tests/membership.rs
@@ -73,7 +73,7 @@
     assert_eq!(
         known.admit(at(4), Epoch(3), 1),
         Err(MessageError::OldEpoch { epoch: Epoch(3) }),
-        "one run a conversation"
+        "one run a connection"
     );
 }
 
--- a/crates/flaxdeck-distribution/src/subscriber/deliveries.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/deliveries.rs
@@ -100,13 +100,17 @@
             self.confirm(now, from, ago_ms);
             return Ok(applied);
         }
-        let is_other = |position: EventPosition| {
-            position.number == self.position.number && position != self.position
+        self.check_known(after, last)?;
+        self.receive_known(now, from, last, ago_ms);
+        Ok(Applied::Nothing)
+    }
+
+    /// Whether a batch that does not follow the position is of what is known already.
+    fn check_known(&self, after: EventPosition, last: EventPosition) -> Result<(), DeliveryError> {
+        let is_other = |position: &EventPosition| {
+            position.number == self.position.number && *position != self.position
         };
-        if let Some(other) = [after, last]
-            .into_iter()
-            .find(|position| is_other(*position))
-        {
+        if let Some(other) = [after, last].into_iter().find(is_other) {
             return Err(DeliveryError::OtherNumbering(other));
         }
         if after.number > self.position.number {
@@ -115,8 +119,7 @@
                 position: self.position,
             });
         }
-        self.receive_known(now, from, last, ago_ms);
-        Ok(Applied::Nothing)
+        Ok(())
     }
 
     /// A batch that begins and ends where it should. The position moves last, once all is ready to be handed out.
--- a/crates/flaxdeck-distribution/tests/digest.rs
+++ b/crates/flaxdeck-distribution/tests/digest.rs
@@ -79,8 +79,8 @@
 
 #[test]
 fn another_count_than_the_bytes_hold_is_refused() {
-    let mut chance = Pcg64Mcg::seed_from_u64(3);
-    let digest = PurgeDigest::encode((0..330).map(|_| Fingerprint(chance.random())).collect());
+    let mut rng = Pcg64Mcg::seed_from_u64(3);
+    let digest = PurgeDigest::encode((0..330).map(|_| Fingerprint(rng.random())).collect());
     for count in (0..=400).filter(|count| *count != digest.count) {
         assert!(
             PurgeDigest {
@@ -167,7 +167,7 @@
 /// A digest of a second at 330 purges a second takes close to 3.2 bytes a purge.
 #[test]
 fn what_a_purge_costs_is_printed() {
-    let mut chance = Pcg64Mcg::seed_from_u64(1);
+    let mut rng = Pcg64Mcg::seed_from_u64(1);
     println!("rate a s | batch s | purges | low bits | bytes a purge, digest | in a message");
     for rate in [33, 100, 330] {
         for (interval, part) in [("0.5", 0.5), ("1", 1.0), ("2", 2.0)] {
@@ -176,7 +176,7 @@
             let mut low_bits = 0;
             for _ in 0..100 {
                 let digest =
-                    PurgeDigest::encode((0..count).map(|_| Fingerprint(chance.random())).collect());
+                    PurgeDigest::encode((0..count).map(|_| Fingerprint(rng.random())).collect());
                 let message = postcard::to_stdvec(&digest).unwrap().len();
                 bytes[0] += digest.bytes.len() as f64 / f64::from(count) / 100.0;
                 bytes[1] += message as f64 / f64::from(count) / 100.0;
@@ -198,13 +198,13 @@
 /// matches by the width and 3,300 unsettled purges.
 #[test]
 fn widths_of_fingerprints_are_weighed() {
-    let mut chance = Pcg64Mcg::seed_from_u64(2);
+    let mut rng = Pcg64Mcg::seed_from_u64(2);
     println!("bits | bytes a purge at 330 in 1 s | objects a false match, 3,300 unsettled");
     for bits in [24, 28, 32] {
         let mut bytes = 0.0;
         for _ in 0..100 {
             let numbers = (0..330)
-                .map(|_| Fingerprint(chance.random::<u32>() >> (32 - bits)))
+                .map(|_| Fingerprint(rng.random::<u32>() >> (32 - bits)))
                 .collect();
             bytes += PurgeDigest::encode(numbers).bytes.len() as f64 / 330.0 / 100.0;
         }
--- a/crates/flaxdeck-distribution/tests/distribution_model/main.rs
+++ b/crates/flaxdeck-distribution/tests/distribution_model/main.rs
@@ -7,7 +7,7 @@
 //!
 //! Each event's hash is its place among all that were ever told, in whatever numbering. So "never out of order, and no
 //! older list" means that the hash of the position never falls, and "nothing skipped without being reported" that each purge up
-//! to it that has not settled was applied, or copies from before it are in doubt.
+//! to it that has not settled was applied, or that copies from before it are refused.
 
 #![allow(
     clippy::unwrap_used,
--- a/crates/flaxdeck-distribution/tests/distribution_model/model.rs
+++ b/crates/flaxdeck-distribution/tests/distribution_model/model.rs
@@ -29,7 +29,7 @@
         let planner = |_| PlannerState {
             publisher: self.publisher(now),
             follows: None,
-            conversation: 0,
+            connection: 0,
             connected: false,
             echo: 0,
         };
--- a/crates/flaxdeck-distribution/tests/distribution_model/state.rs
+++ b/crates/flaxdeck-distribution/tests/distribution_model/state.rs
@@ -88,7 +88,7 @@
     /// The numbering that it follows and how many of its events it has; none before it has heard anything.
     pub(crate) follows: Option<(usize, usize)>,
     /// Conversations with the forwarder so far; what belongs to an earlier one does not come any more.
-    pub(crate) conversation: u8,
+    pub(crate) connection: u8,
     pub(crate) connected: bool,
     /// What the forwarder sent last before the planner wrote.
     pub(crate) echo: u64,
@@ -97,9 +97,9 @@
 /// What the forwarder holds beside its subscriber.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Held {
-    /// Purges heeded, by their hashes.
+    /// Purges applied, by their hashes.
     pub(crate) purged: BTreeSet<u64>,
-    /// Copies from before are in doubt.
+    /// No copy from before is served, as purges may be missing.
     pub(crate) incomplete_before: Option<Time>,
 }
 
@@ -108,7 +108,7 @@
     pub(crate) planner: usize,
     /// From the forwarder to the planner.
     pub(crate) asks: bool,
-    pub(crate) conversation: u8,
+    pub(crate) connection: u8,
     pub(crate) body: Vec<u8>,
 }
 
@@ -218,13 +218,13 @@
     }
 
     pub(crate) fn send(&mut self, planner: usize, body: &Body) {
-        let conversation = self.planners[planner].conversation;
+        let connection = self.planners[planner].connection;
         let asks = matches!(body, Body::Asks { .. });
         let bytes = postcard::to_stdvec(body).expect("it can be written");
         let message = Message {
             planner,
             asks,
-            conversation,
+            connection,
             body: bytes,
         };
         self.network.retain(|other| *other != message);
@@ -241,7 +241,7 @@
     pub(crate) fn connect(&mut self, planner: usize) {
         let now = self.now();
         let known = &mut self.planners[planner];
-        (known.conversation, known.connected, known.echo) = (known.conversation + 1, true, 0);
+        (known.connection, known.connected, known.echo) = (known.connection + 1, true, 0);
         known.publisher.unsubscribe(SubscriberId(0));
         self.subscriber
             .connected(now, PlannerNumber(planner as u32));
--- a/crates/flaxdeck-distribution/tests/distribution_model/transitions.rs
+++ b/crates/flaxdeck-distribution/tests/distribution_model/transitions.rs
@@ -142,13 +142,13 @@
             Applied::Events {
                 purges,
                 events,
-                last: upto,
+                last: end,
             } => {
                 let told = purges.iter().map(|purge| u64::from(purge.0));
                 let told: BTreeSet<u64> = told
                     .chain(events.iter().map(|event| event.position.hash))
                     .collect();
-                if !follows_exactly(state, before, upto, &told) {
+                if !follows_exactly(state, before, end, &told) {
                     state.fails("a batch is not what follows the position");
                 }
                 state.held.purged.extend(told);
@@ -257,13 +257,13 @@
 pub(crate) fn follows_exactly(
     state: &State,
     before: EventPosition,
-    upto: EventPosition,
+    end: EventPosition,
     told: &BTreeSet<u64>,
 ) -> bool {
     state.numberings.iter().any(|numbering| {
         let places = numbering
             .place_after(before)
-            .zip(numbering.place_after(upto));
+            .zip(numbering.place_after(end));
         places.is_some_and(|(from, to)| {
             let events = numbering.events.get(from..to).unwrap_or_default();
             events
@@ -275,7 +275,7 @@
     })
 }
 
-/// A purge up to the position that has not settled, is not heeded, and is in no doubt.
+/// A purge up to the position that has not settled, was not applied, and was not reported as missing.
 pub(crate) fn skipped(state: &State) -> bool {
     let (now, position) = (state.now(), state.subscriber.position());
     let events = state
--- a/crates/flaxdeck-distribution/tests/purge_index.rs
+++ b/crates/flaxdeck-distribution/tests/purge_index.rs
@@ -1,4 +1,4 @@
-//! The purges that a forwarder has to heed: none is forgotten before it has settled, and few objects match by chance.
+//! The purges that a forwarder has to apply: none is forgotten before it has settled, and few objects match by chance.
 
 use flaxdeck::{ObjectId, Span, Time};
 use flaxdeck_distribution::{Fingerprint, PurgeIndex};
@@ -54,7 +54,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Beside a plain list of all purges: an unsettled one is found, or doubted.
+    /// Beside a plain list of all purges: an unsettled one is found, or reported as dropped.
     #[test]
     fn no_unsettled_purge_is_forgotten(
         told in prop::collection::vec((0..900_u64, prop::collection::vec(0..30_u64, 0..8)), 0..60),
@@ -81,7 +81,7 @@
 #[test]
 fn few_objects_match_by_chance() {
     const PURGED: u64 = 3_300;
-    let mut chance = Pcg64Mcg::seed_from_u64(11);
+    let mut rng = Pcg64Mcg::seed_from_u64(11);
     // Ids as they may be given: one after the other, and all over the range.
     for (kind, sequential, asked) in [
         ("ids in sequence", true, 1_000_000),
@@ -89,15 +89,15 @@
     ] {
         let mut index = PurgeIndex::new(SETTLES);
         let mut next = 0_u64;
-        let mut id = |chance: &mut Pcg64Mcg| {
+        let mut id = |rng: &mut Pcg64Mcg| {
             next += 1;
-            ObjectId(if sequential { next } else { chance.random() })
+            ObjectId(if sequential { next } else { rng.random() })
         };
         for _ in 0..PURGED {
-            index.record(at(0), &[Fingerprint::of(id(&mut chance))]);
+            index.record(at(0), &[Fingerprint::of(id(&mut rng))]);
         }
         let matched = (0..asked)
-            .filter(|_| index.purged_at(at(1), id(&mut chance)).is_some())
+            .filter(|_| index.purged_at(at(1), id(&mut rng)).is_some())
             .count();
         let one_in = asked / matched.max(1);
         println!(
--- a/crates/flaxdeck-distribution/tests/safe_side/forwarder.rs
+++ b/crates/flaxdeck-distribution/tests/safe_side/forwarder.rs
@@ -18,7 +18,7 @@
     PurgeForgotten,
     /// A snapshot's list is not taken.
     ListIgnored,
-    /// Purges are heeded for half the hosts' time.
+    /// Purges are applied for half the hosts' time.
     SettledTooSoon,
 }
 
@@ -29,7 +29,7 @@
     pub(crate) groups: Vec<(u64, u64)>,
     pub(crate) hosts: Hosts,
     pub(crate) incomplete_before: Option<u64>,
-    /// The coordinator's own conversation: when it next tells something, and its run.
+    /// The coordinator's own connection: when it next tells something, and its run.
     pub(crate) watch: Option<(u64, usize)>,
 }
 
--- a/crates/flaxdeck-distribution/tests/safe_side/planner.rs
+++ b/crates/flaxdeck-distribution/tests/safe_side/planner.rs
@@ -17,7 +17,7 @@
     pub(crate) deaf_until: u64,
     /// When the coordinator next has something for it, events or an empty frame.
     pub(crate) hears_at: u64,
-    pub(crate) conversation: u64,
+    pub(crate) connection: u64,
     pub(crate) connected: bool,
     /// When the forwarder sent what came last.
     pub(crate) echo: u64,
@@ -36,7 +36,7 @@
             hosts: [false; HOSTS],
             deaf_until: 0,
             hears_at: ms,
-            conversation: 0,
+            connection: 0,
             connected: false,
             echo: 0,
             restarts_at: u64::MAX,
--- a/crates/flaxdeck-distribution/tests/safe_side/world.rs
+++ b/crates/flaxdeck-distribution/tests/safe_side/world.rs
@@ -18,7 +18,7 @@
 
 pub(crate) struct Message {
     pub(crate) planner: usize,
-    pub(crate) conversation: u64,
+    pub(crate) connection: u64,
     pub(crate) comes: u64,
     pub(crate) body: Body,
 }
@@ -120,10 +120,10 @@
                 50
             };
             let comes = ms + self.random.random_range(0..late);
-            let conversation = self.planners[planner].conversation;
+            let connection = self.planners[planner].connection;
             self.network.push(Message {
                 planner,
-                conversation,
+                connection,
                 comes,
                 body: body.clone(),
             });
@@ -142,7 +142,7 @@
     pub(crate) fn connect(&mut self, ms: u64, planner: usize) {
         let known = &mut self.planners[planner];
         (known.connected, known.echo, known.restarts_at) = (true, 0, u64::MAX);
-        known.conversation += 1;
+        known.connection += 1;
         self.forwarder
             .subscriber
             .connected(at(ms), PlannerNumber(planner as u32));
@@ -158,10 +158,10 @@
             }
             if self.random.random_bool(self.schedule.restarts) {
                 self.disconnect(ms, planner);
-                let conversation = self.planners[planner].conversation;
+                let connection = self.planners[planner].connection;
                 let restarts_at = ms + 200;
                 self.planners[planner] = Planner {
-                    conversation,
+                    connection,
                     restarts_at,
                     ..Planner::start(ms, self.schedule)
                 };
@@ -212,12 +212,12 @@
         while let Some(place) = self.network.iter().position(|message| message.comes <= ms) {
             let Message {
                 planner,
-                conversation,
+                connection,
                 body,
                 ..
             } = self.network.remove(place);
             let known = &mut self.planners[planner];
-            if !known.connected || known.conversation != conversation {
+            if !known.connected || known.connection != connection {
                 continue;
             }
             match body {
--- a/crates/flaxdeck-distribution/tests/subscriber/coordinator.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber/coordinator.rs
@@ -135,7 +135,7 @@
     assert_eq!(
         subscriber.confirmed_at(),
         Some(at(1_860)),
-        "the conversation tells when it was written"
+        "the connection tells when it was written"
     );
     let not_all = Delivery {
         coordinator_ago_ms: None,
--- a/crates/flaxdeck-plan/src/form.rs
+++ b/crates/flaxdeck-plan/src/form.rs
@@ -1,6 +1,7 @@
 //! Forms of the file with their places: `(word argument ...)`. Every fault names the place, what is wrong, why, and
 //! how to mend it; reading goes on after one, so that a file's faults come together.
 
+use lexpr::Datum;
 use lexpr::Value;
 use lexpr::datum::Ref;
 
@@ -269,36 +270,39 @@
     Some(first)
 }
 
-/// Reads a text that holds one form of that word, and has it looked into; none if there is no such form.
-pub fn root<T>(
-    text: &str,
-    word: &str,
-    faults: &mut Faults,
-    look: impl FnOnce(&Form, &mut Faults) -> T,
-) -> Option<T> {
+/// All datums of a text; none if it is no sequence of S-expressions.
+fn read_datums(text: &str, faults: &mut Faults) -> Option<Vec<Datum>> {
     let mut parser = lexpr::Parser::from_str_custom(text, lexpr::parse::Options::default());
-    let mut roots = Vec::new();
+    let mut datums = Vec::new();
     loop {
         match parser.next_datum() {
-            Ok(Some(datum)) => roots.push(datum),
-            Ok(None) => break,
+            Ok(Some(datum)) => datums.push(datum),
+            Ok(None) => return Some(datums),
             Err(error) => {
-                let at = error.location();
-                let at = at.map_or(Place::default(), |at| Place {
+                let place = error.location().map_or(Place::default(), |at| Place {
                     line: at.line(),
                     column: at.column() + 1,
                 });
-                let why = "the rest can't be read then";
                 faults.add(
-                    at,
+                    place,
                     format!("not an S-expression ({error})"),
-                    why,
+                    "the rest can't be read then",
                     "look for a missing ) or \"",
                 );
                 return None;
             }
         }
     }
+}
+
+/// Reads a text that holds one form of that word, and has it looked into; none if there is no such form.
+pub fn root<T>(
+    text: &str,
+    word: &str,
+    faults: &mut Faults,
+    look: impl FnOnce(&Form, &mut Faults) -> T,
+) -> Option<T> {
+    let roots = read_datums(text, faults)?;
     let mend = format!("put all in one ({word} ...)");
     let [root] = &roots[..] else {
         let what = format!("{} forms stand at the top", roots.len());
--- a/crates/flaxdeck-recovery/src/numbering.rs
+++ b/crates/flaxdeck-recovery/src/numbering.rs
@@ -45,6 +45,15 @@
     since: Time,
 }
 
+impl AwaitedEvents {
+    fn after(position: EventPosition, now: Time) -> AwaitedEvents {
+        AwaitedEvents {
+            first: position.number + 1,
+            since: now,
+        }
+    }
+}
+
 /// What is known of the coordinator's numbering.
 pub struct Numbering {
     last: EventPosition,
@@ -211,10 +220,7 @@
             .is_some_and(|awaited| position.number >= awaited.first)
         {
             let is_last = position.number == self.last.number;
-            self.awaited = (!is_last).then_some(AwaitedEvents {
-                first: position.number + 1,
-                since: now,
-            });
+            self.awaited = (!is_last).then(|| AwaitedEvents::after(position, now));
         }
         EventAction::Skip
     }
@@ -226,20 +232,18 @@
         position: EventPosition,
         is_full_list: bool,
     ) -> EventAction {
-        let Some(connection) = &mut self.connection else {
-            return EventAction::Skip;
-        };
-        let asked_for_some = connection.asked > 0;
+        let asked = self
+            .connection
+            .as_ref()
+            .map_or(0, |connection| connection.asked);
+        let asked_for_some = asked > 0;
         // Peers may have brought more since the connection was opened. What it asked for proves the numbering all the
         // same, and what they brought beyond has to come on the connection in its turn.
         let is_overtaken =
             position.number < self.last.number && self.recent.is_other(position) == Some(false);
         if is_overtaken && !is_full_list && asked_for_some {
             self.prove();
-            self.awaited = Some(AwaitedEvents {
-                first: position.number + 1,
-                since: now,
-            });
+            self.awaited = Some(AwaitedEvents::after(position, now));
             return EventAction::Skip;
         }
         if position == self.last && (is_full_list || asked_for_some) {
@@ -248,11 +252,7 @@
         }
         if is_full_list {
             self.prove();
-            let missed = self.confirmed_at.map(|since| MissedPeriod {
-                since: Some(since),
-                closed_cleanly: self.closed_cleanly,
-            });
-            return EventAction::Replace(missed);
+            return EventAction::Replace(self.missed_period());
         }
         if !asked_for_some {
             return EventAction::Reconnect(ReconnectReason::NoList);
@@ -265,6 +265,14 @@
         })
     }
 
+    /// The time in which events may have been missed, if more than a file is known.
+    fn missed_period(&self) -> Option<MissedPeriod> {
+        self.confirmed_at.map(|since| MissedPeriod {
+            since: Some(since),
+            closed_cleanly: self.closed_cleanly,
+        })
+    }
+
     fn prove(&mut self) {
         if let Some(connection) = &mut self.connection {
             connection.is_proven = true;
--- a/crates/flaxdeck-recovery/tests/restored_state.rs
+++ b/crates/flaxdeck-recovery/tests/restored_state.rs
@@ -212,9 +212,9 @@
 #[test]
 fn what_came_later_is_added_in_its_order() {
     let mut all = stored(0);
-    let mark = |number| EventPosition { number, hash: 1 };
+    let position = |number| EventPosition { number, hash: 1 };
     all.apply(StateChange::Endpoints(
-        mark(10),
+        position(10),
         vec![
             StoredEndpoint {
                 health: 1,
@@ -224,7 +224,7 @@
         ],
     ));
     all.apply(StateChange::Purged(
-        mark(11),
+        position(11),
         StoredPurge {
             object: None,
             group: 3,
@@ -238,9 +238,9 @@
             all.endpoints[0].health,
             all.purges.len()
         ),
-        (mark(11), 3, 1, 2)
+        (position(11), 3, 1, 2)
     );
-    all.apply(StateChange::FullList(mark(1), vec![line("d", 0)]));
+    all.apply(StateChange::FullList(position(1), vec![line("d", 0)]));
     all.apply(StateChange::LendingPermit(Uptime { boot: 7, ms: 9 }));
     assert_eq!(
         (
@@ -248,7 +248,7 @@
             all.endpoints.len(),
             all.lent_until.map(|at| at.ms)
         ),
-        (mark(1), 1, Some(9))
+        (position(1), 1, Some(9))
     );
 }
 
--- a/crates/flaxdeck-store/tests/crashes.rs
+++ b/crates/flaxdeck-store/tests/crashes.rs
@@ -65,8 +65,8 @@
         let disk = FaultyDisk::with_fault(fault);
         let Ok(mut store) = Store::begin(disk, "f1", &body(0)) else { return Ok(()) };
         let kept = run(&mut store, 0, 40);
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let mut found = store.into_disk().after_crash(|| chance.random());
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let mut found = store.into_disk().after_crash(|| rng.random());
         let state = state(&mut found).expect("a store that has begun is never lost whole");
         // One more than what was said to be kept may have come through.
         prop_assert!((kept..=kept + 1).contains(&state), "{state} found, {kept} kept");
@@ -199,7 +199,7 @@
 
 #[test]
 fn a_process_killed_at_random_moments_leaves_what_it_said_was_kept() {
-    let mut chance = Pcg64Mcg::seed_from_u64(3);
+    let mut rng = Pcg64Mcg::seed_from_u64(3);
     for round in 0..40 {
         let folder =
             std::env::temp_dir().join(format!("flaxdeck-store-{}-{round}", std::process::id()));
@@ -216,7 +216,7 @@
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
-        std::thread::sleep(Duration::from_millis(chance.random_range(15..60)));
+        std::thread::sleep(Duration::from_millis(rng.random_range(15..60)));
         child.kill().unwrap();
         let said = child.wait_with_output().unwrap();
         let said = String::from_utf8_lossy(&said.stdout);
