--- a/crates/flaxdeck-scale/src/capacity/estimate.rs
+++ b/crates/flaxdeck-scale/src/capacity/estimate.rs
@@ -28,7 +28,7 @@
         /// The driver at the size over the largest one measured, the worst of all terms.
         factor: f64,
         /// Drivers that were held elsewhere than at the size, with their value.
-        held: Vec<(Term, f64)>,
+        unvaried: Vec<(Term, f64)>,
         /// A part of it was only measured, at that size.
         partly_at: Option<Size>,
     },
@@ -41,7 +41,7 @@
     pub fn is_least(&self) -> bool {
         match self {
             Known::MeasuredBelow { .. } => true,
-            Known::Slope { held, .. } => !held.is_empty(),
+            Known::Slope { unvaried, .. } => !unvaried.is_empty(),
             Known::Measured { .. } | Known::MeasuredApart | Known::NotShown => false,
         }
     }
@@ -72,11 +72,11 @@
             Known::MeasuredApart => write!(out, "measured"),
             Known::Slope {
                 factor,
-                held,
+                unvaried,
                 partly_at,
             } => {
                 write!(out, "slope x {}", figure(*factor))?;
-                for (term, at) in held {
+                for (term, at) in unvaried {
                     write!(out, ", {} held at {}", term.name(), figure(*at))?;
                 }
                 match partly_at {
@@ -130,14 +130,14 @@
             }
         }
         Evidence::Slope => {
-            let held = line
-                .held(size)
+            let unvaried = line
+                .unvaried_terms(size)
                 .iter()
                 .map(|term| (term.term, term.most))
                 .collect();
             let known = Known::Slope {
                 factor: line.factor(size),
-                held,
+                unvaried,
                 partly_at: None,
             };
             Estimate {
@@ -178,7 +178,7 @@
         (
             Known::Slope {
                 factor,
-                held,
+                unvaried,
                 partly_at,
             },
             other,
@@ -187,10 +187,10 @@
             other,
             Known::Slope {
                 factor,
-                held,
+                unvaried,
                 partly_at,
             },
-        ) => slope_with(factor, held, partly_at, other),
+        ) => slope_with(factor, unvaried, partly_at, other),
         (one, other) => less_measured(&one, &other),
     }
 }
@@ -198,31 +198,31 @@
 /// A slope together with another slope, or with what was only measured.
 fn slope_with(
     factor: f64,
-    mut held: Vec<(Term, f64)>,
+    mut unvaried: Vec<(Term, f64)>,
     partly_at: Option<Size>,
     other: Known,
 ) -> Known {
     let other_at = other.measured_at();
     let Known::Slope {
         factor: other_factor,
-        held: other_held,
+        unvaried: other_unvaried,
         partly_at: other_partly_at,
     } = other
     else {
         return Known::Slope {
             factor,
-            held,
+            unvaried,
             partly_at: smallest([partly_at, other_at]),
         };
     };
-    for term in other_held {
-        if !held.contains(&term) {
-            held.push(term);
+    for term in other_unvaried {
+        if !unvaried.contains(&term) {
+            unvaried.push(term);
         }
     }
     Known::Slope {
         factor: factor.max(other_factor),
-        held,
+        unvaried,
         partly_at: smallest([partly_at, other_partly_at]),
     }
 }
--- a/crates/flaxdeck-scale/src/capacity/events.rs
+++ b/crates/flaxdeck-scale/src/capacity/events.rs
@@ -17,7 +17,10 @@
     pub faults: &'static [&'static str],
 }
 
+/// Faults of runs in which dispatchers return.
 const RETURNING: &[&str] = &["region-restarted"];
+/// Faults of runs in which dispatchers are cut off from a part of the control plane.
+const ISOLATING: &[&str] = &["link-cut", "coordinator-silent"];
 
 /// All of them, the smallest first.
 pub fn events(target: &Target) -> Vec<Event> {
@@ -38,37 +41,33 @@
         count(target.storm_per_s()),
         span(target.storm_s)
     );
-    let event = |key, name, size, faults| Event {
-        key,
-        name,
-        size,
-        faults,
-    };
+    let cut_off = format!(
+        "{} for {}",
+        dispatchers(target.dispatchers_a_region()),
+        span(target.cut_off_s)
+    );
+    let rack = dispatchers(target.rack_dispatchers);
+    let region = dispatchers(target.dispatchers_a_region());
     vec![
-        event(
-            "rack",
-            "a rack returns at once",
-            dispatchers(target.rack_dispatchers),
-            RETURNING,
-        ),
+        event("rack", "a rack returns at once", rack, RETURNING),
         event("zone", "a zone returns at once", zone, RETURNING),
-        event(
-            "region",
-            "a region returns at once",
-            dispatchers(target.dispatchers_a_region()),
-            RETURNING,
-        ),
+        event("region", "a region returns at once", region, RETURNING),
         event("rolling", "a rolling restart", rolling, &[]),
-        event(
-            "cut-off",
-            "a region is cut off",
-            format!(
-                "{} for {}",
-                dispatchers(target.dispatchers_a_region()),
-                span(target.cut_off_s)
-            ),
-            &["link-cut", "coordinator-silent"],
-        ),
+        event("cut-off", "a region is cut off", cut_off, ISOLATING),
         event("storm", "a purge storm", storm, &["purge-storm"]),
     ]
 }
+
+fn event(
+    key: &'static str,
+    name: &'static str,
+    size: String,
+    faults: &'static [&'static str],
+) -> Event {
+    Event {
+        key,
+        name,
+        size,
+        faults,
+    }
+}
--- a/crates/flaxdeck-scale/src/capacity/faults.rs
+++ b/crates/flaxdeck-scale/src/capacity/faults.rs
@@ -31,37 +31,47 @@
     pub twin: Option<f64>,
 }
 
-/// What is told of a run with a fault.
-const TOLD: [(Metric, Role, &str); 9] = [
-    (Metric::EventsLost, Role::HollowForwarder, "events lost"),
-    (
+/// A figure of a run with a fault that the page names.
+struct FigureDefinition {
+    metric: Metric,
+    role: Role,
+    name: &'static str,
+}
+
+const fn figure_of(metric: Metric, role: Role, name: &'static str) -> FigureDefinition {
+    FigureDefinition { metric, role, name }
+}
+
+const FIGURES: [FigureDefinition; 9] = [
+    figure_of(Metric::EventsLost, Role::HollowForwarder, "events lost"),
+    figure_of(
         Metric::EventsReplaced,
         Role::HollowForwarder,
         "covered by a whole list",
     ),
-    (Metric::EventsDoubled, Role::HollowForwarder, "doubled"),
-    (
+    figure_of(Metric::EventsDoubled, Role::HollowForwarder, "doubled"),
+    figure_of(
         Metric::EventsOutOfOrder,
         Role::HollowForwarder,
         "out of order",
     ),
-    (
+    figure_of(
         Metric::DelayMedianMs,
         Role::HollowForwarder,
         "median delay, ms",
     ),
-    (
+    figure_of(
         Metric::DelayWorstMs,
         Role::HollowForwarder,
         "worst delay, ms",
     ),
-    (Metric::ServedShare, Role::RealForwarder, "share served"),
-    (
+    figure_of(Metric::ServedShare, Role::RealForwarder, "share served"),
+    figure_of(
         Metric::ServiceP99Ms,
         Role::RealForwarder,
         "service at the 99th percentile, ms",
     ),
-    (Metric::RulesBroken, Role::RealForwarder, "rules broken"),
+    figure_of(Metric::RulesBroken, Role::RealForwarder, "rules broken"),
 ];
 
 /// Each fault under each distribution, as it was measured at the largest size.
@@ -80,15 +90,15 @@
 }
 
 fn fault_run(fault: String, distribution: Distribution, lines: &[&Line]) -> FaultRun {
-    let told = TOLD.iter().filter_map(|(metric, role, name)| {
-        let of_metric = |line: &&&Line| line.series.metric == *metric && line.series.role == *role;
+    let figures = FIGURES.iter().filter_map(|definition| {
+        let FigureDefinition { metric, role, name } = *definition;
+        let of_metric = |line: &&&Line| line.series.metric == metric && line.series.role == role;
         let kinds: Vec<&Line> = lines.iter().filter(of_metric).copied().collect();
         let twins: Option<Vec<f64>> = kinds.iter().map(|line| line.twin).collect();
         let value = kinds.iter().map(|line| line.value).sum();
         let twin = twins.map(|twins| twins.iter().sum());
         (!kinds.is_empty()).then_some(FaultFigure { name, value, twin })
     });
-    let figures = told.collect();
     let at = lines
         .iter()
         .map(|line| line.at)
@@ -98,18 +108,18 @@
         fault,
         distribution,
         at,
-        figures,
+        figures: figures.collect(),
     }
 }
 
 impl FaultRun {
     /// All figures in one line, each with its twin's.
-    pub fn told(&self) -> String {
-        let one = |told: &FaultFigure| {
-            let twin = told.twin.map_or("twin not shown".to_owned(), |twin| {
+    pub fn summary(&self) -> String {
+        let one = |measured: &FaultFigure| {
+            let twin = measured.twin.map_or("twin not shown".to_owned(), |twin| {
                 format!("twin {}", figure(twin))
             });
-            format!("{} {} ({twin})", told.name, figure(told.value))
+            format!("{} {} ({twin})", measured.name, figure(measured.value))
         };
         let all: Vec<String> = self.figures.iter().map(one).collect();
         all.join("; ")
--- a/crates/flaxdeck-scale/src/capacity/page/cells.rs
+++ b/crates/flaxdeck-scale/src/capacity/page/cells.rs
@@ -201,7 +201,7 @@
     fault: String,
     distribution: &'static str,
     at: String,
-    told: String,
+    summary: String,
 }
 
 pub(super) fn fault_cells(run: &FaultRun) -> FaultCells {
@@ -215,7 +215,7 @@
             count(at.hosts),
             figure(at.purges)
         ),
-        told: run.told(),
+        summary: run.summary(),
     }
 }
 
--- a/crates/flaxdeck-scale/src/capacity/page/fields.rs
+++ b/crates/flaxdeck-scale/src/capacity/page/fields.rs
@@ -86,7 +86,7 @@
     region_calls: String,
     forgotten: String,
     forgotten_in_rolling: String,
-    blind: String,
+    isolation: String,
     missed_while_cut_off: String,
     log: String,
     log_reach: String,
@@ -112,7 +112,7 @@
         region_calls: calls(target.dispatchers_a_region()),
         forgotten: span(forgotten_s),
         forgotten_in_rolling: figure(target.rolling_per_s() * forgotten_s),
-        blind: blind(),
+        isolation: isolation(),
         missed_while_cut_off: count(target.events_per_s() * target.cut_off_s),
         log: count(MAX_LOG as f64),
         log_reach: span(MAX_LOG as f64 / target.events_per_s()),
@@ -125,7 +125,7 @@
 }
 
 /// After how long a dispatcher that hears nobody rejects requests, by the plan file's default.
-fn blind() -> String {
+fn isolation() -> String {
     match default_plan().map(|plan| plan.blind) {
         Some(Blind::RejectAfter { ms }) => span(ms / 1e3),
         Some(Blind::GoOn) | None => NOT_SHOWN.to_owned(),
--- a/crates/flaxdeck-scale/src/capacity/rows/servers.rs
+++ b/crates/flaxdeck-scale/src/capacity/rows/servers.rs
@@ -79,48 +79,34 @@
 
 /// All machines set aside, each with one planner, the fleet divided between them.
 pub(super) fn machines(basis: Basis) -> Vec<Row> {
-    let (target, group) = (basis.target, basis.target.size_of_a_group());
-    let all = |metrics: &'static [Metric]| {
-        both(|distribution| {
-            let one = basis
-                .lines
-                .total(distribution, Role::Planner, metrics, &group);
-            one.map(|one| one * target.machines)
-        })
-    };
-    let row = |what: &str, unit, budget, estimates| Row {
-        what: what.to_owned(),
-        unit,
-        budget,
-        estimates,
-        mechanism: "a planner on each machine, dispatchers divided between them",
-    };
+    let machines = Some(basis.target.machines);
+    let all = |metrics| all_planners(basis, metrics);
     vec![
-        row(
+        machine_row(
             "machines needed, one core and as many connections as the code allows each",
             "machines",
-            Some(target.machines),
+            machines,
             both(|distribution| machines_needed(basis, distribution)),
         ),
-        row(
+        machine_row(
             "processor time of all planners",
             "cores",
-            Some(target.machines),
+            machines,
             all(&[Metric::Cores]),
         ),
-        row(
+        machine_row(
             "bytes of all planners, both ways, with headers",
             "bytes/s",
             None,
             all(BYTES),
         ),
-        row(
+        machine_row(
             "messages of all planners",
             "messages/s",
             None,
             all(MESSAGES),
         ),
-        row(
+        machine_row(
             "resident memory of all planners",
             "bytes",
             None,
@@ -129,6 +115,31 @@
     ]
 }
 
+/// What one planner takes at the size of its part of the fleet, times the machines.
+fn all_planners(basis: Basis, metrics: &[Metric]) -> [Estimate; 2] {
+    let size = basis.target.size_of_a_group();
+    both(|distribution| {
+        let role = Role::Planner;
+        let one = basis.lines.total(distribution, role, metrics, &size);
+        one.map(|one| one * basis.target.machines)
+    })
+}
+
+fn machine_row(
+    what: &str,
+    unit: &'static str,
+    budget: Option<f64>,
+    estimates: [Estimate; 2],
+) -> Row {
+    Row {
+        what: what.to_owned(),
+        unit,
+        budget,
+        estimates,
+        mechanism: "a planner on each machine, dispatchers divided between them",
+    }
+}
+
 /// How many machines serve the fleet if each planner takes on dispatchers until its one core or its connections are full.
 fn machines_needed(basis: Basis, distribution: Distribution) -> Estimate {
     let Some(line) = basis.lines.one(distribution, Role::Planner, Metric::Cores) else {
--- a/crates/flaxdeck-scale/src/charts.rs
+++ b/crates/flaxdeck-scale/src/charts.rs
@@ -1,18 +1,27 @@
 //! Charts of measured points with the lines fitted to them, as SVG.
 
+use std::error::Error;
 use std::path::{Path, PathBuf};
 
-use plotters::prelude::*;
+use plotters::coord::Shift;
+use plotters::prelude::{
+    BLACK, ChartBuilder, Circle, Color, DrawingArea, IntoDrawingArea, LineSeries, RGBColor,
+    SVGBackend, WHITE,
+};
 
 use crate::error::CapacityError;
 use crate::fit::line::{Evidence, Line};
 use crate::fit::nature::{Size, Term};
-use crate::fit::{NO_FAULT, counted, fit};
+use crate::fit::{NO_FAULT, fit, valid_measurements};
 use crate::measurement::{Distribution, Measurement, Metric, Role};
 
+/// Pixels of a chart, across and down.
 const SIZE: (u32, u32) = (760, 460);
 const FONT: &str = "sans-serif";
-const POINT: u32 = 4;
+/// Pixels of the title's letters.
+const TITLE_SIZE: i32 = 18;
+/// Pixels of a point's radius.
+const POINT_RADIUS: u32 = 4;
 /// Room above the largest value.
 const HEADROOM: f64 = 1.1;
 
@@ -80,13 +89,27 @@
     value: f64,
 }
 
+/// The points of one distribution.
+struct PointSeries {
+    distribution: Distribution,
+    points: Vec<Point>,
+}
+
+/// The largest values of a chart's axes.
+#[derive(Clone, Copy)]
+struct Extent {
+    right: f64,
+    top: f64,
+}
+
 /// Draws all charts that the measurements have points for; gives the files written.
 ///
 /// # Errors
 ///
 /// [`CapacityError::Chart`] if a chart can't be drawn, [`CapacityError::File`] if its file can't be written.
 pub fn draw(measurements: &[Measurement], folder: &Path) -> Result<Vec<PathBuf>, CapacityError> {
-    let (lines, measurements) = (fit(measurements), counted(measurements));
+    let lines = fit(measurements);
+    let measurements = valid_measurements(measurements);
     let mut written = Vec::new();
     for chart in &CHARTS {
         let path = folder.join(chart.file);
@@ -124,20 +147,22 @@
         lines: &[Line],
         path: &Path,
     ) -> Result<bool, CapacityError> {
-        let series: Vec<(Distribution, Vec<Point>)> =
-            [Distribution::EachEvent, Distribution::Digest]
-                .into_iter()
-                .map(|distribution| (distribution, self.points(measurements, distribution)))
-                .filter(|(_, points)| !points.is_empty())
-                .collect();
+        let series: Vec<PointSeries> = [Distribution::EachEvent, Distribution::Digest]
+            .into_iter()
+            .map(|distribution| PointSeries {
+                distribution,
+                points: self.points(measurements, distribution),
+            })
+            .filter(|series| !series.points.is_empty())
+            .collect();
         if series.is_empty() {
             return Ok(false);
         }
         let text = self
             .svg(&series, lines)
-            .map_err(|cause| CapacityError::Chart {
+            .map_err(|error| CapacityError::Chart {
                 path: path.to_owned(),
-                cause,
+                cause: error.to_string(),
             })?;
         std::fs::write(path, text).map_err(|source| CapacityError::File {
             path: path.to_owned(),
@@ -173,39 +198,38 @@
         sums.into_iter().map(|(_, point)| point).collect()
     }
 
-    fn svg(&self, series: &[(Distribution, Vec<Point>)], lines: &[Line]) -> Result<String, String> {
-        let most = |of: &dyn Fn(&Point) -> f64| {
-            let values = series.iter().flat_map(|(_, points)| points.iter().map(of));
+    fn svg(&self, series: &[PointSeries], lines: &[Line]) -> Result<String, Box<dyn Error>> {
+        let largest = |of: &dyn Fn(&Point) -> f64| {
+            let values = series.iter().flat_map(|one| one.points.iter().map(of));
             (values.fold(0.0, f64::max) * HEADROOM).max(f64::MIN_POSITIVE)
         };
-        let (right, top) = (
-            most(&|point| self.driver.driver(&point.size)),
-            most(&|point| point.value),
-        );
+        let extent = Extent {
+            right: largest(&|point| self.driver.driver(&point.size)),
+            top: largest(&|point| point.value),
+        };
         let mut text = String::new();
         {
             let area = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
-            self.draw_series(&area, series, lines, (right, top))
-                .map_err(|error| error.to_string())?;
-            area.present().map_err(|error| error.to_string())?;
+            self.draw_series(&area, series, lines, extent)?;
+            area.present()?;
         }
         Ok(text)
     }
 
     fn draw_series(
         &self,
-        area: &DrawingArea<SVGBackend, plotters::coord::Shift>,
-        series: &[(Distribution, Vec<Point>)],
+        area: &DrawingArea<SVGBackend, Shift>,
+        series: &[PointSeries],
         lines: &[Line],
-        (right, top): (f64, f64),
-    ) -> Result<(), Box<dyn std::error::Error>> {
+        extent: Extent,
+    ) -> Result<(), Box<dyn Error>> {
         area.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(area)
-            .caption(self.title, (FONT, 18))
+            .caption(self.title, (FONT, TITLE_SIZE))
             .margin(12)
             .x_label_area_size(40)
             .y_label_area_size(90)
-            .build_cartesian_2d(0.0..right, 0.0..top)?;
+            .build_cartesian_2d(0.0..extent.right, 0.0..extent.top)?;
         let label = |value: &f64| crate::capacity::figures::figure(*value);
         chart
             .configure_mesh()
@@ -214,19 +238,23 @@
             .x_label_formatter(&label)
             .y_label_formatter(&label)
             .draw()?;
-        for (distribution, points) in series {
+        for PointSeries {
+            distribution,
+            points,
+        } in series
+        {
             let color = color(*distribution);
             let dot = |point: &Point| {
                 Circle::new(
                     (self.driver.driver(&point.size), point.value),
-                    POINT,
+                    POINT_RADIUS,
                     color.filled(),
                 )
             };
             let drawn = chart.draw_series(points.iter().map(dot))?;
             drawn
                 .label(name(*distribution))
-                .legend(move |at| Circle::new(at, POINT, color.filled()));
+                .legend(move |at| Circle::new(at, POINT_RADIUS, color.filled()));
             if let Some(ends) = self.fitted(lines, *distribution, points) {
                 chart.draw_series(LineSeries::new(ends, color))?;
             }
--- a/crates/flaxdeck-scale/src/delivery.rs
+++ b/crates/flaxdeck-scale/src/delivery.rs
@@ -215,18 +215,18 @@
     /// All entries are in.
     pub fn outcome(mut self) -> DeliveryOutcome {
         for position in self.positions.values() {
-            let owed = self.owed(position);
-            let tail = owed.clone().filter(|index| *index > position.last);
+            let expected = self.expected_events(position);
+            let tail = expected.clone().filter(|index| *index > position.last);
             let gaps = position.missing.iter();
-            let gaps = gaps.filter(|index| owed.contains(index));
-            self.outcome.expected += owed.len() as u64;
+            let gaps = gaps.filter(|index| expected.contains(index));
+            self.outcome.expected += expected.len() as u64;
             self.outcome.lost += (tail.count() + gaps.count()) as u64;
         }
         self.outcome
     }
 
     /// The events of the window that a forwarder was to have in force.
-    fn owed(&self, position: &Position) -> Range<usize> {
+    fn expected_events(&self, position: &Position) -> Range<usize> {
         let started_us = position.started_us;
         let known = self
             .events
--- a/crates/flaxdeck-scale/src/fit.rs
+++ b/crates/flaxdeck-scale/src/fit.rs
@@ -28,13 +28,13 @@
 
 /// The lines of all series of the measurements, in their order.
 pub fn fit(measurements: &[Measurement]) -> Vec<Line> {
-    let left_out = LeftOut::of(measurements);
+    let exclusions = Exclusions::of(measurements);
     let mut groups: BTreeMap<Series, Vec<&Measurement>> = BTreeMap::new();
-    for row in counted(measurements) {
+    for row in valid_measurements(measurements) {
         groups.entry(series_of(row)).or_default().push(row);
     }
     let line = |(series, rows): (&Series, &Vec<&Measurement>)| {
-        let line = fit_series(series.clone(), rows, &left_out);
+        let line = fit_series(series.clone(), rows, &exclusions);
         Line {
             twin: twin(&line, &groups),
             ..line
@@ -43,12 +43,12 @@
     groups.iter().map(line).collect()
 }
 
-/// The measurements that count: figures of cost and delay only of runs that the machine had room for.
-pub fn counted(measurements: &[Measurement]) -> Vec<&Measurement> {
-    let left_out = LeftOut::of(measurements);
+/// The measurements that are valid: figures of cost and delay only of runs that the machine had room for.
+pub fn valid_measurements(measurements: &[Measurement]) -> Vec<&Measurement> {
+    let exclusions = Exclusions::of(measurements);
     measurements
         .iter()
-        .filter(|row| row.value.is_finite() && !left_out.hides(row))
+        .filter(|row| row.value.is_finite() && !exclusions.hides(row))
         .collect()
 }
 
@@ -75,7 +75,7 @@
 }
 
 /// Runs whose figures don't count, or not for all metrics.
-struct LeftOut {
+struct Exclusions {
     /// The machine was full: figures of cost and delay don't count at all.
     busy: BTreeSet<RunKey>,
     /// The thread of a planner or the coordinator was full, or several events went in one message: no line is fitted
@@ -90,8 +90,8 @@
     matches!(role, Role::Planner | Role::Coordinator)
 }
 
-impl LeftOut {
-    fn of(measurements: &[Measurement]) -> LeftOut {
+impl Exclusions {
+    fn of(measurements: &[Measurement]) -> Exclusions {
         let keys_where = |is_so: &dyn Fn(&Measurement) -> bool| -> BTreeSet<RunKey> {
             measurements
                 .iter()
@@ -106,7 +106,7 @@
         };
         let mut full = keys_where(&is_full);
         full.extend(crowded(measurements));
-        LeftOut {
+        Exclusions {
             busy: keys_where(&is_busy),
             full,
             with_real: keys_where(&|row| row.role == Role::RealForwarder),
@@ -119,7 +119,7 @@
     }
 
     /// Whether no line is to be fitted through a row.
-    fn leaves_out(&self, row: &Measurement) -> bool {
+    fn excludes_from_slopes(&self, row: &Measurement) -> bool {
         let key = run_key(row);
         self.full.contains(&key) || (is_server(row.role) && self.with_real.contains(&key))
     }
@@ -127,23 +127,24 @@
 
 /// Runs in which several events went in one message to a hollow forwarder.
 fn crowded(measurements: &[Measurement]) -> BTreeSet<RunKey> {
-    let mut told: BTreeMap<RunKey, f64> = BTreeMap::new();
-    let mut asked: BTreeMap<RunKey, f64> = BTreeMap::new();
+    let mut received: BTreeMap<RunKey, f64> = BTreeMap::new();
+    let mut published: BTreeMap<RunKey, f64> = BTreeMap::new();
     for row in measurements {
-        // A report is answered with guidance, which tells no event if there is none.
+        // A report is answered with guidance, which has no event if there is none.
         let sign = match (row.metric, row.kind.as_str()) {
             (Metric::MessagesInPerS, "feed" | "guidance") => 1.0,
             (Metric::MessagesOutPerS, "reports") => -1.0,
             _ => continue,
         };
         if row.role == Role::HollowForwarder && row.distribution == Distribution::EachEvent {
-            *told.entry(run_key(row)).or_default() += sign * row.value;
-            asked.insert(run_key(row), f64::from(row.planners + 1) * row.purges_per_s);
+            *received.entry(run_key(row)).or_default() += sign * row.value;
+            published.insert(run_key(row), f64::from(row.planners + 1) * row.purges_per_s);
         }
     }
-    let is_crowded =
-        |(key, told): (RunKey, f64)| (told < CROWDED_SHARE * asked[&key]).then_some(key);
-    told.into_iter().filter_map(is_crowded).collect()
+    let is_crowded = |(key, received): (RunKey, f64)| {
+        (received < CROWDED_SHARE * published[&key]).then_some(key)
+    };
+    received.into_iter().filter_map(is_crowded).collect()
 }
 
 /// What was measured without a fault where a line with one was.
@@ -168,8 +169,8 @@
     let values = rows.iter().map(|row| row.value);
     match nature(series.role, series.metric) {
         Nature::Line(_) | Nature::Mean => values.sum::<f64>() / rows.len() as f64,
-        Nature::Most => values.fold(f64::NEG_INFINITY, f64::max),
-        Nature::Least => values.fold(f64::INFINITY, f64::min),
+        Nature::Max => values.fold(f64::NEG_INFINITY, f64::max),
+        Nature::Min => values.fold(f64::INFINITY, f64::min),
     }
 }
 
@@ -184,27 +185,30 @@
     }
 }
 
-fn fit_series(series: Series, rows: &[&Measurement], left_out: &LeftOut) -> Line {
+fn fit_series(series: Series, rows: &[&Measurement], exclusions: &Exclusions) -> Line {
     let terms = match nature(series.role, series.metric) {
         Nature::Line(terms) if series.fault == NO_FAULT => terms,
         _ => return measured(series, rows),
     };
-    let unhindered: Vec<&Measurement> = rows
+    let included: Vec<&Measurement> = rows
         .iter()
         .copied()
-        .filter(|row| !left_out.leaves_out(row))
+        .filter(|row| !exclusions.excludes_from_slopes(row))
         .collect();
     let point = |row: &&Measurement| Point {
         size: Size::of(row),
         value: row.value,
     };
-    let points: Vec<Point> = unhindered.iter().map(point).collect();
+    let points: Vec<Point> = included.iter().map(point).collect();
     let ranges: Vec<FittedTerm> = terms.iter().map(|term| range(*term, &points)).collect();
     match fit_terms(terms, &ranges, &points) {
         Some((fitted, solution)) => {
-            let left_out = (rows.len() - unhindered.len()) as u32;
-            let line = slope(series, &unhindered, &ranges, &fitted, &solution);
-            Line { left_out, ..line }
+            let excluded_points = (rows.len() - included.len()) as u32;
+            let line = slope(series, &included, &ranges, &fitted, &solution);
+            Line {
+                excluded_points,
+                ..line
+            }
         }
         None => measured(series, rows),
     }
@@ -333,7 +337,7 @@
         evidence: Evidence::Measured,
         terms: Vec::new(),
         points: rows.len() as u32,
-        left_out: 0,
+        excluded_points: 0,
         residual: (squares / there.len() as f64).sqrt(),
         largest: rows
             .iter()
--- a/crates/flaxdeck-scale/src/fit/line.rs
+++ b/crates/flaxdeck-scale/src/fit/line.rs
@@ -61,7 +61,7 @@
     /// Points that were measured.
     pub points: u32,
     /// Points left out: a thread or the machine was full in their runs, or real forwarders took part uncounted.
-    pub left_out: u32,
+    pub excluded_points: u32,
     /// Root mean square of the residuals; of the points at the largest size where there is no slope.
     pub residual: f64,
     /// The largest value of all points.
@@ -104,13 +104,14 @@
     }
 
     /// Drivers that belong to the metric and were held at one size or two, below that size.
-    pub fn held(&self, size: &Size) -> Vec<&FittedTerm> {
+    pub fn unvaried_terms(&self, size: &Size) -> Vec<&FittedTerm> {
         let is_below = |term: &&FittedTerm| term.most < term.term.driver(size);
-        let held = self
+        let unvaried = self
             .terms
             .iter()
             .filter(|term| term.sizes < super::MIN_SIZES);
-        held.filter(|term| term.term != Term::Constant)
+        unvaried
+            .filter(|term| term.term != Term::Constant)
             .filter(is_below)
             .collect()
     }
@@ -218,7 +219,7 @@
         driver_most: term.map(|term| term.most),
         driver_sizes: term.map(|term| term.sizes),
         points: line.points,
-        left_out: line.left_out,
+        left_out: line.excluded_points,
         residual: rounded(line.residual),
         largest: rounded(line.largest),
         at_forwarders: line.at.forwarders,
@@ -259,7 +260,7 @@
         evidence: row.evidence,
         terms: Vec::new(),
         points: row.points,
-        left_out: row.left_out,
+        excluded_points: row.left_out,
         residual: row.residual,
         largest: row.largest,
         at: Size {
--- a/crates/flaxdeck-scale/src/fit/nature.rs
+++ b/crates/flaxdeck-scale/src/fit/nature.rs
@@ -83,9 +83,9 @@
     /// The mean at the largest size.
     Mean,
     /// The largest at the largest size.
-    Most,
+    Max,
     /// The least at the largest size.
-    Least,
+    Min,
 }
 
 /// What a metric of a role goes with.
@@ -95,13 +95,13 @@
         | Metric::MicrosPerMessage
         | Metric::DecisionMicros
         | Metric::EventsExpected => Nature::Mean,
-        Metric::DelayP99Ms | Metric::DelayWorstMs | Metric::ServiceP99Ms => Nature::Most,
+        Metric::DelayP99Ms | Metric::DelayWorstMs | Metric::ServiceP99Ms => Nature::Max,
         Metric::EventsLost
         | Metric::EventsDoubled
         | Metric::EventsOutOfOrder
         | Metric::EventsReplaced
-        | Metric::RulesBroken => Nature::Most,
-        Metric::ServedShare | Metric::MachineIdleShare => Nature::Least,
+        | Metric::RulesBroken => Nature::Max,
+        Metric::ServedShare | Metric::MachineIdleShare => Nature::Min,
         Metric::BytesInPerS
         | Metric::BytesOutPerS
         | Metric::MessagesInPerS
@@ -134,6 +134,6 @@
 fn descriptors(role: Role) -> Nature {
     match role {
         Role::Coordinator | Role::Planner => Nature::Line(&[Term::Forwarders]),
-        Role::RealForwarder | Role::HollowForwarder | Role::Dispatcher => Nature::Most,
+        Role::RealForwarder | Role::HollowForwarder | Role::Dispatcher => Nature::Max,
     }
 }
--- a/crates/flaxdeck-scale/src/hollow.rs
+++ b/crates/flaxdeck-scale/src/hollow.rs
@@ -65,9 +65,7 @@
     for number in orders.first..orders.first + orders.count {
         let guidelines = guidelines(&format!("hollow-{number}"));
         let watcher = watcher(number, log.clone(), with_events.clone());
-        let mut configuration = configuration.clone();
-        let seed = orders.seed ^ u64::from(number) << SEED_NUMBER_BITS;
-        configuration["seed"] = format!("{seed:016x}").into();
+        let configuration = seeded(&configuration, orders.seed, number);
         forwarders.push(start_forwarder(
             &configuration,
             guidelines,
@@ -94,6 +92,14 @@
     log.borrow_mut().flush().map_err(RunError::WriteLog)
 }
 
+/// The configuration of one forwarder, whose seed is its own.
+fn seeded(configuration: &Value, seed: u64, number: u32) -> Value {
+    let seed = seed ^ u64::from(number) << SEED_NUMBER_BITS;
+    let mut configuration = configuration.clone();
+    configuration["seed"] = format!("{seed:016x}").into();
+    configuration
+}
+
 fn start_forwarder(
     configuration: &Value,
     guidelines: Guidelines,
--- a/crates/flaxdeck-scale/tests/capacity.rs
+++ b/crates/flaxdeck-scale/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity page over made-up slopes: its arithmetic, its marks, and that no figure is typed.
+//! What the capacity page is computed from: rows and states over made-up slopes.
 
 #![allow(
     clippy::unwrap_used,
@@ -6,161 +6,16 @@
     reason = "a failed expectation fails the test"
 )]
 
-use std::path::{Path, PathBuf};
+mod made_up_capacity;
 
 use flaxdeck_scale::capacity::estimate::{Known, Lines};
-use flaxdeck_scale::capacity::figures::{count, figure, span};
 use flaxdeck_scale::capacity::page::page;
-use flaxdeck_scale::capacity::rows::{Basis, RoleRows, Row, roles};
+use flaxdeck_scale::capacity::rows::{Basis, RoleRows, Row};
 use flaxdeck_scale::capacity::state::states;
-use flaxdeck_scale::fit::line::{Line, SlopeRow, lines, rows};
-use flaxdeck_scale::fit::{NO_FAULT, fit};
-use flaxdeck_scale::measurement::{DECISIONS_RUN, Distribution, Measurement, Metric, Role};
-use flaxdeck_scale::target::{self, Target};
-use flaxdeck_scale::{charts, files};
+use flaxdeck_scale::fit::fit;
+use flaxdeck_scale::measurement::{Measurement, Metric, Role};
 
-const TARGET: &str = include_str!("../../../docs/capacity/target.plan");
-const TEMPLATE: &str = include_str!("../src/capacity/page.md.j2");
-
-fn the_target() -> Target {
-    target::read("target.plan", TARGET).expect("it has no faults")
-}
-
-struct Made {
-    rows: Vec<Measurement>,
-}
-
-impl Made {
-    /// One metric over three sizes of each driver, as that function tells.
-    fn metric(
-        &mut self,
-        distribution: Distribution,
-        role: Role,
-        metric: Metric,
-        kind: &str,
-        value: impl Fn(f64, f64, f64) -> f64,
-    ) {
-        for (forwarders, hosts, purges) in [
-            (100, 100, 33.0),
-            (300, 100, 33.0),
-            (1_000, 100, 33.0),
-            (1_000, 1_000, 33.0),
-            (1_000, 3_500, 33.0),
-            (1_000, 3_500, 100.0),
-            (1_000, 3_500, 330.0),
-        ] {
-            self.rows.push(Measurement {
-                run: "made-1".into(),
-                seed: 1,
-                distribution,
-                hollow_forwarders: forwarders,
-                hosts,
-                purges_per_s: purges,
-                planners: 2,
-                fault: NO_FAULT.into(),
-                role,
-                metric,
-                kind: kind.into(),
-                value: value(f64::from(forwarders), f64::from(hosts), purges),
-            });
-        }
-    }
-}
-
-/// A forwarder that hears 80 bytes a purge under each event and 3 by digests, beside reports that don't change.
-fn made() -> Vec<Measurement> {
-    use Distribution::{Digest, EachEvent};
-    let mut made = Made { rows: Vec::new() };
-    let hollow = Role::HollowForwarder;
-    made.metric(
-        EachEvent,
-        hollow,
-        Metric::BytesInPerS,
-        "feed",
-        |_, _, purges| 80.0 * purges,
-    );
-    made.metric(
-        EachEvent,
-        hollow,
-        Metric::BytesOutPerS,
-        "reports",
-        |_, _, _| 1_000.0,
-    );
-    made.metric(
-        Digest,
-        hollow,
-        Metric::BytesInPerS,
-        "deliveries",
-        |_, _, purges| 3.0 * purges,
-    );
-    made.metric(
-        Digest,
-        hollow,
-        Metric::BytesOutPerS,
-        "reports",
-        |_, _, _| 400.0,
-    );
-    made.metric(
-        EachEvent,
-        hollow,
-        Metric::ResidentBytes,
-        "",
-        |_, hosts, _| 1e6 + 500.0 * hosts,
-    );
-    made.metric(
-        EachEvent,
-        hollow,
-        Metric::DelayWorstMs,
-        "",
-        |forwarders, _, _| forwarders,
-    );
-    made.metric(
-        EachEvent,
-        Role::Planner,
-        Metric::Cores,
-        "",
-        |forwarders, _, purges| 0.01 + forwarders * (purges * 1e-6 + 1e-5),
-    );
-    made.metric(
-        EachEvent,
-        Role::Planner,
-        Metric::Descriptors,
-        "",
-        |forwarders, _, _| 20.0 + forwarders,
-    );
-    made.rows
-}
-
-fn with_roles<T>(measurements: &[Measurement], look: impl FnOnce(&[RoleRows]) -> T) -> T {
-    let (target, lines): (Target, Vec<Line>) = (the_target(), fit(measurements));
-    look(&roles(Basis {
-        lines: Lines::new(&lines, 2),
-        target: &target,
-    }))
-}
-
-fn row<'a>(roles: &'a [RoleRows], title: &str, what: &str) -> &'a Row {
-    let role = roles
-        .iter()
-        .find(|role| role.title.starts_with(title))
-        .expect("the role stands there");
-    role.rows
-        .iter()
-        .find(|row| row.what.starts_with(what))
-        .expect("the row stands there")
-}
-
-fn near(found: Option<f64>, truth: f64) {
-    let found = found.expect("there is a value");
-    assert!(
-        (found - truth).abs() <= 1e-6 * truth.abs(),
-        "{found} is not {truth}"
-    );
-}
-
-fn slopes(measurements: &[Measurement]) -> Vec<SlopeRow> {
-    fit(measurements).iter().flat_map(rows).collect()
-}
+use made_up_capacity::{made, near, row, slopes, the_target, with_roles};
 
 #[test]
 fn all_control_of_a_dispatcher_is_the_sum_of_its_kinds_over_its_budget() {
@@ -174,7 +29,7 @@
         assert!(!row.is_over(1));
         let known = Known::Slope {
             factor: 1.0,
-            held: vec![],
+            unvaried: vec![],
             partly_at: None,
         };
         assert_eq!(
@@ -185,7 +40,7 @@
 }
 
 #[test]
-fn memory_is_told_by_slope() {
+fn memory_is_read_off_the_slope() {
     with_roles(&made(), |roles| {
         let row = row(roles, "Dispatcher", "resident memory");
         near(row.estimates[0].value, 1e6 + 500.0 * 3_500.0);
@@ -208,7 +63,7 @@
         );
         let known = Known::Slope {
             factor: 14.0,
-            held: vec![],
+            unvaried: vec![],
             partly_at: None,
         };
         assert_eq!(whole.estimates[0].known, known);
@@ -381,193 +236,3 @@
         (330.0 + 82_000.0 / 86_400.0) / 320.0,
     );
 }
-
-#[test]
-fn the_page_marks_what_is_over_and_says_what_is_not_shown() {
-    let page = page(&slopes(&made()), &the_target()).expect("it can be made");
-    assert!(page.contains(
-        "| all control, both ways, with headers (estimated) | 2,000 bytes/s | 27,400 bytes/s | **13.7 over** |"
-    ));
-    assert!(page.contains("| 1,390 bytes/s | 0.695 |"), "{page}");
-    assert!(
-        page.contains("| **13.7** |"),
-        "it stands among what is over"
-    );
-    assert!(page.contains("not shown"));
-    let run = "| made | 1 | `flaxdeck scale scale/made.scale --out docs/capacity/runs/made.csv` |";
-    assert!(
-        page.contains(run),
-        "runs are named with their seeds and their command"
-    );
-}
-
-#[test]
-fn the_page_without_runs_shows_nothing() {
-    let page = page(&[], &the_target()).expect("it can be made");
-    assert!(page.contains("Nothing, of what is shown."));
-    assert!(page.contains("None yet."));
-    let over: Vec<&str> = page
-        .lines()
-        .filter(|line| line.contains("over**"))
-        .collect();
-    assert!(
-        over.iter().all(|line| line.contains("`MAX_")),
-        "only bounds of the code are over: {over:?}"
-    );
-}
-
-/// What stands in the template outside of fields and tags.
-fn plain_words(template: &str) -> String {
-    let mut out = String::new();
-    let mut rest = template;
-    while let Some(at) = rest.find("{{").into_iter().chain(rest.find("{%")).min() {
-        out.push_str(&rest[..at]);
-        let end = if rest[at..].starts_with("{{") {
-            "}}"
-        } else {
-            "%}"
-        };
-        let after = rest[at..]
-            .find(end)
-            .map_or(rest.len(), |to| at + to + end.len());
-        rest = &rest[after..];
-    }
-    out + rest
-}
-
-#[test]
-fn no_figure_is_typed_into_the_template() {
-    let words = plain_words(TEMPLATE);
-    assert!(words.contains("How to read it"));
-    let typed: Vec<&str> = words
-        .lines()
-        .filter(|line| line.chars().any(|letter| letter.is_ascii_digit()))
-        .collect();
-    assert_eq!(typed, Vec::<&str>::new());
-}
-
-#[test]
-fn figures_have_three_digits() {
-    let written: Vec<String> = [
-        0.0,
-        0.000_123_45,
-        0.02,
-        1.0,
-        6.8,
-        13.7,
-        929.4,
-        27_449.0,
-        4_600_000_000.0,
-    ]
-    .map(figure)
-    .to_vec();
-    assert_eq!(
-        written,
-        [
-            "0",
-            "0.000123",
-            "0.02",
-            "1",
-            "6.8",
-            "13.7",
-            "929",
-            "27,400",
-            "4,600,000,000"
-        ]
-    );
-    assert_eq!(count(14_000.0), "14,000");
-    assert_eq!(count(930.0), "930");
-    assert_eq!(
-        [0.45, 6.8, 3_600.0, 86_400.0].map(span),
-        ["450 ms", "6.8 s", "60 min", "24 h"]
-    );
-}
-
-#[test]
-fn decisions_share_the_core_at_the_mean_rate_of_requests() {
-    let mut rows = made();
-    rows.push(Measurement {
-        run: "decisions-1".into(),
-        role: Role::Dispatcher,
-        metric: Metric::DecisionMicros,
-        kind: "hosts=3500 purges=0".into(),
-        value: 1_100.0,
-        ..rows[0].clone()
-    });
-    with_roles(&rows, |roles| {
-        let row = row(roles, "Dispatcher", "decisions at the mean rate");
-        near(row.estimates[0].value, 1_100e-6 * 13e6 / 14_000.0);
-        assert!(row.is_over(0));
-        assert_eq!(row.estimates[0].known, Known::MeasuredApart);
-    });
-    let page = page(&slopes(&rows), &the_target()).expect("it can be made");
-    assert!(
-        page.contains("--example decisions -- docs/capacity/target.plan"),
-        "they have a command of their own"
-    );
-}
-
-fn beside_docs(path: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("../../docs")
-        .join(path)
-}
-
-#[test]
-fn the_committed_slopes_are_fitted_to_the_committed_runs() {
-    let (runs, slopes) = (
-        beside_docs("capacity/runs"),
-        beside_docs("capacity/slopes.csv"),
-    );
-    assert_eq!(
-        runs.exists(),
-        slopes.exists(),
-        "runs and slopes stand together"
-    );
-    if runs.exists() {
-        let measurements = files::read_runs(&runs).expect("they can be read");
-        let rows: Vec<SlopeRow> = fit(&measurements).iter().flat_map(rows).collect();
-        let fitted = files::table_text(&rows).expect("it can be written");
-        let committed = files::read_text(&slopes).expect("it can be read");
-        assert!(
-            fitted == committed,
-            "write them anew: flaxdeck capacity fit docs/capacity/runs docs/capacity/slopes.csv"
-        );
-    }
-}
-
-#[test]
-fn the_committed_page_is_what_the_command_prints() {
-    let (page_file, slopes) = (
-        beside_docs("CAPACITY.md"),
-        beside_docs("capacity/slopes.csv"),
-    );
-    assert_eq!(
-        page_file.exists(),
-        slopes.exists(),
-        "the page and its slopes stand together"
-    );
-    if page_file.exists() {
-        let rows: Vec<SlopeRow> = files::read_table(&slopes).expect("it can be read");
-        for run in rows.iter().flat_map(|row| row.runs.split(';')) {
-            let name = run.rsplit_once('-').map_or(run, |(name, _)| name);
-            let file = beside_docs(&format!("../scale/{name}.scale"));
-            assert!(
-                name == DECISIONS_RUN || file.exists(),
-                "{run} can be repeated: there is a scale file for it"
-            );
-        }
-        for (file, title) in charts::titles(&lines(&rows)) {
-            assert!(
-                beside_docs("capacity").join(file).exists(),
-                "the chart of {title} is there"
-            );
-        }
-        let computed = page(&rows, &the_target()).expect("it can be made");
-        let committed = files::read_text(&page_file).expect("it can be read");
-        assert!(
-            computed == committed,
-            "write it anew, by the command that it names itself"
-        );
-    }
-}
--- /dev/null
+++ b/crates/flaxdeck-scale/tests/made_up_runs/mod.rs
@@ -0,0 +1,70 @@
+//! Made-up measurements, for tests of the fitted lines.
+
+#![allow(dead_code, reason = "each test file uses some of it")]
+
+use flaxdeck_scale::fit::line::Line;
+use flaxdeck_scale::fit::nature::Size;
+use flaxdeck_scale::fit::{NO_FAULT, fit};
+use flaxdeck_scale::measurement::{Distribution, Measurement, Metric, Role};
+
+/// A made-up row at a size.
+pub(crate) fn row(role: Role, metric: Metric, size: (u32, u32, f64), value: f64) -> Measurement {
+    let (hollow_forwarders, hosts, purges_per_s) = size;
+    Measurement {
+        run: format!("made-{hollow_forwarders}-{hosts}-{purges_per_s}"),
+        seed: 1,
+        distribution: Distribution::EachEvent,
+        hollow_forwarders,
+        hosts,
+        purges_per_s,
+        planners: 2,
+        fault: NO_FAULT.to_owned(),
+        role,
+        metric,
+        kind: String::new(),
+        value,
+    }
+}
+
+/// Noise that is the same at each run: within a part of the value, its mean near zero.
+pub(crate) fn noise(at: usize) -> f64 {
+    ((at as f64 * 0.618_034).fract() - 0.5) * 0.02
+}
+
+/// Sizes varied one at a time and together, each twice.
+pub(crate) fn sizes() -> Vec<(u32, u32, f64)> {
+    let mut sizes = Vec::new();
+    for forwarders in [100, 300, 1_000] {
+        for hosts in [100, 1_000, 3_500] {
+            for purges in [33.0, 100.0, 330.0] {
+                sizes.extend([(forwarders, hosts, purges); 2]);
+            }
+        }
+    }
+    sizes
+}
+
+/// Noisy rows of a metric whose truth is known, at all sizes.
+pub(crate) fn made(role: Role, metric: Metric, truth: impl Fn(&Size) -> f64) -> Vec<Measurement> {
+    let noisy = |(at, size): (usize, (u32, u32, f64))| {
+        let plain = row(role, metric, size, 0.0);
+        let value = truth(&Size::of(&plain)) * (1.0 + noise(at));
+        Measurement { value, ..plain }
+    };
+    sizes().into_iter().enumerate().map(noisy).collect()
+}
+
+/// The only line of the rows.
+pub(crate) fn the_line(rows: &[Measurement]) -> Line {
+    let mut lines = fit(rows);
+    assert_eq!(lines.len(), 1, "one series");
+    lines.remove(0)
+}
+
+/// Fails unless a value is within a part of the truth.
+pub(crate) fn near(found: f64, truth: f64, part: f64) {
+    assert!(
+        (found - truth).abs() <= part * truth.abs(),
+        "{found} is not within {part} of {truth}"
+    );
+}
