--- a/crates/flaxdeck-cli/src/demo.rs
+++ b/crates/flaxdeck-cli/src/demo.rs
@@ -123,8 +123,8 @@
 
 fn print_results(fleet: &Fleet, clients: &Clients) -> Result<(), ExitError> {
     let verdict = fleet.world.verdict();
-    let told = clients.statistics();
-    print_requests(&verdict, &told);
+    let statistics = clients.statistics();
+    print_requests(&verdict, &statistics);
     println!(
         "fills at the origin                {:>8}",
         fleet.world.fills_at_origin()
@@ -147,14 +147,14 @@
             violation.rule, violation.at_ms, violation.description
         );
     }
-    if verdict.violations.is_empty() && verdict.all_accounted_for() && told.wrong_bytes == 0 {
+    if verdict.violations.is_empty() && verdict.all_accounted_for() && statistics.wrong_bytes == 0 {
         Ok(())
     } else {
         Err(ExitError::failed("the demo found something broken"))
     }
 }
 
-fn print_requests(verdict: &Verdict, told: &ClientStatistics) {
+fn print_requests(verdict: &Verdict, statistics: &ClientStatistics) {
     let accounted = if verdict.all_accounted_for() {
         "all accounted for"
     } else {
@@ -176,8 +176,11 @@
     );
     println!(
         "time of an answer, median and 99th {:>8.1} {:.1} ms",
-        told.latency_quantile(0.5),
-        told.latency_quantile(0.99)
+        statistics.latency_quantile(0.5),
+        statistics.latency_quantile(0.99)
+    );
+    println!(
+        "answers with wrong bytes           {:>8}",
+        statistics.wrong_bytes
     );
-    println!("answers with wrong bytes           {:>8}", told.wrong_bytes);
 }
--- a/crates/flaxdeck-cli/src/levels.rs
+++ b/crates/flaxdeck-cli/src/levels.rs
@@ -158,17 +158,7 @@
     let before = fleet.control_bytes();
     let failing = begins + PARENT_FAILS_MS..begins + PARENT_MENDED_MS;
     fleet
-        .play(&[
-            (begins + COLD_CACHE_MS, Fault::RestartHost(cache.clone())),
-            (
-                failing.start,
-                Fault::HostFailureMode(parent.clone(), FailureMode::Failing),
-            ),
-            (
-                failing.end,
-                Fault::HostFailureMode(parent.clone(), FailureMode::Healthy),
-            ),
-        ])
+        .play(&script(&cache, &parent, begins))
         .map_err(ExitError::failed)?;
     wait_for_clients(&fleet, &clients);
     let forwarder_seconds = (fleet.world.now() - begins) / 1000.0 * forwarders as f64;
@@ -184,6 +174,16 @@
     })
 }
 
+/// A cache starts cold, and a parent fails for a while.
+fn script(cache: &str, parent: &str, begins: f64) -> [(f64, Fault); 3] {
+    let parent_mode = |mode| Fault::HostFailureMode(parent.to_owned(), mode);
+    [
+        (begins + COLD_CACHE_MS, Fault::RestartHost(cache.to_owned())),
+        (begins + PARENT_FAILS_MS, parent_mode(FailureMode::Failing)),
+        (begins + PARENT_MENDED_MS, parent_mode(FailureMode::Healthy)),
+    ]
+}
+
 fn wait_for_clients(fleet: &Fleet, clients: &[Clients]) {
     let limit = fleet.world.now() + LAST_ANSWERS_MS;
     while !clients.iter().all(Clients::is_done) && fleet.world.now() < limit {
@@ -220,8 +220,8 @@
 /// The figures that follow from what clients saw; the others are nought.
 fn client_figures(world: &World, clients: &[Clients]) -> Row {
     let verdict = world.verdict();
-    let told = ClientStatistics::merged(clients.iter().map(Clients::statistics));
-    let latencies = told.latencies_ms.iter();
+    let statistics = ClientStatistics::merged(clients.iter().map(Clients::statistics));
+    let latencies = statistics.latencies_ms.iter();
     let in_time = latencies.filter(|took| **took <= OBJECTIVE_MS).count();
     Row {
         in_time: in_time as f64 / verdict.requests.max(1) as f64,
@@ -234,7 +234,7 @@
         report_bytes_per_s: 0.0,
         guidance_bytes_per_s: 0.0,
         violations: verdict.violations.len(),
-        median_ms: told.latency_quantile(0.5),
-        p99_ms: told.latency_quantile(0.99),
+        median_ms: statistics.latency_quantile(0.5),
+        p99_ms: statistics.latency_quantile(0.99),
     }
 }
--- a/crates/flaxdeck-cli/src/model.rs
+++ b/crates/flaxdeck-cli/src/model.rs
@@ -2,6 +2,8 @@
 
 use std::time::Instant;
 
+use flaxdeck_fleet::Outcome;
+
 use crate::exit::ExitError;
 use crate::scenario_files;
 
@@ -15,6 +17,25 @@
     let started = Instant::now();
     let outcome = flaxdeck_fleet::run(&scenario, seed);
     let took_s = started.elapsed().as_secs_f64();
+    print_outcome(&outcome, took_s);
+    let violations = outcome
+        .verdict
+        .map_or(Vec::new(), |verdict| verdict.violations);
+    println!("rules broken: {}", violations.len());
+    for violation in violations.iter().take(PRINTED_VIOLATIONS) {
+        println!(
+            "  rule {} at {:.0} ms: {}",
+            violation.rule, violation.at_ms, violation.description
+        );
+    }
+    if violations.is_empty() {
+        Ok(())
+    } else {
+        Err(ExitError::failed("a rule was broken"))
+    }
+}
+
+fn print_outcome(outcome: &Outcome, took_s: f64) {
     println!(
         "wants {}, in time {}, late {}, lost {}, gain {:.4}",
         outcome.operations,
@@ -41,19 +62,4 @@
         outcome.requests as f64 / took_s,
         outcome.digest
     );
-    let violations = outcome
-        .verdict
-        .map_or(Vec::new(), |verdict| verdict.violations);
-    println!("rules broken: {}", violations.len());
-    for violation in violations.iter().take(PRINTED_VIOLATIONS) {
-        println!(
-            "  rule {} at {:.0} ms: {}",
-            violation.rule, violation.at_ms, violation.description
-        );
-    }
-    if violations.is_empty() {
-        Ok(())
-    } else {
-        Err(ExitError::failed("a rule was broken"))
-    }
 }
--- a/crates/flaxdeck-cli/src/scale.rs
+++ b/crates/flaxdeck-cli/src/scale.rs
@@ -146,41 +146,41 @@
     Ok(planned)
 }
 
+fn progress_bar(runs: usize) -> ProgressBar {
+    let bar = ProgressBar::new(runs as u64);
+    let style = ProgressStyle::with_template("{elapsed_precise} {bar:30} {pos}/{len} {msg}");
+    bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
+    bar.enable_steady_tick(Duration::from_millis(200));
+    bar
+}
+
+/// Plays all runs one after another; prints a line for each and writes their rows.
 async fn play_all(
     arguments: &Arguments,
     scenario: &Scenario,
     planned: &[PlannedRun],
 ) -> Result<(), ExitError> {
     let binary = exit::own_binary()?;
-    let bar = ProgressBar::new(planned.len() as u64);
-    let style = ProgressStyle::with_template("{elapsed_precise} {bar:30} {pos}/{len} {msg}");
-    bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
-    bar.enable_steady_tick(Duration::from_millis(200));
+    let bar = progress_bar(planned.len());
     let mut rows: Vec<Measurement> = Vec::new();
-    for PlannedRun {
-        distribution,
-        point,
-        seed,
-        fault,
-    } in planned
-    {
+    for run in planned {
         let scenario = Scenario {
-            distribution: *distribution,
+            distribution: run.distribution,
             ..scenario.clone()
         };
-        let one = RunOptions {
+        let options = RunOptions {
             scenario: &scenario,
-            point: *point,
-            seed: *seed,
-            fault: *fault,
+            point: run.point,
+            seed: run.seed,
+            fault: run.fault,
             keeps_files: arguments.keep_files,
             binary: &binary,
         };
         let progress = |what: &str| bar.set_message(what.to_owned());
-        let played = run::play(&one, &progress)
+        let played = run::play(&options, &progress)
             .await
             .map_err(ExitError::failed)?;
-        bar.suspend(|| println!("{}", line(&one, &played.rows)));
+        bar.suspend(|| println!("{}", line(&options, &played.rows)));
         bar.inc(1);
         rows.extend(played.rows.rows);
         if let Some(out) = &arguments.out {
--- a/crates/flaxdeck-emulator/src/hosts/admission.rs
+++ b/crates/flaxdeck-emulator/src/hosts/admission.rs
@@ -44,11 +44,9 @@
     record(RecordedEvent::WorkArrived {
         host: id.to_owned(),
     });
-    let slowness = match host.failure_mode {
-        FailureMode::Silent => return Admission::Silent,
-        FailureMode::Failing => return Admission::Failed,
-        FailureMode::Slow(factor) => factor,
-        FailureMode::Healthy => 1.0,
+    let slowness = match slowness(host.failure_mode) {
+        Ok(slowness) => slowness,
+        Err(admission) => return admission,
     };
     let fraction = world.capacity_fraction(host, now_ms);
     let Some(until_ms) = take_slot(host, now_ms, cost_ms * slowness, fraction) else {
@@ -70,6 +68,16 @@
     Admission::Until(until_ms)
 }
 
+/// How many times as long the host takes; what it does instead if it doesn't work at all.
+fn slowness(failure_mode: FailureMode) -> Result<f64, Admission> {
+    match failure_mode {
+        FailureMode::Silent => Err(Admission::Silent),
+        FailureMode::Failing => Err(Admission::Failed),
+        FailureMode::Slow(factor) => Ok(factor),
+        FailureMode::Healthy => Ok(1.0),
+    }
+}
+
 /// Takes the slot that is free first; gives when it is through, or none if too much waits for it. A cold host has fewer
 /// slots, the last of them a slower one.
 fn take_slot(host: &mut HostState, now_ms: f64, cost_ms: f64, fraction: f64) -> Option<f64> {
--- a/crates/flaxdeck-emulator/src/hosts/answers.rs
+++ b/crates/flaxdeck-emulator/src/hosts/answers.rs
@@ -38,7 +38,7 @@
                 world.record(RecordedEvent::EffectApplied {
                     effect: format!("{request} {object}"),
                 });
-                Ok(Copy::held(world.now()))
+                Ok(Copy::cached(world.now()))
             } else {
                 find_copy(world, id, object, field("fetch"), field("newer")).await
             };
@@ -57,7 +57,12 @@
     if !is_write {
         count_answer(world, id, &copy);
     }
-    Some(match copy {
+    Some(encode(world, object, copy, &load))
+}
+
+/// The answer in the words of the line protocol, with the host's load report.
+fn encode(world: &SharedState, object: &str, copy: Result<Copy, CopyError>, load: &str) -> Answer {
+    match copy {
         Ok(copy) => {
             let stamp = world.unix_ms(world.now());
             let source = copy.source;
@@ -69,10 +74,13 @@
         }
         Err(CopyError { word, fill }) => Answer {
             word,
-            fields: fill.map_or(load.clone(), |fill| format!("{fill},{load}")),
+            fields: match fill {
+                Some(fill) => format!("{fill},{load}"),
+                None => load.to_owned(),
+            },
             body: Vec::new(),
         },
-    })
+    }
 }
 
 /// A request has its answer; gives the host's load report.
--- a/crates/flaxdeck-emulator/src/hosts/fills.rs
+++ b/crates/flaxdeck-emulator/src/hosts/fills.rs
@@ -25,7 +25,7 @@
 
 impl Copy {
     /// A copy that the host has.
-    pub(super) fn held(made_ms: f64) -> Copy {
+    pub(super) fn cached(made_ms: f64) -> Copy {
         Copy {
             made_ms,
             source: HIT.to_owned(),
@@ -73,12 +73,12 @@
 ) -> Result<Copy, CopyError> {
     let oldest_ms = oldest_allowed(world, object, max_age);
     let cached = match world.lock().hosts.get(id) {
-        Some(host) if host.kind == HostKind::Origin => return Ok(Copy::held(world.now())),
+        Some(host) if host.kind == HostKind::Origin => return Ok(Copy::cached(world.now())),
         Some(host) => host.cached(object, oldest_ms),
         None => None,
     };
     if let Some(made_ms) = cached {
-        return Ok(Copy::held(made_ms));
+        return Ok(Copy::cached(made_ms));
     }
     if source.is_empty() {
         return Err(CopyError::new("absent"));
@@ -125,15 +125,7 @@
 ) -> Result<Fill, FillError> {
     let admission = admit(world, source, size_kb(object) as f64);
     count_origin_fill(world, source, &admission);
-    let until_ms = match admission {
-        Admission::Until(until_ms) => until_ms,
-        Admission::Rejected | Admission::Failed => return Err("src_refused"),
-        Admission::Down => return Err("src_broke"),
-        Admission::Silent => {
-            wait_ms(SOURCE_TIMEOUT_MS).await;
-            return Err("src_broke");
-        }
-    };
+    let until_ms = admitted_until(admission).await?;
     let (kind, cached) = {
         let mut state = world.lock();
         let host = state.hosts.get(source).ok_or("src_broke")?;
@@ -161,6 +153,19 @@
     Ok(fill)
 }
 
+/// When the source is through with a fill.
+async fn admitted_until(admission: Admission) -> Result<f64, FillError> {
+    match admission {
+        Admission::Until(until_ms) => Ok(until_ms),
+        Admission::Rejected | Admission::Failed => Err("src_refused"),
+        Admission::Down => Err("src_broke"),
+        Admission::Silent => {
+            wait_ms(SOURCE_TIMEOUT_MS).await;
+            Err("src_broke")
+        }
+    }
+}
+
 /// A parent fills from the origin, and caches the copy.
 async fn fill_parent(
     world: &Arc<SharedState>,
--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -125,19 +125,7 @@
         });
         self.requests.insert(request.0, id);
         self.outcome.requests += 1;
-        let timeout_ms = self.scenario.client_timeout_ms;
-        let deadline_ms = self.now + timeout_ms;
-        self.record_event(RecordedEvent::RequestSent {
-            request: request.0.to_string(),
-            deadline_ms,
-        });
-        self.schedule(
-            timeout_ms,
-            Event::ClientTimeout {
-                operation: id,
-                tries,
-            },
-        );
+        self.await_answer(request, id, tries);
         let open = OpenRequest {
             operation: id,
             attempts: 0,
@@ -150,6 +138,17 @@
         self.decide(forwarder, decisions);
     }
 
+    /// Records a request, and schedules the end of its client's patience.
+    fn await_answer(&mut self, request: RequestId, operation: u64, tries: u32) {
+        let timeout_ms = self.scenario.client_timeout_ms;
+        let deadline_ms = self.now + timeout_ms;
+        self.record_event(RecordedEvent::RequestSent {
+            request: request.0.to_string(),
+            deadline_ms,
+        });
+        self.schedule(timeout_ms, Event::ClientTimeout { operation, tries });
+    }
+
     /// A request as its forwarder learns of it.
     fn describe_request(&self, id: RequestId, operation: u64) -> Request {
         let operation = &self.operations[operation as usize];
--- a/crates/flaxdeck-scale/src/charts.rs
+++ b/crates/flaxdeck-scale/src/charts.rs
@@ -4,9 +4,10 @@
 use std::path::{Path, PathBuf};
 
 use plotters::coord::Shift;
+use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::{
-    BLACK, ChartBuilder, Circle, Color, DrawingArea, IntoDrawingArea, LineSeries, RGBColor,
-    SVGBackend, WHITE,
+    BLACK, Cartesian2d, ChartBuilder, ChartContext, Circle, Color, DrawingArea, IntoDrawingArea,
+    LineSeries, RGBColor, SVGBackend, WHITE,
 };
 
 use crate::error::CapacityError;
@@ -89,6 +90,9 @@
     value: f64,
 }
 
+type Plot<'area, 'text> =
+    ChartContext<'area, SVGBackend<'text>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
+
 /// The points of one distribution.
 struct PointSeries {
     distribution: Distribution,
@@ -238,26 +242,8 @@
             .x_label_formatter(&label)
             .y_label_formatter(&label)
             .draw()?;
-        for PointSeries {
-            distribution,
-            points,
-        } in series
-        {
-            let color = color(*distribution);
-            let dot = |point: &Point| {
-                Circle::new(
-                    (self.driver.driver(&point.size), point.value),
-                    POINT_RADIUS,
-                    color.filled(),
-                )
-            };
-            let drawn = chart.draw_series(points.iter().map(dot))?;
-            drawn
-                .label(name(*distribution))
-                .legend(move |at| Circle::new(at, POINT_RADIUS, color.filled()));
-            if let Some(ends) = self.fitted(lines, *distribution, points) {
-                chart.draw_series(LineSeries::new(ends, color))?;
-            }
+        for one in series {
+            self.draw_points(&mut chart, one, lines)?;
         }
         chart
             .configure_series_labels()
@@ -267,6 +253,35 @@
         Ok(())
     }
 
+    /// The points of one distribution, with the line fitted to them.
+    fn draw_points(
+        &self,
+        chart: &mut Plot<'_, '_>,
+        series: &PointSeries,
+        lines: &[Line],
+    ) -> Result<(), Box<dyn Error>> {
+        let PointSeries {
+            distribution,
+            points,
+        } = series;
+        let color = color(*distribution);
+        let dot = |point: &Point| {
+            Circle::new(
+                (self.driver.driver(&point.size), point.value),
+                POINT_RADIUS,
+                color.filled(),
+            )
+        };
+        let drawn = chart.draw_series(points.iter().map(dot))?;
+        drawn
+            .label(name(*distribution))
+            .legend(move |at| Circle::new(at, POINT_RADIUS, color.filled()));
+        if let Some(ends) = self.fitted(lines, *distribution, points) {
+            chart.draw_series(LineSeries::new(ends, color))?;
+        }
+        Ok(())
+    }
+
     /// The fitted line over the driver, the others at the size of the largest point.
     fn fitted(
         &self,
