--- a/crates/flaxdeck-scale/src/hollow.rs
+++ b/crates/flaxdeck-scale/src/hollow.rs
@@ -68,9 +68,7 @@
     for number in orders.first..orders.first + orders.count {
         let options = options(&format!("hollow-{number}"));
         let listener = listener(number, log.clone(), with_events.clone());
-        let mut configuration = configuration.clone();
-        let seed = orders.seed ^ u64::from(number) << SEED_NUMBER_BITS;
-        configuration["seed"] = format!("{seed:016x}").into();
+        let configuration = seeded(&configuration, orders.seed, number);
         forwarders.push(start_forwarder(&configuration, options, number, listener)?);
         sleep(START_INTERVAL).await;
     }
@@ -92,6 +90,14 @@
     log.borrow_mut().flush().map_err(RunError::WriteLog)
 }
 
+/// The configuration of one forwarder, whose seed is its own.
+fn seeded(configuration: &Value, seed: u64, number: u32) -> Value {
+    let seed = seed ^ u64::from(number) << SEED_NUMBER_BITS;
+    let mut configuration = configuration.clone();
+    configuration["seed"] = format!("{seed:016x}").into();
+    configuration
+}
+
 fn start_forwarder(
     configuration: &Value,
     options: ControlClientOptions,
