--- a/crates/flaxdeck-recovery/src/numbering.rs
+++ b/crates/flaxdeck-recovery/src/numbering.rs
@@ -6,12 +6,14 @@
 //! starts that it is current, long before the coordinator's next empty frame.
 
 mod action;
+mod connection;
 mod peers;
 mod recent_events;
 
 use flaxdeck::{Span, Time};
 
 pub use action::{EventAction, EventPosition, MissedPeriod, ReconnectReason};
+use connection::{AwaitedEvents, Connection};
 pub use recent_events::MAX_REMEMBERED;
 use recent_events::RecentEvents;
 
@@ -28,32 +30,6 @@
 /// they find out themselves: their own connection is silent or proven anew within that time.
 const PEERS_DISTRUSTED_FOR: Span = Span::from_ms(2_500);
 
-struct Connection {
-    /// The number that events were asked after.
-    asked: u64,
-    is_proven: bool,
-    /// When something last came on it.
-    last_heard: Time,
-    /// Nothing that follows has come on it yet.
-    is_new: bool,
-}
-
-/// Events of peers that the coordinator's connection has not brought yet.
-#[derive(Clone, Copy)]
-struct AwaitedEvents {
-    first: u64,
-    since: Time,
-}
-
-impl AwaitedEvents {
-    fn after(position: EventPosition, now: Time) -> AwaitedEvents {
-        AwaitedEvents {
-            first: position.number + 1,
-            since: now,
-        }
-    }
-}
-
 /// What is known of the coordinator's numbering.
 pub struct Numbering {
     last: EventPosition,
