--- a/crates/flaxdeck-control/src/planner/reports.rs
+++ b/crates/flaxdeck-control/src/planner/reports.rs
@@ -38,7 +38,7 @@
         let grants = report
             .lease_reports
             .iter()
-            .filter_map(|lease_report| self.trade(now, from, seen, lease_report))
+            .filter_map(|lease_report| self.apply_lease_report(now, from, seen, lease_report))
             .collect();
         let lends = |lease_report: &LeaseReport| lease_report.deposit > QuotaFraction::NONE;
         if seen.is_some() && report.lease_reports.iter().any(lends) {
@@ -138,7 +138,7 @@
     }
 
     /// Takes in what a forwarder lends and demands of one incarnation; gives the grant, if any.
-    fn trade(
+    fn apply_lease_report(
         &mut self,
         now: Time,
         from: Epoch,
--- a/crates/flaxdeck-control/tests/common/mod.rs
+++ b/crates/flaxdeck-control/tests/common/mod.rs
@@ -95,6 +95,20 @@
     report
 }
 
+/// So many round trips with the same observation, 200 ms apart, from when own shares may be used.
+pub(crate) fn trips(
+    count: u64,
+    forwarder: &mut ForwarderSession,
+    planner: &mut Planner,
+    observation: Observation,
+) {
+    for n in 0..count {
+        let now = at(OWN_SHARE_MS + n * 200);
+        trip(now, forwarder, planner, std::slice::from_ref(&observation));
+    }
+}
+
+/// What a forwarder may use of the warming host; none if it is not told.
 pub(crate) fn share(forwarder: &mut ForwarderSession, now: Time) -> Option<f64> {
     forwarder
         .hints(now)
--- a/crates/flaxdeck-control/tests/invalid_messages.rs
+++ b/crates/flaxdeck-control/tests/invalid_messages.rs
@@ -9,7 +9,7 @@
 mod common;
 
 use common::{
-    OWN_SHARE_MS, PLANNER, at, observation, options, planner, position, share, trip, warming,
+    OWN_SHARE_MS, PLANNER, at, observation, options, planner, position, share, trips, warming,
 };
 use flaxdeck::{HostId, Observation, SourceMeasurements};
 use flaxdeck_control::forwarder::{ForwarderSession, Freshness};
@@ -110,14 +110,7 @@
     let mut planner = planner(at(0), 1, 0.0);
     let mut forwarder = ForwarderSession::start(at(0), Epoch(10), options(), 1);
     let pressed = [observation(warming(0.5, 0.4, 0.1))];
-    for n in 0..2 {
-        trip(
-            at(OWN_SHARE_MS + n * 200),
-            &mut forwarder,
-            &mut planner,
-            &pressed,
-        );
-    }
+    trips(2, &mut forwarder, &mut planner, pressed[0].clone());
     for times in 1..=3 {
         let now = at(OWN_SHARE_MS + 400 + times);
         forwarder.update_usage(now, &pressed);
@@ -185,7 +178,7 @@
 }
 
 #[test]
-fn a_planner_passes_over_what_cannot_be_and_hosts_that_nobody_listed() {
+fn a_planner_skips_hosts_that_nobody_listed_and_refuses_stamps_from_the_future() {
     let mut planner = planner(at(0), 1, 0.0);
     let mut forwarder = ForwarderSession::start(at(0), Epoch(10), options(), 1);
     let unlisted = Observation {
@@ -193,14 +186,7 @@
         last_success: Some(at(5_900)),
         ..observation(warming(0.5, 0.4, 0.5))
     };
-    for n in 0..2 {
-        trip(
-            at(OWN_SHARE_MS + n * 200),
-            &mut forwarder,
-            &mut planner,
-            std::slice::from_ref(&unlisted),
-        );
-    }
+    trips(2, &mut forwarder, &mut planner, unlisted);
     assert!(planner.counters.unlisted >= 2, "{:?}", planner.counters);
     assert_eq!(
         planner.load(at(OWN_SHARE_MS + 200)).pools,
--- a/crates/flaxdeck-control/tests/lending.rs
+++ b/crates/flaxdeck-control/tests/lending.rs
@@ -10,7 +10,7 @@
 
 use common::{
     OWN_SHARE_MS, PLANNER, at, lease_terms, observation, options, planner, position, share, trip,
-    warming,
+    trips, warming,
 };
 use flaxdeck::{Observation, Span};
 use flaxdeck_control::MessageError;
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_forwarder_without_a_seat_lives_on_grants_and_has_one_within_a_report() {
+fn a_forwarder_without_a_slot_lives_on_grants_and_has_one_within_a_report() {
     let mut planner = planner(at(0), 1, 0.2);
     let mut guest = ForwarderSession::start(
         at(20_000),
@@ -112,41 +112,35 @@
 }
 
 #[test]
-fn what_nobody_else_wants_is_not_lent() {
+fn what_nobody_else_demands_is_not_lent() {
     let mut planner = planner(at(0), 1, 0.0);
     let mut idle = ForwarderSession::start(at(0), Epoch(10), options(), 1);
-    for n in 0..3 {
-        trip(
-            at(OWN_SHARE_MS + n * 200),
-            &mut idle,
-            &mut planner,
-            &[observation(warming(0.5, 0.0, 0.0))],
-        );
-    }
+    trips(
+        3,
+        &mut idle,
+        &mut planner,
+        observation(warming(0.5, 0.0, 0.0)),
+    );
     assert_eq!(share(&mut idle, at(OWN_SHARE_MS + 400)), Some(0.5));
 }
 
 #[test]
-fn a_host_that_starts_again_is_another_life_with_nothing_lent_of_it() {
+fn a_host_that_starts_again_is_another_incarnation_with_nothing_lent_of_it() {
     let mut planner = planner(at(0), 1, 0.0);
     let mut busy = ForwarderSession::start(at(0), Epoch(11), options(), 1);
-    for n in 0..3 {
-        trip(
-            at(OWN_SHARE_MS + n * 200),
-            &mut busy,
-            &mut planner,
-            &[observation(warming(0.5, 0.4, 0.6))],
-        );
-    }
+    trips(
+        3,
+        &mut busy,
+        &mut planner,
+        observation(warming(0.5, 0.4, 0.6)),
+    );
     let mut idle = ForwarderSession::start(at(0), Epoch(10), options(), 1);
-    for n in 0..3 {
-        trip(
-            at(OWN_SHARE_MS + n * 200),
-            &mut idle,
-            &mut planner,
-            &[observation(warming(0.5, 0.0, 0.0))],
-        );
-    }
+    trips(
+        3,
+        &mut idle,
+        &mut planner,
+        observation(warming(0.5, 0.0, 0.0)),
+    );
     assert!(share(&mut idle, at(OWN_SHARE_MS + 400)).unwrap() < 0.06);
     let again = Observation {
         started: Some(at(OWN_SHARE_MS + 450)),
--- a/crates/flaxdeck-recovery/src/numbering.rs
+++ b/crates/flaxdeck-recovery/src/numbering.rs
@@ -196,7 +196,11 @@
             .is_some_and(|awaited| position.number >= awaited.first)
         {
             let is_last = position.number == self.last.number;
-            self.awaited = (!is_last).then(|| AwaitedEvents::after(position, now));
+            self.awaited = if is_last {
+                None
+            } else {
+                Some(AwaitedEvents::after(position, now))
+            };
         }
         EventAction::Skip
     }
