--- a/crates/flaxdeck-channel/src/authenticated.rs
+++ b/crates/flaxdeck-channel/src/authenticated.rs
@@ -10,9 +10,7 @@
 //! from another connection, of the other side, out of its place or doubled does not open, and a greeting played
 //! again meets another nonce. Nothing is kept secret, only genuine.
 
-use bytes::Buf;
-use bytes::Bytes;
-use bytes::BytesMut;
+use bytes::{Buf, Bytes, BytesMut};
 use flaxdeck_wire::Parsed;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/flaxdeck-channel/src/connection.rs
+++ b/crates/flaxdeck-channel/src/connection.rs
@@ -9,8 +9,7 @@
 use std::time::Duration;
 
 use flaxdeck_net::link;
-use flaxdeck_net::link::Inbound;
-use flaxdeck_net::link::Outbound;
+use flaxdeck_net::link::{Inbound, Outbound};
 use flaxdeck_net::metrics::count_message;
 use flaxdeck_wire::Parsed;
 use rand::Rng;
@@ -18,19 +17,12 @@
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 use tokio::net::TcpStream;
-use tokio::time::Instant;
-use tokio::time::sleep_until;
-use tokio::time::timeout;
-
-use crate::authenticated::FrameSigner;
-use crate::authenticated::FrameVerifier;
-use crate::authenticated::GREETING;
-use crate::authenticated::Greeting;
-use crate::authenticated::InvalidFrame;
-use crate::authenticated::Key;
-use crate::authenticated::Role;
-use crate::message_kind::Message;
-use crate::message_kind::MessageKind;
+use tokio::time::{Instant, sleep_until, timeout};
+
+use crate::authenticated::{
+    FrameSigner, FrameVerifier, GREETING, Greeting, InvalidFrame, Key, Role,
+};
+use crate::message_kind::{Message, MessageKind};
 
 /// How long connecting may take, and greeting after that.
 const GREETING_TIMEOUT: Duration = Duration::from_millis(1000);
--- a/crates/flaxdeck-channel/src/message_kind.rs
+++ b/crates/flaxdeck-channel/src/message_kind.rs
@@ -1,12 +1,10 @@
 //! The kinds of messages that the counters of traffic tell apart: each has one counter of messages and one of bytes,
 //! each way.
 
-use flaxdeck_control::messages::Guidance;
-use flaxdeck_control::messages::Report;
+use flaxdeck_control::messages::{Guidance, Report};
 use flaxdeck_net::metrics::Counter;
 
-use crate::messages::FromForwarder;
-use crate::messages::FromPlanner;
+use crate::messages::{FromForwarder, FromPlanner};
 
 /// What a message between a forwarder and a planner counts as.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/flaxdeck-channel/src/messages.rs
+++ b/crates/flaxdeck-channel/src/messages.rs
@@ -1,11 +1,8 @@
 //! What a forwarder and a planner send each other: one type each way, so that a frame tells what it holds.
 
-use flaxdeck_control::messages::Guidance;
-use flaxdeck_control::messages::Report;
-use flaxdeck_distribution::messages::Delivery;
-use flaxdeck_distribution::messages::Subscription;
-use serde::Deserialize;
-use serde::Serialize;
+use flaxdeck_control::messages::{Guidance, Report};
+use flaxdeck_distribution::messages::{Delivery, Subscription};
+use serde::{Deserialize, Serialize};
 
 /// What a forwarder sends to a planner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/flaxdeck-channel/src/watch/mod.rs
+++ b/crates/flaxdeck-channel/src/watch/mod.rs
@@ -10,33 +10,22 @@
 
 use bytes::Bytes;
 use flaxdeck::Span;
-use flaxdeck_net::clock;
 use flaxdeck_net::clock::Clock;
-use flaxdeck_net::link;
-use flaxdeck_net::link::Inbound;
-use flaxdeck_net::link::Outbound;
-use flaxdeck_net::metrics::Counter;
-use flaxdeck_net::metrics::count;
-use flaxdeck_net::metrics::count_message;
+use flaxdeck_net::link::{Inbound, Outbound};
+use flaxdeck_net::metrics::{Counter, count, count_message};
+use flaxdeck_net::{clock, link};
 use flaxdeck_recovery::EventPosition;
 use flaxdeck_recovery::numbering::Numbering;
 use flaxdeck_terms::Names;
 use flaxdeck_terms::fields::Fields;
-use flaxdeck_wire::Parsed;
-use flaxdeck_wire::frames;
-pub use flaxdeck_wire::frames::Event;
-use flaxdeck_wire::frames::KnownEvents;
-use flaxdeck_wire::frames::KnownEventsError;
-pub use flaxdeck_wire::frames::NumberedEvents;
-use tokio::time::Instant;
-use tokio::time::sleep;
-use tokio::time::timeout;
+pub use flaxdeck_wire::frames::{Event, NumberedEvents};
+use flaxdeck_wire::frames::{KnownEvents, KnownEventsError};
+use flaxdeck_wire::{Parsed, frames};
+use tokio::time::{Instant, sleep, timeout};
 
 pub use expedited_reconnect::ExpeditedReconnect;
-use protocol::Action;
-use protocol::Disconnect;
 pub use protocol::WatchEvent;
-use protocol::WatchProtocol;
+use protocol::{Action, Disconnect, WatchProtocol};
 
 /// How long a connection to the coordinator may take to come up: as long as the longest pause between two.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
--- a/crates/flaxdeck-channel/src/watch/protocol.rs
+++ b/crates/flaxdeck-channel/src/watch/protocol.rs
@@ -8,18 +8,11 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use flaxdeck::Span;
-use flaxdeck::Time;
-use flaxdeck_recovery::EventPosition;
-use flaxdeck_recovery::LiveEdge;
-use flaxdeck_recovery::ReconnectBackoff;
-use flaxdeck_recovery::numbering::EventAction;
-use flaxdeck_recovery::numbering::MissedPeriod;
-use flaxdeck_recovery::numbering::Numbering;
-use flaxdeck_recovery::numbering::ReconnectReason;
+use flaxdeck::{Span, Time};
+use flaxdeck_recovery::numbering::{EventAction, MissedPeriod, Numbering, ReconnectReason};
+use flaxdeck_recovery::{EventPosition, LiveEdge, ReconnectBackoff};
 use flaxdeck_wire::Malformed;
-use flaxdeck_wire::frames::Event;
-use flaxdeck_wire::frames::Frame;
+use flaxdeck_wire::frames::{Event, Frame};
 use thiserror::Error;
 
 /// A frame comes each second; two missing are a dead connection. What a coordinator that stopped would have announced
--- a/crates/flaxdeck-channel/tests/connections.rs
+++ b/crates/flaxdeck-channel/tests/connections.rs
@@ -8,8 +8,7 @@
 
 use std::time::{Duration, Instant};
 
-use flaxdeck_channel::authenticated::InvalidFrame;
-use flaxdeck_channel::authenticated::Key;
+use flaxdeck_channel::authenticated::{InvalidFrame, Key};
 use flaxdeck_channel::connection::{self, CloseReason, Connection};
 use flaxdeck_control::messages::{Envelope, Epoch, Guidance, Measurements, Rating, Report};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/flaxdeck-channel/tests/watch_protocol.rs
+++ b/crates/flaxdeck-channel/tests/watch_protocol.rs
@@ -7,19 +7,11 @@
 )]
 
 use bytes::Bytes;
-use flaxdeck::GroupId;
-use flaxdeck::ObjectId;
-use flaxdeck::Span;
-use flaxdeck::Time;
-use flaxdeck_channel::watch::Event;
-use flaxdeck_channel::watch::WatchEvent;
-use flaxdeck_channel::watch::protocol::Action;
-use flaxdeck_channel::watch::protocol::Disconnect;
-use flaxdeck_channel::watch::protocol::Timeout;
-use flaxdeck_channel::watch::protocol::WatchProtocol;
+use flaxdeck::{GroupId, ObjectId, Span, Time};
+use flaxdeck_channel::watch::protocol::{Action, Disconnect, Timeout, WatchProtocol};
+use flaxdeck_channel::watch::{Event, WatchEvent};
 use flaxdeck_recovery::EventPosition;
-use flaxdeck_recovery::numbering::Numbering;
-use flaxdeck_recovery::numbering::ReconnectReason;
+use flaxdeck_recovery::numbering::{Numbering, ReconnectReason};
 use flaxdeck_wire::Malformed;
 use flaxdeck_wire::frames::Frame;
 
--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -4,23 +4,16 @@
 use std::rc::Rc;
 
 use flaxdeck::Span;
-use flaxdeck_channel::watch::Event;
-use flaxdeck_channel::watch::NumberedEvents;
-use flaxdeck_channel::watch::Watch;
+use flaxdeck_channel::watch::{Event, NumberedEvents, Watch};
 use flaxdeck_control::messages::Epoch;
 use flaxdeck_net::clock::Clock;
 use flaxdeck_recovery::EventPosition;
 use serde_json::Value;
 
-use crate::program::ConfigurationError;
-use crate::program::start;
 use crate::program::start::Start;
-pub use crate::routing::AppliedEvents;
-use crate::routing::ControlClientOptions;
-pub use crate::routing::EventListener;
-use crate::routing::Router;
-use crate::routing::StateDirectory;
-use crate::routing::restore;
+use crate::program::{ConfigurationError, start};
+pub use crate::routing::{AppliedEvents, EventListener};
+use crate::routing::{ControlClientOptions, Router, StateDirectory, restore};
 
 /// The control side of a forwarder that takes no clients, on the `LocalSet` of the thread that started it. It owns all
 /// tasks that it has started: they end when it is dropped.
--- a/crates/flaxdeck-dispatcher/src/lib.rs
+++ b/crates/flaxdeck-dispatcher/src/lib.rs
@@ -7,6 +7,4 @@
 mod routing;
 
 pub use program::{ConfigurationError, RunError, StartError, run, run_guided};
-pub use routing::ControlClientOptions;
-pub use routing::StateDirectory;
-pub use routing::SubscriptionOptions;
+pub use routing::{ControlClientOptions, StateDirectory, SubscriptionOptions};
--- a/crates/flaxdeck-dispatcher/src/routing/client_connections.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/client_connections.rs
@@ -1,16 +1,13 @@
 //! All connections of clients: how many there may be, and which make room for others.
 
-use std::cell::Cell;
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
-use std::rc::Rc;
-use std::rc::Weak;
+use std::rc::{Rc, Weak};
 
 use flaxdeck_net::budget::Budget;
 use flaxdeck_net::eviction;
 use flaxdeck_net::eviction::Eviction;
-use flaxdeck_net::metrics::Counter;
-use flaxdeck_net::metrics::count;
+use flaxdeck_net::metrics::{Counter, count};
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -1,7 +1,6 @@
 //! Client connections: a task each.
 
-use std::cell::Cell;
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,22 +9,17 @@
 use flaxdeck_net::budget::Permit;
 use flaxdeck_net::link::LINGER;
 use flaxdeck_net::listener::Listener;
-use flaxdeck_net::metrics::Counter;
-use flaxdeck_net::metrics::count;
+use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_wire::ClientRequest;
 use tokio::net::TcpStream;
-use tokio::task::spawn_local;
-use tokio::task::yield_now;
-use tokio::time::Instant;
-use tokio::time::sleep;
-use tokio::time::timeout;
+use tokio::task::{spawn_local, yield_now};
+use tokio::time::{Instant, sleep, timeout};
 
 use super::Router;
 use super::request_table::RequestTable;
-use crate::protocol::client_connection::ClientConnection;
-use crate::protocol::client_connection::ClientEvent;
-use crate::protocol::client_connection::ConnectionHandle;
-use crate::protocol::client_connection::DirectAnswer;
+use crate::protocol::client_connection::{
+    ClientConnection, ClientEvent, ConnectionHandle, DirectAnswer,
+};
 
 /// Requests that one connection may have open by the protocol.
 const MAX_OPEN: usize = 32;
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/connecting.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/connecting.rs
@@ -4,14 +4,11 @@
 
 use flaxdeck::Span;
 use flaxdeck_channel::connection;
-use flaxdeck_channel::connection::CloseReason;
-use flaxdeck_channel::connection::Connection;
-use flaxdeck_channel::connection::Receiver;
+use flaxdeck_channel::connection::{CloseReason, Connection, Receiver};
 use flaxdeck_channel::messages::FromPlanner;
 use flaxdeck_control::membership::PlannerId;
 use flaxdeck_net::clock;
-use flaxdeck_net::metrics::Counter;
-use flaxdeck_net::metrics::count;
+use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_recovery::ReconnectBackoff;
 use tokio::time::sleep;
 
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/coordinator_clock.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/coordinator_clock.rs
@@ -1,17 +1,10 @@
 //! How far apart this process's clock and the coordinator's are, by events that have just happened.
 
-use std::cell::Cell;
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 
-use flaxdeck::Endpoint;
-use flaxdeck::ListKind;
-use flaxdeck::Observation;
-use flaxdeck::PeerHints;
-use flaxdeck::Span;
-use flaxdeck::Time;
+use flaxdeck::{Endpoint, ListKind, Observation, PeerHints, Span, Time};
 use flaxdeck_channel::watch::Event;
-use flaxdeck_net::metrics::Counter;
-use flaxdeck_net::metrics::count;
+use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_recovery::clocks;
 use flaxdeck_recovery::clocks::ClockOffset;
 
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/delivery.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/delivery.rs
@@ -3,30 +3,23 @@
 
 use std::rc::Rc;
 
-use flaxdeck::GroupId;
-use flaxdeck::ObjectId;
-use flaxdeck::Time;
 use flaxdeck::polled::Input;
+use flaxdeck::{GroupId, ObjectId, Time};
 use flaxdeck_channel::messages::FromForwarder;
 use flaxdeck_channel::watch::Event;
 use flaxdeck_control::membership::PlannerId;
-use flaxdeck_distribution::Applied;
-use flaxdeck_distribution::Fingerprint;
-use flaxdeck_distribution::messages::Delivery;
-use flaxdeck_distribution::messages::FullEvent;
-use flaxdeck_net::metrics::Counter;
-use flaxdeck_net::metrics::count;
+use flaxdeck_distribution::messages::{Delivery, FullEvent};
+use flaxdeck_distribution::{Applied, Fingerprint};
+use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_recovery::EventPosition;
 use flaxdeck_recovery::numbering::MissedPeriod;
 use flaxdeck_terms::Names;
 use flaxdeck_wire::frames;
-use tokio::time::Instant;
-use tokio::time::sleep_until;
+use tokio::time::{Instant, sleep_until};
 
 use super::ControlClient;
 use super::subscription::EventSubscription;
-use crate::routing::AppliedEvents;
-use crate::routing::Router;
+use crate::routing::{AppliedEvents, Router};
 
 /// Renews the subscription when something falls due by itself, until the client is stopped.
 pub(super) async fn renew_subscription(client: Rc<ControlClient>, router: Rc<Router>) {
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/endpoint_records.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/endpoint_records.rs
@@ -3,9 +3,7 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-use flaxdeck::Endpoint;
-use flaxdeck::HostId;
-use flaxdeck::Time;
+use flaxdeck::{Endpoint, HostId, Time};
 use flaxdeck_recovery::unconfirmed::UnconfirmedEndpoints;
 use flaxdeck_wire::frames::AddressedEndpoint;
 
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/guidance.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/guidance.rs
@@ -7,13 +7,10 @@
 use flaxdeck::polled::Input;
 use flaxdeck_control::forwarder::Freshness;
 use flaxdeck_control::membership::PlannerId;
-use flaxdeck_control::messages::Guidance;
-use flaxdeck_control::messages::RelayedEvent;
-use flaxdeck_net::metrics::Counter;
-use flaxdeck_net::metrics::count;
+use flaxdeck_control::messages::{Guidance, RelayedEvent};
+use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_wire::frames;
-use tokio::time::Instant;
-use tokio::time::sleep_until;
+use tokio::time::{Instant, sleep_until};
 
 use super::ControlClient;
 use super::session::FreshnessChange;
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/mod.rs
@@ -29,21 +29,16 @@
 mod stored_state;
 mod subscription;
 
-use std::cell::OnceCell;
-use std::cell::RefCell;
+use std::cell::{OnceCell, RefCell};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 
-use flaxdeck::Endpoint;
-use flaxdeck::Time;
+use flaxdeck::{Endpoint, Time};
 use flaxdeck_channel::authenticated::Key;
-use flaxdeck_channel::watch::Event;
-use flaxdeck_channel::watch::ExpeditedReconnect;
-use flaxdeck_channel::watch::Watch;
-use flaxdeck_control::forwarder::ForwarderOptions;
-use flaxdeck_control::forwarder::ForwarderSession;
+use flaxdeck_channel::watch::{Event, ExpeditedReconnect, Watch};
+use flaxdeck_control::forwarder::{ForwarderOptions, ForwarderSession};
 use flaxdeck_control::membership::PlannerId;
 use flaxdeck_control::messages::Epoch;
 use flaxdeck_net::metrics::assert_invariant;
@@ -54,8 +49,7 @@
 use tokio::sync::Notify;
 
 use super::Router;
-use super::persistence::StateDirectory;
-use super::persistence::StateWriter;
+use super::persistence::{StateDirectory, StateWriter};
 use super::task_set::TaskSet;
 use coordinator_clock::CoordinatorClock;
 use endpoint_records::EndpointRecords;
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/purges.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/purges.rs
@@ -1,15 +1,11 @@
 //! Purges of single objects, which planners send as fingerprints: the decision engine is told of one only once its
 //! object is asked for.
 
-use std::cell::Cell;
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-use flaxdeck::ObjectId;
-use flaxdeck::Span;
-use flaxdeck::Time;
-use flaxdeck_distribution::Fingerprint;
-use flaxdeck_distribution::PurgeIndex;
+use flaxdeck::{ObjectId, Span, Time};
+use flaxdeck_distribution::{Fingerprint, PurgeIndex};
 
 /// What is reported is forgotten after so many times as long as a purge takes to settle.
 const REMEMBERED_SETTLES: f64 = 2.0;
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/reporting.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/reporting.rs
@@ -2,14 +2,10 @@
 
 use std::rc::Rc;
 
-use flaxdeck::ListKind;
-use flaxdeck::Observation;
-use flaxdeck::Time;
+use flaxdeck::{ListKind, Observation, Time};
 use flaxdeck_channel::messages::FromForwarder;
-use flaxdeck_net::metrics::Counter;
-use flaxdeck_net::metrics::count;
-use tokio::time::MissedTickBehavior;
-use tokio::time::interval;
+use flaxdeck_net::metrics::{Counter, count};
+use tokio::time::{MissedTickBehavior, interval};
 
 use super::ControlClient;
 use crate::routing::Router;
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/session.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/session.rs
@@ -1,22 +1,13 @@
 //! The session with the planners: the state machine of `flaxdeck_control::forwarder`, and how fresh its guidance was
 //! when the decision engine was last told.
 
-use std::cell::Cell;
-use std::cell::RefCell;
-
-use flaxdeck::Observation;
-use flaxdeck::PeerHints;
-use flaxdeck::Sampled;
-use flaxdeck::Span;
-use flaxdeck::Time;
-use flaxdeck::ZoneId;
+use std::cell::{Cell, RefCell};
+
+use flaxdeck::{Observation, PeerHints, Sampled, Span, Time, ZoneId};
 use flaxdeck_control::MessageError;
-use flaxdeck_control::forwarder::ForwarderSession;
-use flaxdeck_control::forwarder::Freshness;
+use flaxdeck_control::forwarder::{ForwarderSession, Freshness};
 use flaxdeck_control::membership::PlannerId;
-use flaxdeck_control::messages::Guidance;
-use flaxdeck_control::messages::RelayedEvent;
-use flaxdeck_control::messages::Report;
+use flaxdeck_control::messages::{Guidance, RelayedEvent, Report};
 use flaxdeck_control::quotas::LeaseTotals;
 use flaxdeck_recovery::EventPosition;
 use tokio::sync::Notify;
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/startup_gate.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/startup_gate.rs
@@ -2,11 +2,9 @@
 
 use std::cell::RefCell;
 
-use flaxdeck::Span;
-use flaxdeck::Time;
+use flaxdeck::{Span, Time};
 use flaxdeck_net::clock::Clock;
-use flaxdeck_recovery::startup::Startup;
-use flaxdeck_recovery::startup::WithoutContact;
+use flaxdeck_recovery::startup::{Startup, WithoutContact};
 use tokio::sync::Notify;
 use tokio::time::sleep_until;
 
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/stored_state.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/stored_state.rs
@@ -2,22 +2,16 @@
 
 use std::rc::Rc;
 
-use flaxdeck::Observation;
-use flaxdeck::Time;
 use flaxdeck::polled::Input;
+use flaxdeck::{Observation, Time};
 use flaxdeck_channel::watch::Event;
-use flaxdeck_net::metrics::Counter;
-use flaxdeck_net::metrics::assert_invariant;
-use flaxdeck_net::metrics::count;
+use flaxdeck_net::metrics::{Counter, assert_invariant, count};
 use flaxdeck_recovery::EventPosition;
 use tokio::sync::mpsc::UnboundedReceiver;
 
 use super::ControlClient;
 use crate::routing::Router;
-use crate::routing::persistence::PreviousState;
-use crate::routing::persistence::StateDirectory;
-use crate::routing::persistence::StateWriter;
-use crate::routing::persistence::WriteEvent;
+use crate::routing::persistence::{PreviousState, StateDirectory, StateWriter, WriteEvent};
 
 /// Acts on what the writer's thread answers, until the client is stopped.
 async fn receive_write_events(
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/subscription.rs
@@ -1,19 +1,12 @@
 //! The state of a subscription: one planner delivers events in batches, and the coordinator itself is asked only where
 //! no planner delivers. What is applied is decided in `flaxdeck_distribution`.
 
-use std::cell::Cell;
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 
-use flaxdeck::Span;
-use flaxdeck::Time;
+use flaxdeck::{Span, Time};
 use flaxdeck_control::membership::PlannerId;
-use flaxdeck_distribution::Applied;
-use flaxdeck_distribution::Cadence;
-use flaxdeck_distribution::DeliveryError;
-use flaxdeck_distribution::PlannerNumber;
-use flaxdeck_distribution::Subscriber;
-use flaxdeck_distribution::messages::Delivery;
-use flaxdeck_distribution::messages::Subscription;
+use flaxdeck_distribution::messages::{Delivery, Subscription};
+use flaxdeck_distribution::{Applied, Cadence, DeliveryError, PlannerNumber, Subscriber};
 use flaxdeck_recovery::EventPosition;
 use tokio::sync::Notify;
 
--- a/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
@@ -2,9 +2,7 @@
 
 use std::rc::Rc;
 
-use flaxdeck_channel::watch::NumberedEvents;
-use flaxdeck_channel::watch::Watch;
-use flaxdeck_channel::watch::WatchEvent;
+use flaxdeck_channel::watch::{NumberedEvents, Watch, WatchEvent};
 use flaxdeck_net::budget::Bounds;
 
 use super::Router;
--- a/crates/flaxdeck-dispatcher/src/routing/events.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/events.rs
@@ -1,17 +1,12 @@
 //! Events of the coordinator, whoever brought them: each is recorded, stored and told to the decision engine, and then
 //! whoever listens is notified that it is in force.
 
-use flaxdeck::Endpoint;
-use flaxdeck::GroupId;
-use flaxdeck::ListKind;
-use flaxdeck::Time;
 use flaxdeck::polled::Input;
+use flaxdeck::{Endpoint, GroupId, ListKind, Time};
 use flaxdeck_channel::watch::Event;
-use flaxdeck_net::metrics::Counter;
-use flaxdeck_net::metrics::count;
-use flaxdeck_recovery::EventPosition;
+use flaxdeck_net::metrics::{Counter, count};
 use flaxdeck_recovery::numbering::MissedPeriod;
-use flaxdeck_recovery::unconfirmed;
+use flaxdeck_recovery::{EventPosition, unconfirmed};
 use flaxdeck_wire::frames::AddressedEndpoint;
 
 use super::Router;
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -19,37 +19,22 @@
 mod requests;
 mod task_set;
 
-use std::cell::OnceCell;
-use std::cell::RefCell;
+use std::cell::{OnceCell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 
-use flaxdeck::AttemptIndex;
-use flaxdeck::Clearance;
-use flaxdeck::DeploymentTerms;
-use flaxdeck::RequestId;
-use flaxdeck::Span;
-use flaxdeck::Time;
-use flaxdeck::ZoneId;
-use flaxdeck::polled::Input;
-use flaxdeck::polled::PolledEngine;
-use flaxdeck::polled::Step;
+use flaxdeck::polled::{Input, PolledEngine, Step};
+use flaxdeck::{AttemptIndex, Clearance, DeploymentTerms, RequestId, Span, Time, ZoneId};
 use flaxdeck_channel::watch::Watch;
-use flaxdeck_net::budget::Bounds;
-use flaxdeck_net::budget::Budget;
+use flaxdeck_net::budget::{Bounds, Budget};
 use flaxdeck_net::clock::Clock;
-use flaxdeck_terms::ConnectionTerms;
-use flaxdeck_terms::Names;
+use flaxdeck_terms::{ConnectionTerms, Names};
 use tokio::sync::Notify;
-use tokio::time::Instant;
-use tokio::time::interval;
-use tokio::time::sleep_until;
+use tokio::time::{Instant, interval, sleep_until};
 
 pub(crate) use clients::accept;
-pub use control_client::ControlClientOptions;
-pub use control_client::SubscriptionOptions;
-pub use events::AppliedEvents;
-pub use events::EventListener;
+pub use control_client::{ControlClientOptions, SubscriptionOptions};
+pub use events::{AppliedEvents, EventListener};
 pub use persistence::StateDirectory;
 pub(crate) use persistence::restore;
 
--- a/crates/flaxdeck-dispatcher/src/routing/persistence/conversion.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/persistence/conversion.rs
@@ -1,27 +1,15 @@
 //! Between the events and observations of a running forwarder and their stored form.
 
-use flaxdeck::CellId;
-use flaxdeck::Endpoint;
-use flaxdeck::GroupId;
-use flaxdeck::Health;
-use flaxdeck::HostId;
-use flaxdeck::ListKind;
-use flaxdeck::ObjectId;
-use flaxdeck::Observation;
-use flaxdeck::PeerHint;
-use flaxdeck::Role;
-use flaxdeck::SourceMeasurements;
-use flaxdeck::Span;
-use flaxdeck::Time;
-use flaxdeck::ZoneId;
+use flaxdeck::{
+    CellId, Endpoint, GroupId, Health, HostId, ListKind, ObjectId, Observation, PeerHint, Role,
+    SourceMeasurements, Span, Time, ZoneId,
+};
 use flaxdeck_channel::watch::Event;
 use flaxdeck_net::clock::since_boot;
 use flaxdeck_recovery::EventPosition;
-use flaxdeck_recovery::stored_state::StateChange;
-use flaxdeck_recovery::stored_state::StoredEndpoint;
-use flaxdeck_recovery::stored_state::StoredPurge;
-use flaxdeck_recovery::stored_state::StoredRating;
-use flaxdeck_recovery::stored_state::Uptime;
+use flaxdeck_recovery::stored_state::{
+    StateChange, StoredEndpoint, StoredPurge, StoredRating, Uptime,
+};
 use flaxdeck_wire::frames::AddressedEndpoint;
 
 /// Roles by their stored numbers; a number past the end reads as the last.
--- a/crates/flaxdeck-dispatcher/src/routing/persistence/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/persistence/mod.rs
@@ -12,8 +12,7 @@
 
 use std::path::PathBuf;
 
-pub(crate) use restore::PreviousState;
-pub(crate) use restore::restore;
+pub(crate) use restore::{PreviousState, restore};
 pub(crate) use state_writer::StateWriter;
 pub(crate) use writer_thread::WriteEvent;
 
--- a/crates/flaxdeck-dispatcher/src/routing/persistence/restore.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/persistence/restore.rs
@@ -2,28 +2,17 @@
 
 use std::time::Instant;
 
-use flaxdeck::ListKind;
-use flaxdeck::PeerHint;
-use flaxdeck::Span;
+use flaxdeck::{ListKind, PeerHint, Span};
 use flaxdeck_channel::watch::Event;
 use flaxdeck_net::clock::Clock;
-use flaxdeck_net::metrics::Counter;
-use flaxdeck_net::metrics::count;
-use flaxdeck_recovery::EventPosition;
-use flaxdeck_recovery::restored_state;
-use flaxdeck_recovery::restored_state::CurrentFacts;
-use flaxdeck_recovery::restored_state::RestoredState;
-use flaxdeck_recovery::restored_state::Verdict;
+use flaxdeck_net::metrics::{Counter, count};
+use flaxdeck_recovery::restored_state::{CurrentFacts, RestoredState, Verdict};
 use flaxdeck_recovery::stored_state::StoredState;
-use flaxdeck_store::Folder;
-use flaxdeck_store::StoreContents;
-use flaxdeck_store::inspect;
+use flaxdeck_recovery::{EventPosition, restored_state};
+use flaxdeck_store::{Folder, StoreContents, inspect};
 
 use super::StateDirectory;
-use super::conversion::addressed_endpoint;
-use super::conversion::hint;
-use super::conversion::purge_event;
-use super::conversion::uptime;
+use super::conversion::{addressed_endpoint, hint, purge_event, uptime};
 
 /// What an earlier run left, as far as it is believed. Empty if there is none.
 #[derive(Default)]
--- a/crates/flaxdeck-dispatcher/src/routing/persistence/state_writer.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/persistence/state_writer.rs
@@ -1,36 +1,21 @@
 //! The state to be stored, and when what of it goes to the thread that writes it.
 
-use std::cell::Cell;
-use std::cell::RefCell;
-use std::sync::mpsc::SyncSender;
-use std::sync::mpsc::TrySendError;
-use std::sync::mpsc::sync_channel;
+use std::cell::{Cell, RefCell};
+use std::sync::mpsc::{SyncSender, TrySendError, sync_channel};
 use std::thread;
 use std::time::Duration;
 
-use flaxdeck::Observation;
-use flaxdeck::Span;
-use flaxdeck::Time;
+use flaxdeck::{Observation, Span, Time};
 use flaxdeck_channel::watch::Event;
 use flaxdeck_net::clock::Clock;
-use flaxdeck_net::metrics::Counter;
-use flaxdeck_net::metrics::count;
-use flaxdeck_recovery::EventPosition;
-use flaxdeck_recovery::stored_state;
-use flaxdeck_recovery::stored_state::StateChange;
-use flaxdeck_recovery::stored_state::StoredState;
-use flaxdeck_recovery::stored_state::Uptime;
-use tokio::sync::mpsc::UnboundedReceiver;
-use tokio::sync::mpsc::unbounded_channel;
+use flaxdeck_net::metrics::{Counter, count};
+use flaxdeck_recovery::stored_state::{StateChange, StoredState, Uptime};
+use flaxdeck_recovery::{EventPosition, stored_state};
+use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
-use super::StateDirectory;
-use super::conversion::is_measured;
-use super::conversion::state_change;
-use super::conversion::stored_rating;
-use super::conversion::uptime;
-use super::writer_thread;
-use super::writer_thread::WriteEvent;
-use super::writer_thread::WriteJob;
+use super::conversion::{is_measured, state_change, stored_rating, uptime};
+use super::writer_thread::{WriteEvent, WriteJob};
+use super::{StateDirectory, writer_thread};
 
 /// Jobs that may wait for the disk; past that a whole snapshot takes their place.
 const MAX_QUEUED_JOBS: usize = 1_024;
--- a/crates/flaxdeck-dispatcher/src/routing/persistence/writer_thread.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/persistence/writer_thread.rs
@@ -1,13 +1,10 @@
 //! The thread that writes the state to disk: jobs in, events out. It ends with the first write that fails, or once
 //! nobody sends jobs any more.
 
-use std::sync::mpsc::Receiver;
-use std::sync::mpsc::SyncSender;
+use std::sync::mpsc::{Receiver, SyncSender};
 
 use flaxdeck::Time;
-use flaxdeck_store::Folder;
-use flaxdeck_store::Store;
-use flaxdeck_store::StoreError;
+use flaxdeck_store::{Folder, Store, StoreError};
 use tokio::sync::mpsc::UnboundedSender;
 
 use super::StateDirectory;
--- a/crates/flaxdeck-dispatcher/src/routing/request_table.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/request_table.rs
@@ -1,14 +1,11 @@
 //! The table of open requests, and the tasks that serve them.
 
-use std::cell::Cell;
-use std::cell::RefCell;
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 use bytes::Bytes;
-use flaxdeck::ObjectId;
-use flaxdeck::RequestId;
+use flaxdeck::{ObjectId, RequestId};
 use flaxdeck_net::metrics::assert_invariant;
 use tokio::sync::Notify;
 
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -3,28 +3,16 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use flaxdeck::Attempt;
-use flaxdeck::AttemptEnded;
-use flaxdeck::AttemptIndex;
-use flaxdeck::AttemptOutcome;
-use flaxdeck::Clearance;
-use flaxdeck::HostId;
-use flaxdeck::Request;
-use flaxdeck::RequestId;
-use flaxdeck::Span;
-use flaxdeck::polled::Input;
-use flaxdeck::polled::Step;
+use flaxdeck::polled::{Input, Step};
+use flaxdeck::{
+    Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, Clearance, HostId, Request, RequestId,
+    Span,
+};
 use flaxdeck_net::budget::Permit;
 use flaxdeck_net::clock::to_duration;
-use flaxdeck_net::metrics::Counter;
-use flaxdeck_net::metrics::assert_invariant;
-use flaxdeck_net::metrics::count;
-use flaxdeck_wire::Answer;
-use flaxdeck_wire::AttemptOptions;
-use flaxdeck_wire::ClientRequest;
-use flaxdeck_wire::HostReply;
-use tokio::task::AbortHandle;
-use tokio::task::JoinSet;
+use flaxdeck_net::metrics::{Counter, assert_invariant, count};
+use flaxdeck_wire::{Answer, AttemptOptions, ClientRequest, HostReply};
+use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::Instant;
 
 use super::Router;
--- a/crates/flaxdeck-dispatcher/src/routing/task_set.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/task_set.rs
@@ -1,13 +1,10 @@
 //! Tasks of this thread's `LocalSet` with an owner that ends them.
 
-use std::cell::Cell;
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use std::rc::Rc;
-use std::rc::Weak;
+use std::rc::{Rc, Weak};
 
-use tokio::task::AbortHandle;
-use tokio::task::spawn_local;
+use tokio::task::{AbortHandle, spawn_local};
 
 type Handles = RefCell<BTreeMap<u64, AbortHandle>>;
 
--- a/crates/flaxdeck-planner/src/coordinator.rs
+++ b/crates/flaxdeck-planner/src/coordinator.rs
@@ -2,8 +2,7 @@
 
 use std::rc::Rc;
 
-use flaxdeck_channel::watch::Watch;
-use flaxdeck_channel::watch::WatchEvent;
+use flaxdeck_channel::watch::{Watch, WatchEvent};
 
 use crate::state::State;
 
--- a/crates/flaxdeck-planner/src/events.rs
+++ b/crates/flaxdeck-planner/src/events.rs
@@ -4,24 +4,14 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use flaxdeck::Health;
-use flaxdeck::HostId;
-use flaxdeck::ListKind;
-use flaxdeck::Time;
+use flaxdeck::{Health, HostId, ListKind, Time};
 use flaxdeck_channel::watch::Event;
-use flaxdeck_distribution::Cadence;
-use flaxdeck_distribution::Content;
-use flaxdeck_distribution::Fingerprint;
-use flaxdeck_distribution::Publisher;
-use flaxdeck_distribution::Retention;
-use flaxdeck_distribution::SubscriberId;
-use flaxdeck_distribution::messages::Delivery;
-use flaxdeck_distribution::messages::Subscription;
+use flaxdeck_distribution::messages::{Delivery, Subscription};
 use flaxdeck_distribution::publisher::Counters;
+use flaxdeck_distribution::{Cadence, Content, Fingerprint, Publisher, Retention, SubscriberId};
 use flaxdeck_recovery::EventPosition;
 use flaxdeck_terms::Names;
-use flaxdeck_wire::frames::AddressedEndpoint;
-use flaxdeck_wire::frames::write_full_list;
+use flaxdeck_wire::frames::{AddressedEndpoint, write_full_list};
 
 /// How much a planner holds of the coordinator's events.
 pub(crate) struct Load {
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -35,10 +35,8 @@
 use std::path::PathBuf;
 
 use flaxdeck_channel::authenticated::Key;
-use flaxdeck_channel::watch::NumberedEvents;
-use flaxdeck_channel::watch::Watch;
-use flaxdeck_control::LeaseTerms;
-use flaxdeck_control::QuotaFraction;
+use flaxdeck_channel::watch::{NumberedEvents, Watch};
+use flaxdeck_control::{LeaseTerms, QuotaFraction};
 use flaxdeck_distribution::Cadence;
 use thiserror::Error;
 use tokio::task::LocalSet;
--- a/crates/flaxdeck-planner/src/publishing.rs
+++ b/crates/flaxdeck-planner/src/publishing.rs
@@ -2,8 +2,7 @@
 
 use std::rc::Rc;
 
-use tokio::time::Instant;
-use tokio::time::sleep_until;
+use tokio::time::{Instant, sleep_until};
 
 use crate::state::State;
 
--- a/crates/flaxdeck-planner/src/server.rs
+++ b/crates/flaxdeck-planner/src/server.rs
@@ -1,34 +1,24 @@
 //! The process: it starts the planner's tasks, owns them and ends them with the first signal.
 
-use std::io;
 use std::net::SocketAddr;
-use std::process;
 use std::rc::Rc;
 use std::time::Duration;
+use std::{io, process};
 
 use flaxdeck_channel::authenticated::Key;
 use flaxdeck_control::messages::Epoch;
 use flaxdeck_control::planner::Planner;
 use flaxdeck_net::budget::Budget;
 use flaxdeck_net::clock::Clock;
-use flaxdeck_net::counters_file;
 use flaxdeck_net::listener::Listener;
-use flaxdeck_net::metrics;
-use tokio::signal::unix::Signal;
-use tokio::signal::unix::SignalKind;
-use tokio::signal::unix::signal;
+use flaxdeck_net::{counters_file, metrics};
+use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::JoinSet;
-use tokio::time::interval;
-use tokio::time::sleep;
+use tokio::time::{interval, sleep};
 
-use crate::MAX_CONNECTIONS;
-use crate::RunError;
-use crate::Start;
-use crate::coordinator;
 use crate::events::Events;
-use crate::publishing;
-use crate::session;
 use crate::state::State;
+use crate::{MAX_CONNECTIONS, RunError, Start, coordinator, publishing, session};
 
 /// Between lines of counters in the log.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
--- a/crates/flaxdeck-planner/src/session.rs
+++ b/crates/flaxdeck-planner/src/session.rs
@@ -5,17 +5,14 @@
 
 use flaxdeck_channel::authenticated::Key;
 use flaxdeck_channel::connection;
-use flaxdeck_channel::connection::CloseReason;
-use flaxdeck_channel::connection::Receiver;
+use flaxdeck_channel::connection::{CloseReason, Receiver};
 use flaxdeck_channel::messages::FromForwarder;
 use flaxdeck_control::messages::Epoch;
 use flaxdeck_net::budget::Permit;
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-use crate::state::ConnectionNumber;
-use crate::state::SharedSender;
-use crate::state::State;
+use crate::state::{ConnectionNumber, SharedSender, State};
 
 /// Why a session is over.
 #[derive(Debug, Error)]
--- a/crates/flaxdeck-planner/src/state.rs
+++ b/crates/flaxdeck-planner/src/state.rs
@@ -1,21 +1,15 @@
 //! What the planner's tasks share. Each cell is borrowed within one call, never across an await.
 
-use std::cell::Cell;
-use std::cell::RefCell;
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 use bytes::Bytes;
-use flaxdeck::Health;
-use flaxdeck::ListKind;
-use flaxdeck::Time;
+use flaxdeck::{Health, ListKind, Time};
 use flaxdeck_channel::connection::Sender;
 use flaxdeck_channel::messages::FromPlanner;
 use flaxdeck_channel::watch::Event;
-use flaxdeck_control::messages::Epoch;
-use flaxdeck_control::messages::RelayedEvent;
-use flaxdeck_control::messages::Report;
+use flaxdeck_control::messages::{Epoch, RelayedEvent, Report};
 use flaxdeck_control::planner::Planner;
 use flaxdeck_distribution::SubscriberId;
 use flaxdeck_distribution::messages::Subscription;
