--- a/tests/documents.rs
+++ b/tests/documents.rs
@@ -1,6 +1,12 @@
 //! The documents hold against the tree: links lead to files, names of code stand where a link says, and the page on the
 //! architecture names every package.
 
+#![allow(
+    clippy::expect_used,
+    clippy::unwrap_used,
+    reason = "a failed expectation fails the test"
+)]
+
 use std::fs;
 use std::path::{Path, PathBuf};
 
