--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -12,11 +12,11 @@
 use flaxdeck::{Span, Time};
 use flaxdeck_net::clock::Clock;
 use flaxdeck_net::counters_file;
-use flaxdeck_net::listener::BoundAddress;
+use flaxdeck_net::listener::{BoundAddress, Listener};
 use flaxdeck_net::metrics::{self, Counter, count};
 use serde_json::Value;
 use tokio::signal::unix::{Signal, SignalKind, signal};
-use tokio::task::{LocalSet, spawn_local};
+use tokio::task::{JoinSet, LocalSet};
 use tokio::time::{Instant, interval, sleep};
 
 use crate::control;
@@ -125,9 +125,7 @@
     }
     let listener = bound.listen().map_err(cannot_listen)?;
     let local_address = listener.local_addr().map_err(cannot_listen)?;
-    spawn_local(router.clone().sweep());
-    spawn_local(log_counters(router.clone()));
-    spawn_local(accept(router.clone(), listener));
+    let _tasks = start_tasks(&router, listener);
     log::info!("listening at {local_address}, {bounds:?}");
     let running = Running {
         path,
@@ -141,6 +139,15 @@
     Ok(())
 }
 
+/// Starts what serves clients. The tasks end with the set, which the caller keeps until the router has shut down.
+fn start_tasks(router: &Rc<Router>, listener: Listener) -> JoinSet<()> {
+    let mut tasks = JoinSet::new();
+    tasks.spawn_local(router.clone().sweep());
+    tasks.spawn_local(log_counters(router.clone()));
+    tasks.spawn_local(accept(router.clone(), listener));
+    tasks
+}
+
 /// Answers what is open and whoever still comes, then closes all connections, all before the earliest SIGKILL.
 async fn shut_down(router: &Router, clock: Clock, longest_wait: Span) {
     log::info!("asked to end");
