--- a/crates/flaxdeck-recovery/src/lib.rs
+++ b/crates/flaxdeck-recovery/src/lib.rs
@@ -1,18 +1,18 @@
-//! What an instance that restarts may rely on, and how a whole fleet restarts without overloading anybody.
+//! Which state a restarted instance may rely on, and how a whole fleet restarts without overloading any component.
 //!
-//! Pure state machines: facts and the time go in, decisions come out; no I/O, no clock. `docs/coming-back.md` gives the
-//! reasons.
+//! All modules are pure state machines: they take inputs and the current time and return decisions, without I/O and
+//! without reading a clock. `docs/coming-back.md` gives the reasons.
 //!
-//! - [`numbering`]: whether the coordinator still uses the numbering that is known here, and what follows if not.
-//! - [`live_edge`]: whether events come as they happen, or a backlog is still being told.
-//! - [`unconfirmed`]: which endpoints of a list that replaced what should have followed may be used.
-//! - [`stored_state`]: what an instance stores, and its bytes.
-//! - [`restored_state`]: what of it is still valid, item by item.
-//! - [`clocks`]: what times of the coordinator mean by a local clock that may be wrong.
-//! - [`reconnect_backoff`]: pauses between connection attempts, out of step with other instances.
-//! - [`startup`]: how far an instance has come back, and whether it takes clients yet.
+//! - [`numbering`]: detects whether the coordinator still uses the known numbering, and recovers if it does not.
+//! - [`live_edge`]: tells events that happen now from a backlog that is still being sent.
+//! - [`unconfirmed`]: decides which endpoints may be used from a full list that replaced the expected events.
+//! - [`stored_state`]: defines what an instance stores, and the encoding.
+//! - [`restored_state`]: decides which items of the stored state are still valid.
+//! - [`clocks`]: translates the coordinator's times to a local clock that may be wrong.
+//! - [`reconnect_backoff`]: spreads connection attempts so that instances do not retry in step.
+//! - [`startup`]: tracks the startup phase and when the instance accepts clients.
 //!
-//! A connection that proves the numbering, and then brings an event that follows:
+//! A connection that proves the numbering and then receives the next event:
 //!
 //! ```
 //! use flaxdeck::Time;
@@ -23,7 +23,7 @@
 //! let position = |number| EventPosition { number, hash: 7 };
 //! let mut numbering = Numbering::new(position(41));
 //!
-//! assert_eq!(numbering.connection_opened(now), 40, "the last known event is asked for again");
+//! assert_eq!(numbering.connection_opened(now), 40, "requests the last known event again");
 //! assert_eq!(numbering.receive(now, position(41), false), EventAction::Skip);
 //! assert!(numbering.is_proven());
 //! assert_eq!(numbering.receive(now, position(42), false), EventAction::Apply);
