--- a/crates/flaxdeck-recovery/src/reconnect_backoff.rs
+++ b/crates/flaxdeck-recovery/src/reconnect_backoff.rs
@@ -1,85 +1,88 @@
-//! Pauses between the connection attempts that an instance makes by itself.
+//! Pauses between an instance's connection attempts.
 //!
-//! Nobody counts how many instances connect; each draws its pauses from a range that depends on its last one
-//! (decorrelated jitter), so that those that failed together do not come back together, and those that fail for long try
-//! seldom.
+//! No component coordinates the reconnects of the fleet. Each instance draws its pauses from a range that grows with
+//! its last pause (decorrelated jitter), so that instances that were disconnected together do not reconnect together,
+//! and an instance whose attempts keep failing retries less often.
 
 use flaxdeck::{Span, Time};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The next pause is drawn from the least one up to so many times the last one.
-pub const GROWTH: f64 = 3.0;
-/// Where peers bring the same events, the longest pause is so many times as long.
+/// Upper limit of the next pause, as a multiple of the last one.
+pub const GROWTH_FACTOR: f64 = 3.0;
+/// Factor on the maximum pause while peers relay the same events.
 pub const RELAXED_FACTOR: f64 = 10.0;
-/// The least pause before the first attempt where peers bring the same events and may be heard sooner: a connection, a
-/// report and an answer.
+/// Minimum pause before the first attempt where peers relay the same events: the time to connect to a peer, send a
+/// report and receive the answer.
 pub const MIN_INITIAL_DELAY: Span = Span::from_ms(150);
-/// The longest such pause: it spreads the attempts so that peers are answered first, and leaves all of it within half a
-/// second.
+/// Maximum pause before the first attempt where peers relay the same events: spreads the attempts so that peers answer
+/// first, and keeps the whole delay below half a second.
 pub const MAX_INITIAL_DELAY: Span = Span::from_ms(450);
 
-/// The pauses between attempts to reach one party.
+/// Draws the pauses between attempts to connect to one remote.
 pub struct ReconnectBackoff {
     random: Pcg64Mcg,
-    least: Span,
-    most: Span,
-    last: Span,
+    min_pause: Span,
+    max_pause: Span,
+    last_pause: Span,
     connected_since: Option<Time>,
 }
 
 impl ReconnectBackoff {
-    /// Pauses between `least` and `most`. Each instance and each party needs a seed of its own.
-    pub fn new(seed: u64, least: Span, most: Span) -> ReconnectBackoff {
+    /// Creates a backoff with pauses between `min_pause` and `max_pause`. Each instance needs a different seed for each
+    /// remote, or the attempts run in step.
+    pub fn new(seed: u64, min_pause: Span, max_pause: Span) -> ReconnectBackoff {
         ReconnectBackoff {
             random: Pcg64Mcg::seed_from_u64(seed),
-            least,
-            most: most.max(least),
-            last: least,
+            min_pause,
+            max_pause: max_pause.max(min_pause),
+            last_pause: min_pause,
             connected_since: None,
         }
     }
 
-    /// An attempt was answered.
+    /// Records that the remote answered on the current connection.
     pub fn answered(&mut self, now: Time) {
         self.connected_since.get_or_insert(now);
     }
 
-    /// The pause before the first attempt, where peers bring the same events and may be heard sooner.
+    /// Draws the pause before the first attempt, for an instance whose peers relay the same events and may deliver them
+    /// sooner.
     pub fn initial_delay(&mut self) -> Span {
         let range = MIN_INITIAL_DELAY.ms()..=MAX_INITIAL_DELAY.ms();
         Span::of_ms(self.random.random_range(range))
     }
 
-    /// It has become urgent: the next pause is as after a first failure, and drawn as ever.
+    /// Resets the backoff because the connection has become urgent: the next pause is drawn as after a first failure,
+    /// so it keeps its jitter.
     pub fn expedite(&mut self) {
-        self.last = self.least;
+        self.last_pause = self.min_pause;
     }
 
-    /// An attempt failed, or its connection has ended: how long to wait before the next. A connection that lasted for as
-    /// long as the longest pause begins anew; one that breaks at once is as good as none. `is_relaxed` if peers bring
-    /// the same events.
+    /// Returns how long to wait before the next attempt after one failed or its connection ended. A connection that
+    /// lasted at least the maximum pause resets the backoff; a shorter one counts as a failed attempt. `is_relaxed` is
+    /// true while peers relay the same events.
     pub fn pause(&mut self, now: Time, is_relaxed: bool) -> Span {
         let lasted = self
             .connected_since
             .take()
-            .is_some_and(|since| now.since(since) >= self.most);
+            .is_some_and(|since| now.since(since) >= self.max_pause);
         if lasted {
-            self.last = self.least;
+            self.last_pause = self.min_pause;
         }
         let longest = if is_relaxed {
-            self.most * RELAXED_FACTOR
+            self.max_pause * RELAXED_FACTOR
         } else {
-            self.most
+            self.max_pause
         };
-        let least = self.least.ms();
-        let most = (self.last.ms() * GROWTH).min(longest.ms());
-        let drawn = if most > least {
-            self.random.random_range(least..=most)
+        let min_ms = self.min_pause.ms();
+        let max_ms = (self.last_pause.ms() * GROWTH_FACTOR).min(longest.ms());
+        let drawn_ms = if max_ms > min_ms {
+            self.random.random_range(min_ms..=max_ms)
         } else {
-            least
+            min_ms
         };
-        self.last = Span::of_ms(drawn);
-        self.last
+        self.last_pause = Span::of_ms(drawn_ms);
+        self.last_pause
     }
 }
--- a/crates/flaxdeck-recovery/tests/reconnect_backoff.rs
+++ b/crates/flaxdeck-recovery/tests/reconnect_backoff.rs
@@ -3,7 +3,7 @@
 use flaxdeck::{Span, Time};
 use flaxdeck_recovery::ReconnectBackoff;
 use flaxdeck_recovery::reconnect_backoff::{
-    GROWTH, MAX_INITIAL_DELAY, MIN_INITIAL_DELAY, RELAXED_FACTOR,
+    GROWTH_FACTOR, MAX_INITIAL_DELAY, MIN_INITIAL_DELAY, RELAXED_FACTOR,
 };
 
 fn at(ms: f64) -> Time {
@@ -42,7 +42,7 @@
     );
     backoff.expedite();
     now = now + longest;
-    assert!(backoff.pause(now, false) <= LEAST * GROWTH);
+    assert!(backoff.pause(now, false) <= LEAST * GROWTH_FACTOR);
     let firsts: Vec<Span> = (0..200)
         .map(|seed| ReconnectBackoff::new(seed, LEAST, MOST).initial_delay())
         .collect();
@@ -74,5 +74,5 @@
     assert!(short >= LEAST, "one that breaks at once changes nothing");
     backoff.answered(now);
     let first = backoff.pause(now + MOST, false);
-    assert!(first <= LEAST * GROWTH, "{first:?}");
+    assert!(first <= LEAST * GROWTH_FACTOR, "{first:?}");
 }
