--- a/crates/flaxdeck-recovery/src/live_edge.rs
+++ b/crates/flaxdeck-recovery/src/live_edge.rs
@@ -1,33 +1,35 @@
-//! Whether a stream of events has come to what happens now.
+//! Detects when a stream of events has caught up with the present.
 //!
-//! An instance that starts, or comes back, is first told what happened before, without a mark where that ends. Where
-//! events are rare a pause tells; where hundreds come in a second there is none. But a backlog comes faster than it
-//! happened: once the coordinator's time, as its events tell it, passes no faster than the local time, they are told as
-//! they happen. No clock is compared with another's.
+//! An instance that starts or reconnects first receives a backlog of past events, and the protocol does not mark its
+//! end. Where events are rare, a pause shows the end; at hundreds of events a second there is no pause. But a backlog
+//! arrives faster than its events happened: once the timestamps of the events advance no faster than the local time,
+//! the stream is live. Only rates are compared, so an offset between the two clocks does not matter.
 
 use flaxdeck::{Span, Time};
 
-/// Over how long the two are compared: many events of a busy stream, and longer than one network trip.
-const COMPARED_OVER: Span = Span::from_ms(300);
-/// How much faster the coordinator's time may pass: events come in clusters.
+/// Minimum period over which the rates are compared: it holds many events of a busy stream and exceeds one network
+/// trip.
+const COMPARISON_WINDOW: Span = Span::from_ms(300);
+/// Maximum rate of the coordinator's time relative to local time in a live stream: above 1, as events come in clusters.
 const MAX_PACE: f64 = 1.5;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Reference {
-    /// When the event arrived, by the local clock.
+    /// Arrival of the event, by the local clock.
     arrived: Time,
-    /// When it happened, by the coordinator's clock.
+    /// Time of the event, by the coordinator's clock.
     happened: Time,
 }
 
-/// Compares how fast the coordinator's time and the local time pass, on one connection.
+/// Compares the rates of the coordinator's time and the local time on one connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LiveEdge {
     reference: Option<Reference>,
 }
 
 impl LiveEdge {
-    /// An event has come that happened at that time by the coordinator's clock. True if events come as they happen.
+    /// Records an event that arrived at `now` and happened at `happened` by the coordinator's clock. Returns whether
+    /// the stream is found to be live.
     pub fn record_event(&mut self, now: Time, happened: Time) -> bool {
         let next = Reference {
             arrived: now,
@@ -38,7 +40,7 @@
             return false;
         };
         let local = now.since(reference.arrived);
-        if local < COMPARED_OVER {
+        if local < COMPARISON_WINDOW {
             return false;
         }
         self.reference = Some(next);
