--- a/crates/flaxdeck-recovery/src/clocks.rs
+++ b/crates/flaxdeck-recovery/src/clocks.rs
@@ -1,53 +1,53 @@
-//! What times of the coordinator mean by a local clock that may be wrong.
+//! Translates the coordinator's times to a local clock that may be wrong.
 //!
-//! Starts of hosts and purges are told in Unix time, and how warm a host is and how old a copy may be depend on their
-//! age. A local clock that runs ahead makes both older than they are: a host that still warms up passes for warm, and a
-//! purge for one that has settled long ago.
+//! The coordinator announces starts of hosts and purges in Unix time. Their age determines how warm a host is and how
+//! old a copy may be. A local clock that runs ahead makes both look too old: a warming host counts as warm, and a
+//! recent purge as settled long ago.
 //!
-//! What the coordinator tells as the next event on a current connection has just happened. So the time between the two,
-//! by the local clock, is the event's delay plus the offset of the clocks. The delay is never negative, so the least of
-//! them is the best estimate. The rules, in order:
+//! A live event, the next one on a connection that has caught up, has just happened. The difference between its arrival
+//! by the local clock and its timestamp is the event's delay plus the offset between the clocks. As the delay is never
+//! negative, the minimum difference over several events is the best estimate of the offset. The rules, in order:
 //!
-//! 1. A time that fits says that the clocks agree, whatever was thought before.
-//! 2. Else they are apart by the least that the last [`OFFSET_SAMPLES`] events say. More are not kept, so a clock that is
-//!    set again, here or there, is followed after as many.
+//! 1. A difference within the usual delay means that the clocks agree, whatever the previous estimate was.
+//! 2. Otherwise the offset is the minimum over the last [`OFFSET_SAMPLES`] events. Older samples are dropped, so the
+//!    estimate follows a clock that is set, on either side, after as many events.
 //!
-//! Clocks that are apart by less than [`MAX_PURGE_DELAY`] are not told apart by this.
+//! An offset below [`MAX_PURGE_DELAY`] can't be detected this way.
 
 use std::collections::VecDeque;
 
 use flaxdeck::{Endpoint, Observation, Span, Time};
 
-/// How late a purge may come where both clocks are right: its way to the coordinator and from there.
+/// Maximum delay of a purge event when both clocks are right: the transfer to the coordinator and from there.
 pub const MAX_PURGE_DELAY: Span = Span::from_ms(1_000);
-/// How late the start of a host may be told: registers of hosts run some seconds behind.
+/// Maximum delay of the event that announces a host's start: host registries lag by some seconds.
 pub const MAX_START_DELAY: Span = Span::from_ms(6_000);
-/// How many events are compared: one alone may have been delayed for long, all of them hardly.
+/// Number of events over which the minimum is taken: a single event may be delayed for long, but hardly all of them.
 pub const OFFSET_SAMPLES: usize = 8;
-/// How far ahead of the local clock the coordinator's may be where both are right.
-const MAX_EARLY: Span = Span::from_ms(500);
+/// How far the coordinator's clock may be ahead of the local one while the two count as agreeing.
+const CLOCK_TOLERANCE: Span = Span::from_ms(500);
 
-/// The offset between the local clock and the coordinator's.
+/// Estimates the offset between the local clock and the coordinator's.
 #[derive(Clone, Debug, Default)]
 pub struct ClockOffset {
-    /// By how much the local clock is ahead, in milliseconds; below zero if it is behind.
+    /// Milliseconds by which the local clock is ahead; negative if it is behind.
     ahead_ms: f64,
-    /// The same as each of the last events tells it that did not fit.
+    /// The differences of the last events since the clocks last agreed; at most [`OFFSET_SAMPLES`].
     samples: VecDeque<f64>,
 }
 
 impl ClockOffset {
-    /// By how much the local clock is ahead, in milliseconds; below zero if it is behind.
+    /// Returns the milliseconds by which the local clock is ahead; negative if it is behind.
     pub fn ahead_ms(&self) -> f64 {
         self.ahead_ms
     }
 
-    /// A live event has told of something that happened at that time, and comes at most `max_delay` late. Gives whether
-    /// the offset turns out to be another than was known.
+    /// Records a live event that happened at `happened` by the coordinator's clock and that usually takes at most
+    /// `max_delay` to arrive. Returns whether the estimated offset has changed.
     pub fn record_event(&mut self, now: Time, happened: Time, max_delay: Span) -> bool {
         let before = self.ahead_ms;
         let ahead = now.since(happened).ms() - happened.since(now).ms();
-        if (-MAX_EARLY.ms()..=max_delay.ms()).contains(&ahead) {
+        if (-CLOCK_TOLERANCE.ms()..=max_delay.ms()).contains(&ahead) {
             self.samples.clear();
             self.ahead_ms = 0.0;
         } else {
@@ -56,32 +56,34 @@
                 self.samples.pop_front();
             }
             let least = self.samples.iter().copied().fold(f64::INFINITY, f64::min);
-            // Guards against hosts' starts moving to and fro with the delays of single events.
-            if (least - self.ahead_ms).abs() > MAX_EARLY.ms() {
+            // Small changes are ignored, so that translated starts of hosts do not vary with the delays of single
+            // events.
+            if (least - self.ahead_ms).abs() > CLOCK_TOLERANCE.ms() {
                 self.ahead_ms = least;
             }
         }
         before != self.ahead_ms
     }
 
-    /// A time of the coordinator by the local clock.
+    /// Translates a time of the coordinator's clock to the local clock.
     pub fn to_local(&self, time: Time) -> Time {
         Time::at_ms(time.ms() + self.ahead_ms)
     }
 
-    /// A local time by the coordinator's clock.
+    /// Translates a time of the local clock to the coordinator's clock.
     pub fn to_coordinator(&self, time: Time) -> Time {
         Time::at_ms(time.ms() - self.ahead_ms)
     }
 
-    /// Puts the starts of listed endpoints by the local clock.
+    /// Translates the starts of listed endpoints to the local clock.
     pub fn localize_endpoints(&self, endpoints: &mut [Endpoint]) {
         for endpoint in endpoints {
             endpoint.started = endpoint.started.map(|started| self.to_local(started));
         }
     }
 
-    /// Puts the starts of observed hosts by the coordinator's clock: those name a host's incarnation to others.
+    /// Translates the starts of observed hosts to the coordinator's clock, by which other instances identify the
+    /// incarnation of a host.
     pub fn delocalize_observations(&self, observations: &mut [Observation]) {
         for observation in observations {
             let started = observation.started;
