--- a/crates/flaxdeck-recovery/src/stored_state.rs
+++ b/crates/flaxdeck-recovery/src/stored_state.rs
@@ -1,6 +1,7 @@
-//! What an instance stores to come back with: a full state, and changes to it.
+//! The state that an instance stores for its next start: a snapshot of the full state, and changes to it.
 //!
-//! The bytes are `postcard`, which encodes fields and variants by position: both and their order are part of the format.
+//! The encoding is `postcard`, which identifies fields and variants by position: their set and their order are part of
+//! the stored format.
 
 use std::collections::BTreeMap;
 
@@ -9,58 +10,59 @@
 
 use crate::numbering::EventPosition;
 
-/// Purges stored at most: ten times what comes in within a usual time to settle. Beyond it the oldest are merged into one
-/// purge of all copies from before them.
+/// Maximum number of stored purges: ten times the number that arrives within a usual settle time. Beyond it, the oldest
+/// are merged into one purge of all older copies.
 pub const MAX_PURGES: usize = 32_768;
-/// How many are merged at once.
-const MERGED_AT_ONCE: usize = MAX_PURGES / 16;
-/// Beyond the time to settle purges are stored for so long: for clocks of hosts that run apart.
+/// Number of entries by which one merge shortens the list of purges.
+const MERGE_BATCH_SIZE: usize = MAX_PURGES / 16;
+/// How long purges are stored beyond their settle time, as the clocks of hosts differ.
 const SETTLE_MARGIN: Span = Span::from_ms(500);
 
-/// A moment by the machine's own count since it booted.
+/// A point in time as the machine's uptime, which changes of the wall clock do not affect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Uptime {
-    /// A number that is new with each boot; zero where none can be read.
+    /// Boot id, which changes with each boot; zero if it can't be read.
     pub boot: u64,
-    /// Milliseconds since the boot.
+    /// Milliseconds since boot.
     pub ms: u64,
 }
 
 impl Uptime {
-    /// How long ago that was; none if it was under another boot or none can be told.
+    /// Returns the time since `earlier`. None if that was in another boot, if the boot id is unknown, or if `earlier`
+    /// is later.
     pub fn since(self, earlier: Uptime) -> Option<Span> {
         let is_same_boot = self.boot != 0 && self.boot == earlier.boot;
         (is_same_boot && self.ms >= earlier.ms).then(|| Span::from_ms(self.ms - earlier.ms))
     }
 }
 
-/// A listed endpoint as it is stored.
+/// An entry of the endpoint list in its stored form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredEndpoint {
-    /// The host's name.
+    /// Name of the host.
     pub host: String,
-    /// Where it listens.
+    /// Address that the host listens on.
     pub address: std::net::SocketAddr,
-    /// Its weight in the hash.
+    /// Weight of the host in rendezvous hashing.
     pub weight: f64,
-    /// Its zone, by its place in the platform's list; absent for an origin.
+    /// Zone of the host, as an index into the platform's list of zones; absent for an origin.
     pub zone: Option<u32>,
-    /// Its cell.
+    /// Cell of the host.
     pub cell: u64,
-    /// Its role, by the number that the coordinator's frames use.
+    /// Role of the host, as encoded in the coordinator's frames.
     pub role: u8,
-    /// Its health, by the number that the coordinator's frames use.
+    /// Health of the host, as encoded in the coordinator's frames.
     pub health: u8,
-    /// Its start in milliseconds of Unix time; zero if that is long past.
+    /// Start of the host in milliseconds of Unix time; zero if it is long past.
     pub started: u64,
 }
 
 /// Measured performance of a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredMeasurements {
-    /// Milliseconds to a fill's first byte.
+    /// Milliseconds to the first byte of a fill.
     pub latency: Option<f64>,
-    /// KB per millisecond.
+    /// Bandwidth in KB per millisecond.
     pub bandwidth: Option<f64>,
 }
 
@@ -82,14 +84,14 @@
     }
 }
 
-/// What was observed of a host. Ages are in milliseconds, from when it was written.
+/// Observations of a cache host. Ages are in milliseconds, relative to [`StoredState::written`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredRating {
-    /// The host's name.
+    /// Name of the host.
     pub host: String,
-    /// Its start in milliseconds of Unix time; zero if that is long past.
+    /// Start of the host in milliseconds of Unix time; zero if it is long past.
     pub started: u64,
-    /// The own measurements.
+    /// This instance's own measurements of the host.
     pub measurements: StoredMeasurements,
     /// Age of the measurements.
     pub measured_ago_ms: Option<u64>,
@@ -99,55 +101,55 @@
     pub last_failure_ago_ms: Option<u64>,
 }
 
-/// A purge as it is stored.
+/// A purge in its stored form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredPurge {
-    /// The object; absent if a whole group was purged.
+    /// The purged object; absent if a whole group was purged.
     pub object: Option<u64>,
-    /// The group.
+    /// The purged group if `object` is absent; [`GroupId::ALL`] stands for all groups.
     pub group: u64,
-    /// When it was made, in milliseconds of Unix time by the coordinator's clock.
+    /// Time of the purge, in milliseconds of Unix time by the coordinator's clock.
     pub made: u64,
 }
 
-/// All that an instance stores.
+/// The full state that an instance stores.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredState {
-    /// When it was written.
+    /// When the state was written.
     pub written: Uptime,
-    /// The last event applied.
+    /// The last applied event.
     pub last_event: EventPosition,
-    /// All endpoints as of that event.
+    /// The full endpoint list as of `last_event`.
     pub endpoints: Vec<StoredEndpoint>,
-    /// The purges that may not have settled.
+    /// The purges that may be unsettled.
     pub purges: Vec<StoredPurge>,
-    /// What was observed of hosts.
+    /// Ratings of cache hosts.
     pub ratings: Vec<StoredRating>,
-    /// Nothing that was lent is outstanding after that; absent if nothing ever was lent.
+    /// Time by which all granted leases have ended; absent if none was ever granted.
     pub lent_until: Option<Uptime>,
 }
 
-/// A change to a stored state.
+/// A change to the stored state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StateChange {
-    /// An event told these endpoints.
+    /// An event with changed endpoints.
     Endpoints(EventPosition, Vec<StoredEndpoint>),
-    /// An event told all endpoints, in place of those before.
+    /// An event with the full endpoint list, which replaces the stored one.
     FullList(EventPosition, Vec<StoredEndpoint>),
-    /// An event told a purge.
+    /// An event with a purge.
     Purged(EventPosition, StoredPurge),
-    /// Lending is permitted until then.
+    /// Leases may be granted that end by this time.
     LendingPermit(Uptime),
 }
 
-/// Why bytes are no stored state.
+/// Why bytes can't be decoded as stored state.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateError {
-    /// They are not what this version writes.
-    #[error("the bytes are not of this version's form")]
+    /// The bytes are not in the format that this version writes.
+    #[error("stored state is not in this version's format: {0}")]
     Malformed(#[from] postcard::Error),
-    /// More follows than was written.
-    #[error("{0} bytes follow the end")]
+    /// Extra bytes follow the encoded value.
+    #[error("{0} unexpected bytes follow the stored state")]
     TrailingBytes(usize),
 }
 
@@ -160,17 +162,17 @@
     }
 }
 
-/// The bytes of a full state, or of a change to one.
+/// Encodes a full state or a change to one.
 pub fn encode(state: &impl Serialize) -> Vec<u8> {
-    postcard::to_stdvec(state).unwrap_or_default() // into memory: never fails
+    postcard::to_stdvec(state).unwrap_or_default() // serialization into memory does not fail
 }
 
 impl StoredState {
-    /// A full state and the changes after it, as a store gives them back.
+    /// Decodes a full state and applies the changes recorded after it.
     ///
     /// # Errors
     ///
-    /// [`StateError`] of the first of them that can't be read.
+    /// Returns the [`StateError`] of the snapshot or of the first record that can't be decoded.
     pub fn read(snapshot: &[u8], records: &[Vec<u8>]) -> Result<StoredState, StateError> {
         let mut state: StoredState = decode(snapshot)?;
         for record in records {
@@ -179,7 +181,7 @@
         Ok(state)
     }
 
-    /// Applies a change.
+    /// Applies a change to this state.
     pub fn apply(&mut self, change: StateChange) {
         match change {
             StateChange::Endpoints(position, endpoints) => {
@@ -210,20 +212,21 @@
         self.endpoints = by_host.into_values().collect();
     }
 
-    /// Forgets purges that have settled: hosts have dropped what they concern. `now` is this machine's wall clock; the
-    /// time counts from the earlier of that and the latest purge, as either clock may be ahead.
-    pub fn forget_settled(&mut self, now: Time, settles: Span) {
+    /// Removes purges that have settled, for which all hosts have dropped the affected copies. `now` is the wall clock
+    /// of this machine. The age of a purge is measured from the earlier of `now` and the latest purge, as either clock
+    /// may be ahead.
+    pub fn forget_settled(&mut self, now: Time, settle_time: Span) {
         let latest = self.purges.iter().map(|purge| purge.made).max();
-        let from = latest.unwrap_or(0).min(now.ms() as u64);
-        let stored_for = (settles + SETTLE_MARGIN).ms().ceil() as u64;
+        let reference = latest.unwrap_or(0).min(now.ms() as u64);
+        let stored_for = (settle_time + SETTLE_MARGIN).ms().ceil() as u64;
         self.purges
-            .retain(|purge| purge.made.saturating_add(stored_for) >= from);
+            .retain(|purge| purge.made.saturating_add(stored_for) >= reference);
     }
 
-    /// The oldest purges become one of all copies from before the latest of them, which asks for no less.
+    /// Merges the oldest purges into one purge of all copies older than the latest of them, which covers each of them.
     fn merge_oldest_purges(&mut self) {
         self.purges.sort_by_key(|purge| purge.made);
-        let oldest = self.purges.drain(..=MERGED_AT_ONCE);
+        let oldest = self.purges.drain(..=MERGE_BATCH_SIZE);
         let Some(made) = oldest.map(|purge| purge.made).max() else {
             return;
         };
