--- a/crates/flaxdeck-recovery/src/unconfirmed.rs
+++ b/crates/flaxdeck-recovery/src/unconfirmed.rs
@@ -1,9 +1,9 @@
-//! Which endpoints of a list that replaced what should have followed may be used.
+//! Decides which endpoints may be used from a full list that replaced the expected events.
 //!
-//! Such a list may be older than what is known here: a coordinator that was restored from a backup lists a host in
-//! service that it had withdrawn since. Nobody can tell such a list from one of a coordinator that only lost its numbers,
-//! so a host that is known to be withdrawn stays so until a fact says otherwise: a later event that names the host, or
-//! another start of it.
+//! Such a list may be older than the known state: a coordinator that was restored from a backup may list a host as in
+//! service that it had withdrawn since the backup. The list looks the same as that of a coordinator that only lost its
+//! numbering. So a host that is known to be withdrawn is held back until its state is confirmed by a later event that
+//! names the host, or by a later start of the host.
 
 use std::collections::BTreeMap;
 
@@ -11,17 +11,18 @@
 
 use crate::numbering::MissedPeriod;
 
-/// A host that is held back and that no event has named since is used again after so long. It weighs a drain that was
-/// forgotten against a place lost for good: a host that drains has ended well before that by any promised time, and one
-/// still listed then is served by whoever restored the coordinator.
-const HELD_BACK_FOR: Span = Span::from_ms(60_000);
+/// Time after which a host that is held back is used again although no event has named it. A shorter time risks using a
+/// host whose drain the restored coordinator has lost; without a limit, the capacity of the host would be lost for
+/// good. Any promised drain time ends well before this, and a host still listed then is one that the operator of the
+/// restored coordinator wants in service.
+const HOLD_BACK_PERIOD: Span = Span::from_ms(60_000);
 
-/// A list that was adopted.
+/// A full list after adoption.
 #[derive(Clone, Debug)]
 pub struct AdoptedList {
-    /// The endpoints, those that are held back with the health that they had before.
+    /// The endpoints; those that are held back keep the health that they had before.
     pub endpoints: Vec<Endpoint>,
-    /// How many are held back.
+    /// Number of endpoints that are held back.
     pub held_back: usize,
 }
 
@@ -31,14 +32,15 @@
     until: Time,
 }
 
-/// Endpoints that are held back, as they were withdrawn under a numbering that is no more.
+/// Tracks the endpoints that are held back because they were withdrawn under the previous numbering.
 #[derive(Default)]
 pub struct UnconfirmedEndpoints {
     held_back: BTreeMap<HostId, HeldBack>,
 }
 
 impl UnconfirmedEndpoints {
-    /// Takes a full list that replaces what was known.
+    /// Adopts a full list that replaces the `known` endpoints, and holds back those that were withdrawn and have not
+    /// restarted since.
     pub fn adopt(
         &mut self,
         now: Time,
@@ -56,7 +58,7 @@
                 endpoint.health = before.health;
                 let held_back = HeldBack {
                     endpoint: endpoint.clone(),
-                    until: now + HELD_BACK_FOR,
+                    until: now + HOLD_BACK_PERIOD,
                 };
                 self.held_back.insert(endpoint.host.clone(), held_back);
             }
@@ -67,14 +69,14 @@
         }
     }
 
-    /// An event of the new numbering names these hosts: what it says of them is confirmed.
+    /// Stops tracking the hosts that an event of the new numbering names, as the event confirms their state.
     pub fn confirm<'a>(&mut self, hosts: impl IntoIterator<Item = &'a HostId>) {
         for host in hosts {
             self.held_back.remove(host);
         }
     }
 
-    /// The endpoints that are not held back any more, as the new list has them.
+    /// Removes and returns the endpoints whose hold-back period has ended, in service as in the adopted list.
     pub fn take_expired(&mut self, now: Time) -> Vec<Endpoint> {
         let mut expired = Vec::new();
         self.held_back.retain(|_, held_back| {
@@ -90,7 +92,7 @@
         expired
     }
 
-    /// When the next ones expire.
+    /// Returns when the next hold-back period ends.
     pub fn next_expiry(&self) -> Option<Time> {
         self.held_back
             .values()
@@ -99,17 +101,17 @@
     }
 }
 
-/// The moment from before which no copy may be served, as a purge may have been missed since; none if nothing can have
-/// been. Hosts drop by themselves what was purged `settles` ago, so only the time after counts, and a connection that
-/// was closed cleanly has told all that there was.
-pub fn copies_from(now: Time, missed: MissedPeriod, settles: Span) -> Option<Time> {
+/// Returns the time from which on copies may be served, as a purge of older ones may have been missed; none if no purge
+/// can have been missed. Hosts drop by themselves what was purged more than `settle_time` ago, so only later purges
+/// count. A connection that was closed cleanly has delivered all events, so nothing was missed on it.
+pub fn copies_from(now: Time, missed: MissedPeriod, settle_time: Span) -> Option<Time> {
     let since = missed.since?;
     let length = now.since(since);
     if missed.closed_cleanly || length == Span::ZERO {
         return None;
     }
-    Some(if length > settles {
-        now - settles
+    Some(if length > settle_time {
+        now - settle_time
     } else {
         since
     })
