--- a/crates/flaxdeck-recovery/src/startup.rs
+++ b/crates/flaxdeck-recovery/src/startup.rs
@@ -1,25 +1,26 @@
-//! How far an instance has come back, by what it knows, and whether it takes clients.
+//! The startup phase of an instance, and when the instance begins to accept clients.
 //!
-//! One that can't tell yet whether its list is true would give each client a rejection or a guess; a client that finds
-//! nobody listening turns to another dispatcher at once.
+//! An instance whose endpoint list is unconfirmed could only reject each client or route it by a list that may be
+//! wrong, while a client whose connection is refused turns to another dispatcher at once. So the instance does not
+//! listen before its list is confirmed or the wait for that has ended.
 
 use std::fmt;
 
 use flaxdeck::{Span, Time};
 
-/// How far an instance has come back.
+/// How far the startup of an instance has progressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It has a list of hosts, from a file or stored state, and nobody has confirmed it.
+    /// The instance has an endpoint list from its configuration or stored state, which is unconfirmed.
     Listed,
-    /// The list is confirmed.
+    /// The endpoint list is confirmed.
     Confirmed,
-    /// The same, and its own shares of warming hosts may be used again.
+    /// The endpoint list is confirmed, and the instance may use its own quotas of warming hosts again.
     Full,
 }
 
 impl fmt::Display for Phase {
-    /// The words of the log, which `docs/on-call.md` explains.
+    /// Writes the name of the phase as in the log, which `docs/on-call.md` explains.
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str(match self {
             Phase::Listed => "Listed",
@@ -29,29 +30,29 @@
     }
 }
 
-/// What an instance does if nobody confirms its list.
+/// What an instance does if its endpoint list is not confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithoutContact {
-    /// It listens after so long, and rejects with a time to come back.
+    /// Starts to listen after this time, and rejects requests with a retry-after.
     RejectAfter(Span),
-    /// It trusts the list after the shortest wait.
+    /// Trusts the endpoint list after a short wait for a confirmation.
     GoOn,
 }
 
-/// How long an instance that would go on anyway waits for a confirmation: a connection and an answer on a slow network, a
-/// tenth of the grace after a drain.
-const SHORTEST_WAIT: Span = Span::from_ms(100);
+/// How long an instance with [`WithoutContact::GoOn`] waits for a confirmation: enough to connect and get an answer
+/// over a slow network, and a tenth of the grace period after a drain.
+const MIN_CONFIRMATION_WAIT: Span = Span::from_ms(100);
 
-/// How long the steps of a startup took, for the log.
+/// Durations of the steps of a startup, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartupTimes {
-    /// Until the list was confirmed.
+    /// Time until the endpoint list was confirmed.
     pub confirmed: Option<Span>,
-    /// Until clients were taken.
+    /// Time until the instance began to accept clients.
     pub listening: Option<Span>,
 }
 
-/// An instance that comes back.
+/// The startup of an instance.
 pub struct Startup {
     began: Time,
     without_contact: WithoutContact,
@@ -61,7 +62,7 @@
 }
 
 impl Startup {
-    /// It has just started.
+    /// Starts tracking an instance that was started at `now`.
     pub fn begin(now: Time, without_contact: WithoutContact) -> Startup {
         Startup {
             began: now,
@@ -72,42 +73,43 @@
         }
     }
 
-    /// Somebody has confirmed the list.
+    /// Records that the endpoint list is confirmed. Only the first call counts.
     pub fn list_confirmed(&mut self, now: Time) {
         self.confirmed.get_or_insert(now);
     }
 
-    /// Clients are taken from now on.
+    /// Records that the instance accepts clients from now on. Only the first call counts.
     pub fn started_listening(&mut self, now: Time) {
         self.listening.get_or_insert(now);
     }
 
-    /// How far it has come; its own shares may be used from `own_share_from` on.
-    pub fn phase(&self, now: Time, own_share_from: Time) -> Phase {
+    /// Returns the current phase, where the instance may use its own quotas from `own_quota_from` on.
+    pub fn phase(&self, now: Time, own_quota_from: Time) -> Phase {
         match self.confirmed {
             None => Phase::Listed,
-            Some(_) if now < own_share_from => Phase::Confirmed,
+            Some(_) if now < own_quota_from => Phase::Confirmed,
             Some(_) => Phase::Full,
         }
     }
 
-    /// How long the whole startup took, given once, when it is complete.
-    pub fn completed(&mut self, now: Time, own_share_from: Time) -> Option<Span> {
-        let is_reached = !self.is_complete && self.phase(now, own_share_from) == Phase::Full;
+    /// Returns the duration of the whole startup, once: at the first call after it is complete.
+    pub fn completed(&mut self, now: Time, own_quota_from: Time) -> Option<Span> {
+        let is_reached = !self.is_complete && self.phase(now, own_quota_from) == Phase::Full;
         self.is_complete |= is_reached;
         is_reached.then(|| now.since(self.began))
     }
 
-    /// When clients are to be taken whatever is heard until then.
+    /// Returns when the instance begins to accept clients if its endpoint list is not confirmed before; the time of the
+    /// confirmation if it is.
     pub fn listens_at(&self) -> Time {
         match (self.confirmed, self.without_contact) {
             (Some(at), _) => at,
-            (None, WithoutContact::GoOn) => self.began + SHORTEST_WAIT,
+            (None, WithoutContact::GoOn) => self.began + MIN_CONFIRMATION_WAIT,
             (None, WithoutContact::RejectAfter(after)) => self.began + after,
         }
     }
 
-    /// How long the steps took so far.
+    /// Returns the durations of the steps completed so far.
     pub fn times(&self) -> StartupTimes {
         let since_start = |at: Time| at.since(self.began);
         StartupTimes {
