--- a/crates/flaxdeck-recovery/src/numbering.rs
+++ b/crates/flaxdeck-recovery/src/numbering.rs
@@ -1,9 +1,9 @@
-//! Whether the coordinator's events still follow what is known.
+//! Detects whether the coordinator's events still follow the known ones.
 //!
-//! The coordinator's events are numbered, and a number alone says little: a coordinator that restarted, or was restored
-//! from a backup, gives the same numbers to other events. So each connection asks from one before the last event that is
-//! known, and what comes first has to be that event, to the hash. It comes at once, which also tells an instance that
-//! starts that it is current, long before the coordinator's next empty frame.
+//! The number of an event does not identify it: a coordinator that restarted, or was restored from a backup, reuses
+//! numbers for other events. So each connection requests the events from the last known one on, and the first event
+//! received has to match that one in number and hash, which proves the numbering. The coordinator sends it at once, so
+//! an instance that starts also learns that it is current long before the coordinator's next heartbeat.
 
 mod action;
 mod connection;
@@ -14,35 +14,38 @@
 
 pub use action::{EventAction, EventPosition, MissedPeriod, ReconnectReason};
 use connection::{AwaitedEvents, Connection};
-pub use recent_events::MAX_REMEMBERED;
+pub use recent_events::MAX_RECENT_EVENTS;
 use recent_events::RecentEvents;
 
-/// With nothing more for so long after the last event, all that the coordinator has is taken to have come. Its protocol
-/// has no end mark but the empty frame a second later; a burst that stalls for longer than this counts as two.
-const SETTLED_AFTER: Span = Span::from_ms(30);
+/// Time without further events after which all events of the coordinator count as received. The protocol marks the end
+/// of a burst only by the heartbeat a second later. A burst that stalls for longer than this counts as two.
+const CURRENT_AFTER_IDLE: Span = Span::from_ms(30);
 
-/// The last event known is sent at once if it is there at all: with nothing after a slow round trip and a burst before
-/// it, the coordinator lacks it, and would say so only by its empty frame a second later. The same holds for events that
-/// peers brought first: on a working connection they come as well.
+/// Time within which the coordinator has to send the last known event. It sends it at once if it has it, so if nothing
+/// comes within the time of a slow round trip and a preceding burst, the coordinator lacks the event; its heartbeat
+/// would show that only a second later. The same limit applies to events that peers relayed first, as a working
+/// connection delivers them too.
 const PROOF_TIMEOUT: Span = Span::from_ms(500);
 
-/// How long nothing is taken from peers after the coordinator contradicted what they brought. They follow what was, until
-/// they find out themselves: their own connection is silent or proven anew within that time.
-const PEERS_DISTRUSTED_FOR: Span = Span::from_ms(2_500);
+/// How long relayed events are rejected after the coordinator contradicted them. Peers follow the previous numbering
+/// until they notice the change themselves: within this time their own connection times out or proves the new
+/// numbering.
+const PEER_DISTRUST_PERIOD: Span = Span::from_ms(2_500);
 
-/// What is known of the coordinator's numbering.
+/// State of the coordinator's numbering as known to this instance.
 pub struct Numbering {
     last: EventPosition,
     connection: Option<Connection>,
-    /// The next connection asks for everything.
-    asks_for_all: bool,
-    /// When all events were last known, in this run: before that, what is known is a file's.
+    /// The next connection requests all events, beginning with a full list.
+    requests_all: bool,
+    /// When this instance last had all events. None if it never had in this run, so that its state is only that of the
+    /// configuration.
     confirmed_at: Option<Time>,
-    /// The last proven connection was closed by the other side, not for its silence.
+    /// The last proven connection was closed by the coordinator and did not time out.
     closed_cleanly: bool,
-    /// The last connection was closed for its silence: until something comes, the coordinator may only be hanging.
-    may_hang: bool,
-    /// A number always means the same event, as the platform's page has it: nothing needs to be proven.
+    /// The last connection timed out: until a frame arrives, the coordinator may be hung rather than restarted.
+    may_be_hung: bool,
+    /// A number always identifies the same event, as the platform's documentation says, so that no proof is needed.
     trusts_numbers: bool,
     recent: RecentEvents,
     peers_distrusted_until: Time,
@@ -50,23 +53,24 @@
 }
 
 impl Numbering {
-    /// A numbering that each connection has to prove.
+    /// Creates a numbering that each connection has to prove, with `last` as the last known event.
     pub fn new(last: EventPosition) -> Numbering {
         Numbering {
             last,
             connection: None,
-            asks_for_all: false,
+            requests_all: false,
             confirmed_at: None,
             closed_cleanly: false,
-            may_hang: false,
+            may_be_hung: false,
             trusts_numbers: false,
-            recent: RecentEvents::starting_with(last),
+            recent: RecentEvents::containing(last),
             peers_distrusted_until: Time::default(),
             awaited: None,
         }
     }
 
-    /// A numbering that takes each number for the same event for ever, and applies what is above the last.
+    /// Creates a numbering that takes a number to identify the same event for ever, and applies any event numbered
+    /// above the last one.
     pub fn with_trusted_numbers(last: EventPosition) -> Numbering {
         Numbering {
             trusts_numbers: true,
@@ -74,7 +78,8 @@
         }
     }
 
-    /// Stored state reaches further than what the instance was started with. It has to be proven all the same.
+    /// Continues from stored state, whose last event is later than that of the configuration. The next connection has
+    /// to prove it too; if the coordinator uses another numbering, events count as missed from now on.
     pub fn restore(&mut self, now: Time, last: EventPosition) {
         *self = Numbering {
             trusts_numbers: self.trusts_numbers,
@@ -83,48 +88,49 @@
         };
     }
 
-    /// The last event known.
+    /// Returns the position of the last known event.
     pub fn last(&self) -> EventPosition {
         self.last
     }
 
-    /// When all events were last known; none if they never were in this run.
+    /// Returns when this instance last had all events; none if it never had in this run.
     pub fn confirmed_at(&self) -> Option<Time> {
         self.confirmed_at
     }
 
-    /// A connection was opened; gives the number to ask after.
+    /// Records that a connection was opened. Returns the number after which to request events.
     pub fn connection_opened(&mut self, now: Time) -> u64 {
-        let asked = if self.trusts_numbers {
+        let requested_after = if self.trusts_numbers {
             self.last.number
-        } else if self.asks_for_all {
+        } else if self.requests_all {
             0
         } else {
             self.last.number.saturating_sub(1)
         };
         self.connection = Some(Connection {
-            asked,
+            requested_after,
             is_proven: self.trusts_numbers,
-            last_heard: now,
+            last_received: now,
             is_new: true,
         });
         self.awaited = None;
-        asked
+        requested_after
     }
 
-    /// The connection was closed, by the other side or for its silence.
-    pub fn connection_closed(&mut self, for_silence: bool) {
-        self.may_hang = for_silence;
+    /// Records that the connection has ended: `timed_out` if nothing was received for too long, otherwise the
+    /// coordinator closed it.
+    pub fn connection_closed(&mut self, timed_out: bool) {
+        self.may_be_hung = timed_out;
         if self
             .connection
             .take()
             .is_some_and(|connection| connection.is_proven)
         {
-            self.closed_cleanly = !for_silence;
+            self.closed_cleanly = !timed_out;
         }
     }
 
-    /// An event has come on the connection; `is_full_list` if it tells all endpoints.
+    /// Handles an event received on the connection. `is_full_list` is true if it holds the full endpoint list.
     pub fn receive(
         &mut self,
         now: Time,
@@ -134,8 +140,8 @@
         let Some(connection) = &mut self.connection else {
             return EventAction::Skip;
         };
-        connection.last_heard = now;
-        self.may_hang = false;
+        connection.last_received = now;
+        self.may_be_hung = false;
         let action = if connection.is_proven {
             self.receive_on_proven(now, position)
         } else {
@@ -145,8 +151,8 @@
             EventAction::Apply => self.apply(now, position),
             EventAction::Replace(missed) => {
                 if missed.is_some() {
-                    // Peers follow what was until they find out as well.
-                    self.peers_distrusted_until = now + PEERS_DISTRUSTED_FOR;
+                    // Peers follow the previous numbering until they notice the change too.
+                    self.peers_distrusted_until = now + PEER_DISTRUST_PERIOD;
                 }
                 self.recent.clear();
                 self.apply(now, position);
@@ -161,7 +167,7 @@
     }
 
     fn apply(&mut self, now: Time, position: EventPosition) {
-        self.recent.applied(now, self.last.number, position);
+        self.recent.record(now, self.last.number, position);
         self.last = position;
     }
 
@@ -173,22 +179,24 @@
             return EventAction::Skip;
         };
         let follows = position.number == self.last.number + 1;
-        // A gap right after asking is all that the coordinator has, if it was asked for all or is trusted.
-        let is_all = connection.is_new && (self.trusts_numbers || connection.asked == 0);
-        if !follows && !is_all {
-            self.asks_for_all = connection.is_new;
+        // Missing numbers before the first event are no gap if all events were requested or numbers are trusted: then
+        // the coordinator has no earlier event to send.
+        let may_skip_numbers =
+            connection.is_new && (self.trusts_numbers || connection.requested_after == 0);
+        if !follows && !may_skip_numbers {
+            self.requests_all = connection.is_new;
             return EventAction::Reconnect(ReconnectReason::Gap);
         }
         connection.is_new = false;
         EventAction::Apply
     }
 
-    /// A number that is known already: a peer brought the event first, or brought what was meant to follow before the
-    /// coordinator was restored from a backup.
+    /// Handles an event whose number is already known. Either a peer relayed the event first, or it relayed another
+    /// event of that number from before the coordinator was restored from a backup.
     fn receive_known(&mut self, now: Time, position: EventPosition) -> EventAction {
-        if !self.trusts_numbers && self.recent.is_other(position) == Some(true) {
-            self.asks_for_all = true;
-            self.peers_distrusted_until = now + PEERS_DISTRUSTED_FOR;
+        if !self.trusts_numbers && self.recent.differs(position) == Some(true) {
+            self.requests_all = true;
+            self.peers_distrusted_until = now + PEER_DISTRUST_PERIOD;
             return EventAction::Reconnect(ReconnectReason::OtherEvent);
         }
         if self
@@ -205,28 +213,29 @@
         EventAction::Skip
     }
 
-    /// The first event of a connection proves the numbering, replaces it, or makes that all is asked for.
+    /// Handles the first event of a connection. It proves the numbering, or replaces it, or makes the next connection
+    /// request all events.
     fn receive_first(
         &mut self,
         now: Time,
         position: EventPosition,
         is_full_list: bool,
     ) -> EventAction {
-        let asked = self
+        let requested_after = self
             .connection
             .as_ref()
-            .map_or(0, |connection| connection.asked);
-        let asked_for_some = asked > 0;
-        // Peers may have brought more since the connection was opened. What it asked for proves the numbering all the
-        // same, and what they brought beyond has to come on the connection in its turn.
+            .map_or(0, |connection| connection.requested_after);
+        let requested_tail = requested_after > 0;
+        // Peers may have relayed more events since the connection was opened. The requested event still proves the
+        // numbering, and the connection then has to deliver the relayed events too.
         let is_overtaken =
-            position.number < self.last.number && self.recent.is_other(position) == Some(false);
-        if is_overtaken && !is_full_list && asked_for_some {
+            position.number < self.last.number && self.recent.differs(position) == Some(false);
+        if is_overtaken && !is_full_list && requested_tail {
             self.prove();
             self.awaited = Some(AwaitedEvents::after(position, now));
             return EventAction::Skip;
         }
-        if position == self.last && (is_full_list || asked_for_some) {
+        if position == self.last && (is_full_list || requested_tail) {
             self.prove();
             return EventAction::Skip;
         }
@@ -234,10 +243,10 @@
             self.prove();
             return EventAction::Replace(self.missed_period());
         }
-        if !asked_for_some {
+        if !requested_tail {
             return EventAction::Reconnect(ReconnectReason::NoList);
         }
-        self.asks_for_all = true;
+        self.requests_all = true;
         EventAction::Reconnect(if position.number == self.last.number {
             ReconnectReason::OtherEvent
         } else {
@@ -245,7 +254,7 @@
         })
     }
 
-    /// The time in which events may have been missed, if more than a file is known.
+    /// Returns the period in which events may have been missed; none if only the configuration is known.
     fn missed_period(&self) -> Option<MissedPeriod> {
         self.confirmed_at.map(|since| MissedPeriod {
             since: Some(since),
@@ -257,52 +266,54 @@
         if let Some(connection) = &mut self.connection {
             connection.is_proven = true;
         }
-        self.asks_for_all = false;
+        self.requests_all = false;
     }
 
-    /// When a connection that has brought nothing by then lacks what was asked for, or what peers have brought. After a
-    /// connection that fell silent there is no such time: a coordinator that hangs accepts connections too, and brings
-    /// nothing on any. There its empty frame has to say so.
+    /// Returns when the coordinator counts as lacking the requested event, or the events that peers relayed, if it has
+    /// not sent them by then. None if there is nothing to prove, and none for an unproven connection after one that
+    /// timed out: a hung coordinator accepts connections and sends nothing, so only its heartbeat shows that it lacks
+    /// the event.
     pub fn proof_due(&self) -> Option<Time> {
         let connection = self.connection.as_ref()?;
         let since = if connection.is_proven {
             self.awaited.map(|awaited| awaited.since)
         } else {
-            (!self.may_hang).then_some(connection.last_heard)
+            (!self.may_be_hung).then_some(connection.last_received)
         };
         since.map(|since| since + PROOF_TIMEOUT)
     }
 
-    /// That time has come.
+    /// Handles that the time of [`Numbering::proof_due`] has passed.
     pub fn proof_overdue(&mut self, now: Time) -> EventAction {
         if self.is_proven() {
-            // It may only be slow, or dead: asked anew, it shows whether it knows that event.
+            // The coordinator may be slow or gone. The next connection requests the last event, and so shows whether
+            // the coordinator has it.
             self.connection = None;
             return EventAction::Reconnect(ReconnectReason::Nothing);
         }
         self.receive_heartbeat(now)
     }
 
-    /// An empty frame has come. On a connection that has proven nothing it says that the coordinator lacks the last event
-    /// known: the connection has to be closed.
+    /// Handles a heartbeat, which is an empty frame. On an unproven connection it means that the coordinator lacks the
+    /// last known event, and the connection has to be closed.
     pub fn receive_heartbeat(&mut self, now: Time) -> EventAction {
         let Some(connection) = &mut self.connection else {
             return EventAction::Skip;
         };
-        connection.last_heard = now;
-        self.may_hang = false;
+        connection.last_received = now;
+        self.may_be_hung = false;
         if connection.is_proven {
             self.confirmed_at = Some(now);
             return EventAction::Skip;
         }
-        // Asked for everything and given nothing, it has no list yet; asking again soon would not help either.
-        self.asks_for_all = true;
+        // If all events were already requested, the coordinator has no list yet. An early retry would not help either.
+        self.requests_all = true;
         self.connection = None;
         EventAction::Reconnect(ReconnectReason::Nothing)
     }
 
-    /// A later configuration tells an event: whether it is to be applied. A numbering that has to be proven takes none,
-    /// as the file may have been written under another.
+    /// Handles an event from a reloaded configuration, and returns whether to apply it. A numbering that has to be
+    /// proven accepts none, as the file may have been written under another numbering.
     pub fn accept_configured(&mut self, position: EventPosition) -> bool {
         let accepted = self.trusts_numbers && position.number > self.last.number;
         if accepted {
@@ -311,25 +322,26 @@
         accepted
     }
 
-    /// Whether the connection has proven that its numbers mean here what they mean there.
+    /// Returns whether the current connection has proven that the coordinator uses the known numbering.
     pub fn is_proven(&self) -> bool {
         self.connection
             .as_ref()
             .is_some_and(|connection| connection.is_proven)
     }
 
-    /// Whether all that the coordinator has told has come, as far as can be seen.
+    /// Returns whether all events of the coordinator count as received: the connection is proven and has been idle for
+    /// long enough.
     pub fn is_current(&self, now: Time) -> bool {
         self.connection.as_ref().is_some_and(|connection| {
-            connection.is_proven && now.since(connection.last_heard) >= SETTLED_AFTER
+            connection.is_proven && now.since(connection.last_received) >= CURRENT_AFTER_IDLE
         })
     }
 
-    /// When that will be if nothing more comes; none on a connection that has proven nothing.
+    /// Returns when [`Numbering::is_current`] becomes true if nothing more is received; none on an unproven connection.
     pub fn current_at(&self) -> Option<Time> {
         self.connection
             .as_ref()
             .filter(|connection| connection.is_proven)
-            .map(|connection| connection.last_heard + SETTLED_AFTER)
+            .map(|connection| connection.last_received + CURRENT_AFTER_IDLE)
     }
 }
--- a/crates/flaxdeck-recovery/src/numbering/action.rs
+++ b/crates/flaxdeck-recovery/src/numbering/action.rs
@@ -1,56 +1,57 @@
-//! Positions in the coordinator's numbering, and what to do with an event.
+//! Positions in the coordinator's numbering, and the actions that a received event can require.
 
 use flaxdeck::Time;
 use serde::{Deserialize, Serialize};
 
-/// An event by its number and a hash of what it tells; both are zero before the first event.
+/// Identifies an event by its number and a hash of its content; both are zero before the first event.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct EventPosition {
-    /// The event's number.
+    /// Number of the event.
     pub number: u64,
-    /// The hash of what it tells.
+    /// Hash of the event's content.
     pub hash: u64,
 }
 
 impl EventPosition {
-    /// Before the first event.
+    /// The position before the first event.
     pub const NONE: EventPosition = EventPosition { number: 0, hash: 0 };
 }
 
-/// A time in which events may have been missed: from `since` until the list that replaces what was known is applied.
+/// A period in which events may have been missed: from `since` until the full list that replaces the known state is
+/// applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MissedPeriod {
-    /// When all events of the old numbering were last known; none if they never were.
+    /// When the instance last had all events of the previous numbering; none if it never had.
     pub since: Option<Time>,
-    /// The last connection was closed by the other side after all that it had to tell, so that nothing from before is
-    /// missing.
+    /// The coordinator closed the last connection after sending all its events, so that none from before is missing.
     pub closed_cleanly: bool,
 }
 
-/// What to do with an event.
+/// What the caller has to do with an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventAction {
-    /// It follows what is known.
+    /// Apply the event: it follows the last known one.
     Apply,
-    /// It is known already.
+    /// Ignore the event: it is already known.
     Skip,
-    /// It is a full list, in place of all that is known. Events may have been missed if more than a file was known.
+    /// Replace the known state by the event's full list. Holds the period in which events may have been missed; none if
+    /// only the configuration was known.
     Replace(Option<MissedPeriod>),
-    /// It can't follow: close the connection and ask again.
+    /// Close the connection and request events again, as the event can't follow the known ones.
     Reconnect(ReconnectReason),
 }
 
-/// Why a connection is closed and events are asked for again. The names stand in the log.
+/// Why a connection is closed and events are requested again. The names of the variants appear in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReconnectReason {
-    /// Another event has the number of one that is known.
+    /// The coordinator sent an event that differs from the known one of the same number.
     OtherEvent,
-    /// Something is missing in between.
+    /// Events are missing between the last known event and the received one.
     Gap,
-    /// The coordinator has nothing where the last known event should be.
+    /// The coordinator sent nothing where a known event was expected.
     Nothing,
-    /// Changes came where the full list should be.
+    /// The coordinator sent changes where the full list was expected.
     NoList,
 }
--- a/crates/flaxdeck-recovery/src/numbering/connection.rs
+++ b/crates/flaxdeck-recovery/src/numbering/connection.rs
@@ -1,4 +1,4 @@
-//! What is known of the connection to the coordinator.
+//! State of the connection to the coordinator.
 
 use flaxdeck::Time;
 
@@ -6,19 +6,21 @@
 
 /// The connection to the coordinator.
 pub(super) struct Connection {
-    /// The number that events were asked after.
-    pub(super) asked: u64,
+    /// Number after which events were requested; zero if all were requested.
+    pub(super) requested_after: u64,
     pub(super) is_proven: bool,
-    /// When something last came on it.
-    pub(super) last_heard: Time,
-    /// Nothing that follows has come on it yet.
+    /// When a frame was last received, or the connection was opened.
+    pub(super) last_received: Time,
+    /// No event that follows the last known one has been received yet.
     pub(super) is_new: bool,
 }
 
-/// Events of peers that the coordinator's connection has not brought yet.
+/// Events relayed by peers that the coordinator still has to send on its connection.
 #[derive(Clone, Copy)]
 pub(super) struct AwaitedEvents {
+    /// Number of the first such event.
     pub(super) first: u64,
+    /// When the wait for it began.
     pub(super) since: Time,
 }
 
--- a/crates/flaxdeck-recovery/src/numbering/peers.rs
+++ b/crates/flaxdeck-recovery/src/numbering/peers.rs
@@ -1,11 +1,12 @@
-//! Events that peers bring, and how far they are trusted.
+//! Acceptance of events that peers relay.
 
 use flaxdeck::Time;
 
 use super::{AwaitedEvents, EventPosition, Numbering};
 
 impl Numbering {
-    /// A peer that knows the same numbering brought the event that follows `after`; false if it is not to be applied.
+    /// Handles an event that a peer relayed as the one that follows `after`. Returns whether to apply it: only if
+    /// `after` is the last known event, the numbers are consecutive and peers are trusted.
     pub fn accept_relayed(
         &mut self,
         now: Time,
@@ -17,7 +18,7 @@
             return false;
         }
         self.apply(now, position);
-        self.confirmed_at = Some(now); // no more a file's: who relayed it follows the coordinator
+        self.confirmed_at = Some(now); // more than the configuration is known: the peer follows the coordinator
         if self.is_proven() && !self.trusts_numbers {
             self.awaited.get_or_insert(AwaitedEvents {
                 first: position.number,
@@ -27,14 +28,15 @@
         true
     }
 
-    /// Whether what peers bring may be taken: they may follow what was before the coordinator contradicted it.
+    /// Returns whether relayed events may be accepted. For some time after the coordinator contradicted them, peers may
+    /// still follow the previous numbering.
     pub fn trusts_peers(&self, now: Time) -> bool {
         now >= self.peers_distrusted_until
     }
 
-    /// All events between the last one and another were brought by a peer that knows the same numbering, and that had all
-    /// that the coordinator had at the time `complete_at`. False if they don't follow the last one, or come too soon
-    /// after the coordinator contradicted what peers brought.
+    /// Handles a batch of all events after `after` up to `last`, from a peer that had all the coordinator's events at
+    /// `complete_at`, if known. Returns whether to apply the batch: not if it does not follow the last known event, and
+    /// not while peers are distrusted after the coordinator contradicted them.
     pub fn accept_batch(
         &mut self,
         now: Time,
@@ -53,12 +55,13 @@
         true
     }
 
-    /// A full list that a peer brought has replaced all that was known.
+    /// Continues from `last` after a peer's full list has replaced the known state. Drops the connection to the
+    /// coordinator.
     pub fn accept_snapshot(&mut self, now: Time, last: EventPosition) {
         self.recent.clear();
         self.apply(now, last);
         self.confirmed_at = Some(now);
         self.connection = None;
-        self.asks_for_all = false;
+        self.requests_all = false;
     }
 }
--- a/crates/flaxdeck-recovery/src/numbering/recent_events.rs
+++ b/crates/flaxdeck-recovery/src/numbering/recent_events.rs
@@ -1,4 +1,4 @@
-//! The last events that were applied, against which a connection's are compared.
+//! The recently applied events, with which events of the coordinator's connection are compared.
 
 use std::collections::BTreeMap;
 
@@ -6,68 +6,71 @@
 
 use super::EventPosition;
 
-/// For how long events are remembered: longer than a connection takes to open and to prove its numbering, at any rate of
-/// events.
-const REMEMBERED_FOR: Span = Span::from_ms(5_000);
-/// How many are remembered at least, however old: a coordinator that was restored may tell them once more.
-const MIN_REMEMBERED: usize = 256;
-/// And how many at most. A connection that is compared with one beyond them asks for everything, with copies unconfirmed.
-pub const MAX_REMEMBERED: usize = 65_536;
+/// Minimum time for which events are kept, up to [`MAX_RECENT_EVENTS`]: longer than a connection takes to open and to
+/// prove its numbering, at any rate of events.
+const MIN_RETENTION: Span = Span::from_ms(5_000);
+/// Number of events that are kept however old they are: a coordinator that was restored from a backup may send them
+/// again.
+const MIN_RECENT_EVENTS: usize = 256;
+/// Maximum number of events that are kept. A connection that sends an event before them has to request all events, and
+/// copies are unconfirmed then.
+pub const MAX_RECENT_EVENTS: usize = 65_536;
 
 #[derive(Clone, Copy)]
 struct AppliedEvent {
     hash: u64,
-    /// When it was applied, and once another has followed, when that was: a connection asks for the last one.
-    at: Time,
+    /// When this was last the newest event: the time at which the next event was applied, or its own for the newest.
+    /// Only the newest is requested by a connection, so the age that counts begins there.
+    newest_at: Time,
 }
 
-/// The last events as applied, whoever brought them, by number.
+/// The recently applied events by number, from the coordinator and from peers alike.
 pub(super) struct RecentEvents {
     events: BTreeMap<u64, AppliedEvent>,
 }
 
 impl RecentEvents {
-    /// Only that one, applied long ago.
-    pub(super) fn starting_with(position: EventPosition) -> RecentEvents {
+    /// Creates a record that holds only `position`, as if applied at time zero.
+    pub(super) fn containing(position: EventPosition) -> RecentEvents {
         let event = AppliedEvent {
             hash: position.hash,
-            at: Time::default(),
+            newest_at: Time::default(),
         };
         RecentEvents {
             events: BTreeMap::from([(position.number, event)]),
         }
     }
 
-    /// Forgets all.
     pub(super) fn clear(&mut self) {
         self.events.clear();
     }
 
-    /// An event was applied after the one with the number `before`.
-    pub(super) fn applied(&mut self, now: Time, before: u64, position: EventPosition) {
+    /// Records that an event was applied after the one with the number `before`, and evicts old events.
+    pub(super) fn record(&mut self, now: Time, before: u64, position: EventPosition) {
         if let Some(before) = self.events.get_mut(&before) {
-            before.at = now;
+            before.newest_at = now;
         }
         let event = AppliedEvent {
             hash: position.hash,
-            at: now,
+            newest_at: now,
         };
         self.events.insert(position.number, event);
-        while self.is_first_forgotten(now) {
+        while self.should_evict_oldest(now) {
             self.events.pop_first();
         }
     }
 
-    fn is_first_forgotten(&self, now: Time) -> bool {
+    fn should_evict_oldest(&self, now: Time) -> bool {
         let is_old = self
             .events
             .first_key_value()
-            .is_some_and(|(_, event)| now.since(event.at) > REMEMBERED_FOR);
-        (is_old && self.events.len() > MIN_REMEMBERED) || self.events.len() > MAX_REMEMBERED
+            .is_some_and(|(_, event)| now.since(event.newest_at) > MIN_RETENTION);
+        (is_old && self.events.len() > MIN_RECENT_EVENTS) || self.events.len() > MAX_RECENT_EVENTS
     }
 
-    /// Whether another event than this was applied under its number; none if that is not remembered.
-    pub(super) fn is_other(&self, position: EventPosition) -> Option<bool> {
+    /// Returns whether the event applied under this number differs from `position`; none if no event of that number is
+    /// kept.
+    pub(super) fn differs(&self, position: EventPosition) -> Option<bool> {
         self.events
             .get(&position.number)
             .map(|event| event.hash != position.hash)
--- a/crates/flaxdeck-recovery/tests/numbering.rs
+++ b/crates/flaxdeck-recovery/tests/numbering.rs
@@ -254,7 +254,7 @@
     );
 
     let mut numbering = known();
-    let most = flaxdeck_recovery::numbering::MAX_REMEMBERED as u64;
+    let most = flaxdeck_recovery::numbering::MAX_RECENT_EVENTS as u64;
     for number in 20..20 + 2 * most {
         numbering.receive(at(1), position(number + 1, 5), false);
     }
