--- a/crates/flaxdeck-cli/tests/coming_back.rs
+++ b/crates/flaxdeck-cli/tests/coming_back.rs
@@ -512,7 +512,7 @@
     assert!(
         logged(
             &fleet,
-            "kept shares: believed: nothing that was lent is out after"
+            "kept shares: believed: all granted leases end within"
         ) >= 1,
         "{:#?}",
         fleet.lines()
--- a/crates/flaxdeck-recovery/src/restored_state.rs
+++ b/crates/flaxdeck-recovery/src/restored_state.rs
@@ -1,8 +1,8 @@
-//! What of stored state is still valid, item by item.
+//! Decides for each item of the stored state whether it is still valid.
 //!
-//! Facts decide: the host's start, the coordinator's numbering, the instance's own name. Age decides only where a clock
-//! can tell it, which is the machine's count since it booted and no wall clock: that may have been set either way in
-//! between.
+//! Validity is decided by facts: the start of a cache host, the coordinator's numbering, the instance's own name. Age
+//! decides only where it can be measured, which is by the machine's uptime. The wall clock is not used, as it may have
+//! been set forward or back in the meantime.
 
 use std::collections::BTreeMap;
 
@@ -13,19 +13,19 @@
     StoredEndpoint, StoredMeasurements, StoredPurge, StoredRating, StoredState, Uptime,
 };
 
-/// Measurements of a source older than this are not taken over: its own trials know better by then.
+/// Maximum age of restored measurements of a source: older ones say less than the first new trials of the source.
 const MEASUREMENTS_LIFETIME: Span = Span::from_ms(60_000);
-/// A host that failed or answered longer ago than this may do otherwise by now.
+/// Maximum age of a restored success or failure of a host: beyond it, the host may behave differently.
 const CONTACTS_LIFETIME: Span = Span::from_ms(10_000);
 
-/// Whether one item of stored state is used, and why. The text is for the operator.
+/// Whether one item of the stored state is used, and why, for the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// The item.
+    /// Name of the item, as printed in the log and by `flaxdeck state`.
     pub item: &'static str,
-    /// Whether it is used.
+    /// Whether the item is used.
     pub is_valid: bool,
-    /// The reason.
+    /// Why the item is used or not, as text for the operator.
     pub reason: String,
 }
 
@@ -39,39 +39,42 @@
     }
 }
 
-/// What an instance may count on from the start.
+/// The valid part of the stored state, which an instance starts with.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RestoredState {
-    /// The last event, to be proven by the next connection to the coordinator; none if the configuration's is later.
+    /// The last stored event, which the next connection to the coordinator has to prove. None if the configuration's
+    /// last event is later.
     pub last_event: Option<EventPosition>,
-    /// All endpoints as of that event.
+    /// The full endpoint list as of `last_event`.
     pub endpoints: Vec<StoredEndpoint>,
-    /// The purges that may not have settled.
+    /// The purges that may be unsettled.
     pub purges: Vec<StoredPurge>,
-    /// What was observed of hosts, with ages as of now.
+    /// Ratings of cache hosts, with their ages as of now.
     pub ratings: Vec<StoredRating>,
-    /// How long the own shares of warming hosts are not used, if that is known.
+    /// How long the instance must leave its own quotas of warming hosts unused, as it may have lent them before the
+    /// restart. None if the stored state does not tell.
     pub startup_wait: Option<Span>,
-    /// What is used of each item, and why.
+    /// The verdict on each item.
     pub verdicts: Vec<Verdict>,
 }
 
-/// The facts that stored state is compared with.
+/// The facts that the stored state is validated against.
 #[derive(Clone, Copy, Debug)]
 pub struct CurrentFacts {
-    /// The machine's count now.
+    /// The current uptime of the machine.
     pub uptime: Uptime,
     /// The last event of the configuration that the instance starts with.
     pub configured_event: EventPosition,
-    /// How long its own shares would not be used if nothing was known.
+    /// How long the instance leaves its own quotas unused if the stored state does not tell.
     pub startup_wait: Span,
 }
 
-/// Goes through stored state, in the order in which one item rests on the other.
+/// Validates the stored state item by item. Items that others depend on come first: ratings need the restored endpoints
+/// and the age.
 pub fn validate(stored: StoredState, facts: CurrentFacts) -> RestoredState {
     let mut restored = RestoredState::default();
     let age = facts.uptime.since(stored.written);
-    restored.verdicts.push(judge_age(age));
+    restored.verdicts.push(age_verdict(age));
     restored.restore_endpoints(stored.last_event, stored.endpoints, facts);
     restored.restore_purges(stored.purges);
     restored.restore_ratings(stored.ratings, age);
@@ -79,27 +82,31 @@
     restored
 }
 
-fn seconds(span: Span) -> String {
+fn format_seconds(span: Span) -> String {
     format!("{:.1} s", span.ms() / 1000.0)
 }
 
-fn judge_age(age: Option<Span>) -> Verdict {
+fn age_verdict(age: Option<Span>) -> Verdict {
     match age {
         Some(age) => Verdict::new(
             "age",
             true,
-            format!("written {} ago by the machine's own count", seconds(age)),
+            format!(
+                "written {} ago by the machine's uptime",
+                format_seconds(age)
+            ),
         ),
         None => Verdict::new(
             "age",
             false,
-            "the machine has booted since, and a wall clock vouches for nothing",
+            "unknown: the machine has rebooted since or its boot id is unreadable, and the wall clock is not reliable",
         ),
     }
 }
 
 impl RestoredState {
-    /// A number is only a claim: the coordinator has to prove it, so a wrong one costs a full list and no more.
+    /// The stored event number needs no further check here: the coordinator has to prove it, so a wrong one costs no
+    /// more than a full list.
     fn restore_endpoints(
         &mut self,
         last_event: EventPosition,
@@ -109,29 +116,36 @@
         let number = last_event.number;
         let configured = facts.configured_event.number;
         if number < configured || last_event == EventPosition::NONE {
-            let reason = format!("{number}, and the configuration has {configured}");
+            let reason = format!("stored event {number}, configured event {configured}");
             self.verdicts.push(Verdict::new("event", false, reason));
-            let reason = "the configuration's list is of a later event";
+            let reason = "the configuration's endpoint list is used instead of the stored one";
             self.verdicts.push(Verdict::new("hosts", false, reason));
             return;
         }
-        let reason = format!("{number}, to be proven by the coordinator's next word");
+        let reason = format!(
+            "stored event {number}, to be proven by the next connection to the coordinator"
+        );
         self.verdicts.push(Verdict::new("event", true, reason));
         let count = endpoints.len();
-        let reason = format!("{count} lines as of that event, not vouched for until then");
+        let reason =
+            format!("{count} endpoints as of the stored event, unconfirmed until it is proven");
         self.verdicts.push(Verdict::new("hosts", true, reason));
         self.last_event = Some(last_event);
         self.endpoints = endpoints;
     }
 
-    /// One used in vain costs a fill; one forgotten serves what was purged.
+    /// All stored purges are restored: a superfluous one costs a fill, while a missing one lets a purged copy be
+    /// served.
     fn restore_purges(&mut self, purges: Vec<StoredPurge>) {
-        let reason = format!("{}: they only limit the age of copies", purges.len());
+        let reason = format!(
+            "{} purges, which only limit the age of served copies",
+            purges.len()
+        );
         self.verdicts.push(Verdict::new("purges", true, reason));
         self.purges = purges;
     }
 
-    /// Ratings count for the same start of a listed host, and where their age is known.
+    /// Restores the ratings of listed hosts that have not restarted since, if the age of the ratings is known.
     fn restore_ratings(&mut self, ratings: Vec<StoredRating>, age: Option<Span>) {
         let starts: BTreeMap<&str, u64> = self
             .endpoints
@@ -145,7 +159,8 @@
             .filter_map(|rating| aged_rating(rating, age?))
             .collect();
         let reason = format!(
-            "{} of {count} are of the same start and young enough; a first failed contact outweighs them",
+            "{} of {count} are of a listed host that has not restarted and are recent enough; the first failed contact \
+             overrides them",
             restored.len()
         );
         self.verdicts
@@ -153,7 +168,8 @@
         self.ratings = restored;
     }
 
-    /// What is lent is stored before it is lent, so nothing can be outstanding that is not stored.
+    /// An instance stores the end of its leases before it grants them, so none can be outstanding beyond the stored
+    /// time.
     fn restore_startup_wait(
         &mut self,
         lent_until: Option<Uptime>,
@@ -169,10 +185,10 @@
             .filter(|_| age.is_some())
             .map(|outstanding| outstanding.min(facts.startup_wait));
         let reason = match wait {
-            Some(wait) => format!("nothing that was lent is out after {}", seconds(wait)),
+            Some(wait) => format!("all granted leases end within {}", format_seconds(wait)),
             None => format!(
-                "left alone for {}, as if all had been lent",
-                seconds(facts.startup_wait)
+                "own quotas stay unused for {}, as if all of them were lent",
+                format_seconds(facts.startup_wait)
             ),
         };
         self.verdicts
@@ -181,10 +197,10 @@
     }
 }
 
-/// A rating with its ages as of `passed` later; none if nothing of it is young enough.
-fn aged_rating(rating: StoredRating, passed: Span) -> Option<StoredRating> {
+/// Returns the rating with `elapsed` added to its ages, without the parts that are too old; none if all of them are.
+fn aged_rating(rating: StoredRating, elapsed: Span) -> Option<StoredRating> {
     let within = |ago: Option<u64>, lifetime: Span| {
-        ago.map(|ago| ago + passed.ms() as u64)
+        ago.map(|ago| ago + elapsed.ms() as u64)
             .filter(|ago| Span::from_ms(*ago) <= lifetime)
     };
     let measured_ago_ms = within(rating.measured_ago_ms, MEASUREMENTS_LIFETIME);
