--- a/crates/flaxdeck-dispatcher/src/routing/control_client/coordinator_clock.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/coordinator_clock.rs
@@ -49,7 +49,7 @@
 
     /// Puts the starts of endpoints by the own clock.
     pub(super) fn endpoints_by_own_clock(&self, endpoints: &mut [Endpoint]) {
-        self.offset.borrow().localize_endpoints(endpoints);
+        self.offset.borrow().endpoints_to_local(endpoints);
     }
 
     /// Puts the starts of observed hosts as they were announced.
--- a/crates/flaxdeck-recovery/src/clocks.rs
+++ b/crates/flaxdeck-recovery/src/clocks.rs
@@ -76,7 +76,7 @@
     }
 
     /// Translates the starts of listed endpoints to the local clock.
-    pub fn localize_endpoints(&self, endpoints: &mut [Endpoint]) {
+    pub fn endpoints_to_local(&self, endpoints: &mut [Endpoint]) {
         for endpoint in endpoints {
             endpoint.started = endpoint.started.map(|started| self.to_local(started));
         }
