--- a/crates/flaxdeck-dispatcher/src/routing/control_client/coordinator_clock.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/coordinator_clock.rs
@@ -54,7 +54,9 @@
 
     /// Puts the starts of observed hosts as they were announced.
     pub(super) fn observations_as_announced(&self, observations: &mut [Observation]) {
-        self.offset.borrow().delocalize_observations(observations);
+        self.offset
+            .borrow()
+            .observations_to_coordinator(observations);
     }
 
     /// Puts the starts in quotas by the own clock.
--- a/crates/flaxdeck-recovery/src/clocks.rs
+++ b/crates/flaxdeck-recovery/src/clocks.rs
@@ -84,7 +84,7 @@
 
     /// Translates the starts of observed hosts to the coordinator's clock, by which other instances identify the
     /// incarnation of a host.
-    pub fn delocalize_observations(&self, observations: &mut [Observation]) {
+    pub fn observations_to_coordinator(&self, observations: &mut [Observation]) {
         for observation in observations {
             let started = observation.started;
             observation.started = started.map(|started| self.to_coordinator(started));
