--- a/crates/flaxdeck-recovery/tests/numbering.rs
+++ b/crates/flaxdeck-recovery/tests/numbering.rs
@@ -1,4 +1,4 @@
-//! Whether the coordinator still speaks the numbering that is known, case by case.
+//! Whether the coordinator still uses the known numbering, case by case.
 
 use flaxdeck::Time;
 use flaxdeck_recovery::EventPosition;
@@ -12,8 +12,8 @@
     EventPosition { number, hash }
 }
 
-/// Known up to 20 and proven.
-fn known() -> Numbering {
+/// A numbering whose last known event is 20, proven by a connection at 1 ms.
+fn proven_at_20() -> Numbering {
     let mut numbering = Numbering::new(position(20, 7));
     assert_eq!(numbering.connection_opened(at(0)), 19);
     assert_eq!(
@@ -24,14 +24,17 @@
 }
 
 #[test]
-fn the_last_event_again_proves_the_numbering_at_once() {
-    let mut numbering = known();
+fn receiving_the_last_event_again_proves_the_numbering_at_once() {
+    let mut numbering = proven_at_20();
     assert!(!numbering.is_current(at(1)) && numbering.is_current(at(40)));
     assert_eq!(
         numbering.receive(at(50), position(21, 8), false),
         EventAction::Apply
     );
-    assert!(!numbering.is_current(at(51)), "more may be on its way");
+    assert!(
+        !numbering.is_current(at(51)),
+        "more events may be in flight"
+    );
     assert_eq!(
         numbering.receive(at(52), position(23, 8), false),
         EventAction::Reconnect(ReconnectReason::Gap)
@@ -40,8 +43,8 @@
 }
 
 #[test]
-fn a_coordinator_that_numbers_from_one_again_is_noticed_before_it_has_come_as_far() {
-    let mut numbering = known();
+fn a_restart_of_the_numbering_at_one_is_detected_at_once() {
+    let mut numbering = proven_at_20();
     numbering.connection_closed(false);
     numbering.connection_opened(at(100));
     let missed = MissedPeriod {
@@ -59,15 +62,19 @@
 }
 
 #[test]
-fn one_that_has_come_further_than_before_is_noticed_by_the_other_event() {
-    let mut numbering = known();
+fn a_restarted_coordinator_past_the_last_number_is_detected_by_the_hash() {
+    let mut numbering = proven_at_20();
     numbering.connection_closed(true);
     numbering.connection_opened(at(100));
     assert_eq!(
         numbering.receive(at(101), position(20, 8), false),
         EventAction::Reconnect(ReconnectReason::OtherEvent)
     );
-    assert_eq!(numbering.connection_opened(at(102)), 0, "the whole of it");
+    assert_eq!(
+        numbering.connection_opened(at(102)),
+        0,
+        "requests all events"
+    );
     let missed = MissedPeriod {
         since: Some(at(1)),
         closed_cleanly: false,
@@ -80,8 +87,8 @@
 }
 
 #[test]
-fn one_that_says_nothing_of_a_number_it_does_not_know_is_asked_for_all() {
-    let mut numbering = known();
+fn a_heartbeat_instead_of_the_last_event_leads_to_a_full_request() {
+    let mut numbering = proven_at_20();
     numbering.connection_closed(false);
     numbering.connection_opened(at(100));
     assert_eq!(
@@ -92,15 +99,15 @@
 }
 
 #[test]
-fn one_that_jumps_far_ahead_gives_its_list_or_is_asked_for_it() {
-    let mut numbering = known();
+fn a_jump_in_the_numbers_needs_a_full_list() {
+    let mut numbering = proven_at_20();
     numbering.connection_closed(false);
     numbering.connection_opened(at(100));
     assert!(matches!(
         numbering.receive(at(101), position(900, 1), true),
         EventAction::Replace(Some(_))
     ));
-    let mut numbering = known();
+    let mut numbering = proven_at_20();
     numbering.connection_closed(false);
     numbering.connection_opened(at(100));
     assert_eq!(
@@ -111,27 +118,31 @@
 }
 
 #[test]
-fn what_a_planner_brings_counts_only_if_it_follows_in_this_numbering() {
-    let mut numbering = known();
+fn a_relayed_event_is_accepted_only_if_it_follows_in_this_numbering() {
+    let mut numbering = proven_at_20();
     assert!(
         !numbering.accept_relayed(at(2), position(20, 6), position(21, 1)),
-        "another numbering's"
+        "follows an event of another numbering"
     );
     assert!(
         !numbering.accept_relayed(at(2), position(19, 1), position(20, 7)),
-        "known"
+        "event 20 is already known"
     );
     assert!(numbering.accept_relayed(at(2), position(20, 7), position(21, 1)));
     assert_eq!(
         numbering.receive(at(9), position(21, 1), false),
         EventAction::Skip
     );
-    assert_eq!(numbering.proof_due(), None, "the link has brought it too");
+    assert_eq!(
+        numbering.proof_due(),
+        None,
+        "the connection has delivered the relayed event too"
+    );
     assert_eq!(
         numbering.receive(at(9), position(22, 1), false),
         EventAction::Apply
     );
-    // What it does not bring in its turn it may not know.
+    // If the coordinator does not send a relayed event in time, it may lack it.
     assert!(numbering.accept_relayed(at(10), position(22, 1), position(23, 1)));
     assert_eq!(numbering.proof_due(), Some(at(510)));
     assert_eq!(
@@ -142,9 +153,10 @@
 }
 
 #[test]
-fn what_planners_brought_of_a_history_before_a_restore_is_contradicted_by_the_coordinator() {
-    // Put back to 20, which all share; a planner that has not noticed brings the old 21 and 22.
-    let mut numbering = known();
+fn relayed_events_from_before_a_restore_are_contradicted_by_the_coordinator() {
+    // The coordinator was restored to event 20, which all share. A planner that has not noticed relays the old 21 and
+    // 22.
+    let mut numbering = proven_at_20();
     assert!(numbering.accept_relayed(at(10), position(20, 7), position(21, 1)));
     assert!(numbering.accept_relayed(at(10), position(21, 1), position(22, 2)));
     assert_eq!(
@@ -168,7 +180,7 @@
     });
     assert!(
         !numbering.accept_relayed(at(40), position(20, 7), position(21, 1)),
-        "not from them again for a while"
+        "relayed events are distrusted for some time"
     );
     assert_eq!(
         numbering.receive(at(41), position(21, 8), false),
@@ -177,7 +189,7 @@
 }
 
 #[test]
-fn what_peers_brought_or_was_stored_may_have_missed_events_when_the_numbering_is_another() {
+fn relayed_or_stored_state_may_miss_events_under_a_new_numbering() {
     let mut numbering = Numbering::new(position(1, 3));
     assert!(numbering.accept_relayed(at(5), position(1, 3), position(2, 3)));
     numbering.connection_opened(at(9));
@@ -195,7 +207,7 @@
 }
 
 #[test]
-fn a_files_numbering_that_turns_out_another_has_missed_nothing() {
+fn configured_state_misses_no_events_under_a_new_numbering() {
     let mut numbering = Numbering::new(position(1, 3));
     numbering.connection_opened(at(0));
     assert_eq!(
@@ -204,8 +216,8 @@
     );
 }
 
-/// Events that others bring, one each 3 ms from number 21 on; gives when the last of them came.
-fn brought(numbering: &mut Numbering, from: u64, events: u64) -> u64 {
+/// Relays events to the numbering, one every 3 ms from number 21 on. Returns when the last of them arrived.
+fn relay_events(numbering: &mut Numbering, from: u64, events: u64) -> u64 {
     let hash = |number: u64| if number == 20 { 7 } else { number * 31 };
     for number in 20..20 + events {
         let ms = from + (number - 19) * 3;
@@ -219,15 +231,15 @@
 }
 
 #[test]
-fn a_link_overtaken_by_a_second_of_events_at_their_highest_rate_still_proves_the_numbering() {
-    let mut numbering = known();
+fn a_connection_overtaken_by_a_second_of_peak_rate_events_still_proves_the_numbering() {
+    let mut numbering = proven_at_20();
     numbering.connection_closed(false);
     assert_eq!(numbering.connection_opened(at(100)), 19);
-    let now = brought(&mut numbering, 100, 330);
+    let now = relay_events(&mut numbering, 100, 330);
     assert_eq!(
         numbering.receive(at(now), position(20, 7), false),
         EventAction::Skip,
-        "what it was asked for"
+        "the requested event proves the numbering"
     );
     assert!(numbering.is_proven());
     assert_eq!(
@@ -241,34 +253,34 @@
 }
 
 #[test]
-fn what_is_remembered_of_events_is_bounded_by_time_and_by_count() {
-    let mut numbering = known();
+fn recent_events_are_bounded_by_age_and_count() {
+    let mut numbering = proven_at_20();
     numbering.connection_closed(false);
     numbering.connection_opened(at(100));
-    let now = brought(&mut numbering, 100, 2_000);
+    let now = relay_events(&mut numbering, 100, 2_000);
     let first = numbering.receive(at(now), position(20, 7), false);
     assert_eq!(
         first,
         EventAction::Reconnect(ReconnectReason::Gap),
-        "longer ago than a link may take: all is asked for"
+        "the requested event is older than the retention, so all events are requested"
     );
 
-    let mut numbering = known();
-    let most = flaxdeck_recovery::numbering::MAX_RECENT_EVENTS as u64;
-    for number in 20..20 + 2 * most {
+    let mut numbering = proven_at_20();
+    let limit = flaxdeck_recovery::numbering::MAX_RECENT_EVENTS as u64;
+    for number in 20..20 + 2 * limit {
         numbering.receive(at(1), position(number + 1, 5), false);
     }
     assert_eq!(
-        numbering.receive(at(1), position(20 + 2 * most - 100, 6), false),
+        numbering.receive(at(1), position(20 + 2 * limit - 100, 6), false),
         EventAction::Reconnect(ReconnectReason::OtherEvent)
     );
 }
 
 #[test]
-fn a_coordinator_that_hangs_is_not_taken_for_one_with_another_numbering() {
-    let mut numbering = known();
+fn a_hung_coordinator_is_not_mistaken_for_a_new_numbering() {
+    let mut numbering = proven_at_20();
     numbering.connection_closed(true);
-    // It takes connections and says nothing, on one after the other.
+    // A hung coordinator accepts each connection and sends nothing on it.
     for ms in [2_300, 4_600] {
         assert_eq!(numbering.connection_opened(at(ms)), 19);
         assert_eq!(numbering.proof_due(), None);
@@ -287,8 +299,8 @@
 }
 
 #[test]
-fn one_that_hung_and_has_lost_its_numbering_says_so_by_its_empty_frame() {
-    let mut numbering = known();
+fn a_coordinator_that_hung_and_lost_its_numbering_is_detected_by_its_heartbeat() {
+    let mut numbering = proven_at_20();
     numbering.connection_closed(true);
     numbering.connection_opened(at(2_300));
     assert_eq!(
@@ -303,8 +315,8 @@
 }
 
 #[test]
-fn after_a_link_that_was_closed_a_silent_one_is_soon_taken_for_another_numbering() {
-    let mut numbering = known();
+fn after_a_clean_close_a_silent_connection_soon_counts_as_a_new_numbering() {
+    let mut numbering = proven_at_20();
     numbering.connection_closed(true);
     numbering.connection_opened(at(2_300));
     numbering.connection_closed(false);
