--- a/crates/flaxdeck-recovery/tests/numbering_model.rs
+++ b/crates/flaxdeck-recovery/tests/numbering_model.rs
@@ -1,6 +1,6 @@
-//! The numbering under a coordinator that forgets, is restored from a backup and jumps ahead, over links that break and fall silent,
-//! with a second instance that passes on what it knows: random schedules of the real machines in virtual time. What must
-//! hold: who takes itself for current hands nothing to a host that the coordinator has withdrawn.
+//! Random schedules of the real state machines in virtual time. The coordinator loses its numbering, is restored from a
+//! backup or skips numbers; connections break or hang; and two instances relay events to each other. The invariant: an
+//! instance that counts as current uses no host that the coordinator has withdrawn.
 
 #![allow(
     clippy::unwrap_used,
@@ -18,12 +18,13 @@
 use rand_pcg::Pcg64Mcg;
 
 const HOSTS: usize = 3;
-const STEP: u64 = 10;
-/// After that a word that was sent has come on any link that is whole.
-const COMES: u64 = 40;
+/// Time step of a schedule.
+const STEP_MS: u64 = 10;
+/// Upper limit of the delay of a frame on a connection that works.
+const MAX_DELIVERY_MS: u64 = 40;
 
-/// How long what others bring may stand against the coordinator.
-const CONTRADICTED: u64 = 800;
+/// Time within which the coordinator has to contradict relayed events of a previous numbering.
+const CONTRADICTION_LIMIT_MS: u64 = 800;
 
 /// Whether each host is withdrawn.
 type Withdrawn = [bool; HOSTS];
@@ -31,52 +32,58 @@
 #[derive(Clone, Debug)]
 struct Event {
     position: EventPosition,
-    whole: bool,
-    healths: Withdrawn,
+    is_full_list: bool,
+    withdrawn: Withdrawn,
 }
 
 struct Coordinator {
     run: u64,
     events: Vec<Event>,
-    hashes: u64,
-    /// Its events bear hashes that tell them apart.
-    hashed: bool,
+    last_hash: u64,
+    /// Whether the hashes of different events differ.
+    has_distinct_hashes: bool,
 }
 
 impl Coordinator {
     fn last(&self) -> &Event {
-        self.events.last().expect("a list is always there")
+        self.events
+            .last()
+            .expect("the coordinator always has at least a full list")
     }
 
     fn position(&mut self, number: u64) -> EventPosition {
-        self.hashes += 1;
+        self.last_hash += 1;
         EventPosition {
             number,
-            hash: if self.hashed { self.hashes } else { 1 },
+            hash: if self.has_distinct_hashes {
+                self.last_hash
+            } else {
+                1
+            },
         }
     }
 
-    fn tell(&mut self, random: &mut Pcg64Mcg) {
-        let mut healths = self.last().healths;
+    fn publish_change(&mut self, random: &mut Pcg64Mcg) {
+        let mut withdrawn = self.last().withdrawn;
         let host = random.random_range(0..HOSTS);
-        healths[host] = !healths[host];
+        withdrawn[host] = !withdrawn[host];
         let number = self.last().position.number + 1;
         let position = self.position(number);
         self.events.push(Event {
             position,
-            whole: false,
-            healths,
+            is_full_list: false,
+            withdrawn,
         });
     }
 
-    /// It starts anew with its list as event `number`.
-    fn list(&mut self, number: u64, healths: Withdrawn) {
+    /// Restarts with a full list as event `number`.
+    fn restart_with_list(&mut self, number: u64, withdrawn: Withdrawn) {
         self.run += 1;
         let position = self.position(number);
         self.events = vec![Event {
             position,
-            whole: true,
-            healths,
+            is_full_list: true,
+            withdrawn,
         }];
     }
 
@@ -86,11 +93,11 @@
         self.events.truncate(left);
     }
 
-    /// What follows that number, as stand-ins and the platform's page have it.
-    fn news(&self, last: u64) -> Vec<Event> {
+    /// Returns the events after that number, as the coordinator's stand-ins and the platform's documentation do.
+    fn events_after(&self, last: u64) -> Vec<Event> {
         if last > self.last().position.number {
             return vec![Event {
-                whole: true,
+                is_full_list: true,
                 ..self.last().clone()
             }];
         }
@@ -102,37 +109,37 @@
     }
 }
 
-struct Link {
+struct Connection {
     run: u64,
     sent: u64,
-    /// What is on its way, with the time at which it comes; none is an empty frame.
-    coming: VecDeque<(u64, Option<Event>)>,
-    quiet_since: u64,
-    /// It is open and dead.
-    held: bool,
+    /// Frames in flight with their arrival times; none is a heartbeat.
+    in_flight: VecDeque<(u64, Option<Event>)>,
+    last_sent: u64,
+    /// The connection is open, but nothing is sent on it any more.
+    is_hung: bool,
 }
 
-impl Link {
-    /// The coordinator sends what is new, or an empty frame after a quiet second.
+impl Connection {
+    /// Sends the coordinator's new events, or a heartbeat after a second without any.
     fn send(&mut self, ms: u64, coordinator: &Coordinator, random: &mut Pcg64Mcg) {
-        let last = self.coming.back().map_or(ms, |(at, _)| *at);
-        let late = last.max(ms + random.random_range(0..COMES));
+        let last = self.in_flight.back().map_or(ms, |(at, _)| *at);
+        let arrives_at = last.max(ms + random.random_range(0..MAX_DELIVERY_MS));
         for event in &coordinator.events {
             if event.position.number > self.sent {
-                self.coming.push_back((late, Some(event.clone())));
-                self.quiet_since = ms;
+                self.in_flight.push_back((arrives_at, Some(event.clone())));
+                self.last_sent = ms;
             }
         }
         self.sent = coordinator.last().position.number;
-        if ms - self.quiet_since >= 1_000 {
-            self.coming.push_back((late, None));
-            self.quiet_since = ms;
+        if ms - self.last_sent >= 1_000 {
+            self.in_flight.push_back((arrives_at, None));
+            self.last_sent = ms;
         }
     }
 
     fn arrived(&mut self, ms: u64) -> Vec<Option<Event>> {
         let mut arrived = Vec::new();
-        while let Some((_, event)) = self.coming.pop_front_if(|(at, _)| *at <= ms) {
+        while let Some((_, event)) = self.in_flight.pop_front_if(|(at, _)| *at <= ms) {
             arrived.push(event);
         }
         arrived
@@ -146,14 +153,14 @@
 struct Instance {
     numbering: Numbering,
     unconfirmed: UnconfirmedEndpoints,
-    healths: Withdrawn,
-    link: Option<Link>,
-    again_at: u64,
-    /// What it would pass on, and the event that the first of it follows.
-    log: (EventPosition, Vec<Event>),
+    withdrawn: Withdrawn,
+    connection: Option<Connection>,
+    reconnect_at: u64,
+    /// The events that it relays, and the position that the first of them follows.
+    relay_log: (EventPosition, Vec<Event>),
 }
 
-fn line(host: usize, withdrawn: bool) -> Endpoint {
+fn endpoint(host: usize, withdrawn: bool) -> Endpoint {
     let health = if withdrawn {
         Health::Draining
     } else {
@@ -172,8 +179,8 @@
 }
 
 impl Instance {
-    fn new(first: &Event, trusted_numbers: bool) -> Instance {
-        let numbering = if trusted_numbers {
+    fn new(first: &Event, trusts_numbers: bool) -> Instance {
+        let numbering = if trusts_numbers {
             Numbering::with_trusted_numbers(first.position)
         } else {
             Numbering::new(first.position)
@@ -181,92 +188,96 @@
         Instance {
             numbering,
             unconfirmed: UnconfirmedEndpoints::default(),
-            healths: first.healths,
-            link: None,
-            again_at: 0,
-            log: (first.position, Vec::new()),
+            withdrawn: first.withdrawn,
+            connection: None,
+            reconnect_at: 0,
+            relay_log: (first.position, Vec::new()),
         }
     }
 
-    fn applies(&mut self, event: &Event) {
-        self.healths = event.healths;
-        self.log.1.push(event.clone());
+    fn apply(&mut self, event: &Event) {
+        self.withdrawn = event.withdrawn;
+        self.relay_log.1.push(event.clone());
     }
 
-    fn adopts(&mut self, now: Time, event: &Event, may_have_missed: bool) {
+    fn adopt(&mut self, now: Time, event: &Event, may_have_missed: bool) {
         let before: BTreeMap<HostId, Endpoint> = (0..HOSTS)
-            .map(|host| line(host, self.healths[host]))
-            .map(|line| (line.host.clone(), line))
+            .map(|host| endpoint(host, self.withdrawn[host]))
+            .map(|endpoint| (endpoint.host.clone(), endpoint))
             .collect();
         let mut list: Vec<Endpoint> = (0..HOSTS)
-            .map(|host| line(host, event.healths[host]))
+            .map(|host| endpoint(host, event.withdrawn[host]))
             .collect();
         if may_have_missed {
             list = self.unconfirmed.adopt(now, &before, list).endpoints;
         }
-        for (host, line) in list.iter().enumerate() {
-            self.healths[host] = line.health != Health::InService;
+        for (host, endpoint) in list.iter().enumerate() {
+            self.withdrawn[host] = endpoint.health != Health::InService;
         }
-        self.log = (event.position, Vec::new());
+        self.relay_log = (event.position, Vec::new());
     }
 
     fn step(&mut self, ms: u64, coordinator: &Coordinator, random: &mut Pcg64Mcg) {
-        let Some(link) = &mut self.link else {
-            if ms >= self.again_at {
+        let Some(connection) = &mut self.connection else {
+            if ms >= self.reconnect_at {
                 self.connect(ms, coordinator, random);
             }
             return;
         };
-        if link.run == coordinator.run && !link.held {
-            link.send(ms, coordinator, random);
+        if connection.run == coordinator.run && !connection.is_hung {
+            connection.send(ms, coordinator, random);
         }
-        let arrived = link.arrived(ms);
-        // A coordinator that has restarted closes its connections; one that is held says nothing until it is given up.
-        let ended = link.run != coordinator.run && link.coming.is_empty() && !link.held;
-        let silent = link.held && ms - link.quiet_since > 2_200;
+        let arrived = connection.arrived(ms);
+        // A restarted coordinator closes its connections; a hung connection stays open until it times out.
+        let closed = connection.run != coordinator.run
+            && connection.in_flight.is_empty()
+            && !connection.is_hung;
+        let timed_out = connection.is_hung && ms - connection.last_sent > 2_200;
         if !self.receive(ms, arrived) {
-            (self.link, self.again_at) = (None, ms + STEP);
+            (self.connection, self.reconnect_at) = (None, ms + STEP_MS);
             return;
         }
         let now = time(ms);
         if self.numbering.proof_due().is_some_and(|by| now >= by) {
             let _ = self.numbering.proof_overdue(now);
-            (self.link, self.again_at) = (None, ms + STEP);
-        } else if ended || silent {
-            self.numbering.connection_closed(silent);
-            (self.link, self.again_at) = (None, ms + random.random_range(100..1_000));
+            (self.connection, self.reconnect_at) = (None, ms + STEP_MS);
+        } else if closed || timed_out {
+            self.numbering.connection_closed(timed_out);
+            (self.connection, self.reconnect_at) = (None, ms + random.random_range(100..1_000));
         }
     }
 
     fn connect(&mut self, ms: u64, coordinator: &Coordinator, random: &mut Pcg64Mcg) {
-        let asked = self.numbering.connection_opened(time(ms));
-        let late = ms + random.random_range(0..COMES);
-        let coming = coordinator
-            .news(asked)
+        let requested_after = self.numbering.connection_opened(time(ms));
+        let arrives_at = ms + random.random_range(0..MAX_DELIVERY_MS);
+        let in_flight = coordinator
+            .events_after(requested_after)
             .into_iter()
-            .map(|event| (late, Some(event)))
+            .map(|event| (arrives_at, Some(event)))
             .collect();
-        self.link = Some(Link {
+        self.connection = Some(Connection {
             run: coordinator.run,
             sent: coordinator.last().position.number,
-            coming,
-            quiet_since: ms,
-            held: false,
+            in_flight,
+            last_sent: ms,
+            is_hung: false,
         });
     }
 
-    /// Takes in what has arrived, none for an empty frame; false if the connection is to be closed.
+    /// Handles the frames that arrived, none for a heartbeat. Returns false if the connection has to be closed.
     fn receive(&mut self, ms: u64, arrived: Vec<Option<Event>>) -> bool {
         let now = time(ms);
         for event in arrived {
             let action = match &event {
                 None => self.numbering.receive_heartbeat(now),
-                Some(event) => self.numbering.receive(now, event.position, event.whole),
+                Some(event) => self
+                    .numbering
+                    .receive(now, event.position, event.is_full_list),
             };
             match (action, event) {
-                (EventAction::Apply, Some(event)) => self.applies(&event),
+                (EventAction::Apply, Some(event)) => self.apply(&event),
                 (EventAction::Replace(missed), Some(event)) => {
-                    self.adopts(now, &event, missed.is_some());
+                    self.adopt(now, &event, missed.is_some());
                 }
                 (EventAction::Reconnect(_), _) => return false,
                 _ => {}
@@ -275,85 +286,86 @@
         true
     }
 
-    /// Takes what another knows to follow what is known here.
-    fn relayed(&mut self, ms: u64, other: &Instance) {
+    /// Accepts the event that follows the last known one, if the other instance has it.
+    fn accept_relayed_from(&mut self, ms: u64, other: &Instance) {
         let now = time(ms);
         let last = self.numbering.last();
-        let at = if other.log.0 == last {
+        let next = if other.relay_log.0 == last {
             Some(0)
         } else {
             other
-                .log
+                .relay_log
                 .1
                 .iter()
                 .position(|event| event.position == last)
-                .map(|at| at + 1)
+                .map(|last| last + 1)
         };
-        let Some(event) = at.and_then(|at| other.log.1.get(at)).cloned() else {
+        let Some(event) = next.and_then(|next| other.relay_log.1.get(next)).cloned() else {
             return;
         };
         if self.numbering.accept_relayed(now, last, event.position) {
-            self.applies(&event);
+            self.apply(&event);
         }
     }
 }
 
+/// The real machines, or a mutation that the model has to detect.
 #[derive(Clone, Copy, PartialEq)]
-enum How {
+enum Variant {
     Real,
-    /// Numbers alone are trusted, as by the platform's page.
+    /// Mutation: instances trust numbers without proof, as the platform's documentation allows.
     TrustedNumbers,
-    /// Events are told apart by their numbers alone.
+    /// Mutation: all events have the same hash, so that only numbers distinguish them.
     Unhashed,
 }
 
-/// Something happens to the coordinator or to a connection, by random.
-fn disturb(
+/// Applies a random change or fault to the coordinator or a connection, or none.
+fn inject_fault(
     seed: u64,
     coordinator: &mut Coordinator,
     instances: &mut [Instance; 2],
     random: &mut Pcg64Mcg,
 ) {
-    let before = coordinator.last().healths;
+    let before = coordinator.last().withdrawn;
     match random.random_range(0..1_000) {
-        // On quiet days nothing contradicts soon what peers bring.
-        n @ 0..30 if n < 3 || seed.is_multiple_of(2) => coordinator.tell(random),
-        30..32 => coordinator.list(1, before),
+        // Odd seeds have few events, so that nothing soon contradicts what peers relay.
+        n @ 0..30 if n < 3 || seed.is_multiple_of(2) => coordinator.publish_change(random),
+        30..32 => coordinator.restart_with_list(1, before),
         32..34 => coordinator.restore(random.random_range(1..4)),
         34 => {
             let number = coordinator.last().position.number + random.random_range(2..50);
-            coordinator.list(number, before);
+            coordinator.restart_with_list(number, before);
         }
         35..39 => {
             let instance = &mut instances[random.random_range(0..2)];
-            if let Some(link) = &mut instance.link {
-                link.held = true;
-                link.coming.clear();
+            if let Some(connection) = &mut instance.connection {
+                connection.is_hung = true;
+                connection.in_flight.clear();
             }
         }
         _ => {}
     }
 }
 
-/// Plays one schedule; gives the first moment at which somebody who takes itself for current would use a host that has
-/// been withdrawn for long enough.
-fn play(seed: u64, how: How) -> Option<String> {
+/// Runs one schedule. Returns the first violation, if any: an instance counts as current and uses a host that has long
+/// been withdrawn.
+fn run_schedule(seed: u64, variant: Variant) -> Option<String> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut coordinator = Coordinator {
         run: 0,
         events: Vec::new(),
-        hashes: 0,
-        hashed: how != How::Unhashed,
+        last_hash: 0,
+        has_distinct_hashes: variant != Variant::Unhashed,
     };
-    coordinator.list(1, [false; HOSTS]);
+    coordinator.restart_with_list(1, [false; HOSTS]);
     coordinator.run = 0;
     let first = coordinator.last().clone();
-    let mut instances = [(); 2].map(|()| Instance::new(&first, how == How::TrustedNumbers));
+    let mut instances = [(); 2].map(|()| Instance::new(&first, variant == Variant::TrustedNumbers));
     let mut withdrawn_since = [None::<u64>; HOSTS];
-    let mut wrong_since = [[None::<u64>; HOSTS]; 2];
-    for ms in (0..12_000).step_by(STEP as usize) {
-        disturb(seed, &mut coordinator, &mut instances, &mut random);
-        for (since, withdrawn) in withdrawn_since.iter_mut().zip(coordinator.last().healths) {
+    let mut violation_since = [[None::<u64>; HOSTS]; 2];
+    for ms in (0..12_000).step_by(STEP_MS as usize) {
+        inject_fault(seed, &mut coordinator, &mut instances, &mut random);
+        for (since, withdrawn) in withdrawn_since.iter_mut().zip(coordinator.last().withdrawn) {
             *since = if withdrawn { since.or(Some(ms)) } else { None };
         }
         for instance in &mut instances {
@@ -361,24 +373,31 @@
         }
         if ms % 50 == 0 {
             let [one, other] = &mut instances;
-            one.relayed(ms, other);
-            other.relayed(ms, one);
+            one.accept_relayed_from(ms, other);
+            other.accept_relayed_from(ms, one);
         }
         for (n, instance) in instances.iter().enumerate() {
             let now = time(ms);
-            let linked = instance
-                .link
+            let is_connected = instance
+                .connection
                 .as_ref()
-                .is_some_and(|link| link.run == coordinator.run && !link.held);
-            let current = linked && instance.numbering.is_current(now);
+                .is_some_and(|connection| connection.run == coordinator.run && !connection.is_hung);
+            let current = is_connected && instance.numbering.is_current(now);
             for host in 0..HOSTS {
-                let long = withdrawn_since[host].is_some_and(|since| ms >= since + 3 * COMES);
-                let wrong = current && long && !instance.healths[host];
-                let since = &mut wrong_since[n][host];
-                *since = if wrong { since.or(Some(ms)) } else { None };
-                // What others bring of a history that is no more is contradicted once the link has not brought it.
-                if since.is_some_and(|since| ms >= since + CONTRADICTED) {
-                    return Some(format!("at {ms} instance {n} uses host {host}"));
+                let long =
+                    withdrawn_since[host].is_some_and(|since| ms >= since + 3 * MAX_DELIVERY_MS);
+                let uses_withdrawn = current && long && !instance.withdrawn[host];
+                let since = &mut violation_since[n][host];
+                *since = if uses_withdrawn {
+                    since.or(Some(ms))
+                } else {
+                    None
+                };
+                // Relayed events of a previous numbering are contradicted once the connection fails to deliver them.
+                if since.is_some_and(|since| ms >= since + CONTRADICTION_LIMIT_MS) {
+                    return Some(format!(
+                        "at {ms} ms, instance {n} uses withdrawn host {host}"
+                    ));
                 }
             }
         }
@@ -387,18 +406,18 @@
 }
 
 #[test]
-fn who_takes_itself_for_current_uses_no_host_that_was_withdrawn() {
+fn a_current_instance_uses_no_withdrawn_host() {
     for seed in 0..3_000 {
-        assert_eq!(play(seed, How::Real), None, "seed {seed}");
+        assert_eq!(run_schedule(seed, Variant::Real), None, "seed {seed}");
     }
 }
 
 #[test]
-fn trusting_numbers_alone_is_found() {
-    assert!((0..100).any(|seed| play(seed, How::TrustedNumbers).is_some()));
+fn the_model_detects_trust_in_numbers_alone() {
+    assert!((0..100).any(|seed| run_schedule(seed, Variant::TrustedNumbers).is_some()));
 }
 
 #[test]
-fn telling_events_apart_by_their_numbers_alone_is_found() {
-    assert!((0..300).any(|seed| play(seed, How::Unhashed).is_some()));
+fn the_model_detects_events_without_hashes() {
+    assert!((0..300).any(|seed| run_schedule(seed, Variant::Unhashed).is_some()));
 }
