--- a/crates/flaxdeck-recovery/tests/reconnect_backoff.rs
+++ b/crates/flaxdeck-recovery/tests/reconnect_backoff.rs
@@ -1,4 +1,4 @@
-//! Pauses between calls stay within their bounds and out of step with others'.
+//! Reconnect pauses stay within their limits, and the attempts of many instances are spread out.
 
 use flaxdeck::{Span, Time};
 use flaxdeck_recovery::ReconnectBackoff;
@@ -10,69 +10,84 @@
     Time::at_ms(1_000.0 + ms)
 }
 
-const LEAST: Span = Span::from_ms(100);
-const MOST: Span = Span::from_ms(1_000);
+const MIN_PAUSE: Span = Span::from_ms(100);
+const MAX_PAUSE: Span = Span::from_ms(1_000);
 
 #[test]
-fn instances_that_failed_together_do_not_call_together() {
-    // A thousand that lost the coordinator in one moment: how many call in the worst 20 ms of the next seconds.
-    let mut calls = vec![0u32; 500];
+fn instances_disconnected_together_do_not_reconnect_in_step() {
+    // 1,000 instances lose the coordinator at once. Counts their attempts in each 20 ms.
+    let mut attempts = vec![0u32; 500];
     for seed in 0..1_000 {
-        let (mut backoff, mut now) = (ReconnectBackoff::new(seed, LEAST, MOST), 0.0);
+        let (mut backoff, mut now) = (ReconnectBackoff::new(seed, MIN_PAUSE, MAX_PAUSE), 0.0);
         while now < 9_000.0 {
             now += backoff.pause(at(now), false).ms();
-            calls[(now / 20.0) as usize] += 1;
+            attempts[(now / 20.0) as usize] += 1;
         }
     }
-    // In step they would be 1,000 at once, over and over.
-    let most = calls.iter().max().unwrap();
-    assert!(*most < 150, "{most} of 1,000 within 20 ms");
-    // Once they have failed for a while they come seldom: about twice a second each.
-    let late: u32 = calls[200..450].iter().sum();
-    assert!((5_000..15_000).contains(&late), "{late} in 5 s");
+    // In step, all 1,000 would repeatedly attempt within the same 20 ms.
+    let peak = attempts.iter().max().unwrap();
+    assert!(
+        *peak < 150,
+        "{peak} of 1,000 instances attempted within the same 20 ms, expected fewer than 150"
+    );
+    // After repeated failures each instance attempts about twice a second.
+    let late: u32 = attempts[200..450].iter().sum();
+    assert!(
+        (5_000..15_000).contains(&late),
+        "{late} attempts in 5 s, expected 5,000 to 15,000"
+    );
 }
 
 #[test]
-fn who_hears_the_same_from_others_calls_seldom_until_that_ends() {
-    let (mut backoff, mut now) = (ReconnectBackoff::new(5, LEAST, MOST), at(0.0));
+fn relayed_events_lengthen_the_pauses_until_expedited() {
+    let (mut backoff, mut now) = (ReconnectBackoff::new(5, MIN_PAUSE, MAX_PAUSE), at(0.0));
     let longest = (0..30).map(|_| backoff.pause(now, true)).max().unwrap();
     assert!(
-        longest > MOST && longest <= MOST * RELAXED_FACTOR,
-        "{longest:?}"
+        longest > MAX_PAUSE && longest <= MAX_PAUSE * RELAXED_FACTOR,
+        "longest pause {longest:?} while peers relay events"
     );
     backoff.expedite();
     now = now + longest;
-    assert!(backoff.pause(now, false) <= LEAST * GROWTH_FACTOR);
-    let firsts: Vec<Span> = (0..200)
-        .map(|seed| ReconnectBackoff::new(seed, LEAST, MOST).initial_delay())
+    assert!(backoff.pause(now, false) <= MIN_PAUSE * GROWTH_FACTOR);
+    let initial_delays: Vec<Span> = (0..200)
+        .map(|seed| ReconnectBackoff::new(seed, MIN_PAUSE, MAX_PAUSE).initial_delay())
         .collect();
     assert!(
-        firsts
+        initial_delays
             .iter()
-            .all(|first| (MIN_INITIAL_DELAY..=MAX_INITIAL_DELAY).contains(first))
+            .all(|delay| (MIN_INITIAL_DELAY..=MAX_INITIAL_DELAY).contains(delay))
     );
-    // Spread: in step they would be 200 within any 30 ms.
+    // In step, all 200 would fall within the same 30 ms.
     for from in (150..420).step_by(10) {
         let within =
-            |first: &&Span| (f64::from(from)..f64::from(from) + 30.0).contains(&first.ms());
-        let count = firsts.iter().filter(within).count();
-        assert!(count < 40, "{count} within 30 ms from {from}");
+            |delay: &&Span| (f64::from(from)..f64::from(from) + 30.0).contains(&delay.ms());
+        let count = initial_delays.iter().filter(within).count();
+        assert!(
+            count < 40,
+            "{count} of 200 initial delays within 30 ms from {from} ms, expected fewer than 40"
+        );
     }
 }
 
 #[test]
-fn pauses_stay_within_their_bounds_and_begin_anew_after_a_call_that_lasted() {
-    let mut backoff = ReconnectBackoff::new(3, LEAST, MOST);
+fn pauses_stay_within_limits_and_reset_after_a_lasting_connection() {
+    let mut backoff = ReconnectBackoff::new(3, MIN_PAUSE, MAX_PAUSE);
     let mut now = at(0.0);
     for _ in 0..1_000 {
         let pause = backoff.pause(now, false);
-        assert!(pause >= LEAST && pause <= MOST);
+        assert!(pause >= MIN_PAUSE && pause <= MAX_PAUSE);
         now = now + pause;
     }
     backoff.answered(now);
-    let short = backoff.pause(now + LEAST, false);
-    assert!(short >= LEAST, "one that breaks at once changes nothing");
+    let short = backoff.pause(now + MIN_PAUSE, false);
+    assert!(
+        short >= MIN_PAUSE,
+        "a connection that breaks soon does not reset the backoff"
+    );
     backoff.answered(now);
-    let first = backoff.pause(now + MOST, false);
-    assert!(first <= LEAST * GROWTH_FACTOR, "{first:?}");
+    let first = backoff.pause(now + MAX_PAUSE, false);
+    assert!(
+        first <= MIN_PAUSE * GROWTH_FACTOR,
+        "first pause after a lasting connection: {first:?}"
+    );
 }
