--- a/crates/flaxdeck-recovery/tests/relayed_before_proof.rs
+++ b/crates/flaxdeck-recovery/tests/relayed_before_proof.rs
@@ -1,4 +1,4 @@
-//! Planners bring events between the forwarder's question and the coordinator's answer.
+//! Planners relay events between the forwarder's request and the coordinator's reply.
 
 use flaxdeck::Time;
 use flaxdeck_recovery::EventPosition;
@@ -15,8 +15,8 @@
     }
 }
 
-/// It knew 20 when it asked, and planners have brought 21 and 22 since.
-fn overtaken() -> Numbering {
+/// A numbering that requested events when it knew event 20, and to which planners relayed events 21 and 22 since.
+fn overtaken_numbering() -> Numbering {
     let mut numbering = Numbering::new(position(20));
     assert_eq!(numbering.connection_opened(at(0)), 19);
     assert!(numbering.accept_relayed(at(1), position(20), position(21)));
@@ -25,13 +25,13 @@
 }
 
 #[test]
-fn what_was_asked_for_proves_the_numbering_though_others_were_faster() {
-    let mut numbering = overtaken();
-    let told: Vec<EventAction> = (20..=23)
+fn the_requested_event_proves_the_numbering_although_peers_relayed_later_ones() {
+    let mut numbering = overtaken_numbering();
+    let actions: Vec<EventAction> = (20..=23)
         .map(|n| numbering.receive(at(3), position(n), false))
         .collect();
     assert_eq!(
-        told,
+        actions,
         [
             EventAction::Skip,
             EventAction::Skip,
@@ -46,19 +46,19 @@
 }
 
 #[test]
-fn what_others_brought_beyond_has_to_come_on_the_link_in_its_turn() {
-    let mut numbering = overtaken();
+fn relayed_events_must_also_arrive_from_the_coordinator() {
+    let mut numbering = overtaken_numbering();
     assert_eq!(
         numbering.receive(at(3), position(20), false),
         EventAction::Skip
     );
-    let by = numbering.proof_due().unwrap();
+    let due = numbering.proof_due().unwrap();
     assert_eq!(
-        numbering.proof_overdue(by),
+        numbering.proof_overdue(due),
         EventAction::Reconnect(ReconnectReason::Nothing),
-        "it has nothing after 20"
+        "the coordinator has no event after 20"
     );
-    let mut numbering = overtaken();
+    let mut numbering = overtaken_numbering();
     assert_eq!(
         numbering.receive(at(3), position(20), false),
         EventAction::Skip
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn another_event_of_that_number_still_has_all_asked_for() {
-    let mut numbering = overtaken();
+fn a_different_event_at_the_requested_number_leads_to_a_full_request() {
+    let mut numbering = overtaken_numbering();
     let other = EventPosition {
         number: 20,
         hash: 1,
