--- a/crates/flaxdeck-recovery/tests/relayed_events.rs
+++ b/crates/flaxdeck-recovery/tests/relayed_events.rs
@@ -1,4 +1,4 @@
-//! Events that somebody else brought move the numbering on, from its last event and not at any other place.
+//! Relayed batches and snapshots advance the numbering, batches only from its last event.
 
 use flaxdeck::{Span, Time};
 use flaxdeck_recovery::EventPosition;
@@ -13,15 +13,15 @@
 }
 
 #[test]
-fn a_batch_moves_on_from_the_last_event_only() {
+fn a_batch_is_accepted_only_after_the_last_event() {
     let mut numbering = Numbering::new(position(20, 7));
     assert!(
         !numbering.accept_batch(at(1), position(20, 8), position(30, 1), Some(at(0))),
-        "another numbering's"
+        "the batch follows an event of another numbering"
     );
     assert!(
         !numbering.accept_batch(at(1), position(19, 7), position(30, 1), Some(at(0))),
-        "a gap before it"
+        "the batch does not start after the last event"
     );
     assert_eq!(
         (numbering.last(), numbering.confirmed_at()),
@@ -34,17 +34,17 @@
     );
     assert!(
         numbering.accept_batch(at(3), position(30, 1), position(30, 1), None),
-        "a heartbeat"
+        "an empty batch is accepted as a heartbeat"
     );
     assert_eq!(
         numbering.confirmed_at(),
         Some(at(1)),
-        "nothing confirms a later time"
+        "a batch without a time of completeness does not advance confirmed_at"
     );
 }
 
 #[test]
-fn the_coordinator_proves_a_numbering_that_others_moved_on() {
+fn the_coordinator_proves_a_numbering_advanced_by_a_batch() {
     let mut numbering = Numbering::new(position(20, 7));
     assert!(numbering.accept_batch(at(2), position(20, 7), position(30, 1), Some(at(1))));
     assert_eq!(numbering.connection_opened(at(10)), 29);
@@ -58,16 +58,16 @@
     );
 }
 
-// What was told between the batch and the end of the old numbering may be missing here.
+// Events that the coordinator sent between the batch and the end of the old numbering may be missing.
 #[test]
-fn another_numbering_after_batches_has_missed_what_followed_the_last_one() {
+fn events_since_the_last_batch_may_be_missed_when_the_numbering_changes() {
     let mut numbering = Numbering::new(position(20, 7));
     numbering.connection_opened(at(0));
     assert_eq!(
         numbering.receive(at(1), position(20, 7), false),
         EventAction::Skip
     );
-    numbering.connection_closed(true); // paused here, so not heard to its end
+    numbering.connection_closed(true); // no clean close, as the connection was paused on this side
     assert!(numbering.accept_batch(at(500), position(20, 7), position(30, 1), Some(at(400))));
     numbering.connection_opened(at(900));
     let missed = MissedPeriod {
@@ -78,15 +78,15 @@
         numbering.receive(at(901), position(1, 9), true),
         EventAction::Replace(Some(missed))
     );
-    let distrusted = at(901) + Span::from_ms(1_000);
+    let distrusted_at = at(901) + Span::from_ms(1_000);
     assert!(
-        !numbering.accept_batch(distrusted, position(1, 9), position(2, 2), None),
-        "others may follow what was"
+        !numbering.accept_batch(distrusted_at, position(1, 9), position(2, 2), None),
+        "peers may still follow the old numbering"
     );
 }
 
 #[test]
-fn a_list_that_others_brought_is_followed_by_the_coordinator_from_there() {
+fn the_coordinator_has_to_prove_the_position_of_a_relayed_snapshot() {
     let mut numbering = Numbering::new(position(20, 7));
     numbering.accept_snapshot(at(5), position(900, 3));
     assert_eq!(
