--- a/crates/flaxdeck-recovery/tests/restored_state.rs
+++ b/crates/flaxdeck-recovery/tests/restored_state.rs
@@ -1,4 +1,4 @@
-//! What of stored state may be restored, item by item.
+//! Which items of the stored state are restored, and how changes and purges are stored.
 
 #![allow(
     clippy::unwrap_used,
@@ -23,7 +23,7 @@
     startup_wait: Span::from_ms(5_000),
 };
 
-fn line(host: &str, started: u64) -> StoredEndpoint {
+fn endpoint(host: &str, started: u64) -> StoredEndpoint {
     let address = "127.0.0.1:1".parse().unwrap();
     StoredEndpoint {
         host: host.into(),
@@ -51,14 +51,14 @@
     }
 }
 
-fn stored(ago: u64) -> StoredState {
+fn stored_state(ago: u64) -> StoredState {
     StoredState {
         written: Uptime {
             boot: 7,
             ms: 100_000 - ago,
         },
         last_event: EventPosition { number: 9, hash: 5 },
-        endpoints: vec![line("a", 0), line("b", 500)],
+        endpoints: vec![endpoint("a", 0), endpoint("b", 500)],
         purges: vec![StoredPurge {
             object: Some(1),
             group: 0,
@@ -69,7 +69,7 @@
     }
 }
 
-fn hosts(restored: &RestoredState) -> Vec<&str> {
+fn rated_hosts(restored: &RestoredState) -> Vec<&str> {
     restored
         .ratings
         .iter()
@@ -78,12 +78,12 @@
 }
 
 #[test]
-fn what_was_seen_of_a_host_counts_for_that_start_of_it_alone() {
-    let restored = validate(stored(2_000), NOW);
+fn ratings_apply_only_to_the_same_start_of_a_host() {
+    let restored = validate(stored_state(2_000), NOW);
     assert_eq!(
-        hosts(&restored),
+        rated_hosts(&restored),
         ["a"],
-        "b has restarted, one is listed no more"
+        "b has restarted and the third host is no longer listed"
     );
     assert_eq!(restored.ratings[0].last_success_ago_ms, Some(3_000));
     assert_eq!(
@@ -93,8 +93,8 @@
 }
 
 #[test]
-fn what_is_old_is_not_used() {
-    let restored = validate(stored(30_000), NOW);
+fn ratings_beyond_their_lifetime_are_dropped() {
+    let restored = validate(stored_state(30_000), NOW);
     assert_eq!(
         (
             restored.ratings[0].last_success_ago_ms,
@@ -102,11 +102,11 @@
         ),
         (None, Some(31_000))
     );
-    assert_eq!(validate(stored(90_000), NOW).ratings, []);
+    assert_eq!(validate(stored_state(90_000), NOW).ratings, []);
 }
 
 #[test]
-fn after_a_boot_no_clock_tells_any_age() {
+fn after_a_reboot_or_without_a_boot_id_no_age_is_known() {
     let now = CurrentFacts {
         uptime: Uptime {
             boot: 8,
@@ -117,7 +117,7 @@
     let restored = validate(
         StoredState {
             lent_until: Some(Uptime { boot: 7, ms: 1 }),
-            ..stored(10)
+            ..stored_state(10)
         },
         now,
     );
@@ -125,9 +125,9 @@
     assert_eq!(
         (restored.endpoints.len(), restored.purges.len()),
         (2, 1),
-        "facts need no clock"
+        "endpoints and purges are restored without a known age"
     );
-    // Nor where none can be read.
+    // The same holds where the boot id can't be read.
     let now = CurrentFacts {
         uptime: Uptime::default(),
         ..NOW
@@ -136,7 +136,7 @@
         validate(
             StoredState {
                 written: Uptime::default(),
-                ..stored(10)
+                ..stored_state(10)
             },
             now
         )
@@ -146,12 +146,12 @@
 }
 
 #[test]
-fn own_shares_wait_for_what_may_be_outstanding_and_never_longer_than_without_a_store() {
+fn own_quotas_wait_for_outstanding_leases_but_no_longer_than_without_stored_state() {
     let waits = |ms| {
         validate(
             StoredState {
                 lent_until: ms,
-                ..stored(100)
+                ..stored_state(100)
             },
             NOW,
         )
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_configuration_of_a_later_event_outweighs_the_store() {
+fn a_configuration_with_a_later_event_overrides_stored_endpoints() {
     let now = CurrentFacts {
         configured_event: EventPosition {
             number: 10,
@@ -174,7 +174,7 @@
         },
         ..NOW
     };
-    let restored = validate(stored(100), now);
+    let restored = validate(stored_state(100), now);
     assert_eq!(
         (
             restored.last_event,
@@ -192,38 +192,38 @@
 }
 
 #[test]
-fn what_was_written_is_read_and_other_bytes_are_not() {
-    let (all, later) = (
-        stored(3),
+fn encoded_state_round_trips_and_malformed_bytes_are_rejected() {
+    let (state, change) = (
+        stored_state(3),
         StateChange::LendingPermit(Uptime { boot: 7, ms: 9 }),
     );
-    let read = StoredState::read(&encode(&all), &[encode(&later)]).unwrap();
+    let read = StoredState::read(&encode(&state), &[encode(&change)]).unwrap();
     assert_eq!(
         read,
         StoredState {
             lent_until: Some(Uptime { boot: 7, ms: 9 }),
-            ..all.clone()
+            ..state.clone()
         }
     );
-    assert!(StoredState::read(&encode(&all), &[vec![9, 9, 9]]).is_err());
-    assert!(StoredState::read(&[encode(&all), vec![0]].concat(), &[]).is_err());
+    assert!(StoredState::read(&encode(&state), &[vec![9, 9, 9]]).is_err());
+    assert!(StoredState::read(&[encode(&state), vec![0]].concat(), &[]).is_err());
 }
 
 #[test]
-fn what_came_later_is_added_in_its_order() {
-    let mut all = stored(0);
+fn changes_are_applied_in_order() {
+    let mut state = stored_state(0);
     let position = |number| EventPosition { number, hash: 1 };
-    all.apply(StateChange::Endpoints(
+    state.apply(StateChange::Endpoints(
         position(10),
         vec![
             StoredEndpoint {
                 health: 1,
-                ..line("a", 0)
+                ..endpoint("a", 0)
             },
-            line("c", 0),
+            endpoint("c", 0),
         ],
     ));
-    all.apply(StateChange::Purged(
+    state.apply(StateChange::Purged(
         position(11),
         StoredPurge {
             object: None,
@@ -233,28 +233,28 @@
     ));
     assert_eq!(
         (
-            all.last_event,
-            all.endpoints.len(),
-            all.endpoints[0].health,
-            all.purges.len()
+            state.last_event,
+            state.endpoints.len(),
+            state.endpoints[0].health,
+            state.purges.len()
         ),
         (position(11), 3, 1, 2)
     );
-    all.apply(StateChange::FullList(position(1), vec![line("d", 0)]));
-    all.apply(StateChange::LendingPermit(Uptime { boot: 7, ms: 9 }));
+    state.apply(StateChange::FullList(position(1), vec![endpoint("d", 0)]));
+    state.apply(StateChange::LendingPermit(Uptime { boot: 7, ms: 9 }));
     assert_eq!(
         (
-            all.last_event,
-            all.endpoints.len(),
-            all.lent_until.map(|at| at.ms)
+            state.last_event,
+            state.endpoints.len(),
+            state.lent_until.map(|at| at.ms)
         ),
         (position(1), 1, Some(9))
     );
 }
 
-const SETTLES: Span = Span::from_ms(6_800);
+const SETTLE_TIME: Span = Span::from_ms(6_800);
 
-fn purged(object: u64, made: u64) -> StateChange {
+fn purge_change(object: u64, made: u64) -> StateChange {
     StateChange::Purged(
         EventPosition {
             number: object,
@@ -268,9 +268,10 @@
     )
 }
 
-/// From when on a copy of the object has to be by what is kept; 0 if any will do.
-fn copies_from(state: &StoredState, object: u64) -> u64 {
-    let concerns = |purge: &&StoredPurge| {
+/// Returns the earliest time that a copy of the object may be from: that of the latest stored purge that applies to it,
+/// or 0 if none does.
+fn oldest_allowed_copy(state: &StoredState, object: u64) -> u64 {
+    let applies = |purge: &&StoredPurge| {
         purge
             .object
             .map_or(purge.group == u64::MAX, |of| of == object)
@@ -278,94 +279,100 @@
     state
         .purges
         .iter()
-        .filter(concerns)
+        .filter(applies)
         .map(|purge| purge.made)
         .max()
         .unwrap_or(0)
 }
 
 #[test]
-fn purges_are_stored_until_they_have_settled_at_any_rate() {
+fn purges_are_stored_until_settled_at_any_rate() {
     for per_s in [1, 330, 3_300] {
         let mut state = StoredState::default();
         let last = 30 * per_s;
         for number in 0..=last {
-            state.apply(purged(number, 1_000 + number * 1_000 / per_s));
+            state.apply(purge_change(number, 1_000 + number * 1_000 / per_s));
             if number % 500 == 0 {
-                state.forget_settled(Time::at_ms(1e9), SETTLES);
+                state.forget_settled(Time::at_ms(1e9), SETTLE_TIME);
             }
         }
-        state.forget_settled(Time::at_ms(1e9), SETTLES);
+        state.forget_settled(Time::at_ms(1e9), SETTLE_TIME);
         let latest = 1_000 + last * 1_000 / per_s;
         for number in 0..=last {
             let made = 1_000 + number * 1_000 / per_s;
             let unsettled = made + 6_800 >= latest;
             assert!(
-                !unsettled || copies_from(&state, number) == made,
-                "{number} of {last}"
+                !unsettled || oldest_allowed_copy(&state, number) == made,
+                "purge {number} of {last} has not settled and is missing"
             );
         }
         let within = per_s * 75 / 10 + 1;
         assert!(
             state.purges.len() as u64 <= within,
-            "{} kept at {per_s} a second",
+            "{} purges stored at {per_s} a second, expected at most {within}",
             state.purges.len()
         );
     }
 }
 
 #[test]
-fn purges_beyond_the_bound_are_merged_into_one_that_asks_for_no_less() {
+fn purges_beyond_the_limit_are_merged_without_losing_any() {
     let mut state = StoredState::default();
     let count = 3 * MAX_PURGES as u64 + 1_000;
     for number in 0..count {
-        state.apply(purged(number, 1_000 + number));
+        state.apply(purge_change(number, 1_000 + number));
         assert!(state.purges.len() <= MAX_PURGES);
     }
     let sample = (0..count).step_by(97);
     assert!(
         sample
             .clone()
-            .all(|number| copies_from(&state, number) >= 1_000 + number),
-        "none is forgotten"
+            .all(|number| oldest_allowed_copy(&state, number) >= 1_000 + number),
+        "no purge is lost by merging"
     );
     assert_eq!(
-        copies_from(&state, count - 1),
+        oldest_allowed_copy(&state, count - 1),
         1_000 + count - 1,
-        "the latest are kept one by one"
+        "the latest purges are not merged"
     );
     assert!(
-        copies_from(&state, count) < 1_000 + count,
-        "copies from later are not concerned"
+        oldest_allowed_copy(&state, count) < 1_000 + count,
+        "the merged purge does not apply to later copies"
+    );
+    let (snapshot, records) = (
+        encode(&state),
+        vec![encode(&purge_change(count, 1_000 + count))],
     );
-    let (snapshot, records) = (encode(&state), vec![encode(&purged(count, 1_000 + count))]);
     let read = StoredState::read(&snapshot, &records).unwrap();
     assert_eq!(
-        (read.purges.len(), copies_from(&read, count)),
+        (read.purges.len(), oldest_allowed_copy(&read, count)),
         (state.purges.len() + 1, 1_000 + count)
     );
 }
 
 #[test]
-fn a_purge_made_by_a_clock_that_is_ahead_has_no_other_forgotten() {
+fn a_purge_timestamp_from_a_clock_ahead_does_not_expire_others() {
     let hour = 3_600_000;
     let mut state = StoredState::default();
-    for purge in [purged(1, 1_000_000), purged(2, 1_000_000 + hour)] {
+    for purge in [
+        purge_change(1, 1_000_000),
+        purge_change(2, 1_000_000 + hour),
+    ] {
         state.apply(purge);
     }
-    state.forget_settled(Time::at_ms(1_002_000.0), SETTLES);
+    state.forget_settled(Time::at_ms(1_002_000.0), SETTLE_TIME);
     assert_eq!(
         state.purges.len(),
         2,
-        "made 2 s ago by this machine's clock"
+        "the first purge is 2 s old by this machine's clock, within the settle time"
     );
-    state.forget_settled(Time::at_ms(1_010_000.0), SETTLES);
-    assert_eq!((state.purges.len(), copies_from(&state, 1)), (1, 0));
-    // This machine's own clock may be ahead as well: then the latest purge counts.
+    state.forget_settled(Time::at_ms(1_010_000.0), SETTLE_TIME);
+    assert_eq!((state.purges.len(), oldest_allowed_copy(&state, 1)), (1, 0));
+    // If this machine's clock is ahead, ages are measured from the latest purge.
     let mut state = StoredState::default();
-    for purge in [purged(1, 1_000_000), purged(2, 1_002_000)] {
+    for purge in [purge_change(1, 1_000_000), purge_change(2, 1_002_000)] {
         state.apply(purge);
     }
-    state.forget_settled(Time::at_ms(9e9), SETTLES);
+    state.forget_settled(Time::at_ms(9e9), SETTLE_TIME);
     assert_eq!(state.purges.len(), 2);
 }
