--- a/crates/flaxdeck-recovery/tests/startup.rs
+++ b/crates/flaxdeck-recovery/tests/startup.rs
@@ -1,4 +1,4 @@
-//! How far an instance has come back, and when it takes clients.
+//! The startup phases, and when an instance accepts clients.
 
 use flaxdeck::{Span, Time};
 use flaxdeck_recovery::startup::{Phase, Startup, StartupTimes, WithoutContact};
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn clients_are_taken_once_the_list_is_confirmed() {
+fn clients_are_accepted_once_the_list_is_confirmed() {
     let mut startup = Startup::begin(at(0), WithoutContact::RejectAfter(Span::from_ms(2_500)));
     assert_eq!(
         (startup.phase(at(9), at(0)), startup.listens_at()),
@@ -24,7 +24,11 @@
         startup.completed(at(5_000), at(5_000)),
         Some(Span::from_ms(5_000))
     );
-    assert_eq!(startup.completed(at(5_001), at(5_000)), None, "told once");
+    assert_eq!(
+        startup.completed(at(5_001), at(5_000)),
+        None,
+        "the duration is returned once"
+    );
     startup.started_listening(at(14));
     assert_eq!(
         startup.times(),
@@ -36,7 +40,7 @@
 }
 
 #[test]
-fn an_instance_that_nobody_answers_does_as_its_file_says() {
+fn an_unconfirmed_instance_follows_its_configuration() {
     let startup = |without_contact| Startup::begin(at(0), without_contact).listens_at();
     assert_eq!(startup(WithoutContact::GoOn), at(100));
     assert_eq!(
