--- a/crates/flaxdeck-recovery/tests/unconfirmed.rs
+++ b/crates/flaxdeck-recovery/tests/unconfirmed.rs
@@ -1,4 +1,4 @@
-//! Which lines of a list that came instead of what followed may be used, and which copies.
+//! Which endpoints of a full list that replaced the expected events may be used, and which copies may be served.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
     Time::at_ms(100_000.0 + ms as f64)
 }
 
-fn line(name: &str, health: Health, started: Option<u64>) -> Endpoint {
+fn endpoint(name: &str, health: Health, started: Option<u64>) -> Endpoint {
     let started = started.map(|ms| Time::at_ms(ms as f64));
     let (host, cell) = (HostId(name.into()), CellId(0));
     Endpoint {
@@ -25,78 +25,83 @@
     }
 }
 
-fn known(lines: &[Endpoint]) -> BTreeMap<HostId, Endpoint> {
-    lines
+fn endpoints_by_host(endpoints: &[Endpoint]) -> BTreeMap<HostId, Endpoint> {
+    endpoints
         .iter()
-        .map(|line| (line.host.clone(), line.clone()))
+        .map(|endpoint| (endpoint.host.clone(), endpoint.clone()))
         .collect()
 }
 
 #[test]
 fn a_restored_list_does_not_bring_a_withdrawn_host_into_service() {
-    let before = known(&[
-        line("a", Draining, None),
-        line("b", Removed, Some(5)),
-        line("c", InService, None),
+    let before = endpoints_by_host(&[
+        endpoint("a", Draining, None),
+        endpoint("b", Removed, Some(5)),
+        endpoint("c", InService, None),
     ]);
     let list = vec![
-        line("a", InService, None),
-        line("b", InService, Some(9)),
-        line("c", InService, None),
+        endpoint("a", InService, None),
+        endpoint("b", InService, Some(9)),
+        endpoint("c", InService, None),
     ];
     let mut unconfirmed = UnconfirmedEndpoints::default();
     let AdoptedList {
         endpoints,
         held_back,
     } = unconfirmed.adopt(at(0), &before, list);
-    let healths: Vec<Health> = endpoints.iter().map(|line| line.health).collect();
+    let healths: Vec<Health> = endpoints.iter().map(|endpoint| endpoint.health).collect();
     assert_eq!(
         (healths, held_back),
         (vec![Draining, InService, InService], 1),
-        "b has started since"
+        "b has restarted since"
     );
 }
 
 #[test]
-fn a_later_event_confirms_a_host_and_so_does_time() {
-    let before = known(&[line("a", Draining, None), line("b", Draining, None)]);
-    let list = || vec![line("a", InService, None), line("b", InService, None)];
+fn a_host_is_released_by_a_later_event_or_after_the_hold_back_period() {
+    let before = endpoints_by_host(&[endpoint("a", Draining, None), endpoint("b", Draining, None)]);
+    let list = || {
+        vec![
+            endpoint("a", InService, None),
+            endpoint("b", InService, None),
+        ]
+    };
     let mut unconfirmed = UnconfirmedEndpoints::default();
     unconfirmed.adopt(at(0), &before, list());
     unconfirmed.confirm([&HostId("a".into())]);
     assert_eq!(unconfirmed.take_expired(at(59_999)).len(), 0);
     assert_eq!(unconfirmed.next_expiry(), Some(at(60_000)));
-    let out = unconfirmed.take_expired(at(60_000));
+    let expired = unconfirmed.take_expired(at(60_000));
     assert_eq!(
-        (&*out[0].host.0, out[0].health, out.len()),
+        (&*expired[0].host.0, expired[0].health, expired.len()),
         ("b", InService, 1)
     );
     assert_eq!(unconfirmed.next_expiry(), None);
 }
 
 #[test]
-fn copies_are_refused_only_for_what_may_have_been_missed() {
-    let settles = Span::from_ms(6_000);
-    let missed = |since, heard_to_the_end| MissedPeriod {
+fn copies_are_rejected_only_if_a_purge_may_have_been_missed() {
+    let settle_time = Span::from_ms(6_000);
+    let missed = |since, closed_cleanly| MissedPeriod {
         since,
-        closed_cleanly: heard_to_the_end,
+        closed_cleanly,
     };
     assert_eq!(
-        copies_from(at(100), missed(Some(at(0)), true), settles),
+        copies_from(at(100), missed(Some(at(0)), true), settle_time),
         None
     );
     assert_eq!(
-        copies_from(at(100), missed(None, false), settles),
+        copies_from(at(100), missed(None, false), settle_time),
         None,
-        "nothing was known before"
+        "no events of the previous numbering were known"
     );
     assert_eq!(
-        copies_from(at(100), missed(Some(at(0)), false), settles),
+        copies_from(at(100), missed(Some(at(0)), false), settle_time),
         Some(at(0))
     );
-    // What was purged earlier hosts have dropped by themselves.
+    // Hosts have dropped by themselves what was purged earlier.
     assert_eq!(
-        copies_from(at(9_000), missed(Some(at(0)), false), settles),
+        copies_from(at(9_000), missed(Some(at(0)), false), settle_time),
         Some(at(3_000))
     );
 }
