--- a/crates/flaxdeck-recovery/src/numbering.rs
+++ b/crates/flaxdeck-recovery/src/numbering.rs
@@ -41,9 +41,10 @@
     /// When this instance last had all events. None if it never had in this run, so that its state is only that of the
     /// configuration.
     confirmed_at: Option<Time>,
-    /// The last proven connection was closed by the coordinator and did not time out.
+    /// The last proven connection neither timed out nor was paused on this side.
     closed_cleanly: bool,
-    /// The last connection timed out: until a frame arrives, the coordinator may be hung rather than restarted.
+    /// The last connection timed out or was paused: until a frame arrives, the coordinator may be hung rather than
+    /// restarted.
     may_be_hung: bool,
     /// A number always identifies the same event, as the platform's documentation says, so that no proof is needed.
     trusts_numbers: bool,
@@ -117,16 +118,16 @@
         requested_after
     }
 
-    /// Records that the connection has ended: `timed_out` if nothing was received for too long, otherwise the
-    /// coordinator closed it.
-    pub fn connection_closed(&mut self, timed_out: bool) {
-        self.may_be_hung = timed_out;
+    /// Records that the connection has ended. `is_incomplete` is true if the coordinator may have had more events to
+    /// send: the connection timed out, or this side paused it while peers relay events.
+    pub fn connection_closed(&mut self, is_incomplete: bool) {
+        self.may_be_hung = is_incomplete;
         if self
             .connection
             .take()
             .is_some_and(|connection| connection.is_proven)
         {
-            self.closed_cleanly = !timed_out;
+            self.closed_cleanly = !is_incomplete;
         }
     }
 
@@ -270,9 +271,9 @@
     }
 
     /// Returns when the coordinator counts as lacking the requested event, or the events that peers relayed, if it has
-    /// not sent them by then. None if there is nothing to prove, and none for an unproven connection after one that
-    /// timed out: a hung coordinator accepts connections and sends nothing, so only its heartbeat shows that it lacks
-    /// the event.
+    /// not sent them by then. None if nothing is awaited, and none for an unproven connection after one that timed out
+    /// or was paused: a hung coordinator accepts connections and sends nothing, so only its heartbeat shows that it
+    /// lacks the event.
     pub fn proof_due(&self) -> Option<Time> {
         let connection = self.connection.as_ref()?;
         let since = if connection.is_proven {
--- a/crates/flaxdeck-recovery/src/numbering/action.rs
+++ b/crates/flaxdeck-recovery/src/numbering/action.rs
@@ -25,7 +25,8 @@
 pub struct MissedPeriod {
     /// When the instance last had all events of the previous numbering; none if it never had.
     pub since: Option<Time>,
-    /// The coordinator closed the last connection after sending all its events, so that none from before is missing.
+    /// The last proven connection neither timed out nor was paused on this side, so it delivered all events until it
+    /// closed.
     pub closed_cleanly: bool,
 }
 
