--- a/crates/flaxdeck-dispatcher/src/routing/control_client/coordinator_clock.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/coordinator_clock.rs
@@ -49,12 +49,14 @@
 
     /// Puts the starts of endpoints by the own clock.
     pub(super) fn endpoints_by_own_clock(&self, endpoints: &mut [Endpoint]) {
-        self.offset.borrow().localize_endpoints(endpoints);
+        self.offset.borrow().endpoints_to_local(endpoints);
     }
 
     /// Puts the starts of observed hosts as they were announced.
     pub(super) fn observations_as_announced(&self, observations: &mut [Observation]) {
-        self.offset.borrow().delocalize_observations(observations);
+        self.offset
+            .borrow()
+            .observations_to_coordinator(observations);
     }
 
     /// Puts the starts in quotas by the own clock.
