--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -20,7 +20,7 @@
 use tokio::time::{Instant, interval, sleep};
 
 use crate::control;
-use crate::routing::{ControlClientOptions, Router, accept};
+use crate::routing::{ControlClientOptions, Router, accept_clients};
 
 pub use error::{ConfigurationError, RunError, StartError};
 
@@ -144,7 +144,7 @@
     let mut tasks = JoinSet::new();
     tasks.spawn_local(router.clone().sweep());
     tasks.spawn_local(log_counters(router.clone()));
-    tasks.spawn_local(accept(router.clone(), listener));
+    tasks.spawn_local(accept_clients(router.clone(), listener));
     tasks
 }
 
--- a/crates/flaxdeck-dispatcher/src/routing/client_connections.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/client_connections.rs
@@ -1,4 +1,4 @@
-//! All connections of clients: how many there may be, and which make room for others.
+//! All client connections: how many may be open, and which are closed to make room for new ones.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -15,39 +15,40 @@
 use super::request_table::RequestTable;
 use super::task_set::TaskSet;
 
-/// Connections that were ended here while the other side has not ended them yet: their descriptors are of those that
-/// are no client's and no host's.
-const MAX_ENDING: usize = 8;
+/// The most connections that this side has closed and the client has not. Their descriptors come out of those that are
+/// reserved for neither clients nor hosts.
+const MAX_LINGERING: usize = 8;
 
-/// Owns the connections of clients and the tasks that serve them.
+/// Owns the client connections and the tasks that serve them.
 pub(super) struct ClientConnections {
-    /// A permit for each connection that is not ending.
+    /// One permit for each connection that is not lingering.
     pub(super) budget: Budget,
     open: RefCell<Vec<Weak<Client>>>,
-    /// What ends those that are being ended, the longest at it first.
-    ending: RefCell<VecDeque<AbortHandle>>,
-    /// This process ends: no client is taken any more.
-    is_closing: Cell<bool>,
-    /// The listener is waited for: no connection is left that the system accepted and this process did not.
-    is_listener_empty: Cell<bool>,
-    /// One for each connection.
+    /// The tasks that close connections gracefully, oldest first.
+    lingering: RefCell<VecDeque<AbortHandle>>,
+    /// Set when this process shuts down: connections that are accepted from then on are closed at once.
+    is_shutting_down: Cell<bool>,
+    /// Set while the accept loop waits for the listener: the kernel's backlog holds no connection that was not
+    /// accepted.
+    is_backlog_empty: Cell<bool>,
+    /// One task for each connection.
     pub(super) tasks: TaskSet,
 }
 
 impl ClientConnections {
-    /// With room for so many.
+    /// Creates the set without connections, with room for `max` of them.
     pub(super) fn new(max: usize) -> ClientConnections {
         ClientConnections {
             budget: Budget::new(max),
             open: RefCell::default(),
-            ending: RefCell::default(),
-            is_closing: Cell::new(false),
-            is_listener_empty: Cell::new(false),
+            lingering: RefCell::default(),
+            is_shutting_down: Cell::new(false),
+            is_backlog_empty: Cell::new(false),
             tasks: TaskSet::default(),
         }
     }
 
-    /// From now on there is room for so many.
+    /// Changes the maximum number of connections.
     pub(super) fn resize(&self, max: usize) {
         self.budget.resize(max);
     }
@@ -57,32 +58,32 @@
         self.open.borrow_mut().push(client);
     }
 
-    /// Forgets those that have ended.
-    pub(super) fn forget_ended(&self) {
+    /// Removes the entries of connections that have ended.
+    pub(super) fn remove_closed(&self) {
         self.open
             .borrow_mut()
             .retain(|client| client.strong_count() > 0);
     }
 
-    /// A connection is being ended; the one that is longest at it goes if they are too many.
-    pub(super) fn add_ending(&self, ending: AbortHandle) {
-        let mut all = self.ending.borrow_mut();
-        all.push_back(ending);
-        if all.len() > MAX_ENDING
-            && let Some(longest) = all.pop_front()
+    /// Adds the task that closes a connection gracefully; beyond [`MAX_LINGERING`] the oldest one is aborted.
+    pub(super) fn add_lingering(&self, task: AbortHandle) {
+        let mut all = self.lingering.borrow_mut();
+        all.push_back(task);
+        if all.len() > MAX_LINGERING
+            && let Some(oldest) = all.pop_front()
         {
-            longest.abort();
+            oldest.abort();
         }
     }
 
-    /// Whether this process ends.
-    pub(super) fn is_closing(&self) -> bool {
-        self.is_closing.get()
+    /// Whether this process is shutting down.
+    pub(super) fn is_shutting_down(&self) -> bool {
+        self.is_shutting_down.get()
     }
 
-    /// The listener is waited for, or has accepted one.
-    pub(super) fn set_listener_empty(&self, is_empty: bool) {
-        self.is_listener_empty.set(is_empty);
+    /// Notes whether the accept loop waits for the listener, or has just accepted a connection.
+    pub(super) fn set_backlog_empty(&self, is_empty: bool) {
+        self.is_backlog_empty.set(is_empty);
     }
 
     fn all(&self) -> Vec<Rc<Client>> {
@@ -93,25 +94,25 @@
             .collect()
     }
 
-    /// Whether a client has sent something that was not read to its end, or is not accepted yet.
-    pub(super) fn has_unread(&self) -> bool {
-        !self.is_listener_empty.get() || self.all().iter().any(|client| client.has_unread())
+    /// Whether some client's connection is not accepted yet, or has input that was not read to the end of a message.
+    pub(super) fn has_pending_input(&self) -> bool {
+        !self.is_backlog_empty.get() || self.all().iter().any(|client| client.has_pending_input())
     }
 
-    /// Whether no connection is left, ending ones included.
+    /// Whether no connection is left, not even a lingering one.
     pub(super) fn is_empty(&self) -> bool {
-        self.budget.in_use() == 0 && self.ending.borrow().iter().all(AbortHandle::is_finished)
+        self.budget.in_use() == 0 && self.lingering.borrow().iter().all(AbortHandle::is_finished)
     }
 
-    /// Ends all connections, those too that are accepted from now on; what comes on them is not taken any more.
-    pub(super) fn close(&self) {
-        self.is_closing.set(true);
+    /// Closes all connections, including those accepted from now on; nothing more is read from them.
+    pub(super) fn close_all(&self) {
+        self.is_shutting_down.set(true);
         for client in self.all() {
             client.close();
         }
     }
 
-    /// Closes resting connections, so that others find room.
+    /// Closes silent connections, or else the one that has been idle longest, to make room for new ones.
     pub(super) fn evict(&self, requests: &RequestTable) {
         let candidates: Vec<Candidate> = self
             .all()
@@ -134,7 +135,7 @@
     }
 }
 
-/// A client's connection that may have to make room.
+/// A client connection that may be closed to make room.
 struct Candidate<'a> {
     requests: &'a RequestTable,
     client: Rc<Client>,
@@ -153,7 +154,7 @@
         self.client.is_busy(self.requests)
     }
 
-    // After a pause of this process what its clients have sent may lie unread: who has sent something is not silent.
+    // After a pause of this process, messages of its clients may be unread; a client with unread bytes is not silent.
     fn has_unread(&self) -> bool {
         self.client.has_unread_bytes()
     }
--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -1,4 +1,4 @@
-//! Client connections: a task each.
+//! Serves client connections, with one task for each.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -21,139 +21,150 @@
     ClientConnection, ClientEvent, ConnectionHandle, DirectAnswer,
 };
 
-/// Requests that one connection may have open by the protocol.
-const MAX_OPEN: usize = 32;
-/// The longest between looks for who can make room, and after a failed accept: descriptors come free within it.
-const PAUSE: Duration = Duration::from_millis(5);
-/// Messages of one client read in a row before others get their turn: what it may have open, asked and cancelled.
-const MAX_IN_A_ROW: usize = 2 * MAX_OPEN;
+/// The most requests that the protocol allows to be open on one connection.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// The longest time between attempts to evict a connection, and the pause after a failed accept: descriptors become
+/// free within it.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// Messages that are read from one client before other tasks run: enough for all requests that it may have open and for
+/// their cancellations.
+const MAX_CONSECUTIVE_EVENTS: usize = 2 * MAX_OPEN_REQUESTS;
 
-/// What others may know of a connection and do to it while its task serves it.
+/// The state of a client connection that code outside its task may see and act on.
 pub(super) struct Client {
-    /// Its requests by their numbers, also some that have their answers since it last sent something.
+    /// Its requests by their call numbers. Those answered since its last message are removed when the next one comes.
     requests: RefCell<BTreeMap<u32, RequestId>>,
     quiet_since: Cell<Instant>,
-    /// It has sent a whole message.
+    /// Whether it has ever sent a complete message.
     has_sent: Cell<bool>,
     handle: ConnectionHandle,
 }
 
-/// Accepts clients until it is aborted.
-pub(crate) async fn accept(router: Rc<Router>, listener: Listener) {
+/// Accepts client connections until it is aborted.
+pub(crate) async fn accept_clients(router: Rc<Router>, listener: Listener) {
     let clients = &router.clients;
     loop {
-        clients.forget_ended();
+        clients.remove_closed();
         let permit = match clients.budget.try_acquire() {
             Some(permit) => permit,
             None => {
                 clients.evict(&router.requests);
-                // Whoever makes room is gone at its next turn, so connections wait for no timer.
-                let Ok(permit) = timeout(PAUSE, clients.budget.acquire_many(1)).await else {
+                // An evicted connection gives back its permit when its task runs next, so the wait normally ends before
+                // the timeout.
+                let Ok(permit) =
+                    timeout(ACCEPT_RETRY_INTERVAL, clients.budget.acquire_many(1)).await
+                else {
                     continue;
                 };
                 permit
             }
         };
-        clients.set_listener_empty(true);
+        clients.set_backlog_empty(true);
         let accepted = listener.accept().await;
-        clients.set_listener_empty(false);
+        clients.set_backlog_empty(false);
         match accepted {
             Ok(stream) => {
                 count(Counter::clients_opened);
                 start_serving(&router, stream, permit);
-                // Guards against more descriptors than there are: many that make room at once have given their permits
-                // back before their connections are closed, which they do at their next turn.
+                // Guards against running out of descriptors: many connections that are evicted together give back their
+                // permits before they are closed, which happens when their tasks run next.
                 yield_now().await;
             }
             Err(error) => {
                 count(Counter::accept_errors);
-                log::warn!("accept: {error}");
-                sleep(PAUSE).await;
+                log::warn!("accepting a client connection failed: {error}");
+                sleep(ACCEPT_RETRY_INTERVAL).await;
             }
         }
     }
 }
 
 fn start_serving(router: &Rc<Router>, stream: TcpStream, permit: Permit) {
-    let session = ClientConnection::new(stream, router.names.clone(), router.request_bytes.clone());
+    let connection =
+        ClientConnection::new(stream, router.names.clone(), router.request_bytes.clone());
     let client = Rc::new(Client {
         requests: RefCell::default(),
         quiet_since: Cell::new(Instant::now()),
         has_sent: Cell::new(false),
-        handle: session.handle(),
+        handle: connection.handle(),
     });
-    if router.clients.is_closing() {
+    if router.clients.is_shutting_down() {
         client.close();
     }
     router.clients.add(Rc::downgrade(&client));
     router
         .clients
         .tasks
-        .spawn(serve(router.clone(), session, client, permit));
+        .spawn(serve(router.clone(), connection, client, permit));
 }
 
-/// Serves a connection until it ends, and then sees to it that the other side learns of that.
+/// Serves a connection until it ends, and then closes it gracefully.
 async fn serve(
     router: Rc<Router>,
-    mut session: ClientConnection,
+    mut connection: ClientConnection,
     client: Rc<Client>,
     permit: Permit,
 ) {
-    let mut in_a_row = 0;
+    let mut consecutive_events = 0;
     loop {
-        let message = session.next_event().await;
-        if !client.handle(&router, &mut session, message) {
+        let event = connection.next_event().await;
+        if !client.handle(&router, &mut connection, event) {
             break;
         }
-        in_a_row += 1;
-        // A request may be cancelled in the same breath, so all that has come is read before any is handed off; but one
-        // client that sends without end leaves the others their turns. What has ended does not go on for long.
-        if !session.has_unprocessed() || (in_a_row >= MAX_IN_A_ROW && !session.is_peer_closed()) {
-            in_a_row = 0;
+        consecutive_events += 1;
+        // The cancellation of a request may have arrived together with it, so everything received is processed before
+        // any attempt starts. A client that sends without a pause must not starve the others, hence the limit; it does
+        // not apply once the client has closed its side, as then only little is left to read.
+        if !connection.has_unprocessed()
+            || (consecutive_events >= MAX_CONSECUTIVE_EVENTS && !connection.is_peer_closed())
+        {
+            consecutive_events = 0;
             yield_now().await;
         }
     }
     for request in client.requests.take().into_values() {
-        router.requests.client_left(request);
+        router.requests.mark_client_left(request);
     }
     drop(client);
-    if router.clients.is_closing() {
-        session.close(LINGER).await;
+    if router.clients.is_shutting_down() {
+        connection.close(LINGER).await;
         drop(permit);
         return;
     }
-    // Its permit is free at once; few may take their time to end, and the longest at it goes first.
-    let ending = spawn_local(session.close(LINGER)).abort_handle();
-    router.clients.add_ending(ending);
+    // The permit is given back at once. Only a few connections may linger while they close; beyond that the oldest one
+    // is aborted.
+    let lingering = spawn_local(connection.close(LINGER)).abort_handle();
+    router.clients.add_lingering(lingering);
 }
 
 impl Client {
-    /// Ends the connection at its next turn.
+    /// Has the connection's task close it when it runs next.
     pub(super) fn close(&self) {
         self.handle.close();
     }
 
-    /// Whether it has ever sent a whole message.
+    /// Whether the client has ever sent a complete message.
     pub(super) fn has_sent(&self) -> bool {
         self.has_sent.get()
     }
 
-    /// When it last sent one, or connected.
+    /// Returns when the client last sent a complete message, or when it connected.
     pub(super) fn quiet_since(&self) -> Instant {
         self.quiet_since.get()
     }
 
-    /// Whether it has sent bytes that were not read.
+    /// Whether bytes have been received on the connection that were not read yet. Costs a system call.
     pub(super) fn has_unread_bytes(&self) -> bool {
         self.handle.has_unread()
     }
 
-    /// Whether it has sent something that was not read to its end.
-    pub(super) fn has_unread(&self) -> bool {
+    /// Whether a message has come in part, or bytes have been received that were not read yet.
+    pub(super) fn has_pending_input(&self) -> bool {
         self.handle.has_partial_message() || self.handle.has_unread()
     }
 
-    /// Whether something of it is open: a message midway, an answer that it has not read, or a request.
+    /// Whether the connection is in use: a message has come in part, an answer is not fully written, or a request is
+    /// open.
     pub(super) fn is_busy(&self, requests: &RequestTable) -> bool {
         let has_open = || {
             self.requests
@@ -164,41 +175,40 @@
         self.handle.has_partial_message() || self.handle.pending_answers() > 0 || has_open()
     }
 
-    /// Acts on what the client sent; false once its connection is of no more use.
+    /// Handles one event of the connection. Returns false if the connection is to be closed.
     fn handle(
         &self,
         router: &Rc<Router>,
-        session: &mut ClientConnection,
-        message: ClientEvent,
+        connection: &mut ClientConnection,
+        event: ClientEvent,
     ) -> bool {
         self.requests
             .borrow_mut()
             .retain(|_, request| router.requests.is_open(*request));
         self.quiet_since.set(Instant::now());
         self.has_sent.set(true);
-        match message {
+        match event {
             ClientEvent::Request { call, .. } if self.requests.borrow().contains_key(&call) => {
                 count(Counter::clients_malformed);
-                log::debug!("a client's connection is closed: two requests of one number");
+                log::debug!(
+                    "closing a client connection: call number {call} is used by two open requests"
+                );
                 return false;
             }
-            // Hosts tell requests apart by their ids alone, so a second one would meddle with the first.
-            ClientEvent::Request {
-                call,
-                request: asked,
-            } if router.requests.has_client_id(&asked.id) => {
+            // Hosts identify requests by their ids alone, so a second one with the same id could be taken for the
+            // first.
+            ClientEvent::Request { call, request }
+                if router.requests.has_client_id(&request.id) =>
+            {
                 count(Counter::requests_id_in_use);
-                session.answer_directly(call, DirectAnswer::Failed);
+                connection.answer_directly(call, DirectAnswer::Failed);
             }
-            ClientEvent::Request {
-                call,
-                request: asked,
-            } => self.admit(router, session, call, asked),
-            ClientEvent::NoMemory { call } => refuse(router, session, call),
+            ClientEvent::Request { call, request } => self.admit(router, connection, call, request),
+            ClientEvent::NoMemory { call } => reject_for_capacity(router, connection, call),
             ClientEvent::Cancel { call } => {
                 let request = self.requests.borrow_mut().remove(&call);
                 if let Some(request) = request {
-                    router.requests.client_left(request);
+                    router.requests.mark_client_left(request);
                 }
             }
             ClientEvent::Answered => {}
@@ -207,30 +217,30 @@
         true
     }
 
-    /// Takes a request in if there is room for it.
+    /// Starts a request if the connection's limit, the slots and the memory budget allow it; rejects it otherwise.
     fn admit(
         &self,
         router: &Rc<Router>,
-        session: &mut ClientConnection,
+        connection: &mut ClientConnection,
         call: u32,
-        asked: Box<ClientRequest>,
+        request: Box<ClientRequest>,
     ) {
         let mut requests = self.requests.borrow_mut();
-        let fits = requests.len() + self.handle.pending_answers() < MAX_OPEN;
+        let is_within_limit = requests.len() + self.handle.pending_answers() < MAX_OPEN_REQUESTS;
         let slot = router.slots.try_acquire();
-        let bytes = router.request_bytes.try_acquire_many(asked.body.len());
-        match bytes.filter(|_| fits && slot.is_some()) {
+        let bytes = router.request_bytes.try_acquire_many(request.body.len());
+        match bytes.filter(|_| is_within_limit && slot.is_some()) {
             Some(bytes) => {
-                let reply = session.responder(call, slot);
-                requests.insert(call, router.start_request(asked, reply, bytes));
+                let reply = connection.responder(call, slot);
+                requests.insert(call, router.start_request(request, reply, bytes));
             }
-            None => refuse(router, session, call),
+            None => reject_for_capacity(router, connection, call),
         }
     }
 }
 
-/// Answers a request that finds no room.
-fn refuse(router: &Router, session: &mut ClientConnection, call: u32) {
+/// Rejects a request that exceeds the connection's limit, or for which there is no slot or no memory.
+fn reject_for_capacity(router: &Router, connection: &mut ClientConnection, call: u32) {
     count(Counter::requests_no_room);
-    session.answer_directly(call, DirectAnswer::Rejected(router.retry_after()));
+    connection.answer_directly(call, DirectAnswer::Rejected(router.retry_after()));
 }
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/delivery.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/delivery.rs
@@ -245,7 +245,7 @@
     }
 
     /// A request for the object begins: its purge, if there is one, counts before that.
-    pub(in crate::routing) fn report_purge_of(&self, router: &Router, object: ObjectId) {
+    pub(in crate::routing) fn report_purge_for_request(&self, router: &Router, object: ObjectId) {
         if let Some(subscription) = &self.subscription {
             report_purge(router, subscription, router.clock.now(), object);
         }
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -32,7 +32,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, interval, sleep_until};
 
-pub(crate) use clients::accept;
+pub(crate) use clients::accept_clients;
 pub use control_client::{ControlClientOptions, SubscriptionOptions};
 pub use events::{AppliedEvents, EventListener};
 pub use persistence::StateDirectory;
@@ -177,7 +177,7 @@
 
     /// Nothing is left to be taken in or answered.
     pub(crate) fn at_rest(&self) -> bool {
-        self.slots.in_use() == 0 && !self.clients.has_unread()
+        self.slots.in_use() == 0 && !self.clients.has_pending_input()
     }
 
     /// No connection of a client is left.
@@ -187,7 +187,7 @@
 
     /// Ends all connections of clients, those too that are accepted from now on.
     pub(crate) fn end_clients(&self) {
-        self.clients.close();
+        self.clients.close_all();
     }
 
     /// No request outlasts this time.
--- a/crates/flaxdeck-dispatcher/src/routing/request_table.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/request_table.rs
@@ -11,37 +11,37 @@
 
 use super::task_set::TaskSet;
 
-/// What others may do with a request while its task serves it.
+/// The state of an open request that code outside its task may read and change.
 pub(super) struct OpenRequest {
-    /// The object that it asks for.
+    /// The requested object.
     pub(super) object: ObjectId,
-    /// There is a step to pick, or the client has left.
+    /// Notified when the decision engine has a step for the request, or the client has left.
     pub(super) notify: Notify,
-    /// The client waits for no answer any more.
-    pub(super) left: Cell<bool>,
+    /// Set when the client no longer waits for the answer.
+    pub(super) client_left: Cell<bool>,
 }
 
-/// Owns the entries of open requests, from their arrival to their answers, and the tasks that serve them, which last
-/// until all attempts are over.
+/// Owns the entries of open requests, from their arrival to their answers, and the tasks that serve them. A task lasts
+/// until all attempts of its request have ended.
 #[derive(Default)]
 pub(super) struct RequestTable {
     open: RefCell<BTreeMap<RequestId, Rc<OpenRequest>>>,
-    /// What clients call the requests whose attempts are not all over.
+    /// The clients' ids of all requests whose tasks still run.
     client_ids: RefCell<BTreeSet<Bytes>>,
     next: Cell<u64>,
-    /// One for each request.
+    /// One task for each request.
     pub(super) tasks: TaskSet,
 }
 
 impl RequestTable {
-    /// A number that no other request of this process has.
+    /// Returns an id that no other request of this process has.
     pub(super) fn next_id(&self) -> RequestId {
         let id = RequestId(self.next.get());
         self.next.set(id.0 + 1);
         id
     }
 
-    /// Opens a request that the client calls by that id.
+    /// Adds an open request, with the id that the client gave it.
     pub(super) fn open(
         &self,
         id: RequestId,
@@ -51,45 +51,45 @@
         let request = Rc::new(OpenRequest {
             object,
             notify: Notify::new(),
-            left: Cell::new(false),
+            client_left: Cell::new(false),
         });
         self.open.borrow_mut().insert(id, request.clone());
         assert_invariant(
             self.client_ids.borrow_mut().insert(client_id),
-            "open requests differ by their ids",
+            "no two open requests have the same client id",
         );
         request
     }
 
-    /// The request has its answer, or needs none any more.
+    /// Removes a request that is answered, or whose client has left.
     pub(super) fn close(&self, id: RequestId) {
         self.open.borrow_mut().remove(&id);
     }
 
-    /// All its attempts are over, so another one may be called the same.
+    /// Frees a client's id once all attempts of its request have ended, so that another request may use it.
     pub(super) fn release_client_id(&self, client_id: &Bytes) {
         self.client_ids.borrow_mut().remove(client_id);
     }
 
-    /// Whether a request is called so, open or with attempts that are not over.
+    /// Whether a request with that client id is open or has attempts that have not ended.
     pub(super) fn has_client_id(&self, client_id: &Bytes) -> bool {
         self.client_ids.borrow().contains(client_id)
     }
 
-    /// Whether the request waits for its answer.
+    /// Whether the request is waiting for its answer.
     pub(super) fn is_open(&self, id: RequestId) -> bool {
         self.open.borrow().contains_key(&id)
     }
 
-    /// The client of the request has left.
-    pub(super) fn client_left(&self, id: RequestId) {
+    /// Marks a request, if it is open, as one whose client has left, and wakes its task.
+    pub(super) fn mark_client_left(&self, id: RequestId) {
         if let Some(request) = self.open.borrow().get(&id) {
-            request.left.set(true);
+            request.client_left.set(true);
             request.notify.notify_one();
         }
     }
 
-    /// There are steps to pick for these.
+    /// Wakes the tasks of these requests, which have steps to pick.
     pub(super) fn notify(&self, ids: &[RequestId]) {
         let open = self.open.borrow();
         for request in ids.iter().filter_map(|id| open.get(id)) {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The objects that are asked for right now.
+    /// Returns the objects of all open requests.
     pub(super) fn objects(&self) -> Vec<ObjectId> {
         self.open
             .borrow()
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -1,4 +1,4 @@
-//! One request, from its arrival to its only answer.
+//! Serves one request, from its arrival to its single answer.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,44 +20,45 @@
 use crate::protocol::attempt::ClearedAttempt;
 use crate::protocol::client_connection::Responder;
 
-/// An attempt that is not over. Its task is aborted when the attempt is cancelled.
+/// An attempt that has not ended. Its task is aborted when the attempt is cancelled.
 struct RunningAttempt {
     index: AttemptIndex,
     host: HostId,
-    sent: Instant,
-    /// Something of it may have been written.
-    may_be_sent: Rc<Cell<bool>>,
+    started: Instant,
+    /// Set just before the first byte is written to the host.
+    is_write_started: Rc<Cell<bool>>,
     task: AbortHandle,
 }
 
-/// What the task of an attempt gives.
+/// The result of an attempt's task.
 struct EndedAttempt {
     index: AttemptIndex,
     reply: HostReply,
-    /// Budget for the bytes of the answer.
+    /// The memory that the answer's body holds.
     bytes: Option<Permit>,
 }
 
-/// Serves one request: takes the steps that the decision engine picks until none is left. It owns the request's attempts.
+/// Serves one request: executes the decision engine's steps until the request is answered, or its client has left, and
+/// all attempts have ended. It owns the request's attempts.
 struct RequestTask {
     router: Rc<Router>,
     id: RequestId,
-    asked: Rc<ClientRequest>,
-    /// Budget for the bytes of what was asked.
+    client_request: Rc<ClientRequest>,
+    /// The memory that the request's body holds.
     _bytes: Permit,
     entry: Rc<OpenRequest>,
-    /// Until the request has its answer.
+    /// None once the request is answered or its client has left.
     reply: Option<Responder>,
-    /// The attempts that are not over.
+    /// The attempts that have not ended.
     running: Vec<RunningAttempt>,
     tasks: JoinSet<EndedAttempt>,
 }
 
 impl Router {
-    /// Takes a request in; its task gives the answer.
+    /// Starts a request; its task gives the answer.
     pub(super) fn start_request(
         self: &Rc<Router>,
-        asked: Box<ClientRequest>,
+        client_request: Box<ClientRequest>,
         reply: Responder,
         bytes: Permit,
     ) -> RequestId {
@@ -65,23 +66,25 @@
         count(Counter::requests);
         let request = Request {
             id,
-            class: asked.class,
-            object: asked.object,
-            part: asked.part,
-            group: asked.group,
-            size_kb: asked.size_kb,
-            deadline: self.clock.now() + asked.timeout,
-            again: asked.is_retry,
+            class: client_request.class,
+            object: client_request.object,
+            part: client_request.part,
+            group: client_request.group,
+            size_kb: client_request.size_kb,
+            deadline: self.clock.now() + client_request.timeout,
+            again: client_request.is_retry,
         };
-        let entry = self.requests.open(id, asked.id.clone(), asked.object);
+        let entry = self
+            .requests
+            .open(id, client_request.id.clone(), client_request.object);
         if let Some(client) = self.control_client.get() {
-            client.report_purge_of(self, asked.object);
+            client.report_purge_for_request(self, client_request.object);
         }
         self.report(Input::RequestArrived(request));
         let task = RequestTask {
             router: self.clone(),
             id,
-            asked: Rc::from(asked),
+            client_request: Rc::from(client_request),
             _bytes: bytes,
             entry,
             reply: Some(reply),
@@ -96,31 +99,33 @@
 impl RequestTask {
     async fn run(mut self) {
         loop {
-            if self.entry.left.get() && self.reply.take().is_some() {
-                self.client_left();
+            if self.entry.client_left.get() && self.reply.take().is_some() {
+                self.handle_client_left();
             }
-            self.take_steps();
+            self.run_steps();
             if self.reply.is_none() && self.running.is_empty() {
                 break;
             }
             tokio::select! {
                 () = self.entry.notify.notified() => {}
                 Some(ended) = self.tasks.join_next() => {
-                    // An attempt that was aborted is off the list already.
+                    // An error means that the task was aborted; its attempt is already removed from `running`.
                     if let Ok(ended) = ended {
-                        self.attempt_ended(ended);
+                        self.handle_attempt_end(ended);
                     }
                 }
             }
         }
-        self.router.requests.release_client_id(&self.asked.id);
+        self.router
+            .requests
+            .release_client_id(&self.client_request.id);
         assert_invariant(
             self.router.pick(self.id) == Step::Wait,
-            "a request ends with no step left",
+            "the decision engine has no step left for a request that ends",
         );
     }
 
-    fn client_left(&mut self) {
+    fn handle_client_left(&mut self) {
         count(Counter::left);
         log::debug!("left: request {}", self.id.0);
         self.router.requests.close(self.id);
@@ -128,24 +133,25 @@
         self.router.report(Input::ClientLeft(self.id));
     }
 
-    /// What waits for a connection waits for nobody any more, whether or not an attempt may be cancelled.
+    /// Aborts the attempts of which nothing has been written: they only wait for a connection. That is safe even where
+    /// an attempt must not be cancelled once it is sent.
     fn abort_unsent(&mut self) {
         self.running.retain(|attempt| {
-            let is_sent = attempt.may_be_sent.get();
-            if !is_sent {
+            let is_write_started = attempt.is_write_started.get();
+            if !is_write_started {
                 attempt.task.abort();
             }
-            is_sent
+            is_write_started
         });
         if self.running.is_empty() {
             count(Counter::left_unsent);
         }
     }
 
-    /// The only place where a request gets its answer.
+    /// Answers the request. No other place does, so that each request is answered at most once.
     fn answer(&mut self, answer: Answer, bytes: Option<Permit>) {
         let Some(reply) = self.reply.take() else {
-            return assert_invariant(false, "one answer a request");
+            return assert_invariant(false, "a request is answered only once");
         };
         count(match &answer {
             Answer::Served(_) => Counter::served,
@@ -157,7 +163,7 @@
         self.router.requests.close(self.id);
     }
 
-    fn take_steps(&mut self) {
+    fn run_steps(&mut self) {
         loop {
             match self.router.pick(self.id) {
                 Step::Attempt(index, attempt) => self.start_attempt(index, attempt),
@@ -172,11 +178,11 @@
     fn start_attempt(&mut self, index: AttemptIndex, attempt: Attempt) {
         assert_invariant(
             self.reply.is_some(),
-            "nothing is handed off for a request that is over",
+            "no attempt starts for a request that is answered or whose client has left",
         );
         count(Counter::attempts);
         log::debug!(
-            "request {} attempt {} to {} filled from {} within {} ms",
+            "request {} attempt {} to {}, fill source {}, timeout {} ms",
             self.id.0,
             index.0,
             attempt.host.0,
@@ -184,27 +190,27 @@
             attempt.allow.ms()
         );
         let host = attempt.host.clone();
-        let may_be_sent = Rc::new(Cell::new(false));
-        let sending = AttemptSending {
+        let is_write_started = Rc::new(Cell::new(false));
+        let attempt_task = AttemptTask {
             router: self.router.clone(),
             request: self.id,
             index,
-            asked: self.asked.clone(),
+            client_request: self.client_request.clone(),
             until: Instant::now() + to_duration(attempt.allow),
             attempt,
-            may_be_sent: may_be_sent.clone(),
+            is_write_started: is_write_started.clone(),
         };
-        let task = self.tasks.spawn_local(sending.run());
+        let task = self.tasks.spawn_local(attempt_task.run());
         self.running.push(RunningAttempt {
             index,
             host,
-            sent: Instant::now(),
-            may_be_sent,
+            started: Instant::now(),
+            is_write_started,
             task,
         });
     }
 
-    fn take_running(&mut self, index: AttemptIndex) -> Option<RunningAttempt> {
+    fn remove_running(&mut self, index: AttemptIndex) -> Option<RunningAttempt> {
         let at = self
             .running
             .iter()
@@ -213,30 +219,31 @@
     }
 
     fn cancel_attempt(&mut self, index: AttemptIndex) {
-        let Some(attempt) = self.take_running(index) else {
+        let Some(attempt) = self.remove_running(index) else {
             return;
         };
         count(Counter::taken_back);
         attempt.task.abort();
-        // Guards against a request that waits for ever for the end of what it cancelled itself.
+        // The aborted task returns no result, so the end of the attempt is reported here. Otherwise an open request
+        // would wait for it for ever.
         if self.reply.is_some() {
-            self.report_end(attempt, HostReply::without_body(AttemptOutcome::Cancelled));
+            self.report_attempt_end(attempt, HostReply::without_body(AttemptOutcome::Cancelled));
         }
     }
 
-    fn attempt_ended(&mut self, ended: EndedAttempt) {
-        let Some(attempt) = self.take_running(ended.index) else {
+    fn handle_attempt_end(&mut self, ended: EndedAttempt) {
+        let Some(attempt) = self.remove_running(ended.index) else {
             return;
         };
         let mut reply = ended.reply;
-        // Guards against a client that keeps an old copy: one that is not named by its own tag is no answer, and
-        // from then on the whole object is asked for.
-        if reply.is_of_another_copy(&self.asked) {
+        // Guards against a client that goes on using an outdated copy: a host that reports another tag as unchanged has
+        // not confirmed the client's copy. The attempt counts as failed, and later ones request the whole object.
+        if reply.is_of_another_copy(&self.client_request) {
             count(Counter::unchanged_of_another);
             reply.outcome = AttemptOutcome::Errored;
-            self.asked = Rc::new(ClientRequest {
+            self.client_request = Rc::new(ClientRequest {
                 cached_tag: None,
-                ..(*self.asked).clone()
+                ..(*self.client_request).clone()
             });
         }
         if reply.outcome == AttemptOutcome::Answered && self.reply.is_some() {
@@ -247,13 +254,13 @@
             };
             self.answer(answer, ended.bytes);
         }
-        self.report_end(attempt, reply);
+        self.report_attempt_end(attempt, reply);
     }
 
-    fn report_end(&self, attempt: RunningAttempt, reply: HostReply) {
+    fn report_attempt_end(&self, attempt: RunningAttempt, reply: HostReply) {
         let (outcome, fill, link) = (&reply.outcome, &reply.fill, &reply.report.link);
         log::debug!(
-            "request {} attempt {} at {}: {outcome:?} {fill:?} {link:?}",
+            "request {} attempt {} at {} ended: outcome {outcome:?}, fill {fill:?}, link load {link:?}",
             self.id.0,
             attempt.index.0,
             attempt.host.0
@@ -263,7 +270,7 @@
             index: attempt.index,
             host: attempt.host,
             outcome: reply.outcome,
-            took: Span::of_ms(attempt.sent.elapsed().as_secs_f64() * 1000.0),
+            took: Span::of_ms(attempt.started.elapsed().as_secs_f64() * 1000.0),
             closed: self.reply.is_none(),
             fill: reply.fill,
             waited: reply.waited,
@@ -272,19 +279,19 @@
     }
 }
 
-/// One attempt on its way: waits for a connection to the host, sends it and reads the reply.
-struct AttemptSending {
+/// Carries out one attempt: waits for a connection to the host, sends the request and reads the reply.
+struct AttemptTask {
     router: Rc<Router>,
     request: RequestId,
     index: AttemptIndex,
-    asked: Rc<ClientRequest>,
+    client_request: Rc<ClientRequest>,
     attempt: Attempt,
     until: Instant,
-    /// Something of it may have been written.
-    may_be_sent: Rc<Cell<bool>>,
+    /// Set just before the first byte is written to the host.
+    is_write_started: Rc<Cell<bool>>,
 }
 
-impl AttemptSending {
+impl AttemptTask {
     async fn run(self) -> EndedAttempt {
         let clear = || self.clear();
         let received = self
@@ -292,10 +299,10 @@
             .host_connections
             .attempt(
                 &self.attempt.host,
-                &self.asked,
+                &self.client_request,
                 self.until,
                 clear,
-                &self.may_be_sent,
+                &self.is_write_started,
             )
             .await;
         EndedAttempt {
@@ -305,14 +312,15 @@
         }
     }
 
-    /// What the attempt asks for if it is sent now, and until when; none if it may not be sent any more.
+    /// Returns the options of the attempt if it is sent now, and by when its last byte has to be written; none if it
+    /// may not be sent any more.
     fn clear(&self) -> Option<ClearedAttempt<'_>> {
         let Clearance { oldest, sent_by } = self.router.clear(self.request, self.index)?;
-        let waits = self.until.checked_duration_since(Instant::now())?;
+        let remaining = self.until.checked_duration_since(Instant::now())?;
         let attempt = &self.attempt;
         let options = AttemptOptions {
-            class: &self.router.names.classes[self.asked.class.0],
-            timeout: Span::of_ms(waits.as_secs_f64() * 1000.0),
+            class: &self.router.names.classes[self.client_request.class.0],
+            timeout: Span::of_ms(remaining.as_secs_f64() * 1000.0),
             source: Some(&attempt.source).filter(|source| **source != attempt.host),
             retention_rank: attempt.keep,
             new_connection: attempt.fresh,
--- a/crates/flaxdeck-dispatcher/src/routing/task_set.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/task_set.rs
@@ -1,4 +1,4 @@
-//! Tasks of this thread's `LocalSet` with an owner that ends them.
+//! Sets of tasks on this thread's `LocalSet`, each with an owner that aborts them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -8,11 +8,10 @@
 
 type Handles = RefCell<BTreeMap<u64, AbortHandle>>;
 
-/// The tasks that one owner has started and that have not ended. Those left are aborted by [`TaskSet::abort_all`], or
-/// when the set is dropped.
+/// The running tasks of one owner. They are aborted by [`TaskSet::abort_all`], or when the set is dropped.
 ///
-/// Unlike tokio's `JoinSet`, nobody has to reap tasks that have ended: each takes its own entry out. That keeps it out of
-/// the way of a request, whose task is spawned while a client's connection is read.
+/// Unlike with tokio's `JoinSet`, no caller has to reap tasks that have ended: each removes its own entry. So spawning
+/// the task of a request, which happens while a client connection is being read, takes no time for clean-up.
 #[derive(Default)]
 pub(super) struct TaskSet {
     running: Rc<Handles>,
@@ -20,7 +19,7 @@
 }
 
 impl TaskSet {
-    /// Starts a task on the `LocalSet` that is running.
+    /// Spawns a task on the current `LocalSet`.
     pub(super) fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         let number = self.next.get();
         self.next.set(number + 1);
@@ -37,7 +36,7 @@
             .insert(number, handle.abort_handle());
     }
 
-    /// Ends all tasks at their next turn.
+    /// Aborts all tasks; each ends when the `LocalSet` runs it next.
     pub(super) fn abort_all(&self) {
         for task in self.running.borrow().values() {
             task.abort();
@@ -51,7 +50,7 @@
     }
 }
 
-/// A task's entry in its set, taken out when the task ends, also by a panic.
+/// A task's entry in its set. Dropping it removes the entry, so that happens when the task ends, is aborted or panics.
 struct Entry {
     running: Weak<Handles>,
     number: u64,
