--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -120,6 +120,6 @@
     for event in &events {
         router.apply_event(last, Event::clone(event));
     }
-    router.take_up_state(previous, directory, &events, last);
+    router.adopt_stored_state(previous, directory, &events, last);
     NumberedEvents::new()
 }
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/connecting.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/connecting.rs
@@ -1,4 +1,4 @@
-//! A task for each planner: it holds a connection, and hands on what comes by it.
+//! Keeps a connection to each planner, in a task of its own, and applies the messages that arrive on it.
 
 use std::rc::Rc;
 
@@ -15,13 +15,13 @@
 use super::ControlClient;
 use crate::routing::Router;
 
-/// The first pause before another attempt to reach a planner: as short as a report or two.
+/// The shortest pause before a planner is connected to again: about the time of one or two reports.
 const MIN_BACKOFF: Span = Span::from_ms(150);
-/// The longest: as long as a planner may be silent until its hosts' leases are another's.
+/// The longest pause: as long as a planner may be silent before another planner takes over the leases of its hosts.
 const MAX_BACKOFF: Span = Span::from_ms(1000);
 
-/// Connects to the planner again and again, until the client is stopped.
-pub(super) async fn hold_connection(
+/// Keeps a connection to the planner, reconnecting with a backoff, until the client is stopped.
+pub(super) async fn maintain_connection(
     client: Rc<ControlClient>,
     router: Rc<Router>,
     planner: PlannerId,
@@ -36,17 +36,19 @@
             Ok(connected) => {
                 log::info!("planner {number} at {address} is connected");
                 backoff.answered(router.clock.now());
-                let over = client.converse(&router, planner, connected).await;
-                log::warn!("planner {number} at {address}: the conversation is over: {over}");
+                let reason = client.run_session(&router, planner, connected).await;
+                log::warn!("planner {number} at {address}: the conversation is over: {reason}");
             }
-            Err(why) if why.is_refusal() => {
+            Err(error) if error.is_refusal() => {
                 count(Counter::planners_refused);
-                log::warn!("planner {number} at {address} is refused: {why}");
+                log::warn!("planner {number} at {address} is refused: {error}");
+            }
+            Err(error) => {
+                log::debug!("connecting to planner {number} at {address} failed: {error}")
             }
-            Err(why) => log::debug!("planner {number} at {address}: {why}"),
         }
-        // With the last of them unreached there is nobody to ask but the coordinator.
-        if client.planners.unreachable(planner) {
+        // Once no planner can be reached, only the coordinator is left as a source of events.
+        if client.planners.mark_unreachable(planner) {
             client.expedited_reconnect.expedite();
         }
         sleep(clock::to_duration(backoff.pause(router.clock.now(), false))).await;
@@ -54,23 +56,24 @@
 }
 
 impl ControlClient {
-    /// Until the connection ends.
-    async fn converse(
+    /// Runs the session with the planner until the connection ends; returns the reason for its end.
+    async fn run_session(
         &self,
         router: &Router,
         planner: PlannerId,
         connection: Connection,
     ) -> CloseReason {
-        self.session.connected(planner);
+        self.session.connection_opened(planner);
         self.planners.opened(planner, connection.sender);
         self.report_now();
         self.planner_connected(router, planner);
-        let over = self.receive(router, planner, connection.receiver).await;
+        let reason = self.receive(router, planner, connection.receiver).await;
         self.planners.closed(planner);
         self.planner_disconnected(router, planner);
-        over
+        reason
     }
 
+    /// Applies the planner's messages until the connection ends; returns the reason for its end.
     async fn receive(
         &self,
         router: &Router,
@@ -85,7 +88,7 @@
                 Ok(FromPlanner::Delivery(delivery)) => {
                     self.apply_delivery(router, planner, delivery);
                 }
-                Err(over) => return over,
+                Err(reason) => return reason,
             }
         }
     }
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/coordinator_clock.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/coordinator_clock.rs
@@ -1,4 +1,4 @@
-//! How far apart this process's clock and the coordinator's are, by events that have just happened.
+//! Estimates the offset between the local clock and the coordinator's from the times in live events.
 
 use std::cell::{Cell, RefCell};
 
@@ -11,54 +11,54 @@
 use super::ControlClient;
 use crate::routing::Router;
 
-/// Owns the estimate of the offset. The endpoint records have starts by the coordinator's clock; what goes to the
-/// decision engine is translated here.
+/// Owns the estimate of the offset. The endpoint records hold start times by the coordinator's clock, which are
+/// converted here for the decision engine.
 #[derive(Default)]
 pub(super) struct CoordinatorClock {
     offset: RefCell<ClockOffset>,
-    /// The configuration's events are applied: those from now on have happened while this process ran.
+    /// Whether the configuration's events are applied, so that later ones are live.
     is_live: Cell<bool>,
 }
 
-/// A time that an event names, and how late it may have been announced.
+/// A time that an event names, and the longest delay with which it may have been announced.
 struct AnnouncedTime {
     at: Time,
-    late: Span,
+    max_delay: Span,
 }
 
 impl CoordinatorClock {
-    /// What is announced from now on has happened while this process ran.
+    /// Marks all events from now on as live: they are announced while this process runs.
     pub(super) fn go_live(&self) {
         self.is_live.set(true);
     }
 
-    /// Whether it has.
+    /// Whether events are live.
     pub(super) fn is_live(&self) -> bool {
         self.is_live.get()
     }
 
-    /// Takes in times that were just announced; whether the offset has changed by them.
+    /// Updates the offset by times that were just announced. Returns whether it has changed.
     fn observe(&self, now: Time, times: &[AnnouncedTime]) -> bool {
         let mut offset = self.offset.borrow_mut();
         let mut changed = false;
         for time in times {
-            changed |= offset.record_event(now, time.at, time.late);
+            changed |= offset.record_event(now, time.at, time.max_delay);
         }
         changed
     }
 
-    /// Puts the starts of endpoints by the own clock.
-    pub(super) fn endpoints_by_own_clock(&self, endpoints: &mut [Endpoint]) {
+    /// Converts the start times of endpoints to the local clock.
+    pub(super) fn localize_endpoints(&self, endpoints: &mut [Endpoint]) {
         self.offset.borrow().localize_endpoints(endpoints);
     }
 
-    /// Puts the starts of observed hosts as they were announced.
-    pub(super) fn observations_as_announced(&self, observations: &mut [Observation]) {
+    /// Converts the start times of observed hosts to the coordinator's clock.
+    pub(super) fn delocalize_observations(&self, observations: &mut [Observation]) {
         self.offset.borrow().delocalize_observations(observations);
     }
 
-    /// Puts the starts in quotas by the own clock.
-    pub(super) fn quotas_by_own_clock(&self, hints: &mut PeerHints) {
+    /// Converts the start times in quotas to the local clock.
+    pub(super) fn localize_quotas(&self, hints: &mut PeerHints) {
         let offset = self.offset.borrow();
         let quotas = hints
             .hints
@@ -71,8 +71,9 @@
 }
 
 impl ControlClient {
-    /// An event that has just happened tells how far apart the clocks are.
-    pub(in crate::routing) fn compare_clocks(&self, router: &Router, event: &Event) {
+    /// Updates the clock offset by the times in a live event. If it changes, it is logged, and all endpoints are
+    /// reported to the decision engine again.
+    pub(in crate::routing) fn update_clock_offset(&self, router: &Router, event: &Event) {
         let times = self.announced_times(event);
         if !self.coordinator_clock.observe(router.clock.now(), &times) {
             return;
@@ -87,7 +88,7 @@
         match event {
             Event::Purged { made, .. } => vec![AnnouncedTime {
                 at: *made,
-                late: clocks::MAX_PURGE_DELAY,
+                max_delay: clocks::MAX_PURGE_DELAY,
             }],
             Event::Hosts(ListKind::Delta, endpoints) => endpoints
                 .iter()
@@ -95,7 +96,7 @@
                 .filter_map(|endpoint| endpoint.listed.started)
                 .map(|at| AnnouncedTime {
                     at,
-                    late: clocks::MAX_START_DELAY,
+                    max_delay: clocks::MAX_START_DELAY,
                 })
                 .collect(),
             Event::Hosts(ListKind::Full, _) => Vec::new(),
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/delivery.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/delivery.rs
@@ -1,5 +1,5 @@
-//! Deliveries of the planner that is followed: applied as one, or not at all. Purges of single objects go to the
-//! decision engine only for objects that are asked for.
+//! Applies deliveries of planners, each as a whole or not at all. Purges of single objects are reported to the decision
+//! engine only for objects that are requested.
 
 use std::rc::Rc;
 
@@ -21,8 +21,8 @@
 use super::subscription::EventSubscription;
 use crate::routing::{AppliedEvents, Router};
 
-/// Renews the subscription when something falls due by itself, until the client is stopped.
-pub(super) async fn renew_subscription(client: Rc<ControlClient>, router: Rc<Router>) {
+/// Updates the subscription whenever a time at which it changes by itself is reached, until the client is stopped.
+pub(super) async fn update_subscription_when_due(client: Rc<ControlClient>, router: Rc<Router>) {
     let Some(subscription) = &client.subscription else {
         return;
     };
@@ -38,24 +38,24 @@
     }
 }
 
-/// An event that was read, and its place among the coordinator's.
+/// A decoded event, with its position in the coordinator's numbering.
 struct PositionedEvent {
     position: EventPosition,
     event: Event,
 }
 
-/// Reads all events; none if one of them can't be read.
-fn read_all(events: &[FullEvent], names: &Names) -> Option<Vec<PositionedEvent>> {
-    let read = |event: &FullEvent| {
+/// Decodes all events; none if one of them can't be decoded.
+fn decode_all(events: &[FullEvent], names: &Names) -> Option<Vec<PositionedEvent>> {
+    let decode = |event: &FullEvent| {
         Some(PositionedEvent {
             position: event.position,
             event: frames::read(&event.frame, names).ok()??,
         })
     };
-    events.iter().map(read).collect()
+    events.iter().map(decode).collect()
 }
 
-/// All that follows one position, up to another.
+/// All events after one position, up to another.
 struct Batch {
     after: EventPosition,
     upto: EventPosition,
@@ -63,61 +63,61 @@
     events: Vec<FullEvent>,
 }
 
-/// The state at a position, in place of what was known.
+/// The complete state at a position, which replaces everything known.
 struct Snapshot {
     position: EventPosition,
-    /// The frame with the full list.
+    /// The frame of the full endpoint list.
     list: Vec<u8>,
     purges: Vec<Fingerprint>,
     group_purges: Vec<FullEvent>,
-    /// Purges may have been missed.
-    copies_in_doubt: bool,
+    /// Whether the snapshot may lack purges that have not settled.
+    may_miss_purges: bool,
 }
 
 impl ControlClient {
-    /// A connection to a planner is up.
+    /// Updates the subscription after a connection to a planner was opened.
     pub(super) fn planner_connected(&self, router: &Router, planner: PlannerId) {
         if let Some(subscription) = &self.subscription {
             let now = router.clock.now();
-            subscription.catch_up(now, self.position());
+            subscription.sync_position(now, self.position());
             subscription.connected(now, planner);
             self.update_subscription(router, subscription);
         }
     }
 
-    /// A connection to a planner has ended.
+    /// Updates the subscription after a connection to a planner has ended.
     pub(super) fn planner_disconnected(&self, router: &Router, planner: PlannerId) {
         if let Some(subscription) = &self.subscription {
             let now = router.clock.now();
-            subscription.catch_up(now, self.position());
+            subscription.sync_position(now, self.position());
             subscription.disconnected(now, planner);
             self.update_subscription(router, subscription);
         }
     }
 
-    /// Says to planners what is wanted of them, and to the watch whether the coordinator is needed.
+    /// Sends due subscription changes to planners, and notifies the watch if the need for the coordinator has changed.
     fn update_subscription(&self, router: &Router, subscription: &EventSubscription) {
         let now = router.clock.now();
-        subscription.catch_up(now, self.position());
+        subscription.sync_position(now, self.position());
         for change in subscription.changes(now) {
             self.planners.send(
                 change.planner,
                 &FromForwarder::Subscribe(change.subscription),
             );
         }
-        self.session.subscribed_to(subscription.followed());
+        self.session.set_subscribed_to(subscription.followed());
         if let Some(needed) = subscription.update_coordinator_need(now) {
             let source = if needed {
                 "no planner delivers, the coordinator is asked"
             } else {
-                "planners deliver"
+                "a planner delivers, the coordinator is not needed"
             };
             log::info!("events: {source}");
         }
-        subscription.changed();
+        subscription.notify_schedule_changed();
     }
 
-    /// A planner has delivered events.
+    /// Applies a planner's delivery of events.
     pub(super) fn apply_delivery(&self, router: &Router, planner: PlannerId, delivery: Delivery) {
         let Some(subscription) = &self.subscription else {
             return;
@@ -127,18 +127,18 @@
             return;
         }
         let after = self.position();
-        subscription.catch_up(now, after);
-        match subscription.delivered(now, planner, delivery) {
+        subscription.sync_position(now, after);
+        match subscription.receive(now, planner, delivery) {
             Ok(applied) => self.apply(router, subscription, after, applied),
-            Err(why) => {
+            Err(error) => {
                 count(Counter::deliveries_refused);
-                if subscription.should_log_refusal(now) {
-                    log::warn!("a delivery of planner {} is refused: {why:?}", planner.0);
+                if subscription.should_log_rejection(now) {
+                    log::warn!("a delivery of planner {} is refused: {error:?}", planner.0);
                 }
             }
         }
-        if let Some(current_at) = subscription.current_at() {
-            self.events_known_at(router, current_at);
+        if let Some(confirmed_at) = subscription.confirmed_at() {
+            self.events_known_at(router, confirmed_at);
         }
         self.update_subscription(router, subscription);
     }
@@ -170,14 +170,14 @@
                 purges,
                 group_purges,
                 position: upto,
-                may_miss_purges: copies_in_doubt,
+                may_miss_purges,
             } => {
                 let snapshot = Snapshot {
                     position: upto,
                     list,
                     purges,
                     group_purges,
-                    copies_in_doubt,
+                    may_miss_purges,
                 };
                 self.apply_snapshot(router, subscription, &snapshot);
             }
@@ -186,14 +186,14 @@
 
     fn apply_batch(&self, router: &Router, subscription: &EventSubscription, batch: &Batch) {
         let (now, after, upto) = (router.clock.now(), batch.after, batch.upto);
-        let Some(events) = read_all(&batch.events, &router.names) else {
+        let Some(events) = decode_all(&batch.events, &router.names) else {
             return reject_unreadable(subscription, now, after);
         };
-        let current_at = subscription.current_at();
+        let confirmed_at = subscription.confirmed_at();
         let follows = self
             .numbering
             .borrow_mut()
-            .accept_batch(now, after, upto, current_at);
+            .accept_batch(now, after, upto, confirmed_at);
         if !follows {
             return subscription.reset_position(now, after);
         }
@@ -202,7 +202,7 @@
         }
         for PositionedEvent { position, event } in events {
             count(Counter::events_relayed);
-            router.apply_event_from_planner(position, event);
+            router.record_and_apply(position, event);
         }
         apply_object_purges(router, subscription, now, &batch.purges);
         router.notify_listener(AppliedEvents::Range {
@@ -222,20 +222,21 @@
             .ok()
             .flatten()
             .filter(Event::is_full_list);
-        let group_purges = read_all(&snapshot.group_purges, &router.names);
+        let group_purges = decode_all(&snapshot.group_purges, &router.names);
         let (Some(list), Some(group_purges)) = (list, group_purges) else {
             return reject_unreadable(subscription, now, self.position());
         };
         let since = self.numbering.borrow().confirmed_at();
         self.numbering.borrow_mut().accept_snapshot(now, upto);
-        // Hosts that are known to be withdrawn stay so, as the list may be of another numbering. Copies are doubted
-        // below, as the snapshot says itself how far back its purges reach.
+        // Hosts that are known to be withdrawn stay so, as the list may belong to another numbering. `closed_cleanly`
+        // keeps the missed period from casting doubt on copies: the snapshot itself tells how far back its purges
+        // reach, and copies are purged below if that is not far enough.
         let missed = since.map(|_| MissedPeriod {
             since,
             closed_cleanly: true,
         });
-        router.adopt_list(upto, list, missed);
-        if snapshot.copies_in_doubt {
+        router.replace_list(upto, list, missed);
+        if snapshot.may_miss_purges {
             count(Counter::copies_doubted);
             router.purge_all_copies(now);
         }
@@ -244,36 +245,39 @@
         apply_object_purges(router, subscription, now, &snapshot.purges);
     }
 
-    /// A request for the object begins: its purge, if there is one, counts before that.
+    /// Reports a purge of the object, if there is an unreported one, before a request for the object starts.
     pub(in crate::routing) fn report_purge_for_request(&self, router: &Router, object: ObjectId) {
         if let Some(subscription) = &self.subscription {
             report_purge(router, subscription, router.clock.now(), object);
         }
     }
 
-    /// The coordinator itself brought what is current. Purges that it announced before this process started, and that
-    /// have not settled, are known to nobody here.
-    pub(super) fn current_by_coordinator(&self, router: &Router) {
+    /// Called when the coordinator's own watch is current. Purges all copies if unsettled purges may be missing that
+    /// the coordinator announced before this process started.
+    pub(super) fn purge_if_earlier_purges_unknown(&self, router: &Router) {
         let Some(subscription) = &self.subscription else {
             return;
         };
         let now = router.clock.now();
-        if subscription.current_by_coordinator(now) {
+        if subscription.note_coordinator_current(now) {
             count(Counter::copies_doubted);
             router.purge_all_copies(now);
         }
     }
 }
 
-/// Nothing of a delivery is applied that holds what can't be read.
+/// Rejects a delivery in which an event or the endpoint list can't be decoded: nothing of it is applied, and the
+/// position stays the same.
 fn reject_unreadable(subscription: &EventSubscription, now: Time, position: EventPosition) {
     count(Counter::events_unreadable);
     subscription.reset_position(now, position);
-    if subscription.should_log_refusal(now) {
-        log::warn!("a planner passed on an event that can't be read");
+    if subscription.should_log_rejection(now) {
+        log::warn!("a planner's delivery is dropped: an event or the list in it can't be decoded");
     }
 }
 
+/// Reports purges of groups to the decision engine. They count from now, since the snapshot that holds them may be
+/// older.
 fn apply_group_purges(router: &Router, now: Time, purges: Vec<PositionedEvent>) {
     for PositionedEvent { event, .. } in purges {
         if let Event::Purged { object, group, .. } = event {
@@ -286,7 +290,8 @@
     }
 }
 
-/// Objects were purged: those that are asked for right now are reported at once, the others once they are.
+/// Records purges of single objects. Those of objects with open requests are reported to the decision engine at once,
+/// the others when their object is requested.
 fn apply_object_purges(
     router: &Router,
     subscription: &EventSubscription,
@@ -302,6 +307,7 @@
     }
 }
 
+/// Reports the purge of an object to the decision engine, if there is one that was not reported yet.
 fn report_purge(router: &Router, subscription: &EventSubscription, now: Time, object: ObjectId) {
     if let Some(made) = subscription.purges.take_unreported(now, object) {
         router.report(Input::Purged {
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/endpoint_records.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/endpoint_records.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as last announced, to be held against a full list that comes in place of what should follow.
+//! Records the endpoint list as last announced, for comparison with a full list that replaces it out of sequence.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,8 +7,9 @@
 use flaxdeck_recovery::unconfirmed::UnconfirmedEndpoints;
 use flaxdeck_wire::frames::AddressedEndpoint;
 
-/// Owns what was last announced of each endpoint, with starts by the coordinator's clock, and which endpoints are
-/// withheld because nobody has confirmed them under a new numbering.
+/// Owns the last announced state of each endpoint, with start times by the coordinator's clock, and the set of
+/// endpoints that are withheld: a list of a new numbering has them in service, but they were known to be withdrawn
+/// before.
 #[derive(Default)]
 pub(super) struct EndpointRecords {
     announced: RefCell<BTreeMap<HostId, Endpoint>>,
@@ -16,7 +17,7 @@
 }
 
 impl EndpointRecords {
-    /// These were announced: nothing of them is unconfirmed any more.
+    /// Records endpoints that an event announces, which also ends the withholding of them.
     pub(super) fn record<'a>(&self, endpoints: impl Iterator<Item = &'a Endpoint> + Clone) {
         self.unconfirmed
             .borrow_mut()
@@ -25,8 +26,8 @@
         self.announced.borrow_mut().extend(announced);
     }
 
-    /// A full list comes in place of what was known. With `withhold`, endpoints that were withdrawn stay so, in the
-    /// list too. Gives how many that are.
+    /// Replaces all records by a full list. With `withhold`, endpoints that were known to be withdrawn stay so, and the
+    /// list is changed accordingly. Returns the number of endpoints withheld.
     pub(super) fn replace(
         &self,
         now: Time,
@@ -45,6 +46,7 @@
         withheld
     }
 
+    /// Changes the list so that endpoints which were known to be withdrawn stay so. Returns their number.
     fn withhold(&self, now: Time, endpoints: &mut [AddressedEndpoint]) -> usize {
         let listed = endpoints
             .iter()
@@ -60,7 +62,8 @@
         adopted.held_back
     }
 
-    /// Endpoints that have been withheld for long enough and are used again, as the list has them.
+    /// Returns the endpoints whose withholding has ended by now, in the state that the list gave them, and records
+    /// them.
     pub(super) fn release_expired(&self, now: Time) -> Vec<Endpoint> {
         let released = self.unconfirmed.borrow_mut().take_expired(now);
         if !released.is_empty() {
@@ -69,7 +72,7 @@
         released
     }
 
-    /// Whether an endpoint that is known here has started anew by that announcement.
+    /// Whether the announcement gives a known endpoint another start time.
     pub(super) fn has_restarted(&self, endpoint: &Endpoint) -> bool {
         self.announced
             .borrow()
@@ -77,7 +80,7 @@
             .is_some_and(|before| before.started != endpoint.started)
     }
 
-    /// All of them.
+    /// Returns all endpoints as last announced.
     pub(super) fn all(&self) -> Vec<Endpoint> {
         self.announced.borrow().values().cloned().collect()
     }
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/guidance.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/guidance.rs
@@ -1,4 +1,4 @@
-//! Guidance of planners, and the hints that the decision engine gets from it.
+//! Applies the guidance of planners, and reports the hints that follow from it to the decision engine.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,16 +16,17 @@
 use super::session::FreshnessChange;
 use crate::routing::Router;
 
-/// Added to the time of a change, so that it has come when the timer ends.
-const AFTER_CHANGE: Duration = Duration::from_micros(100);
+/// Added to the time of a change, so that the change is due when the timer fires.
+const TIMER_MARGIN: Duration = Duration::from_micros(100);
 
-/// Tells the decision engine when what holds changes by itself, until the client is stopped.
-pub(super) async fn renew_hints(client: Rc<ControlClient>, router: Rc<Router>) {
+/// Updates the decision engine's hints whenever a time at which they change by themselves is reached, until the client
+/// is stopped.
+pub(super) async fn update_hints_when_due(client: Rc<ControlClient>, router: Rc<Router>) {
     loop {
         let next = client
             .session
             .next_change(router.clock.now())
-            .map(|at| router.clock.instant(at) + AFTER_CHANGE);
+            .map(|at| router.clock.instant(at) + TIMER_MARGIN);
         tokio::select! {
             () = sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => client.update_hints(&router),
             () = client.session.hints_changed() => {}
@@ -34,11 +35,11 @@
 }
 
 impl ControlClient {
-    /// Tells the decision engine what holds now.
+    /// Reports the current hints to the decision engine.
     pub(super) fn update_hints(&self, router: &Router) {
         let now = router.clock.now();
         let mut hints = self.session.hints(now);
-        self.coordinator_clock.quotas_by_own_clock(&mut hints);
+        self.coordinator_clock.localize_quotas(&mut hints);
         if let Some(change) = self.session.update_freshness(now) {
             self.log_freshness(&change);
         }
@@ -57,24 +58,26 @@
         log::log!(level, "guidance is now {now}, was {before}");
     }
 
-    /// A planner has answered a report.
+    /// Applies guidance, a planner's answer to a report.
     pub(super) fn apply_guidance(&self, router: &Router, planner: PlannerId, guidance: Guidance) {
         let now = router.clock.now();
-        let accepted = self.session.accept(now, planner, guidance, self.position());
+        let accepted = self
+            .session
+            .apply_guidance(now, planner, guidance, self.position());
         match accepted {
             Ok(events) => {
                 self.apply_relayed_events(router, now, planner, &events);
                 self.update_hints(router);
                 self.note_confirmation(router);
             }
-            Err(why) => {
+            Err(error) => {
                 count(Counter::guidance_refused);
-                log::warn!("guidance of planner {} is refused: {why:?}", planner.0);
+                log::warn!("guidance of planner {} is refused: {error:?}", planner.0);
             }
         }
     }
 
-    /// Applies events that follow what is known, up to the first that does not or can't be read.
+    /// Applies relayed events in order, up to the first that does not follow the last one applied or can't be decoded.
     fn apply_relayed_events(
         &self,
         router: &Router,
@@ -88,7 +91,7 @@
                 Err(malformed) => {
                     count(Counter::events_unreadable);
                     log::warn!(
-                        "planner {} passed on an event that is {}",
+                        "an event relayed by planner {} can't be decoded: {}",
                         planner.0,
                         malformed
                     );
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/mod.rs
@@ -1,20 +1,22 @@
-//! The planners beside the coordinator: reports go out, guidance and events come in, and the decision engine is told
-//! what holds. No request waits for any of it. What is believed, lent and borrowed is decided in `flaxdeck-control`.
+//! The forwarder's side of the control plane: it sends reports to planners, applies the guidance and events that they
+//! send, and reports the resulting hints to the decision engine. No request waits for any of this. `flaxdeck-control`
+//! decides which guidance is valid and which quotas are lent and granted.
 //!
-//! A [`ControlClient`] owns all state of a forwarder that a lone dispatcher does not have, each part in a module that
-//! alone changes it:
+//! A [`ControlClient`] owns all state that a forwarder has beyond that of a dispatcher without planners. Each part is
+//! changed only by its own module:
 //!
 //! | module | state |
 //! | --- | --- |
-//! | `session` | the session with the planners: leases, freshness, what is due |
+//! | `session` | the session with the planners: leases, freshness of the guidance, due reports |
 //! | `planner_connections` | the connections to planners, and which are unreachable |
-//! | `endpoint_records` | the endpoint list as last announced, and which of it is unconfirmed |
-//! | `coordinator_clock` | how far apart this clock and the coordinator's are |
-//! | `startup_gate` | how far this forwarder has come back, and whether it takes clients |
-//! | `subscription`, `purges` | events by a subscription to one planner, purges that have not settled |
+//! | `endpoint_records` | the endpoint list as last announced, and which endpoints are withheld |
+//! | `coordinator_clock` | the offset between the local clock and the coordinator's |
+//! | `startup_gate` | the startup phase, and when clients are accepted |
+//! | `subscription`, `purges` | the subscription to one planner's events, and unsettled purges |
 //!
-//! The others act on it: `connecting` holds a connection to each planner, `reporting` sends reports, `guidance` and
-//! `delivery` apply what planners say, `stored_state` takes up what an earlier run left and stores what follows.
+//! The other modules act on this state: `connecting` keeps a connection to each planner, `reporting` sends reports,
+//! `guidance` and `delivery` apply the planners' messages, and `stored_state` restores the state of an earlier run and
+//! stores later changes.
 
 mod connecting;
 mod coordinator_clock;
@@ -59,44 +61,45 @@
 use subscription::EventSubscription;
 pub use subscription::SubscriptionOptions;
 
-/// What a forwarder is told of its planners at start.
+/// The options with which a forwarder starts its control side.
 #[derive(Clone, Debug)]
 pub struct ControlClientOptions {
-    /// The addresses of all planners, in the order of the plan.
+    /// The addresses of all planners, in the order of the operator's file; a planner's id is its index.
     pub planners: Vec<SocketAddr>,
-    /// The key that all instances share.
+    /// The key by which forwarders and planners authenticate each other.
     pub key: Key,
-    /// What the session with the planners keeps to.
+    /// The options of the session with the planners.
     pub session: ForwarderOptions,
-    /// Between reports to each planner.
+    /// The interval at which reports to planners may become due.
     pub report_every: Duration,
-    /// Events come by a subscription to one planner; none if all planners and the coordinator send every event.
+    /// The options of the subscription to one planner's events; none if the coordinator and all planners send every
+    /// event.
     pub subscription: Option<SubscriptionOptions>,
-    /// Where this forwarder stores its state, if it does.
+    /// Where this forwarder stores its state; none if it stores none.
     pub state_directory: Option<StateDirectory>,
-    /// Where the counters of this process are written as they grow, if anywhere.
+    /// The file to which the counters of this process are written while it runs, if any.
     pub counters: Option<PathBuf>,
 }
 
-/// A forwarder's side of the conversations with its planners. It owns the tasks that hold them;
-/// [`ControlClient::stop`] is owed at the end, as the tasks keep the client itself alive.
+/// A forwarder's side of the sessions with its planners. It owns the tasks that run them. [`ControlClient::stop`] has
+/// to be called at the end, since the tasks hold references to the client.
 pub(super) struct ControlClient {
     options: ControlClientOptions,
-    /// Spreads what many forwarders would do at once.
+    /// Makes the backoff and the choice of a planner differ between forwarders.
     seed: u64,
     session: Session,
     planners: PlannerConnections,
     subscription: Option<EventSubscription>,
-    /// The coordinator's events as applied here, whoever brought them; the watch owns it.
+    /// The numbering of the applied events, whether they came from the coordinator or a planner. Shared with the watch.
     numbering: Rc<RefCell<Numbering>>,
     endpoints: EndpointRecords,
     coordinator_clock: CoordinatorClock,
     startup: StartupGate,
-    /// Tells the watch how urgent its next connection to the coordinator is.
+    /// Sets how urgent the watch's next connection to the coordinator is.
     expedited_reconnect: Rc<ExpeditedReconnect>,
-    /// A report is wanted before the next tick.
+    /// Notified to have reports sent before the next tick.
     report_requested: Notify,
-    /// Set once, with the first state that is stored.
+    /// Set once, when this run begins to store its state; never if it stores none.
     state_writer: OnceCell<StateWriter>,
     tasks: TaskSet,
 }
@@ -142,7 +145,7 @@
 
     fn start_tasks(self: &Rc<ControlClient>, router: &Rc<Router>) {
         for planner in 0..self.options.planners.len() as u32 {
-            self.tasks.spawn(connecting::hold_connection(
+            self.tasks.spawn(connecting::maintain_connection(
                 self.clone(),
                 router.clone(),
                 PlannerId(planner),
@@ -150,23 +153,27 @@
         }
         self.tasks
             .spawn(reporting::send_reports(self.clone(), router.clone()));
-        self.tasks
-            .spawn(delivery::renew_subscription(self.clone(), router.clone()));
-        self.tasks
-            .spawn(guidance::renew_hints(self.clone(), router.clone()));
+        self.tasks.spawn(delivery::update_subscription_when_due(
+            self.clone(),
+            router.clone(),
+        ));
+        self.tasks.spawn(guidance::update_hints_when_due(
+            self.clone(),
+            router.clone(),
+        ));
     }
 
-    /// Ends all conversations with planners.
+    /// Aborts all tasks, which ends the sessions with planners.
     pub(super) fn stop(&self) {
         self.tasks.abort_all();
     }
 
-    /// The last event that was applied here.
+    /// Returns the position of the last applied event.
     fn position(&self) -> EventPosition {
         self.numbering.borrow().last()
     }
 
-    /// An event is about to be applied: what outlasts it is recorded here and stored.
+    /// Records the endpoints of an event that is about to be applied, and stores the event.
     pub(super) fn record_event(&self, position: EventPosition, event: &Event) {
         if let Event::Hosts(_, endpoints) = event {
             self.endpoints
@@ -175,8 +182,8 @@
         self.store_event(position, event);
     }
 
-    /// A full list comes in place of what was known. With `withhold`, endpoints that were withdrawn stay so, in the
-    /// list too. Gives how many that are.
+    /// Replaces the endpoint records by a full list. With `withhold`, endpoints that were known to be withdrawn stay
+    /// so, and the list is changed accordingly. Returns the number of endpoints withheld.
     pub(super) fn replace_endpoints(
         &self,
         now: Time,
@@ -186,22 +193,22 @@
         self.endpoints.replace(now, endpoints, withhold)
     }
 
-    /// Puts the starts of endpoints by the own clock.
-    pub(super) fn endpoints_by_own_clock(&self, endpoints: &mut [Endpoint]) {
-        self.coordinator_clock.endpoints_by_own_clock(endpoints);
+    /// Converts the start times of endpoints to the local clock.
+    pub(super) fn localize_endpoints(&self, endpoints: &mut [Endpoint]) {
+        self.coordinator_clock.localize_endpoints(endpoints);
     }
 
-    /// The events of the configuration have been applied: later ones happen while this process runs.
+    /// Marks all events from now on as live: the configuration's events have been applied.
     pub(super) fn go_live(&self) {
         self.coordinator_clock.go_live();
     }
 
-    /// Whether they have.
+    /// Whether events are live.
     pub(super) fn is_live(&self) -> bool {
         self.coordinator_clock.is_live()
     }
 
-    /// All is known here that the coordinator had at that time.
+    /// Notes that all events are known that the coordinator had at that time. This confirms the endpoint list.
     fn events_known_at(&self, router: &Router, at: Time) {
         self.session.events_known_at(at);
         if self.session.was_unconfirmed() {
@@ -210,27 +217,28 @@
         self.note_confirmation(router);
     }
 
-    /// The coordinator itself has spoken, and all has come that it had to say.
-    pub(super) fn coordinator_current(&self, router: &Router) {
-        self.current_by_coordinator(router);
+    /// Notes that the coordinator's own watch is current: all events that the coordinator had have been received.
+    pub(super) fn note_coordinator_current(&self, router: &Router) {
+        self.purge_if_earlier_purges_unknown(router);
         self.events_known_at(router, router.clock.now());
     }
 
-    /// Somebody may have confirmed that the endpoint list is still true.
+    /// Updates the startup phase if the endpoint list is confirmed by now.
     fn note_confirmation(&self, router: &Router) {
         if self.session.is_confirmed() {
-            self.startup.confirmed(router.clock.now());
+            self.startup.list_confirmed(router.clock.now());
         }
     }
 
-    /// Waits until clients are to be taken: once somebody confirms the endpoint list, or as the operator's file says.
+    /// Waits until clients may be accepted: when the endpoint list is confirmed, or after the wait that follows from
+    /// the operator's file.
     pub(super) async fn wait_until_ready(&self, router: &Router) {
         self.startup.wait(router.clock).await;
         self.startup
-            .ready(router.clock.now(), self.session.owns_from());
+            .started_listening(router.clock.now(), self.session.own_share_from());
     }
 
-    /// Waits until it may have changed whether the coordinator is needed beside planners, and gives whether it is.
+    /// Waits until the need for the coordinator's own connection may have changed, and returns whether it is needed.
     pub(super) async fn coordinator_need_changed(&self) -> bool {
         match &self.subscription {
             Some(subscription) => subscription.coordinator_need_changed().await,
@@ -238,12 +246,12 @@
         }
     }
 
-    /// Planners with a connection that is up.
+    /// Returns the number of planners with an open connection.
     pub(super) fn connected_planners(&self) -> usize {
         self.planners.connected()
     }
 
-    /// The state of the session and the subscription as a line for the log.
+    /// Returns the state of the session and the subscription as a line for the log.
     pub(super) fn status_line(&self, router: &Router) -> String {
         let session = self.session.status(router.clock.now());
         let events = self
@@ -256,7 +264,8 @@
 }
 
 impl Router {
-    /// Has planners guide this router from now on. To be called once, before any event is applied.
+    /// Starts the control client, so that planners guide this router from now on. To be called once, before any event
+    /// is applied.
     pub(crate) fn start_control_client(
         self: &Rc<Router>,
         epoch: Epoch,
@@ -267,7 +276,7 @@
         let client = Rc::new(ControlClient::new(self, epoch, seed, options, watch));
         assert_invariant(
             self.control_client.set(client.clone()).is_ok(),
-            "a router has one control client",
+            "the control client of a router is started only once",
         );
         client.update_hints(self);
         client.start_tasks(self);
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/session.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/session.rs
@@ -1,5 +1,5 @@
-//! The session with the planners: the state machine of `flaxdeck_control::forwarder`, and how fresh its guidance was
-//! when the decision engine was last told.
+//! Holds the session with the planners: the state machine of `flaxdeck_control::forwarder`, and the freshness of the
+//! guidance as last reported to the decision engine.
 
 use std::cell::{Cell, RefCell};
 
@@ -12,23 +12,23 @@
 use flaxdeck_recovery::EventPosition;
 use tokio::sync::Notify;
 
-/// A change in how fresh the guidance is.
+/// A change in the freshness of the guidance.
 pub(super) struct FreshnessChange {
     pub(super) before: Freshness,
     pub(super) now: Freshness,
 }
 
-/// Owns the session's state; nothing else changes it.
+/// Owns the state of the session.
 pub(super) struct Session {
     state: RefCell<ForwarderSession>,
-    /// As the decision engine was last told.
+    /// The freshness when the hints were last reported to the decision engine.
     freshness: Cell<Freshness>,
-    /// The hints may change by themselves sooner than was known.
+    /// Notified when the time of the hints' next change may be another.
     hints_changed: Notify,
 }
 
 impl Session {
-    /// A session that was just started: no planner is heard yet.
+    /// Creates the session from a state that was just started, before any message of a planner.
     pub(super) fn new(state: ForwarderSession) -> Session {
         Session {
             state: RefCell::new(state),
@@ -37,43 +37,46 @@
         }
     }
 
-    /// A planner was reached, so it may have something lent to an earlier run.
-    pub(super) fn connected(&self, planner: PlannerId) {
+    /// Notes that a connection to a planner was opened: whoever speaks first on it counts as the planner's present run,
+    /// even with an older epoch.
+    pub(super) fn connection_opened(&self, planner: PlannerId) {
         self.state.borrow_mut().connection_opened(planner);
     }
 
-    /// That planner brings the events, and is reported observations of hosts too.
-    pub(super) fn subscribed_to(&self, planner: Option<PlannerId>) {
+    /// Sets the planner that delivers the events. Reports to it hold all ratings of hosts, those to others only
+    /// failures.
+    pub(super) fn set_subscribed_to(&self, planner: Option<PlannerId>) {
         self.state.borrow_mut().set_subscribed_to(planner);
     }
 
-    /// All is known here that the coordinator had at that time.
+    /// Notes that all events are known that the coordinator had at that time.
     pub(super) fn events_known_at(&self, at: Time) {
         self.state.borrow_mut().events_known_at(at);
     }
 
-    /// Whether somebody has confirmed the endpoint list.
+    /// Whether the coordinator or a planner that follows it has confirmed the endpoint list in this run.
     pub(super) fn is_confirmed(&self) -> bool {
         self.state.borrow().confirmed_at().is_some()
     }
 
-    /// Whether planners confirm it right now, so that a reconnect to the coordinator has time.
+    /// Whether a live planner confirms the endpoint list now, so that a reconnect to the coordinator is not urgent.
     pub(super) fn is_confirmed_by_planners(&self, now: Time) -> bool {
         self.state.borrow().is_confirmed_by_planners(now)
     }
 
-    /// Whether the decision engine was last told that nobody confirms the endpoint list.
+    /// Whether the endpoint list counted as unconfirmed when hints were last reported to the decision engine.
     pub(super) fn was_unconfirmed(&self) -> bool {
         self.freshness.get() == Freshness::Unconfirmed
     }
 
-    /// When the own quotas are this forwarder's own again.
-    pub(super) fn owns_from(&self) -> Time {
+    /// Returns the time from which this forwarder may use its own shares of warming hosts.
+    pub(super) fn own_share_from(&self) -> Time {
         self.state.borrow().own_share_from()
     }
 
-    /// What an earlier run had lent has run off after that time, and nothing is lent from now on that was not permitted.
-    pub(super) fn take_up_leases(&self, now: Time, lease_wait: Option<Span>) {
+    /// Restores the state of leases: own shares may be used after `lease_wait`, when all that the earlier run lent has
+    /// expired, and nothing is lent from now on without a permit.
+    pub(super) fn restore_lease_state(&self, now: Time, lease_wait: Option<Span>) {
         let mut state = self.state.borrow_mut();
         if let Some(lease_wait) = lease_wait {
             state.set_startup_wait(now, lease_wait);
@@ -81,17 +84,17 @@
         state.require_lending_permit(now);
     }
 
-    /// Until when a permission to lend is wanted, if one is.
-    pub(super) fn required_lend_permission(&self, now: Time) -> Option<Time> {
+    /// Returns until when a permit to lend is needed, if one is.
+    pub(super) fn requested_lending_permit(&self, now: Time) -> Option<Time> {
         self.state.borrow_mut().requested_lending_permit(now)
     }
 
-    /// Lending is permitted until then.
-    pub(super) fn lend_permitted(&self, until: Time) {
+    /// Permits lending until that time.
+    pub(super) fn extend_lending_permit(&self, until: Time) {
         self.state.borrow_mut().extend_lending_permit(until);
     }
 
-    /// Takes in what the decision engine has observed; its demand counts until the next call.
+    /// Updates the session by the decision engine's observations; the unmet demand in them counts until the next call.
     pub(super) fn observe(
         &self,
         now: Time,
@@ -105,7 +108,7 @@
     }
 
     /// Whether a report to that planner is due.
-    pub(super) fn needs_report(
+    pub(super) fn is_report_due(
         &self,
         now: Time,
         planner: PlannerId,
@@ -116,7 +119,8 @@
             .is_report_due(now, planner, observations)
     }
 
-    /// The report to that planner, which has to be sent at once: what it lends is not used here from now on.
+    /// Writes the report to that planner. It has to be sent at once, since quota that it lends is not used here from
+    /// now on.
     pub(super) fn report(
         &self,
         now: Time,
@@ -129,8 +133,8 @@
             .report(now, planner, observations, position)
     }
 
-    /// Takes in guidance; gives the events that came with it and follow `position`.
-    pub(super) fn accept(
+    /// Applies guidance; returns the relayed events in it that follow `position`.
+    pub(super) fn apply_guidance(
         &self,
         now: Time,
         planner: PlannerId,
@@ -142,12 +146,12 @@
             .apply_guidance(now, planner, guidance, position)
     }
 
-    /// What the decision engine is to be told.
+    /// Returns the hints for the decision engine.
     pub(super) fn hints(&self, now: Time) -> PeerHints {
         self.state.borrow_mut().hints(now)
     }
 
-    /// Notes how fresh the guidance is; gives the change, if there is one.
+    /// Updates the freshness of the guidance; returns the change, if there is one.
     pub(super) fn update_freshness(&self, now: Time) -> Option<FreshnessChange> {
         let freshness = self.state.borrow().freshness(now);
         let before = self.freshness.replace(freshness);
@@ -157,7 +161,7 @@
         })
     }
 
-    /// The decision engine has been told the hints, so the time of their next change may be another.
+    /// Notes that the hints were reported to the decision engine, so the time of their next change may be another.
     pub(super) fn hints_sent(&self) {
         self.hints_changed.notify_one();
     }
@@ -167,12 +171,12 @@
         self.hints_changed.notified().await;
     }
 
-    /// When the hints change by themselves.
+    /// Returns the next time at which the hints change by themselves.
     pub(super) fn next_change(&self, now: Time) -> Option<Time> {
         self.state.borrow().next_change(now)
     }
 
-    /// Freshness, quotas and counters, for the log.
+    /// Returns the freshness, the quotas and the counters, for the log.
     pub(super) fn status(&self, now: Time) -> String {
         let state = self.state.borrow();
         let LeaseTotals { lent, granted } = state.lease_totals(now);
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/startup_gate.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/startup_gate.rs
@@ -1,4 +1,4 @@
-//! How far this forwarder has come back, and when it begins to take clients.
+//! Tracks the startup phase of this forwarder, and when it begins to accept clients.
 
 use std::cell::RefCell;
 
@@ -15,7 +15,7 @@
 }
 
 impl StartupGate {
-    /// Of a forwarder that has just started.
+    /// Creates the state of a forwarder that has just started.
     pub(super) fn new(now: Time, without_contact: WithoutContact) -> StartupGate {
         StartupGate {
             state: RefCell::new(Startup::begin(now, without_contact)),
@@ -23,18 +23,18 @@
         }
     }
 
-    /// Somebody confirms the endpoint list.
-    pub(super) fn confirmed(&self, now: Time) {
+    /// Notes that the endpoint list is confirmed.
+    pub(super) fn list_confirmed(&self, now: Time) {
         self.state.borrow_mut().list_confirmed(now);
         self.confirmed.notify_one();
     }
 
-    /// Whether somebody ever did.
+    /// Whether the endpoint list was confirmed at any time in this run.
     pub(super) fn was_confirmed(&self) -> bool {
         self.state.borrow().times().confirmed.is_some()
     }
 
-    /// Waits until clients are to be taken.
+    /// Waits until clients may be accepted.
     pub(super) async fn wait(&self, clock: Clock) {
         loop {
             let at = self.state.borrow().listens_at();
@@ -48,22 +48,22 @@
         }
     }
 
-    /// Clients are taken from now on; the quotas are the own ones from that time.
-    pub(super) fn ready(&self, now: Time, owns_from: Time) {
+    /// Notes and logs that clients are accepted from now on. Own shares may be used from `own_share_from` on.
+    pub(super) fn started_listening(&self, now: Time, own_share_from: Time) {
         let mut state = self.state.borrow_mut();
         state.started_listening(now);
         let times = state.times();
         let [confirmed, listens] =
             [times.confirmed, times.listening].map(|took| took.map_or(f64::NAN, Span::ms));
-        let phase = state.phase(now, owns_from);
+        let phase = state.phase(now, own_share_from);
         log::info!(
             "back: {phase}, the list vouched for after {confirmed:.1} ms, clients after {listens:.1} ms"
         );
     }
 
-    /// Notes it, once, when this forwarder is back in full.
-    pub(super) fn note_progress(&self, now: Time, owns_from: Time) {
-        if let Some(took) = self.state.borrow_mut().completed(now, owns_from) {
+    /// Logs, once, that the startup is complete.
+    pub(super) fn log_completion(&self, now: Time, own_share_from: Time) {
+        if let Some(took) = self.state.borrow_mut().completed(now, own_share_from) {
             log::info!("back in full after {:.0} ms", took.ms());
         }
     }
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/stored_state.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/stored_state.rs
@@ -1,4 +1,4 @@
-//! The state on disk: what an earlier run left is taken up, what follows is stored.
+//! Restores the state that an earlier run stored, and stores the state of this run.
 
 use std::rc::Rc;
 
@@ -13,7 +13,7 @@
 use crate::routing::Router;
 use crate::routing::persistence::{PreviousState, StateDirectory, StateWriter, WriteEvent};
 
-/// Acts on what the writer's thread answers, until the client is stopped.
+/// Handles the answers of the writer thread, until the client is stopped.
 async fn receive_write_events(
     client: Rc<ControlClient>,
     mut events: UnboundedReceiver<WriteEvent>,
@@ -21,13 +21,13 @@
     while let Some(event) = events.recv().await {
         match event {
             WriteEvent::Started { generation } => {
-                log::info!("state is kept, generation {generation}");
+                log::info!("storing the state, generation {generation}");
             }
             WriteEvent::LendingPermit { until } => {
                 if let Some(writer) = client.state_writer.get() {
                     writer.lending_permit_stored();
                 }
-                client.session.lend_permitted(until);
+                client.session.extend_lending_permit(until);
             }
             WriteEvent::Failed(error) => {
                 count(Counter::state_broken);
@@ -45,18 +45,18 @@
         }
     }
 
-    /// Asks for a permission to lend where one is wanted, and stores a snapshot if it is time.
+    /// Requests a lending permit if one is needed, and stores a snapshot if one is due.
     pub(super) fn store_state(&self, now: Time, observations: &[Observation]) {
         let Some(writer) = self.state_writer.get() else {
             return;
         };
-        if let Some(until) = self.session.required_lend_permission(now) {
+        if let Some(until) = self.session.requested_lending_permit(now) {
             writer.request_lending_permit(until);
         }
         writer.store_snapshot_if_needed(observations);
     }
 
-    /// Stores a last state at the end of the process.
+    /// Stores the final snapshot at the end of the process.
     pub(in crate::routing) fn store_final_state(&self, router: &Router) {
         if let Some(writer) = self.state_writer.get() {
             writer.store_final(&self.observations(router));
@@ -65,9 +65,10 @@
 }
 
 impl Router {
-    /// Takes up what an earlier run left, whose events have been applied, and stores all that is applied from now on:
-    /// first `events`, up to that position. To be called once; without a control client nothing is stored.
-    pub(crate) fn take_up_state(
+    /// Restores leases and hints from the state of an earlier run, whose events have already been applied, and starts
+    /// to store the state of this run: first `events`, the state at `position`, then everything applied from now on. To
+    /// be called once; without a control client nothing is stored.
+    pub(crate) fn adopt_stored_state(
         &self,
         previous: PreviousState,
         directory: &StateDirectory,
@@ -78,7 +79,7 @@
             return;
         };
         let now = self.clock.now();
-        client.session.take_up_leases(now, previous.lease_wait);
+        client.session.restore_lease_state(now, previous.lease_wait);
         let mut hints = client.session.hints(now);
         hints.hints.extend(previous.hints);
         self.report(Input::PeerHints(hints));
@@ -86,7 +87,7 @@
             StateWriter::start(directory, self.clock, self.purge_settles, events, position);
         assert_invariant(
             client.state_writer.set(writer).is_ok(),
-            "state is taken up once",
+            "the stored state is adopted only once",
         );
         client
             .tasks
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/subscription.rs
@@ -1,5 +1,5 @@
-//! The state of a subscription: one planner delivers events in batches, and the coordinator itself is asked only where
-//! no planner delivers. What is applied is decided in `flaxdeck_distribution`.
+//! Holds the state of a subscription: one planner delivers events in batches, and the coordinator itself is connected
+//! to only while no planner does. `flaxdeck_distribution` decides what is applied.
 
 use std::cell::{Cell, RefCell};
 
@@ -12,42 +12,43 @@
 
 use super::purges::PurgeTracker;
 
-/// Between lines in the log about deliveries that are refused.
-const REFUSAL_LOG_INTERVAL: Span = Span::from_ms(1_000);
+/// The shortest time between log lines about rejected deliveries.
+const REJECTION_LOG_INTERVAL: Span = Span::from_ms(1_000);
 
-/// What the operator's file says of events by a subscription.
+/// The options of a subscription, from the operator's file.
 #[derive(Clone, Copy, Debug)]
 pub struct SubscriptionOptions {
-    /// How often planners send batches, and how long one may be late.
+    /// The interval at which planners send batches, and how late one may be.
     pub cadence: Cadence,
-    /// Between reports to planners while there is nothing urgent to report.
+    /// The interval between reports to planners while there is nothing urgent to report.
     pub report_idle_every: Span,
 }
 
-/// A message for a planner, by which it sends events or stops sending them.
+/// A message to a planner that starts, continues or ends its deliveries.
 pub(super) struct SubscriptionChange {
     pub(super) planner: PlannerId,
     pub(super) subscription: Subscription,
 }
 
-/// Owns what a forwarder knows of the events that it subscribes to, and whether it needs the coordinator beside them.
+/// Owns the state of a forwarder's subscription, and whether it needs the coordinator in addition.
 pub(super) struct EventSubscription {
     subscriber: RefCell<Subscriber>,
-    /// The purges of single objects among the events.
+    /// The purges of single objects that were delivered.
     pub(super) purges: PurgeTracker,
     started: Time,
     purge_settles: Span,
-    /// All purges that may not have settled are known here, those from before this process started too.
+    /// Whether all unsettled purges are known, including those from before this process started.
     knows_unsettled: Cell<bool>,
     coordinator_needed: Cell<bool>,
     coordinator_need_changed: Notify,
-    /// Something may be due sooner than was known.
+    /// Notified when the time of the next due action may be another.
     schedule_changed: Notify,
-    refusal_logged: Cell<Option<Time>>,
+    rejection_logged: Cell<Option<Time>>,
 }
 
 impl EventSubscription {
-    /// Of a forwarder that has just started, with so many planners, which it orders by that preference.
+    /// Creates the subscription of a forwarder that has just started. `planners` is their number; `preference`
+    /// determines the order in which they are chosen.
     pub(super) fn start(
         now: Time,
         planners: u32,
@@ -66,17 +67,17 @@
             coordinator_needed: Cell::new(false),
             coordinator_need_changed: Notify::new(),
             schedule_changed: Notify::new(),
-            refusal_logged: Cell::new(None),
+            rejection_logged: Cell::new(None),
         }
     }
 
-    /// Waits until it may have changed whether the coordinator is needed, and gives whether it is.
+    /// Waits until the need for the coordinator may have changed, and returns whether it is needed.
     pub(super) async fn coordinator_need_changed(&self) -> bool {
         self.coordinator_need_changed.notified().await;
         self.coordinator_needed.get()
     }
 
-    /// Notes whether the coordinator is needed; whether that is another than before.
+    /// Updates whether the coordinator is needed; returns the new value if it has changed.
     pub(super) fn update_coordinator_need(&self, now: Time) -> Option<bool> {
         let needed = self.subscriber.borrow().needs_coordinator(now);
         if self.coordinator_needed.replace(needed) == needed {
@@ -86,12 +87,12 @@
         Some(needed)
     }
 
-    /// When, on this clock, all was last known here that the coordinator had.
-    pub(super) fn current_at(&self) -> Option<Time> {
+    /// Returns the latest time, by the local clock, at which all of the coordinator's events were known; none if never.
+    pub(super) fn confirmed_at(&self) -> Option<Time> {
         self.subscriber.borrow().confirmed_at()
     }
 
-    /// The planner that delivers the events, if one does.
+    /// Returns the planner whose deliveries this forwarder follows, if there is one.
     pub(super) fn followed(&self) -> Option<PlannerId> {
         self.subscriber
             .borrow()
@@ -99,22 +100,22 @@
             .map(|planner| PlannerId(planner.0))
     }
 
-    /// A connection to a planner is up.
+    /// Notes that a connection to a planner was opened.
     pub(super) fn connected(&self, now: Time, planner: PlannerId) {
         self.subscriber
             .borrow_mut()
             .connected(now, PlannerNumber(planner.0));
     }
 
-    /// A connection to a planner has ended.
+    /// Notes that a connection to a planner has ended.
     pub(super) fn disconnected(&self, now: Time, planner: PlannerId) {
         self.subscriber
             .borrow_mut()
             .disconnected(now, PlannerNumber(planner.0));
     }
 
-    /// A planner has delivered; gives what of it is to be applied.
-    pub(super) fn delivered(
+    /// Receives a planner's delivery; returns what of it is to be applied.
+    pub(super) fn receive(
         &self,
         now: Time,
         planner: PlannerId,
@@ -125,7 +126,7 @@
             .receive(now, PlannerNumber(planner.0), delivery)
     }
 
-    /// What is to be sent to planners now.
+    /// Returns the messages that are to be sent to planners now.
     pub(super) fn changes(&self, now: Time) -> Vec<SubscriptionChange> {
         self.subscriber
             .borrow_mut()
@@ -138,59 +139,60 @@
             .collect()
     }
 
-    /// The coordinator's own watch moves the position on without the subscriber.
-    pub(super) fn catch_up(&self, now: Time, position: EventPosition) {
+    /// Sets the subscriber's position to that of the last applied event, which events from the coordinator's own watch
+    /// move on without the subscriber. Has no effect until all unsettled purges are known.
+    pub(super) fn sync_position(&self, now: Time, position: EventPosition) {
         let mut subscriber = self.subscriber.borrow_mut();
         if self.knows_unsettled.get() && position != subscriber.position() {
             subscriber.set_position(now, position);
         }
     }
 
-    /// What was delivered is not applied: the position is still this one.
+    /// Sets the position back to the last applied event after a delivery that was not applied.
     pub(super) fn reset_position(&self, now: Time, position: EventPosition) {
         self.subscriber.borrow_mut().set_position(now, position);
     }
 
-    /// When something falls due by itself.
+    /// Returns the time of the next due action.
     pub(super) fn next_change(&self, now: Time) -> Option<Time> {
         self.subscriber.borrow().next_change(now)
     }
 
-    /// Something may be due sooner than was known.
-    pub(super) fn changed(&self) {
+    /// Notifies the waiting task that the time of the next due action may be another.
+    pub(super) fn notify_schedule_changed(&self) {
         self.schedule_changed.notify_one();
     }
 
-    /// Waits until [`EventSubscription::changed`] is called.
+    /// Waits until [`EventSubscription::notify_schedule_changed`] is called.
     pub(super) async fn schedule_changed(&self) {
         self.schedule_changed.notified().await;
     }
 
-    /// A snapshot was applied, with all purges that have not settled.
+    /// Notes that a snapshot was applied, so that all unsettled purges are known.
     pub(super) fn snapshot_applied(&self) {
         self.knows_unsettled.set(true);
         self.coordinator_need_changed.notify_one();
     }
 
-    /// The coordinator's own watch is current; whether purges from before this process started may be missing. Unlike a
-    /// planner, the coordinator does not send them again.
-    pub(super) fn current_by_coordinator(&self, now: Time) -> bool {
+    /// Notes that the coordinator's own watch is current. Returns whether unsettled purges from before the start of
+    /// this process may be missing: unlike a planner, the coordinator does not send them again.
+    pub(super) fn note_coordinator_current(&self, now: Time) -> bool {
         !self.knows_unsettled.replace(true) && now.since(self.started) < self.purge_settles
     }
 
-    /// Whether a refused delivery is logged now, or goes without after one that was.
-    pub(super) fn should_log_refusal(&self, now: Time) -> bool {
+    /// Whether a rejected delivery is to be logged now; false if one was logged within [`REJECTION_LOG_INTERVAL`].
+    pub(super) fn should_log_rejection(&self, now: Time) -> bool {
         let logs = self
-            .refusal_logged
+            .rejection_logged
             .get()
-            .is_none_or(|logged| now.since(logged) >= REFUSAL_LOG_INTERVAL);
+            .is_none_or(|logged| now.since(logged) >= REJECTION_LOG_INTERVAL);
         if logs {
-            self.refusal_logged.set(Some(now));
+            self.rejection_logged.set(Some(now));
         }
         logs
     }
 
-    /// The followed planner and the counters of deliveries, for the log.
+    /// Returns the followed planner, the number of unsettled purges and the counters of deliveries, for the log.
     pub(super) fn status(&self) -> String {
         let subscriber = self.subscriber.borrow();
         format!(
--- a/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
@@ -1,4 +1,4 @@
-//! Following the coordinator, and changing over to what a later configuration says of it.
+//! Follows the coordinator's events, and switches to the coordinator of a reloaded configuration.
 
 use std::rc::Rc;
 
@@ -7,14 +7,14 @@
 
 use super::Router;
 
-/// What a later configuration says of the coordinator.
-pub(super) struct LaterConfiguration {
+/// What a reloaded configuration says of the coordinator.
+pub(super) struct PendingReload {
     watch: Watch,
-    known: NumberedEvents,
+    configured_events: NumberedEvents,
 }
 
 impl Router {
-    /// Follows the coordinator until the router's tasks end.
+    /// Receives and applies the coordinator's events until the router's tasks are aborted.
     pub(super) async fn follow_coordinator(self: Rc<Router>, mut watch: Watch) {
         if let Some(client) = self.control_client.get() {
             client.go_live();
@@ -22,12 +22,12 @@
         loop {
             tokio::select! {
                 needed = self.coordinator_need_changed() => {
-                    // What a link was asked for may have been replaced since.
+                    // Closes the present connection first: events from planners may have replaced what it asked for.
                     watch.pause_while(true);
                     watch.pause_while(!needed);
                 }
                 event = watch.next() => self.apply_watch_event(&watch, event),
-                () = self.configuration_changed.notified() => self.change_over(&mut watch),
+                () = self.reload_requested.notified() => self.apply_reload(&mut watch),
             }
         }
     }
@@ -47,7 +47,7 @@
                 position, event, ..
             } => {
                 if let Some(client) = client {
-                    client.compare_clocks(self, &event);
+                    client.update_clock_offset(self, &event);
                 }
                 self.apply_event(position, event);
             }
@@ -56,35 +56,38 @@
                 list,
                 missed,
             } => {
-                self.adopt_list(position, list, missed);
+                self.replace_list(position, list, missed);
             }
         }
         if let Some(client) = client {
-            client.coordinator_current(self);
+            client.note_coordinator_current(self);
         }
     }
 
-    /// Changes over to the coordinator of a later configuration, and applies its events that are new here.
-    fn change_over(&self, watch: &mut Watch) {
-        let Some(later) = self.later_configuration.take() else {
+    /// Switches to the coordinator of a reloaded configuration, and applies those of its events that are new here.
+    fn apply_reload(&self, watch: &mut Watch) {
+        let Some(reload) = self.pending_reload.take() else {
             return;
         };
-        let events = watch.go_on_at(later.watch, later.known);
+        let events = watch.go_on_at(reload.watch, reload.configured_events);
         let position = watch.numbering().borrow().last();
         for event in events {
             self.apply_event(position, event);
         }
     }
 
-    /// Takes over what a later configuration may change under load; open requests notice nothing. The bounds hold at
-    /// once, the coordinator is changed at the watch's next turn.
-    pub(crate) fn reload(&self, bounds: Bounds, watch: Watch, known: NumberedEvents) {
+    /// Applies what a reloaded configuration may change while requests are served; open requests are not affected. The
+    /// bounds apply at once; the task that follows the coordinator switches to the new one when it runs next.
+    pub(crate) fn reload(&self, bounds: Bounds, watch: Watch, configured_events: NumberedEvents) {
         self.slots.resize(bounds.requests);
         self.request_bytes.resize(bounds.request_bytes);
         self.answer_bytes.resize(bounds.response_bytes);
         self.clients.resize(bounds.clients);
         self.host_connections.resize(bounds.hosts);
-        *self.later_configuration.borrow_mut() = Some(LaterConfiguration { watch, known });
-        self.configuration_changed.notify_one();
+        *self.pending_reload.borrow_mut() = Some(PendingReload {
+            watch,
+            configured_events,
+        });
+        self.reload_requested.notify_one();
     }
 }
--- a/crates/flaxdeck-dispatcher/src/routing/events.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/events.rs
@@ -1,5 +1,5 @@
-//! Events of the coordinator, whoever brought them: each is recorded, stored and told to the decision engine, and then
-//! whoever listens is notified that it is in force.
+//! Applies the coordinator's events, whether they come from the coordinator itself or from a planner: each is recorded,
+//! stored and reported to the decision engine; then the event listener is notified that it is in force.
 
 use flaxdeck::polled::Input;
 use flaxdeck::{Endpoint, GroupId, ListKind, Time};
@@ -11,46 +11,47 @@
 
 use super::Router;
 
-/// Events that have come into force, as an [`EventListener`] is told of them.
+/// A notification to an [`EventListener`]: the events that have come into force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppliedEvents {
-    /// All events of a range.
+    /// All events with consecutive numbers, from `after` (exclusive) to `upto` (inclusive).
     Range {
-        /// The number before the first of them.
+        /// The number of the event before the first one.
         after: u64,
-        /// The last of them.
+        /// The position of the last one.
         upto: EventPosition,
     },
-    /// A full list in place of all that was known.
+    /// A full endpoint list that replaced everything known before.
     FullList {
-        /// The last event that is part of it.
+        /// The position of the last event that the list includes.
         upto: EventPosition,
     },
 }
 
-/// Called at once whenever events have come into force.
+/// A callback that runs synchronously each time events have come into force.
 pub type EventListener = Box<dyn Fn(AppliedEvents)>;
 
 impl Router {
-    /// Applies an event of the coordinator that follows what is known.
+    /// Applies the coordinator's next event and notifies the listener.
     pub(crate) fn apply_event(&self, position: EventPosition, event: Event) {
-        self.apply_event_from_planner(position, event);
+        self.record_and_apply(position, event);
         self.notify_listener(AppliedEvents::Range {
             after: position.number.saturating_sub(1),
             upto: position,
         });
     }
 
-    /// The same for one of several that a planner delivered and that come into force together: the caller owes the
-    /// listener a notification.
-    pub(super) fn apply_event_from_planner(&self, position: EventPosition, event: Event) {
+    /// Applies an event without notifying the listener. For the events of a planner's batch, which come into force
+    /// together: the caller has to notify the listener once for all of them.
+    pub(super) fn record_and_apply(&self, position: EventPosition, event: Event) {
         if let Some(client) = self.control_client.get() {
             client.record_event(position, &event);
         }
         self.apply(event);
     }
 
-    /// Has somebody notified of events that come into force from now on, and first of what is known. To be called once.
+    /// Sets the listener, which is notified of all events from now on, and first of `known`, the position reached so
+    /// far. To be called once.
     pub(crate) fn set_listener(&self, listener: EventListener, known: Option<EventPosition>) {
         if let Some(upto) = known {
             listener(AppliedEvents::FullList { upto });
@@ -58,7 +59,7 @@
         *self.event_listener.borrow_mut() = Some(listener);
     }
 
-    /// Tells the listener what has come into force.
+    /// Notifies the listener, if there is one, of events that have come into force.
     pub(super) fn notify_listener(&self, applied: AppliedEvents) {
         if let Some(listener) = &*self.event_listener.borrow() {
             listener(applied);
@@ -77,14 +78,14 @@
                 self.report(Input::Purged {
                     object,
                     group,
-                    made: self.purged_at(made),
+                    made: self.effective_purge_time(made),
                 });
             }
         }
     }
 
     fn apply_endpoints(&self, list_kind: ListKind, endpoints: Vec<AddressedEndpoint>) {
-        // A full list is long, and the first comes before the process listens.
+        // A full list is too long to be logged, and the first one is applied before the process listens.
         if list_kind == ListKind::Delta {
             for endpoint in &endpoints {
                 let listed = &endpoint.listed;
@@ -99,17 +100,18 @@
         self.report_endpoints(list_kind, listed);
     }
 
-    /// Tells the decision engine of endpoints, with their starts by the own clock.
+    /// Reports endpoints to the decision engine, with their start times converted to the local clock.
     pub(super) fn report_endpoints(&self, list_kind: ListKind, mut endpoints: Vec<Endpoint>) {
         if let Some(client) = self.control_client.get() {
-            client.endpoints_by_own_clock(&mut endpoints);
+            client.localize_endpoints(&mut endpoints);
         }
         self.report(Input::EndpointList(list_kind, endpoints));
     }
 
-    /// When a purge counts as made. Guards against a clock that makes it older than it is: beside others it counts from
-    /// when it was announced, which asks for younger copies than need be and never for older ones.
-    fn purged_at(&self, made: Time) -> Time {
+    /// Returns the time from which a purge counts. Guards against a local clock that runs ahead, by which a purge would
+    /// seem older than it is: a forwarder takes the time at which a live event arrives. That may ask hosts for younger
+    /// copies than necessary, but never allows older ones.
+    fn effective_purge_time(&self, made: Time) -> Time {
         let is_live = self
             .control_client
             .get()
@@ -117,7 +119,7 @@
         if is_live { self.clock.now() } else { made }
     }
 
-    /// No copy from before that time is handed out until purges have settled.
+    /// Purges all objects as of `made`: copies from before that time are not served until the purge has settled.
     pub(super) fn purge_all_copies(&self, made: Time) {
         self.report(Input::Purged {
             object: None,
@@ -126,9 +128,10 @@
         });
     }
 
-    /// Applies a full list that came in place of what should have followed. What nobody can confirm about the missed
-    /// period counts as in doubt: endpoints that were withdrawn stay so, and copies from before it are not handed out.
-    pub(super) fn adopt_list(
+    /// Applies a full list that replaces everything known, because the coordinator's numbering does not continue the
+    /// known one. Nothing confirms what happened in the missed period, if there is one: endpoints that were known to be
+    /// withdrawn stay withdrawn, and copies that a missed purge may concern are not served.
+    pub(super) fn replace_list(
         &self,
         position: EventPosition,
         event: Event,
@@ -141,26 +144,26 @@
         };
         let now = self.clock.now();
         let withheld = client.replace_endpoints(now, &mut endpoints, missed.is_some());
-        let copies =
+        let doubted_before =
             missed.and_then(|missed| unconfirmed::copies_from(now, missed, self.purge_settles));
         if missed.is_some() {
-            log_adopted_list(position, withheld, copies);
+            log_replaced_list(position, withheld, doubted_before);
         }
         let event = Event::Hosts(list_kind, endpoints);
         client.store_event(position, &event);
         self.apply(event);
-        if let Some(made) = copies {
+        if let Some(made) = doubted_before {
             self.purge_all_copies(made);
         }
         self.notify_listener(AppliedEvents::FullList { upto: position });
     }
 }
 
-fn log_adopted_list(position: EventPosition, withheld: usize, copies: Option<Time>) {
+fn log_replaced_list(position: EventPosition, withheld: usize, doubted_before: Option<Time>) {
     for _ in 0..withheld {
         count(Counter::hosts_doubted);
     }
-    let copies = copies.map_or("are not doubted".into(), |from| {
+    let copies = doubted_before.map_or("are not doubted".into(), |from| {
         format!("from before {:.0} are doubted", from.ms())
     });
     log::error!(
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -41,7 +41,7 @@
 use crate::protocol::host_connections::HostConnections;
 use client_connections::ClientConnections;
 use control_client::ControlClient;
-use coordinator::LaterConfiguration;
+use coordinator::PendingReload;
 use request_table::RequestTable;
 use task_set::TaskSet;
 
@@ -69,8 +69,8 @@
     answer_bytes: Rc<Budget>,
     clients: ClientConnections,
     /// What a later configuration says of the coordinator, until the watch has taken it over.
-    later_configuration: RefCell<Option<LaterConfiguration>>,
-    configuration_changed: Notify,
+    pending_reload: RefCell<Option<PendingReload>>,
+    reload_requested: Notify,
     /// Set once, before any event is applied, if planners guide this router.
     control_client: OnceCell<Rc<ControlClient>>,
     event_listener: RefCell<Option<EventListener>>,
@@ -108,8 +108,8 @@
             request_bytes: Rc::new(Budget::new(bounds.request_bytes)),
             answer_bytes,
             clients: ClientConnections::new(bounds.clients),
-            later_configuration: RefCell::new(None),
-            configuration_changed: Notify::new(),
+            pending_reload: RefCell::new(None),
+            reload_requested: Notify::new(),
             control_client: OnceCell::new(),
             event_listener: RefCell::new(None),
             tasks: TaskSet::default(),
