--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -1,5 +1,6 @@
-//! The control side of a forwarder: the coordinator's watch, the conversations with planners, and the decision engine
-//! that is told what comes. The program starts it before it listens; a hollow forwarder has nothing beside it.
+//! The control side of a forwarder: the coordinator's watch, the sessions with planners, and the decision engine that
+//! receives their events and guidance. The program starts it before it listens; a hollow forwarder consists of nothing
+//! else.
 
 use std::rc::Rc;
 
@@ -15,19 +16,20 @@
 pub use crate::routing::{AppliedEvents, EventListener};
 use crate::routing::{ControlClientOptions, Router, StateDirectory, restore};
 
-/// The control side of a forwarder that takes no clients, on the `LocalSet` of the thread that started it. It owns all
-/// tasks that it has started: they end when it is dropped.
+/// The control side of a forwarder that serves no clients. Its tasks run on the `LocalSet` of the thread that started
+/// it and are aborted when it is dropped.
 pub struct HollowForwarder {
     router: Rc<Router>,
 }
 
 impl HollowForwarder {
-    /// Starts one from the platform's configuration, as the program does. `instance` tells it from others that start
-    /// in the same millisecond; the listener is first told where it begins, if the configuration tells any event.
+    /// Starts a hollow forwarder from the platform's configuration, as the program does. `instance` makes its epoch
+    /// differ from those of others that start in the same millisecond. The listener is first notified of the last event
+    /// that the configuration or the stored state holds, if there is one.
     ///
     /// # Errors
     ///
-    /// If the configuration can't be used.
+    /// If a field of the configuration is missing or invalid.
     pub fn start(
         configuration: &Value,
         options: ControlClientOptions,
@@ -37,11 +39,11 @@
         let start = start::parse(configuration, None, false)?;
         let clock = Clock::start();
         Ok(HollowForwarder {
-            router: begin(start, clock, Some(options), instance, Some(listener)),
+            router: start_control_side(start, clock, Some(options), instance, Some(listener)),
         })
     }
 
-    /// Planners with a connection that is up.
+    /// Returns the number of planners with an open connection.
     pub fn connected_planners(&self) -> usize {
         self.router.connected_planners()
     }
@@ -53,9 +55,9 @@
     }
 }
 
-/// Starts the control side, with planners if there are options for them. `instance` tells this run from others of the
-/// same moment. The caller owes [`Router::shut_down`].
-pub(crate) fn begin(
+/// Starts the control side, with planners if `options` are given. `instance` makes the epoch of this run differ from
+/// those of others that start in the same millisecond. The caller has to call [`Router::shut_down`] at the end.
+pub(crate) fn start_control_side(
     start: Start,
     clock: Clock,
     options: Option<ControlClientOptions>,
@@ -64,7 +66,7 @@
 ) -> Rc<Router> {
     let Start {
         mut watch,
-        mut known,
+        known: mut configured_events,
         terms,
         names,
         connection_terms,
@@ -73,38 +75,47 @@
         ..
     } = start;
     let router = Router::new(clock, seed, terms, names, connection_terms, bounds);
-    // A guided forwarder keeps to what is its own from the first list on.
+    // Before the first endpoint list is applied, so that from then on a guided forwarder uses no more than its own
+    // quotas.
     if let Some(options) = options {
         let epoch = Epoch::new(clock.now(), instance);
         let directory = options.state_directory.clone();
         let lease_wait = options.session.lease_terms.forwarder_startup_wait();
         router.start_control_client(epoch, seed, options, &mut watch);
         if let Some(directory) = directory {
-            known = restore_state(&router, &watch, clock, &directory, known, lease_wait);
+            configured_events = restore_state(
+                &router,
+                &watch,
+                clock,
+                &directory,
+                configured_events,
+                lease_wait,
+            );
         }
     }
-    let last = watch.numbering().borrow().last();
-    for (_, event) in known {
-        router.apply_event(last, event);
+    let position = watch.numbering().borrow().last();
+    for (_, event) in configured_events {
+        router.apply_event(position, event);
     }
     if let Some(listener) = listener {
         router.set_listener(
             listener,
-            Some(last).filter(|last| *last != EventPosition::NONE),
+            Some(position).filter(|position| *position != EventPosition::NONE),
         );
     }
     router.start_tasks(watch);
     router
 }
 
-/// Applies what an earlier run stored, in place of or beside what the configuration tells; gives what of the
-/// configuration is left to be applied, which is nothing.
+/// Applies the state that an earlier run stored. Its endpoint list and position replace the configuration's events if
+/// they are valid; otherwise the configuration's events are applied here too. Returns the configuration's events that
+/// are still to be applied, which is always none.
 fn restore_state(
     router: &Router,
     watch: &Watch,
     clock: Clock,
     directory: &StateDirectory,
-    known: NumberedEvents,
+    configured_events: NumberedEvents,
     lease_wait: Span,
 ) -> NumberedEvents {
     let numbering = watch.numbering();
@@ -113,13 +124,13 @@
     let mut events = std::mem::take(&mut previous.events);
     match previous.position {
         Some(position) => numbering.borrow_mut().restore(clock.now(), position),
-        None => events.extend(known.into_iter().map(|(_, event)| event)),
+        None => events.extend(configured_events.into_iter().map(|(_, event)| event)),
     }
-    let last = numbering.borrow().last();
-    // Before the hints about hosts, which need their endpoints, and stored as the first snapshot.
+    let position = numbering.borrow().last();
+    // The hints about hosts need their endpoints, so the events come first. They are also stored as the first snapshot.
     for event in &events {
-        router.apply_event(last, Event::clone(event));
+        router.apply_event(position, Event::clone(event));
     }
-    router.adopt_stored_state(previous, directory, &events, last);
+    router.adopt_stored_state(previous, directory, &events, position);
     NumberedEvents::new()
 }
--- a/crates/flaxdeck-dispatcher/src/lib.rs
+++ b/crates/flaxdeck-dispatcher/src/lib.rs
@@ -1,5 +1,6 @@
-//! The real dispatcher: flaxdeck on sockets. Each layer calls only downwards: program, routing, protocol,
-//! transport (`flaxdeck-net`). A forwarder is the same with a plan: planners guide it beside the coordinator.
+//! The dispatcher process: the flaxdeck decision engine on real sockets. The layers are program, routing, protocol and
+//! transport (`flaxdeck-net`); each calls only the ones below it. A forwarder is a dispatcher that planners guide, in
+//! addition to the events of the coordinator.
 
 pub mod control;
 mod program;
--- a/crates/flaxdeck-dispatcher/src/main.rs
+++ b/crates/flaxdeck-dispatcher/src/main.rs
@@ -1,5 +1,5 @@
-//! The platform's entry: one dispatcher by itself, with the configuration that `GW_CONFIG` names. Exit code 0 after a
-//! shutdown, 1 with one line on standard error where it can't start.
+//! The entry point that the platform starts: a dispatcher without planners, with the configuration file that
+//! `GW_CONFIG` names. Exits with 0 after a shutdown, and with 1 and one line on standard error if it can't start.
 
 use std::process::ExitCode;
 
--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -114,7 +114,8 @@
     let counters = control_client
         .as_ref()
         .and_then(|control_client| control_client.counters.clone());
-    let router = control::begin(start, clock, control_client, std::process::id(), None);
+    let router =
+        control::start_control_side(start, clock, control_client, std::process::id(), None);
     if let Some(path) = counters {
         counters_file::spawn(path);
     }
@@ -142,7 +143,7 @@
 /// Starts what serves clients. The tasks end with the set, which the caller keeps until the router has shut down.
 fn start_tasks(router: &Rc<Router>, listener: Listener) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
-    tasks.spawn_local(router.clone().sweep());
+    tasks.spawn_local(router.clone().close_idle_host_connections());
     tasks.spawn_local(log_counters(router.clone()));
     tasks.spawn_local(accept_clients(router.clone(), listener));
     tasks
@@ -153,11 +154,11 @@
     log::info!("asked to end");
     let kill_after = longest_wait.min(MAX_LONGEST_WAIT) + KILL_DELAY;
     let answers_by = clock.now() + kill_after.less(KILL_MARGIN);
-    router.end_by(answers_by);
+    router.set_shutdown_deadline(answers_by);
     wait_until_idle(router, clock, answers_by + KILL_MARGIN * ANSWERS_PART).await;
-    router.end_clients();
+    router.close_clients();
     let closed_by = answers_by + KILL_MARGIN * CLOSING_PART;
-    while !router.is_alone() && clock.now() < closed_by {
+    while !router.has_no_clients() && clock.now() < closed_by {
         sleep(LOOK_INTERVAL).await;
     }
     log_load(router);
@@ -170,7 +171,7 @@
     let mut idle_looks = 0;
     while started.elapsed() < MIN_SHUTDOWN || (idle_looks < MIN_IDLE_LOOKS && clock.now() < until) {
         sleep(LOOK_INTERVAL).await;
-        idle_looks = if router.at_rest() { idle_looks + 1 } else { 0 };
+        idle_looks = if router.is_idle() { idle_looks + 1 } else { 0 };
     }
 }
 
@@ -220,7 +221,7 @@
         "open: requests={requests} clients={clients} hosts={hosts}; counted: {}",
         metrics::line()
     );
-    if let Some(line) = router.guidance_line() {
+    if let Some(line) = router.guidance_status() {
         log::info!("{line}");
     }
 }
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -1,13 +1,14 @@
-//! Requests on their way: a task each, the table of all, and the decision engine that decides. Nothing here knows how
-//! anything is written on a connection.
+//! Serves requests: a task for each, the table of open ones, and the decision engine that chooses every step. The wire
+//! formats are handled in `protocol`, not here.
 //!
 //! The [`Router`] owns the decision engine and everything that outlasts a request: the table of requests, the client
-//! connections, the connections to hosts and the budgets. `events` applies what the coordinator announces, whoever
-//! brought it; `coordinator` follows the coordinator itself; `control_client` holds the conversations with planners and
-//! all state of a forwarder that a lone dispatcher does not have; `persistence` stores that state on disk.
+//! connections, the connections to hosts and the budgets. `events` applies the coordinator's events, whether they come
+//! from the coordinator or from a planner; `coordinator` follows the coordinator itself; `control_client` holds the
+//! sessions with planners and all state that only a forwarder has, not a dispatcher without planners; `persistence`
+//! stores that state on disk.
 //!
-//! All of it runs on one thread and one `LocalSet`. No cell is borrowed across an await. [`Router::shut_down`] is owed
-//! at the end: the router's tasks hold it alive until then.
+//! Everything runs on one thread and one `LocalSet`. No cell is borrowed across an await. [`Router::shut_down`] has to
+//! be called at the end, since the router's tasks hold references to it.
 
 mod client_connections;
 mod clients;
@@ -45,41 +46,40 @@
 use request_table::RequestTable;
 use task_set::TaskSet;
 
-/// Between looks for connections to hosts that have been idle too long.
+/// The interval at which connections to hosts that have been idle too long are closed.
 const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Routes the requests of this process.
+/// Routes all requests of this process.
 pub(crate) struct Router {
     clock: Clock,
     engine: RefCell<PolledEngine>,
-    /// The time at which the decision engine wants its tick has changed.
+    /// Notified when the time of the decision engine's next tick has changed.
     tick_changed: Notify,
     requests: RequestTable,
     names: Rc<Names>,
     zone: ZoneId,
-    /// How long it takes until hosts have dropped by themselves what was purged.
+    /// The time after which hosts have dropped purged copies by themselves.
     purge_settles: Span,
-    /// The connections to hosts.
     host_connections: Rc<HostConnections>,
-    /// A permit for each request until its answer is written.
+    /// One permit for each request, held until its answer is written.
     slots: Budget,
-    /// Bytes that open requests hold, as they were asked.
+    /// Memory for the bodies of open requests, in bytes.
     request_bytes: Rc<Budget>,
-    /// Bytes that open requests hold, as they are answered.
+    /// Memory for the answers to open requests, in bytes.
     answer_bytes: Rc<Budget>,
     clients: ClientConnections,
-    /// What a later configuration says of the coordinator, until the watch has taken it over.
+    /// The coordinator of a reloaded configuration, until the watch has switched to it.
     pending_reload: RefCell<Option<PendingReload>>,
     reload_requested: Notify,
     /// Set once, before any event is applied, if planners guide this router.
     control_client: OnceCell<Rc<ControlClient>>,
     event_listener: RefCell<Option<EventListener>>,
-    /// Those that follow the coordinator and give the decision engine its ticks.
+    /// The tasks that follow the coordinator and give the decision engine its ticks.
     tasks: TaskSet,
 }
 
 impl Router {
-    /// A router that knows no host yet and takes no clients.
+    /// Creates a router that knows no hosts and serves no clients yet.
     pub(crate) fn new(
         clock: Clock,
         seed: u64,
@@ -116,13 +116,14 @@
         })
     }
 
-    /// Starts to follow the coordinator and to give the decision engine its ticks. To be called once.
+    /// Starts the tasks that follow the coordinator and give the decision engine its ticks. To be called once.
     pub(crate) fn start_tasks(self: &Rc<Router>, watch: Watch) {
         self.tasks.spawn(self.clone().follow_coordinator(watch));
         self.tasks.spawn(self.clone().drive_ticks());
     }
 
-    /// Stores a last state, if state is stored, and ends all tasks of the router and its control client.
+    /// Stores a final snapshot, if this run stores its state, and aborts all tasks of the router and its control
+    /// client.
     pub(crate) fn shut_down(&self) {
         if let Some(client) = self.control_client.get() {
             client.store_final_state(self);
@@ -130,7 +131,7 @@
         self.stop_tasks();
     }
 
-    /// Ends all tasks of the router and its control client, with no word to anybody.
+    /// Aborts all tasks of the router and its control client. Neither clients nor planners are notified.
     pub(crate) fn stop_tasks(&self) {
         if let Some(client) = self.control_client.get() {
             client.stop();
@@ -145,28 +146,29 @@
         self.control_client.get().is_some()
     }
 
-    /// Waits until clients are to be taken: at once for a lone dispatcher, for a forwarder once somebody confirms the
-    /// endpoint list, or as the operator's file says.
+    /// Waits until clients may be accepted. A dispatcher without planners may do so at once; a forwarder when the
+    /// endpoint list is confirmed, or after the wait that follows from the operator's file.
     pub(crate) async fn wait_until_ready(&self) {
         if let Some(client) = self.control_client.get() {
             client.wait_until_ready(self).await;
         }
     }
 
-    /// Planners with a connection that is up.
+    /// Returns the number of planners with an open connection.
     pub(crate) fn connected_planners(&self) -> usize {
         self.control_client
             .get()
             .map_or(0, |client| client.connected_planners())
     }
 
-    /// The state of the conversations with planners as a line for the log; none without planners.
-    pub(crate) fn guidance_line(&self) -> Option<String> {
+    /// Returns the state of the sessions with planners as a line for the log; none without planners.
+    pub(crate) fn guidance_status(&self) -> Option<String> {
         let client = self.control_client.get()?;
         Some(client.status_line(self))
     }
 
-    /// Requests that are open or whose answers are not written yet, client connections, host connections.
+    /// Returns the number of requests that are open or whose answers are not written yet, of client connections and of
+    /// host connections.
     pub(crate) fn load(&self) -> [usize; 3] {
         [
             self.slots.in_use(),
@@ -175,74 +177,74 @@
         ]
     }
 
-    /// Nothing is left to be taken in or answered.
-    pub(crate) fn at_rest(&self) -> bool {
+    /// Whether no request is open, no answer is waiting to be written and no input of a client is unread.
+    pub(crate) fn is_idle(&self) -> bool {
         self.slots.in_use() == 0 && !self.clients.has_pending_input()
     }
 
-    /// No connection of a client is left.
-    pub(crate) fn is_alone(&self) -> bool {
+    /// Whether no client connection is left.
+    pub(crate) fn has_no_clients(&self) -> bool {
         self.clients.is_empty()
     }
 
-    /// Ends all connections of clients, those too that are accepted from now on.
-    pub(crate) fn end_clients(&self) {
+    /// Closes all client connections, including those accepted from now on.
+    pub(crate) fn close_clients(&self) {
         self.clients.close_all();
     }
 
-    /// No request outlasts this time.
-    pub(crate) fn end_by(&self, time: Time) {
+    /// Sets the time by which every request has to be answered.
+    pub(crate) fn set_shutdown_deadline(&self, time: Time) {
         self.report(Input::ShutdownAt(time));
     }
 
-    /// Tells the decision engine what became known, and wakes the tasks of requests with a step to take.
+    /// Reports an input to the decision engine, and wakes the tasks of the requests that have a step to pick.
     fn report(&self, input: Input) {
-        let (before, named, after) = {
+        let (due_before, ready, due_after) = {
             let mut engine = self.engine.borrow_mut();
-            let before = engine.due();
-            let named = engine.report(self.clock.now(), input);
-            (before, named, engine.due())
+            let due_before = engine.due();
+            let ready = engine.report(self.clock.now(), input);
+            (due_before, ready, engine.due())
         };
-        if before != after {
+        if due_before != due_after {
             self.tick_changed.notify_one();
         }
-        self.requests.notify(&named);
+        self.requests.notify(&ready);
     }
 
-    /// A request's next step.
+    /// Takes a request's next step from the decision engine.
     fn pick(&self, request: RequestId) -> Step {
         self.engine.borrow_mut().pick(request)
     }
 
-    /// Whether an attempt may still be sent, and what it may ask for by now.
+    /// Returns what an attempt may ask for if it is sent now; none if it may not be sent any more.
     fn clear(&self, request: RequestId, index: AttemptIndex) -> Option<Clearance> {
         self.engine
             .borrow_mut()
             .clear(self.clock.now(), request, index)
     }
 
-    /// When a client that finds no room may come back.
+    /// Returns the time after which a client rejected for lack of capacity may retry, if one is to be named.
     fn retry_after(&self) -> Option<Span> {
         self.engine.borrow().retry_after()
     }
 
-    /// Gives the decision engine its ticks, until the router's tasks end.
+    /// Gives the decision engine its ticks, until the router's tasks are aborted.
     async fn drive_ticks(self: Rc<Router>) {
         loop {
             let next = self.engine.borrow().due();
             let next = next.map(|at| self.clock.instant(at));
             tokio::select! {
                 () = sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => {
-                    let named = self.engine.borrow_mut().tick(self.clock.now());
-                    self.requests.notify(&named);
+                    let ready = self.engine.borrow_mut().tick(self.clock.now());
+                    self.requests.notify(&ready);
                 }
                 () = self.tick_changed.notified() => {}
             }
         }
     }
 
-    /// Closes idle connections to hosts, until it is aborted.
-    pub(crate) async fn sweep(self: Rc<Router>) {
+    /// Closes connections to hosts that have been idle too long, until it is aborted.
+    pub(crate) async fn close_idle_host_connections(self: Rc<Router>) {
         let mut ticks = interval(IDLE_SWEEP_INTERVAL);
         loop {
             ticks.tick().await;
