--- a/crates/flaxdeck-dispatcher/src/routing/persistence/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/persistence/mod.rs
@@ -2,7 +2,7 @@
 //! hosts, and until when quota may have been lent.
 //!
 //! The [`StateWriter`] owns the state to be stored; a separate thread writes it, so that no request waits for a disk.
-//! [`restore`] reads what an earlier run stored. If the directory can't be used, the forwarder works as one without
+//! [`restore()`] reads what an earlier run stored. If the directory can't be used, the forwarder works as one without
 //! stored state. `flaxdeck_recovery::restored_state` decides which items of the stored state are still valid.
 
 mod conversion;
