--- a/crates/flaxdeck-distribution/src/cadence.rs
+++ b/crates/flaxdeck-distribution/src/cadence.rs
@@ -1,26 +1,26 @@
-//! How often a planner speaks to its subscribers, and after what silence it counts as lost.
+//! The intervals between a planner's messages to its subscribers, and the silence after which it counts as lost.
 
 use flaxdeck::Span;
 
-/// How many batches a planner may miss before another one is asked.
+/// Batch intervals without a delivery before the forwarder switches to another planner.
 const MISSED_BATCHES: f64 = 2.0;
-/// How many heartbeats it may miss.
+/// Heartbeat intervals without a delivery before the forwarder switches to another planner.
 const MISSED_HEARTBEATS: f64 = 1.5;
 /// The shortest silence after which a planner counts as lost.
 const MIN_SILENCE_TIMEOUT: Span = Span::from_ms(400);
-/// Batches between two heartbeats.
+/// Batch intervals between two heartbeats.
 const HEARTBEAT_BATCHES: f64 = 2.0;
 /// The longest time between two heartbeats.
 const MAX_HEARTBEAT_INTERVAL: Span = Span::from_ms(1_000);
 
-/// The spans of the conversation about events, the same at planners and forwarders.
+/// The timing of event delivery; planners and forwarders use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Cadence {
-    /// Between two batches of purges.
+    /// Time between two batches of purges.
     pub batch_interval: Span,
-    /// How long changes of hosts and purges of groups wait at most; also the least time between two messages.
+    /// The maximum delay of host changes and group purges; also the minimum time between two messages.
     pub urgent_delay: Span,
-    /// Between two messages where nothing has happened.
+    /// Time between two messages while there are no events.
     pub heartbeat_interval: Span,
 }
 
@@ -35,8 +35,8 @@
 }
 
 impl Cadence {
-    /// The cadence of a planner that sends batches so often. Heartbeats follow them up to a second, so that with frequent
-    /// batches a planner that hangs is left sooner.
+    /// Returns the timing for this batch interval. The heartbeat interval follows it up to one second, so that with
+    /// frequent batches a planner that hangs is detected sooner.
     pub fn with_batch_interval(batch_interval: Span) -> Cadence {
         Cadence {
             batch_interval,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A planner that has delivered nothing useful for so long is left for another.
+    /// Returns the time without a useful delivery after which a forwarder switches to another planner.
     pub fn silence_timeout(self) -> Span {
         (self.batch_interval * MISSED_BATCHES)
             .max(self.heartbeat_interval * MISSED_HEARTBEATS)
--- a/crates/flaxdeck-distribution/src/digest.rs
+++ b/crates/flaxdeck-distribution/src/digest.rs
@@ -1,46 +1,51 @@
-//! The coding of [`PurgeDigest`]s: sorted fingerprints by their differences, each difference in a Rice code.
+//! The encoding of [`PurgeDigest`]s: sorted fingerprints as differences between neighbours, each difference in a Rice
+//! code.
 //!
-//! A difference is split into a quotient and `low_bits` low bits. The quotient is written as that many one bits and a
-//! zero bit, the low bits follow as they are. Bits fill each byte from its highest; the last byte is filled up with
-//! zero bits.
+//! A difference is split into a quotient and `low_bits` low bits. The quotient is written in unary, as that many one
+//! bits and a zero bit; the low bits follow unencoded. Each byte is filled from its most significant bit; the last byte
+//! is padded with zero bits.
 
 use crate::fingerprint::Fingerprint;
 use crate::messages::{MAX_PURGES, PurgeDigest};
 
 const BYTE_BITS: usize = 8;
-/// Low bits of a difference that are written as they are, at most: the width of a fingerprint.
+/// The maximum number of unencoded low bits of a difference: the width of a fingerprint's integer.
 const MAX_LOW_BITS: u8 = 32;
 
-/// Why a digest can't be decoded.
+/// The reason why a digest cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum InvalidDigest {
-    /// It claims more fingerprints than a message may hold.
-    #[error("it claims {0} fingerprints, where {MAX_PURGES} are allowed")]
+    /// The count exceeds the maximum for one message.
+    #[error("the purge digest has a count of {0} fingerprints, at most {MAX_PURGES} are allowed")]
     TooMany(u32),
-    /// It holds more bytes than its fingerprints can need.
-    #[error("its {length} bytes are more than the {most} that its fingerprints can need")]
+    /// The bytes are more than that number of fingerprints can need.
+    #[error(
+        "the purge digest is {length} bytes long, its count of fingerprints needs at most {most}"
+    )]
     TooLong {
-        /// Its bytes.
+        /// The length of the digest in bytes.
         length: usize,
-        /// The most that its fingerprints can need.
+        /// The maximum length for its count of fingerprints, in bytes.
         most: usize,
     },
-    /// It claims more low bits than a fingerprint has.
-    #[error("it claims {0} low bits, where a fingerprint has {MAX_LOW_BITS}")]
+    /// The Rice parameter exceeds the width of a fingerprint.
+    #[error(
+        "the purge digest has a Rice parameter of {0} bits, at most {MAX_LOW_BITS} are allowed"
+    )]
     LowBits(u8),
-    /// It ends before its last fingerprint does.
-    #[error("it ends before its last fingerprint")]
+    /// The bytes end before the last fingerprint is complete.
+    #[error("the purge digest ends before its last fingerprint is complete")]
     Truncated,
-    /// A fingerprint is beyond the largest.
-    #[error("a fingerprint is beyond the largest")]
+    /// The sum of the differences exceeds the largest fingerprint.
+    #[error("the purge digest contains a fingerprint that does not fit in 32 bits")]
     OutOfRange,
-    /// Something follows its last fingerprint.
-    #[error("something follows its last fingerprint")]
+    /// A whole byte or a one bit follows the last fingerprint.
+    #[error("the purge digest has data after its last fingerprint")]
     TrailingBits,
 }
 
 impl PurgeDigest {
-    /// Codes fingerprints, in any order; repeated ones are kept.
+    /// Encodes fingerprints given in any order; duplicates are preserved.
     pub fn encode(mut fingerprints: Vec<Fingerprint>) -> PurgeDigest {
         fingerprints.sort_unstable();
         let low_bits = best_low_bits(&fingerprints);
@@ -55,11 +60,12 @@
         }
     }
 
-    /// The fingerprints in it, sorted. Nothing is allocated before the count and the length were found possible.
+    /// Returns the fingerprints, sorted. Memory is allocated only after the count and the length have been checked.
     ///
     /// # Errors
     ///
-    /// [`InvalidDigest`] if it is not what [`encode`](PurgeDigest::encode) can have written.
+    /// [`InvalidDigest`] if the sizes are not possible for an [`encode`](PurgeDigest::encode)d digest, or the bytes are
+    /// not exactly that many fingerprints.
     pub fn decode(&self) -> Result<Vec<Fingerprint>, InvalidDigest> {
         self.check_sizes()?;
         let mut bits = BitReader {
@@ -67,13 +73,13 @@
             position: 0,
         };
         let mut fingerprints = Vec::with_capacity(self.count as usize);
-        let mut last = 0_u32;
+        let mut previous = 0_u32;
         for _ in 0..self.count {
             let difference = read_rice(&mut bits, self.low_bits)?;
-            last = last
+            previous = previous
                 .checked_add(difference)
                 .ok_or(InvalidDigest::OutOfRange)?;
-            fingerprints.push(Fingerprint(last));
+            fingerprints.push(Fingerprint(previous));
         }
         bits.check_padding()?;
         Ok(fingerprints)
@@ -87,13 +93,13 @@
             return Err(InvalidDigest::LowBits(self.low_bits));
         }
         let count = self.count as usize;
-        let least_bits = count * (1 + usize::from(self.low_bits));
-        if self.bytes.len() * BYTE_BITS < least_bits {
+        let min_bits = count * (1 + usize::from(self.low_bits));
+        if self.bytes.len() * BYTE_BITS < min_bits {
             return Err(InvalidDigest::Truncated);
         }
-        // With the best number of low bits none needs more than with all bits written as they are.
-        let most_bits = count * (1 + usize::from(MAX_LOW_BITS));
-        let most = most_bits.div_ceil(BYTE_BITS);
+        // The encoder chooses the shortest code, which is never longer than the one with all 32 bits unencoded.
+        let max_bits = count * (1 + usize::from(MAX_LOW_BITS));
+        let most = max_bits.div_ceil(BYTE_BITS);
         if self.bytes.len() > most {
             return Err(InvalidDigest::TooLong {
                 length: self.bytes.len(),
@@ -143,7 +149,7 @@
     while bits.read()? {
         quotient += 1;
     }
-    // The quotient is bounded by the bits of the message, so no bit is shifted out.
+    // The message's length bounds the quotient, so no significant bit is shifted out.
     let mut difference = quotient;
     for _ in 0..low_bits {
         difference = difference << 1 | u64::from(bits.read()?);
@@ -154,7 +160,7 @@
 #[derive(Default)]
 struct BitWriter {
     bytes: Vec<u8>,
-    /// Bits written so far.
+    /// Number of bits written so far.
     length: usize,
 }
 
@@ -173,7 +179,7 @@
 
 struct BitReader<'a> {
     bytes: &'a [u8],
-    /// Bits read so far.
+    /// Number of bits read so far.
     position: usize,
 }
 
@@ -188,7 +194,7 @@
         Ok(bit)
     }
 
-    /// What is left is less than a byte, and zero.
+    /// Checks that less than one byte remains and that all remaining bits are zero.
     fn check_padding(mut self) -> Result<(), InvalidDigest> {
         let left = self.bytes.len() * BYTE_BITS - self.position;
         if left >= BYTE_BITS {
--- a/crates/flaxdeck-distribution/src/messages.rs
+++ b/crates/flaxdeck-distribution/src/messages.rs
@@ -1,101 +1,106 @@
-//! Messages about events between a forwarder (subscriber) and a planner (publisher). They travel on the authenticated
-//! connection of the two, beside reports and guidance.
+//! Messages about events between a forwarder (subscriber) and a planner (publisher). They are sent over the
+//! authenticated connection between the two, which also carries reports and guidance.
 //!
-//! They are encoded as `postcard`, by position: fields and variants and their order are part of the protocol.
+//! They are encoded with `postcard`, by position: fields, variants and their order are part of the protocol.
 
 use flaxdeck_recovery::EventPosition;
 use serde::{Deserialize, Serialize};
 
-/// The most purges that one [`Batch`] or [`Snapshot`] may hold: over twelve seconds of 330 a second.
+/// The maximum number of purges of single objects in one [`Batch`] or [`Snapshot`]: over twelve seconds at 330 purges a
+/// second.
 pub const MAX_PURGES: u32 = 4_096;
-/// The most events that one [`Batch`] may hold in full.
+/// The maximum number of full events in one [`Batch`].
 pub const MAX_FULL_EVENTS: usize = 256;
-/// The most bytes of events in full in one message: a full list of some 10,000 hosts.
+/// The maximum number of bytes of full events and of the list of hosts in one message: enough for a full list of some
+/// 10,000 hosts.
 pub const MAX_FULL_BYTES: usize = 288 * 1024;
 
-/// Purges of single objects as sorted fingerprints, coded by their differences.
+/// Purges of single objects: sorted fingerprints, encoded as the differences between neighbours.
 ///
-/// One-sided: an object that was purged always matches; one that was not matches by chance only, which makes its copy be
-/// fetched anew.
+/// Errors are one-sided: an object that was purged always matches. An object that was not purged matches only by a hash
+/// collision, and then its copy is fetched again without need.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PurgeDigest {
-    /// Fingerprints in it, repeated ones counted each time.
+    /// Number of fingerprints, duplicates included.
     pub count: u32,
-    /// Low bits of each difference that are written as they are (the Rice parameter), 0 to 32.
+    /// Number of low bits of each difference that are written unencoded (the Rice parameter), 0 to 32.
     pub low_bits: u8,
-    /// The coded differences.
+    /// The Rice-coded differences.
     pub bytes: Vec<u8>,
 }
 
-/// An event in full.
+/// An event with the coordinator's complete frame.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FullEvent {
-    /// The event's place in the coordinator's numbering.
+    /// The event's position in the coordinator's numbering.
     pub position: EventPosition,
-    /// The coordinator's own frame.
+    /// The frame as the coordinator sent it.
     pub frame: Vec<u8>,
 }
 
-/// All events after one position up to another. Purges of single objects come as a digest, all others in full.
+/// All events after one position up to another. Purges of single objects are sent as a digest, all other events in
+/// full.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Batch {
-    /// The position that the first of the events follows.
+    /// The position that the first event follows.
     pub after: EventPosition,
-    /// The last of the events; the same as `after` in a heartbeat.
+    /// The position of the last event; equal to `after` in a heartbeat.
     pub last: EventPosition,
-    /// The single objects that were purged.
+    /// The purges of single objects.
     pub purges: PurgeDigest,
     /// The other events in the order of their numbers, each above `after.number` and at most `last.number`.
     pub events: Vec<FullEvent>,
 }
 
-/// The state at a position, for a forwarder whose own position the planner does not keep any more.
+/// The state at a position, for a forwarder whose own position the planner no longer retains.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last event that it covers.
+    /// The position of the last event that the snapshot includes.
     pub position: EventPosition,
-    /// A frame of the coordinator's form that tells the full list of hosts, under the number of `position`.
+    /// The full list of hosts as a frame in the coordinator's format, numbered like `position`.
     pub list: Vec<u8>,
-    /// The single objects purged within `purges_reach_ms` before it.
+    /// Purges of single objects within the `purges_reach_ms` before the snapshot.
     pub purges: PurgeDigest,
-    /// Purges of groups within that time, in full.
+    /// Purges of groups within the same period, in full.
     pub group_purges: Vec<FullEvent>,
-    /// How far back the purges reach, in milliseconds. Purges may be missing unless that covers the time in which hosts
-    /// drop by themselves what was purged.
+    /// How far back the purges are complete, in milliseconds. If this is shorter than the time within which hosts drop
+    /// purged copies themselves, purges that still matter may be missing.
     pub purges_reach_ms: u32,
 }
 
-/// What a planner tells a subscribed forwarder about events.
+/// What a planner sends to a subscribed forwarder about events.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Update {
     /// Events that follow the subscriber's position.
     Batch(Batch),
-    /// The state in place of all that the subscriber knows.
+    /// The complete state, which replaces all that the subscriber has.
     Snapshot(Box<Snapshot>),
-    /// The planner does not know the subscriber's position yet; it goes on from there once it does.
+    /// The planner cannot serve the subscriber's position yet: the position is ahead of its own last event, or a
+    /// snapshot is needed and the planner does not know that it has all events. It continues once it can.
     Behind {
-        /// The planner's own last event.
+        /// The position of the planner's own last event.
         last: EventPosition,
     },
 }
 
-/// An [`Update`] with how current its writer is.
+/// An [`Update`] with the age of the planner's knowledge.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Delivery {
-    /// What is delivered.
+    /// The update itself.
     pub update: Update,
-    /// How long ago the planner heard the coordinator itself, in milliseconds; absent while it can't tell that it knows
-    /// all that the coordinator has.
+    /// How long ago the planner last received anything from the coordinator, in milliseconds. Absent if the planner
+    /// does not know that it has all of the coordinator's events, or if the subscriber does not have all of the
+    /// planner's after this update.
     pub coordinator_ago_ms: Option<u32>,
 }
 
-/// A forwarder asks a planner for events, or to stop sending them.
+/// A forwarder's request to a planner to send events, or to stop sending them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Subscription {
-    /// All events after this position.
+    /// Send all events after this position.
     After(EventPosition),
-    /// The state as it is: the forwarder knows nothing that could be followed.
+    /// Send a snapshot first: the forwarder has no position from which a planner could continue.
     FromSnapshot,
-    /// None: another planner sends them.
+    /// Send nothing: another planner delivers the events.
     None,
 }
--- a/crates/flaxdeck-distribution/src/purge_index.rs
+++ b/crates/flaxdeck-distribution/src/purge_index.rs
@@ -1,5 +1,5 @@
-//! The purges of single objects that a forwarder has to apply: from when each was told until hosts have dropped the
-//! copies by themselves.
+//! The purges of single objects that a forwarder has to apply. A purge has settled, and is removed, once the cache
+//! hosts have dropped the purged copies themselves.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,105 +7,108 @@
 
 use crate::fingerprint::Fingerprint;
 
-/// Beyond the hosts' time, for clocks that run apart: 2% of half a minute.
+/// Added to the hosts' settle time to allow for clock drift: 2% of half a minute.
 const CLOCK_MARGIN: Span = Span::from_ms(600);
-/// The most purges kept: ten times 330 a second for over a minute.
+/// The maximum number of purges: more than 3,300 a second, ten times the expected 330, for over a minute.
 const MAX_ENTRIES: usize = 1 << 18;
 
 #[derive(Clone, Copy)]
 struct Purge {
-    told: Time,
+    received_at: Time,
     fingerprint: Fingerprint,
 }
 
 /// The unsettled purges by fingerprint.
 ///
-/// A purge counts from when it was told here, which is not before it was made, so it is applied too long and never too
-/// short.
+/// A purge is dated by its receipt, which is no earlier than when it was made. So it may be applied for too long, but
+/// never for too short a time.
 pub struct PurgeIndex {
-    settles: Span,
+    settle_time: Span,
     max_entries: usize,
-    /// When each was last told.
-    last_told: HashMap<Fingerprint, Time>,
-    /// All that were told, in order.
+    /// When each fingerprint was last received.
+    last_received_at: HashMap<Fingerprint, Time>,
+    /// All purges in the order of receipt.
     order: VecDeque<Purge>,
-    /// When the last one was told that was dropped before it had settled.
-    last_dropped: Option<Time>,
+    /// Time of receipt of the last purge that was dropped before it had settled.
+    last_dropped_unsettled: Option<Time>,
 }
 
 impl PurgeIndex {
-    /// An empty index, for hosts that drop by themselves what was purged `settles` ago.
-    pub fn new(settles: Span) -> PurgeIndex {
-        PurgeIndex::bounded(settles, MAX_ENTRIES)
+    /// Creates an empty index, for hosts that drop purged copies themselves within `settle_time`.
+    pub fn new(settle_time: Span) -> PurgeIndex {
+        PurgeIndex::with_max_entries(settle_time, MAX_ENTRIES)
     }
 
-    /// One that keeps at most so many purges.
-    pub fn bounded(settles: Span, max_entries: usize) -> PurgeIndex {
+    /// Creates an index that holds at most `max_entries` purges.
+    pub fn with_max_entries(settle_time: Span, max_entries: usize) -> PurgeIndex {
         PurgeIndex {
-            settles: settles + CLOCK_MARGIN,
+            settle_time: settle_time + CLOCK_MARGIN,
             max_entries,
-            last_told: HashMap::new(),
+            last_received_at: HashMap::new(),
             order: VecDeque::new(),
-            last_dropped: None,
+            last_dropped_unsettled: None,
         }
     }
 
-    /// These objects were purged.
+    /// Records purges received now.
     pub fn record(&mut self, now: Time, purged: &[Fingerprint]) {
         self.prune(now);
         for fingerprint in purged {
-            self.last_told.insert(*fingerprint, now);
+            self.last_received_at.insert(*fingerprint, now);
             self.order.push_back(Purge {
-                told: now,
+                received_at: now,
                 fingerprint: *fingerprint,
             });
         }
         while self.order.len() > self.max_entries {
-            self.last_dropped = self.drop_first().or(self.last_dropped);
+            self.last_dropped_unsettled = self.drop_oldest().or(self.last_dropped_unsettled);
         }
     }
 
-    /// When the last purge was told that the object matches; none once that has settled. Copies from before it are not to
-    /// be served.
+    /// Returns when the last unsettled purge that matches the object was received; `None` if there is none. Older
+    /// copies of the object must not be served.
     pub fn purged_at(&self, now: Time, object: ObjectId) -> Option<Time> {
-        let told = *self.last_told.get(&Fingerprint::of(object))?;
-        (now.since(told) <= self.settles).then_some(told)
+        let received_at = *self.last_received_at.get(&Fingerprint::of(object))?;
+        (now.since(received_at) <= self.settle_time).then_some(received_at)
     }
 
-    /// When the last purge was told that was dropped before it had settled: no copy from before is to be served. None if
-    /// none was, or once they have settled.
+    /// Returns the time of receipt of the last purge that was dropped before it had settled; `None` if there is none or
+    /// all such purges have settled by now. Copies older than this must not be served, whatever their object.
     pub fn incomplete_before(&self, now: Time) -> Option<Time> {
-        self.last_dropped
-            .filter(|dropped| now.since(*dropped) <= self.settles)
+        self.last_dropped_unsettled
+            .filter(|dropped| now.since(*dropped) <= self.settle_time)
     }
 
-    /// Forgets what has settled.
+    /// Removes the purges that have settled.
     pub fn prune(&mut self, now: Time) {
         while self
             .order
             .front()
-            .is_some_and(|purge| now.since(purge.told) > self.settles)
+            .is_some_and(|purge| now.since(purge.received_at) > self.settle_time)
         {
-            self.drop_first();
+            self.drop_oldest();
         }
     }
 
-    /// Drops the oldest; gives back when it was told.
-    fn drop_first(&mut self) -> Option<Time> {
-        let Purge { told, fingerprint } = self.order.pop_front()?;
-        // It may have been told again since.
-        if self.last_told.get(&fingerprint) == Some(&told) {
-            self.last_told.remove(&fingerprint);
+    /// Removes the oldest purge and returns when it was received.
+    fn drop_oldest(&mut self) -> Option<Time> {
+        let Purge {
+            received_at,
+            fingerprint,
+        } = self.order.pop_front()?;
+        // The same object may have been purged again since.
+        if self.last_received_at.get(&fingerprint) == Some(&received_at) {
+            self.last_received_at.remove(&fingerprint);
         }
-        Some(told)
+        Some(received_at)
     }
 
-    /// How many purges are kept.
+    /// Returns the number of purges.
     pub fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// Whether none is kept.
+    /// Returns whether the index holds no purges.
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
--- a/crates/flaxdeck-distribution/tests/purge_index.rs
+++ b/crates/flaxdeck-distribution/tests/purge_index.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const SETTLES: Span = Span::from_ms(6_000);
+const SETTLE_TIME: Span = Span::from_ms(6_000);
 
 fn at(ms: u64) -> Time {
     Time::at_ms(100_000.0 + ms as f64)
@@ -21,7 +21,7 @@
 
 #[test]
 fn a_purge_counts_until_it_has_settled_and_from_when_it_was_last_told() {
-    let mut index = PurgeIndex::new(SETTLES);
+    let mut index = PurgeIndex::new(SETTLE_TIME);
     index.record(at(0), &of(&[1, 2]));
     index.record(at(3_000), &of(&[2, 3]));
     assert_eq!(index.purged_at(at(3_000), ObjectId(1)), Some(at(0)));
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_storm_beyond_the_bound_puts_all_copies_from_before_in_doubt_until_they_have_settled() {
-    let mut index = PurgeIndex::bounded(SETTLES, 100);
+    let mut index = PurgeIndex::with_max_entries(SETTLE_TIME, 100);
     index.record(at(0), &of(&[1, 2]));
     index.record(at(10), &of(&[3]));
     assert_eq!(index.incomplete_before(at(10)), None);
@@ -60,7 +60,7 @@
         told in prop::collection::vec((0..900_u64, prop::collection::vec(0..30_u64, 0..8)), 0..60),
         most in 4..60_usize,
     ) {
-        let mut index = PurgeIndex::bounded(SETTLES, most);
+        let mut index = PurgeIndex::with_max_entries(SETTLE_TIME, most);
         let (mut now, mut all) = (0, Vec::new());
         for (pause, objects) in told {
             now += pause;
@@ -68,7 +68,7 @@
             all.extend(objects.into_iter().map(|object| (at(now), object)));
             for object in 0..30 {
                 let last = all.iter().rev().find(|(_, purged)| *purged == object).map(|(told, _)| *told);
-                let unsettled = last.filter(|last| at(now).since(*last) <= SETTLES);
+                let unsettled = last.filter(|last| at(now).since(*last) <= SETTLE_TIME);
                 let from = index.purged_at(at(now), ObjectId(object)).max(index.incomplete_before(at(now)));
                 prop_assert!(from >= unsettled, "object {} purged at {:?}, known {:?}", object, unsettled, from);
             }
@@ -87,7 +87,7 @@
         ("ids in sequence", true, 1_000_000),
         ("random ids", false, 10_000_000),
     ] {
-        let mut index = PurgeIndex::new(SETTLES);
+        let mut index = PurgeIndex::new(SETTLE_TIME);
         let mut next = 0_u64;
         let mut id = |rng: &mut Pcg64Mcg| {
             next += 1;
