--- a/crates/flaxdeck-distribution/src/event_log.rs
+++ b/crates/flaxdeck-distribution/src/event_log.rs
@@ -1,8 +1,9 @@
-//! What a planner keeps of the coordinator's events, to pass them on in order to subscribers that are at different
+//! The coordinator's recent events, as a planner retains them to pass them on in order to subscribers at different
 //! positions.
 //!
-//! Events are kept by time. A bound in bytes is the last resort: what it drops is counted and shortens how far back the
-//! log says that it reaches, so that whoever needs it is told that it is not there.
+//! Events are retained for a fixed time. The limit in bytes is a last resort: an event that it drops early is counted,
+//! and shortens the period for which the log reports its purges as complete, so that subscribers learn that purges may
+//! be missing.
 
 mod excerpts;
 
@@ -14,12 +15,12 @@
 use crate::fingerprint::Fingerprint;
 use crate::messages::{FullEvent, MAX_FULL_BYTES};
 
-/// How long events are kept.
+/// How long events are retained, and how many bytes of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Retention {
-    /// Longer than hosts take to drop by themselves what was purged.
+    /// How long an event is retained; longer than cache hosts take to drop purged copies themselves.
     pub keep_for: Span,
-    /// The most bytes of events, with what is kept beside each.
+    /// The maximum number of bytes, including the fixed size of each entry.
     pub max_bytes: usize,
 }
 
@@ -32,19 +33,19 @@
     }
 }
 
-/// What an event tells.
+/// The content of an event.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Content {
     /// A single object was purged.
     ObjectPurge(Fingerprint),
-    /// A group of objects was purged: the coordinator's own frame.
+    /// A group of objects was purged; holds the coordinator's frame.
     GroupPurge(Vec<u8>),
-    /// Hosts have changed: the coordinator's own frame.
+    /// Hosts have changed; holds the coordinator's frame.
     HostChange(Vec<u8>),
 }
 
 impl Content {
-    /// Bytes of what is passed on in full.
+    /// Returns the length of the frame that is passed on in full, in bytes.
     fn frame_len(&self) -> usize {
         match self {
             Content::ObjectPurge(_) => 0,
@@ -52,69 +53,69 @@
         }
     }
 
-    /// Whether it is passed on at once, not with the next batch.
+    /// Returns whether the event is passed on without waiting for the next batch.
     pub fn is_urgent(&self) -> bool {
         !matches!(self, Content::ObjectPurge(_))
     }
 }
 
-/// Why nothing can follow a position here.
+/// The reason why the log has no events to follow a position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
-pub enum NotKept {
-    /// Its number is above the last one known: it may become known.
-    #[error("the position is ahead of the last event known")]
+pub enum PositionError {
+    /// The number is above that of the last event received: the event may still arrive.
+    #[error("the position is ahead of the last event received")]
     Ahead,
-    /// It is before what is kept, or another event has its number.
-    #[error("the position is before what is kept, or another event has its number")]
+    /// The position is older than the retained events, or the event with this number has another hash.
+    #[error("the position is older than the retained events, or its event has another hash")]
     Unknown,
 }
 
-/// The purges that are kept.
+/// The recent purges of a log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct KeptPurges {
-    /// Single objects.
+pub struct RecentPurges {
+    /// Purges of single objects.
     pub objects: Vec<Fingerprint>,
-    /// Groups, in the order of their numbers.
+    /// Purges of groups, in the order of their numbers.
     pub groups: Vec<FullEvent>,
-    /// How far back they are complete.
+    /// The period up to now for which the purges are complete.
     pub reach: Span,
 }
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Counters {
-    /// Events taken.
+    /// Events accepted.
     pub events: u64,
-    /// Events whose number was not above the last one; they were not taken.
+    /// Events ignored because their number was not above the last one.
     pub out_of_order: u64,
-    /// Events after which the log began anew, as some before them were missing.
+    /// Times that the log was restarted because numbers were missing before an event.
     pub gaps: u64,
-    /// Events too long to be passed on; the log began anew after them.
+    /// Events too long to be passed on; the log restarts after each.
     pub oversized: u64,
-    /// Events dropped by the bound in bytes before their time.
+    /// Events dropped early because of the limit in bytes.
     pub shortened: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Entry {
     position: EventPosition,
-    at: Time,
+    received_at: Time,
     content: Content,
 }
 
-/// An event that is passed on at once.
+/// An event that is passed on without waiting for the next batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct UrgentEvent {
     number: u64,
-    at: Time,
+    received_at: Time,
 }
 
-/// How much a log keeps.
+/// The current size of a log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogSize {
-    /// Events.
+    /// Number of events.
     pub events: usize,
-    /// Bytes of events, with what is kept beside each.
+    /// Bytes, including the fixed size of each entry.
     pub bytes: usize,
 }
 
@@ -124,24 +125,24 @@
     }
 }
 
-/// The events kept, without gaps: each number is one above the one before.
+/// The retained events without gaps: each number is one above the previous one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct EventLog {
     retention: Retention,
     /// The position that the first entry follows.
     base: EventPosition,
     entries: VecDeque<Entry>,
-    /// Those among them that are passed on at once.
+    /// The urgent ones among the entries.
     urgent: VecDeque<UrgentEvent>,
     bytes: usize,
-    /// All events that came after this moment are kept.
+    /// All events received after this time are retained.
     complete_after: Time,
     /// Counts since the start.
     pub counters: Counters,
 }
 
 impl EventLog {
-    /// A log in which nothing follows `base` yet.
+    /// Creates an empty log whose next event follows `base`.
     pub fn start(now: Time, retention: Retention, base: EventPosition) -> EventLog {
         EventLog {
             retention,
@@ -154,7 +155,8 @@
         }
     }
 
-    /// The numbering is another, or some events are missing: nothing that was kept leads to `base`.
+    /// Drops all entries and continues from `base`, because the coordinator's numbering has changed or events are
+    /// missing.
     pub fn restart(&mut self, now: Time, base: EventPosition) {
         let counters = self.counters;
         *self = EventLog {
@@ -163,8 +165,8 @@
         };
     }
 
-    /// Keeps an event. One that does not follow the last has the log begin anew right before it, so that nobody is led
-    /// over the gap.
+    /// Appends an event. If numbers are missing before it, the log restarts right before the event, so that no
+    /// subscriber skips the missing events.
     pub fn append(&mut self, now: Time, position: EventPosition, content: Content) {
         let last = self.last();
         if position.number <= last.number {
@@ -174,7 +176,7 @@
         self.counters.events += 1;
         if position.number > last.number + 1 {
             self.counters.gaps += 1;
-            // Nobody has that position, as no event has that hash: it is where the event follows from, no more.
+            // No event has hash 0, so no subscriber is at this position: it only marks where the event follows.
             self.restart(
                 now,
                 EventPosition {
@@ -191,12 +193,12 @@
         if content.is_urgent() {
             self.urgent.push_back(UrgentEvent {
                 number: position.number,
-                at: now,
+                received_at: now,
             });
         }
         let entry = Entry {
             position,
-            at: now,
+            received_at: now,
             content,
         };
         self.bytes += entry.bytes();
@@ -204,45 +206,45 @@
         self.prune(now);
     }
 
-    /// Drops what was kept for long enough, and what is over the bound in bytes.
+    /// Drops the events past their retention time, and the oldest ones above the limit in bytes.
     pub fn prune(&mut self, now: Time) {
         while let Some(first) = self.entries.front() {
-            let expired = now.since(first.at) > self.retention.keep_for;
+            let expired = now.since(first.received_at) > self.retention.keep_for;
             if !expired && self.bytes <= self.retention.max_bytes {
                 break;
             }
             self.counters.shortened += u64::from(!expired);
-            self.drop_first();
+            self.drop_oldest();
         }
     }
 
-    fn drop_first(&mut self) {
+    fn drop_oldest(&mut self) {
         if let Some(first) = self.entries.pop_front() {
             self.bytes -= first.bytes();
             self.base = first.position;
             self.urgent
                 .pop_front_if(|urgent| urgent.number <= first.position.number);
-            self.complete_after = self.complete_after.max(first.at);
+            self.complete_after = self.complete_after.max(first.received_at);
         }
     }
 
-    /// The last event known.
+    /// Returns the position of the last event received.
     pub fn last(&self) -> EventPosition {
         self.entries
             .back()
             .map_or(self.base, |entry| entry.position)
     }
 
-    /// Whether events after that position are kept, none of which may have come yet.
+    /// Checks that the log holds all events after the position; there may be none yet.
     ///
     /// # Errors
     ///
-    /// [`NotKept`] if the position is not known here.
-    pub fn follows(&self, position: EventPosition) -> Result<(), NotKept> {
+    /// [`PositionError`] if the position is not in the log.
+    pub fn check_position(&self, position: EventPosition) -> Result<(), PositionError> {
         self.index_after(position).map(|_| ())
     }
 
-    /// How much is kept.
+    /// Returns the current size.
     pub fn size(&self) -> LogSize {
         LogSize {
             events: self.entries.len(),
@@ -250,35 +252,37 @@
         }
     }
 
-    /// When the first event after a position came; none if none has, or the position is not known.
-    pub fn next_after(&self, position: EventPosition) -> Option<Time> {
+    /// Returns when the first event after the position was received; `None` if there is none or the position is not in
+    /// the log.
+    pub fn next_event_received_at(&self, position: EventPosition) -> Option<Time> {
         let index = self.index_after(position).ok()?;
-        self.entries.get(index).map(|entry| entry.at)
+        self.entries.get(index).map(|entry| entry.received_at)
     }
 
-    /// When the first event after a position came that is to be passed on at once.
-    pub fn next_urgent_after(&self, position: EventPosition) -> Option<Time> {
+    /// Returns when the first urgent event after the position was received; `None` if there is none or the position is
+    /// not in the log.
+    pub fn next_urgent_event_received_at(&self, position: EventPosition) -> Option<Time> {
         self.index_after(position).ok()?;
         let index = self
             .urgent
             .partition_point(|urgent| urgent.number <= position.number);
-        self.urgent.get(index).map(|urgent| urgent.at)
+        self.urgent.get(index).map(|urgent| urgent.received_at)
     }
 
-    fn index_after(&self, position: EventPosition) -> Result<usize, NotKept> {
+    fn index_after(&self, position: EventPosition) -> Result<usize, PositionError> {
         if position == self.base {
             return Ok(0);
         }
         if position.number > self.last().number {
-            return Err(NotKept::Ahead);
+            return Err(PositionError::Ahead);
         }
         let index = position
             .number
             .checked_sub(self.base.number + 1)
-            .ok_or(NotKept::Unknown)? as usize;
+            .ok_or(PositionError::Unknown)? as usize;
         match self.entries.get(index) {
             Some(entry) if entry.position == position => Ok(index + 1),
-            _ => Err(NotKept::Unknown),
+            _ => Err(PositionError::Unknown),
         }
     }
 }
--- a/crates/flaxdeck-distribution/src/event_log/excerpts.rs
+++ b/crates/flaxdeck-distribution/src/event_log/excerpts.rs
@@ -1,13 +1,13 @@
-//! What is taken from a log to be passed on: batches, and the purges of a snapshot.
+//! Excerpts of a log for subscribers: batches, and the purges of a snapshot.
 
 use flaxdeck::Time;
 use flaxdeck_recovery::EventPosition;
 
-use super::{Content, Entry, EventLog, KeptPurges, NotKept};
+use super::{Content, Entry, EventLog, PositionError, RecentPurges};
 use crate::messages::{Batch, FullEvent, MAX_FULL_BYTES, MAX_FULL_EVENTS, MAX_PURGES, PurgeDigest};
 
 impl Entry {
-    fn in_full(&self, frame: &[u8]) -> FullEvent {
+    fn to_full_event(&self, frame: &[u8]) -> FullEvent {
         FullEvent {
             position: self.position,
             frame: frame.to_vec(),
@@ -16,12 +16,12 @@
 }
 
 impl EventLog {
-    /// The events after a position, as many as one batch may hold.
+    /// Returns the events after the position, as many as one batch may hold.
     ///
     /// # Errors
     ///
-    /// [`NotKept`] if the position is not known here.
-    pub fn batch_after(&self, position: EventPosition) -> Result<Batch, NotKept> {
+    /// [`PositionError`] if the position is not in the log.
+    pub fn batch_after(&self, position: EventPosition) -> Result<Batch, PositionError> {
         let index = self.index_after(position)?;
         let (mut last, mut frame_bytes) = (position, 0);
         let (mut objects, mut events) = (Vec::new(), Vec::new());
@@ -34,7 +34,7 @@
                     if events.len() == MAX_FULL_EVENTS || frame_bytes > MAX_FULL_BYTES {
                         break;
                     }
-                    events.push(entry.in_full(frame));
+                    events.push(entry.to_full_event(frame));
                 }
             }
             last = entry.position;
@@ -47,41 +47,41 @@
         })
     }
 
-    /// The latest purges, as many as one snapshot may hold with so many bytes of purges of groups, and how far back they
-    /// are complete.
+    /// Returns the latest purges, as many as fit into one snapshot with at most `max_group_bytes` of group purges, and
+    /// the period for which they are complete.
     ///
-    /// Each purge counts from when it came here, which is not before it was made: whoever has all that came within a
-    /// time has all that was made within it.
-    pub fn purges_since(&self, now: Time, max_group_bytes: usize) -> KeptPurges {
-        let mut kept = KeptPurges::default();
+    /// The period is measured by the times of receipt. A purge is received no earlier than it was made, so all purges
+    /// received within a period include all that were made within it.
+    pub fn recent_purges(&self, now: Time, max_group_bytes: usize) -> RecentPurges {
+        let mut recent = RecentPurges::default();
         let (mut complete_after, mut frame_bytes) = (self.complete_after, 0);
         for entry in self.entries.iter().rev() {
             let fits = match &entry.content {
                 Content::ObjectPurge(fingerprint) => {
-                    let fits = kept.objects.len() < MAX_PURGES as usize;
+                    let fits = recent.objects.len() < MAX_PURGES as usize;
                     if fits {
-                        kept.objects.push(*fingerprint);
+                        recent.objects.push(*fingerprint);
                     }
                     fits
                 }
                 Content::GroupPurge(frame) => {
                     frame_bytes += frame.len();
                     let fits =
-                        kept.groups.len() < MAX_FULL_EVENTS && frame_bytes <= max_group_bytes;
+                        recent.groups.len() < MAX_FULL_EVENTS && frame_bytes <= max_group_bytes;
                     if fits {
-                        kept.groups.push(entry.in_full(frame));
+                        recent.groups.push(entry.to_full_event(frame));
                     }
                     fits
                 }
                 Content::HostChange(_) => true,
             };
             if !fits {
-                complete_after = complete_after.max(entry.at);
+                complete_after = complete_after.max(entry.received_at);
                 break;
             }
         }
-        kept.groups.reverse();
-        kept.reach = now.since(complete_after);
-        kept
+        recent.groups.reverse();
+        recent.reach = now.since(complete_after);
+        recent
     }
 }
--- a/crates/flaxdeck-distribution/src/lib.rs
+++ b/crates/flaxdeck-distribution/src/lib.rs
@@ -1,20 +1,20 @@
-//! How the coordinator's numbered events reach every forwarder by way of one planner each.
+//! Distribution of the coordinator's numbered events to every forwarder, each through one planner.
 //!
-//! State machines without I/O, clocks or tasks: messages and the time go in, messages and timers come out.
+//! State machines without I/O, clocks or tasks: they take messages and the current time, and return messages and timers.
 //! `docs/distribution.md` gives the reasons and the figures.
 //!
-//! - [`messages`]: what a forwarder and a planner send each other about events.
-//! - [`fingerprint`] and [`digest`]: short names of purged objects and their coding.
-//! - [`cadence`]: how often a planner speaks, and when it counts as lost.
-//! - [`event_log`]: what a planner keeps of the coordinator's events.
+//! - [`messages`]: the messages about events between a forwarder and a planner.
+//! - [`fingerprint`] and [`digest`]: short hashes of purged objects and their encoding.
+//! - [`cadence`]: the intervals between a planner's messages, and the silence after which it counts as lost.
+//! - [`event_log`]: the recent events of the coordinator that a planner retains.
 //! - [`publisher`]: the planner's side: which subscriber is sent what, and when.
-//! - [`subscriber`]: the forwarder's side: which planner it follows, and what of its messages is applied.
-//! - [`purge_index`]: the purges that a forwarder has to apply until hosts have dropped the copies by themselves.
+//! - [`subscriber`]: the forwarder's side: which planner it follows, and which deliveries it applies.
+//! - [`purge_index`]: the purges that a forwarder has to apply until the cache hosts have dropped the copies themselves.
 //!
-//! Positions in the coordinator's numbering are [`flaxdeck_recovery::EventPosition`]s: the number of an event and a hash
-//! of what it tells, so that two numberings are told apart.
+//! Positions in the coordinator's numbering are [`flaxdeck_recovery::EventPosition`]s: an event's number and a hash of its
+//! content, so that events of two numberings with the same number are distinguished.
 //!
-//! A subscriber that is sent a batch:
+//! A subscriber that receives a batch:
 //!
 //! ```
 //! use flaxdeck::{ObjectId, Span, Time};
@@ -62,7 +62,7 @@
 
 pub use cadence::Cadence;
 pub use digest::InvalidDigest;
-pub use event_log::{Content, EventLog, NotKept, Retention};
+pub use event_log::{Content, EventLog, PositionError, Retention};
 pub use fingerprint::Fingerprint;
 pub use publisher::{Publisher, SubscriberId};
 pub use purge_index::PurgeIndex;
--- a/crates/flaxdeck-distribution/src/publisher.rs
+++ b/crates/flaxdeck-distribution/src/publisher.rs
@@ -1,9 +1,10 @@
-//! The planner's side of the distribution of events: what each subscriber is sent, and when.
+//! The planner's side of event distribution: what each subscriber is sent, and when.
 //!
-//! A subscriber's batches come at its own place in the interval, so that a planner never serves all at one instant;
-//! subscribers that share a place and a position share one encoded batch. The caller asks who is
-//! [`due`](Publisher::due) and takes an [`update_for`](Publisher::update_for) only for those whose connection can take
-//! it. A position moves only then: who reads slowly gets a larger batch later, and nothing is queued for it.
+//! Each subscriber's batches are sent at its own phase of the batch interval, so that a planner never serves all of
+//! them at the same moment; subscribers with the same phase and position share one encoded batch. The caller polls
+//! [`due`](Publisher::due) and calls [`update_for`](Publisher::update_for) only for subscribers whose connection can
+//! accept a message. A position advances only then: a subscriber that reads slowly gets a larger batch later, and
+//! nothing is queued for it.
 
 mod cache;
 mod schedule;
@@ -15,42 +16,43 @@
 use flaxdeck_recovery::EventPosition;
 
 use crate::cadence::Cadence;
-use crate::event_log::{Content, EventLog, LogSize, NotKept, Retention};
+use crate::event_log::{Content, EventLog, LogSize, PositionError, Retention};
 use crate::messages::Subscription;
 use cache::Cache;
 
-/// The coordinator speaks each second: a connection on which two of its messages are missing counts as lost.
+/// The coordinator sends a message each second: a connection on which two of them are missing counts as lost.
 const COORDINATOR_TIMEOUT: Span = Span::from_ms(2_200);
-/// How long a numbering that is no more is remembered: by then its subscribers have been given the state.
-const ABANDONED_KEPT_FOR: Span = Span::from_ms(60_000);
+/// How long the log of the previous numbering is retained: within that time all its subscribers have been sent a
+/// snapshot.
+const ABANDONED_LOG_RETENTION: Span = Span::from_ms(60_000);
 
-/// A connection with a forwarder, by the caller's own count.
+/// A connection with a forwarder, numbered by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubscriberId(pub u64);
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Counters {
-    /// Batches sent that hold events.
+    /// Batches sent that contain events.
     pub batches: u64,
-    /// Batches that were encoded; the others were shared.
+    /// Batches that were encoded; all others were shared.
     pub encoded: u64,
-    /// Batches sent that hold none.
+    /// Batches sent that contain no events.
     pub heartbeats: u64,
     /// Snapshots sent.
     pub snapshots: u64,
-    /// Answers that a position is not known here yet, or that no snapshot can be given.
+    /// `Behind` updates sent, because the position is not known yet or no snapshot can be given.
     pub behind: u64,
-    /// Times that a subscriber was due and was not served.
+    /// Times that a subscriber was reported as due again without having been served since the last time.
     pub passed_over: u64,
 }
 
-/// How much a publisher holds.
+/// The current size of a publisher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PublisherSize {
-    /// Subscribers.
+    /// Number of subscribers.
     pub subscribers: usize,
-    /// Events kept.
+    /// Size of the event log.
     pub log: LogSize,
 }
 
@@ -61,38 +63,38 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Member {
+struct SubscriberState {
     wanted: Wanted,
-    /// It has asked and was not answered yet.
+    /// A request of the subscriber has not been answered yet.
     is_unanswered: bool,
-    /// When it was last sent anything.
+    /// When it was last sent a message, or subscribed.
     last_sent: Time,
-    /// When it was last named as due without being served since.
-    offered: Option<Time>,
-    /// The last batch could not hold all.
+    /// When it was last reported as due, if it has not been served since.
+    reported_due_at: Option<Time>,
+    /// The last batch did not reach the end of the log.
     is_catching_up: bool,
 }
 
-/// What was kept of a numbering that is no more.
+/// The log of the numbering before the current one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct AbandonedLog {
     since: Time,
     log: EventLog,
 }
 
-/// The events that a planner knows and the subscribers that follow them.
+/// The events that a planner has and the subscribers that follow them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Publisher {
     cadence: Cadence,
     log: EventLog,
-    /// The numbering before this one: a subscriber that stands in it has to be given the state as it is, also where its
-    /// number has not been reached again.
+    /// The log of the previous numbering. A subscriber whose position is in it needs a snapshot, even while its number
+    /// is still ahead of the current numbering.
     abandoned: Option<AbandonedLog>,
-    members: BTreeMap<SubscriberId, Member>,
-    /// When the coordinator was last heard, and whether all is known here that it had to tell.
-    coordinator: Option<Time>,
+    subscribers: BTreeMap<SubscriberId, SubscriberState>,
+    /// When the coordinator was last heard; `has_all_events` says whether all of its events had been received by then.
+    coordinator_last_heard: Option<Time>,
     has_all_events: bool,
-    /// Nobody is due before.
+    /// No subscriber is due before this time.
     next_due: Time,
     cache: Cache,
     /// Counts since the start.
@@ -100,7 +102,8 @@
 }
 
 impl Publisher {
-    /// A planner that has just started, and knows that the coordinator's last event was `base` or something later.
+    /// Creates the publisher of a planner that has just started and knows that the coordinator's last event is `base`
+    /// or a later one.
     pub fn start(
         now: Time,
         cadence: Cadence,
@@ -111,8 +114,8 @@
             cadence,
             log: EventLog::start(now, retention, base),
             abandoned: None,
-            members: BTreeMap::new(),
-            coordinator: None,
+            subscribers: BTreeMap::new(),
+            coordinator_last_heard: None,
             has_all_events: false,
             next_due: now,
             cache: Cache::default(),
@@ -120,39 +123,39 @@
         }
     }
 
-    /// A forwarder asks for events, or for no more of them; it is answered at once.
+    /// Applies a forwarder's request to send events or to stop sending them. It is answered without delay.
     pub fn subscribe(&mut self, now: Time, id: SubscriberId, subscription: Subscription) {
         let wanted = match subscription {
             Subscription::None => return self.unsubscribe(id),
             Subscription::After(position) => Wanted::EventsAfter(position),
             Subscription::FromSnapshot => Wanted::Snapshot,
         };
-        let member = Member {
+        let subscriber = SubscriberState {
             wanted,
             is_unanswered: true,
             last_sent: now,
-            offered: None,
+            reported_due_at: None,
             is_catching_up: false,
         };
-        self.members.insert(id, member);
+        self.subscribers.insert(id, subscriber);
         self.next_due = now;
     }
 
-    /// The connection has ended.
+    /// Removes a subscriber, for example when its connection has ended.
     pub fn unsubscribe(&mut self, id: SubscriberId) {
-        self.members.remove(&id);
+        self.subscribers.remove(&id);
     }
 
-    /// The coordinator has told an event.
+    /// Appends an event received from the coordinator.
     pub fn append_event(&mut self, now: Time, position: EventPosition, content: Content) {
         let is_urgent = content.is_urgent();
         self.log.append(now, position, content);
         self.cache = Cache::default();
-        self.hasten(now, is_urgent);
+        self.advance_next_due(now, is_urgent);
     }
 
-    /// The coordinator's numbering turned out to be another, or a full list came in place of what should have followed:
-    /// nothing that was told before leads to `base`.
+    /// Continues from `base`, because the coordinator's numbering has changed or a full list was received instead of
+    /// the next events. No earlier position leads to `base`.
     pub fn restart_numbering(&mut self, now: Time, base: EventPosition) {
         self.abandoned = Some(AbandonedLog {
             since: now,
@@ -163,48 +166,52 @@
         self.next_due = now;
     }
 
-    /// The coordinator was heard; `has_all_events` if all is known here that it had to tell.
+    /// Records a message from the coordinator; `has_all_events` says whether all of its events have been received.
     pub fn coordinator_heard(&mut self, now: Time, has_all_events: bool) {
         let was_current = self.is_current(now);
-        self.coordinator = Some(now);
+        self.coordinator_last_heard = Some(now);
         self.has_all_events = has_all_events;
         if has_all_events && !was_current {
-            self.next_due = now; // somebody may wait for a snapshot
+            self.next_due = now; // subscribers may be waiting for a snapshot
         }
     }
 
-    /// Whether all is known here that the coordinator has, as far as can be seen.
+    /// Returns whether the planner has all of the coordinator's events, as far as it can tell: it had them when it last
+    /// heard the coordinator, and that is less than the timeout ago.
     pub fn is_current(&self, now: Time) -> bool {
         self.coordinator_ago_ms(now).is_some()
     }
 
     fn coordinator_ago_ms(&self, now: Time) -> Option<u32> {
-        let heard = self.coordinator.filter(|_| self.has_all_events)?;
+        let heard = self
+            .coordinator_last_heard
+            .filter(|_| self.has_all_events)?;
         let ago = now.since(heard);
         (ago < COORDINATOR_TIMEOUT).then_some(ago.ms().ceil() as u32)
     }
 
-    /// Whether a position is known here, and of which numbering.
-    fn follows(&self, position: EventPosition) -> Result<(), NotKept> {
-        let follows = self.log.follows(position);
-        if follows == Err(NotKept::Ahead)
+    /// Checks that the position can be continued from. A position of the previous numbering is reported as unknown, so
+    /// that its subscriber gets a snapshot instead of waiting for that number.
+    fn check_position(&self, position: EventPosition) -> Result<(), PositionError> {
+        let result = self.log.check_position(position);
+        if result == Err(PositionError::Ahead)
             && let Some(abandoned) = &self.abandoned
-            && abandoned.log.follows(position).is_ok()
+            && abandoned.log.check_position(position).is_ok()
         {
-            return Err(NotKept::Unknown);
+            return Err(PositionError::Unknown);
         }
-        follows
+        result
     }
 
-    /// How much is held.
+    /// Returns the current size.
     pub fn size(&self) -> PublisherSize {
         PublisherSize {
-            subscribers: self.members.len(),
+            subscribers: self.subscribers.len(),
             log: self.log.size(),
         }
     }
 
-    /// The events kept.
+    /// Returns the event log.
     pub fn log(&self) -> &EventLog {
         &self.log
     }
--- a/crates/flaxdeck-distribution/src/publisher/cache.rs
+++ b/crates/flaxdeck-distribution/src/publisher/cache.rs
@@ -1,4 +1,4 @@
-//! What is sent to several subscribers is encoded once.
+//! Cache of encoded updates, so that an update for several subscribers is encoded once.
 
 use std::hash::{Hash, Hasher};
 
@@ -6,11 +6,11 @@
 
 use crate::messages::{Batch, Snapshot};
 
-/// The most batches that are kept encoded.
+/// The maximum number of cached batches.
 const MAX_BATCHES: usize = 64;
 
-/// Encoded batches, the latest first, and the snapshot. It holds nothing that could not be made anew, so two publishers
-/// are equal whatever is in theirs.
+/// Encoded batches, most recent first, and the snapshot. Its content can always be computed again, so it does not count
+/// when publishers are compared or hashed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Cache {
     batches: Vec<Batch>,
--- a/crates/flaxdeck-distribution/src/publisher/schedule.rs
+++ b/crates/flaxdeck-distribution/src/publisher/schedule.rs
@@ -1,61 +1,65 @@
-//! When each subscriber is to be sent something.
+//! The schedule of messages to subscribers.
 
 use flaxdeck::{Span, Time};
 use flaxdeck_recovery::EventPosition;
 
-use super::{ABANDONED_KEPT_FOR, Member, Publisher, SubscriberId, Wanted};
+use super::{ABANDONED_LOG_RETENTION, Publisher, SubscriberId, SubscriberState, Wanted};
 use crate::cadence::Cadence;
-use crate::event_log::NotKept;
+use crate::event_log::PositionError;
 
-/// Places in the interval between two batches at which subscribers are served.
-const PLACES: u64 = 16;
-/// 2^64 over the golden ratio: multiples of it are spread evenly.
-const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Between two batches to a subscriber that is catching up.
+/// Number of phases of the batch interval over which subscribers are distributed.
+const BATCH_PHASES: u64 = 16;
+/// 2^64 divided by the golden ratio: its multiples, modulo 2^64, are evenly distributed.
+const GOLDEN_RATIO_64: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Time between two batches to a subscriber that is catching up.
 pub(super) const CATCH_UP_INTERVAL: Span = Span::from_ms(20);
-/// A subscriber that was due and was not served is named again after so long.
-const OFFER_AGAIN_AFTER: Span = Span::from_ms(100);
-/// A batch sooner than this part of the interval after another would cost a message and hasten little.
-const MIN_BATCH_DISTANCE: f64 = 0.5;
+/// Time after which a subscriber that was reported as due and has not been served is reported again.
+const DUE_REPEAT_INTERVAL: Span = Span::from_ms(100);
+/// The minimum time from a subscriber's last message to its next regular batch, as a fraction of the batch interval. A
+/// sooner batch would cost a message and shorten the delay little.
+const MIN_BATCH_SPACING_RATIO: f64 = 0.5;
 
 impl Publisher {
-    /// Who is to be sent something now. Each one that can take it gets an [`update_for`](Publisher::update_for); the
-    /// others are named again a little later.
+    /// Returns the subscribers that are to be sent a message now. The caller calls
+    /// [`update_for`](Publisher::update_for) for each one whose connection can accept it; the others are reported again
+    /// a little later.
     pub fn due(&mut self, now: Time) -> Vec<SubscriberId> {
         if now < self.next_due {
             return Vec::new();
         }
         self.log.prune(now);
         self.abandoned
-            .take_if(|abandoned| now.since(abandoned.since) >= ABANDONED_KEPT_FOR);
+            .take_if(|abandoned| now.since(abandoned.since) >= ABANDONED_LOG_RETENTION);
         let mut due = Vec::new();
         let mut next_due = Time::NEVER;
-        for (id, member) in &self.members {
-            let at = self.due_at(now, *id, member);
+        for (id, subscriber) in &self.subscribers {
+            let at = self.due_at(now, *id, subscriber);
             if at <= now {
                 due.push(*id);
-                next_due = next_due.min(now + OFFER_AGAIN_AFTER);
+                next_due = next_due.min(now + DUE_REPEAT_INTERVAL);
             } else {
                 next_due = next_due.min(at);
             }
         }
         for id in &due {
-            let member = self.members.get_mut(id);
-            let offered = member.and_then(|member| member.offered.replace(now));
-            self.counters.passed_over += u64::from(offered.is_some());
+            let subscriber = self.subscribers.get_mut(id);
+            let reported_due_at =
+                subscriber.and_then(|subscriber| subscriber.reported_due_at.replace(now));
+            self.counters.passed_over += u64::from(reported_due_at.is_some());
         }
         self.next_due = next_due;
         due
     }
 
-    /// When somebody is due next; it may be that nobody is by then.
+    /// Returns when a subscriber may be due next. It is a lower bound: there may be none due at that time. `None` if
+    /// there are no subscribers.
     pub fn next_due(&self) -> Option<Time> {
-        Some(self.next_due).filter(|_| !self.members.is_empty())
+        Some(self.next_due).filter(|_| !self.subscribers.is_empty())
     }
 
-    /// An event has come: somebody may be due at the next place in the interval, or now.
-    pub(super) fn hasten(&mut self, now: Time, is_urgent: bool) {
-        let step = self.cadence.batch_interval * (1.0 / PLACES as f64);
+    /// Schedules the next check after an event: at the next phase of the batch interval, or now if the event is urgent.
+    pub(super) fn advance_next_due(&mut self, now: Time, is_urgent: bool) {
+        let step = self.cadence.batch_interval * (1.0 / BATCH_PHASES as f64);
         let next = if is_urgent {
             now
         } else {
@@ -64,50 +68,56 @@
         self.next_due = self.next_due.min(next);
     }
 
-    fn due_at(&self, now: Time, id: SubscriberId, member: &Member) -> Time {
-        let due = if member.is_unanswered {
-            member.last_sent
+    fn due_at(&self, now: Time, id: SubscriberId, subscriber: &SubscriberState) -> Time {
+        let due = if subscriber.is_unanswered {
+            subscriber.last_sent
         } else {
-            self.next_message(now, id, member)
+            self.next_message(now, id, subscriber)
         };
-        member
-            .offered
-            .map_or(due, |offered| due.max(offered + OFFER_AGAIN_AFTER))
+        subscriber.reported_due_at.map_or(due, |reported_due_at| {
+            due.max(reported_due_at + DUE_REPEAT_INTERVAL)
+        })
     }
 
-    fn next_message(&self, now: Time, id: SubscriberId, member: &Member) -> Time {
-        let heartbeat = member.last_sent + self.cadence.heartbeat_interval;
-        let kept = match member.wanted {
-            Wanted::EventsAfter(position) => self.follows(position).map(|()| position),
-            Wanted::Snapshot => Err(NotKept::Unknown),
+    fn next_message(&self, now: Time, id: SubscriberId, subscriber: &SubscriberState) -> Time {
+        let heartbeat = subscriber.last_sent + self.cadence.heartbeat_interval;
+        let known_position = match subscriber.wanted {
+            Wanted::EventsAfter(position) => self.check_position(position).map(|()| position),
+            Wanted::Snapshot => Err(PositionError::Unknown),
         };
-        match kept {
-            Ok(position) => heartbeat.min(self.next_batch(id, member, position)),
-            Err(NotKept::Unknown) if self.is_current(now) => {
-                member.last_sent + self.cadence.urgent_delay
+        match known_position {
+            Ok(position) => heartbeat.min(self.next_batch(id, subscriber, position)),
+            Err(PositionError::Unknown) if self.is_current(now) => {
+                subscriber.last_sent + self.cadence.urgent_delay
             }
             Err(_) => heartbeat,
         }
     }
 
-    fn next_batch(&self, id: SubscriberId, member: &Member, position: EventPosition) -> Time {
-        let Some(came) = self.log.next_after(position) else {
+    fn next_batch(
+        &self,
+        id: SubscriberId,
+        subscriber: &SubscriberState,
+        position: EventPosition,
+    ) -> Time {
+        let Some(received_at) = self.log.next_event_received_at(position) else {
             return Time::NEVER;
         };
-        if member.is_catching_up {
-            return member.last_sent + CATCH_UP_INTERVAL;
+        if subscriber.is_catching_up {
+            return subscriber.last_sent + CATCH_UP_INTERVAL;
         }
         let Cadence {
             batch_interval,
             urgent_delay,
             ..
         } = self.cadence;
-        let place = place_of(id);
-        let from = came.max(member.last_sent + batch_interval * MIN_BATCH_DISTANCE);
-        let batch = next_multiple(from, batch_interval, batch_interval * place);
-        match self.log.next_urgent_after(position) {
-            Some(came) => {
-                let urgent = (came + urgent_delay * place).max(member.last_sent + urgent_delay);
+        let phase = batch_phase(id);
+        let from = received_at.max(subscriber.last_sent + batch_interval * MIN_BATCH_SPACING_RATIO);
+        let batch = next_multiple(from, batch_interval, batch_interval * phase);
+        match self.log.next_urgent_event_received_at(position) {
+            Some(received_at) => {
+                let urgent =
+                    (received_at + urgent_delay * phase).max(subscriber.last_sent + urgent_delay);
                 batch.min(urgent)
             }
             None => batch,
@@ -115,13 +125,14 @@
     }
 }
 
-/// A subscriber's place in the interval, from 0 to below 1: ids that follow each other are spread evenly.
-fn place_of(id: SubscriberId) -> f64 {
-    let place = id.0.wrapping_mul(GOLDEN) / (u64::MAX / PLACES + 1);
-    place as f64 / PLACES as f64
+/// Returns a subscriber's phase as a fraction of the batch interval, from 0 to below 1. Consecutive ids are distributed
+/// evenly.
+fn batch_phase(id: SubscriberId) -> f64 {
+    let phase = id.0.wrapping_mul(GOLDEN_RATIO_64) / (u64::MAX / BATCH_PHASES + 1);
+    phase as f64 / BATCH_PHASES as f64
 }
 
-/// The first moment not before `from` that is `offset` after a multiple of `interval`.
+/// Returns the first time not before `from` that is `offset` after a multiple of `interval`.
 fn next_multiple(from: Time, interval: Span, offset: Span) -> Time {
     let (from, interval, offset) = (from.ms(), interval.ms().max(1.0), offset.ms());
     let intervals = ((from - offset) / interval).ceil().max(0.0);
--- a/crates/flaxdeck-distribution/src/publisher/updates.rs
+++ b/crates/flaxdeck-distribution/src/publisher/updates.rs
@@ -1,46 +1,46 @@
-//! What a subscriber is sent.
+//! The updates that subscribers are sent.
 
 use flaxdeck::Time;
 use flaxdeck_recovery::EventPosition;
 
 use super::schedule::CATCH_UP_INTERVAL;
 use super::{Publisher, SubscriberId, Wanted};
-use crate::event_log::NotKept;
+use crate::event_log::PositionError;
 use crate::messages::{Batch, Delivery, MAX_FULL_BYTES, PurgeDigest, Snapshot, Update};
 
 impl Publisher {
-    /// What a subscriber is sent, which moves its position; none if it has not subscribed. `list` gives the frame that
-    /// tells the full list of hosts under a number.
+    /// Returns the next update for a subscriber and advances its position accordingly; `None` if it has not subscribed.
+    /// `encode_full_list` returns the frame with the full list of hosts for the given event number.
     pub fn update_for(
         &mut self,
         now: Time,
         id: SubscriberId,
-        list: &mut dyn FnMut(u64) -> Vec<u8>,
+        encode_full_list: &mut dyn FnMut(u64) -> Vec<u8>,
     ) -> Option<Delivery> {
-        let wanted = self.members.get(&id)?.wanted;
+        let wanted = self.subscribers.get(&id)?.wanted;
         let update = match wanted {
             Wanted::EventsAfter(position) => match self.batch_after(position) {
                 Ok(batch) => Update::Batch(batch),
-                Err(NotKept::Ahead) => self.behind(),
-                Err(NotKept::Unknown) => self.snapshot(now, list),
+                Err(PositionError::Ahead) => self.behind(),
+                Err(PositionError::Unknown) => self.snapshot(now, encode_full_list),
             },
-            Wanted::Snapshot => self.snapshot(now, list),
+            Wanted::Snapshot => self.snapshot(now, encode_full_list),
         };
         let position = match &update {
             Update::Batch(batch) => Some(batch.last),
             Update::Snapshot(snapshot) => Some(snapshot.position),
             Update::Behind { .. } => None,
         };
-        // A subscriber that lacks what this planner knows does not have all that the coordinator has.
+        // A subscriber that lacks events of this planner lacks events of the coordinator.
         let is_complete = position == Some(self.log.last());
         let coordinator_ago_ms = self.coordinator_ago_ms(now).filter(|_| is_complete);
-        let member = self.members.get_mut(&id)?;
-        member.wanted = position.map_or(wanted, Wanted::EventsAfter);
-        member.is_unanswered = false;
-        member.last_sent = now;
-        member.offered = None;
-        member.is_catching_up = position.is_some() && !is_complete;
-        let next = if member.is_catching_up {
+        let subscriber = self.subscribers.get_mut(&id)?;
+        subscriber.wanted = position.map_or(wanted, Wanted::EventsAfter);
+        subscriber.is_unanswered = false;
+        subscriber.last_sent = now;
+        subscriber.reported_due_at = None;
+        subscriber.is_catching_up = position.is_some() && !is_complete;
+        let next = if subscriber.is_catching_up {
             now + CATCH_UP_INTERVAL
         } else {
             now + self.cadence.urgent_delay
@@ -52,10 +52,10 @@
         })
     }
 
-    fn batch_after(&mut self, position: EventPosition) -> Result<Batch, NotKept> {
+    fn batch_after(&mut self, position: EventPosition) -> Result<Batch, PositionError> {
         let batch = match self.cache.batch_after(position) {
             Some(batch) => batch.clone(),
-            None => self.encode_after(position)?,
+            None => self.encode_batch_after(position)?,
         };
         if batch.last == batch.after {
             self.counters.heartbeats += 1;
@@ -65,8 +65,8 @@
         Ok(batch)
     }
 
-    fn encode_after(&mut self, position: EventPosition) -> Result<Batch, NotKept> {
-        self.follows(position)?;
+    fn encode_batch_after(&mut self, position: EventPosition) -> Result<Batch, PositionError> {
+        self.check_position(position)?;
         let batch = self.log.batch_after(position)?;
         if batch.last != batch.after {
             self.counters.encoded += 1;
@@ -82,9 +82,10 @@
         }
     }
 
-    /// The state, given only by a planner that knows all that the coordinator has. One that has lost the coordinator may
-    /// hold an older list than the subscriber, and would bring a withdrawn host back by it.
-    fn snapshot(&mut self, now: Time, list: &mut dyn FnMut(u64) -> Vec<u8>) -> Update {
+    /// Returns a snapshot if this planner has all of the coordinator's events, and `Behind` otherwise. A planner that
+    /// has lost the coordinator may have an older list than the subscriber, and its snapshot would return a removed
+    /// host to service.
+    fn snapshot(&mut self, now: Time, encode_full_list: &mut dyn FnMut(u64) -> Vec<u8>) -> Update {
         if !self.is_current(now) {
             return self.behind();
         }
@@ -92,7 +93,7 @@
         let snapshot = match &self.cache.snapshot {
             Some(snapshot) => snapshot.clone(),
             None => {
-                let snapshot = self.take_snapshot(now, list(self.log.last().number));
+                let snapshot = self.take_snapshot(now, encode_full_list(self.log.last().number));
                 self.cache.snapshot = Some(snapshot.clone());
                 snapshot
             }
@@ -102,13 +103,13 @@
 
     fn take_snapshot(&self, now: Time, list: Vec<u8>) -> Snapshot {
         let max_group_bytes = MAX_FULL_BYTES.saturating_sub(list.len());
-        let kept = self.log.purges_since(now, max_group_bytes);
+        let recent = self.log.recent_purges(now, max_group_bytes);
         Snapshot {
             position: self.log.last(),
             list,
-            purges: PurgeDigest::encode(kept.objects),
-            group_purges: kept.groups,
-            purges_reach_ms: kept.reach.ms().min(f64::from(u32::MAX)) as u32,
+            purges: PurgeDigest::encode(recent.objects),
+            group_purges: recent.groups,
+            purges_reach_ms: recent.reach.ms().min(f64::from(u32::MAX)) as u32,
         }
     }
 }
--- a/crates/flaxdeck-distribution/tests/event_log.rs
+++ b/crates/flaxdeck-distribution/tests/event_log.rs
@@ -9,7 +9,7 @@
 use flaxdeck::{Span, Time};
 use flaxdeck_distribution::event_log::LogSize;
 use flaxdeck_distribution::messages::{MAX_FULL_BYTES, MAX_FULL_EVENTS, MAX_PURGES};
-use flaxdeck_distribution::{Content, EventLog, Fingerprint, NotKept, Retention};
+use flaxdeck_distribution::{Content, EventLog, Fingerprint, PositionError, Retention};
 use flaxdeck_recovery::EventPosition;
 
 const BASE: EventPosition = EventPosition {
@@ -73,15 +73,15 @@
     );
     assert_eq!(
         (
-            log.next_after(position(11)),
-            log.next_urgent_after(position(12))
+            log.next_event_received_at(position(11)),
+            log.next_urgent_event_received_at(position(12))
         ),
         (Some(at(2)), Some(at(3)))
     );
     assert_eq!(
         (
-            log.next_after(position(14)),
-            log.next_urgent_after(position(13))
+            log.next_event_received_at(position(14)),
+            log.next_urgent_event_received_at(position(13))
         ),
         (None, None)
     );
@@ -91,23 +91,26 @@
 fn a_position_is_known_to_the_hash() {
     let mut log = log();
     log.append(at(1), position(11), purge(1));
-    assert_eq!(log.batch_after(position(12)), Err(NotKept::Ahead));
+    assert_eq!(log.batch_after(position(12)), Err(PositionError::Ahead));
     assert_eq!(
         log.batch_after(EventPosition {
             number: 11,
             hash: 5
         }),
-        Err(NotKept::Unknown)
+        Err(PositionError::Unknown)
     );
     assert_eq!(
         log.batch_after(EventPosition {
             number: 10,
             hash: 5
         }),
-        Err(NotKept::Unknown)
+        Err(PositionError::Unknown)
+    );
+    assert_eq!(log.batch_after(position(9)), Err(PositionError::Unknown));
+    assert_eq!(
+        log.batch_after(EventPosition::NONE),
+        Err(PositionError::Unknown)
     );
-    assert_eq!(log.batch_after(position(9)), Err(NotKept::Unknown));
-    assert_eq!(log.batch_after(EventPosition::NONE), Err(NotKept::Unknown));
 }
 
 #[test]
@@ -119,7 +122,10 @@
     assert_eq!(log.size().events, 10_001, "30 s of 333 a second");
     assert_eq!(log.counters.shortened, 0);
     assert!(log.batch_after(position(9_998)).is_ok());
-    assert_eq!(log.batch_after(position(9_997)), Err(NotKept::Unknown));
+    assert_eq!(
+        log.batch_after(position(9_997)),
+        Err(PositionError::Unknown)
+    );
     log.prune(at(20_000 * 3 + 40_000));
     assert_eq!(
         (log.size(), log.last()),
@@ -143,7 +149,7 @@
     } = log.size();
     assert!(bytes <= 20_000 && entries > 100);
     assert_eq!(log.counters.shortened as usize, 1_000 - entries);
-    let kept = log.purges_since(at(1_010), MAX_FULL_BYTES);
+    let kept = log.recent_purges(at(1_010), MAX_FULL_BYTES);
     assert_eq!(kept.objects.len(), entries);
     assert_eq!(
         kept.reach,
@@ -157,18 +163,18 @@
     let mut log = log();
     log.append(at(500), position(11), purge(1));
     log.append(at(600), position(12), Content::GroupPurge(vec![3]));
-    let kept = log.purges_since(at(2_000), MAX_FULL_BYTES);
+    let kept = log.recent_purges(at(2_000), MAX_FULL_BYTES);
     assert_eq!(
         (kept.objects.len(), kept.groups.len(), kept.reach),
         (1, 1, Span::from_ms(2_000))
     );
     log.restart(at(2_500), position(3));
-    let kept = log.purges_since(at(3_000), MAX_FULL_BYTES);
+    let kept = log.recent_purges(at(3_000), MAX_FULL_BYTES);
     assert_eq!(
         (kept.objects.len(), kept.groups.len(), kept.reach),
         (0, 0, Span::from_ms(500))
     );
-    assert_eq!(log.batch_after(position(12)), Err(NotKept::Ahead));
+    assert_eq!(log.batch_after(position(12)), Err(PositionError::Ahead));
 }
 
 #[test]
@@ -178,7 +184,7 @@
         log.append(at(number), position(number), purge(number));
     }
     let last = 10 + 2 * u64::from(MAX_PURGES);
-    let kept = log.purges_since(at(last), MAX_FULL_BYTES);
+    let kept = log.recent_purges(at(last), MAX_FULL_BYTES);
     assert_eq!(kept.objects.len(), MAX_PURGES as usize);
     assert_eq!(kept.reach, Span::from_ms(u64::from(MAX_PURGES)));
 }
@@ -193,7 +199,7 @@
             Content::GroupPurge(vec![0; 100]),
         );
     }
-    let kept = log.purges_since(at(20), 450);
+    let kept = log.recent_purges(at(20), 450);
     let numbers: Vec<u64> = kept
         .groups
         .iter()
@@ -241,10 +247,10 @@
     log.append(at(2), position(14), purge(2));
     assert_eq!(
         (log.counters.gaps, log.batch_after(position(11))),
-        (1, Err(NotKept::Unknown))
+        (1, Err(PositionError::Unknown))
     );
     assert_eq!(
-        log.purges_since(at(5), MAX_FULL_BYTES).reach,
+        log.recent_purges(at(5), MAX_FULL_BYTES).reach,
         Span::from_ms(3)
     );
     assert_eq!(log.last(), position(14));
@@ -255,7 +261,7 @@
     );
     assert_eq!(
         (log.counters.oversized, log.batch_after(position(14))),
-        (1, Err(NotKept::Unknown))
+        (1, Err(PositionError::Unknown))
     );
     assert!(log.batch_after(position(15)).is_ok());
     log.append(at(7), position(15), purge(1));
