--- a/crates/flaxdeck-distribution/src/subscriber.rs
+++ b/crates/flaxdeck-distribution/src/subscriber.rs
@@ -1,16 +1,17 @@
-//! The forwarder's side of the distribution of events: which planner it follows, and what of the planners' messages is
-//! applied.
+//! The forwarder's side of event distribution: which planner it follows, and which of the planners' deliveries it
+//! applies.
 //!
-//! The position is the last event that was applied here. It moves only by what follows from it:
+//! The position is that of the last event applied. Deliveries change it under these rules:
 //!
-//! - A batch applies if it begins at the position, to the hash, and its counts add up to its numbers. So no event is
-//!   skipped and none is applied out of order, whatever is lost, duplicated or late.
-//! - Where that can't be, the position is told to the planner anew. A planner that does not keep it gives a snapshot,
-//!   and the snapshot says how far back its purges reach; unless that covers the time in which hosts drop purged copies
-//!   by themselves, purges may be missing, and no copy from before is to be served.
-//! - A snapshot replaces the list of hosts, so an older one could bring a withdrawn host back. Planners give them only
-//!   while they have all that the coordinator has, and here one is taken only if its planner has heard the coordinator
-//!   since the position last moved: then it knows all that was applied here, in whatever numbering.
+//! - A batch applies if it begins exactly at the position, including the hash, and contains as many events as its range
+//!   has numbers. So no event is skipped or applied out of order, whatever is lost, duplicated or delayed.
+//! - Otherwise the position is sent to the planner again. A planner that no longer retains it sends a snapshot, which
+//!   says how far back its purges are complete. Unless that covers the time within which hosts drop purged copies
+//!   themselves, purges may be missing, and no older copy may be served.
+//! - A snapshot replaces the list of hosts, so an older one could return a removed host to service. Planners send
+//!   snapshots only while they have all of the coordinator's events. A forwarder accepts one only if its planner has
+//!   heard the coordinator since the forwarder's position last changed: then the planner has all events applied here,
+//!   in whichever numbering.
 
 mod checks;
 mod coordinator_need;
@@ -30,35 +31,35 @@
 pub use error::{DeliveryError, InvalidDelivery};
 use planner::Planner;
 
-/// A planner's place in the operator's file, the same in every forwarder's.
+/// The index of a planner in the operator's configuration file, which is the same for all forwarders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PlannerNumber(pub u32);
 
-/// What a delivery changes here.
+/// What the caller has to apply from a delivery.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Applied {
-    /// Nothing.
+    /// The delivery contains nothing to apply.
     Nothing,
-    /// All that follows the position, up to another.
+    /// All events after the position, up to another.
     Events {
         /// Single objects that were purged.
         purges: Vec<Fingerprint>,
-        /// All other events, in order.
+        /// All other events in full, in order.
         events: Vec<FullEvent>,
         /// The new position.
         last: EventPosition,
     },
-    /// The state at a position, in place of what was known.
+    /// The complete state at a position, which replaces the previous state.
     Snapshot {
-        /// A frame that tells the full list of hosts.
+        /// The frame with the full list of hosts.
         list: Vec<u8>,
         /// Single objects that were purged.
         purges: Vec<Fingerprint>,
-        /// Groups that were purged.
+        /// Purges of groups, in full.
         group_purges: Vec<FullEvent>,
         /// The new position.
         position: EventPosition,
-        /// Purges may be missing: no copy from before now is to be served until they have settled.
+        /// Purges may be missing: no copy older than now may be served until they have settled.
         may_miss_purges: bool,
     },
 }
@@ -66,29 +67,29 @@
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Counters {
-    /// Batches applied that hold events.
+    /// Batches applied that contain events.
     pub batches: u64,
-    /// Batches taken that hold none.
+    /// Batches accepted that contain no events.
     pub heartbeats: u64,
     /// Snapshots applied.
     pub snapshots: u64,
-    /// Snapshots whose purges did not reach back far enough.
+    /// Snapshots applied whose purges did not reach back far enough.
     pub incomplete_snapshots: u64,
-    /// Deliveries of what was known here already, all or in part.
+    /// Batches skipped because all or some of their events had been applied already.
     pub duplicates: u64,
-    /// Batches that follow a later position.
+    /// Batches that begin after the position and leave a gap.
     pub gaps: u64,
-    /// Batches of another numbering.
+    /// Batches of another numbering: an event number equals that of the position here, but the hash differs.
     pub other_numbering: u64,
-    /// Answers that the position is not known.
+    /// Answers that the planner cannot serve the position yet.
     pub behind: u64,
-    /// Snapshots that nobody wants, or that may be older than what is known.
+    /// Snapshots of planners that were not asked for events, or that may be older than the state here.
     pub stale: u64,
-    /// Deliveries that say what can't be.
+    /// Deliveries that are malformed or contradict themselves.
     pub invalid: u64,
     /// Deliveries of planners that are not connected.
     pub not_connected: u64,
-    /// Times that a planner was left for its silence or its end.
+    /// Times that the followed planner was replaced because it was silent or disconnected.
     pub failovers: u64,
     /// Purges of single objects that were applied.
     pub purges: u64,
@@ -96,25 +97,25 @@
     pub events: u64,
 }
 
-/// Which planner is followed, and up to where events were applied.
+/// The state of a forwarder's subscription: the planners, the one that is followed, and the position.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Subscriber {
     cadence: Cadence,
-    settles: Span,
+    settle_time: Span,
     preference: u64,
     planners: Vec<Planner>,
     position: EventPosition,
-    /// When the position last moved; none if nothing was ever applied.
-    last_moved: Option<Time>,
-    /// Nobody can go on from the position: the state as a whole is asked for.
+    /// When the position last changed; `None` if nothing was ever applied.
+    position_changed_at: Option<Time>,
+    /// No planner can continue from the position: a snapshot is requested.
     needs_snapshot: bool,
     followed: Option<PlannerNumber>,
-    /// One that is preferred to the one followed, and asked whether it delivers.
+    /// A planner preferred to the followed one, which has been sent a request to find out whether it delivers.
     candidate: Option<PlannerNumber>,
-    /// Planners left for their silence since the one followed last delivered: each is waited for twice as long as the one
-    /// before, as it may only be far away.
-    silences: u32,
-    /// Since when no planner knew the position.
+    /// Planners replaced because of silence since the followed one last delivered. Each one doubles the silence timeout
+    /// of the next, as the planners may only be far away.
+    silent_failovers: u32,
+    /// When a planner first answered that it does not know the position, since the position last changed.
     behind_since: Option<Time>,
     coordinator_need: CoordinatorNeed,
     confirmed_at: Option<Time>,
@@ -123,27 +124,27 @@
 }
 
 impl Subscriber {
-    /// A forwarder that has just started and knows nothing; hosts drop by themselves what was purged `settles` ago.
-    /// `preference` orders the planners, and differs from forwarder to forwarder so that each planner is preferred by
-    /// about as many.
+    /// Creates the subscriber of a forwarder that has just started and has no state. Hosts drop purged copies
+    /// themselves within `settle_time`. `preference` determines the order in which planners are preferred; it differs
+    /// between forwarders, so that each planner is preferred by about as many.
     pub fn start(
         now: Time,
         planners: u32,
         preference: u64,
         cadence: Cadence,
-        settles: Span,
+        settle_time: Span,
     ) -> Subscriber {
         Subscriber {
             cadence,
-            settles,
+            settle_time,
             preference,
             planners: vec![Planner::default(); planners as usize],
             position: EventPosition::NONE,
-            last_moved: None,
+            position_changed_at: None,
             needs_snapshot: true,
             followed: None,
             candidate: None,
-            silences: 0,
+            silent_failovers: 0,
             behind_since: None,
             coordinator_need: CoordinatorNeed::new(now, cadence, preference),
             confirmed_at: None,
@@ -151,37 +152,39 @@
         }
     }
 
-    /// The last event that was applied here.
+    /// Returns the position of the last event applied.
     pub fn position(&self) -> EventPosition {
         self.position
     }
 
-    /// The planner that is followed.
+    /// Returns the planner that is followed.
     pub fn followed(&self) -> Option<PlannerNumber> {
         self.followed
     }
 
-    /// When, on this clock, all was last known here that the coordinator had, at the latest.
+    /// Returns the latest time, by the local clock, for which it is certain that all of the coordinator's events had
+    /// been applied here; `None` if there is none.
     pub fn confirmed_at(&self) -> Option<Time> {
         self.confirmed_at
     }
 
-    /// Whether events have to come from the coordinator itself: no planner has delivered for a short time, none is
-    /// connected, or planners have only just begun to deliver again.
+    /// Returns whether events have to be received directly from the coordinator: no planner has delivered for a short
+    /// time, none is connected, or planners have only just resumed delivery.
     pub fn needs_coordinator(&self, now: Time) -> bool {
         self.coordinator_need.is_needed(now)
     }
 
-    /// A connection with a planner was opened; nothing of an earlier one comes any more.
+    /// Records that a connection with a planner was opened. Nothing from an earlier connection may be passed in after
+    /// this.
     pub fn connected(&mut self, now: Time, planner: PlannerNumber) {
         let Some(planner) = self.planners.get_mut(planner.0 as usize) else {
             return;
         };
         planner.connected(now);
-        self.choose(now);
+        self.select_planner(now);
     }
 
-    /// The connection has ended.
+    /// Records that the connection with a planner has ended.
     pub fn disconnected(&mut self, now: Time, planner: PlannerNumber) {
         let Some(ended) = self.planners.get_mut(planner.0 as usize) else {
             return;
@@ -197,14 +200,14 @@
         if self.connected_planners().next().is_none() {
             self.coordinator_need.disconnected(now);
         }
-        self.choose(now);
+        self.select_planner(now);
     }
 
-    /// The position was moved by what the coordinator itself told. The planner learns of it where that matters: when its
-    /// next batch does not follow.
+    /// Sets the position after events from the coordinator itself were applied. The planner is notified only if
+    /// necessary: when its next batch does not follow the position.
     pub fn set_position(&mut self, now: Time, position: EventPosition) {
         self.position = position;
-        self.last_moved = Some(now);
+        self.position_changed_at = Some(now);
         self.needs_snapshot = false;
         self.behind_since = None;
         for planner in &mut self.planners {
@@ -212,12 +215,12 @@
         }
     }
 
-    /// The planner had heard what was sent to it at that moment before it wrote what is delivered next. To be called
-    /// before each delivery where the connection tells; without it, a delivery is taken to be an answer to the last
-    /// request, and not to have been on its way for long.
+    /// Records that the planner, before it wrote its next delivery, had received the message that was sent to it at
+    /// `sent`. To be called before each delivery if the connection provides this; without it, a delivery is assumed to
+    /// answer the last request and to have been in transit for at most half a second.
     pub fn record_echo(&mut self, planner: PlannerNumber, sent: Time) {
         if let Some(planner) = self.planners.get_mut(planner.0 as usize) {
-            planner.echoed = Some(sent);
+            planner.echoed_send_time = Some(sent);
         }
     }
 
--- a/crates/flaxdeck-distribution/src/subscriber/checks.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/checks.rs
@@ -1,4 +1,4 @@
-//! Whether a delivery is complete and in order in itself, before anything of it is applied.
+//! Checks that a delivery is complete and consistent, before anything of it is applied.
 
 use super::InvalidDelivery;
 use crate::fingerprint::Fingerprint;
@@ -20,14 +20,15 @@
         return Err(InvalidDelivery::TooManyEvents(events.len()));
     }
     check_length(frame_bytes(events))?;
-    let is_increasing = events.is_sorted_by(|one, next| one.position.number < next.position.number);
+    let is_increasing =
+        events.is_sorted_by(|previous, next| previous.position.number < next.position.number);
     if !is_increasing {
         return Err(InvalidDelivery::Positions);
     }
     Ok(())
 }
 
-/// Checks a batch; gives its purges.
+/// Checks a batch and returns its purges.
 pub(super) fn check_batch(batch: &Batch) -> Result<Vec<Fingerprint>, InvalidDelivery> {
     let Batch {
         after,
@@ -44,31 +45,31 @@
     if numbers == 0 && last != after {
         return Err(range);
     }
-    let held = u64::from(purges.count) + events.len() as u64;
-    if numbers != held {
+    let event_count = u64::from(purges.count) + events.len() as u64;
+    if numbers != event_count {
         return Err(InvalidDelivery::Count {
             numbers,
-            events: held,
+            events: event_count,
         });
     }
     let is_in_range = |event: &FullEvent| {
         event.position.number > after.number && event.position.number <= last.number
     };
-    let ends_well = events
+    let matches_end = events
         .last()
         .is_none_or(|event| event.position.number < last.number || event.position == *last);
-    if !ends_well || !events.iter().all(is_in_range) {
+    if !matches_end || !events.iter().all(is_in_range) {
         return Err(InvalidDelivery::Positions);
     }
     Ok(purges.decode()?)
 }
 
-/// Checks a snapshot; gives its purges.
+/// Checks a snapshot and returns its purges.
 pub(super) fn check_snapshot(snapshot: &Snapshot) -> Result<Vec<Fingerprint>, InvalidDelivery> {
     check_events(&snapshot.group_purges)?;
     check_length(snapshot.list.len() + frame_bytes(&snapshot.group_purges))?;
-    let is_beyond = |event: &FullEvent| event.position.number > snapshot.position.number;
-    if snapshot.group_purges.last().is_some_and(is_beyond) {
+    let is_out_of_range = |event: &FullEvent| event.position.number > snapshot.position.number;
+    if snapshot.group_purges.last().is_some_and(is_out_of_range) {
         return Err(InvalidDelivery::Positions);
     }
     Ok(snapshot.purges.decode()?)
--- a/crates/flaxdeck-distribution/src/subscriber/coordinator_need.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/coordinator_need.rs
@@ -1,102 +1,116 @@
-//! When a forwarder has to hear the coordinator itself, because no planner delivers events.
+//! Decides when a forwarder has to connect to the coordinator itself, because no planner delivers events.
 
 use flaxdeck::hash::mix;
 use flaxdeck::{Span, Time};
 
 use crate::cadence::Cadence;
 
-/// The coordinator is needed so long after a planner should have been left for another: by then none delivers.
+/// Added to the silence timeout, after which the forwarder switches planners: if nothing was delivered by then, no
+/// planner delivers.
 const NO_DELIVERY_MARGIN: Span = Span::from_ms(500);
-/// With no connection left there is nobody to wait for but a planner that is reached again at once.
+/// The minimum wait without any connection, which leaves time for a planner to be connected again at once.
 const MIN_DISCONNECTED_WAIT: Span = Span::from_ms(100);
-/// All forwarders of a planner lose it at the same instant, so each waits up to so much longer before it connects to
-/// the coordinator. A purge may wait for a batch, for this and for the connection before it is applied.
-const MAX_EXTRA_WAIT: Span = Span::from_ms(300);
-/// It is needed no more once planners have delivered for so long without a gap.
+/// All forwarders of a planner lose it at the same moment, so each waits up to this much longer before it connects to
+/// the coordinator. The delay until a purge is applied may include the wait for a batch, this wait, and the time to
+/// connect.
+const MAX_WAIT_JITTER: Span = Span::from_ms(300);
+/// The coordinator is no longer needed once planners have delivered for this long without interruption.
 const STABLE_AFTER: Span = Span::from_ms(2_000);
 
-/// An unbroken time in which planners delivered.
+/// A period in which planners delivered without interruption.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Service {
+struct DeliveryPeriod {
     since: Time,
     last: Time,
-    /// The coordinator was needed before it.
-    after_need: bool,
+    /// The period follows one in which the coordinator was needed.
+    after_interruption: bool,
 }
 
-/// Whether events have to come from the coordinator, by when planners delivered.
+/// Tracks whether events have to come from the coordinator, by the times of the planners' deliveries.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct CoordinatorNeed {
     cadence: Cadence,
     started: Time,
-    /// How long this forwarder waits without any connection.
+    /// How long this forwarder waits without any connection before it needs the coordinator.
     disconnected_wait: Span,
-    service: Option<Service>,
-    /// Since when no planner was connected; none from the next delivery on.
+    delivery_period: Option<DeliveryPeriod>,
+    /// Since when no planner has been connected; cleared by the next delivery.
     disconnected_since: Option<Time>,
 }
 
 impl CoordinatorNeed {
-    /// Of a forwarder that has just started; `preference` differs from forwarder to forwarder.
+    /// Creates the tracker of a forwarder that has just started. `preference` differs between forwarders and determines
+    /// the jitter.
     pub(super) fn new(now: Time, cadence: Cadence, preference: u64) -> CoordinatorNeed {
-        let share = mix(preference) as f64 / u64::MAX as f64;
+        let jitter_fraction = mix(preference) as f64 / u64::MAX as f64;
         CoordinatorNeed {
             cadence,
             started: now,
-            disconnected_wait: MIN_DISCONNECTED_WAIT + MAX_EXTRA_WAIT * share,
-            service: None,
+            disconnected_wait: MIN_DISCONNECTED_WAIT + MAX_WAIT_JITTER * jitter_fraction,
+            delivery_period: None,
             disconnected_since: None,
         }
     }
 
-    /// A planner has delivered what was of use.
+    /// Records a useful delivery of a planner.
     pub(super) fn delivered(&mut self, now: Time) {
         let is_interrupted = self.is_interrupted(now);
         self.disconnected_since = None;
-        self.service = match self.service {
-            Some(service) if !is_interrupted => Some(Service {
+        self.delivery_period = match self.delivery_period {
+            Some(delivery_period) if !is_interrupted => Some(DeliveryPeriod {
                 last: now,
-                ..service
+                ..delivery_period
             }),
-            _ => Some(Service {
+            _ => Some(DeliveryPeriod {
                 since: now,
                 last: now,
-                after_need: is_interrupted,
+                after_interruption: is_interrupted,
             }),
         };
     }
 
-    /// The last connection with a planner has ended.
+    /// Records that the last connection with a planner has ended.
     pub(super) fn disconnected(&mut self, now: Time) {
         self.disconnected_since.get_or_insert(now);
     }
 
-    /// Whether the coordinator is needed: no planner has delivered for a short time, or planners have only just begun to
-    /// again.
+    /// Returns whether the coordinator is needed: no planner has delivered for a short time, or planners have only just
+    /// resumed delivery.
     pub(super) fn is_needed(&self, now: Time) -> bool {
-        let resumed = self.service.filter(|service| service.after_need);
+        let resumed_period = self
+            .delivery_period
+            .filter(|delivery_period| delivery_period.after_interruption);
         self.is_interrupted(now)
-            || resumed.is_some_and(|service| now.since(service.since) < STABLE_AFTER)
+            || resumed_period
+                .is_some_and(|delivery_period| now.since(delivery_period.since) < STABLE_AFTER)
     }
 
     fn is_interrupted(&self, now: Time) -> bool {
-        now >= self.silent_at() || self.disconnected_at().is_some_and(|at| now >= at)
+        now >= self.silence_deadline() || self.disconnected_deadline().is_some_and(|at| now >= at)
     }
 
-    /// When [`is_needed`](CoordinatorNeed::is_needed) may change if nothing comes until then.
-    pub(super) fn changes_at(&self) -> impl Iterator<Item = Time> {
-        let again = self.service.map(|service| service.since + STABLE_AFTER);
-        [Some(self.silent_at()), self.disconnected_at(), again]
-            .into_iter()
-            .flatten()
+    /// Returns the times at which [`is_needed`](CoordinatorNeed::is_needed) may change if nothing is received before.
+    pub(super) fn possible_change_times(&self) -> impl Iterator<Item = Time> {
+        let stable_at = self
+            .delivery_period
+            .map(|delivery_period| delivery_period.since + STABLE_AFTER);
+        [
+            Some(self.silence_deadline()),
+            self.disconnected_deadline(),
+            stable_at,
+        ]
+        .into_iter()
+        .flatten()
     }
 
-    fn silent_at(&self) -> Time {
-        let last = self.service.map_or(self.started, |service| service.last);
+    fn silence_deadline(&self) -> Time {
+        let last = self
+            .delivery_period
+            .map_or(self.started, |delivery_period| delivery_period.last);
         last + self.cadence.silence_timeout() + NO_DELIVERY_MARGIN
     }
 
-    fn disconnected_at(&self) -> Option<Time> {
+    fn disconnected_deadline(&self) -> Option<Time> {
         self.disconnected_since
             .map(|since| since + self.disconnected_wait)
     }
--- a/crates/flaxdeck-distribution/src/subscriber/deliveries.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/deliveries.rs
@@ -1,4 +1,4 @@
-//! What a subscriber applies of what planners deliver.
+//! Applies deliveries of planners to a subscriber.
 
 use flaxdeck::{Span, Time};
 use flaxdeck_recovery::EventPosition;
@@ -9,25 +9,25 @@
 use crate::fingerprint::Fingerprint;
 use crate::messages::{Batch, Delivery, FullEvent, Snapshot, Subscription, Update};
 
-/// Between two requests to a planner whose batches do not follow the position.
+/// Time until the position is sent again to a planner whose batches do not follow it.
 const RESYNC_AFTER: Span = Span::from_ms(100);
-/// An event of the coordinator's comes to one instance later than to another by at most this.
+/// The maximum difference between the times at which two instances receive the same event from the coordinator.
 const COORDINATOR_SKEW: Span = Span::from_ms(200);
-/// Beyond the hosts' time a snapshot's purges have to reach back so far: for clocks that run apart.
+/// Added to the hosts' settle time when checking how far back a snapshot's purges reach, to allow for clock drift.
 const REACH_MARGIN: Span = Span::from_ms(500);
-/// A message is taken to have been written no longer ago than this, unless its connection proves more.
+/// The assumed maximum transit time of a message whose connection provides no echo.
 const MAX_TRANSIT: Span = Span::from_ms(500);
 
-fn span_of(ms: u32) -> Span {
+fn span_from_ms(ms: u32) -> Span {
     Span::from_ms(u64::from(ms))
 }
 
 impl Subscriber {
-    /// Takes in what a planner has delivered, wholly or not at all.
+    /// Processes a planner's delivery, completely or not at all.
     ///
     /// # Errors
     ///
-    /// [`DeliveryError`] if nothing of it was applied; the reason is counted.
+    /// [`DeliveryError`] if nothing was applied; the reason is counted.
     pub fn receive(
         &mut self,
         now: Time,
@@ -59,7 +59,7 @@
         if let Err(error) = result {
             self.record_error(now, from, error);
         }
-        self.choose(now);
+        self.select_planner(now);
         result
     }
 
@@ -91,22 +91,26 @@
             ..
         } = batch;
         if after == self.position {
-            let applied = self.follow(now, purges, events, last);
+            let applied = self.apply_batch(now, purges, events, last);
             self.planner_mut(from).retry_at = None;
-            // Nothing new from a planner that has lost the coordinator says nothing.
+            // A heartbeat from a planner that has lost the coordinator does not count as a useful delivery.
             if applied != Applied::Nothing || ago_ms.is_some() {
                 self.record_useful_delivery(now, from);
             }
             self.confirm(now, from, ago_ms);
             return Ok(applied);
         }
-        self.check_known(after, last)?;
-        self.receive_known(now, from, last, ago_ms);
+        self.check_overlaps_position(after, last)?;
+        self.receive_overlapping(now, from, last, ago_ms);
         Ok(Applied::Nothing)
     }
 
-    /// Whether a batch that does not follow the position is of what is known already.
-    fn check_known(&self, after: EventPosition, last: EventPosition) -> Result<(), DeliveryError> {
+    /// Checks that a batch that does not begin at the position begins before it, in the same numbering.
+    fn check_overlaps_position(
+        &self,
+        after: EventPosition,
+        last: EventPosition,
+    ) -> Result<(), DeliveryError> {
         let is_other = |position: &EventPosition| {
             position.number == self.position.number && *position != self.position
         };
@@ -122,8 +126,9 @@
         Ok(())
     }
 
-    /// A batch that begins and ends where it should. The position moves last, once all is ready to be handed out.
-    fn follow(
+    /// Applies a batch that has been checked to follow the position. The position changes last, once all content is
+    /// ready to be returned.
+    fn apply_batch(
         &mut self,
         now: Time,
         purges: Vec<Fingerprint>,
@@ -145,9 +150,10 @@
         }
     }
 
-    /// The coordinator itself, or another planner, was faster. What of it is new can't be told apart, as the purges have
-    /// no numbers; the planner is told the position, and goes on from there.
-    fn receive_known(
+    /// Processes a batch that overlaps what was already applied, from the coordinator itself or from another planner.
+    /// The new part cannot be separated, as the purges in a digest have no numbers; the planner is sent the position
+    /// and continues from there.
+    fn receive_overlapping(
         &mut self,
         now: Time,
         from: PlannerNumber,
@@ -182,9 +188,9 @@
             purges_reach_ms,
             ..
         } = snapshot;
-        // The snapshot was written before it came, so what reaches back for that time from then reaches back further
-        // from now, and all that came to the planner later comes by batches.
-        let may_miss_purges = span_of(purges_reach_ms) < self.settles + REACH_MARGIN;
+        // The reach counts back from when the snapshot was written, which was before now, so its purges go back at
+        // least that far from now. What the planner received after that is sent in batches.
+        let may_miss_purges = span_from_ms(purges_reach_ms) < self.settle_time + REACH_MARGIN;
         self.counters.snapshots += 1;
         self.counters.incomplete_snapshots += u64::from(may_miss_purges);
         self.set_position(now, position);
@@ -206,31 +212,34 @@
         ago_ms: u32,
     ) -> Result<(), DeliveryError> {
         let stale = Err(DeliveryError::StaleSnapshot(snapshot.position));
-        let Some(known_at) = self.known_at(from, ago_ms) else {
+        let Some(coordinator_heard_at) = self.coordinator_heard_at(from, ago_ms) else {
             return stale;
         };
         let is_newer = self
-            .last_moved
-            .is_none_or(|moved| known_at > moved + COORDINATOR_SKEW);
+            .position_changed_at
+            .is_none_or(|moved| coordinator_heard_at > moved + COORDINATOR_SKEW);
         if !is_newer {
             return stale;
         }
         if snapshot.position.number < self.position.number && !self.needs_snapshot {
-            // Its planner knows all that the coordinator has, and that is less: the numbering is another. It is asked for.
+            // The planner has all of the coordinator's events, and their number is lower: the numbering has changed.
+            // Request a snapshot, so that the next one is accepted.
             self.needs_snapshot = true;
             return stale;
         }
         Ok(())
     }
 
-    /// A moment up to which the planner had heard the coordinator when it answered: it wrote after it was asked.
-    fn known_at(&self, from: PlannerNumber, ago_ms: u32) -> Option<Time> {
+    /// Returns a lower bound for when the planner last heard the coordinator: `ago_ms` before the forwarder sent the
+    /// last message that the planner is known to have received when it wrote the delivery. Without an echo from the
+    /// connection, that is the last request as it was first sent.
+    fn coordinator_heard_at(&self, from: PlannerNumber, ago_ms: u32) -> Option<Time> {
         let planner = self.planner(from);
         let request = planner
             .request
             .filter(|request| request.subscription != Subscription::None)?;
-        let written = planner.echoed.unwrap_or(request.first);
-        Some(written - span_of(ago_ms))
+        let written = planner.echoed_send_time.unwrap_or(request.first_sent);
+        Some(written - span_from_ms(ago_ms))
     }
 
     fn receive_behind(&mut self, now: Time, from: PlannerNumber) {
@@ -239,7 +248,8 @@
         self.behind_since.get_or_insert(now);
     }
 
-    /// A planner has delivered what was of use.
+    /// Records a useful delivery of a planner: one with new events, or from a planner that has all of the coordinator's
+    /// events.
     fn record_useful_delivery(&mut self, now: Time, from: PlannerNumber) {
         self.coordinator_need.delivered(now);
         self.planner_mut(from).record_delivery(now);
@@ -247,15 +257,16 @@
             (self.followed, self.candidate) = (Some(from), None);
         }
         if self.followed == Some(from) {
-            self.silences = 0;
+            self.silent_failovers = 0;
         }
     }
 
-    /// All is known here that the planner knew, and it knew all that the coordinator had so long ago.
+    /// Advances the confirmed time: all of the planner's events are applied here, and `ago_ms` before the delivery was
+    /// written the planner had all of the coordinator's.
     fn confirm(&mut self, now: Time, from: PlannerNumber, ago_ms: Option<u32>) {
         let Some(ago_ms) = ago_ms else { return };
-        let echoed = self.planner(from).echoed;
-        let written = echoed.map_or(now - MAX_TRANSIT, |echoed| echoed.min(now));
-        self.confirmed_at = self.confirmed_at.max(Some(written - span_of(ago_ms)));
+        let echoed = self.planner(from).echoed_send_time;
+        let written = echoed.map_or(now - MAX_TRANSIT, |sent| sent.min(now));
+        self.confirmed_at = self.confirmed_at.max(Some(written - span_from_ms(ago_ms)));
     }
 }
--- a/crates/flaxdeck-distribution/src/subscriber/error.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/error.rs
@@ -1,4 +1,4 @@
-//! Why a delivery was not applied.
+//! The reasons why a delivery is not applied.
 
 use flaxdeck_recovery::EventPosition;
 
@@ -7,63 +7,65 @@
 
 use super::PlannerNumber;
 
-/// Why nothing of a delivery was applied.
+/// The reason why nothing of a delivery was applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum DeliveryError {
-    /// Its planner is not connected.
+    /// The planner that sent it is not connected.
     #[error("planner {} is not connected", .0.0)]
     NotConnected(PlannerNumber),
-    /// It says what can't be.
-    #[error("the delivery is invalid")]
+    /// The delivery is malformed or contradicts itself.
+    #[error("the delivery is malformed or contradicts itself")]
     Invalid(#[from] InvalidDelivery),
-    /// It follows a later position than the one here.
-    #[error("it follows event {}, and {} is known", .after.number, .position.number)]
+    /// The batch follows a later position than the one here, so events between the two are missing.
+    #[error("the batch follows event {}, but event {} is the last one that is known", .after.number, .position.number)]
     Gap {
-        /// The position that it follows.
+        /// The position that the batch follows.
         after: EventPosition,
-        /// The position here.
+        /// The position of the last event applied here.
         position: EventPosition,
     },
-    /// Another event has the number of the one here.
-    #[error("another event has number {}", .0.number)]
+    /// The batch has the same number as the position here, with another hash.
+    #[error("the delivered event with number {} is not the one known under that number: the numbering has changed", .0.number)]
     OtherNumbering(EventPosition),
-    /// A snapshot that nobody wants, or that may be older than what is known.
-    #[error("the snapshot at event {} may be older than what is known", .0.number)]
+    /// The snapshot's planner was not asked for events, or the snapshot may be older than the state here.
+    #[error("the snapshot at event {} was not requested or may be older than the state here", .0.number)]
     StaleSnapshot(EventPosition),
 }
 
-/// What is wrong with a delivery that says what can't be.
+/// The reason why a delivery is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum InvalidDelivery {
-    /// Its digest can't be decoded.
-    #[error("its purge digest can't be decoded")]
+    /// The purge digest cannot be decoded.
+    #[error("the purge digest cannot be decoded")]
     Digest(#[from] InvalidDigest),
-    /// It holds more events in full than a message may.
-    #[error("{0} events in full, where {MAX_FULL_EVENTS} are allowed")]
+    /// It contains more full events than allowed.
+    #[error("the delivery contains {0} full events, at most {MAX_FULL_EVENTS} are allowed")]
     TooManyEvents(usize),
-    /// It holds more bytes of events in full than a message may.
-    #[error("{0} bytes in full, where {MAX_FULL_BYTES} are allowed")]
+    /// The full events and the list of hosts contain more bytes than allowed.
+    #[error(
+        "the delivery contains {0} bytes of full events and list, at most {MAX_FULL_BYTES} are allowed"
+    )]
     TooLong(usize),
-    /// Its end is before its beginning, or another event with the same number.
-    #[error("it ends at event {last}, and begins after {after}")]
+    /// A batch ends before it begins, or it begins and ends at the same number with different hashes.
+    #[error("the batch has an invalid range: it follows event {after} and ends at event {last}")]
     Range {
-        /// The number that it begins after.
+        /// The number of the position that the batch follows.
         after: u64,
-        /// The number that it ends at.
+        /// The number of the position at which the batch ends.
         last: u64,
     },
-    /// It does not hold as many events as it has numbers.
-    #[error("it covers {numbers} numbers with {events} events")]
+    /// A batch does not contain as many events as its range has numbers.
+    #[error("the batch covers {numbers} event numbers but contains {events} events")]
     Count {
-        /// The numbers that it covers.
+        /// How many numbers the range covers.
         numbers: u64,
-        /// The events that it holds.
+        /// How many events the batch contains, purges of single objects included.
         events: u64,
     },
-    /// Its events are out of order, out of its range, or do not end with its end.
-    #[error("the positions of its events are out of order or out of its range")]
+    /// The full events are out of order or out of range, or one has the last number of a batch with another hash.
+    #[error("the positions of the full events are out of order or out of range")]
     Positions,
-    /// A snapshot of a planner that does not claim to know all.
-    #[error("a snapshot of a planner that does not know all")]
+    /// A snapshot from a planner that does not claim to have all of the coordinator's events.
+    #[error("the snapshot comes from a planner that does not claim to have all events")]
     NotCurrent,
 }
--- a/crates/flaxdeck-distribution/src/subscriber/planner.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/planner.rs
@@ -1,55 +1,56 @@
-//! What a subscriber knows of one planner.
+//! The state that a subscriber keeps for one planner.
 
 use flaxdeck::{Span, Time};
 
 use crate::messages::Subscription;
 
-/// A request that was not answered, or was answered by what could not be taken, is repeated after so long.
+/// Time after which a request is repeated that was not answered, or was answered by a delivery that could not be
+/// applied.
 pub(super) const RETRY_AFTER: Span = Span::from_ms(500);
-/// A planner that was preferred is followed again only once it has been connected for so long.
+/// How long a preferred planner must have been connected before the forwarder switches back to it.
 pub(super) const STABLE_AFTER: Span = Span::from_ms(5_000);
-/// A planner that was left for its silence is avoided for that long, twice as long each further time, up to this many
-/// doublings.
+/// A planner that was silent is avoided for [`STABLE_AFTER`]. The time doubles with each further silence, up to this
+/// many times.
 pub(super) const MAX_DOUBLINGS: u32 = 5;
 
-/// What was last asked of a planner.
+/// The last request sent to a planner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Request {
     pub(super) subscription: Subscription,
-    /// When it was first sent.
-    pub(super) first: Time,
-    /// When it was last sent.
-    pub(super) last: Time,
+    /// When the request was first sent.
+    pub(super) first_sent: Time,
+    /// When the request was last sent.
+    pub(super) last_sent: Time,
     pub(super) is_answered: bool,
 }
 
-/// A planner as a subscriber knows it.
+/// The state of one planner from the subscriber's point of view.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Planner {
     pub(super) connected_since: Option<Time>,
     pub(super) request: Option<Request>,
-    /// Since when events are wanted of it.
+    /// Since when the planner has been asked for events.
     pub(super) wanted_since: Option<Time>,
-    /// From when on it has to be told anew what is wanted.
+    /// When the current request is due to be sent again, if it is.
     pub(super) retry_at: Option<Time>,
-    /// When it last delivered what was of use.
+    /// When it last made a useful delivery.
     pub(super) last_delivered: Option<Time>,
-    /// It has said that it does not know the position since anything was applied.
+    /// It has answered that it does not know the position, and the position has not changed since.
     pub(super) is_behind: bool,
     pub(super) avoided_until: Time,
-    /// How often it was left for its silence without having been stable since.
+    /// How often it was silent since it was last stable.
     failures: u32,
-    /// It had heard what was sent to it at that moment before it wrote what it delivers.
-    pub(super) echoed: Option<Time>,
+    /// When the forwarder sent the last message that the planner had received before it wrote its latest delivery.
+    pub(super) echoed_send_time: Option<Time>,
 }
 
-/// Requests of one kind differ by no more than the position, which a planner that is followed keeps track of itself.
-pub(super) fn is_same_kind(one: Subscription, other: Subscription) -> bool {
-    std::mem::discriminant(&one) == std::mem::discriminant(&other)
+/// Returns whether two requests differ by no more than the position. The followed planner keeps track of that itself.
+pub(super) fn is_same_kind(left: Subscription, right: Subscription) -> bool {
+    std::mem::discriminant(&left) == std::mem::discriminant(&right)
 }
 
 impl Planner {
-    /// A connection was opened: what belongs to an earlier one is forgotten.
+    /// Resets what belongs to an earlier connection when a new one is opened.
     pub(super) fn connected(&mut self, now: Time) {
         *self = Planner {
             connected_since: Some(now),
@@ -59,7 +60,7 @@
         };
     }
 
-    /// The connection has ended.
+    /// Clears the request when the connection has ended.
     pub(super) fn disconnected(&mut self) {
         self.connected_since = None;
         self.request = None;
@@ -70,7 +71,7 @@
         self.connected_since.is_some()
     }
 
-    /// Whether it has been connected for a while, and is not avoided.
+    /// Returns whether it has been connected for a while and is not avoided.
     pub(super) fn is_stable(&self, now: Time) -> bool {
         let is_long_connected = self
             .connected_since
@@ -78,7 +79,7 @@
         is_long_connected && now >= self.avoided_until
     }
 
-    /// It has delivered what was of use.
+    /// Records a useful delivery.
     pub(super) fn record_delivery(&mut self, now: Time) {
         self.last_delivered = Some(now);
         if self.is_stable(now) {
@@ -86,19 +87,19 @@
         }
     }
 
-    /// It has to be told anew what is wanted, at that time if not sooner.
+    /// Schedules the current request to be sent again at that time, unless it is scheduled already.
     pub(super) fn retry_by(&mut self, at: Time) {
         self.retry_at.get_or_insert(at);
     }
 
-    /// It was left for its silence.
+    /// Avoids the planner for a time, because it was silent.
     pub(super) fn avoid(&mut self, now: Time) {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.avoided_until = now + STABLE_AFTER * f64::from(1_u32 << doublings);
         self.failures += 1;
     }
 
-    /// Whether a request is due, for what is wanted of it now.
+    /// Returns whether the wanted subscription has to be sent now.
     pub(super) fn is_request_due(&self, now: Time, wanted: Subscription) -> bool {
         let Some(request) = self.request else {
             return wanted != Subscription::None;
@@ -106,23 +107,23 @@
         let is_retry_due = self.retry_at.is_some_and(|at| now >= at);
         let is_unanswered = wanted != Subscription::None
             && !request.is_answered
-            && now.since(request.last) >= RETRY_AFTER;
+            && now.since(request.last_sent) >= RETRY_AFTER;
         !is_same_kind(request.subscription, wanted) || is_retry_due || is_unanswered
     }
 
-    /// What is wanted of it is sent now.
+    /// Records that the wanted subscription is sent now.
     pub(super) fn record_request(&mut self, now: Time, wanted: Subscription) {
-        // A request that is only repeated may be answered by what was written after the first time.
+        // A delivery written after the first transmission may already answer a repeated request.
         let is_repeated =
             |request: &Request| !request.is_answered && is_same_kind(request.subscription, wanted);
-        let first = self
+        let first_sent = self
             .request
             .filter(is_repeated)
-            .map_or(now, |request| request.first);
+            .map_or(now, |request| request.first_sent);
         self.request = Some(Request {
             subscription: wanted,
-            first,
-            last: now,
+            first_sent,
+            last_sent: now,
             is_answered: false,
         });
         let since = self.wanted_since.unwrap_or(now);
--- a/crates/flaxdeck-distribution/src/subscriber/requests.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/requests.rs
@@ -1,4 +1,4 @@
-//! What a subscriber asks of planners, and when.
+//! The requests of a subscriber to planners, and when they are due.
 
 use flaxdeck::Time;
 
@@ -8,12 +8,13 @@
 use crate::messages::Subscription;
 
 impl Subscriber {
-    /// What is to be sent now, and to whom. It has to be sent: a connection that can't take it has ended.
+    /// Returns the requests to be sent now, with the planner for each. All of them must be sent: a connection that
+    /// cannot accept one counts as ended.
     pub fn actions(&mut self, now: Time) -> Vec<(PlannerNumber, Subscription)> {
-        self.choose(now);
+        self.select_planner(now);
         let mut actions = Vec::new();
         for number in (0..self.planners.len() as u32).map(PlannerNumber) {
-            let wanted = self.wanted_of(number);
+            let wanted = self.subscription_for(number);
             let planner = self.planner_mut(number);
             if planner.is_connected() && planner.is_request_due(now, wanted) {
                 planner.record_request(now, wanted);
@@ -23,7 +24,7 @@
         actions
     }
 
-    fn wanted_of(&self, number: PlannerNumber) -> Subscription {
+    fn subscription_for(&self, number: PlannerNumber) -> Subscription {
         if self.followed != Some(number) && self.candidate != Some(number) {
             return Subscription::None;
         }
@@ -34,28 +35,30 @@
         }
     }
 
-    /// When [`actions`](Subscriber::actions) or [`needs_coordinator`](Subscriber::needs_coordinator) may say something
-    /// else, if nothing comes until then.
+    /// Returns when the results of [`actions`](Subscriber::actions) or
+    /// [`needs_coordinator`](Subscriber::needs_coordinator) may change if nothing is received before.
     pub fn next_change(&self, now: Time) -> Option<Time> {
-        let behind = self.behind_since.map(|since| since + MAX_BEHIND);
+        let behind_until = self.behind_since.map(|since| since + MAX_BEHIND);
         self.planners
             .iter()
-            .flat_map(|planner| self.planner_changes(planner))
-            .chain([behind])
+            .flat_map(|planner| self.possible_change_times(planner))
+            .chain([behind_until])
             .flatten()
-            .chain(self.coordinator_need.changes_at())
+            .chain(self.coordinator_need.possible_change_times())
             .filter(|at| *at > now)
             .min()
     }
 
-    fn planner_changes(&self, planner: &Planner) -> [Option<Time>; 5] {
+    fn possible_change_times(&self, planner: &Planner) -> [Option<Time>; 5] {
         [
-            planner.request.map(|request| request.last + RETRY_AFTER),
+            planner
+                .request
+                .map(|request| request.last_sent + RETRY_AFTER),
             planner.retry_at,
             planner
                 .connected_since
                 .map(|connected| connected + STABLE_AFTER),
-            self.silent_at(planner),
+            self.silence_deadline(planner),
             Some(planner.avoided_until),
         ]
     }
