--- a/crates/flaxdeck-distribution/tests/digest.rs
+++ b/crates/flaxdeck-distribution/tests/digest.rs
@@ -1,5 +1,4 @@
-//! The coding of purge digests: what goes in comes out, what is damaged is refused or stays within its count, and what
-//! a purge costs in bytes.
+//! Encoding of purge digests: round trips, rejection of damaged digests, and the size per purge.
 
 #![allow(
     clippy::unwrap_used,
@@ -17,8 +16,8 @@
     numbers.iter().copied().map(Fingerprint).collect()
 }
 
-/// Numbers near each other, far apart, repeated, and at both ends.
-fn numbers(most: usize) -> impl Strategy<Value = Vec<u32>> {
+/// Numbers close together, far apart, repeated, and at both ends of the range.
+fn numbers(max_length: usize) -> impl Strategy<Value = Vec<u32>> {
     let number = prop_oneof![
         any::<u32>(),
         0..40_u32,
@@ -26,11 +25,11 @@
         Just(0),
         7_000_000..7_000_100_u32
     ];
-    prop::collection::vec(number, 0..most)
+    prop::collection::vec(number, 0..max_length)
 }
 
-/// Whatever is decoded is sorted and of exactly the count.
-fn is_whole(digest: &PurgeDigest) -> bool {
+/// Returns whether the digest decodes to a sorted list of exactly its count.
+fn is_valid_digest(digest: &PurgeDigest) -> bool {
     digest
         .decode()
         .is_ok_and(|decoded| decoded.len() == digest.count as usize && decoded.is_sorted())
@@ -40,7 +39,7 @@
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_encoded_is_decoded_sorted_and_with_repeats(numbers in numbers(400)) {
+    fn decoding_returns_the_encoded_fingerprints_sorted_with_duplicates(numbers in numbers(400)) {
         let digest = PurgeDigest::encode(fingerprints(&numbers));
         let mut sorted = fingerprints(&numbers);
         sorted.sort_unstable();
@@ -48,37 +47,43 @@
     }
 
     #[test]
-    fn every_truncation_is_refused(numbers in numbers(100)) {
+    fn every_truncated_digest_is_rejected(numbers in numbers(100)) {
         let digest = PurgeDigest::encode(fingerprints(&numbers));
         for length in 0..digest.bytes.len() {
             let bytes = digest.bytes[..length].to_vec();
-            prop_assert!(PurgeDigest { bytes, ..digest.clone() }.decode().is_err(), "{} bytes", length);
+            prop_assert!(
+                PurgeDigest { bytes, ..digest.clone() }.decode().is_err(),
+                "a digest truncated to {} bytes was accepted", length
+            );
         }
     }
 
     #[test]
-    fn every_flipped_bit_is_refused_or_leaves_a_whole_list(numbers in numbers(40)) {
+    fn a_digest_with_a_flipped_bit_is_rejected_or_decodes_to_its_count(numbers in numbers(40)) {
         let digest = PurgeDigest::encode(fingerprints(&numbers));
         for bit in 0..digest.bytes.len() * 8 {
             let mut damaged = digest.clone();
             damaged.bytes[bit / 8] ^= 1 << (bit % 8);
-            prop_assert!(damaged.decode().is_err() || is_whole(&damaged), "bit {}", bit);
+            prop_assert!(
+                damaged.decode().is_err() || is_valid_digest(&damaged),
+                "with bit {} flipped the digest decodes to another count or unsorted", bit
+            );
         }
     }
 
     #[test]
-    fn any_bytes_are_refused_or_a_whole_list(
+    fn arbitrary_bytes_are_rejected_or_decode_to_their_count(
         count in 0..20_u32,
         low_bits in any::<u8>(),
         bytes in prop::collection::vec(any::<u8>(), 0..64),
     ) {
         let digest = PurgeDigest { count, low_bits, bytes };
-        prop_assert!(digest.decode().is_err() || is_whole(&digest));
+        prop_assert!(digest.decode().is_err() || is_valid_digest(&digest));
     }
 }
 
 #[test]
-fn another_count_than_the_bytes_hold_is_refused() {
+fn a_count_that_does_not_match_the_bytes_is_rejected() {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     let digest = PurgeDigest::encode((0..330).map(|_| Fingerprint(rng.random())).collect());
     for count in (0..=400).filter(|count| *count != digest.count) {
@@ -89,13 +94,14 @@
             }
             .decode()
             .is_err(),
-            "{count}"
+            "count {count} was accepted for a digest of {} fingerprints",
+            digest.count
         );
     }
 }
 
 #[test]
-fn each_fault_has_its_name() {
+fn each_malformed_digest_is_rejected_with_its_own_error() {
     let digest = PurgeDigest::encode(fingerprints(&[5, 9, 1 << 30]));
     assert_eq!(digest.decode(), Ok(fingerprints(&[5, 9, 1 << 30])));
     let decoded = |change: &dyn Fn(&mut PurgeDigest)| {
@@ -130,48 +136,50 @@
             most: 13
         })
     );
-    let beyond = PurgeDigest {
+    let out_of_range = PurgeDigest {
         count: 2,
         low_bits: 32,
         bytes: vec![0x7f, 0xff, 0xff, 0xff, 0xbf, 0xff, 0xff, 0xff, 0xc0],
     };
-    assert_eq!(beyond.decode(), Err(InvalidDigest::OutOfRange));
+    assert_eq!(out_of_range.decode(), Err(InvalidDigest::OutOfRange));
     let padded = PurgeDigest {
         count: 1,
         low_bits: 0,
         bytes: vec![0b0000_0001],
     };
     assert_eq!(padded.decode(), Err(InvalidDigest::TrailingBits));
-    let none = PurgeDigest {
+    let empty = PurgeDigest {
         count: 0,
         low_bits: 0,
         bytes: vec![0],
     };
     assert_eq!(
-        none.decode(),
+        empty.decode(),
         Err(InvalidDigest::TooLong { length: 1, most: 0 })
     );
     assert_eq!(PurgeDigest::default().decode(), Ok(Vec::new()));
 }
 
 #[test]
-fn the_most_purges_fit_and_one_more_does_not() {
+fn max_purges_are_accepted_and_one_more_is_rejected() {
     let numbers: Vec<u32> = (0..MAX_PURGES)
         .map(|n| n.wrapping_mul(0x9e37_79b9))
         .collect();
-    assert!(is_whole(&PurgeDigest::encode(fingerprints(&numbers))));
+    assert!(is_valid_digest(&PurgeDigest::encode(fingerprints(
+        &numbers
+    ))));
     let digest = PurgeDigest::encode(fingerprints(&[&numbers[..], &[7]].concat()));
     assert_eq!(digest.decode(), Err(InvalidDigest::TooMany(MAX_PURGES + 1)));
 }
 
-/// A digest of a second at 330 purges a second takes close to 3.2 bytes a purge.
+/// Prints the bytes per purge. A digest of one second at 330 purges a second takes close to 3.2 bytes per purge.
 #[test]
-fn what_a_purge_costs_is_printed() {
+fn bytes_per_purge_stay_within_bounds() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    println!("rate a s | batch s | purges | low bits | bytes a purge, digest | in a message");
+    println!("purges per s | batch s | purges | low bits | bytes per purge, digest | in a message");
     for rate in [33, 100, 330] {
-        for (interval, part) in [("0.5", 0.5), ("1", 1.0), ("2", 2.0)] {
-            let count = (f64::from(rate) * part) as u32;
+        for (interval, seconds) in [("0.5", 0.5), ("1", 1.0), ("2", 2.0)] {
+            let count = (f64::from(rate) * seconds) as u32;
             let mut bytes = [0.0; 2];
             let mut low_bits = 0;
             for _ in 0..100 {
@@ -188,18 +196,18 @@
             );
             assert!(
                 digest < if rate == 330 { 3.3 } else { 3.9 },
-                "{digest} bytes"
+                "{digest} bytes per purge at {rate} purges a second"
             );
         }
     }
 }
 
-/// What other widths of a fingerprint would cost: bytes by the digest's own coding of as many upper bits, chance
-/// matches by the width and 3,300 unsettled purges.
+/// Compares widths of a fingerprint: bytes per purge when only that many upper bits are encoded, and the rate of false
+/// matches with 3,300 unsettled purges.
 #[test]
-fn widths_of_fingerprints_are_weighed() {
+fn print_cost_and_false_matches_by_fingerprint_width() {
     let mut rng = Pcg64Mcg::seed_from_u64(2);
-    println!("bits | bytes a purge at 330 in 1 s | objects a false match, 3,300 unsettled");
+    println!("bits | bytes per purge, 330 in 1 s | objects per false match, 3,300 unsettled");
     for bits in [24, 28, 32] {
         let mut bytes = 0.0;
         for _ in 0..100 {
--- a/crates/flaxdeck-distribution/tests/event_log.rs
+++ b/crates/flaxdeck-distribution/tests/event_log.rs
@@ -1,4 +1,4 @@
-//! What a planner keeps: by time, in order, without a gap, and nothing dropped unsaid.
+//! A planner's event log: retention by time, order, no gaps, and a correct report of what was dropped.
 
 #![allow(
     clippy::unwrap_used,
@@ -32,9 +32,9 @@
     Content::ObjectPurge(Fingerprint(number as u32))
 }
 
-fn retention(bytes_most: usize) -> Retention {
+fn retention(max_bytes: usize) -> Retention {
     Retention {
-        max_bytes: bytes_most,
+        max_bytes,
         ..Retention::default()
     }
 }
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_batch_tells_all_that_follows_in_order() {
+fn a_batch_contains_all_following_events_in_order() {
     let mut log = log();
     log.append(at(1), position(11), purge(11));
     log.append(at(2), position(12), Content::HostChange(vec![1]));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_position_is_known_to_the_hash() {
+fn positions_are_compared_including_the_hash() {
     let mut log = log();
     log.append(at(1), position(11), purge(1));
     assert_eq!(log.batch_after(position(12)), Err(PositionError::Ahead));
@@ -114,12 +114,12 @@
 }
 
 #[test]
-fn events_are_kept_for_their_time_at_any_rate() {
+fn events_are_retained_for_30_s_at_a_high_rate() {
     let mut log = log();
     for number in 11..20_000 {
         log.append(at(number * 3), position(number), purge(number));
     }
-    assert_eq!(log.size().events, 10_001, "30 s of 333 a second");
+    assert_eq!(log.size().events, 10_001, "events of 30 s at 333 a second");
     assert_eq!(log.counters.shortened, 0);
     assert!(log.batch_after(position(9_998)).is_ok());
     assert_eq!(
@@ -133,12 +133,12 @@
     );
     assert!(
         log.batch_after(position(19_999)).is_ok(),
-        "who has all follows without anything kept"
+        "the last position can be continued from with an empty log"
     );
 }
 
 #[test]
-fn the_bound_in_bytes_shortens_the_reach_and_is_counted() {
+fn the_byte_limit_shortens_the_purge_reach_and_is_counted() {
     let mut log = EventLog::start(at(0), retention(20_000), BASE);
     for number in 11..1_011 {
         log.append(at(number), position(number), purge(number));
@@ -149,48 +149,48 @@
     } = log.size();
     assert!(bytes <= 20_000 && entries > 100);
     assert_eq!(log.counters.shortened as usize, 1_000 - entries);
-    let kept = log.recent_purges(at(1_010), MAX_FULL_BYTES);
-    assert_eq!(kept.objects.len(), entries);
+    let recent = log.recent_purges(at(1_010), MAX_FULL_BYTES);
+    assert_eq!(recent.objects.len(), entries);
     assert_eq!(
-        kept.reach,
+        recent.reach,
         Span::from_ms(entries as u64),
-        "what came after the last that was dropped"
+        "the reach begins after the last dropped event"
     );
 }
 
 #[test]
-fn purges_reach_back_to_the_start_of_the_log_at_most() {
+fn purge_reach_is_limited_by_the_start_of_the_log() {
     let mut log = log();
     log.append(at(500), position(11), purge(1));
     log.append(at(600), position(12), Content::GroupPurge(vec![3]));
-    let kept = log.recent_purges(at(2_000), MAX_FULL_BYTES);
+    let recent = log.recent_purges(at(2_000), MAX_FULL_BYTES);
     assert_eq!(
-        (kept.objects.len(), kept.groups.len(), kept.reach),
+        (recent.objects.len(), recent.groups.len(), recent.reach),
         (1, 1, Span::from_ms(2_000))
     );
     log.restart(at(2_500), position(3));
-    let kept = log.recent_purges(at(3_000), MAX_FULL_BYTES);
+    let recent = log.recent_purges(at(3_000), MAX_FULL_BYTES);
     assert_eq!(
-        (kept.objects.len(), kept.groups.len(), kept.reach),
+        (recent.objects.len(), recent.groups.len(), recent.reach),
         (0, 0, Span::from_ms(500))
     );
     assert_eq!(log.batch_after(position(12)), Err(PositionError::Ahead));
 }
 
 #[test]
-fn a_snapshot_holds_the_latest_purges_and_says_how_far_they_reach() {
+fn recent_purges_are_limited_to_the_latest_and_report_their_reach() {
     let mut log = log();
     for number in 11..11 + 2 * u64::from(MAX_PURGES) {
         log.append(at(number), position(number), purge(number));
     }
     let last = 10 + 2 * u64::from(MAX_PURGES);
-    let kept = log.recent_purges(at(last), MAX_FULL_BYTES);
-    assert_eq!(kept.objects.len(), MAX_PURGES as usize);
-    assert_eq!(kept.reach, Span::from_ms(u64::from(MAX_PURGES)));
+    let recent = log.recent_purges(at(last), MAX_FULL_BYTES);
+    assert_eq!(recent.objects.len(), MAX_PURGES as usize);
+    assert_eq!(recent.reach, Span::from_ms(u64::from(MAX_PURGES)));
 }
 
 #[test]
-fn a_snapshots_purges_of_groups_fit_beside_its_list() {
+fn recent_group_purges_are_limited_by_the_available_bytes() {
     let mut log = log();
     for number in 11..21 {
         log.append(
@@ -199,20 +199,20 @@
             Content::GroupPurge(vec![0; 100]),
         );
     }
-    let kept = log.recent_purges(at(20), 450);
-    let numbers: Vec<u64> = kept
+    let recent = log.recent_purges(at(20), 450);
+    let numbers: Vec<u64> = recent
         .groups
         .iter()
         .map(|event| event.position.number)
         .collect();
     assert_eq!(
-        (numbers, kept.reach),
+        (numbers, recent.reach),
         (vec![17, 18, 19, 20], Span::from_ms(4))
     );
 }
 
 #[test]
-fn a_long_way_to_catch_up_takes_several_batches_in_order() {
+fn a_long_backlog_is_split_into_consecutive_batches() {
     let mut log = log();
     for number in 11..9_011 {
         log.append(at(number), position(number), purge(number));
@@ -224,7 +224,7 @@
             Content::HostChange(vec![0; 2_000]),
         );
     }
-    let (mut position, mut batches, mut told) = (BASE, 0, 0);
+    let (mut position, mut batches, mut delivered) = (BASE, 0, 0);
     while position != log.last() {
         let batch = log.batch_after(position).unwrap();
         assert!(batch.purges.count <= MAX_PURGES && batch.events.len() <= MAX_FULL_EVENTS);
@@ -234,14 +234,14 @@
                 && batch.after == position
                 && batch.last.number > position.number
         );
-        told += u64::from(batch.purges.count) + batch.events.len() as u64;
+        delivered += u64::from(batch.purges.count) + batch.events.len() as u64;
         (position, batches) = (batch.last, batches + 1);
     }
-    assert_eq!((told, batches), (9_600, 7));
+    assert_eq!((delivered, batches), (9_600, 7));
 }
 
 #[test]
-fn nobody_is_led_over_a_gap_or_an_event_too_long_to_be_passed_on() {
+fn subscribers_cannot_skip_a_gap_or_an_oversized_event() {
     let mut log = log();
     log.append(at(1), position(11), purge(1));
     log.append(at(2), position(14), purge(2));
--- a/crates/flaxdeck-distribution/tests/publisher.rs
+++ b/crates/flaxdeck-distribution/tests/publisher.rs
@@ -1,4 +1,4 @@
-//! The planner's side: when subscribers are told what.
+//! The publisher: which updates subscribers are sent, and when.
 
 #![allow(
     clippy::unwrap_used,
@@ -43,8 +43,9 @@
     publisher
 }
 
-/// Everything that is sent until then, by millisecond, with the coordinator heard each 500 ms.
-fn play(
+/// Runs the publisher for the range of milliseconds and returns all messages sent, with the time of each. The
+/// coordinator is heard every 500 ms.
+fn run_publisher(
     publisher: &mut Publisher,
     ms: std::ops::Range<u64>,
     events: &[(u64, u64, Content)],
@@ -71,15 +72,15 @@
 fn batch(delivery: &Delivery) -> &Batch {
     match &delivery.update {
         Update::Batch(batch) => batch,
-        other => panic!("{other:?}"),
+        other => panic!("expected a batch, got {other:?}"),
     }
 }
 
 #[test]
-fn a_subscriber_is_answered_at_once_and_hears_heartbeats_while_nothing_happens() {
+fn a_subscriber_is_answered_immediately_and_gets_heartbeats_while_idle() {
     let mut publisher = publisher();
     publisher.subscribe(at(5), SubscriberId(1), Subscription::After(BASE));
-    let sent = play(&mut publisher, 5..5_005, &[]);
+    let sent = run_publisher(&mut publisher, 5..5_005, &[]);
     let times: Vec<u64> = sent.iter().map(|(ms, ..)| *ms).collect();
     assert_eq!(times, [5, 1_005, 2_005, 3_005, 4_005]);
     assert!(
@@ -93,18 +94,22 @@
 }
 
 #[test]
-fn purges_go_out_twice_a_second_and_host_changes_within_a_tenth() {
+fn purges_are_sent_twice_a_second_and_host_changes_within_100_ms() {
     let mut publisher = publisher();
     publisher.subscribe(at(0), SubscriberId(1), Subscription::After(BASE));
     let mut events: Vec<(u64, u64, Content)> =
         (1..=3_000).map(|n| (n * 3, 10 + n, purge(n))).collect();
     events[999].2 = Content::HostChange(vec![9]);
-    let sent = play(&mut publisher, 0..9_000, &events);
+    let sent = run_publisher(&mut publisher, 0..9_000, &events);
     let urgent = sent
         .iter()
         .find(|(.., delivery)| !batch(delivery).events.is_empty())
         .unwrap();
-    assert!((3_000..=3_100).contains(&urgent.0), "told at {}", urgent.0);
+    assert!(
+        (3_000..=3_100).contains(&urgent.0),
+        "the host change was sent at {} ms",
+        urgent.0
+    );
     assert!(
         (18..=22).contains(&sent.len()),
         "{} messages in 9 s",
@@ -121,57 +126,64 @@
 }
 
 #[test]
-fn changes_that_come_thick_are_told_ten_times_a_second_at_most() {
+fn frequent_host_changes_are_sent_at_most_ten_times_a_second() {
     let mut publisher = publisher();
     publisher.subscribe(at(0), SubscriberId(7), Subscription::After(BASE));
     let events: Vec<(u64, u64, Content)> = (1..=500)
         .map(|n| (n * 4, 10 + n, Content::HostChange(vec![1])))
         .collect();
-    let sent = play(&mut publisher, 0..2_000, &events);
+    let sent = run_publisher(&mut publisher, 0..2_000, &events);
     let gaps = sent.windows(2).map(|pair| pair[1].0 - pair[0].0);
     assert!(
         gaps.min() >= Some(100) && sent.len() >= 15,
-        "{} messages",
+        "{} messages in 2 s",
         sent.len()
     );
 }
 
 #[test]
-fn subscribers_are_spread_over_the_interval_and_share_what_is_encoded() {
+fn subscribers_are_spread_over_the_interval_and_share_encoded_batches() {
     let mut publisher = publisher();
     for id in 0..1_600 {
         publisher.subscribe(at(0), SubscriberId(id), Subscription::After(BASE));
     }
     let events: Vec<(u64, u64, Content)> = (1..=1_650).map(|n| (n * 3, 10 + n, purge(n))).collect();
-    let sent = play(&mut publisher, 0..5_000, &events);
-    let mut each_tenth: BTreeMap<u64, usize> = BTreeMap::new();
-    let settled = sent.iter().filter(|(ms, ..)| (1_000..5_000).contains(ms));
-    for (ms, ..) in settled {
-        *each_tenth.entry(ms / 125).or_default() += 1;
+    let sent = run_publisher(&mut publisher, 0..5_000, &events);
+    let mut messages_by_eighth: BTreeMap<u64, usize> = BTreeMap::new();
+    let after_start = sent.iter().filter(|(ms, ..)| (1_000..5_000).contains(ms));
+    for (ms, ..) in after_start {
+        *messages_by_eighth.entry(ms / 125).or_default() += 1;
     }
     println!(
-        "messages each 125 ms: {:?}",
-        each_tenth.values().collect::<Vec<_>>()
+        "messages per 125 ms: {:?}",
+        messages_by_eighth.values().collect::<Vec<_>>()
+    );
+    assert!(
+        messages_by_eighth
+            .values()
+            .all(|count| (350..=450).contains(count))
     );
-    assert!(each_tenth.values().all(|count| (350..=450).contains(count)));
     let counters = publisher.counters;
-    println!("{} batches, {} encoded", counters.batches, counters.encoded);
+    println!(
+        "{} batches sent, {} of them encoded",
+        counters.batches, counters.encoded
+    );
     assert!(counters.encoded * 50 < counters.batches);
 }
 
 #[test]
-fn who_reads_slowly_gets_a_larger_batch_later_and_delays_nobody() {
+fn a_slow_subscriber_gets_a_larger_batch_later_without_delaying_others() {
     let mut publisher = publisher();
     let (slow, quick) = (SubscriberId(1), SubscriberId(2));
     publisher.subscribe(at(0), slow, Subscription::After(BASE));
     publisher.subscribe(at(0), quick, Subscription::After(BASE));
-    let (mut slow_batches, mut quick_batches, mut named) = (Vec::new(), 0, 0);
+    let (mut slow_batches, mut quick_batches, mut reported) = (Vec::new(), 0, 0);
     for ms in 0..6_000 {
         publisher.coordinator_heard(at(ms), true);
         publisher.append_event(at(ms), position(11 + ms), purge(ms));
         for id in publisher.due(at(ms)) {
             if id == slow && !(5_000..5_600).contains(&ms) {
-                named += 1;
+                reported += 1;
                 continue;
             }
             let delivery = publisher.update_for(at(ms), id, &mut list).unwrap();
@@ -183,29 +195,29 @@
     }
     assert!(quick_batches >= 11);
     assert!(
-        (40..=60).contains(&named),
-        "named {named} times: ten a second"
+        (40..=60).contains(&reported),
+        "reported as due {reported} times, expected ten a second"
     );
-    assert_eq!(publisher.counters.passed_over, named - 1);
+    assert_eq!(publisher.counters.passed_over, reported - 1);
     assert_eq!(
         (slow_batches[0].after, slow_batches[0].purges.count),
         (BASE, MAX_PURGES)
     );
     assert_eq!(
         slow_batches[1].after, slow_batches[0].last,
-        "the rest follows at once"
+        "the remaining events follow immediately"
     );
 }
 
 #[test]
-fn a_batch_that_is_not_all_vouches_for_nothing() {
+fn an_incomplete_batch_carries_no_coordinator_time() {
     let mut publisher = publisher();
     for number in 11..6_011 {
         publisher.append_event(at(1), position(number), purge(number));
     }
     publisher.subscribe(at(2), SubscriberId(1), Subscription::After(BASE));
-    let sent = play(&mut publisher, 2..100, &[]);
-    let told: Vec<(u32, bool)> = sent
+    let sent = run_publisher(&mut publisher, 2..100, &[]);
+    let batches: Vec<(u32, bool)> = sent
         .iter()
         .map(|(.., delivery)| {
             (
@@ -214,28 +226,28 @@
             )
         })
         .collect();
-    assert_eq!(told, [(MAX_PURGES, false), (6_000 - MAX_PURGES, true)]);
+    assert_eq!(batches, [(MAX_PURGES, false), (6_000 - MAX_PURGES, true)]);
 }
 
 #[test]
-fn a_planner_gives_a_snapshot_only_while_it_knows_all_that_the_coordinator_has() {
+fn snapshots_are_sent_only_while_the_planner_has_all_events() {
     let mut publisher = Publisher::start(at(0), Cadence::default(), Retention::default(), BASE);
     publisher.append_event(at(100), position(11), purge(1));
     let id = SubscriberId(1);
     publisher.subscribe(at(200), id, Subscription::FromSnapshot);
-    let told = |publisher: &mut Publisher, ms: u64| {
+    let next_update = |publisher: &mut Publisher, ms: u64| {
         let due = publisher.due(at(ms));
         due.first()
             .map(|id| publisher.update_for(at(ms), *id, &mut list).unwrap())
     };
     let behind = Update::Behind { last: position(11) };
-    assert_eq!(told(&mut publisher, 200).unwrap().update, behind);
+    assert_eq!(next_update(&mut publisher, 200).unwrap().update, behind);
     publisher.coordinator_heard(at(300), false);
-    assert_eq!(told(&mut publisher, 1_200).unwrap().update, behind);
+    assert_eq!(next_update(&mut publisher, 1_200).unwrap().update, behind);
     publisher.coordinator_heard(at(1_400), true);
-    let delivery = told(&mut publisher, 1_400).unwrap();
+    let delivery = next_update(&mut publisher, 1_400).unwrap();
     let Update::Snapshot(snapshot) = delivery.update else {
-        panic!("{delivery:?}")
+        panic!("expected a snapshot, got {delivery:?}")
     };
     assert_eq!(
         (
@@ -249,16 +261,16 @@
         (snapshot.purges.count, delivery.coordinator_ago_ms),
         (1, Some(0))
     );
-    // From there it goes on by batches.
+    // The subscriber continues with batches after the snapshot.
     publisher.append_event(at(1_500), position(12), purge(2));
     publisher.coordinator_heard(at(1_500), true);
     let next = (1_501..2_500)
-        .find_map(|ms| told(&mut publisher, ms))
+        .find_map(|ms| next_update(&mut publisher, ms))
         .unwrap();
     assert_eq!(batch(&next).after, position(11));
-    // The coordinator is silent: no more snapshots.
+    // The coordinator has been silent for too long: no more snapshots.
     publisher.subscribe(at(4_000), id, Subscription::FromSnapshot);
-    let delivery = told(&mut publisher, 4_000).unwrap();
+    let delivery = next_update(&mut publisher, 4_000).unwrap();
     assert_eq!(
         (delivery.update, delivery.coordinator_ago_ms),
         (Update::Behind { last: position(12) }, None)
@@ -266,10 +278,10 @@
 }
 
 #[test]
-fn a_position_that_is_not_known_is_answered_by_what_can_be_given() {
+fn an_unknown_position_is_answered_with_behind_or_a_snapshot() {
     let mut publisher = publisher();
     publisher.append_event(at(1), position(11), purge(1));
-    let mut told = |position: EventPosition| {
+    let mut next_update = |position: EventPosition| {
         publisher.subscribe(at(2), SubscriberId(1), Subscription::After(position));
         let due = publisher.due(at(2));
         publisher
@@ -277,10 +289,13 @@
             .unwrap()
             .update
     };
-    assert_eq!(told(position(15)), Update::Behind { last: position(11) });
-    assert!(matches!(told(position(3)), Update::Snapshot(_)));
+    assert_eq!(
+        next_update(position(15)),
+        Update::Behind { last: position(11) }
+    );
+    assert!(matches!(next_update(position(3)), Update::Snapshot(_)));
     assert!(matches!(
-        told(EventPosition {
+        next_update(EventPosition {
             number: 11,
             hash: 3
         }),
@@ -289,43 +304,43 @@
 }
 
 #[test]
-fn a_position_of_a_numbering_that_is_no_more_is_answered_by_the_state() {
+fn a_position_of_the_previous_numbering_is_answered_with_a_snapshot() {
     let mut publisher = publisher();
     publisher.append_event(at(1), position(11), purge(1));
     let base = EventPosition { number: 2, hash: 9 };
     publisher.restart_numbering(at(3), base);
-    let mut told = |now: Time, position: EventPosition| {
+    let mut next_update = |now: Time, position: EventPosition| {
         publisher.subscribe(now, SubscriberId(1), Subscription::After(position));
         let due = publisher.due(now);
         publisher.coordinator_heard(now, true);
         publisher.update_for(now, due[0], &mut list).unwrap().update
     };
     assert!(
-        matches!(told(at(3), position(11)), Update::Snapshot(snapshot) if snapshot.position == base)
+        matches!(next_update(at(3), position(11)), Update::Snapshot(snapshot) if snapshot.position == base)
     );
     assert_eq!(
-        told(at(4), position(12)),
+        next_update(at(4), position(12)),
         Update::Behind { last: base },
-        "never known here"
+        "number 12 was never in the log"
     );
     let other = EventPosition {
         number: 11,
         hash: 3,
     };
     assert_eq!(
-        told(at(5), other),
+        next_update(at(5), other),
         Update::Behind { last: base },
-        "not of that numbering either"
+        "the hash is not of the previous numbering either"
     );
     assert_eq!(
-        told(at(70_000), position(11)),
+        next_update(at(70_000), position(11)),
         Update::Behind { last: base },
-        "long forgotten"
+        "the previous log is no longer retained"
     );
 }
 
 #[test]
-fn who_stands_in_a_numbering_that_is_no_more_is_told_at_once() {
+fn a_subscriber_of_the_previous_numbering_is_due_immediately() {
     let mut publisher = publisher();
     publisher.subscribe(at(0), SubscriberId(1), Subscription::After(BASE));
     assert_eq!(publisher.due(at(0)), [SubscriberId(1)]);
@@ -337,7 +352,7 @@
 }
 
 #[test]
-fn nobody_is_served_after_leaving() {
+fn removed_subscribers_are_not_served() {
     let mut publisher = publisher();
     let ids = [SubscriberId(1), SubscriberId(2)];
     for id in ids.iter() {
@@ -352,25 +367,28 @@
     assert_eq!(publisher.update_for(at(1), ids[0], &mut list), None);
 }
 
-/// What a tick of a thousand subscribers costs, printed; no bound on time, as other work shares the machine.
+/// Prints the cost of serving a thousand subscribers. The time has no bound, as other work shares the machine.
 #[test]
-fn the_cost_of_serving_is_printed() {
+fn bytes_per_subscriber_stay_within_bounds() {
     let mut publisher = publisher();
     for id in 0..1_000 {
         publisher.subscribe(at(0), SubscriberId(id), Subscription::After(BASE));
     }
     let events: Vec<(u64, u64, Content)> = (1..=3_300).map(|n| (n * 3, 10 + n, purge(n))).collect();
     let started = std::time::Instant::now();
-    let sent = play(&mut publisher, 0..10_000, &events);
+    let sent = run_publisher(&mut publisher, 0..10_000, &events);
     let each = started.elapsed().as_secs_f64() * 1e6 / sent.len() as f64;
     let bytes: usize = sent
         .iter()
         .map(|(.., delivery)| postcard::to_stdvec(delivery).unwrap().len())
         .sum();
     println!(
-        "{} messages in 10 s, {each:.1} us each, {} bytes a second each",
+        "{} messages in 10 s, {each:.1} us per message, {} bytes a second per subscriber",
         sent.len(),
         bytes / 10_000
     );
-    assert!(bytes / 10_000 < 1_300, "{bytes}");
+    assert!(
+        bytes / 10_000 < 1_300,
+        "{bytes} bytes in 10 s for 1,000 subscribers"
+    );
 }
