--- a/crates/flaxdeck-distribution/tests/subscriber/batches.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber/batches.rs
@@ -1,18 +1,20 @@
-//! What is applied of batches, and what is refused.
+//! Which batches are applied, skipped or rejected.
 
 use flaxdeck_distribution::messages::{Batch, Subscription};
 use flaxdeck_distribution::{Applied, DeliveryError, PlannerNumber};
 use flaxdeck_recovery::EventPosition;
 
-use super::support::{ONE, at, batch_delivery, connected, event, position, purges};
+use super::support::{
+    FIRST, at, batch_delivery, connected_subscriber, event, position, purge_batch,
+};
 
 #[test]
-fn batches_that_follow_are_applied_and_move_the_position() {
-    let mut subscriber = connected(10);
-    let mut batch = purges(10, 15);
+fn batches_at_the_position_are_applied_and_advance_it() {
+    let mut subscriber = connected_subscriber(10);
+    let mut batch = purge_batch(10, 15);
     (batch.last, batch.events) = (position(17), vec![event(12), event(17)]);
     let applied = subscriber
-        .receive(at(50), ONE, batch_delivery(batch))
+        .receive(at(50), FIRST, batch_delivery(batch))
         .unwrap();
     let Applied::Events {
         purges: applied,
@@ -20,15 +22,15 @@
         last,
     } = applied
     else {
-        panic!("{applied:?}")
+        panic!("expected events, got {applied:?}")
     };
     assert_eq!((applied.len(), events.len(), last), (5, 2, position(17)));
     assert_eq!(
         (subscriber.position(), subscriber.followed()),
-        (position(17), Some(ONE))
+        (position(17), Some(FIRST))
     );
     assert_eq!(
-        subscriber.receive(at(90), ONE, batch_delivery(purges(17, 17))),
+        subscriber.receive(at(90), FIRST, batch_delivery(purge_batch(17, 17))),
         Ok(Applied::Nothing)
     );
     assert_eq!(
@@ -38,24 +40,24 @@
     assert_eq!(
         subscriber.actions(at(900)),
         [],
-        "the planner moves its own note"
+        "the planner advances the position itself"
     );
 }
 
 #[test]
-fn what_is_known_already_is_skipped() {
-    let mut subscriber = connected(10);
+fn batches_already_applied_are_skipped() {
+    let mut subscriber = connected_subscriber(10);
     subscriber
-        .receive(at(50), ONE, batch_delivery(purges(10, 15)))
+        .receive(at(50), FIRST, batch_delivery(purge_batch(10, 15)))
         .unwrap();
     for _ in 0..3 {
         assert_eq!(
-            subscriber.receive(at(60), ONE, batch_delivery(purges(10, 15))),
+            subscriber.receive(at(60), FIRST, batch_delivery(purge_batch(10, 15))),
             Ok(Applied::Nothing)
         );
     }
     assert_eq!(
-        subscriber.receive(at(60), ONE, batch_delivery(purges(8, 12))),
+        subscriber.receive(at(60), FIRST, batch_delivery(purge_batch(8, 12))),
         Ok(Applied::Nothing)
     );
     assert_eq!(
@@ -65,13 +67,13 @@
 }
 
 #[test]
-fn a_gap_is_refused_and_counted_and_the_position_is_sent_again() {
-    let mut subscriber = connected(10);
+fn a_gap_is_rejected_and_counted_and_the_position_is_sent_again() {
+    let mut subscriber = connected_subscriber(10);
     subscriber
-        .receive(at(50), ONE, batch_delivery(purges(10, 15)))
+        .receive(at(50), FIRST, batch_delivery(purge_batch(10, 15)))
         .unwrap();
     assert_eq!(
-        subscriber.receive(at(550), ONE, batch_delivery(purges(20, 25))),
+        subscriber.receive(at(550), FIRST, batch_delivery(purge_batch(20, 25))),
         Err(DeliveryError::Gap {
             after: position(20),
             position: position(15)
@@ -84,28 +86,28 @@
     assert_eq!(
         subscriber.actions(at(550)),
         [],
-        "a moment is left to what is on its way"
+        "batches in transit may still close the gap"
     );
     assert_eq!(subscriber.next_change(at(550)), Some(at(650)));
     assert_eq!(
         subscriber.actions(at(650)),
-        [(ONE, Subscription::After(position(15)))]
+        [(FIRST, Subscription::After(position(15)))]
     );
     assert_eq!(subscriber.actions(at(650)), []);
     assert!(
         subscriber
-            .receive(at(660), ONE, batch_delivery(purges(15, 26)))
+            .receive(at(660), FIRST, batch_delivery(purge_batch(15, 26)))
             .is_ok()
     );
     assert_eq!(subscriber.position(), position(26));
 }
 
 #[test]
-fn half_of_a_batch_that_the_coordinator_told_itself_is_not_applied() {
-    let mut subscriber = connected(10);
+fn a_batch_that_overlaps_events_from_the_coordinator_is_skipped() {
+    let mut subscriber = connected_subscriber(10);
     subscriber.set_position(at(20), position(12));
     assert_eq!(
-        subscriber.receive(at(50), ONE, batch_delivery(purges(10, 15))),
+        subscriber.receive(at(50), FIRST, batch_delivery(purge_batch(10, 15))),
         Ok(Applied::Nothing)
     );
     assert_eq!(
@@ -114,13 +116,13 @@
     );
     assert_eq!(
         subscriber.actions(at(150)),
-        [(ONE, Subscription::After(position(12)))]
+        [(FIRST, Subscription::After(position(12)))]
     );
 }
 
 #[test]
-fn a_number_with_another_event_is_another_numbering() {
-    let mut subscriber = connected(10);
+fn a_hash_mismatch_at_the_position_is_rejected_as_another_numbering() {
+    let mut subscriber = connected_subscriber(10);
     let other = EventPosition {
         number: 10,
         hash: 1,
@@ -128,21 +130,21 @@
     let batches = [
         Batch {
             after: other,
-            ..purges(10, 15)
+            ..purge_batch(10, 15)
         },
         Batch {
             after: other,
             last: other,
-            ..purges(10, 10)
+            ..purge_batch(10, 10)
         },
         Batch {
             last: other,
-            ..purges(8, 10)
+            ..purge_batch(8, 10)
         },
     ];
     for batch in batches {
         assert_eq!(
-            subscriber.receive(at(50), ONE, batch_delivery(batch)),
+            subscriber.receive(at(50), FIRST, batch_delivery(batch)),
             Err(DeliveryError::OtherNumbering(other))
         );
     }
@@ -153,15 +155,15 @@
 }
 
 #[test]
-fn deliveries_of_planners_that_are_not_connected_are_refused() {
-    let mut subscriber = connected(10);
-    subscriber.disconnected(at(5), ONE);
+fn deliveries_of_planners_that_are_not_connected_are_rejected() {
+    let mut subscriber = connected_subscriber(10);
+    subscriber.disconnected(at(5), FIRST);
     assert_eq!(
-        subscriber.receive(at(6), ONE, batch_delivery(purges(10, 12))),
-        Err(DeliveryError::NotConnected(ONE))
+        subscriber.receive(at(6), FIRST, batch_delivery(purge_batch(10, 12))),
+        Err(DeliveryError::NotConnected(FIRST))
     );
     assert_eq!(
-        subscriber.receive(at(6), PlannerNumber(9), batch_delivery(purges(10, 12))),
+        subscriber.receive(at(6), PlannerNumber(9), batch_delivery(purge_batch(10, 12))),
         Err(DeliveryError::NotConnected(PlannerNumber(9)))
     );
     assert_eq!(
--- a/crates/flaxdeck-distribution/tests/subscriber/coordinator.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber/coordinator.rs
@@ -1,24 +1,29 @@
-//! When events have to come from the coordinator itself, and when the state is confirmed.
+//! When events have to be received from the coordinator itself, and the time for which the state is confirmed.
 
 use flaxdeck_distribution::messages::Delivery;
 use flaxdeck_distribution::{Cadence, Subscriber};
 
 use super::support::{
-    ONE, OTHER, SETTLES, at, batch_delivery, behind, connected, position, purges,
+    FIRST, SECOND, SETTLE_TIME, at, batch_delivery, behind_delivery, connected_subscriber,
+    position, purge_batch,
 };
 
 #[test]
-fn the_coordinator_is_needed_while_no_planner_delivers_and_until_they_are_stable_again() {
-    let mut subscriber = Subscriber::start(at(0), 1, 0, Cadence::default(), SETTLES);
+fn the_coordinator_is_needed_while_no_planner_delivers_and_until_delivery_is_stable() {
+    let mut subscriber = Subscriber::start(at(0), 1, 0, Cadence::default(), SETTLE_TIME);
     assert!(!subscriber.needs_coordinator(at(1_900)));
     assert_eq!(subscriber.next_change(at(0)), Some(at(2_000)));
     assert!(subscriber.needs_coordinator(at(2_000)));
     subscriber.set_position(at(2_100), position(10));
-    subscriber.connected(at(2_200), ONE);
+    subscriber.connected(at(2_200), FIRST);
     subscriber.actions(at(2_200));
     for (position, ms) in (10..).zip((2_300..9_000).step_by(500)) {
         subscriber
-            .receive(at(ms), ONE, batch_delivery(purges(position, position + 1)))
+            .receive(
+                at(ms),
+                FIRST,
+                batch_delivery(purge_batch(position, position + 1)),
+            )
             .unwrap();
         assert_eq!(subscriber.needs_coordinator(at(ms)), ms < 4_300, "at {ms}");
     }
@@ -26,121 +31,133 @@
     assert!(subscriber.needs_coordinator(at(10_800)));
 }
 
-/// From when on a subscriber of that preference needs the coordinator, after both its planners ended at 100 ms.
-fn needs_coordinator_after_both_ended(preference: u64) -> u64 {
-    let mut subscriber = Subscriber::start(at(0), 2, preference, Cadence::default(), SETTLES);
+/// Returns when a subscriber with this preference first needs the coordinator, after both its planners disconnected at
+/// 100 ms.
+fn coordinator_need_after_both_disconnect(preference: u64) -> u64 {
+    let mut subscriber = Subscriber::start(at(0), 2, preference, Cadence::default(), SETTLE_TIME);
     subscriber.set_position(at(0), position(10));
-    for planner in [ONE, OTHER] {
+    for planner in [FIRST, SECOND] {
         subscriber.connected(at(0), planner);
     }
     subscriber.actions(at(0));
     let followed = subscriber.followed().unwrap();
     subscriber
-        .receive(at(90), followed, batch_delivery(purges(10, 11)))
+        .receive(at(90), followed, batch_delivery(purge_batch(10, 11)))
         .unwrap();
-    subscriber.disconnected(at(100), ONE);
+    subscriber.disconnected(at(100), FIRST);
     assert!(
         !subscriber.needs_coordinator(at(1_000)),
-        "the other one is connected"
+        "the second planner is still connected"
     );
-    subscriber.disconnected(at(100), OTHER);
+    subscriber.disconnected(at(100), SECOND);
     (100..3_000)
         .find(|ms| subscriber.needs_coordinator(at(*ms)))
         .unwrap()
 }
 
 #[test]
-fn with_no_planner_connected_the_coordinator_is_needed_soon_and_not_by_all_at_once() {
-    let mut needs: Vec<u64> = (0..1_000).map(needs_coordinator_after_both_ended).collect();
-    needs.sort_unstable();
+fn forwarders_without_planners_need_the_coordinator_soon_at_staggered_times() {
+    let mut needed_at: Vec<u64> = (0..1_000)
+        .map(coordinator_need_after_both_disconnect)
+        .collect();
+    needed_at.sort_unstable();
     println!(
-        "the coordinator is needed from {} to {} ms after the end",
-        needs[0] - 100,
-        needs[999] - 100
+        "the coordinator is needed from {} to {} ms after the last disconnect",
+        needed_at[0] - 100,
+        needed_at[999] - 100
     );
     assert!(
-        needs[0] >= 200 && needs[999] <= 500,
-        "{} to {}",
-        needs[0],
-        needs[999]
+        needed_at[0] >= 200 && needed_at[999] <= 500,
+        "needed at {} to {} ms, expected within 200 to 500 ms",
+        needed_at[0],
+        needed_at[999]
+    );
+    let in_interval = |interval: u64| needed_at.iter().filter(|ms| **ms / 10 == interval).count();
+    assert!(
+        (20..50).all(|interval| in_interval(interval) <= 100),
+        "{needed_at:?}"
     );
-    let in_one_step = |step: u64| needs.iter().filter(|ms| **ms / 10 == step).count();
-    assert!((20..50).all(|step| in_one_step(step) <= 100), "{needs:?}");
 }
 
 #[test]
-fn a_planner_that_is_reached_again_at_once_spares_the_coordinator_the_call() {
-    let mut subscriber = connected(10);
+fn the_coordinator_is_not_needed_if_a_planner_reconnects_and_delivers_immediately() {
+    let mut subscriber = connected_subscriber(10);
     subscriber
-        .receive(at(90), ONE, batch_delivery(purges(10, 11)))
+        .receive(at(90), FIRST, batch_delivery(purge_batch(10, 11)))
         .unwrap();
-    for planner in [ONE, OTHER] {
+    for planner in [FIRST, SECOND] {
         subscriber.disconnected(at(100), planner);
     }
-    subscriber.connected(at(150), ONE);
+    subscriber.connected(at(150), FIRST);
     subscriber.actions(at(150));
     subscriber
-        .receive(at(180), ONE, batch_delivery(purges(11, 12)))
+        .receive(at(180), FIRST, batch_delivery(purge_batch(11, 12)))
         .unwrap();
     assert!((180..1_600).all(|ms| !subscriber.needs_coordinator(at(ms))));
-    // One that is reached and tells nothing spares it nothing.
-    subscriber.disconnected(at(200), ONE);
-    subscriber.connected(at(250), ONE);
+    // A planner that reconnects but does not deliver makes no difference.
+    subscriber.disconnected(at(200), FIRST);
+    subscriber.connected(at(250), FIRST);
     subscriber.actions(at(250));
-    let needed = subscriber.next_change(at(250)).unwrap();
+    let needed_from = subscriber.next_change(at(250)).unwrap();
     assert!(
-        needed <= at(600) && subscriber.needs_coordinator(needed),
-        "{needed:?}"
+        needed_from <= at(600) && subscriber.needs_coordinator(needed_from),
+        "the coordinator should be needed by 600 ms, next change at {needed_from:?}"
     );
     subscriber
-        .receive(at(700), ONE, batch_delivery(purges(12, 13)))
+        .receive(at(700), FIRST, batch_delivery(purge_batch(12, 13)))
         .unwrap();
     assert!(
         subscriber.needs_coordinator(at(750)),
-        "until planners have delivered for a while"
+        "planners have not delivered for long enough yet"
     );
     for (position, ms) in (13..).zip((1_200..4_000).step_by(500)) {
         subscriber
-            .receive(at(ms), ONE, batch_delivery(purges(position, position + 1)))
+            .receive(
+                at(ms),
+                FIRST,
+                batch_delivery(purge_batch(position, position + 1)),
+            )
             .unwrap();
         assert_eq!(subscriber.needs_coordinator(at(ms)), ms < 2_700, "at {ms}");
     }
 }
 
 #[test]
-fn a_planner_that_knows_no_coordinator_or_position_does_not_count() {
-    let mut subscriber = connected(10);
+fn behind_updates_do_not_count_as_useful_deliveries() {
+    let mut subscriber = connected_subscriber(10);
     for ms in (0..3_000).step_by(100) {
-        subscriber.receive(at(ms), ONE, behind()).unwrap();
+        subscriber
+            .receive(at(ms), FIRST, behind_delivery())
+            .unwrap();
     }
     assert!(subscriber.needs_coordinator(at(3_000)));
 }
 
 #[test]
-fn the_state_is_confirmed_by_when_a_planner_with_all_events_heard_the_coordinator() {
-    let mut subscriber = connected(10);
+fn the_confirmed_time_follows_when_an_up_to_date_planner_heard_the_coordinator() {
+    let mut subscriber = connected_subscriber(10);
     assert_eq!(subscriber.confirmed_at(), None);
     subscriber
-        .receive(at(1_000), ONE, batch_delivery(purges(10, 11)))
+        .receive(at(1_000), FIRST, batch_delivery(purge_batch(10, 11)))
         .unwrap();
     assert_eq!(
         subscriber.confirmed_at(),
         Some(at(460)),
-        "40 ms before it was written, 500 before now at most"
+        "40 ms before the delivery was written, which is assumed to be 500 ms before now"
     );
-    subscriber.record_echo(ONE, at(1_900));
+    subscriber.record_echo(FIRST, at(1_900));
     subscriber
-        .receive(at(2_000), ONE, batch_delivery(purges(11, 11)))
+        .receive(at(2_000), FIRST, batch_delivery(purge_batch(11, 11)))
         .unwrap();
     assert_eq!(
         subscriber.confirmed_at(),
         Some(at(1_860)),
-        "the connection tells when it was written"
+        "the echo provides the time before which the delivery was not written"
     );
-    let not_all = Delivery {
+    let not_current = Delivery {
         coordinator_ago_ms: None,
-        ..batch_delivery(purges(11, 12))
+        ..batch_delivery(purge_batch(11, 12))
     };
-    subscriber.receive(at(5_000), ONE, not_all).unwrap();
+    subscriber.receive(at(5_000), FIRST, not_current).unwrap();
     assert_eq!(subscriber.confirmed_at(), Some(at(1_860)));
 }
--- a/crates/flaxdeck-distribution/tests/subscriber/failover.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber/failover.rs
@@ -1,60 +1,62 @@
-//! Which planner is followed when planners end, fall silent or come back.
+//! Which planner is followed when planners disconnect, are silent or recover.
 
 use flaxdeck::Span;
 use flaxdeck_distribution::messages::{Delivery, Subscription};
 use flaxdeck_distribution::{Applied, Cadence, PlannerNumber, Subscriber};
 
-use super::support::{ONE, OTHER, SETTLES, at, batch_delivery, connected, position, purges};
+use super::support::{
+    FIRST, SECOND, SETTLE_TIME, at, batch_delivery, connected_subscriber, position, purge_batch,
+};
 
 #[test]
-fn where_all_planners_are_far_each_is_waited_for_twice_as_long_as_the_one_before() {
+fn the_silence_timeout_doubles_with_each_consecutive_silent_planner() {
     let mut subscriber = Subscriber::start(
         at(0),
         2,
         7,
         Cadence::with_batch_interval(Span::from_ms(150)),
-        SETTLES,
+        SETTLE_TIME,
     );
-    let silent = Cadence::with_batch_interval(Span::from_ms(150)).silence_timeout();
+    let timeout = Cadence::with_batch_interval(Span::from_ms(150)).silence_timeout();
     for number in 0..2 {
         subscriber.connected(at(0), PlannerNumber(number));
     }
     let first = subscriber.followed().unwrap();
     subscriber.actions(at(0));
-    let (mut now, mut left) = (at(0), Vec::new());
+    let (mut now, mut switches) = (at(0), Vec::new());
     let mut followed = first;
-    while left.len() < 3 {
+    while switches.len() < 3 {
         now = now + Span::from_ms(10);
         subscriber.actions(now);
         if subscriber.followed() != Some(followed) {
-            left.push(now.since(at(0)).ms() / silent.ms());
+            switches.push(now.since(at(0)).ms() / timeout.ms());
             followed = subscriber.followed().unwrap();
         }
     }
-    assert!((left[0] - 1.0).abs() < 0.1, "{left:?}");
-    assert!((left[1] - 3.0).abs() < 0.1, "{left:?}");
-    assert!(left[2] > 6.9, "{left:?}");
+    assert!((switches[0] - 1.0).abs() < 0.1, "{switches:?}");
+    assert!((switches[1] - 3.0).abs() < 0.1, "{switches:?}");
+    assert!(switches[2] > 6.9, "{switches:?}");
 }
 
 #[test]
-fn a_planner_that_ends_or_falls_silent_is_left_for_the_other() {
-    let mut subscriber = connected(10);
+fn a_disconnected_or_silent_planner_is_replaced_by_the_other() {
+    let mut subscriber = connected_subscriber(10);
     subscriber
-        .receive(at(10), ONE, batch_delivery(purges(10, 11)))
+        .receive(at(10), FIRST, batch_delivery(purge_batch(10, 11)))
         .unwrap();
-    subscriber.disconnected(at(20), ONE);
+    subscriber.disconnected(at(20), FIRST);
     assert_eq!(
         subscriber.actions(at(20)),
-        [(OTHER, Subscription::After(position(11)))]
+        [(SECOND, Subscription::After(position(11)))]
     );
     subscriber
-        .receive(at(30), OTHER, batch_delivery(purges(11, 12)))
+        .receive(at(30), SECOND, batch_delivery(purge_batch(11, 12)))
         .unwrap();
     assert!(!subscriber.needs_coordinator(at(1_000)));
 
-    let mut subscriber = connected(10);
+    let mut subscriber = connected_subscriber(10);
     subscriber
-        .receive(at(10), ONE, batch_delivery(purges(10, 11)))
+        .receive(at(10), FIRST, batch_delivery(purge_batch(10, 11)))
         .unwrap();
     assert_eq!(subscriber.actions(at(1_509)), []);
     assert_eq!(subscriber.next_change(at(1_000)), Some(at(1_510)));
@@ -62,77 +64,84 @@
     assert_eq!(
         actions,
         [
-            (ONE, Subscription::None),
-            (OTHER, Subscription::After(position(11)))
+            (FIRST, Subscription::None),
+            (SECOND, Subscription::After(position(11)))
         ]
     );
     assert_eq!(subscriber.counters.failovers, 1);
-    // Both deliver for a moment; each event is applied once.
+    // Both planners deliver for a short time; each event is applied once.
     subscriber
-        .receive(at(1_520), OTHER, batch_delivery(purges(11, 15)))
+        .receive(at(1_520), SECOND, batch_delivery(purge_batch(11, 15)))
         .unwrap();
     assert_eq!(
-        subscriber.receive(at(1_530), ONE, batch_delivery(purges(11, 13))),
+        subscriber.receive(at(1_530), FIRST, batch_delivery(purge_batch(11, 13))),
         Ok(Applied::Nothing)
     );
     assert_eq!(subscriber.position(), position(15));
 }
 
 #[test]
-fn a_planner_that_has_lost_the_coordinator_is_left_for_the_other() {
-    let mut subscriber = connected(10);
-    let lost = || Delivery {
+fn a_planner_that_has_lost_the_coordinator_is_replaced_by_the_other() {
+    let mut subscriber = connected_subscriber(10);
+    let without_coordinator = || Delivery {
         coordinator_ago_ms: None,
-        ..batch_delivery(purges(10, 10))
+        ..batch_delivery(purge_batch(10, 10))
     };
     for ms in (0..1_500).step_by(100) {
-        subscriber.receive(at(ms), ONE, lost()).unwrap();
-        assert_eq!(subscriber.followed(), Some(ONE));
+        subscriber
+            .receive(at(ms), FIRST, without_coordinator())
+            .unwrap();
+        assert_eq!(subscriber.followed(), Some(FIRST));
     }
-    subscriber.receive(at(1_500), ONE, lost()).unwrap();
-    assert_eq!(subscriber.followed(), Some(OTHER));
+    subscriber
+        .receive(at(1_500), FIRST, without_coordinator())
+        .unwrap();
+    assert_eq!(subscriber.followed(), Some(SECOND));
 }
 
 #[test]
 fn a_preferred_planner_is_followed_again_once_it_is_stable_and_delivers() {
-    let mut subscriber = connected(10);
-    subscriber.disconnected(at(20), ONE);
+    let mut subscriber = connected_subscriber(10);
+    subscriber.disconnected(at(20), FIRST);
     subscriber.actions(at(20));
-    subscriber.connected(at(100), ONE);
-    let heard = |subscriber: &mut Subscriber, ms: u64| {
+    subscriber.connected(at(100), FIRST);
+    let deliver_from_second = |subscriber: &mut Subscriber, ms: u64| {
         let position = subscriber.position().number;
         subscriber
             .receive(
                 at(ms),
-                OTHER,
-                batch_delivery(purges(position, position + 1)),
+                SECOND,
+                batch_delivery(purge_batch(position, position + 1)),
             )
             .unwrap();
         subscriber.actions(at(ms))
     };
     for ms in (500..5_000).step_by(500) {
-        assert_eq!(heard(&mut subscriber, ms), []);
+        assert_eq!(deliver_from_second(&mut subscriber, ms), []);
     }
-    // It is asked first, and the other is left once it delivers.
+    // The preferred planner is sent a request first, and the other is replaced only once it delivers.
     let position = position(subscriber.position().number + 1);
     assert_eq!(
-        heard(&mut subscriber, 5_200),
-        [(ONE, Subscription::After(position))]
+        deliver_from_second(&mut subscriber, 5_200),
+        [(FIRST, Subscription::After(position))]
     );
-    assert_eq!(subscriber.followed(), Some(OTHER));
-    let next = purges(position.number, position.number + 1);
+    assert_eq!(subscriber.followed(), Some(SECOND));
+    let next = purge_batch(position.number, position.number + 1);
     subscriber
-        .receive(at(5_250), ONE, batch_delivery(next))
+        .receive(at(5_250), FIRST, batch_delivery(next))
         .unwrap();
-    assert_eq!(subscriber.followed(), Some(ONE));
-    assert_eq!(subscriber.actions(at(5_250)), [(OTHER, Subscription::None)]);
+    assert_eq!(subscriber.followed(), Some(FIRST));
+    assert_eq!(
+        subscriber.actions(at(5_250)),
+        [(SECOND, Subscription::None)]
+    );
 }
 
 #[test]
-fn a_preferred_planner_that_hangs_costs_nothing_but_requests() {
-    let mut subscriber = connected(10);
-    // It takes connections and says nothing.
-    let mut asked = Vec::new();
+fn a_hanging_preferred_planner_causes_only_a_few_requests() {
+    let mut subscriber = connected_subscriber(10);
+    // The preferred planner accepts connections but sends nothing.
+    let mut requests = Vec::new();
     for ms in (0..60_000).step_by(100) {
         if ms >= 1_600 && ms % 500 == 100 {
             let position = subscriber.position().number;
@@ -140,23 +149,26 @@
                 subscriber
                     .receive(
                         at(ms),
-                        OTHER,
-                        batch_delivery(purges(position, position + 1))
+                        SECOND,
+                        batch_delivery(purge_batch(position, position + 1))
                     )
                     .is_ok()
             );
         }
         let actions = subscriber.actions(at(ms));
-        asked.extend(
+        requests.extend(
             actions
                 .into_iter()
-                .filter(|(to, what)| *to == ONE && *what != Subscription::None),
+                .filter(|(to, what)| *to == FIRST && *what != Subscription::None),
         );
-        assert!(ms < 1_600 || subscriber.followed() == Some(OTHER));
+        assert!(ms < 1_600 || subscriber.followed() == Some(SECOND));
         assert!(!subscriber.needs_coordinator(at(ms)), "at {ms}");
     }
-    println!("asked {} times in a minute", asked.len());
-    assert!(asked.len() < 20);
+    println!(
+        "{} requests to the hanging planner in a minute",
+        requests.len()
+    );
+    assert!(requests.len() < 20);
 }
 
 #[test]
@@ -164,15 +176,15 @@
     let mut preferred = [0; 24];
     for preference in 0..2_400_u64 {
         let mut subscriber =
-            Subscriber::start(at(0), 24, preference * 31, Cadence::default(), SETTLES);
+            Subscriber::start(at(0), 24, preference * 31, Cadence::default(), SETTLE_TIME);
         subscriber.set_position(at(0), position(1));
         for planner in 0..24 {
             subscriber.connected(at(0), PlannerNumber(planner));
         }
-        // Steadily connected, the most preferred is asked in the end.
-        let asked = subscriber.actions(at(5_000));
+        // After all have been connected for long enough, the most preferred planner is followed or sent a request.
+        let requests = subscriber.actions(at(5_000));
         let followed = subscriber.followed().unwrap();
-        let chosen = asked
+        let chosen = requests
             .iter()
             .map(|(to, _)| *to)
             .find(|to| *to != followed)
--- a/crates/flaxdeck-distribution/tests/subscriber/invalid.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber/invalid.rs
@@ -1,4 +1,4 @@
-//! Deliveries that say what can't be.
+//! Invalid deliveries are rejected.
 
 use flaxdeck_distribution::messages::{
     Batch, FullEvent, MAX_FULL_BYTES, MAX_PURGES, PurgeDigest, Snapshot,
@@ -8,23 +8,27 @@
 use flaxdeck_recovery::EventPosition;
 
 use super::support::{
-    ONE, at, batch_delivery, connected, digest, event, position, purges, snapshot,
-    snapshot_delivery,
+    FIRST, at, batch_delivery, connected_subscriber, digest, event, position, purge_batch,
+    snapshot, snapshot_delivery,
 };
 
-/// A batch that can't be, and what is said of it.
+/// An invalid batch and the expected error.
 #[derive(Clone)]
 struct Case {
-    what: &'static str,
+    description: &'static str,
     batch: Batch,
     error: InvalidDelivery,
 }
 
-fn case(what: &'static str, batch: Batch, error: InvalidDelivery) -> Case {
-    Case { what, batch, error }
+fn case(description: &'static str, batch: Batch, error: InvalidDelivery) -> Case {
+    Case {
+        description,
+        batch,
+        error,
+    }
 }
 
-fn full(numbers: std::ops::RangeInclusive<u64>) -> Vec<FullEvent> {
+fn full_events(numbers: std::ops::RangeInclusive<u64>) -> Vec<FullEvent> {
     numbers.map(event).collect()
 }
 
@@ -40,18 +44,18 @@
 fn range_cases() -> Vec<Case> {
     vec![
         case(
-            "ends before it begins",
+            "a range that ends before it begins",
             batch(10, 9, 0, Vec::new()),
             InvalidDelivery::Range { after: 10, last: 9 },
         ),
         case(
-            "a heartbeat of another event",
+            "a heartbeat whose start and end have different hashes",
             Batch {
                 last: EventPosition {
                     number: 10,
                     hash: 9,
                 },
-                ..purges(10, 10)
+                ..purge_batch(10, 10)
             },
             InvalidDelivery::Range {
                 after: 10,
@@ -64,7 +68,7 @@
 fn count_cases() -> Vec<Case> {
     vec![
         case(
-            "one event too few",
+            "one event fewer than numbers",
             batch(10, 15, 4, Vec::new()),
             InvalidDelivery::Count {
                 numbers: 5,
@@ -72,15 +76,15 @@
             },
         ),
         case(
-            "one too many",
-            batch(10, 15, 5, full(15..=15)),
+            "one event more than numbers",
+            batch(10, 15, 5, full_events(15..=15)),
             InvalidDelivery::Count {
                 numbers: 5,
                 events: 6,
             },
         ),
         case(
-            "a number far away",
+            "a range far larger than its events",
             batch(10, u64::MAX, 5, Vec::new()),
             InvalidDelivery::Count {
                 numbers: u64::MAX - 10,
@@ -93,13 +97,13 @@
 fn position_cases() -> Vec<Case> {
     vec![
         case(
-            "an event before its range",
-            batch(10, 15, 4, full(10..=10)),
+            "an event before the range",
+            batch(10, 15, 4, full_events(10..=10)),
             InvalidDelivery::Positions,
         ),
         case(
-            "an event after its range",
-            batch(10, 15, 4, full(16..=16)),
+            "an event after the range",
+            batch(10, 15, 4, full_events(16..=16)),
             InvalidDelivery::Positions,
         ),
         case(
@@ -108,18 +112,18 @@
             InvalidDelivery::Positions,
         ),
         case(
-            "an event twice",
+            "the same event twice",
             batch(10, 15, 3, vec![event(13), event(13)]),
             InvalidDelivery::Positions,
         ),
         case(
-            "another event at its end",
+            "an event with the last number and another hash",
             Batch {
                 last: EventPosition {
                     number: 15,
                     hash: 1,
                 },
-                ..batch(10, 15, 4, full(15..=15))
+                ..batch(10, 15, 4, full_events(15..=15))
             },
             InvalidDelivery::Positions,
         ),
@@ -133,12 +137,12 @@
     };
     vec![
         case(
-            "too many events",
-            batch(10, 267, 0, full(11..=267)),
+            "too many full events",
+            batch(10, 267, 0, full_events(11..=267)),
             InvalidDelivery::TooManyEvents(257),
         ),
         case(
-            "too long",
+            "too many bytes of full events",
             batch(10, 12, 0, vec![event(11), long]),
             InvalidDelivery::TooLong(MAX_FULL_BYTES + 1),
         ),
@@ -147,31 +151,31 @@
 
 fn digest_cases() -> Vec<Case> {
     let damaged = |change: &dyn Fn(&mut PurgeDigest)| {
-        let mut damaged = purges(10, 15);
+        let mut damaged = purge_batch(10, 15);
         change(&mut damaged.purges);
         damaged
     };
     vec![
         case(
-            "another count of purges",
+            "a digest of more purges than its count",
             damaged(&|purges| (purges.count, purges.bytes) = (5, digest(6).bytes)),
             InvalidDelivery::Digest(InvalidDigest::TrailingBits),
         ),
         case(
-            "cut off",
+            "a truncated digest",
             damaged(&|purges| purges.bytes.truncate(2)),
             InvalidDelivery::Digest(InvalidDigest::Truncated),
         ),
         case(
             "too many purges",
-            purges(10, 11 + u64::from(MAX_PURGES)),
+            purge_batch(10, 11 + u64::from(MAX_PURGES)),
             InvalidDelivery::Digest(InvalidDigest::TooMany(MAX_PURGES + 1)),
         ),
     ]
 }
 
 #[test]
-fn what_can_not_be_is_refused_counted_and_nothing_of_it_applied() {
+fn invalid_batches_are_rejected_counted_and_not_applied() {
     let cases = [
         range_cases(),
         count_cases(),
@@ -181,20 +185,32 @@
     ]
     .concat();
     assert_eq!(cases.len(), 15);
-    let mut subscriber = connected(10);
-    for (count, Case { what, batch, error }) in cases.into_iter().enumerate() {
+    let mut subscriber = connected_subscriber(10);
+    for (
+        count,
+        Case {
+            description,
+            batch,
+            error,
+        },
+    ) in cases.into_iter().enumerate()
+    {
         let before = (subscriber.position(), subscriber.confirmed_at());
         assert_eq!(
-            subscriber.receive(at(50), ONE, batch_delivery(batch)),
+            subscriber.receive(at(50), FIRST, batch_delivery(batch)),
             Err(DeliveryError::Invalid(error)),
-            "{what}"
+            "{description}"
         );
         assert_eq!(
             (subscriber.position(), subscriber.confirmed_at()),
             before,
-            "{what}"
+            "{description}"
+        );
+        assert_eq!(
+            subscriber.counters.invalid,
+            count as u64 + 1,
+            "{description}"
         );
-        assert_eq!(subscriber.counters.invalid, count as u64 + 1, "{what}");
     }
     let Counters {
         batches,
@@ -205,14 +221,14 @@
     assert_eq!((batches, applied, events), (0, 0, 0));
     assert!(
         subscriber
-            .receive(at(60), ONE, batch_delivery(purges(10, 15)))
+            .receive(at(60), FIRST, batch_delivery(purge_batch(10, 15)))
             .is_ok(),
-        "what is right still applies"
+        "a valid batch is still applied"
     );
 }
 
 #[test]
-fn a_snapshot_that_can_not_be_is_refused() {
+fn invalid_snapshots_are_rejected() {
     let change = |change: &dyn Fn(&mut Snapshot)| {
         let mut changed = snapshot(30);
         change(&mut changed);
@@ -248,11 +264,11 @@
             InvalidDelivery::NotCurrent,
         ),
     ];
-    let mut subscriber = connected(10);
-    for (delivery, why) in cases {
+    let mut subscriber = connected_subscriber(10);
+    for (delivery, error) in cases {
         assert_eq!(
-            subscriber.receive(at(900), ONE, delivery),
-            Err(DeliveryError::Invalid(why))
+            subscriber.receive(at(900), FIRST, delivery),
+            Err(DeliveryError::Invalid(error))
         );
     }
     assert_eq!(
--- a/crates/flaxdeck-distribution/tests/subscriber/main.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber/main.rs
@@ -1,4 +1,4 @@
-//! The forwarder's side: what is applied, what is refused, and which planner it follows.
+//! The subscriber: which deliveries it applies or rejects, and which planner it follows.
 
 #![allow(
     clippy::unwrap_used,
--- a/crates/flaxdeck-distribution/tests/subscriber/snapshots.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber/snapshots.rs
@@ -1,23 +1,23 @@
-//! Which snapshots are asked for and applied.
+//! Which snapshots are requested, accepted and rejected.
 
 use flaxdeck_distribution::messages::{Batch, Snapshot, Subscription};
 use flaxdeck_distribution::{Applied, Cadence, DeliveryError, Fingerprint, Subscriber};
 
 use super::support::{
-    ONE, OTHER, SETTLES, at, batch_delivery, behind, connected, position, purges, snapshot,
-    snapshot_delivery, subscriber,
+    FIRST, SECOND, SETTLE_TIME, at, batch_delivery, behind_delivery, connected_subscriber,
+    position, purge_batch, snapshot, snapshot_delivery, subscriber,
 };
 
 #[test]
-fn a_subscriber_that_knows_nothing_asks_for_a_snapshot() {
-    let mut subscriber = Subscriber::start(at(0), 1, 0, Cadence::default(), SETTLES);
-    subscriber.connected(at(0), ONE);
+fn a_new_subscriber_requests_a_snapshot() {
+    let mut subscriber = Subscriber::start(at(0), 1, 0, Cadence::default(), SETTLE_TIME);
+    subscriber.connected(at(0), FIRST);
     assert_eq!(
         subscriber.actions(at(0)),
-        [(ONE, Subscription::FromSnapshot)]
+        [(FIRST, Subscription::FromSnapshot)]
     );
     let applied = subscriber
-        .receive(at(30), ONE, snapshot_delivery(snapshot(30), Some(900)))
+        .receive(at(30), FIRST, snapshot_delivery(snapshot(30), Some(900)))
         .unwrap();
     let Applied::Snapshot {
         list,
@@ -27,7 +27,7 @@
         may_miss_purges,
     } = applied
     else {
-        panic!("{applied:?}")
+        panic!("expected a snapshot, got {applied:?}")
     };
     assert_eq!(
         (list.len(), purges.len(), group_purges.len(), last),
@@ -35,16 +35,16 @@
     );
     assert!(!may_miss_purges);
     assert_eq!(
-        subscriber.receive(at(90), ONE, batch_delivery(purges_from(30))),
-        Ok(applied_from(30))
+        subscriber.receive(at(90), FIRST, batch_delivery(single_purge_after(30))),
+        Ok(single_purge_applied_after(30))
     );
 }
 
-fn purges_from(number: u64) -> Batch {
-    purges(number, number + 1)
+fn single_purge_after(number: u64) -> Batch {
+    purge_batch(number, number + 1)
 }
 
-fn applied_from(number: u64) -> Applied {
+fn single_purge_applied_after(number: u64) -> Applied {
     Applied::Events {
         purges: vec![Fingerprint(0)],
         events: Vec::new(),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn purges_may_be_missing_unless_a_snapshots_reach_back_over_the_hosts_time() {
+fn purges_may_be_missing_unless_they_reach_back_over_the_settle_time_and_margin() {
     for (reach, may_miss) in [
         (0, true),
         (5_999, true),
@@ -61,8 +61,8 @@
         (6_500, false),
         (u32::MAX, false),
     ] {
-        let mut subscriber = Subscriber::start(at(0), 1, 0, Cadence::default(), SETTLES);
-        subscriber.connected(at(0), ONE);
+        let mut subscriber = Subscriber::start(at(0), 1, 0, Cadence::default(), SETTLE_TIME);
+        subscriber.connected(at(0), FIRST);
         subscriber.actions(at(0));
         let delivery = snapshot_delivery(
             Snapshot {
@@ -71,96 +71,96 @@
             },
             Some(0),
         );
-        let applied = subscriber.receive(at(30), ONE, delivery).unwrap();
+        let applied = subscriber.receive(at(30), FIRST, delivery).unwrap();
         assert!(
             matches!(applied, Applied::Snapshot { may_miss_purges, .. } if may_miss_purges == may_miss),
-            "{reach}"
+            "with a reach of {reach} ms"
         );
     }
 }
 
 #[test]
-fn a_snapshot_older_than_what_is_known_here_is_not_taken() {
-    let mut subscriber = connected(10);
+fn a_snapshot_that_may_be_older_than_the_position_is_rejected() {
+    let mut subscriber = connected_subscriber(10);
     subscriber
-        .receive(at(1_000), ONE, batch_delivery(purges(10, 15)))
+        .receive(at(1_000), FIRST, batch_delivery(purge_batch(10, 15)))
         .unwrap();
-    // Its planner has not heard the coordinator since the position moved.
-    subscriber.record_echo(ONE, at(1_400));
+    // The planner has not heard the coordinator since the position changed.
+    subscriber.record_echo(FIRST, at(1_400));
     let stale = snapshot_delivery(snapshot(30), Some(500));
     assert_eq!(
-        subscriber.receive(at(1_500), ONE, stale),
+        subscriber.receive(at(1_500), FIRST, stale),
         Err(DeliveryError::StaleSnapshot(position(30)))
     );
-    // It has now, but its number is lower, and nobody asked for that.
-    subscriber.record_echo(ONE, at(2_000));
+    // Now it has, but the snapshot has a lower number and was not requested.
+    subscriber.record_echo(FIRST, at(2_000));
     let lower = snapshot_delivery(snapshot(12), Some(0));
     assert_eq!(
-        subscriber.receive(at(2_000), ONE, lower),
+        subscriber.receive(at(2_000), FIRST, lower),
         Err(DeliveryError::StaleSnapshot(position(12)))
     );
     assert_eq!(
         (subscriber.counters.stale, subscriber.position()),
         (2, position(15))
     );
-    // Its planner knows all that the coordinator has, so the numbering is another: now it is asked for.
+    // The planner has all of the coordinator's events, so the numbering has changed: a snapshot is requested now.
     assert_eq!(
         subscriber.actions(at(2_000)),
-        [(ONE, Subscription::FromSnapshot)]
+        [(FIRST, Subscription::FromSnapshot)]
     );
-    subscriber.record_echo(ONE, at(2_040));
+    subscriber.record_echo(FIRST, at(2_040));
     let lower = snapshot_delivery(snapshot(12), Some(0));
     assert!(matches!(
-        subscriber.receive(at(2_050), ONE, lower),
+        subscriber.receive(at(2_050), FIRST, lower),
         Ok(Applied::Snapshot { .. })
     ));
     assert_eq!(subscriber.position(), position(12));
 }
 
 #[test]
-fn a_snapshot_with_a_higher_number_that_nobody_asked_for_is_taken_if_it_knows_more() {
-    let mut subscriber = connected(10);
+fn an_unrequested_snapshot_with_a_higher_number_is_accepted_if_it_is_newer() {
+    let mut subscriber = connected_subscriber(10);
     subscriber
-        .receive(at(1_000), ONE, batch_delivery(purges(10, 15)))
+        .receive(at(1_000), FIRST, batch_delivery(purge_batch(10, 15)))
         .unwrap();
-    subscriber.record_echo(ONE, at(2_000));
+    subscriber.record_echo(FIRST, at(2_000));
     let newer = snapshot_delivery(snapshot(30), Some(0));
     assert!(matches!(
-        subscriber.receive(at(2_050), ONE, newer),
+        subscriber.receive(at(2_050), FIRST, newer),
         Ok(Applied::Snapshot { .. })
     ));
 }
 
 #[test]
-fn a_subscriber_unknown_to_all_planners_for_long_asks_for_a_snapshot() {
+fn a_position_unknown_to_all_planners_for_3_s_leads_to_a_snapshot_request() {
     let mut subscriber = subscriber(1_000);
-    for planner in [ONE, OTHER] {
+    for planner in [FIRST, SECOND] {
         subscriber.connected(at(0), planner);
     }
-    let mut asked = Vec::new();
+    let mut requests = Vec::new();
     for ms in (0..4_000).step_by(100) {
         for (to, subscription) in subscriber.actions(at(ms)) {
             if subscription != Subscription::None {
-                asked.push((ms, to, subscription));
-                subscriber.receive(at(ms), to, behind()).unwrap();
+                requests.push((ms, to, subscription));
+                subscriber.receive(at(ms), to, behind_delivery()).unwrap();
             }
         }
     }
     let after = Subscription::After(position(1_000));
     let expected = [
-        (0, ONE, after),
-        (1_500, OTHER, after),
-        (3_000, ONE, Subscription::FromSnapshot),
+        (0, FIRST, after),
+        (1_500, SECOND, after),
+        (3_000, FIRST, Subscription::FromSnapshot),
     ];
-    assert!(asked.starts_with(&expected[..2]), "{asked:?}");
+    assert!(requests.starts_with(&expected[..2]), "{requests:?}");
     assert!(
-        asked
-            .iter()
-            .any(|(ms, _, what)| *ms == 3_000 && *what == Subscription::FromSnapshot),
-        "{asked:?}"
+        requests.iter().any(
+            |(ms, _, subscription)| *ms == 3_000 && *subscription == Subscription::FromSnapshot
+        ),
+        "{requests:?}"
     );
-    // Now a lower number is what was asked for.
-    let to = asked.last().unwrap().1;
+    // A snapshot was requested, so a lower number is accepted.
+    let to = requests.last().unwrap().1;
     let restarted = Snapshot {
         purges_reach_ms: 900,
         ..snapshot(30)
--- a/crates/flaxdeck-distribution/tests/subscriber/support.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber/support.rs
@@ -1,4 +1,4 @@
-//! Subscribers of two planners, and what planners deliver.
+//! Shared helpers: subscribers of two planners, and deliveries of planners.
 
 use flaxdeck::{Span, Time};
 use flaxdeck_distribution::messages::{
@@ -7,11 +7,11 @@
 use flaxdeck_distribution::{Cadence, Fingerprint, PlannerNumber, Subscriber};
 use flaxdeck_recovery::EventPosition;
 
-pub(crate) const SETTLES: Span = Span::from_ms(6_000);
+pub(crate) const SETTLE_TIME: Span = Span::from_ms(6_000);
 
-pub(crate) const ONE: PlannerNumber = PlannerNumber(0);
+pub(crate) const FIRST: PlannerNumber = PlannerNumber(0);
 
-pub(crate) const OTHER: PlannerNumber = PlannerNumber(1);
+pub(crate) const SECOND: PlannerNumber = PlannerNumber(1);
 
 pub(crate) fn at(ms: u64) -> Time {
     Time::at_ms(100_000.0 + ms as f64)
@@ -39,8 +39,8 @@
     }
 }
 
-/// All purges, from one number to another.
-pub(crate) fn purges(after: u64, last: u64) -> Batch {
+/// Returns a batch of purges that covers the numbers after `after` up to `last`.
+pub(crate) fn purge_batch(after: u64, last: u64) -> Batch {
     Batch {
         after: position(after),
         last: position(last),
@@ -60,7 +60,7 @@
     delivery(Update::Batch(batch))
 }
 
-pub(crate) fn behind() -> Delivery {
+pub(crate) fn behind_delivery() -> Delivery {
     Delivery {
         update: Update::Behind { last: position(1) },
         coordinator_ago_ms: None,
@@ -84,39 +84,43 @@
     }
 }
 
-/// With two planners, the first preferred, and a position that the coordinator's own watch has told.
+/// Returns a subscriber of two planners that prefers the first one and whose position was set by the coordinator's own
+/// events.
 pub(crate) fn subscriber(number: u64) -> Subscriber {
     let preference = (0..)
-        .find(|preference| prefers(*preference) == ONE)
+        .find(|preference| preferred_planner(*preference) == FIRST)
         .unwrap();
-    let mut subscriber = Subscriber::start(at(0), 2, preference, Cadence::default(), SETTLES);
+    let mut subscriber = Subscriber::start(at(0), 2, preference, Cadence::default(), SETTLE_TIME);
     subscriber.set_position(at(0), position(number));
     subscriber
 }
 
-pub(crate) fn prefers(preference: u64) -> PlannerNumber {
-    let mut subscriber = Subscriber::start(at(0), 2, preference, Cadence::default(), SETTLES);
-    subscriber.connected(at(0), ONE);
-    subscriber.connected(at(0), OTHER);
-    subscriber.disconnected(at(0), ONE);
-    subscriber.disconnected(at(0), OTHER);
-    subscriber.connected(at(0), OTHER);
-    subscriber.connected(at(0), ONE);
+/// Returns the planner that a subscriber with this preference prefers.
+pub(crate) fn preferred_planner(preference: u64) -> PlannerNumber {
+    let mut subscriber = Subscriber::start(at(0), 2, preference, Cadence::default(), SETTLE_TIME);
+    subscriber.connected(at(0), FIRST);
+    subscriber.connected(at(0), SECOND);
+    subscriber.disconnected(at(0), FIRST);
+    subscriber.disconnected(at(0), SECOND);
+    subscriber.connected(at(0), SECOND);
+    subscriber.connected(at(0), FIRST);
     subscriber.actions(at(0));
-    // It goes back to the preferred one as soon as that is steady.
+    // The subscriber follows the second planner now. If it prefers the first, it sends that one a request once it is
+    // stable.
     subscriber
         .actions(at(5_000))
         .first()
-        .map_or(OTHER, |(planner, _)| *planner)
+        .map_or(SECOND, |(planner, _)| *planner)
 }
 
-pub(crate) fn connected(number: u64) -> Subscriber {
+/// Returns a subscriber that is connected to both planners and has sent its first request.
+pub(crate) fn connected_subscriber(number: u64) -> Subscriber {
     let mut subscriber = subscriber(number);
-    subscriber.connected(at(0), ONE);
-    subscriber.connected(at(0), OTHER);
+    subscriber.connected(at(0), FIRST);
+    subscriber.connected(at(0), SECOND);
     assert_eq!(
         subscriber.actions(at(0)),
-        [(ONE, Subscription::After(position(number)))]
+        [(FIRST, Subscription::After(position(number)))]
     );
     subscriber
 }
