--- a/crates/flaxdeck-distribution/tests/safe_side/coordinator.rs
+++ b/crates/flaxdeck-distribution/tests/safe_side/coordinator.rs
@@ -1,4 +1,4 @@
-//! A coordinator that tells purges and changes of hosts, loses its numbering or is restored from a backup.
+//! A coordinator that emits purges and host changes, loses its numbering or is restored from a backup.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +11,14 @@
 
 use super::world::Schedule;
 
-pub(crate) const STEP: u64 = 10;
+pub(crate) const STEP_MS: u64 = 10;
 
-pub(crate) const LASTS: u64 = 30_000;
+pub(crate) const DURATION_MS: u64 = 30_000;
 
-/// The oracle is asked whenever the position moves, and this often.
-pub(crate) const CHECKED_EVERY: u64 = 50;
+/// The oracle is consulted whenever the position changes, and at this interval.
+pub(crate) const CHECK_INTERVAL_MS: u64 = 50;
 
-pub(crate) const SETTLES: Span = Span::from_ms(6_000);
+pub(crate) const SETTLE_TIME: Span = Span::from_ms(6_000);
 
 pub(crate) const OBJECTS: u64 = 24;
 
@@ -28,14 +28,14 @@
 
 pub(crate) const PLANNERS: usize = 2;
 
-/// By then a planner has heard what the coordinator told, if its link is whole.
-pub(crate) const TRANSIT: u64 = 40;
+/// The maximum time until a planner has received an event from the coordinator, unless it is partitioned.
+pub(crate) const MAX_COORDINATOR_DELAY_MS: u64 = 40;
 
-/// Which hosts are in service.
+/// For each host, whether it is in service.
 pub(crate) type Hosts = [bool; HOSTS];
 
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(crate) enum Fact {
+pub(crate) enum Payload {
     Object(u64),
     Group { group: u64, made_ms: u64 },
     Hosts(Hosts),
@@ -44,124 +44,127 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Event {
     pub(crate) position: EventPosition,
-    pub(crate) told: Fact,
-    pub(crate) made: u64,
-    /// The list after it.
+    pub(crate) payload: Payload,
+    pub(crate) made_ms: u64,
+    /// The list of hosts after the event.
     pub(crate) hosts: Hosts,
 }
 
-/// The coordinator's events in one numbering; the first tells the whole list.
+/// The coordinator with the events of its current numbering; the first event contains the full list of hosts.
 pub(crate) struct Coordinator {
-    pub(crate) run: usize,
+    pub(crate) numbering: usize,
     pub(crate) events: Vec<Event>,
-    pub(crate) hashes: u64,
-    /// All events of all numberings but those that it lost when it was put back.
-    pub(crate) known: BTreeMap<u64, Event>,
-    /// The first event that has not settled yet.
-    pub(crate) unsettled: u64,
+    pub(crate) last_hash: u64,
+    /// The events of all numberings by hash, except those lost when the coordinator was restored.
+    pub(crate) events_by_hash: BTreeMap<u64, Event>,
+    /// The hash of the first event that has not settled yet.
+    pub(crate) first_unsettled_hash: u64,
     pub(crate) withdrawn_since: [Option<u64>; HOSTS],
 }
 
 impl Coordinator {
     pub(crate) fn start() -> Coordinator {
-        let (run, events, hashes, known, unsettled) = (0, Vec::new(), 0, BTreeMap::new(), 0);
+        let (numbering, events, last_hash, events_by_hash, first_unsettled_hash) =
+            (0, Vec::new(), 0, BTreeMap::new(), 0);
         let withdrawn_since = [None; HOSTS];
         let mut coordinator = Coordinator {
-            run,
+            numbering,
             events,
-            hashes,
-            known,
-            unsettled,
+            last_hash,
+            events_by_hash,
+            first_unsettled_hash,
             withdrawn_since,
         };
-        coordinator.list(0, [true; HOSTS]);
+        coordinator.restart_numbering(0, [true; HOSTS]);
         coordinator
     }
 
     pub(crate) fn last(&self) -> &Event {
-        self.events.last().expect("a list is always there")
+        self.events
+            .last()
+            .expect("every numbering has at least one event")
     }
 
-    pub(crate) fn tell(&mut self, ms: u64, told: Fact) {
-        let hosts = match told {
-            Fact::Hosts(hosts) => hosts,
+    pub(crate) fn emit(&mut self, ms: u64, payload: Payload) {
+        let hosts = match payload {
+            Payload::Hosts(hosts) => hosts,
             _ => self.last().hosts,
         };
-        self.hashes += 1;
+        self.last_hash += 1;
         let position = EventPosition {
             number: self
                 .events
                 .last()
                 .map_or(1, |last| last.position.number + 1),
-            hash: self.hashes,
+            hash: self.last_hash,
         };
         let event = Event {
             position,
-            told,
-            made: ms,
+            payload,
+            made_ms: ms,
             hosts,
         };
-        self.known.insert(position.hash, event.clone());
+        self.events_by_hash.insert(position.hash, event.clone());
         self.events.push(event);
-        self.stands(ms);
+        self.update_withdrawn(ms);
     }
 
-    /// It begins anew with its list as event 1.
-    pub(crate) fn list(&mut self, ms: u64, hosts: Hosts) {
-        self.run += 1;
+    /// Starts a new numbering with the list of hosts as event 1.
+    pub(crate) fn restart_numbering(&mut self, ms: u64, hosts: Hosts) {
+        self.numbering += 1;
         self.events.clear();
-        self.tell(ms, Fact::Hosts(hosts));
+        self.emit(ms, Payload::Hosts(hosts));
     }
 
-    /// It is put back from a backup, and gives the numbers out again.
+    /// Restores the coordinator from a backup without the last `events` events; their numbers are used again.
     pub(crate) fn restore(&mut self, ms: u64, events: usize) {
-        self.run += 1;
-        let left = self.events.len().saturating_sub(events).max(1);
-        for lost in self.events.split_off(left) {
-            self.known.remove(&lost.position.hash);
+        self.numbering += 1;
+        let remaining = self.events.len().saturating_sub(events).max(1);
+        for removed in self.events.split_off(remaining) {
+            self.events_by_hash.remove(&removed.position.hash);
         }
-        self.stands(ms);
+        self.update_withdrawn(ms);
     }
 
-    pub(crate) fn stands(&mut self, ms: u64) {
+    pub(crate) fn update_withdrawn(&mut self, ms: u64) {
         let hosts = self.last().hosts;
         for (since, in_service) in self.withdrawn_since.iter_mut().zip(hosts) {
             *since = if in_service { None } else { since.or(Some(ms)) };
         }
     }
 
-    /// The place of an event; the last ones are asked for.
-    pub(crate) fn place_of(&self, position: EventPosition) -> Option<usize> {
+    /// Returns the index of an event. Searches from the end, as recent events are looked up.
+    pub(crate) fn index_of(&self, position: EventPosition) -> Option<usize> {
         self.events
             .iter()
             .rposition(|event| event.position == position)
     }
 
-    pub(crate) fn settle(&mut self, ms: u64) {
-        let settled = |event: &Event| at(ms).since(at(event.made)) > SETTLES;
+    pub(crate) fn skip_settled(&mut self, ms: u64) {
+        let settled = |event: &Event| at(ms).since(at(event.made_ms)) > SETTLE_TIME;
         while self
-            .known
-            .range(self.unsettled..)
+            .events_by_hash
+            .range(self.first_unsettled_hash..)
             .next()
             .is_some_and(|(_, event)| settled(event))
         {
             let first = self
-                .known
-                .range(self.unsettled..)
+                .events_by_hash
+                .range(self.first_unsettled_hash..)
                 .next()
                 .map(|(hash, _)| *hash);
-            self.unsettled = first.unwrap_or(self.unsettled) + 1;
+            self.first_unsettled_hash = first.unwrap_or(self.first_unsettled_hash) + 1;
         }
     }
 
-    pub(crate) fn acts(&mut self, ms: u64, schedule: &Schedule, random: &mut Pcg64Mcg) {
+    pub(crate) fn generate_events(&mut self, ms: u64, schedule: &Schedule, random: &mut Pcg64Mcg) {
         if random.random_bool(0.2) {
-            self.tell(ms, Fact::Object(random.random_range(0..OBJECTS)));
+            self.emit(ms, Payload::Object(random.random_range(0..OBJECTS)));
         }
         if random.random_bool(0.01) {
-            self.tell(
+            self.emit(
                 ms,
-                Fact::Group {
+                Payload::Group {
                     group: random.random_range(0..GROUPS),
                     made_ms: ms,
                 },
@@ -171,13 +174,13 @@
             let mut hosts = self.last().hosts;
             let host = random.random_range(0..HOSTS);
             hosts[host] = !hosts[host];
-            self.tell(ms, Fact::Hosts(hosts));
+            self.emit(ms, Payload::Hosts(hosts));
         }
         if random.random_bool(schedule.renumberings) {
             if schedule.restores {
                 self.restore(ms, random.random_range(1..40));
             } else {
-                self.list(ms, self.last().hosts);
+                self.restart_numbering(ms, self.last().hosts);
             }
         }
     }
@@ -187,14 +190,14 @@
     Time::at_ms((1_000_000 + ms) as f64)
 }
 
-pub(crate) fn frame(told: &Fact) -> Vec<u8> {
-    postcard::to_stdvec(told).expect("it can be written")
+pub(crate) fn to_frame(payload: &Payload) -> Vec<u8> {
+    postcard::to_stdvec(payload).expect("a payload can be encoded")
 }
 
-pub(crate) fn content(told: &Fact) -> Content {
-    match told {
-        Fact::Object(object) => Content::ObjectPurge(Fingerprint::of(ObjectId(*object))),
-        Fact::Group { .. } => Content::GroupPurge(frame(told)),
-        Fact::Hosts(_) => Content::HostChange(frame(told)),
+pub(crate) fn to_content(payload: &Payload) -> Content {
+    match payload {
+        Payload::Object(object) => Content::ObjectPurge(Fingerprint::of(ObjectId(*object))),
+        Payload::Group { .. } => Content::GroupPurge(to_frame(payload)),
+        Payload::Hosts(_) => Content::HostChange(to_frame(payload)),
     }
 }
--- a/crates/flaxdeck-distribution/tests/safe_side/forwarder.rs
+++ b/crates/flaxdeck-distribution/tests/safe_side/forwarder.rs
@@ -1,4 +1,4 @@
-//! A forwarder, and the ways in which it is broken on purpose.
+//! A forwarder, and mutations that the oracle has to detect.
 
 use flaxdeck::ObjectId;
 use flaxdeck_distribution::messages::FullEvent;
@@ -6,39 +6,41 @@
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-use super::coordinator::{Coordinator, Fact, GROUPS, HOSTS, Hosts, PLANNERS, SETTLES, TRANSIT, at};
+use super::coordinator::{
+    Coordinator, GROUPS, HOSTS, Hosts, MAX_COORDINATOR_DELAY_MS, PLANNERS, Payload, SETTLE_TIME, at,
+};
 
-/// How the forwarder is broken on purpose.
+/// A deliberate fault of the forwarder.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Broken {
-    Nothing,
-    /// That a snapshot may miss purges is ignored.
+pub(crate) enum Mutation {
+    None,
+    /// Ignores that a snapshot may miss purges.
     MissedPurgesIgnored,
-    /// The first purge of each batch is forgotten.
+    /// Drops the first purge of each batch.
     PurgeForgotten,
-    /// A snapshot's list is not taken.
+    /// Does not apply the list of hosts of a snapshot.
     ListIgnored,
-    /// Purges are applied for half the hosts' time.
+    /// Applies purges for half of the hosts' settle time only.
     SettledTooSoon,
 }
 
 pub(crate) struct Forwarder {
     pub(crate) subscriber: Subscriber,
     pub(crate) index: PurgeIndex,
-    /// Purges of groups in full.
+    /// Purges of groups, each with the time at which it was made.
     pub(crate) groups: Vec<(u64, u64)>,
     pub(crate) hosts: Hosts,
     pub(crate) incomplete_before: Option<u64>,
-    /// The coordinator's own connection: when it next tells something, and its run.
+    /// The connection to the coordinator: when it next receives events, and the numbering that it is in.
     pub(crate) watch: Option<(u64, usize)>,
 }
 
 impl Forwarder {
-    pub(crate) fn start(ms: u64, preference: u64, broken: Broken) -> Forwarder {
-        let settles = if broken == Broken::SettledTooSoon {
-            SETTLES * 0.5
+    pub(crate) fn start(ms: u64, preference: u64, mutation: Mutation) -> Forwarder {
+        let settle_time = if mutation == Mutation::SettledTooSoon {
+            SETTLE_TIME * 0.5
         } else {
-            SETTLES
+            SETTLE_TIME
         };
         Forwarder {
             subscriber: Subscriber::start(
@@ -46,9 +48,9 @@
                 PLANNERS as u32,
                 preference,
                 Cadence::default(),
-                SETTLES,
+                SETTLE_TIME,
             ),
-            index: PurgeIndex::new(settles),
+            index: PurgeIndex::new(settle_time),
             groups: Vec::new(),
             hosts: [false; HOSTS],
             incomplete_before: None,
@@ -56,74 +58,78 @@
         }
     }
 
-    pub(crate) fn applies_in_full(&mut self, ms: u64, told: &Fact) {
-        match told {
-            Fact::Object(object) => self
+    pub(crate) fn apply_payload(&mut self, ms: u64, payload: &Payload) {
+        match payload {
+            Payload::Object(object) => self
                 .index
                 .record(at(ms), &[Fingerprint::of(ObjectId(*object))]),
-            Fact::Group { group, made_ms } => self.groups.push((*group, *made_ms)),
-            Fact::Hosts(hosts) => self.hosts = *hosts,
+            Payload::Group { group, made_ms } => self.groups.push((*group, *made_ms)),
+            Payload::Hosts(hosts) => self.hosts = *hosts,
         }
     }
 
-    pub(crate) fn applies(&mut self, ms: u64, applied: Applied, broken: Broken) {
-        let full = |events: Vec<FullEvent>| -> Vec<Fact> {
+    pub(crate) fn apply(&mut self, ms: u64, applied: Applied, mutation: Mutation) {
+        let decode = |events: Vec<FullEvent>| -> Vec<Payload> {
             events
                 .iter()
-                .map(|event| postcard::from_bytes(&event.frame).expect("written here"))
+                .map(|event| {
+                    postcard::from_bytes(&event.frame).expect("the frame was encoded by this test")
+                })
                 .collect()
         };
         match applied {
             Applied::Nothing => {}
             Applied::Events { purges, events, .. } => {
-                let skip = usize::from(broken == Broken::PurgeForgotten).min(purges.len());
+                let skip = usize::from(mutation == Mutation::PurgeForgotten).min(purges.len());
                 self.index.record(at(ms), &purges[skip..]);
-                for told in full(events) {
-                    self.applies_in_full(ms, &told);
+                for payload in decode(events) {
+                    self.apply_payload(ms, &payload);
                 }
             }
             Applied::Snapshot {
                 list,
                 purges,
                 group_purges,
-                may_miss_purges: copies_in_doubt,
+                may_miss_purges,
                 ..
             } => {
                 self.index.record(at(ms), &purges);
-                for told in full(group_purges) {
-                    self.applies_in_full(ms, &told);
+                for payload in decode(group_purges) {
+                    self.apply_payload(ms, &payload);
                 }
-                let list: Hosts = postcard::from_bytes(&list).expect("written here");
-                if broken != Broken::ListIgnored {
+                let list: Hosts =
+                    postcard::from_bytes(&list).expect("the frame was encoded by this test");
+                if mutation != Mutation::ListIgnored {
                     self.hosts = list;
                 }
-                if copies_in_doubt && broken != Broken::MissedPurgesIgnored {
+                if may_miss_purges && mutation != Mutation::MissedPurgesIgnored {
                     self.incomplete_before = Some(ms);
                 }
             }
         }
     }
 
-    /// From when on a copy of that object has to be to be handed out; 0 if any will do.
-    pub(crate) fn copies_from(&mut self, ms: u64, object: u64) -> u64 {
+    /// Returns the earliest creation time of a copy of the object that may be served; 0 if any copy may be.
+    pub(crate) fn oldest_servable_copy(&mut self, ms: u64, object: u64) -> u64 {
         let now = at(ms);
-        let unsettled = |made: &u64| now.since(at(*made)) <= SETTLES;
-        let told = self
+        let is_unsettled = |made_ms: &u64| now.since(at(*made_ms)) <= SETTLE_TIME;
+        let object_cutoff = self
             .index
             .purged_at(now, ObjectId(object))
             .max(self.index.incomplete_before(now));
-        let told = told.map_or(0, |told| told.since(at(0)).ms() as u64);
+        let object_cutoff = object_cutoff.map_or(0, |cutoff| cutoff.since(at(0)).ms() as u64);
         let groups = self
             .groups
             .iter()
             .filter(|(group, _)| *group == object % GROUPS);
-        let group = groups.map(|(_, made)| *made).max().unwrap_or(0);
-        told.max(group)
-            .max(self.incomplete_before.filter(unsettled).unwrap_or(0))
+        let group_cutoff = groups.map(|(_, made_ms)| *made_ms).max().unwrap_or(0);
+        object_cutoff
+            .max(group_cutoff)
+            .max(self.incomplete_before.filter(is_unsettled).unwrap_or(0))
     }
 
-    /// The coordinator's own watch, while no planner delivers.
-    pub(crate) fn follows_coordinator(
+    /// Applies events from the coordinator itself while no planner delivers.
+    pub(crate) fn follow_coordinator(
         &mut self,
         ms: u64,
         coordinator: &Coordinator,
@@ -133,27 +139,30 @@
             self.watch = None;
             return;
         }
-        let (from, run) = *self
+        let (next_at, numbering) = *self
             .watch
-            .get_or_insert((ms + random.random_range(50..500), coordinator.run));
-        if ms < from {
+            .get_or_insert((ms + random.random_range(50..500), coordinator.numbering));
+        if ms < next_at {
             return;
         }
-        if run != coordinator.run {
+        if numbering != coordinator.numbering {
             self.watch = None;
             return;
         }
-        // What planners told meanwhile counts as well, unless it was of another numbering.
+        // Events delivered by planners in the meantime count as well, unless they are of another numbering.
         let position = self.subscriber.position();
-        match coordinator.place_of(position) {
+        match coordinator.index_of(position) {
             None => (self.hosts, self.incomplete_before) = (coordinator.last().hosts, Some(ms)),
-            Some(place) => {
-                for event in &coordinator.events[place + 1..] {
-                    self.applies_in_full(ms, &event.told);
+            Some(index) => {
+                for event in &coordinator.events[index + 1..] {
+                    self.apply_payload(ms, &event.payload);
                 }
             }
         }
-        self.watch = Some((ms + random.random_range(0..TRANSIT), run));
+        self.watch = Some((
+            ms + random.random_range(0..MAX_COORDINATOR_DELAY_MS),
+            numbering,
+        ));
         if coordinator.last().position != position {
             self.subscriber
                 .set_position(at(ms), coordinator.last().position);
--- a/crates/flaxdeck-distribution/tests/safe_side/planner.rs
+++ b/crates/flaxdeck-distribution/tests/safe_side/planner.rs
@@ -1,4 +1,4 @@
-//! A planner that hears the coordinator late or not at all.
+//! A planner that receives the coordinator's events late or not at all.
 
 use flaxdeck::Span;
 use flaxdeck_distribution::{Cadence, Publisher, Retention};
@@ -6,20 +6,20 @@
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-use super::coordinator::{Coordinator, HOSTS, Hosts, TRANSIT, at, content};
+use super::coordinator::{Coordinator, HOSTS, Hosts, MAX_COORDINATOR_DELAY_MS, at, to_content};
 use super::world::Schedule;
 
 pub(crate) struct Planner {
     pub(crate) publisher: Publisher,
-    /// The coordinator's run that it follows, and how many of its events it has.
-    pub(crate) follows: Option<(usize, usize)>,
+    /// The coordinator's numbering that it follows, and how many of its events it has received.
+    pub(crate) followed_events: Option<(usize, usize)>,
     pub(crate) hosts: Hosts,
-    pub(crate) deaf_until: u64,
-    /// When the coordinator next has something for it, events or an empty frame.
-    pub(crate) hears_at: u64,
+    pub(crate) partitioned_until: u64,
+    /// When it next receives events or an empty message from the coordinator.
+    pub(crate) next_receive_at: u64,
     pub(crate) connection: u64,
     pub(crate) connected: bool,
-    /// When the forwarder sent what came last.
+    /// When the forwarder sent the last message received from it.
     pub(crate) echo: u64,
     pub(crate) restarts_at: u64,
 }
@@ -28,14 +28,14 @@
     pub(crate) fn start(ms: u64, schedule: &Schedule) -> Planner {
         let retention = Retention {
             keep_for: Span::from_ms(schedule.keep_for),
-            max_bytes: schedule.bytes_most,
+            max_bytes: schedule.max_bytes,
         };
         Planner {
             publisher: Publisher::start(at(ms), Cadence::default(), retention, EventPosition::NONE),
-            follows: None,
+            followed_events: None,
             hosts: [false; HOSTS],
-            deaf_until: 0,
-            hears_at: ms,
+            partitioned_until: 0,
+            next_receive_at: ms,
             connection: 0,
             connected: false,
             echo: 0,
@@ -43,27 +43,32 @@
         }
     }
 
-    pub(crate) fn hears(&mut self, ms: u64, coordinator: &Coordinator, random: &mut Pcg64Mcg) {
-        if ms < self.deaf_until || ms < self.hears_at {
+    pub(crate) fn receive_events(
+        &mut self,
+        ms: u64,
+        coordinator: &Coordinator,
+        random: &mut Pcg64Mcg,
+    ) {
+        if ms < self.partitioned_until || ms < self.next_receive_at {
             return;
         }
-        self.hears_at = ms + random.random_range(0..TRANSIT);
+        self.next_receive_at = ms + random.random_range(0..MAX_COORDINATOR_DELAY_MS);
         let now = at(ms);
-        match self.follows {
-            Some((run, place)) if run == coordinator.run => {
-                for event in &coordinator.events[place..] {
+        match self.followed_events {
+            Some((numbering, received)) if numbering == coordinator.numbering => {
+                for event in &coordinator.events[received..] {
                     self.publisher
-                        .append_event(now, event.position, content(&event.told));
+                        .append_event(now, event.position, to_content(&event.payload));
                 }
             }
-            // A planner finds out when it comes back to the coordinator.
-            _ if self.follows.is_some() && random.random_bool(0.95) => return,
+            // A planner notices a new numbering only when it reconnects to the coordinator.
+            _ if self.followed_events.is_some() && random.random_bool(0.95) => return,
             _ => self
                 .publisher
                 .restart_numbering(now, coordinator.last().position),
         }
-        (self.follows, self.hosts) = (
-            Some((coordinator.run, coordinator.events.len())),
+        (self.followed_events, self.hosts) = (
+            Some((coordinator.numbering, coordinator.events.len())),
             coordinator.last().hosts,
         );
         self.publisher.coordinator_heard(now, true);
--- a/crates/flaxdeck-distribution/tests/safe_side/world.rs
+++ b/crates/flaxdeck-distribution/tests/safe_side/world.rs
@@ -1,4 +1,4 @@
-//! All of them with a faulty network between them, beside the oracle.
+//! The coordinator, planners and forwarder with a faulty network between them, checked against the oracle.
 
 use std::collections::BTreeSet;
 
@@ -10,139 +10,147 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::coordinator::{
-    CHECKED_EVERY, Coordinator, Event, Fact, GROUPS, LASTS, OBJECTS, PLANNERS, SETTLES, STEP,
-    TRANSIT, at,
+    CHECK_INTERVAL_MS, Coordinator, DURATION_MS, Event, GROUPS, MAX_COORDINATOR_DELAY_MS, OBJECTS,
+    PLANNERS, Payload, SETTLE_TIME, STEP_MS, at,
 };
-use super::forwarder::{Broken, Forwarder};
+use super::forwarder::{Forwarder, Mutation};
 use super::planner::Planner;
 
 pub(crate) struct Message {
     pub(crate) planner: usize,
     pub(crate) connection: u64,
-    pub(crate) comes: u64,
+    pub(crate) arrives_at: u64,
     pub(crate) body: Body,
 }
 
 #[derive(Clone)]
 pub(crate) enum Body {
-    Asks {
+    Request {
         sent: u64,
         subscription: Subscription,
     },
-    Tells {
+    Delivery {
         echo: u64,
         delivery: Delivery,
     },
 }
 
-/// How often what goes wrong, as chances a message or a step.
+/// Rates of faults, as probabilities per message or per step.
 #[derive(Clone, Debug)]
 pub(crate) struct Schedule {
     pub(crate) seed: u64,
-    pub(crate) lost: f64,
-    pub(crate) late: f64,
-    pub(crate) doubled: f64,
-    pub(crate) cuts: f64,
+    pub(crate) loss: f64,
+    pub(crate) delay: f64,
+    pub(crate) duplication: f64,
+    pub(crate) disconnects: f64,
     pub(crate) restarts: f64,
-    pub(crate) deaf: f64,
+    pub(crate) partitions: f64,
     pub(crate) renumberings: f64,
     pub(crate) restores: bool,
     pub(crate) keep_for: u64,
-    pub(crate) bytes_most: usize,
+    pub(crate) max_bytes: usize,
 }
 
 pub(crate) fn schedules() -> impl Strategy<Value = Schedule> {
     let network = (0.0..0.3, 0.0..0.2, 0.0..0.2, 0.0..0.002);
-    let sides = (0.0..0.001, 0.0..0.002, 0.0..0.001, any::<bool>());
-    let kept = (
+    let instance_faults = (0.0..0.001, 0.0..0.002, 0.0..0.001, any::<bool>());
+    let retention = (
         1_000..30_000_u64,
         prop_oneof![Just(1 << 24), 4_000..40_000_usize],
     );
-    (any::<u64>(), network, sides, kept).prop_map(|(seed, network, sides, kept)| {
-        let (lost, late, doubled, cuts) = network;
-        let (restarts, deaf, renumberings, restores) = sides;
-        let (keep_for, bytes_most) = kept;
-        Schedule {
-            seed,
-            lost,
-            late,
-            doubled,
-            cuts,
-            restarts,
-            deaf,
-            renumberings,
-            restores,
-            keep_for,
-            bytes_most,
-        }
-    })
+    (any::<u64>(), network, instance_faults, retention).prop_map(
+        |(seed, network, instance_faults, retention)| {
+            let (loss, delay, duplication, disconnects) = network;
+            let (restarts, partitions, renumberings, restores) = instance_faults;
+            let (keep_for, max_bytes) = retention;
+            Schedule {
+                seed,
+                loss,
+                delay,
+                duplication,
+                disconnects,
+                restarts,
+                partitions,
+                renumberings,
+                restores,
+                keep_for,
+                max_bytes,
+            }
+        },
+    )
 }
 
-/// What has happened, to show that schedules are not empty.
+/// Counts of what happened, to show that the schedules exercise the protocol.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Tally {
     pub(crate) batches: u64,
     pub(crate) snapshots: u64,
     pub(crate) incomplete_snapshots: u64,
-    pub(crate) refused: u64,
+    pub(crate) rejected: u64,
     pub(crate) duplicates: u64,
-    /// Moves by the coordinator's own watch.
-    pub(crate) fed: u64,
-    /// Copies that the forwarder refused and that the oracle would have handed out, of all looked at.
-    pub(crate) refused_more: u64,
-    pub(crate) looked_at: u64,
+    /// Changes of the position by the coordinator's own events.
+    pub(crate) coordinator_updates: u64,
+    /// Checks in which the forwarder restricted an object's copies although the oracle would have served any, out of
+    /// all checks.
+    pub(crate) needlessly_rejected: u64,
+    pub(crate) copies_checked: u64,
 }
 
 pub(crate) struct World<'a> {
     pub(crate) schedule: &'a Schedule,
-    pub(crate) broken: Broken,
+    pub(crate) mutation: Mutation,
     pub(crate) random: Pcg64Mcg,
     pub(crate) coordinator: Coordinator,
     pub(crate) planners: Vec<Planner>,
     pub(crate) forwarder: Forwarder,
     pub(crate) network: Vec<Message>,
-    /// Purges that the position has passed.
-    pub(crate) passed: BTreeSet<u64>,
+    /// Hashes of the unsettled events that the position has passed.
+    pub(crate) passed_hashes: BTreeSet<u64>,
     pub(crate) tally: Tally,
 }
 
 impl World<'_> {
     pub(crate) fn send(&mut self, ms: u64, planner: usize, body: Body) {
-        let copies = if self.random.random_bool(self.schedule.lost) {
+        let copies = if self.random.random_bool(self.schedule.loss) {
             0
         } else {
-            1 + usize::from(self.random.random_bool(self.schedule.doubled))
+            1 + usize::from(self.random.random_bool(self.schedule.duplication))
         };
         for _ in 0..copies {
-            let late = if self.random.random_bool(self.schedule.late) {
+            let max_delay_ms = if self.random.random_bool(self.schedule.delay) {
                 2_000
             } else {
                 50
             };
-            let comes = ms + self.random.random_range(0..late);
+            let arrives_at = ms + self.random.random_range(0..max_delay_ms);
             let connection = self.planners[planner].connection;
             self.network.push(Message {
                 planner,
                 connection,
-                comes,
+                arrives_at,
                 body: body.clone(),
             });
         }
     }
 
     pub(crate) fn disconnect(&mut self, ms: u64, planner: usize) {
-        let known = &mut self.planners[planner];
-        (known.connected, known.restarts_at) = (false, ms + self.random.random_range(50..1_500));
-        known.publisher.unsubscribe(SubscriberId(0));
+        let planner_state = &mut self.planners[planner];
+        (planner_state.connected, planner_state.restarts_at) =
+            (false, ms + self.random.random_range(50..1_500));
+        planner_state.publisher.unsubscribe(SubscriberId(0));
         self.forwarder
             .subscriber
             .disconnected(at(ms), PlannerNumber(planner as u32));
     }
 
     pub(crate) fn connect(&mut self, ms: u64, planner: usize) {
-        let known = &mut self.planners[planner];
-        (known.connected, known.echo, known.restarts_at) = (true, 0, u64::MAX);
-        known.connection += 1;
+        let planner_state = &mut self.planners[planner];
+        (
+            planner_state.connected,
+            planner_state.echo,
+            planner_state.restarts_at,
+        ) = (true, 0, u64::MAX);
+        planner_state.connection += 1;
         self.forwarder
             .subscriber
             .connected(at(ms), PlannerNumber(planner as u32));
@@ -150,10 +158,13 @@
 
     pub(crate) fn faults(&mut self, ms: u64) {
         for planner in 0..PLANNERS {
-            if self.random.random_bool(self.schedule.deaf) {
-                self.planners[planner].deaf_until = ms + self.random.random_range(100..6_000);
+            if self.random.random_bool(self.schedule.partitions) {
+                self.planners[planner].partitioned_until =
+                    ms + self.random.random_range(100..6_000);
             }
-            if self.random.random_bool(self.schedule.cuts) && self.planners[planner].connected {
+            if self.random.random_bool(self.schedule.disconnects)
+                && self.planners[planner].connected
+            {
                 self.disconnect(ms, planner);
             }
             if self.random.random_bool(self.schedule.restarts) {
@@ -173,8 +184,8 @@
         if self.random.random_bool(self.schedule.restarts * 0.5) {
             self.count();
             let preference = self.random.random();
-            self.forwarder = Forwarder::start(ms, preference, self.broken);
-            self.passed.clear();
+            self.forwarder = Forwarder::start(ms, preference, self.mutation);
+            self.passed_hashes.clear();
             for planner in 0..PLANNERS {
                 self.connect(ms, planner);
             }
@@ -186,115 +197,126 @@
             self.send(
                 ms,
                 to.0 as usize,
-                Body::Asks {
+                Body::Request {
                     sent: ms,
                     subscription,
                 },
             );
         }
         for planner in 0..PLANNERS {
-            let known = &mut self.planners[planner];
-            let hosts = known.hosts;
-            for id in known.publisher.due(at(ms)) {
-                let mut list = |_| postcard::to_stdvec(&hosts).expect("it can be written");
-                let told = self.planners[planner]
+            let planner_state = &mut self.planners[planner];
+            let hosts = planner_state.hosts;
+            for id in planner_state.publisher.due(at(ms)) {
+                let mut list =
+                    |_| postcard::to_stdvec(&hosts).expect("a list of hosts can be encoded");
+                let update = self.planners[planner]
                     .publisher
                     .update_for(at(ms), id, &mut list);
                 let echo = self.planners[planner].echo;
-                if let Some(delivery) = told {
-                    self.send(ms, planner, Body::Tells { echo, delivery });
+                if let Some(delivery) = update {
+                    self.send(ms, planner, Body::Delivery { echo, delivery });
                 }
             }
         }
     }
 
     pub(crate) fn deliver(&mut self, ms: u64) {
-        while let Some(place) = self.network.iter().position(|message| message.comes <= ms) {
+        while let Some(index) = self
+            .network
+            .iter()
+            .position(|message| message.arrives_at <= ms)
+        {
             let Message {
                 planner,
                 connection,
                 body,
                 ..
-            } = self.network.remove(place);
-            let known = &mut self.planners[planner];
-            if !known.connected || known.connection != connection {
+            } = self.network.remove(index);
+            let planner_state = &mut self.planners[planner];
+            if !planner_state.connected || planner_state.connection != connection {
                 continue;
             }
             match body {
-                Body::Asks { sent, subscription } => {
-                    known.echo = sent;
-                    known
+                Body::Request { sent, subscription } => {
+                    planner_state.echo = sent;
+                    planner_state
                         .publisher
                         .subscribe(at(ms), SubscriberId(0), subscription);
                 }
-                Body::Tells { echo, delivery } => {
+                Body::Delivery { echo, delivery } => {
                     let number = PlannerNumber(planner as u32);
                     self.forwarder.subscriber.record_echo(number, at(echo));
                     match self.forwarder.subscriber.receive(at(ms), number, delivery) {
-                        Ok(applied) => self.forwarder.applies(ms, applied, self.broken),
-                        Err(_) => self.tally.refused += 1,
+                        Ok(applied) => self.forwarder.apply(ms, applied, self.mutation),
+                        Err(_) => self.tally.rejected += 1,
                     }
                 }
             }
         }
     }
 
-    /// Beside the oracle.
+    /// Compares the forwarder with the oracle.
     pub(crate) fn check(&mut self, ms: u64) -> Result<(), String> {
         let position = self.forwarder.subscriber.position();
-        self.coordinator.settle(ms);
-        let (unsettled, known) = (self.coordinator.unsettled, &self.coordinator.known);
-        if position.hash >= unsettled {
-            self.passed.extend(
-                known
-                    .range(unsettled..=position.hash)
+        self.coordinator.skip_settled(ms);
+        let (first_unsettled, events) = (
+            self.coordinator.first_unsettled_hash,
+            &self.coordinator.events_by_hash,
+        );
+        if position.hash >= first_unsettled {
+            self.passed_hashes.extend(
+                events
+                    .range(first_unsettled..=position.hash)
                     .map(|(hash, _)| *hash),
             );
         }
-        self.passed
-            .retain(|hash| *hash >= unsettled && known.contains_key(hash));
-        // Where it claims to have had all that the coordinator had, it has all that was told by then.
+        self.passed_hashes
+            .retain(|hash| *hash >= first_unsettled && events.contains_key(hash));
+        // For the time for which the state is confirmed, the forwarder must have all events emitted by then.
         let confirmed_at = self
             .forwarder
             .subscriber
             .confirmed_at()
             .filter(|_| !self.schedule.restores);
-        let claimed = |event: &Event| {
-            confirmed_at.is_some_and(|confirmed_at| at(event.made + TRANSIT) < confirmed_at)
+        let confirmed = |event: &Event| {
+            confirmed_at.is_some_and(|confirmed_at| {
+                at(event.made_ms + MAX_COORDINATOR_DELAY_MS) < confirmed_at
+            })
         };
-        let due = known
-            .range(unsettled..)
-            .filter(|(hash, event)| self.passed.contains(hash) || claimed(event));
-        let due: Vec<&Event> = due.map(|(_, event)| event).collect();
+        let required = events
+            .range(first_unsettled..)
+            .filter(|(hash, event)| self.passed_hashes.contains(hash) || confirmed(event));
+        let required: Vec<&Event> = required.map(|(_, event)| event).collect();
         self.forwarder
             .groups
-            .retain(|(_, made)| at(ms).since(at(*made)) <= SETTLES);
-        let from = required_copies(&due);
-        for (object, oracle) in from.into_iter().enumerate() {
-            let digest = self.forwarder.copies_from(ms, object as u64);
+            .retain(|(_, made_ms)| at(ms).since(at(*made_ms)) <= SETTLE_TIME);
+        let oldest_valid = oldest_valid_copies(&required);
+        for (object, oracle) in oldest_valid.into_iter().enumerate() {
+            let digest = self.forwarder.oldest_servable_copy(ms, object as u64);
             if digest < oracle {
                 return Err(format!(
-                    "at {ms} object {object} from {digest}, by the events from {oracle}"
+                    "at {ms} ms the forwarder serves copies of object {object} from {digest} ms on, \
+                     but by the full events only those from {oracle} ms on are valid"
                 ));
             }
-            self.tally.looked_at += 1;
-            self.tally.refused_more += u64::from(digest > 0 && oracle == 0);
+            self.tally.copies_checked += 1;
+            self.tally.needlessly_rejected += u64::from(digest > 0 && oracle == 0);
         }
         self.check_hosts(ms, position)
     }
 
     pub(crate) fn check_hosts(&self, ms: u64, position: EventPosition) -> Result<(), String> {
-        let Some(event) = self.coordinator.known.get(&position.hash) else {
+        let Some(event) = self.coordinator.events_by_hash.get(&position.hash) else {
             return Ok(());
         };
         if self.forwarder.hosts != event.hosts {
             return Err(format!(
-                "at {ms} hosts {:?}, by the events {:?}",
+                "at {ms} ms the forwarder uses hosts {:?}, by the full events they are {:?}",
                 self.forwarder.hosts, event.hosts
             ));
         }
-        // Where it claims to have had all that the coordinator had, it uses no host withdrawn by then. A coordinator
-        // that is put back may be contradicted for a while by a planner that has not noticed.
+        // For the time for which the state is confirmed, the forwarder must not use a host withdrawn by then. This is
+        // not checked for a coordinator that is restored: planners that have not noticed may contradict it for a while.
         let Some(confirmed_at) = self
             .forwarder
             .subscriber
@@ -304,10 +326,11 @@
             return Ok(());
         };
         for (host, since) in self.coordinator.withdrawn_since.iter().enumerate() {
-            let known = since.is_some_and(|since| at(since + TRANSIT) < confirmed_at);
-            if known && self.forwarder.hosts[host] {
+            let is_confirmed =
+                since.is_some_and(|since| at(since + MAX_COORDINATOR_DELAY_MS) < confirmed_at);
+            if is_confirmed && self.forwarder.hosts[host] {
                 return Err(format!(
-                    "at {ms} host {host} used, withdrawn since {since:?}"
+                    "at {ms} ms the forwarder uses host {host}, which is withdrawn since {since:?} ms"
                 ));
             }
         }
@@ -323,55 +346,60 @@
     }
 }
 
-/// From when on a copy of each object has to be by the events in full; 0 if any will do.
-fn required_copies(due: &[&Event]) -> [u64; OBJECTS as usize] {
-    let mut from = [0; OBJECTS as usize];
-    for event in due {
-        let hit = |object: u64| match event.told {
-            Fact::Object(purged) => purged == object,
-            Fact::Group { group, .. } => group == object % GROUPS,
-            Fact::Hosts(_) => false,
+/// Returns for each object the earliest creation time of a copy that may be served, by the events in full; 0 if any
+/// copy may be.
+fn oldest_valid_copies(required: &[&Event]) -> [u64; OBJECTS as usize] {
+    let mut oldest_valid = [0; OBJECTS as usize];
+    for event in required {
+        let is_purged = |object: u64| match event.payload {
+            Payload::Object(purged) => purged == object,
+            Payload::Group { group, .. } => group == object % GROUPS,
+            Payload::Hosts(_) => false,
         };
-        for object in (0..OBJECTS).filter(|object| hit(*object)) {
-            let known = &mut from[object as usize];
-            *known = event.made.max(*known);
+        for object in (0..OBJECTS).filter(|object| is_purged(*object)) {
+            let oldest_valid = &mut oldest_valid[object as usize];
+            *oldest_valid = event.made_ms.max(*oldest_valid);
         }
     }
-    from
+    oldest_valid
 }
 
-pub(crate) fn run(schedule: &Schedule, broken: Broken) -> Result<Tally, String> {
+pub(crate) fn run_schedule(schedule: &Schedule, mutation: Mutation) -> Result<Tally, String> {
     let mut random = Pcg64Mcg::seed_from_u64(schedule.seed);
-    let forwarder = Forwarder::start(0, random.random(), broken);
+    let forwarder = Forwarder::start(0, random.random(), mutation);
     let mut world = World {
         schedule,
-        broken,
+        mutation,
         random,
         coordinator: Coordinator::start(),
         planners: (0..PLANNERS).map(|_| Planner::start(0, schedule)).collect(),
         forwarder,
         network: Vec::new(),
-        passed: BTreeSet::new(),
+        passed_hashes: BTreeSet::new(),
         tally: Tally::default(),
     };
     for planner in 0..PLANNERS {
         world.connect(0, planner);
     }
     let mut checked = EventPosition::NONE;
-    for ms in (0..LASTS).step_by(STEP as usize) {
-        world.coordinator.acts(ms, schedule, &mut world.random);
+    for ms in (0..DURATION_MS).step_by(STEP_MS as usize) {
+        world
+            .coordinator
+            .generate_events(ms, schedule, &mut world.random);
         world.faults(ms);
         for planner in &mut world.planners {
-            planner.hears(ms, &world.coordinator, &mut world.random);
+            planner.receive_events(ms, &world.coordinator, &mut world.random);
         }
         world.send_due(ms);
         world.deliver(ms);
         let before = world.forwarder.subscriber.position();
         world
             .forwarder
-            .follows_coordinator(ms, &world.coordinator, &mut world.random);
-        world.tally.fed += u64::from(world.forwarder.subscriber.position() != before);
-        if world.forwarder.subscriber.position() != checked || ms.is_multiple_of(CHECKED_EVERY) {
+            .follow_coordinator(ms, &world.coordinator, &mut world.random);
+        world.tally.coordinator_updates +=
+            u64::from(world.forwarder.subscriber.position() != before);
+        if world.forwarder.subscriber.position() != checked || ms.is_multiple_of(CHECK_INTERVAL_MS)
+        {
             checked = world.forwarder.subscriber.position();
             world.check(ms)?;
         }
