--- a/crates/flaxdeck-distribution/tests/distribution_model/main.rs
+++ b/crates/flaxdeck-distribution/tests/distribution_model/main.rs
@@ -1,13 +1,14 @@
-//! The distribution of events, model-checked: a coordinator that gives out events and loses its numbering, two planners
-//! that hear it late or not at all and restart, one forwarder that restarts, and between them a network that loses,
-//! delays, doubles and reorders whatever is sent. The state machines are the real ones.
+//! Model checking of the distribution of events: a coordinator that emits events and loses its numbering, two planners
+//! that receive them late or not at all and restart, one forwarder that restarts, and between them a network that
+//! loses, delays, duplicates and reorders messages. The state machines are the real ones.
 //!
-//! What is sent comes at once unless its way is held up; then it comes in any order, at any time, or never. All such
-//! faults together are bounded in number, and every way to place them among the events and the steps of time is tried.
+//! A message is delivered at once unless its direction is held; then it is delivered in any order, at any time, or
+//! never. The total number of such faults is bounded, and every way to place them among the events and the time steps
+//! is tried.
 //!
-//! Each event's hash is its place among all that were ever told, in whatever numbering. So "never out of order, and no
-//! older list" means that the hash of the position never falls, and "nothing skipped without being reported" that each purge up
-//! to it that has not settled was applied, or that copies from before it are refused.
+//! Each event's hash is its index among all events ever emitted, in whichever numbering. So "never out of order, and no
+//! older list" means that the hash of the position never decreases. "Nothing skipped without being reported" means that
+//! each unsettled purge up to the position was applied, or that copies older than it are not served.
 
 #![allow(
     clippy::unwrap_used,
@@ -20,23 +21,23 @@
 mod transitions;
 
 use flaxdeck::Span;
-use model::{LIVE, SAFE};
-use state::{Action, Broken, Distribution};
+use model::{LIVENESS, SAFETY};
+use state::{Action, Distribution, Mutation};
 use stateright::{Checker, Model, UniformChooser};
 
-fn distribution(broken: Broken) -> Distribution {
+fn distribution(mutation: Mutation) -> Distribution {
     Distribution {
-        broken,
+        mutation,
         steps: 3,
         events: 2,
         renumberings: 0,
         faults: 1,
         keep_for: Span::from_ms(30_000),
-        before: &[],
+        initial_actions: &[],
     }
 }
 
-fn holds(model: Distribution) {
+fn assert_properties_hold(model: Distribution) {
     let started = std::time::Instant::now();
     let checker = model.checker().threads(4).spawn_bfs().join();
     let (all, unique, depth) = (
@@ -51,71 +52,74 @@
     checker.assert_properties();
 }
 
-fn breaks(model: Distribution) {
-    let broken = model.broken;
+fn assert_mutation_is_detected(model: Distribution) {
+    let mutation = model.mutation;
     let checker = model.checker().threads(4).spawn_bfs().join();
-    let found = checker.discovery(SAFE);
+    let found = checker.discovery(SAFETY);
     let found = found.unwrap_or_else(|| {
         panic!(
-            "{broken:?} is not found in {} states",
+            "{mutation:?} was not detected in {} states",
             checker.state_count()
         )
     });
-    let wrong = found.last_state().wrong.unwrap_or_default();
-    println!("{broken:?} after {:?}: {wrong}", found.into_actions());
+    let violation = found.last_state().violation.unwrap_or_default();
+    println!(
+        "{mutation:?} detected after {:?}: {violation}",
+        found.into_actions()
+    );
 }
 
 #[test]
-fn nothing_is_skipped_or_out_of_order_with_one_fault_of_any_kind() {
-    holds(Distribution {
+fn events_are_complete_and_ordered_with_one_fault_of_any_kind() {
+    assert_properties_hold(Distribution {
         events: 2,
         faults: 1,
-        ..distribution(Broken::Nothing)
+        ..distribution(Mutation::None)
     });
 }
 
 #[test]
-fn nothing_is_skipped_or_out_of_order_with_two_faults() {
-    holds(Distribution {
+fn events_are_complete_and_ordered_with_two_faults() {
+    assert_properties_hold(Distribution {
         steps: 2,
         events: 2,
         faults: 2,
-        ..distribution(Broken::Nothing)
+        ..distribution(Mutation::None)
     });
 }
 
 #[test]
-fn nothing_is_skipped_or_out_of_order_where_the_numbering_turns_out_another() {
-    holds(Distribution {
+fn events_are_complete_and_ordered_when_the_numbering_changes() {
+    assert_properties_hold(Distribution {
         steps: 6,
         events: 1,
         faults: 1,
         renumberings: 1,
-        ..distribution(Broken::Nothing)
+        ..distribution(Mutation::None)
     });
 }
 
 #[test]
-fn nothing_is_skipped_or_out_of_order_where_planners_keep_little() {
+fn events_are_complete_and_ordered_when_planners_retain_little() {
     let keep_for = Span::from_ms(900);
-    holds(Distribution {
+    assert_properties_hold(Distribution {
         steps: 5,
         events: 2,
         faults: 1,
         keep_for,
-        ..distribution(Broken::Nothing)
+        ..distribution(Mutation::None)
     });
 }
 
-/// Schedules with more of everything, by chance, each to its end.
+/// Random schedules with more events, faults and renumberings, each run to its end.
 #[test]
-fn nothing_is_skipped_or_out_of_order_in_long_random_schedules() {
+fn events_are_complete_and_ordered_in_long_random_schedules() {
     let model = Distribution {
         steps: 24,
         events: 8,
         faults: 8,
         renumberings: 2,
-        ..distribution(Broken::Nothing)
+        ..distribution(Mutation::None)
     };
     let checker = model.checker().target_state_count(10_000);
     let checker = checker.spawn_simulation(7, UniformChooser).join();
@@ -124,69 +128,69 @@
         checker.state_count(),
         checker.max_depth()
     );
-    checker.assert_no_discovery(SAFE);
-    checker.assert_no_discovery(LIVE);
+    checker.assert_no_discovery(SAFETY);
+    checker.assert_no_discovery(LIVENESS);
 }
 
 #[test]
-fn moving_the_position_before_applying_is_found() {
-    breaks(distribution(Broken::MovesBeforeApplying));
+fn moving_the_position_before_applying_is_detected() {
+    assert_mutation_is_detected(distribution(Mutation::MovesBeforeApplying));
 }
 
 #[test]
-fn ignoring_a_gap_is_found() {
-    breaks(distribution(Broken::GapIgnored));
+fn ignoring_a_gap_is_detected() {
+    assert_mutation_is_detected(distribution(Mutation::GapIgnored));
 }
 
 #[test]
-fn comparing_numbers_alone_is_found() {
-    breaks(Distribution {
+fn comparing_positions_without_their_hashes_is_detected() {
+    assert_mutation_is_detected(Distribution {
         steps: 6,
         renumberings: 1,
-        ..distribution(Broken::HashNotCompared)
+        ..distribution(Mutation::HashNotCompared)
     });
 }
 
 #[test]
-fn a_snapshot_of_a_planner_that_is_not_current_is_found() {
-    let before = &[Action::Event, Action::Deafen(0), Action::Renumber];
-    let broken = distribution(Broken::SnapshotWhileNotCurrent);
-    breaks(Distribution {
+fn a_snapshot_of_a_planner_that_is_not_current_is_detected() {
+    let initial_actions = &[Action::Event, Action::Partition(0), Action::Renumber];
+    let mutation = distribution(Mutation::SnapshotWhileNotCurrent);
+    assert_mutation_is_detected(Distribution {
         steps: 6,
         events: 1,
         renumberings: 1,
-        before,
-        ..broken
+        initial_actions,
+        ..mutation
     });
 }
 
 #[test]
-fn taking_an_older_snapshot_is_found() {
-    let broken = distribution(Broken::OlderSnapshotTaken);
-    breaks(Distribution {
+fn accepting_an_older_snapshot_is_detected() {
+    let mutation = distribution(Mutation::OlderSnapshotTaken);
+    assert_mutation_is_detected(Distribution {
         steps: 2,
         events: 0,
         renumberings: 1,
         faults: 2,
-        ..broken
+        ..mutation
     });
 }
 
 #[test]
-fn overstating_how_far_purges_reach_is_found() {
-    breaks(Distribution {
+fn overstating_how_far_purges_reach_is_detected() {
+    assert_mutation_is_detected(Distribution {
         steps: 2,
         events: 1,
         faults: 2,
-        ..distribution(Broken::ReachOverstated)
+        ..distribution(Mutation::ReachOverstated)
     });
 }
 
 #[test]
-fn keeping_the_log_over_another_numbering_is_found() {
-    breaks(Distribution {
+fn keeping_the_log_when_the_numbering_changes_is_detected() {
+    assert_mutation_is_detected(Distribution {
         steps: 6,
         renumberings: 1,
-        ..distribution(Broken::LogKeptOverRenumbering)
+        ..distribution(Mutation::LogKeptOverRenumbering)
     });
 }
--- a/crates/flaxdeck-distribution/tests/distribution_model/model.rs
+++ b/crates/flaxdeck-distribution/tests/distribution_model/model.rs
@@ -1,4 +1,4 @@
-//! The actions of the model, and what has to hold in every state.
+//! The actions of the model, and the properties that have to hold in every state.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -7,17 +7,19 @@
 use stateright::{Model, Property};
 
 use super::state::{
-    Action, Broken, Distribution, Held, Numbering, PLANNERS, PlannerState, SAMPLED, State, at,
+    Action, Distribution, ForwarderState, LIVENESS_SAMPLING, Mutation, Numbering, PLANNERS,
+    PlannerState, State, at,
 };
 
-pub(crate) const SAFE: &str = "nothing is skipped without being reported or out of order";
+pub(crate) const SAFETY: &str =
+    "no event is skipped without being reported or applied out of order";
 
-pub(crate) const LIVE: &str = "the forwarder catches up once nothing is lost any more";
+pub(crate) const LIVENESS: &str = "the forwarder catches up once no more messages are lost";
 
-pub(crate) fn sampled(state: &State) -> bool {
+pub(crate) fn is_sampled(state: &State) -> bool {
     let mut hasher = DefaultHasher::new();
     state.hash(&mut hasher);
-    hasher.finish().is_multiple_of(SAMPLED)
+    hasher.finish().is_multiple_of(LIVENESS_SAMPLING)
 }
 
 impl Model for Distribution {
@@ -28,7 +30,7 @@
         let now = at(0);
         let planner = |_| PlannerState {
             publisher: self.publisher(now),
-            follows: None,
+            followed: None,
             connection: 0,
             connected: false,
             echo: 0,
@@ -41,14 +43,14 @@
             }],
             planners: (0..PLANNERS).map(planner).collect(),
             subscriber: Distribution::subscriber(now),
-            held: Held::default(),
+            forwarder: ForwarderState::default(),
             network: Vec::new(),
             events: 0,
-            held_up: [[false; 2]; PLANNERS],
-            deaf: [false; PLANNERS],
+            is_held: [[false; 2]; PLANNERS],
+            partitioned: [false; PLANNERS],
             faults: 0,
             renumberings: 0,
-            wrong: None,
+            violation: None,
         };
         state
             .subscriber
@@ -56,18 +58,18 @@
         for planner in 0..PLANNERS {
             state.connect(planner);
         }
-        self.settle(&mut state);
-        for action in self.before {
+        self.run_until_idle(&mut state);
+        for action in self.initial_actions {
             state = self
                 .next_state(&state, *action)
-                .expect("it changes something");
+                .expect("each initial action changes the state");
         }
         state.faults = 0;
         vec![state]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.wrong.is_some() {
+        if state.violation.is_some() {
             return;
         }
         if state.step < self.steps {
@@ -79,27 +81,28 @@
         if state.renumberings < self.renumberings {
             actions.push(Action::Renumber);
         }
-        let ways = (0..PLANNERS).flat_map(|planner| [(planner, false), (planner, true)]);
-        for (planner, asks) in ways.clone() {
-            if state.held_up[planner][usize::from(asks)] {
-                actions.push(Action::Release { planner, asks });
-                actions.push(Action::Lose { planner, asks });
+        let directions = (0..PLANNERS).flat_map(|planner| [(planner, false), (planner, true)]);
+        for (planner, upstream) in directions.clone() {
+            if state.is_held[planner][usize::from(upstream)] {
+                actions.push(Action::Release { planner, upstream });
+                actions.push(Action::Lose { planner, upstream });
             }
         }
         actions.extend((0..state.network.len()).map(Action::Deliver));
         actions.extend(
             (0..PLANNERS)
-                .filter(|planner| state.deaf[*planner])
-                .map(Action::Hears),
+                .filter(|planner| state.partitioned[*planner])
+                .map(Action::Reconnect),
         );
         if state.faults < self.faults {
-            let free = ways.filter(|(planner, asks)| !state.held_up[*planner][usize::from(*asks)]);
-            actions.extend(free.map(|(planner, asks)| Action::HoldUp { planner, asks }));
-            actions.extend((0..state.network.len()).map(Action::Double));
+            let free = directions
+                .filter(|(planner, upstream)| !state.is_held[*planner][usize::from(*upstream)]);
+            actions.extend(free.map(|(planner, upstream)| Action::Hold { planner, upstream }));
+            actions.extend((0..state.network.len()).map(Action::Duplicate));
             actions.extend(
                 (0..PLANNERS)
-                    .filter(|planner| !state.deaf[*planner])
-                    .map(Action::Deafen),
+                    .filter(|planner| !state.partitioned[*planner])
+                    .map(Action::Partition),
             );
             actions.extend((0..PLANNERS).map(Action::RestartPlanner));
             actions.push(Action::RestartForwarder);
@@ -111,38 +114,40 @@
         let now = state.now();
         match action {
             Action::Step => self.step(&mut state),
-            Action::Event => state.tell_event(),
+            Action::Event => state.emit_event(),
             Action::Renumber => state.renumber(),
-            Action::HoldUp { planner, asks } => {
+            Action::Hold { planner, upstream } => {
                 state.faults += 1;
-                state.held_up[planner][usize::from(asks)] = true;
+                state.is_held[planner][usize::from(upstream)] = true;
             }
-            Action::Release { planner, asks } => state.held_up[planner][usize::from(asks)] = false,
-            Action::Lose { planner, asks } => {
-                state.held_up[planner][usize::from(asks)] = false;
+            Action::Release { planner, upstream } => {
+                state.is_held[planner][usize::from(upstream)] = false
+            }
+            Action::Lose { planner, upstream } => {
+                state.is_held[planner][usize::from(upstream)] = false;
                 state
                     .network
-                    .retain(|message| (message.planner, message.asks) != (planner, asks));
+                    .retain(|message| (message.planner, message.upstream) != (planner, upstream));
             }
-            Action::Deliver(place) => {
-                let message = state.network.remove(place);
+            Action::Deliver(index) => {
+                let message = state.network.remove(index);
                 self.deliver(&mut state, message);
             }
-            Action::Double(place) => {
+            Action::Duplicate(index) => {
                 state.faults += 1;
-                let message = state.network[place].clone();
+                let message = state.network[index].clone();
                 self.deliver(&mut state, message);
             }
-            Action::Deafen(planner) => {
+            Action::Partition(planner) => {
                 state.faults += 1;
-                state.deaf[planner] = true;
+                state.partitioned[planner] = true;
             }
-            Action::Hears(planner) => state.deaf[planner] = false,
+            Action::Reconnect(planner) => state.partitioned[planner] = false,
             Action::RestartPlanner(planner) => {
                 state.faults += 1;
                 let publisher = self.publisher(now);
-                let known = &mut state.planners[planner];
-                (known.publisher, known.follows, known.connected) = (publisher, None, false);
+                let entry = &mut state.planners[planner];
+                (entry.publisher, entry.followed, entry.connected) = (publisher, None, false);
                 state
                     .subscriber
                     .disconnected(now, PlannerNumber(planner as u32));
@@ -151,14 +156,14 @@
             Action::RestartForwarder => {
                 state.faults += 1;
                 state.subscriber = Distribution::subscriber(now);
-                state.held = Held::default();
+                state.forwarder = ForwarderState::default();
                 for planner in 0..PLANNERS {
                     state.connect(planner);
                 }
             }
         }
-        self.settle(&mut state);
-        // Counts change nothing that is done.
+        self.run_until_idle(&mut state);
+        // Counters do not influence behaviour, so they are reset to merge states that differ by nothing else.
         state.subscriber.counters = Default::default();
         for planner in &mut state.planners {
             planner.publisher.counters = Default::default();
@@ -168,14 +173,14 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(SAFE, |_, state: &State| state.wrong.is_none()),
-            Property::always(LIVE, |model: &Distribution, state: &State| {
-                model.broken != Broken::Nothing || !sampled(state) || model.catches_up(state)
+            Property::always(SAFETY, |_, state: &State| state.violation.is_none()),
+            Property::always(LIVENESS, |model: &Distribution, state: &State| {
+                model.mutation != Mutation::None || !is_sampled(state) || model.catches_up(state)
             }),
             Property::sometimes(
                 "all purges are applied",
                 |model: &Distribution, state: &State| {
-                    state.held.purged.len() == usize::from(model.events)
+                    state.forwarder.purged.len() == usize::from(model.events)
                 },
             ),
         ]
--- a/crates/flaxdeck-distribution/tests/distribution_model/state.rs
+++ b/crates/flaxdeck-distribution/tests/distribution_model/state.rs
@@ -11,43 +11,44 @@
 use flaxdeck_recovery::EventPosition;
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds of time a step.
-pub(crate) const STEP: u64 = 1_000;
+/// Duration of one step in milliseconds.
+pub(crate) const STEP_MS: u64 = 1_000;
 
-/// The time in which hosts drop by themselves what was purged.
-pub(crate) const SETTLES: Span = Span::from_ms(2_000);
+/// The time within which hosts drop purged copies themselves.
+pub(crate) const SETTLE_TIME: Span = Span::from_ms(2_000);
 
-/// Messages held up between the forwarder and a planner, each way; older ones are lost.
-pub(crate) const MAX_EACH_WAY: usize = 2;
+/// The maximum number of messages in transit between the forwarder and a planner per direction; the oldest are dropped
+/// beyond it.
+pub(crate) const MAX_PER_DIRECTION: usize = 2;
 
-/// Messages that answer each other within an instant; more would be a loop.
-pub(crate) const MAX_INSTANT: usize = 24;
+/// The maximum number of messages exchanged within one instant; more indicate an endless loop.
+pub(crate) const MAX_MESSAGES_PER_INSTANT: usize = 24;
 
-/// Steps of a schedule without faults in which the forwarder has to catch up from any state.
-pub(crate) const CATCHES_UP_WITHIN: usize = 20;
+/// The number of steps without faults within which the forwarder has to catch up from any state.
+pub(crate) const CATCH_UP_STEPS: usize = 20;
 
-/// That is tried from one state in so many.
-pub(crate) const SAMPLED: u64 = 64;
+/// Catching up is checked for one state in this many.
+pub(crate) const LIVENESS_SAMPLING: u64 = 64;
 
 pub(crate) const PLANNERS: usize = 2;
 
-/// How the protocol is broken on purpose.
+/// A deliberate fault of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Broken {
-    Nothing,
-    /// The position moves before a batch is applied, and the application finds it known.
+pub(crate) enum Mutation {
+    None,
+    /// The position is moved before a batch is applied, so the batch is skipped as a duplicate.
     MovesBeforeApplying,
-    /// A batch that begins later than the position is applied all the same.
+    /// A batch that begins after the position is applied in spite of the gap.
     GapIgnored,
-    /// Positions are told apart by their numbers alone.
+    /// Positions are compared by their numbers alone.
     HashNotCompared,
-    /// A planner that has not heard the coordinator takes itself for current.
+    /// A planner that has received nothing from the coordinator counts itself as current.
     SnapshotWhileNotCurrent,
-    /// A snapshot is taken whenever it was written.
+    /// A snapshot is accepted whatever its age.
     OlderSnapshotTaken,
-    /// A planner says that its purges reach back further than they do.
+    /// A planner overstates how far back its purges reach.
     ReachOverstated,
-    /// A planner goes on with its log where the numbering is another.
+    /// A planner continues its log when the numbering changes.
     LogKeptOverRenumbering,
 }
 
@@ -55,10 +56,10 @@
 pub(crate) struct Event {
     pub(crate) position: EventPosition,
     pub(crate) content: Content,
-    pub(crate) made: Time,
+    pub(crate) made_at: Time,
 }
 
-/// A numbering: the event that told the whole list, and what followed.
+/// A numbering: the position of the event with the full list of hosts, and the events after it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Numbering {
     pub(crate) base: EventPosition,
@@ -70,55 +71,56 @@
         self.events.last().map_or(self.base, |event| event.position)
     }
 
-    /// The place after a position.
-    pub(crate) fn place_after(&self, position: EventPosition) -> Option<usize> {
+    /// Returns the index of the event after a position.
+    pub(crate) fn index_after(&self, position: EventPosition) -> Option<usize> {
         if position == self.base {
             return Some(0);
         }
         self.events
             .iter()
             .position(|event| event.position == position)
-            .map(|place| place + 1)
+            .map(|index| index + 1)
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PlannerState {
     pub(crate) publisher: Publisher,
-    /// The numbering that it follows and how many of its events it has; none before it has heard anything.
-    pub(crate) follows: Option<(usize, usize)>,
-    /// Conversations with the forwarder so far; what belongs to an earlier one does not come any more.
+    /// The numbering that it follows and how many of its events it has received; `None` before it has received
+    /// anything.
+    pub(crate) followed: Option<(usize, usize)>,
+    /// Number of connections with the forwarder so far; messages of earlier connections are not delivered.
     pub(crate) connection: u8,
     pub(crate) connected: bool,
-    /// What the forwarder sent last before the planner wrote.
+    /// When the forwarder sent the last message that the planner has received.
     pub(crate) echo: u64,
 }
 
-/// What the forwarder holds beside its subscriber.
+/// The forwarder's state apart from its subscriber.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Held {
-    /// Purges applied, by their hashes.
+pub(crate) struct ForwarderState {
+    /// Hashes of the purges applied.
     pub(crate) purged: BTreeSet<u64>,
-    /// No copy from before is served, as purges may be missing.
+    /// No copy older than this is served, as purges may be missing.
     pub(crate) incomplete_before: Option<Time>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct Message {
     pub(crate) planner: usize,
-    /// From the forwarder to the planner.
-    pub(crate) asks: bool,
+    /// Whether it is sent from the forwarder to the planner.
+    pub(crate) upstream: bool,
     pub(crate) connection: u8,
     pub(crate) body: Vec<u8>,
 }
 
 #[derive(Serialize, Deserialize)]
 pub(crate) enum Body {
-    Asks {
+    Request {
         sent: u64,
         subscription: Subscription,
     },
-    Tells {
+    Delivery {
         echo: u64,
         delivery: Delivery,
     },
@@ -130,71 +132,71 @@
     pub(crate) numberings: Vec<Numbering>,
     pub(crate) planners: Vec<PlannerState>,
     pub(crate) subscriber: Subscriber,
-    pub(crate) held: Held,
-    /// What is on its way.
+    pub(crate) forwarder: ForwarderState,
+    /// The messages in transit.
     pub(crate) network: Vec<Message>,
-    /// Ways that are held up: from each planner to the forwarder, and back.
-    pub(crate) held_up: [[bool; 2]; PLANNERS],
-    /// Planners that do not hear the coordinator.
-    pub(crate) deaf: [bool; PLANNERS],
+    /// Directions in which messages are held: from each planner to the forwarder, and back.
+    pub(crate) is_held: [[bool; 2]; PLANNERS],
+    /// Planners that receive nothing from the coordinator.
+    pub(crate) partitioned: [bool; PLANNERS],
     pub(crate) events: u8,
     pub(crate) faults: u8,
     pub(crate) renumberings: u8,
-    pub(crate) wrong: Option<&'static str>,
+    pub(crate) violation: Option<&'static str>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Action {
     Step,
     Event,
-    /// The coordinator begins another numbering.
+    /// The coordinator starts another numbering.
     Renumber,
-    /// Nothing comes any more from a planner, or to it.
-    HoldUp {
+    /// Messages from a planner, or to it, are held from now on.
+    Hold {
         planner: usize,
-        asks: bool,
+        upstream: bool,
     },
-    /// All that was held up comes, in order.
+    /// The held messages are delivered in order.
     Release {
         planner: usize,
-        asks: bool,
+        upstream: bool,
     },
-    /// All that was held up is lost.
+    /// The held messages are lost.
     Lose {
         planner: usize,
-        asks: bool,
+        upstream: bool,
     },
-    /// One of the messages that are held up comes.
+    /// One of the held messages is delivered.
     Deliver(usize),
-    /// It comes, and will come again.
-    Double(usize),
-    /// A planner does not hear the coordinator any more.
-    Deafen(usize),
-    /// It hears it again.
-    Hears(usize),
+    /// It is delivered, and will be delivered again.
+    Duplicate(usize),
+    /// A planner receives nothing more from the coordinator.
+    Partition(usize),
+    /// It receives the coordinator's events again.
+    Reconnect(usize),
     RestartPlanner(usize),
     RestartForwarder,
 }
 
 #[derive(Clone, Copy)]
 pub(crate) struct Distribution {
-    pub(crate) broken: Broken,
+    pub(crate) mutation: Mutation,
     pub(crate) steps: u64,
     pub(crate) events: u8,
     pub(crate) renumberings: u8,
-    /// Ways held up, messages doubled, planners deafened, restarts of any.
+    /// The maximum number of faults: directions held, messages duplicated, planners partitioned, and restarts.
     pub(crate) faults: u8,
-    /// How long planners keep events.
+    /// How long planners retain events.
     pub(crate) keep_for: Span,
-    /// What has happened already.
-    pub(crate) before: &'static [Action],
+    /// Actions applied to the initial state.
+    pub(crate) initial_actions: &'static [Action],
 }
 
 pub(crate) fn at(step: u64) -> Time {
-    Time::at_ms((100_000 + step * STEP) as f64)
+    Time::at_ms((100_000 + step * STEP_MS) as f64)
 }
 
-pub(crate) fn stamp(time: Time) -> u64 {
+pub(crate) fn to_ms(time: Time) -> u64 {
     time.ms() as u64
 }
 
@@ -204,90 +206,92 @@
     }
 
     pub(crate) fn coordinator(&self) -> &Numbering {
-        self.numberings.last().expect("there is always one")
+        self.numberings.last().expect("there is always a numbering")
     }
 
-    /// The place of the next event among all that were ever told.
+    /// Returns the hash of the next event: its index among all events ever emitted.
     pub(crate) fn next_hash(&self) -> u64 {
-        let told: usize = self
+        let emitted: usize = self
             .numberings
             .iter()
             .map(|numbering| 1 + numbering.events.len())
             .sum();
-        told as u64 + 1
+        emitted as u64 + 1
     }
 
     pub(crate) fn send(&mut self, planner: usize, body: &Body) {
         let connection = self.planners[planner].connection;
-        let asks = matches!(body, Body::Asks { .. });
-        let bytes = postcard::to_stdvec(body).expect("it can be written");
+        let upstream = matches!(body, Body::Request { .. });
+        let bytes = postcard::to_stdvec(body).expect("a message can be encoded");
         let message = Message {
             planner,
-            asks,
+            upstream,
             connection,
             body: bytes,
         };
         self.network.retain(|other| *other != message);
         self.network.push(message);
         self.network
-            .sort_by_key(|message| (message.planner, message.asks));
-        let of_this_way = |other: &&Message| (other.planner, other.asks) == (planner, asks);
-        if self.network.iter().filter(of_this_way).count() > MAX_EACH_WAY {
-            let first = self.network.iter().position(|other| of_this_way(&other));
+            .sort_by_key(|message| (message.planner, message.upstream));
+        let same_direction =
+            |other: &&Message| (other.planner, other.upstream) == (planner, upstream);
+        if self.network.iter().filter(same_direction).count() > MAX_PER_DIRECTION {
+            let first = self.network.iter().position(|other| same_direction(&other));
             first.map(|first| self.network.remove(first));
         }
     }
 
     pub(crate) fn connect(&mut self, planner: usize) {
         let now = self.now();
-        let known = &mut self.planners[planner];
-        (known.connection, known.connected, known.echo) = (known.connection + 1, true, 0);
-        known.publisher.unsubscribe(SubscriberId(0));
+        let entry = &mut self.planners[planner];
+        (entry.connection, entry.connected, entry.echo) = (entry.connection + 1, true, 0);
+        entry.publisher.unsubscribe(SubscriberId(0));
         self.subscriber
             .connected(now, PlannerNumber(planner as u32));
         self.network.retain(|message| message.planner != planner);
     }
 
-    /// What the forwarder and the planners have to say now.
-    pub(crate) fn speak(&mut self) {
+    /// Sends the messages of the forwarder and the planners that are due now.
+    pub(crate) fn send_due(&mut self) {
         let now = self.now();
         for (to, subscription) in self.subscriber.actions(now) {
             self.send(
                 to.0 as usize,
-                &Body::Asks {
-                    sent: stamp(now),
+                &Body::Request {
+                    sent: to_ms(now),
                     subscription,
                 },
             );
         }
         for planner in 0..PLANNERS {
-            let known = &mut self.planners[planner];
-            for id in known.publisher.due(now) {
-                let told = known
+            let entry = &mut self.planners[planner];
+            for id in entry.publisher.due(now) {
+                let update = entry
                     .publisher
                     .update_for(now, id, &mut |number| vec![number as u8]);
-                let echo = known.echo;
-                if let Some(delivery) = told {
-                    self.send(planner, &Body::Tells { echo, delivery });
+                let echo = entry.echo;
+                if let Some(delivery) = update {
+                    self.send(planner, &Body::Delivery { echo, delivery });
                     break;
                 }
             }
         }
     }
 
-    /// The next message whose way is not held up.
-    pub(crate) fn next_delivered(&mut self) -> Option<Message> {
-        let comes = |message: &Message| !self.held_up[message.planner][usize::from(message.asks)];
-        let place = self.network.iter().position(comes)?;
-        Some(self.network.remove(place))
+    /// Removes and returns the next message whose direction is not held.
+    pub(crate) fn next_deliverable(&mut self) -> Option<Message> {
+        let is_deliverable =
+            |message: &Message| !self.is_held[message.planner][usize::from(message.upstream)];
+        let index = self.network.iter().position(is_deliverable)?;
+        Some(self.network.remove(index))
     }
 
-    pub(crate) fn fails(&mut self, what: &'static str) {
-        self.wrong.get_or_insert(what);
+    pub(crate) fn fail(&mut self, violation: &'static str) {
+        self.violation.get_or_insert(violation);
     }
 
-    /// The coordinator tells an event: both kinds of purges, in turn.
-    pub(crate) fn tell_event(&mut self) {
+    /// The coordinator emits an event: purges of objects and of groups in turn.
+    pub(crate) fn emit_event(&mut self) {
         self.events += 1;
         let hash = self.next_hash();
         let position = EventPosition {
@@ -302,14 +306,14 @@
         let event = Event {
             position,
             content,
-            made: self.now(),
+            made_at: self.now(),
         };
         if let Some(numbering) = self.numberings.last_mut() {
             numbering.events.push(event);
         }
     }
 
-    /// The coordinator begins another numbering.
+    /// The coordinator starts another numbering.
     pub(crate) fn renumber(&mut self) {
         self.renumberings += 1;
         let base = EventPosition {
--- a/crates/flaxdeck-distribution/tests/distribution_model/transitions.rs
+++ b/crates/flaxdeck-distribution/tests/distribution_model/transitions.rs
@@ -1,4 +1,4 @@
-//! What the planners and the forwarder of the model do with what they hear.
+//! The actions of the model's planners and forwarder on the messages that they receive.
 
 use std::collections::BTreeSet;
 
@@ -10,8 +10,8 @@
 use flaxdeck_recovery::EventPosition;
 
 use super::state::{
-    Body, Broken, CATCHES_UP_WITHIN, Distribution, Event, MAX_INSTANT, Message, PLANNERS, SETTLES,
-    State,
+    Body, CATCH_UP_STEPS, Distribution, Event, MAX_MESSAGES_PER_INSTANT, Message, Mutation,
+    PLANNERS, SETTLE_TIME, State,
 };
 
 impl Distribution {
@@ -24,37 +24,37 @@
     }
 
     pub(crate) fn subscriber(now: Time) -> Subscriber {
-        Subscriber::start(now, PLANNERS as u32, 1, Cadence::default(), SETTLES)
+        Subscriber::start(now, PLANNERS as u32, 1, Cadence::default(), SETTLE_TIME)
     }
 
-    /// A planner has heard all that the coordinator has to tell.
-    pub(crate) fn planner_hears(&self, state: &mut State, planner: usize) {
+    /// Lets a planner receive all of the coordinator's events.
+    pub(crate) fn planner_receives_events(&self, state: &mut State, planner: usize) {
         let now = state.now();
         let current = state.numberings.len() - 1;
         let coordinator = state.coordinator().clone();
-        let known = &mut state.planners[planner];
-        match known.follows {
-            Some((numbering, place)) if numbering == current => {
-                for event in &coordinator.events[place..] {
-                    known
+        let entry = &mut state.planners[planner];
+        match entry.followed {
+            Some((numbering, received)) if numbering == current => {
+                for event in &coordinator.events[received..] {
+                    entry
                         .publisher
                         .append_event(now, event.position, event.content.clone());
                 }
             }
-            Some(_) if self.broken == Broken::LogKeptOverRenumbering => {
+            Some(_) if self.mutation == Mutation::LogKeptOverRenumbering => {
                 for event in &coordinator.events {
-                    known
+                    entry
                         .publisher
                         .append_event(now, event.position, event.content.clone());
                 }
             }
-            _ => known.publisher.restart_numbering(now, coordinator.last()),
+            _ => entry.publisher.restart_numbering(now, coordinator.last()),
         }
-        known.follows = Some((current, coordinator.events.len()));
-        known.publisher.coordinator_heard(now, true);
+        entry.followed = Some((current, coordinator.events.len()));
+        entry.publisher.coordinator_heard(now, true);
     }
 
-    pub(crate) fn asks(
+    pub(crate) fn receive_request(
         &self,
         state: &mut State,
         planner: usize,
@@ -62,32 +62,32 @@
         subscription: Subscription,
     ) {
         let now = state.now();
-        let known = &mut state.planners[planner];
-        if self.broken == Broken::SnapshotWhileNotCurrent {
-            known.publisher.coordinator_heard(now, true);
+        let entry = &mut state.planners[planner];
+        if self.mutation == Mutation::SnapshotWhileNotCurrent {
+            entry.publisher.coordinator_heard(now, true);
         }
         let subscription = match subscription {
-            Subscription::After(position) if self.broken == Broken::HashNotCompared => {
-                let numbering = known
-                    .follows
+            Subscription::After(position) if self.mutation == Mutation::HashNotCompared => {
+                let numbering = entry
+                    .followed
                     .map(|(numbering, _)| &state.numberings[numbering]);
                 let same = numbering.and_then(|numbering| {
                     let events = numbering.events.iter().map(|event| event.position);
                     events
                         .chain([numbering.base])
-                        .find(|known| known.number == position.number)
+                        .find(|event| event.number == position.number)
                 });
                 Subscription::After(same.unwrap_or(position))
             }
             other => other,
         };
-        known.echo = sent;
-        known
+        entry.echo = sent;
+        entry
             .publisher
             .subscribe(now, SubscriberId(0), subscription);
     }
 
-    pub(crate) fn tells(
+    pub(crate) fn receive_delivery(
         &self,
         state: &mut State,
         planner: usize,
@@ -99,43 +99,43 @@
         let number = PlannerNumber(planner as u32);
         match &mut delivery.update {
             Update::Batch(batch) => {
-                let moves = match self.broken {
-                    Broken::MovesBeforeApplying if batch.after == before => Some(batch.last),
-                    Broken::GapIgnored if batch.after.number > before.number => Some(batch.after),
-                    Broken::HashNotCompared if batch.after.number == before.number => {
+                let new_position = match self.mutation {
+                    Mutation::MovesBeforeApplying if batch.after == before => Some(batch.last),
+                    Mutation::GapIgnored if batch.after.number > before.number => Some(batch.after),
+                    Mutation::HashNotCompared if batch.after.number == before.number => {
                         Some(batch.after)
                     }
                     _ => None,
                 };
-                let moves = moves.filter(|position| *position != before);
-                if let Some(position) = moves {
+                let new_position = new_position.filter(|position| *position != before);
+                if let Some(position) = new_position {
                     state.subscriber.set_position(now, position);
                 }
             }
-            Update::Snapshot(snapshot) if self.broken == Broken::ReachOverstated => {
+            Update::Snapshot(snapshot) if self.mutation == Mutation::ReachOverstated => {
                 snapshot.purges_reach_ms += 10_000;
             }
             _ => {}
         }
-        let older = self.broken == Broken::OlderSnapshotTaken;
-        if older {
+        let accepts_older = self.mutation == Mutation::OlderSnapshotTaken;
+        if accepts_older {
             delivery.coordinator_ago_ms = delivery.coordinator_ago_ms.map(|_| 0);
         }
         state.subscriber.record_echo(
             number,
-            if older {
-                now + SETTLES
+            if accepts_older {
+                now + SETTLE_TIME
             } else {
                 Time::at_ms(echo as f64)
             },
         );
         if let Ok(applied) = state.subscriber.receive(now, number, delivery) {
-            self.applies(state, before, applied);
+            self.apply(state, before, applied);
         }
         self.check(state, before);
     }
 
-    pub(crate) fn applies(&self, state: &mut State, before: EventPosition, applied: Applied) {
+    pub(crate) fn apply(&self, state: &mut State, before: EventPosition, applied: Applied) {
         let now = state.now();
         match applied {
             Applied::Nothing => {}
@@ -144,31 +144,31 @@
                 events,
                 last: end,
             } => {
-                let told = purges.iter().map(|purge| u64::from(purge.0));
-                let told: BTreeSet<u64> = told
+                let delivered = purges.iter().map(|purge| u64::from(purge.0));
+                let delivered: BTreeSet<u64> = delivered
                     .chain(events.iter().map(|event| event.position.hash))
                     .collect();
-                if !follows_exactly(state, before, end, &told) {
-                    state.fails("a batch is not what follows the position");
+                if !is_exactly_what_follows(state, before, end, &delivered) {
+                    state.fail("a batch does not contain exactly the events after the position");
                 }
-                state.held.purged.extend(told);
+                state.forwarder.purged.extend(delivered);
             }
             Applied::Snapshot {
                 purges,
                 group_purges,
-                may_miss_purges: copies_in_doubt,
+                may_miss_purges,
                 ..
             } => {
                 state
-                    .held
+                    .forwarder
                     .purged
                     .extend(purges.iter().map(|purge| u64::from(purge.0)));
                 state
-                    .held
+                    .forwarder
                     .purged
                     .extend(group_purges.iter().map(|event| event.position.hash));
-                if copies_in_doubt {
-                    state.held.incomplete_before = Some(now);
+                if may_miss_purges {
+                    state.forwarder.incomplete_before = Some(now);
                 }
             }
         }
@@ -177,42 +177,50 @@
     pub(crate) fn check(&self, state: &mut State, before: EventPosition) {
         let position = state.subscriber.position();
         if position.hash < before.hash {
-            state.fails("an older state in place of a later one");
+            state.fail("a later state was replaced by an older one");
         }
-        if position != before && skipped(state) {
-            state.fails("a purge was skipped without being reported");
+        if position != before && skips_unreported_purge(state) {
+            state.fail("a purge was skipped without being reported");
         }
     }
 
-    /// Forgets what can have no effect any more, so that states that differ by nothing else are one.
-    pub(crate) fn forget(state: &mut State) {
+    /// Drops purges that have settled and can have no more effect, so that states that differ by nothing else are
+    /// merged.
+    pub(crate) fn drop_settled(state: &mut State) {
         let now = state.now();
-        let settled = |event: &Event| now.since(event.made) > SETTLES;
-        let gone: Vec<u64> = state
+        let is_settled = |event: &Event| now.since(event.made_at) > SETTLE_TIME;
+        let settled_hashes: Vec<u64> = state
             .numberings
             .iter()
             .flat_map(|numbering| &numbering.events)
-            .filter(|event| settled(event))
+            .filter(|event| is_settled(event))
             .map(|event| event.position.hash)
             .collect();
-        state.held.purged.retain(|hash| !gone.contains(hash));
-        state.held.incomplete_before = state
-            .held
+        state
+            .forwarder
+            .purged
+            .retain(|hash| !settled_hashes.contains(hash));
+        state.forwarder.incomplete_before = state
+            .forwarder
             .incomplete_before
-            .filter(|incomplete_before| now.since(*incomplete_before) <= SETTLES);
+            .filter(|incomplete_before| now.since(*incomplete_before) <= SETTLE_TIME);
     }
 
     pub(crate) fn deliver(&self, state: &mut State, message: Message) {
         let Message { planner, body, .. } = message;
-        match postcard::from_bytes(&body).expect("it was written here") {
-            Body::Asks { sent, subscription } => self.asks(state, planner, sent, subscription),
-            Body::Tells { echo, delivery } => self.tells(state, planner, echo, delivery),
+        match postcard::from_bytes(&body).expect("the message was encoded by this test") {
+            Body::Request { sent, subscription } => {
+                self.receive_request(state, planner, sent, subscription)
+            }
+            Body::Delivery { echo, delivery } => {
+                self.receive_delivery(state, planner, echo, delivery)
+            }
         }
     }
 
     pub(crate) fn step(&self, state: &mut State) {
         state.step += 1;
-        Distribution::forget(state);
+        Distribution::drop_settled(state);
         for planner in 0..PLANNERS {
             if !state.planners[planner].connected {
                 state.connect(planner);
@@ -220,75 +228,76 @@
         }
     }
 
-    /// All that comes at once has come.
-    pub(crate) fn settle(&self, state: &mut State) {
+    /// Delivers events and messages until no more messages are due at this instant.
+    pub(crate) fn run_until_idle(&self, state: &mut State) {
         for planner in (0..PLANNERS)
-            .filter(|planner| !state.deaf[*planner])
+            .filter(|planner| !state.partitioned[*planner])
             .collect::<Vec<_>>()
         {
-            self.planner_hears(state, planner);
+            self.planner_receives_events(state, planner);
         }
-        state.speak();
-        for _ in 0..MAX_INSTANT {
-            let Some(message) = state.next_delivered() else {
+        state.send_due();
+        for _ in 0..MAX_MESSAGES_PER_INSTANT {
+            let Some(message) = state.next_deliverable() else {
                 return;
             };
             self.deliver(state, message);
-            state.speak();
+            state.send_due();
         }
-        state.fails("messages answer each other without end");
+        state.fail("the messages of one instant do not come to an end");
     }
 
-    /// From that state on nothing is lost or late, and nothing more happens: whether the forwarder catches up.
+    /// Returns whether the forwarder catches up if from this state on nothing is lost or late and no more events are
+    /// emitted.
     pub(crate) fn catches_up(&self, state: &State) -> bool {
         let mut state = state.clone();
-        (state.held_up, state.deaf) = ([[false; 2]; PLANNERS], [false; PLANNERS]);
-        for _ in 0..CATCHES_UP_WITHIN {
+        (state.is_held, state.partitioned) = ([[false; 2]; PLANNERS], [false; PLANNERS]);
+        for _ in 0..CATCH_UP_STEPS {
             self.step(&mut state);
-            self.settle(&mut state);
+            self.run_until_idle(&mut state);
         }
-        state.wrong.is_none()
+        state.violation.is_none()
             && state.subscriber.position() == state.coordinator().last()
             && !state.subscriber.needs_coordinator(state.now())
     }
 }
 
-/// Whether what was told is all that follows one position up to the other, and nothing else.
-pub(crate) fn follows_exactly(
+/// Returns whether the delivered events are exactly those after one position up to another.
+pub(crate) fn is_exactly_what_follows(
     state: &State,
     before: EventPosition,
     end: EventPosition,
-    told: &BTreeSet<u64>,
+    delivered: &BTreeSet<u64>,
 ) -> bool {
     state.numberings.iter().any(|numbering| {
         let places = numbering
-            .place_after(before)
-            .zip(numbering.place_after(end));
+            .index_after(before)
+            .zip(numbering.index_after(end));
         places.is_some_and(|(from, to)| {
             let events = numbering.events.get(from..to).unwrap_or_default();
             events
                 .iter()
                 .map(|event| event.position.hash)
                 .collect::<BTreeSet<u64>>()
-                == *told
+                == *delivered
         })
     })
 }
 
-/// A purge up to the position that has not settled, was not applied, and was not reported as missing.
-pub(crate) fn skipped(state: &State) -> bool {
+/// Returns whether there is an unsettled purge up to the position that was neither applied nor reported as missing.
+pub(crate) fn skips_unreported_purge(state: &State) -> bool {
     let (now, position) = (state.now(), state.subscriber.position());
     let events = state
         .numberings
         .iter()
         .flat_map(|numbering| &numbering.events);
-    let mut unsettled = events.filter(|event| now.since(event.made) <= SETTLES);
+    let mut unsettled = events.filter(|event| now.since(event.made_at) <= SETTLE_TIME);
     unsettled.any(|event| {
-        let passed = event.position.hash <= position.hash;
+        let is_passed = event.position.hash <= position.hash;
         let incomplete_before = state
-            .held
+            .forwarder
             .incomplete_before
-            .is_some_and(|incomplete_before| incomplete_before >= event.made);
-        passed && !incomplete_before && !state.held.purged.contains(&event.position.hash)
+            .is_some_and(|incomplete_before| incomplete_before >= event.made_at);
+        is_passed && !incomplete_before && !state.forwarder.purged.contains(&event.position.hash)
     })
 }
