--- a/crates/flaxdeck-distribution/src/publisher.rs
+++ b/crates/flaxdeck-distribution/src/publisher.rs
@@ -91,7 +91,8 @@
     /// is still ahead of the current numbering.
     abandoned: Option<AbandonedLog>,
     subscribers: BTreeMap<SubscriberId, SubscriberState>,
-    /// When the coordinator was last heard; `has_all_events` says whether all of its events had been received by then.
+    /// When the last message from the coordinator was received; `has_all_events` says whether all of its events had
+    /// been received by then.
     coordinator_last_heard: Option<Time>,
     has_all_events: bool,
     /// No subscriber is due before this time.
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Returns whether the planner has all of the coordinator's events, as far as it can tell: it had them when it last
-    /// heard the coordinator, and that is less than the timeout ago.
+    /// Returns whether the planner has all of the coordinator's events, as far as it can tell: it had them when it
+    /// received the coordinator's last message, and that is less than the timeout ago.
     pub fn is_current(&self, now: Time) -> bool {
         self.coordinator_ago_ms(now).is_some()
     }
--- a/crates/flaxdeck-distribution/src/subscriber.rs
+++ b/crates/flaxdeck-distribution/src/subscriber.rs
@@ -10,8 +10,8 @@
 //!   themselves, purges may be missing, and no older copy may be served.
 //! - A snapshot replaces the list of hosts, so an older one could return a removed host to service. Planners send
 //!   snapshots only while they have all of the coordinator's events. A forwarder accepts one only if its planner has
-//!   heard the coordinator since the forwarder's position last changed: then the planner has all events applied here,
-//!   in whichever numbering.
+//!   received a message from the coordinator since the forwarder's position last changed: then the planner has all
+//!   events applied here, in whichever numbering.
 
 mod checks;
 mod coordinator_need;
--- a/crates/flaxdeck-distribution/src/subscriber/deliveries.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/deliveries.rs
@@ -230,9 +230,9 @@
         Ok(())
     }
 
-    /// Returns a lower bound for when the planner last heard the coordinator: `ago_ms` before the forwarder sent the
-    /// last message that the planner is known to have received when it wrote the delivery. Without an echo from the
-    /// connection, that is the last request as it was first sent.
+    /// Returns a lower bound for when the planner last received a message from the coordinator: `ago_ms` before the
+    /// forwarder sent the last message that the planner has certainly received when it wrote the delivery. Without an
+    /// echo from the connection, that is the last request as it was first sent.
     fn coordinator_heard_at(&self, from: PlannerNumber, ago_ms: u32) -> Option<Time> {
         let planner = self.planner(from);
         let request = planner
--- a/crates/flaxdeck-distribution/src/subscriber/error.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/error.rs
@@ -25,7 +25,7 @@
         position: EventPosition,
     },
     /// The batch has the same number as the position here, with another hash.
-    #[error("the delivered event with number {} is not the one known under that number: the numbering has changed", .0.number)]
+    #[error("event {} has hash {:x} in the delivery and another one here: the numbering differs", .0.number, .0.hash)]
     OtherNumbering(EventPosition),
     /// The snapshot's planner was not asked for events, or the snapshot may be older than the state here.
     #[error("the snapshot at event {} was not requested or may be older than the state here", .0.number)]
--- a/crates/flaxdeck-distribution/src/subscriber/selection.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/selection.rs
@@ -8,7 +8,7 @@
 use super::planner::{MAX_DOUBLINGS, Planner};
 use super::{PlannerNumber, Subscriber};
 
-/// How long no planner may know the position before the numbering is assumed to have changed.
+/// Time after which the numbering is assumed to have changed if no planner knows the position.
 pub(super) const MAX_BEHIND: Span = Span::from_ms(3_000);
 
 impl Subscriber {
--- a/crates/flaxdeck-distribution/tests/publisher.rs
+++ b/crates/flaxdeck-distribution/tests/publisher.rs
@@ -43,8 +43,8 @@
     publisher
 }
 
-/// Runs the publisher for the range of milliseconds and returns all messages sent, with the time of each. The
-/// coordinator is heard every 500 ms.
+/// Runs the publisher for the range of milliseconds and returns all messages sent, with the time of each. A message
+/// from the coordinator is recorded every 500 ms.
 fn run_publisher(
     publisher: &mut Publisher,
     ms: std::ops::Range<u64>,
--- a/crates/flaxdeck-distribution/tests/subscriber/coordinator.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber/coordinator.rs
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn the_confirmed_time_follows_when_an_up_to_date_planner_heard_the_coordinator() {
+fn the_confirmed_time_is_that_of_the_coordinators_last_message_to_an_up_to_date_planner() {
     let mut subscriber = connected_subscriber(10);
     assert_eq!(subscriber.confirmed_at(), None);
     subscriber
--- a/crates/flaxdeck-distribution/tests/subscriber/snapshots.rs
+++ b/crates/flaxdeck-distribution/tests/subscriber/snapshots.rs
@@ -85,7 +85,7 @@
     subscriber
         .receive(at(1_000), FIRST, batch_delivery(purge_batch(10, 15)))
         .unwrap();
-    // The planner has not heard the coordinator since the position changed.
+    // The planner has not received a message from the coordinator since the position changed.
     subscriber.record_echo(FIRST, at(1_400));
     let stale = snapshot_delivery(snapshot(30), Some(500));
     assert_eq!(
