--- a/crates/flaxdeck-distribution/src/lib.rs
+++ b/crates/flaxdeck-distribution/src/lib.rs
@@ -1,6 +1,7 @@
 //! Distribution of the coordinator's numbered events to every forwarder, each through one planner.
 //!
-//! State machines without I/O, clocks or tasks: they take messages and the current time, and return messages and timers.
+//! State machines without I/O, clocks or tasks: they take messages and the current time, and return messages and
+//! timers.
 //! `docs/distribution.md` gives the reasons and the figures.
 //!
 //! - [`messages`]: the messages about events between a forwarder and a planner.
@@ -9,10 +10,11 @@
 //! - [`event_log`]: the recent events of the coordinator that a planner retains.
 //! - [`publisher`]: the planner's side: which subscriber is sent what, and when.
 //! - [`subscriber`]: the forwarder's side: which planner it follows, and which deliveries it applies.
-//! - [`purge_index`]: the purges that a forwarder has to apply until the cache hosts have dropped the copies themselves.
+//! - [`purge_index`]: the purges that a forwarder has to apply until the cache hosts have dropped the copies
+//!   themselves.
 //!
-//! Positions in the coordinator's numbering are [`flaxdeck_recovery::EventPosition`]s: an event's number and a hash of its
-//! content, so that events of two numberings with the same number are distinguished.
+//! Positions in the coordinator's numbering are [`flaxdeck_recovery::EventPosition`]s: an event's number and a hash of
+//! its content, so that events of two numberings with the same number are distinguished.
 //!
 //! A subscriber that receives a batch:
 //!
--- a/crates/flaxdeck-distribution/src/subscriber/error.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/error.rs
@@ -24,7 +24,7 @@
         /// The position of the last event applied here.
         position: EventPosition,
     },
-    /// The batch has the same number as the position here, with another hash.
+    /// The batch begins or ends at the number of the position here, with another hash.
     #[error("event {} has hash {:x} in the delivery and another one here: the numbering differs", .0.number, .0.hash)]
     OtherNumbering(EventPosition),
     /// The snapshot's planner was not asked for events, or the snapshot may be older than the state here.
--- a/crates/flaxdeck-distribution/tests/figures.rs
+++ b/crates/flaxdeck-distribution/tests/figures.rs
@@ -243,7 +243,7 @@
 fn messages_bytes_and_delays_by_batch_interval() {
     const DURATION_MS: u64 = 60_000;
     println!(
-        "interval ms | messages per s | bytes per s | purge delays: median, 99th percentile, worst ms | host change delays"
+        "interval ms | messages per s | bytes per s | purge delays: median, 99th, worst ms | host change delays"
     );
     for interval in [250, 500, 1_000, 2_000] {
         let mut all = Measured::default();
