--- a/crates/flaxdeck-control/src/error.rs
+++ b/crates/flaxdeck-control/src/error.rs
@@ -1,84 +1,86 @@
-//! Why a message between a forwarder and a planner was not taken.
+//! Errors of messages between forwarders and planners that are rejected.
 
 use flaxdeck::Time;
 
 use crate::messages::Epoch;
 use crate::quotas::InvalidGrant;
 
-/// Why a message was not taken.
+/// Why a message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum MessageError {
-    /// It is of a run of its writer that a later one has followed.
-    #[error("it is of run {epoch:?}, which a later run has followed")]
+    /// A later run of the sender is already known.
+    #[error("message is from run {epoch:?} of its sender, but a later run is known")]
     OldEpoch {
-        /// The writer's run.
+        /// The run that sent the message.
         epoch: Epoch,
     },
-    /// It does not come after the last one taken.
-    #[error("its number {number} does not follow {last}, the last one taken")]
+    /// Its number is not higher than that of the last accepted message.
+    #[error("message number {number} does not follow {last}, the last number accepted")]
     OutOfOrder {
         /// The message's number.
         number: u64,
-        /// The number of the last message taken from that run.
+        /// The number of the last message accepted from that run.
         last: u64,
     },
-    /// It is meant for an earlier run of this side.
-    #[error("it is meant for run {addressed:?}, and this is run {own:?}")]
+    /// It is addressed to another run of the receiver, usually an earlier one.
+    #[error("message is addressed to run {addressed:?}, but this is run {own:?}")]
     WrongRecipient {
-        /// The run that it is meant for.
+        /// The run that the message is addressed to.
         addressed: Epoch,
         /// The run that received it.
         own: Epoch,
     },
-    /// It says what can't be.
-    #[error("it is invalid: {0}")]
+    /// Its content is invalid.
+    #[error("invalid message: {0}")]
     Invalid(#[from] InvalidMessage),
-    /// Its writer has sent too many invalid messages lately.
-    #[error("its writer is ignored until {until:?} after invalid messages")]
+    /// Its sender is ignored for a while because it sent too many invalid messages.
+    #[error("sender is ignored until {until:?} because of invalid messages")]
     SenderIgnored {
-        /// When messages are taken again.
+        /// When messages of the sender are accepted again.
         until: Time,
     },
 }
 
-/// What is wrong with a message that says what can't be.
+/// Why the content of a message is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidMessage {
-    /// No planner has that number.
-    #[error("there is no planner {0}")]
+    /// The configuration has no planner of that index.
+    #[error("unknown planner {0}")]
     UnknownPlanner(u32),
-    /// One of its lists is longer than a message may hold.
-    #[error("a list of {length} entries, where {most} are allowed")]
+    /// One of its lists is longer than allowed.
+    #[error("list of {length} entries, at most {most} are allowed")]
     TooManyEntries {
         /// The length of the first such list.
         length: usize,
-        /// The most that it may hold.
+        /// The maximum number of entries in it.
         most: usize,
     },
-    /// It comes from one forwarder more than are kept.
-    #[error("{0} forwarders are known, which is the limit")]
+    /// It comes from a new forwarder, and the planner already tracks the maximum number of forwarders.
+    #[error(
+        "report of a new forwarder, but {0} forwarders are tracked already, which is the limit"
+    )]
     TooManyForwarders(usize),
-    /// It echoes a stamp from the time to come.
-    #[error("it echoes {echo:?}, and it is {now:?}")]
+    /// It echoes a stamp that lies in the future.
+    #[error("echoed stamp {echo:?} is later than the current time {now:?}")]
     StampFromTheFuture {
         /// The time of the stamp.
         echo: Time,
-        /// When the message came.
+        /// When the message was received.
         now: Time,
     },
     /// The measurements or the window of a rating are out of range.
-    #[error("a rating is out of range")]
+    #[error("measurements or window of a rating are out of range")]
     Rating,
     /// The utilization of a link is out of range.
-    #[error("a link's utilization is {0}")]
+    #[error("link utilization {0} is out of range")]
     Link(f32),
-    /// A grant is not one that can have been agreed on.
-    #[error("a grant can't be: {0}")]
+    /// A grant exceeds the bounds of the lease terms.
+    #[error("invalid grant: {0}")]
     Grant(#[from] InvalidGrant),
 }
 
 impl InvalidMessage {
-    /// Checks the length of a list in a message.
+    /// Returns an error if a list in a message is longer than `most`.
     pub(crate) fn check_length(length: usize, most: usize) -> Result<(), InvalidMessage> {
         if length > most {
             return Err(InvalidMessage::TooManyEntries { length, most });
--- a/crates/flaxdeck-control/src/forwarder.rs
+++ b/crates/flaxdeck-control/src/forwarder.rs
@@ -1,8 +1,9 @@
-//! The forwarder's side as a whole: what it reports to each planner, what it takes from their guidance, and what it hints
-//! to the decision engine.
+//! The forwarder's side of its sessions with planners: reports to each planner, guidance from them, and hints to the
+//! decision engine.
 //!
-//! As guidance ages a forwarder falls back by steps: grants end within about a second, peer observations count by their
-//! age, and with all planners silent for long the forwarder is a lone dispatcher.
+//! As guidance ages, a forwarder degrades in steps: grants expire within about a second, observations of peers lose
+//! weight with their age, and once all planners have been silent for long the forwarder works like a dispatcher without
+//! a control plane.
 
 mod freshness;
 mod guidance;
@@ -19,95 +20,99 @@
 use crate::{LeaseTerms, QuotaFraction};
 pub use freshness::Freshness;
 
-/// With reports suppressed, a planner counts as silent after so many idle reports without an answer.
+/// With reports suppressed, the silence timeout of a planner as a multiple of the interval between idle reports.
 const MISSED_IDLE_REPORTS: f64 = 2.5;
 
-/// What the operator's file says of a forwarder.
+/// Options of a forwarder, from the operator's configuration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ForwarderOptions {
-    /// The spans of leases.
+    /// Durations of leases.
     pub lease_terms: LeaseTerms,
-    /// The part of each host that planners have to grant by themselves, 0 to 1; the forwarders' shares divide the rest.
+    /// The fraction of each host's quota that planners grant on their own, 0 to 1. The forwarders' shares divide the
+    /// rest.
     pub reserve: f64,
     /// Whether this forwarder has a slot, and with it a share of its own.
     pub has_slot: bool,
-    /// What stays the same over this forwarder's restarts.
+    /// Identifies this forwarder across restarts.
     pub slot: SlotId,
-    /// When the coordinator, or a planner that follows it, was not heard for so long, the list of hosts counts as
-    /// unconfirmed; none if it never does.
+    /// The endpoint list counts as unconfirmed once neither the coordinator nor a planner that is up to date with it
+    /// was heard for this long. `None` if it never does.
     pub unconfirmed_limit: Option<Span>,
 }
 
-/// What was exchanged with one planner.
+/// State of the exchange of messages with one planner.
 #[derive(Clone, Default)]
 struct Exchange {
-    /// The planner's latest stamp, in its present run.
+    /// The latest stamp received from the planner's current run.
     echo: Option<Stamp>,
-    /// The version of its ratings that is known here.
+    /// The version of the planner's ratings that this forwarder has.
     version: u64,
     messages_sent: u64,
     last_report: Option<Time>,
-    /// When the coordinator was heard by way of this planner, at the earliest.
+    /// The planner confirms that the events known here were all of the coordinator's at this time or later. None if its
+    /// latest guidance did not confirm that.
     confirmed_at: Option<Time>,
-    /// Until when something may be outstanding that an earlier run lent to it, as the planner told.
+    /// Until when deposits that an earlier run lent to the planner may be outstanding, as the planner reported it.
     outstanding_until: Option<Time>,
 }
 
-/// Counts since the start of the forwarder; all after `guidance` but the last are guidance that was not taken.
+/// Counters since the start of the forwarder. Those between `guidance` and `relayed` count guidance that was rejected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Reports written.
+    /// Reports created.
     pub reports: u64,
-    /// Guidance taken.
+    /// Guidance accepted.
     pub guidance: u64,
-    /// Of a run of the planner that a later one has followed.
+    /// Guidance from a run of the planner that has been superseded by a later run.
     pub old_epoch: u64,
-    /// Not after the last one taken.
+    /// Guidance whose number is not higher than that of the last one accepted.
     pub out_of_order: u64,
-    /// Meant for an earlier run of this forwarder.
+    /// Guidance that is addressed to another run of this forwarder.
     pub not_for_us: u64,
-    /// Says what can't be.
+    /// Guidance with invalid content.
     pub invalid_message: u64,
-    /// Of a planner that is ignored for its invalid messages.
+    /// Guidance from a planner that is ignored because of its invalid messages.
     pub sender_ignored: u64,
-    /// Events taken from planners.
+    /// Events of the coordinator received from planners.
     pub relayed: u64,
 }
 
-/// How a forwarder reports that hears of events by a subscription.
+/// How a forwarder that receives events by a subscription limits its reports.
 struct ReportSuppression {
-    /// Between reports while there is nothing urgent to tell.
-    idle_every: Span,
-    /// The planner that is subscribed to: samples go to it alone, failures to all.
+    /// Interval between reports while there is nothing urgent to report.
+    idle_interval: Span,
+    /// The planner that the forwarder is subscribed to. Failures are reported to all planners, other samples to this
+    /// one only.
     subscribed_to: Option<PlannerId>,
 }
 
-/// A forwarder's part in the control plane.
+/// A forwarder's sessions with all its planners.
 pub struct ForwarderSession {
     epoch: Epoch,
     options: ForwarderOptions,
     planners: Vec<PlannerStatus>,
     exchanges: Vec<Exchange>,
     quotas: Quotas,
-    /// Ratings that the decision engine was not given yet, with the time at which they were true.
+    /// Ratings not yet passed to the decision engine, with the time as of which they were valid.
     new_ratings: BTreeMap<String, Sampled<Rating>>,
-    /// How many attempts others have in flight at warming hosts.
+    /// Attempts that other forwarders have in flight at warming hosts.
     peers_in_flight: BTreeMap<Incarnation, Sampled<f64>>,
     zone: u32,
-    /// How busy this zone's link is, as hosts told this forwarder.
+    /// Utilization of this zone's link, as hosts reported it to this forwarder.
     link: Option<Sampled<f64>>,
-    /// The same as planners told.
+    /// Utilization of this zone's link, as planners reported it.
     peers_link: Option<Sampled<f64>>,
-    /// When the coordinator itself was last heard and known to be followed; none since the start.
+    /// When this forwarder was last known to have all events of the coordinator, other than by planners' guidance. None
+    /// since the start.
     coordinator_heard: Option<Time>,
-    /// None while every report is due at each tick and tells all.
+    /// None if a full report is due at every tick.
     report_suppression: Option<ReportSuppression>,
-    /// Counts since the start.
+    /// Counters since the start.
     pub counters: Counters,
 }
 
 impl ForwarderSession {
-    /// A forwarder that has just started, with so many planners in its file.
+    /// Creates the session of a forwarder that starts at `now`, with the number of planners in its configuration.
     pub fn start(
         now: Time,
         epoch: Epoch,
@@ -138,63 +143,64 @@
         }
     }
 
-    /// Events come by a subscription from now on, and reports go out only as often as there is something to say: at each
-    /// tick while a host warms up or a failure is to be told, else after `idle_every`.
-    pub fn suppress_reports(&mut self, idle_every: Span) {
+    /// Switches to suppressed reports, because events now come by a subscription: a report is due at each tick while a
+    /// host warms up or there is a new failure, and otherwise once per `idle_interval`.
+    pub fn suppress_reports(&mut self, idle_interval: Span) {
         for planner in &mut self.planners {
-            planner.set_silence_timeout(idle_every * MISSED_IDLE_REPORTS);
+            planner.set_silence_timeout(idle_interval * MISSED_IDLE_REPORTS);
         }
         self.report_suppression = Some(ReportSuppression {
-            idle_every,
+            idle_interval,
             subscribed_to: None,
         });
     }
 
-    /// Events come from that planner now, or from none.
+    /// Sets the planner that events now come from, if any.
     pub fn set_subscribed_to(&mut self, planner: Option<PlannerId>) {
         if let Some(suppression) = &mut self.report_suppression {
             suppression.subscribed_to = planner;
         }
     }
 
-    /// A connection to a planner was opened.
+    /// Records that a connection to a planner was opened.
     pub fn connection_opened(&mut self, planner: PlannerId) {
         if let Some(status) = self.planners.get_mut(planner.0 as usize) {
             status.connection_opened();
         }
     }
 
-    /// The coordinator itself was heard, and all is known here that it had to tell.
+    /// Records that the coordinator itself was heard at `now` and that all its events are known here.
     pub fn coordinator_heard(&mut self, now: Time) {
         self.coordinator_heard = Some(now);
     }
 
-    /// Somebody who follows the coordinator has told all that it had at that time.
+    /// Records that all events that the coordinator had at `at` are known here.
     pub fn events_known_at(&mut self, at: Time) {
         self.coordinator_heard = self.coordinator_heard.max(Some(at));
     }
 
-    /// What an earlier run lent is known: this forwarder's own shares may be used after so long.
+    /// Sets how long from `now` this forwarder's own shares are not used, where it is known what its earlier run lent.
     pub fn set_startup_wait(&mut self, now: Time, wait: Span) {
         self.quotas.set_startup_wait(now, wait);
     }
 
-    /// Nothing is lent without a permit from now on, which must be stored before it is given.
+    /// From now on lends only within a permit. The caller must store a permit before it extends it here, so that the
+    /// next run knows until when quota may be lent.
     pub fn require_lending_permit(&mut self, now: Time) {
         self.quotas.require_lending_permit(now);
     }
 
-    /// Until when a permit to lend is requested; none if there is enough, or none is needed.
+    /// Returns until when a permit to lend is requested; `None` if the current one suffices or none is needed.
     pub fn requested_lending_permit(&mut self, now: Time) -> Option<Time> {
         self.quotas.requested_lending_permit(now)
     }
 
-    /// A permit to lend until that time is stored.
+    /// Extends the permit to lend, once the caller has stored it.
     pub fn extend_lending_permit(&mut self, until: Time) {
         self.quotas.extend_lending_permit(until);
     }
 
-    /// Takes in how the decision engine uses warming hosts. Its unmet demand counts until the next call.
+    /// Records the decision engine's use of warming hosts. `unmet` in it is the unmet demand since the previous call.
     pub fn update_usage(&mut self, now: Time, observations: &[Observation]) {
         let own_part = self.own_part();
         let warming = observations.iter().filter_map(|observation| {
@@ -210,13 +216,13 @@
         self.quotas.update_usage(now, warming);
     }
 
-    /// Takes in how busy the zone's link was when a host last told this forwarder.
+    /// Records the utilization of the zone's link that a host last reported to this forwarder.
     pub fn update_link(&mut self, zone: ZoneId, link: Option<Sampled<f64>>) {
         self.zone = zone.0 as u32;
         self.link = link;
     }
 
-    /// The part of an equal share that is this forwarder's own.
+    /// Returns the fraction of an equal share that this forwarder owns.
     fn own_part(&self) -> f64 {
         if self.options.has_slot {
             1.0 - self.options.reserve
@@ -225,12 +231,12 @@
         }
     }
 
-    /// From when on this forwarder's own shares of warming hosts may be used.
+    /// Returns the time from which this forwarder may use its own shares of warming hosts.
     pub fn own_share_from(&self) -> Time {
         self.quotas.own_share_from()
     }
 
-    /// What is lent and granted now over all warming hosts, for the log.
+    /// Returns the amounts lent and granted over all warming hosts at `now`, for the log.
     pub fn lease_totals(&self, now: Time) -> LeaseTotals {
         self.quotas.totals(now)
     }
--- a/crates/flaxdeck-control/src/forwarder/freshness.rs
+++ b/crates/flaxdeck-control/src/forwarder/freshness.rs
@@ -1,4 +1,4 @@
-//! How fresh is what a forwarder knows, and when that changes.
+//! How recent a forwarder's information about other processes is, and when that changes.
 
 use std::fmt;
 
@@ -7,26 +7,26 @@
 use super::{Exchange, ForwarderSession};
 use crate::membership::PlannerStatus;
 
-/// Ratings older than this are not passed to the decision engine: by then its own trials know better.
+/// Ratings older than this are not passed to the decision engine: by then its own trials give better information.
 pub(super) const RATINGS_LIFETIME: Span = Span::from_ms(10_000);
-/// The coordinator speaks each second: a connection on which two of its messages are missing counts as lost.
+/// The coordinator sends a message every second: a connection on which two of them are missing counts as lost.
 pub(super) const COORDINATOR_TIMEOUT: Span = Span::from_ms(2_200);
 
-/// How fresh is what a forwarder knows of others.
+/// How recent a forwarder's information about other processes is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// A planner is live.
+    /// At least one planner is live.
     Guided,
-    /// None is, but what was heard still counts by its age.
+    /// No planner is live, but guidance received earlier is still used according to its age.
     Aging,
-    /// The forwarder knows what it observes itself.
+    /// The forwarder has only its own observations.
     Standalone,
-    /// Nobody has confirmed the list of hosts for longer than the operator allows.
+    /// The endpoint list was not confirmed for longer than the operator allows.
     Unconfirmed,
 }
 
 impl fmt::Display for Freshness {
-    /// The words of the log, which `docs/on-call.md` explains.
+    /// Writes the names used in log lines, which `docs/on-call.md` explains.
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str(match self {
             Freshness::Guided => "Guided",
@@ -38,7 +38,7 @@
 }
 
 impl ForwarderSession {
-    /// How fresh is what this forwarder knows now.
+    /// Returns how recent this forwarder's information is at `now`.
     pub fn freshness(&self, now: Time) -> Freshness {
         let is_unconfirmed = self.options.unconfirmed_limit.is_some_and(|limit| {
             self.confirmed_at()
@@ -62,8 +62,8 @@
         }
     }
 
-    /// When the list of hosts was last confirmed: the coordinator was heard, or a planner that follows it; none since
-    /// the start.
+    /// Returns when the endpoint list was last confirmed, by the coordinator itself or by a planner that is up to date
+    /// with it; `None` if it was not since the start.
     pub fn confirmed_at(&self) -> Option<Time> {
         self.exchanges
             .iter()
@@ -72,8 +72,8 @@
             .max()
     }
 
-    /// Whether a live planner heard the coordinator about as lately as a connection of one's own would have: then drains
-    /// come by it as well.
+    /// Returns whether a live planner heard the coordinator about as recently as a direct connection would have. Events
+    /// such as drains then arrive by way of that planner as well.
     pub fn is_confirmed_by_planners(&self, now: Time) -> bool {
         let is_confirmed = |exchange: &Exchange| {
             exchange
@@ -86,7 +86,7 @@
             .any(|(planner, exchange)| planner.is_live(now) && is_confirmed(exchange))
     }
 
-    /// When the decision engine is to be given hints anew, if nothing is heard until then.
+    /// Returns when the hints to the decision engine change next if no message arrives until then.
     pub fn next_change(&self, now: Time) -> Option<Time> {
         let confirmed_at = self.confirmed_at();
         let unconfirmed_from = self
--- a/crates/flaxdeck-control/src/forwarder/guidance.rs
+++ b/crates/flaxdeck-control/src/forwarder/guidance.rs
@@ -1,4 +1,4 @@
-//! What a forwarder takes from a planner's guidance.
+//! How a forwarder applies guidance from a planner.
 
 use flaxdeck::{Sampled, Span, Time};
 use flaxdeck_recovery::EventPosition;
@@ -18,14 +18,14 @@
 }
 
 impl ForwarderSession {
-    /// Takes in a planner's guidance. Gives those of its events that follow `last_event`, in order; a planner that
-    /// follows another numbering has none, and confirms nothing.
+    /// Applies a planner's guidance and returns those of its events that follow `last_event`, in order. Guidance of a
+    /// planner with another numbering of events has no such events and does not confirm the endpoint list.
     ///
     /// # Errors
     ///
-    /// [`MessageError`] if it was not taken; then the reason is counted. Of guidance that is
-    /// [`Invalid`](MessageError::Invalid) the grants that can be are taken all the same, as nothing is granted beyond
-    /// what was demanded.
+    /// [`MessageError`] if the guidance is rejected; the reason is counted. If the content is
+    /// [`Invalid`](MessageError::Invalid), its valid grants may still be applied, which does no harm because no more is
+    /// used of a grant than was demanded.
     pub fn apply_guidance(
         &mut self,
         now: Time,
@@ -37,20 +37,20 @@
             self.count(error);
             return Err(error);
         }
-        // Ages count from when the report was written that is answered, which is before they were true: delay makes
-        // them older, never younger.
-        let true_at = guidance.envelope.echo.map_or(now, Stamp::time);
+        // Ages count back from when this forwarder created the report that the guidance answers. The planner computed
+        // them later than that, so network delay makes values look older than they are, never newer.
+        let as_of = guidance.envelope.echo.map_or(now, Stamp::time);
         let events = following_events(guidance.events, guidance.after, last_event);
         self.counters.relayed += events.len() as u64;
         let last = events.last().map_or(last_event, |event| event.position);
         let is_current = guidance.coordinator_position == Some(last);
         let heard_ago = guidance.coordinator_ago_ms.filter(|_| is_current);
         self.exchanges[from.0 as usize].confirmed_at =
-            heard_ago.map(|ago| confirmed_at(true_at, ago));
+            heard_ago.map(|ago| confirmed_at(as_of, ago));
         if let Some(link) = guidance.link {
-            self.record_peers_link(true_at, link);
+            self.record_peers_link(as_of, link);
         }
-        self.record_ratings(true_at, guidance.ratings);
+        self.record_ratings(as_of, guidance.ratings);
         Ok(events)
     }
 
@@ -66,7 +66,7 @@
         *count += 1;
     }
 
-    /// Checks guidance, and takes in what concerns leases.
+    /// Validates guidance, and applies the parts of it that concern leases.
     fn admit(
         &mut self,
         now: Time,
@@ -106,7 +106,8 @@
         Ok(())
     }
 
-    /// Whether guidance can be true; accepts its grants unless all of it is out of bounds.
+    /// Validates the content of guidance and accepts its valid grants, unless a list is too long or the echoed stamp is
+    /// in the future.
     fn check(&mut self, now: Time, echo: Time, guidance: &Guidance) -> Result<(), InvalidMessage> {
         InvalidMessage::check_length(guidance.grants.len(), MAX_INCARNATIONS)?;
         InvalidMessage::check_length(guidance.ratings.len(), MAX_RATINGS)?;
@@ -115,7 +116,7 @@
         if echo > now {
             return Err(InvalidMessage::StampFromTheFuture { echo, now });
         }
-        // What is granted is bounded by what was demanded, so the rest of a message with one bad grant does no harm.
+        // The amount granted is bounded by the demand, so the valid grants of a message with an invalid one do no harm.
         let grants = self.accept_grants(now, guidance.envelope.from, echo, guidance);
         if !guidance.ratings.iter().all(is_valid_rating) {
             return Err(InvalidMessage::Rating);
@@ -126,79 +127,80 @@
         }
     }
 
-    /// Accepts all grants that can be; gives what is wrong with the first of the others.
+    /// Accepts all valid grants; returns the error of the first invalid one, if any.
     fn accept_grants(
         &mut self,
         now: Time,
         planner: Epoch,
-        asked: Time,
+        requested_at: Time,
         guidance: &Guidance,
     ) -> Result<(), InvalidMessage> {
         let mut result = Ok(());
         for grant in &guidance.grants {
-            let accepted = self.quotas.accept_grant(now, planner, asked, grant);
+            let accepted = self.quotas.accept_grant(now, planner, requested_at, grant);
             result = result.and(accepted);
         }
         Ok(result?)
     }
 
-    fn record_peer_summaries(&mut self, now: Time, true_at: Time, summaries: &[PeerSummary]) {
+    fn record_peer_summaries(&mut self, now: Time, as_of: Time, summaries: &[PeerSummary]) {
         for summary in summaries {
             if summary.demanded {
                 self.quotas
-                    .record_peer_demand(now, true_at, &summary.incarnation);
+                    .record_peer_demand(now, as_of, &summary.incarnation);
             }
             let in_flight = Sampled {
                 value: f64::from(summary.peers_in_flight),
-                at: true_at,
+                at: as_of,
             };
             self.peers_in_flight
                 .insert(summary.incarnation.clone(), in_flight);
         }
     }
 
-    /// A planner has told for how long something may be outstanding that an earlier run of this forwarder lent to it.
-    /// Once all planners have, the own shares may be used as soon as nothing is.
+    /// Records for how long deposits that an earlier run of this forwarder lent to a planner may still be outstanding.
+    /// Once all planners have reported that, the own shares may be used after the last of these times.
     fn record_outstanding(&mut self, now: Time, from: PlannerId, outstanding_ms: Option<u32>) {
-        // Once this run lends itself, what an earlier one lent is of no more interest.
+        // Once this run may use its own shares, and so lend them, deposits of an earlier run no longer matter.
         if let Some(ms) = outstanding_ms
             && !self.quotas.has_own_share(now)
         {
             self.exchanges[from.0 as usize].outstanding_until = Some(now + span_of(ms));
         }
-        let all_until = self
+        let outstanding_until = self
             .exchanges
             .iter()
             .map(|exchange: &Exchange| exchange.outstanding_until)
             .collect::<Option<Vec<Time>>>();
-        if let Some(until) = all_until.into_iter().flatten().max() {
+        if let Some(until) = outstanding_until.into_iter().flatten().max() {
             self.quotas.use_own_share_by(until);
         }
     }
 
-    fn record_peers_link(&mut self, true_at: Time, link: LinkLoad) {
-        let told = Sampled {
+    fn record_peers_link(&mut self, as_of: Time, link: LinkLoad) {
+        let reported = Sampled {
             value: f64::from(link.utilization),
-            at: true_at - span_of(link.ago_ms),
+            at: as_of - span_of(link.ago_ms),
         };
-        if self.peers_link.is_none_or(|known| told.at >= known.at) {
-            self.peers_link = Some(told);
+        if self.peers_link.is_none_or(|known| reported.at >= known.at) {
+            self.peers_link = Some(reported);
         }
     }
 
-    fn record_ratings(&mut self, true_at: Time, ratings: Vec<Rating>) {
+    fn record_ratings(&mut self, as_of: Time, ratings: Vec<Rating>) {
         for rating in ratings {
             let host = rating.host.clone();
             let rating = Sampled {
                 value: rating,
-                at: true_at,
+                at: as_of,
             };
             self.new_ratings.insert(host, rating);
         }
     }
 }
 
-/// The events that follow `last`, one after another, of those of a message that begin after `after`.
+/// Returns the events that follow `last` without a gap, out of a message's `events`, the first of which follows
+/// `after`.
 fn following_events(
     mut events: Vec<RelayedEvent>,
     after: EventPosition,
@@ -216,8 +218,9 @@
     events
 }
 
-/// When the coordinator was surely heard by a planner that told at `true_at` how long ago that was. Between two of the
-/// coordinator's messages a planner on a good connection would hear of any change at once.
-fn confirmed_at(true_at: Time, coordinator_ago_ms: u32) -> Time {
-    true_at - span_of(coordinator_ago_ms).less(COORDINATOR_TIMEOUT)
+/// Returns the time at which a planner certainly had all events of the coordinator, if it reported as of `as_of` that
+/// it had heard the coordinator `coordinator_ago_ms` before. An age of up to [`COORDINATOR_TIMEOUT`] counts as none:
+/// between two of the coordinator's messages, a planner on a working connection would receive any change at once.
+fn confirmed_at(as_of: Time, coordinator_ago_ms: u32) -> Time {
+    as_of - span_of(coordinator_ago_ms).less(COORDINATOR_TIMEOUT)
 }
--- a/crates/flaxdeck-control/src/forwarder/hints.rs
+++ b/crates/flaxdeck-control/src/forwarder/hints.rs
@@ -1,4 +1,4 @@
-//! What a forwarder hints to the decision engine.
+//! Hints of a forwarder to its decision engine.
 
 use flaxdeck::{HostId, PeerHint, PeerHints, Sampled, SourceMeasurements, Span, Time, WarmupQuota};
 
@@ -8,7 +8,7 @@
 use crate::messages::{Incarnation, Rating};
 
 impl ForwarderSession {
-    /// What the decision engine is to be told now. A rating is hinted once.
+    /// Returns the hints for the decision engine at `now`. Each rating is passed on only once.
     pub fn hints(&mut self, now: Time) -> PeerHints {
         self.peers_in_flight
             .retain(|_, in_flight| now.since(in_flight.at) < SILENCE_TIMEOUT);
--- a/crates/flaxdeck-control/src/forwarder/report.rs
+++ b/crates/flaxdeck-control/src/forwarder/report.rs
@@ -1,4 +1,4 @@
-//! What a forwarder reports to a planner, and when.
+//! Content and timing of a forwarder's reports to a planner.
 
 use std::cmp::Reverse;
 
@@ -12,7 +12,7 @@
     Report, Sample, Stamp, ceil_ms,
 };
 
-/// Whether something happened after the last report.
+/// The time of the last report, to tell what happened after it. `None` if there was no report yet.
 #[derive(Clone, Copy)]
 struct SinceLastReport(Option<Time>);
 
@@ -33,7 +33,7 @@
 }
 
 impl ForwarderSession {
-    /// Whether a report to that planner is due at this tick.
+    /// Returns whether a report to the planner is due at this tick.
     pub fn is_report_due(&self, now: Time, to: PlannerId, observations: &[Observation]) -> bool {
         let (Some(suppression), Some(exchange)) =
             (&self.report_suppression, self.exchanges.get(to.0 as usize))
@@ -47,15 +47,16 @@
             observation.warmup.is_some() || SinceLastReport(Some(last)).has_failed(observation)
         };
         exchange.echo.is_none()
-            || now.since(last) >= suppression.idle_every
+            || now.since(last) >= suppression.idle_interval
             || observations.iter().any(is_urgent)
     }
 
-    /// The report to one planner, to be sent at once: what it lends is not used here from now on.
+    /// Creates the report to one planner. It must be sent at once, as this forwarder no longer uses what the report
+    /// lends.
     ///
     /// # Panics
     ///
-    /// If the planner is not one of the file's.
+    /// If `to` is not one of the configured planners.
     pub fn report(
         &mut self,
         now: Time,
@@ -98,7 +99,7 @@
     }
 
     fn lease_reports(&mut self, now: Time, to: PlannerId) -> Vec<LeaseReport> {
-        // Without a stamp of the planner's it could not tell from when a deposit counts.
+        // Without a stamp of its own in the report, the planner could not tell when a deposit begins.
         if self.exchanges[to.0 as usize].echo.is_none() {
             return Vec::new();
         }
@@ -109,8 +110,9 @@
         self.quotas.lease_reports(now, epoch, is_lease_holder)
     }
 
-    /// The observations that are new since the last report, failures first. With reports suppressed, of the others only
-    /// a few go to the planner subscribed to, in turn with the number of the report.
+    /// Returns the observations that are new since the last report, the latest failures first. With reports suppressed,
+    /// observations without a new failure go only to the planner subscribed to, a few per report; the report's number
+    /// selects which, so that all have their turn.
     fn reported_observations<'a>(
         &self,
         to: PlannerId,
--- a/crates/flaxdeck-control/src/lease_schedule.rs
+++ b/crates/flaxdeck-control/src/lease_schedule.rs
@@ -1,5 +1,5 @@
-//! An amount promised until a time, and smaller amounts for longer: what several promises of one party to another come
-//! to when the largest one counts at any time.
+//! Combines several promises of one party to another, each of an amount until some time. At any time the largest
+//! promise that still holds counts.
 
 use flaxdeck::Time;
 
@@ -11,26 +11,27 @@
     amount: QuotaFraction,
 }
 
-/// Steps with rising ends and falling amounts, so that each tells the most that holds until its end.
+/// A step function of time: steps with increasing ends and decreasing amounts. Each step has the largest amount that is
+/// promised until its end.
 ///
-/// [`add`](LeaseSchedule::add) and [`amount_at`](LeaseSchedule::amount_at) take time linear in the steps, of which there
-/// are few: a promise that is renewed with the same amount replaces its own step, and one that another exceeds in both
-/// amount and end is forgotten.
+/// [`add`](LeaseSchedule::add) and [`amount_at`](LeaseSchedule::amount_at) take time linear in the number of
+/// steps. There are few: renewing a promise with the same amount replaces its step, and a promise is removed if another
+/// has both a larger amount and a later end.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseSchedule {
     steps: Vec<Step>,
 }
 
 impl LeaseSchedule {
-    /// Promises so much until then, beside all that was promised before.
+    /// Adds a promise of `amount` until `until`; earlier promises still hold.
     pub fn add(&mut self, amount: QuotaFraction, until: Time) {
         if amount == QuotaFraction::NONE || self.covers(amount, until) {
             return;
         }
         self.steps
             .retain(|step| step.until > until || step.amount > amount);
-        let place = self.steps.partition_point(|step| step.until < until);
-        self.steps.insert(place, Step { until, amount });
+        let index = self.steps.partition_point(|step| step.until < until);
+        self.steps.insert(index, Step { until, amount });
     }
 
     fn covers(&self, amount: QuotaFraction, until: Time) -> bool {
@@ -39,7 +40,7 @@
             .any(|step| step.until >= until && step.amount >= amount)
     }
 
-    /// What is promised at that time. A promise does not hold at its end any more.
+    /// Returns the amount promised at `time`. A promise no longer holds at its end.
     pub fn amount_at(&self, time: Time) -> QuotaFraction {
         self.steps
             .iter()
@@ -47,12 +48,12 @@
             .map_or(QuotaFraction::NONE, |step| step.amount)
     }
 
-    /// The times at which the amount falls.
+    /// Returns the times at which the amount decreases.
     pub fn step_ends(&self) -> impl Iterator<Item = Time> {
         self.steps.iter().map(|step| step.until)
     }
 
-    /// Forgets what has ended; true if nothing is left.
+    /// Removes expired promises; returns true if none is left.
     pub fn prune(&mut self, now: Time) -> bool {
         self.steps.retain(|step| step.until > now);
         self.steps.is_empty()
--- a/crates/flaxdeck-control/src/lib.rs
+++ b/crates/flaxdeck-control/src/lib.rs
@@ -1,17 +1,19 @@
-//! The control plane's state machines: what forwarders and planners decide beside the decision engine.
+//! State machines of the control plane: the decisions of forwarders and planners outside the decision engine.
 //!
-//! No I/O, no clocks, no tasks: messages and the time go in, messages and decisions come out. `docs/forwarders-planners.md`
-//! gives the reasons.
+//! The package does no I/O, reads no clock and spawns no task: callers pass in messages and the current time, and get
+//! back messages and decisions. `docs/forwarders-planners.md` explains the design.
 //!
-//! - [`forwarder`] and [`planner`]: each side as a whole, speaking [`messages`].
-//! - [`quotas`]: a forwarder's quota of warming hosts: it lends what it does not need and borrows what it does.
-//! - [`quota_pool`]: the planner's side of that: what was lent to it, and to whom it is granted.
-//! - [`LeaseTerms`], [`LeaseSchedule`] and [`QuotaFraction`]: the spans and amounts of leases.
-//! - [`instance_slots`]: what the earlier run of a forwarder that returns may still have lent.
-//! - [`membership`]: which planner holds an incarnation's leases, by who was heard.
-//! - [`ratings`]: every forwarder's samples of a host combined into one rating.
+//! - [`forwarder`] and [`planner`]: the two sides of a session, which exchange [`messages`].
+//! - [`quotas`]: a forwarder's quotas of warming hosts, of which it lends what it does not need and borrows what it
+//!   lacks.
+//! - [`quota_pool`]: the planner's side of the quotas: what forwarders lent to it, and to which forwarders it granted
+//!   that.
+//! - [`LeaseTerms`], [`LeaseSchedule`] and [`QuotaFraction`]: durations and amounts of leases.
+//! - [`instance_slots`]: how long deposits of a restarted forwarder's earlier run may still be outstanding.
+//! - [`membership`]: which planner holds an incarnation's leases, depending on which planners are live.
+//! - [`ratings`]: combines all forwarders' samples of a host into one rating.
 //!
-//! A forwarder that lends, and a planner that takes it in:
+//! A forwarder sends a report to a planner and applies the guidance that it gets back:
 //!
 //! ```
 //! use flaxdeck::{Span, Time};
--- a/crates/flaxdeck-control/src/membership.rs
+++ b/crates/flaxdeck-control/src/membership.rs
@@ -1,7 +1,8 @@
-//! Which planner holds the leases of a host's incarnation, by each forwarder's own view of which planners are live.
+//! Selects the planner that holds the leases of a host's incarnation, from each forwarder's own view of which planners
+//! are live.
 //!
-//! Nothing is elected: two forwarders' views may differ for a while, and [`crate::quotas`] keeps the sum right all the
-//! same.
+//! There is no election. The views of two forwarders may differ for a while; [`crate::quotas`] keeps the total within
+//! the host's quota even then.
 
 use flaxdeck::hash::{mix, of_name};
 use flaxdeck::{Span, Time};
@@ -9,41 +10,44 @@
 use crate::error::MessageError;
 use crate::messages::{Epoch, Incarnation};
 
-/// A planner not heard for this long is not live: three reports and the slowest answer worth waiting for.
+/// A planner from which nothing was received for this long is not live: three report intervals and the slowest answer
+/// that is still of use.
 pub const SILENCE_TIMEOUT: Span = Span::from_ms(1_000);
-/// A planner that was silent comes before others only once it has been live for so long, so that deposits do not move to
-/// and fro with one that comes and goes.
+/// A planner that returns after a silence is preferred as lease holder only once it has been live for this long, so
+/// that deposits do not move back and forth with a planner that is only intermittently reachable.
 pub const STABLE_AFTER: Span = Span::from_ms(500);
-/// After so many invalid messages a planner is ignored.
+/// Number of invalid messages after which a planner is ignored.
 const MAX_INVALID_MESSAGES: u32 = 3;
-/// For how long it is.
-const IGNORED_FOR: Span = Span::from_ms(30_000);
+/// How long a planner is ignored after too many invalid messages.
+const IGNORE_DURATION: Span = Span::from_ms(30_000);
 
-/// A planner's place in the operator's file, the same in every forwarder's.
+/// Index of a planner in the operator's configuration, the same at every forwarder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PlannerId(pub u32);
 
-/// What a forwarder knows of one planner.
+/// A forwarder's view of one planner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PlannerStatus {
     id: PlannerId,
     epoch: Epoch,
-    /// The number of its last message in that run.
+    /// The number of the last message accepted from that run.
     last_number: u64,
-    /// Its last valid guidance was true at this moment or later: when the report that it answers was written.
+    /// When the report was created that its last valid guidance answers. The guidance was valid at that time or later.
     valid_at: Option<Time>,
+    /// When the last message was accepted; cleared when the planner becomes ignored.
     last_heard: Option<Time>,
-    /// Since when it has been live without a gap.
+    /// Start of the current uninterrupted live period.
     live_since: Time,
     invalid_messages: u32,
     ignored_until: Time,
     silence_timeout: Span,
-    /// A connection was opened on which nothing was heard yet: whoever speaks first on it is the present run.
+    /// Whether a connection was opened and no message was accepted since. The first message on it determines the
+    /// current run.
     awaits_first_contact: bool,
 }
 
 impl PlannerStatus {
-    /// A planner that was never heard.
+    /// Creates the view of a planner from which nothing was received yet.
     pub fn new(id: PlannerId) -> PlannerStatus {
         PlannerStatus {
             id,
@@ -59,39 +63,40 @@
         }
     }
 
-    /// The planner's place in the operator's file.
+    /// Returns the planner's index in the operator's configuration.
     pub fn id(&self) -> PlannerId {
         self.id
     }
 
-    /// The run that was heard last; zero if none was.
+    /// Returns the run that sent the last accepted message; zero if there was none.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// When its last valid guidance was surely true; none if there was none.
+    /// Returns the time as of which its last valid guidance counts; `None` if there was none.
     pub fn valid_at(&self) -> Option<Time> {
         self.valid_at
     }
 
-    /// Its guidance was valid, and true at that time or later.
+    /// Records valid guidance that answers a report created at `at`.
     pub fn record_valid(&mut self, at: Time) {
         self.valid_at = Some(at);
     }
 
-    /// How long it may be silent until it is not live any more, where reports are rarer than usual; never below
-    /// [`SILENCE_TIMEOUT`].
+    /// Sets how long the planner may be silent before it is no longer live, for reports at longer intervals than usual.
+    /// Values below [`SILENCE_TIMEOUT`] are raised to it.
     pub fn set_silence_timeout(&mut self, timeout: Span) {
         self.silence_timeout = timeout.max(SILENCE_TIMEOUT);
     }
 
-    /// A connection to it was opened, which only its present run can hold. Without that a run is taken for earlier than
-    /// another by its epoch, which goes back where a clock was set back between the two.
+    /// Records that a connection to the planner was opened. Only the current run can have accepted it, so the next
+    /// message is accepted even with a lower epoch. Without that, a run with a lower epoch counts as an earlier one,
+    /// which is wrong if the clock was set back between the two starts.
     pub fn connection_opened(&mut self) {
         self.awaits_first_contact = true;
     }
 
-    /// Whether a message of that run and number is to be taken. What it says may still be invalid.
+    /// Checks run and number of a message and records it as the last one accepted. Its content may still be invalid.
     ///
     /// # Errors
     ///
@@ -121,17 +126,18 @@
         Ok(())
     }
 
-    /// Counts an invalid message, the paper's penalty for a peer: after some the planner is ignored for a while.
+    /// Counts an invalid message. After `MAX_INVALID_MESSAGES` of them the planner is ignored for `IGNORE_DURATION`,
+    /// the paper's penalty for a peer.
     pub fn record_invalid_message(&mut self, now: Time) {
         self.invalid_messages += 1;
         if self.invalid_messages >= MAX_INVALID_MESSAGES {
             self.invalid_messages = 0;
-            self.ignored_until = now + IGNORED_FOR;
+            self.ignored_until = now + IGNORE_DURATION;
             self.last_heard = None;
         }
     }
 
-    /// Whether it was heard lately and is not ignored.
+    /// Returns whether the planner was heard recently and is not ignored.
     pub fn is_live(&self, now: Time) -> bool {
         self.last_heard
             .is_some_and(|heard| now.since(heard) < self.silence_timeout)
@@ -143,9 +149,9 @@
     }
 }
 
-/// The planner that holds the leases of an incarnation: the first of the live ones in the incarnation's own order
-/// (rendezvous hashing), those that have been live for a while before those that have just come. None if no planner is
-/// live.
+/// Returns the planner that holds the leases of an incarnation: the first of the live planners in an order that depends
+/// on the incarnation (rendezvous hashing). Planners that have been live for [`STABLE_AFTER`] come before the others.
+/// `None` if no planner is live.
 pub fn lease_holder(
     now: Time,
     planners: &[PlannerStatus],
@@ -153,8 +159,8 @@
 ) -> Option<PlannerId> {
     let hash = of_name(&incarnation.host, incarnation.started);
     let rank = |planner: &&PlannerStatus| {
-        let draw = mix(hash ^ mix(u64::from(planner.id.0) + 1));
-        (planner.is_stable(now), draw)
+        let weight = mix(hash ^ mix(u64::from(planner.id.0) + 1));
+        (planner.is_stable(now), weight)
     };
     planners
         .iter()
--- a/crates/flaxdeck-control/src/messages.rs
+++ b/crates/flaxdeck-control/src/messages.rs
@@ -1,9 +1,10 @@
 //! Messages between forwarders and planners.
 //!
-//! A forwarder sends [`Report`]s, a planner answers with [`Guidance`]. Times are [`Stamp`]s that only their writer
-//! reads, or ages in milliseconds, so no clock is compared with another's.
+//! A forwarder sends [`Report`]s, and a planner answers with [`Guidance`]. Times are either [`Stamp`]s that only their
+//! sender interprets, or ages in milliseconds, so that the clocks of two machines are never compared.
 //!
-//! The messages travel as `postcard`, which encodes fields by position: fields and their order are part of the protocol.
+//! The messages are encoded with `postcard`, which encodes fields by position: the set of fields and their order are
+//! part of the protocol.
 
 use flaxdeck::{SourceMeasurements, Span, Time};
 use flaxdeck_recovery::EventPosition;
@@ -11,95 +12,95 @@
 
 use crate::QuotaFraction;
 
-/// One run of a forwarder or planner: new with each start.
+/// Identifies one run of a forwarder or planner; every start has a new one.
 ///
-/// Which of two runs is the later one is decided by the connections that they hold and not by their numbers, as a
-/// clock may have been set back between them.
+/// The open connections decide which of two runs is the later one, not the numbers: a clock may have been set back
+/// between the two starts.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// The epoch of a run that starts at `now` (Unix time) in the process with that id. The id tells two runs apart that
-    /// start in the same millisecond.
+    /// Returns the epoch of a run that starts at `now` (Unix time) in the process with the id `process`. The id
+    /// distinguishes runs that start in the same millisecond.
     pub fn new(now: Time, process: u32) -> Epoch {
         Epoch((now.ms() as u64) << 20 | u64::from(process & 0xf_ffff))
     }
 }
 
-/// A moment in microseconds of its writer's own clock. Others only send it back.
+/// A time in microseconds on the sender's own clock. The receiver only echoes it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Stamp(pub u64);
 
 impl Stamp {
-    /// The stamp of a moment.
+    /// Converts a time to a stamp.
     pub fn of(time: Time) -> Stamp {
         Stamp((time.ms() * 1000.0).round() as u64)
     }
 
-    /// The moment that it stands for on its writer's clock.
+    /// Converts the stamp back to a time on its sender's clock.
     pub fn time(self) -> Time {
         Time::at_ms(self.0 as f64 / 1000.0)
     }
 }
 
-/// What stays the same over a forwarder's restarts: a hash of the address on which it listens. Zero for a forwarder that
-/// tells none.
+/// Identifies a forwarder across restarts: a hash of the address on which it listens. Zero if the forwarder has no
+/// slot.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct SlotId(pub u64);
 
 impl SlotId {
-    /// Stands for a forwarder that has no slot.
+    /// The id of a forwarder that has no slot.
     pub const NONE: SlotId = SlotId(0);
 }
 
-/// A host from one start to the next. What it can take while it warms up belongs to that incarnation alone.
+/// A host from one start to the next. The quota of a warming host belongs to one incarnation only.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
     /// The host's name.
     pub host: String,
-    /// Its start by the coordinator's list, in milliseconds of Unix time; 0 if that is long past.
+    /// Start time of the host in the coordinator's endpoint list, in milliseconds of Unix time; 0 if that is long past.
     pub started: u64,
 }
 
-/// The most lease reports, grants or peer summaries that one message may hold.
+/// Maximum number of lease reports, grants or peer summaries in one message.
 pub const MAX_INCARNATIONS: usize = 256;
-/// The most samples or ratings that one message may hold.
+/// Maximum number of samples or ratings in one message.
 pub const MAX_RATINGS: usize = 128;
-/// The most relayed events that one message may hold.
+/// Maximum number of relayed events in one message.
 pub const MAX_EVENTS: usize = 64;
-/// The most samples or ratings of hosts that did not fail in one message to or from a forwarder that subscribes: what
-/// its byte budget leaves room for.
+/// Maximum number of samples or ratings of hosts that did not fail, in one message to or from a forwarder that
+/// receives events by a subscription. The byte budget of such a forwarder has no room for more.
 pub const MAX_ROUTINE_RATINGS: usize = 4;
 
-/// Who wrote a message, to which run of the other side, and when.
+/// Sender, recipient, number and time of a message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The writer's run.
+    /// The sender's run.
     pub from: Epoch,
-    /// The run of the other side that the writer knows; `echo` is void for any other.
+    /// The run of the recipient that the sender knows; `echo` is meaningless to any other run.
     pub to: Epoch,
-    /// Counts the writer's messages to this other side, from 1.
+    /// Number of the message, counted from 1 for each pair of sender and recipient.
     pub number: u64,
-    /// When the message was written.
+    /// When the message was created.
     pub sent: Stamp,
-    /// The latest stamp of the other side that the writer has seen.
+    /// The latest stamp that the sender has received from the recipient.
     pub echo: Option<Stamp>,
 }
 
-/// What a forwarder lends and would borrow of one incarnation.
+/// What a forwarder lends of the quota of one incarnation, and how much it would like to borrow.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseReport {
     /// The warming host.
     pub incarnation: Incarnation,
-    /// Lent from now on for [`LeaseTerms::deposit_duration`](crate::LeaseTerms::deposit_duration).
+    /// Amount lent, from now on for [`LeaseTerms::deposit_duration`](crate::LeaseTerms::deposit_duration).
     pub deposit: QuotaFraction,
-    /// Would be used at once in addition to the forwarder's own share.
+    /// Amount that the forwarder would use at once in addition to its own share.
     pub demand: QuotaFraction,
     /// The forwarder's attempts in flight at the host.
     pub in_flight: u16,
@@ -108,9 +109,9 @@
 /// Measured performance of a source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Measurements {
-    /// Milliseconds to a fill's first byte.
+    /// Time to the first byte of a fill, in milliseconds.
     pub latency_ms: Option<f32>,
-    /// KB per millisecond.
+    /// Bandwidth in KB per millisecond.
     pub bandwidth: Option<f32>,
 }
 
@@ -132,12 +133,12 @@
     }
 }
 
-/// What a forwarder has observed of a host lately. Ages count from when the message was written.
+/// A forwarder's recent observations of a host. Ages count back from when the message was created.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
     /// The host's name.
     pub host: String,
-    /// The forwarder's own measurements; empty unless newer than its last report.
+    /// The forwarder's own measurements; empty if there are none since its last report.
     pub measurements: Measurements,
     /// Age of the measurements.
     pub measured_ago_ms: u32,
@@ -149,12 +150,12 @@
     pub in_flight: u16,
 }
 
-/// How busy a zone's link was when a host last told it.
+/// Utilization of a zone's link as last reported by a host.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LinkLoad {
-    /// Transfers over the number that fit.
+    /// Number of transfers divided by the number that the link has capacity for.
     pub utilization: f32,
-    /// Age of that figure.
+    /// Age of that value.
     pub ago_ms: u32,
 }
 
@@ -167,65 +168,68 @@
     pub slot: SlotId,
     /// The coordinator's last event that the forwarder has applied.
     pub last_event: EventPosition,
-    /// Events reach the forwarder by a subscription: guidance holds none, and only the ratings that matter most.
+    /// Whether the forwarder receives events by a subscription. Guidance for it then has no events, and only the most
+    /// important ratings.
     pub subscribes: bool,
     /// The version of the planner's ratings that the forwarder has.
     pub version: u64,
-    /// The forwarder's zone, by its place in the platform's list.
+    /// Index of the forwarder's zone in the platform's list of zones.
     pub zone: u32,
-    /// How busy the zone's link is, as hosts told this forwarder.
+    /// Utilization of the zone's link, as hosts reported it to this forwarder.
     pub link: Option<LinkLoad>,
-    /// One for each warming host whose lease holder is the addressed planner.
+    /// One entry for each warming host whose lease holder is the addressed planner.
     pub lease_reports: Vec<LeaseReport>,
-    /// What is new of hosts.
+    /// New observations of hosts.
     pub samples: Vec<Sample>,
 }
 
-/// What a planner grants of one incarnation, counted from when the forwarder wrote the report that is echoed.
+/// A planner's grant from the quota of one incarnation. It starts when the forwarder created the report whose stamp the
+/// guidance echoes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
     /// The warming host.
     pub incarnation: Incarnation,
-    /// How much may be used in addition to the forwarder's own share.
+    /// Amount that may be used in addition to the forwarder's own share.
     pub amount: QuotaFraction,
-    /// For how long.
+    /// Duration of the grant in milliseconds.
     pub lasts_ms: u32,
 }
 
-/// What other forwarders do at a warming host.
+/// Demand and load of the other forwarders at a warming host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PeerSummary {
     /// The warming host.
     pub incarnation: Incarnation,
-    /// Others demand more than they have, so it is worth lending.
+    /// Whether other forwarders demand more quota than they have, so that lending to the planner is of use.
     pub demanded: bool,
-    /// Attempts that others have in flight there.
+    /// Attempts that the other forwarders have in flight at the host.
     pub peers_in_flight: u32,
 }
 
-/// How several forwarders together see a host.
+/// Rating of a host, combined from the samples of several forwarders.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rating {
     /// The host's name.
     pub host: String,
-    /// The mean of the forwarders' measurements, recent ones weighted higher.
+    /// Mean of the forwarders' measurements, weighted towards recent ones.
     pub measurements: Measurements,
-    /// Age of the youngest sample in the mean.
+    /// Age of the newest sample in the mean.
     pub measured_ago_ms: u32,
-    /// Enough forwarders failed at the host since anybody last succeeded: how long ago the last of them did.
+    /// Age of the latest failure, if enough forwarders failed at the host since the last success of any forwarder; the
+    /// host then counts as down.
     pub down_ago_ms: Option<u32>,
-    /// How long ago somebody last succeeded.
+    /// Age of the last success of any forwarder.
     pub last_success_ago_ms: Option<u32>,
-    /// How many attempts one forwarder should have in flight there at most, while the host is down or recovering.
+    /// Maximum number of attempts that one forwarder should have in flight at the host while it is down or recovering.
     pub window: Option<u16>,
 }
 
-/// One event of the coordinator, passed on as it came.
+/// One event of the coordinator, relayed unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RelayedEvent {
-    /// The event's place in the coordinator's numbering.
+    /// The event's position in the coordinator's numbering.
     pub position: EventPosition,
-    /// The coordinator's own frame.
+    /// The frame as the coordinator encoded it.
     pub frame: Vec<u8>,
 }
 
@@ -234,30 +238,30 @@
 pub struct Guidance {
     /// Writer, addressee and time.
     pub envelope: Envelope,
-    /// How long ago the planner itself heard from the coordinator.
+    /// Time since the planner last received a message from the coordinator.
     pub coordinator_ago_ms: Option<u32>,
-    /// For how long something may still be outstanding that an earlier run of this forwarder's slot lent to this planner;
-    /// absent if the planner can't tell, having started too lately itself.
+    /// How long deposits that an earlier run in this forwarder's slot lent to this planner may still be outstanding.
+    /// Absent if the planner does not know, because it started too recently or does not track the slot.
     pub outstanding_ms: Option<u32>,
-    /// The planner's own last event; absent while it can't tell that this is the coordinator's last.
+    /// The last event known to the planner; absent while the planner can't tell whether that is the coordinator's last.
     pub coordinator_position: Option<EventPosition>,
-    /// The version of the planner's ratings up to which this message tells them.
+    /// The version of the planner's ratings that the forwarder has after this message.
     pub version: u64,
-    /// The event that the first of `events` follows.
+    /// The position that the first of `events` follows.
     pub after: EventPosition,
-    /// Events that follow the forwarder's last one, in order.
+    /// Events that follow the last event of the forwarder, in order.
     pub events: Vec<RelayedEvent>,
-    /// The latest that any forwarder of the zone heard of its link.
+    /// The latest utilization of the zone's link that any forwarder of the zone reported.
     pub link: Option<LinkLoad>,
-    /// Answers to the demand of the report.
+    /// Grants in answer to the demand in the report.
     pub grants: Vec<Grant>,
-    /// What others do at the hosts of the report's lease reports.
+    /// Demand and load of other forwarders at the hosts in the report's lease reports.
     pub incarnations: Vec<PeerSummary>,
-    /// Ratings that changed since the version of the report.
+    /// Ratings that changed since the version in the report.
     pub ratings: Vec<Rating>,
 }
 
-/// A span as messages tell it: whole milliseconds, rounded up, at most [`u32::MAX`].
+/// Converts a span to whole milliseconds as used in messages, rounded up and at most [`u32::MAX`].
 pub fn ceil_ms(span: Span) -> u32 {
     span.ms().ceil().min(f64::from(u32::MAX)) as u32
 }
--- a/crates/flaxdeck-control/src/quotas.rs
+++ b/crates/flaxdeck-control/src/quotas.rs
@@ -1,9 +1,9 @@
-//! A forwarder's quota of what each warming host can take.
+//! A forwarder's quotas of warming hosts.
 //!
-//! Each forwarder has an equal share of its own and needs nobody's permission to use it. What it does not need it lends
-//! to a planner for a while; what it lacks it borrows. The sum over all forwarders never exceeds the whole, whichever of
-//! them is cut off, restarted or mistaken about the lease holder, because a share is either used by its owner or lent by
-//! it, and only what was lent can be granted.
+//! Each forwarder owns an equal share of a warming host's quota and may use it without asking anyone. It lends what it
+//! does not need to a planner for a limited time, and borrows what it lacks. The sum over all forwarders never exceeds
+//! the host's full quota, even if some of them are partitioned, restart or disagree about the lease holder, because at
+//! any time a share is either used by its owner or lent by it, and only what was lent can be granted.
 
 mod balance;
 mod lending_permit;
@@ -17,44 +17,45 @@
 use balance::{Balance, Offer};
 use lending_permit::LendingPermit;
 
-/// How long others' demand for an incarnation counts, from when it was asked for: two reports. Where answers take longer
-/// nothing is lent, as a grant would come too late to be of use.
+/// How long demand of other forwarders counts, from when the report was created that the guidance answers: two report
+/// intervals. If answers take longer nothing is lent, as grants would arrive too late to be of use.
 const PEER_DEMAND_LIFETIME: Span = Span::from_ms(500);
-/// Over how long unmet demand is averaged: a few reports, so that one unlucky request is no demand.
-const UNMET_AVERAGED_OVER: Span = Span::from_ms(500);
+/// Period over which unmet demand is averaged: a few report intervals, so that a single unlucky request does not count
+/// as demand.
+const UNMET_AVERAGING_PERIOD: Span = Span::from_ms(500);
 
-/// How a forwarder uses a warming host, as the decision engine tells it.
+/// A forwarder's use of a warming host, as the decision engine reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WarmupReport {
     /// The warming host.
     pub incarnation: Incarnation,
     /// This forwarder's own share.
     pub own_share: QuotaFraction,
-    /// What it used within the window.
+    /// Quota used within the window.
     pub used: QuotaFraction,
-    /// Its attempts in flight there.
+    /// This forwarder's attempts in flight at the host.
     pub in_flight: u16,
-    /// What it did not send there for want of quota since the last report.
+    /// Quota that it lacked since the previous call, for attempts that it therefore did not send to the host.
     pub unmet: QuotaFraction,
 }
 
-/// Why a grant was not taken.
+/// Why a grant was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidGrant {
-    /// It lasts longer than the lease terms have it.
-    #[error("it lasts {lasts_ms} ms, where {most_ms} ms are agreed on")]
+    /// It lasts longer than the lease terms allow.
+    #[error("duration is {lasts_ms} ms, at most {most_ms} ms are allowed")]
     TooLong {
-        /// How long it lasts.
+        /// Duration of the grant.
         lasts_ms: u32,
-        /// The longest that is agreed on.
+        /// Maximum duration by the lease terms.
         most_ms: f64,
     },
-    /// It is more than the whole of what a host can take.
-    #[error("it is {0:?}, which is more than the whole")]
+    /// Its amount exceeds the full quota of a host.
+    #[error("amount is {0:?}, at most {whole:?} is allowed", whole = QuotaFraction::WHOLE)]
     MoreThanWhole(QuotaFraction),
 }
 
-/// What a forwarder has lent and been granted over all warming hosts, as multiples of one host's whole.
+/// Amounts that a forwarder has lent and been granted over all warming hosts, as multiples of one host's full quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LeaseTotals {
     /// Lent to planners.
@@ -63,21 +64,21 @@
     pub granted: f64,
 }
 
-/// All that a forwarder has lent and been granted.
+/// A forwarder's own shares, deposits and grants, for all warming hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Quotas {
     lease_terms: LeaseTerms,
-    /// From when on its own shares may be used: an earlier run may have lent them.
+    /// When the own shares may first be used. An earlier run may have lent them until then.
     own_share_from: Time,
     balances: BTreeMap<Incarnation, Balance>,
-    /// Incarnations that others demand some of, and until when that counts.
+    /// Incarnations of which other forwarders demand quota, and until when that demand counts.
     peer_demand: BTreeMap<Incarnation, Time>,
     last_update: Option<Time>,
     lending_permit: LendingPermit,
 }
 
 impl Quotas {
-    /// Those of a forwarder that has just started and may have lent its shares before.
+    /// Creates the quotas of a forwarder that starts at `now` and whose earlier run may have lent its shares.
     pub fn new(now: Time, lease_terms: LeaseTerms) -> Quotas {
         Quotas {
             lease_terms,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Those of a forwarder that has no planner to lend to, and may use its own shares from the start.
+    /// Creates the quotas of a forwarder without planners. It can't lend, so it may use its own shares from the start.
     pub fn without_planners(now: Time, lease_terms: LeaseTerms) -> Quotas {
         Quotas {
             own_share_from: now,
@@ -97,15 +98,17 @@
         }
     }
 
-    /// Takes in how all warming hosts are used. Others are forgotten once nothing of them is lent or granted.
+    /// Records the use of all warming hosts. Other hosts are forgotten once nothing of them is lent, granted or unmet.
     pub fn update_usage(&mut self, now: Time, warming: impl IntoIterator<Item = WarmupReport>) {
         let decay = self
             .last_update
             .replace(now)
-            .map_or(1.0, |last| now.since(last).ms() / UNMET_AVERAGED_OVER.ms())
+            .map_or(1.0, |last| {
+                now.since(last).ms() / UNMET_AVERAGING_PERIOD.ms()
+            })
             .min(1.0);
-        // What goes unmet over the averaging time would be so much more within a window.
-        let scale = (self.lease_terms.window.ms() / UNMET_AVERAGED_OVER.ms()).max(1.0);
+        // Extrapolates the unmet demand of the averaging period to the whole window.
+        let scale = (self.lease_terms.window.ms() / UNMET_AVERAGING_PERIOD.ms()).max(1.0);
         for balance in self.balances.values_mut() {
             balance.begin_update(now, decay);
         }
@@ -121,17 +124,17 @@
         self.balances.retain(|_, balance| !balance.is_settled());
     }
 
-    /// Others demand some of an incarnation, as was true at that time. What nobody demands is not lent: it would only be
-    /// missed when this forwarder's own demand returns.
-    pub fn record_peer_demand(&mut self, now: Time, true_at: Time, incarnation: &Incarnation) {
-        let until = true_at + PEER_DEMAND_LIFETIME;
+    /// Records that other forwarders demanded quota of an incarnation at `as_of`. A share is lent only while others
+    /// demand it: otherwise lending it would only leave this forwarder short when its own demand returns.
+    pub fn record_peer_demand(&mut self, now: Time, as_of: Time, incarnation: &Incarnation) {
+        let until = as_of + PEER_DEMAND_LIFETIME;
         if until > now && self.balances.contains_key(incarnation) {
             self.peer_demand.insert(incarnation.clone(), until);
         }
     }
 
-    /// What is lent to a planner and demanded of it, of the incarnations whose lease holder it is. To be sent at once:
-    /// what is lent is not used from this moment on, whether the message arrives or not.
+    /// Returns the deposits to and demands of a planner, for the incarnations whose lease holder it is. They must be
+    /// sent at once: this forwarder no longer uses what it lends from `now` on, whether the message arrives or not.
     pub fn lease_reports(
         &mut self,
         now: Time,
@@ -157,12 +160,12 @@
                 deposit = balance.spare(now, planner);
             }
             if deposit > QuotaFraction::NONE && !permitted {
-                self.lending_permit.record_shortfall();
+                self.lending_permit.record_withheld_deposit();
                 deposit = QuotaFraction::NONE;
             }
             let Offer { deposit, demand } =
                 balance.offer(now, planner, deposit, until, has_own_share);
-            // One with neither still tells the attempts in flight.
+            // A report with neither a deposit nor a demand is still needed for its attempts in flight.
             reports.push(LeaseReport {
                 incarnation: incarnation.clone(),
                 deposit,
@@ -173,17 +176,17 @@
         reports
     }
 
-    /// Takes in a grant that answers the report written at `asked`. What is granted beyond the demand is cut off; a grant
-    /// for a host that is not warming any more does nothing.
+    /// Applies a grant that answers the report created at `requested_at`. Its amount is limited to the demand. A grant
+    /// for a host that is no longer tracked as warming is ignored.
     ///
     /// # Errors
     ///
-    /// [`InvalidGrant`] if it can't have been agreed on.
+    /// [`InvalidGrant`] if its duration or amount exceeds what the lease terms allow.
     pub fn accept_grant(
         &mut self,
         now: Time,
         planner: Epoch,
-        asked: Time,
+        requested_at: Time,
         grant: &Grant,
     ) -> Result<(), InvalidGrant> {
         let Some(balance) = self.balances.get_mut(&grant.incarnation) else {
@@ -199,51 +202,51 @@
         if grant.amount > QuotaFraction::WHOLE {
             return Err(InvalidGrant::MoreThanWhole(grant.amount));
         }
-        let until = asked + Span::from_ms(u64::from(grant.lasts_ms));
+        let until = requested_at + Span::from_ms(u64::from(grant.lasts_ms));
         if until > now {
             balance.add_grant(planner, grant.amount, until);
         }
         Ok(())
     }
 
-    /// Its own shares may be used after so long: what an earlier run lent is known.
+    /// Sets how long from `now` the own shares are not used, where it is known what the earlier run lent.
     pub fn set_startup_wait(&mut self, now: Time, wait: Span) {
         self.own_share_from = now + wait;
     }
 
-    /// Its own shares may be used by then, if not sooner.
+    /// Lets the own shares be used from `until` on, if not sooner.
     pub fn use_own_share_by(&mut self, until: Time) {
         self.own_share_from = self.own_share_from.min(until);
     }
 
-    /// From now on nothing is lent without a permit: what is lent must be known to the next run.
+    /// From now on lends only within a permit, so that the next run knows until when quota may be lent.
     pub fn require_lending_permit(&mut self, now: Time) {
         self.lending_permit.require(now);
     }
 
-    /// Until when a permit to lend is requested now; none if there is enough, or none is needed.
+    /// Returns until when a permit to lend is requested; `None` if the current one suffices or none is needed.
     pub fn requested_lending_permit(&mut self, now: Time) -> Option<Time> {
         let lends = self.balances.values().any(Balance::lends);
         self.lending_permit
             .request(now, self.lease_terms.deposit_duration, lends)
     }
 
-    /// Lending until that time is stored where the next run will find it.
+    /// Extends the permit to lend, once the caller has stored it for the next run.
     pub fn extend_lending_permit(&mut self, until: Time) {
         self.lending_permit.extend(until);
     }
 
-    /// From when on its own shares may be used.
+    /// Returns the time from which the own shares may be used.
     pub fn own_share_from(&self) -> Time {
         self.own_share_from
     }
 
-    /// Whether its own shares may be used yet.
+    /// Returns whether the own shares may be used at `now`.
     pub fn has_own_share(&self, now: Time) -> bool {
         now >= self.own_share_from
     }
 
-    /// What may be used of each incarnation now.
+    /// Returns the quota of each incarnation that may be used at `now`.
     pub fn usable(&self, now: Time) -> impl Iterator<Item = (&Incarnation, QuotaFraction)> {
         let has_own_share = self.has_own_share(now);
         self.balances
@@ -251,7 +254,7 @@
             .map(move |(incarnation, balance)| (incarnation, balance.usable(now, has_own_share)))
     }
 
-    /// When what may be used changes by itself next.
+    /// Returns when a usable quota next changes without any message.
     pub fn next_change(&self, now: Time) -> Option<Time> {
         self.balances
             .values()
@@ -261,7 +264,7 @@
             .min()
     }
 
-    /// What is lent and granted now over all incarnations, for the log.
+    /// Returns the amounts lent and granted over all incarnations at `now`, for the log.
     pub fn totals(&self, now: Time) -> LeaseTotals {
         let mut totals = LeaseTotals::default();
         for balance in self.balances.values() {
--- a/crates/flaxdeck-control/src/quotas/balance.rs
+++ b/crates/flaxdeck-control/src/quotas/balance.rs
@@ -1,4 +1,4 @@
-//! What a forwarder has of one incarnation: its own share, what it lent, what it was granted, and what it demands.
+//! A forwarder's balance for one incarnation: its own share, deposits, grants and demand.
 
 use std::collections::BTreeMap;
 
@@ -7,17 +7,19 @@
 use crate::messages::Epoch;
 use crate::{LeaseSchedule, QuotaFraction};
 
-/// Hundredths of what was used within the window that count as demand: it may grow from one report to the next.
+/// Demand as a percentage of the quota used within the window. The margin above 100 allows for growth from one report
+/// to the next.
 const DEMAND_GROWTH_PERCENT: u64 = 150;
-/// How long the highest demand is kept back from lending. What is lent returns only after a window and more, so demand
-/// that may return within that time would be worse off than with no lending at all.
+/// How long the highest demand is excluded from lending. A deposit returns only after a window and more, so demand that
+/// returns sooner than that would be worse off than without any lending.
 const PEAK_LIFETIME: Span = Span::from_ms(30_000);
-/// Hundredths of the own share that are never lent, so that a first request need not wait for a grant.
-const FLOOR_PERCENT: u32 = 10;
-/// The least that is lent or borrowed: a thousandth. Less would cost more messages than requests.
+/// Percentage of the own share that is never lent, so that a first request need not wait for a grant.
+const MIN_RETAINED_PERCENT: u32 = 10;
+/// Minimum amount that is lent or borrowed, a thousandth of the full quota. Less would cost more messages than it would
+/// allow requests.
 const MIN_LEASE: QuotaFraction = QuotaFraction(1_000);
 
-/// The highest demand of late.
+/// The highest recent demand.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Peak {
     demand: QuotaFraction,
@@ -32,7 +34,7 @@
     }
 }
 
-/// What goes into a report.
+/// The amounts that go into a lease report.
 pub(super) struct Offer {
     pub(super) deposit: QuotaFraction,
     pub(super) demand: QuotaFraction,
@@ -41,18 +43,19 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Balance {
     pub(super) own_share: QuotaFraction,
-    /// What was used within the window.
+    /// Quota used within the window.
     pub(super) used: QuotaFraction,
-    /// What went unmet lately, as it would come to within a window.
+    /// Recent unmet demand, extrapolated to a window.
     pub(super) unmet: QuotaFraction,
     pub(super) in_flight: u16,
-    /// The highest demand that is kept back from lending.
+    /// The highest demand within [`PEAK_LIFETIME`], which is excluded from lending.
     peak: Peak,
-    /// The highest demand within the window: a grant shows in what is used only once the window has filled.
+    /// The highest demand within the window. The quota used reflects a grant only after a full window, so the current
+    /// demand alone would drop too early.
     recent: Peak,
     lent: BTreeMap<Epoch, LeaseSchedule>,
     granted: BTreeMap<Epoch, LeaseSchedule>,
-    /// What was last demanded of each planner: none may grant more.
+    /// The last demand sent to each planner, which limits its grants.
     demanded: BTreeMap<Epoch, QuotaFraction>,
 }
 
@@ -63,7 +66,8 @@
 }
 
 impl Balance {
-    /// Forgets what was told last and what has ended; `decay` is the part of the unmet demand that has aged out.
+    /// Resets the values of the last update and removes expired leases. `decay` is the fraction of the unmet demand
+    /// that has aged out.
     pub(super) fn begin_update(&mut self, now: Time, decay: f64) {
         self.used = QuotaFraction::NONE;
         self.own_share = QuotaFraction::NONE;
@@ -73,7 +77,7 @@
         self.granted.retain(|_, schedule| !schedule.prune(now));
     }
 
-    /// Whether nothing of it matters any more.
+    /// Returns whether the balance can be removed.
     pub(super) fn is_settled(&self) -> bool {
         self.own_share == QuotaFraction::NONE
             && self.unmet == QuotaFraction::NONE
@@ -81,17 +85,17 @@
             && self.granted.is_empty()
     }
 
-    /// Whether something is lent.
+    /// Returns whether any amount is lent.
     pub(super) fn lends(&self) -> bool {
         !self.lent.is_empty()
     }
 
-    /// What is lent to all planners.
+    /// Returns the total lent to all planners.
     pub(super) fn lent(&self, at: Time) -> QuotaFraction {
         sum(self.lent.values(), at)
     }
 
-    /// What is granted by all planners.
+    /// Returns the total granted by all planners.
     pub(super) fn granted(&self, at: Time) -> QuotaFraction {
         sum(self.granted.values(), at)
     }
@@ -104,14 +108,14 @@
         }
     }
 
-    /// What may be used now.
+    /// Returns the quota that may be used at `at`.
     pub(super) fn usable(&self, at: Time, has_own_share: bool) -> QuotaFraction {
         self.own_share_left(at, has_own_share)
             .saturating_add(self.granted(at))
             .at_most_whole()
     }
 
-    /// Takes the demand into the peaks. Without an own share to lend nothing need be kept back.
+    /// Records the current demand in the peaks. Without an own share to lend, there is nothing to exclude from lending.
     pub(super) fn record_demand(&mut self, now: Time, window: Span, has_own_share: bool) {
         let grown = u64::from(self.used.0) * DEMAND_GROWTH_PERCENT / 100;
         let demand = QuotaFraction(grown as u32).saturating_add(self.unmet);
@@ -121,17 +125,17 @@
         }
     }
 
-    /// What can be lent to a planner. What is lent to it already counts as lent again: the deposit goes on for as long
-    /// as it is not needed.
+    /// Returns the amount that can be lent to a planner. The existing deposit with that planner counts as available, as
+    /// the new one renews it: a deposit goes on for as long as the forwarder does not need it.
     pub(super) fn spare(&self, now: Time, planner: Epoch) -> QuotaFraction {
         let other_planners = self.lent.iter().filter(|(epoch, _)| **epoch != planner);
         let lent_to_others = sum(other_planners.map(|(_, schedule)| schedule), now);
-        let floor = QuotaFraction(self.own_share.0 / 100 * FLOOR_PERCENT);
-        let kept = self.peak.demand.max(floor);
+        let min_retained = QuotaFraction(self.own_share.0 / 100 * MIN_RETAINED_PERCENT);
+        let retained = self.peak.demand.max(min_retained);
         let spare = self
             .own_share
             .saturating_sub(lent_to_others)
-            .saturating_sub(kept);
+            .saturating_sub(retained);
         if spare < MIN_LEASE {
             QuotaFraction::NONE
         } else {
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Lends `deposit` to a planner until that time, or demands what is lacking.
+    /// Lends `deposit` to a planner until `until`. If there is nothing to lend, demands the shortfall instead.
     pub(super) fn offer(
         &mut self,
         now: Time,
@@ -148,16 +152,16 @@
         until: Time,
         has_own_share: bool,
     ) -> Offer {
-        let lacking = self
+        let shortfall = self
             .recent
             .demand
             .saturating_sub(self.own_share_left(now, has_own_share))
             .at_most_whole();
         let lends = deposit > QuotaFraction::NONE;
-        let demand = if lends || lacking < MIN_LEASE {
+        let demand = if lends || shortfall < MIN_LEASE {
             QuotaFraction::NONE
         } else {
-            lacking
+            shortfall
         };
         if lends {
             self.lent.entry(planner).or_default().add(deposit, until);
@@ -166,7 +170,7 @@
         Offer { deposit, demand }
     }
 
-    /// A planner grants so much until then, of which no more counts than was demanded of it.
+    /// Records a planner's grant until `until`, limited to the last demand sent to that planner.
     pub(super) fn add_grant(&mut self, planner: Epoch, amount: QuotaFraction, until: Time) {
         let demanded = self.demanded.get(&planner).copied().unwrap_or_default();
         self.granted
@@ -175,7 +179,7 @@
             .add(amount.min(demanded), until);
     }
 
-    /// When what is lent or granted falls.
+    /// Returns the times at which an amount lent or granted decreases.
     pub(super) fn lease_ends(&self) -> impl Iterator<Item = Time> {
         self.lent
             .values()
--- a/crates/flaxdeck-control/src/quotas/lending_permit.rs
+++ b/crates/flaxdeck-control/src/quotas/lending_permit.rs
@@ -1,37 +1,38 @@
-//! Until when a forwarder that stores its state may lend. What is lent must be known to its next run, so the time is
-//! stored before anything is lent up to it.
+//! The permit up to which a forwarder that stores its state may lend. The next run must know until when deposits of
+//! this run may last, so the end of the permit is stored before any deposit lasts up to it.
 
 use flaxdeck::{Span, Time};
 
-/// How much further than the next deposit a permit reaches: some reports and a slow disk.
-const PERMIT_AHEAD: Span = Span::from_ms(2_000);
+/// How far a permit extends beyond the end of the next deposit: several report intervals and a slow disk write.
+const PERMIT_MARGIN: Span = Span::from_ms(2_000);
 
-/// A permit to lend.
+/// A permit to lend up to a time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct LendingPermit {
-    /// Until when lending is permitted; none where no permit is needed.
+    /// Until when lending is permitted; none if no permit is needed.
     until: Option<Time>,
-    /// More would have been lent with a longer permit.
-    fell_short: bool,
+    /// Whether a deposit was withheld because the permit did not cover it.
+    deposit_withheld: bool,
 }
 
 impl LendingPermit {
-    /// From now on a permit is needed, and there is none.
+    /// Requires a permit from now on; there is none yet.
     pub(super) fn require(&mut self, now: Time) {
         self.until = Some(now);
     }
 
-    /// Whether a deposit may last until that time.
+    /// Returns whether a deposit may last until `until`.
     pub(super) fn covers(&self, until: Time) -> bool {
         self.until.is_none_or(|permitted| permitted >= until)
     }
 
-    /// Something was not lent for want of a permit.
-    pub(super) fn record_shortfall(&mut self) {
-        self.fell_short = true;
+    /// Records that a deposit was withheld because the permit did not cover it.
+    pub(super) fn record_withheld_deposit(&mut self) {
+        self.deposit_withheld = true;
     }
 
-    /// Until when a permit is requested; `lends` tells whether something is lent now.
+    /// Returns until when a permit is requested, if one is needed now. `lends` tells whether any amount is currently
+    /// lent.
     pub(super) fn request(
         &mut self,
         now: Time,
@@ -39,12 +40,12 @@
         lends: bool,
     ) -> Option<Time> {
         let until = self.until?;
-        let ends_soon = until < now + deposit_duration + PERMIT_AHEAD * 0.5;
-        let fell_short = std::mem::take(&mut self.fell_short);
-        (fell_short || (lends && ends_soon)).then(|| now + deposit_duration + PERMIT_AHEAD)
+        let ends_soon = until < now + deposit_duration + PERMIT_MARGIN * 0.5;
+        let deposit_withheld = std::mem::take(&mut self.deposit_withheld);
+        (deposit_withheld || (lends && ends_soon)).then(|| now + deposit_duration + PERMIT_MARGIN)
     }
 
-    /// Lending is permitted until that time, if a permit is needed at all.
+    /// Extends the permit to `until`, if permits are required.
     pub(super) fn extend(&mut self, until: Time) {
         self.until = self.until.map(|permitted| permitted.max(until));
     }
