--- a/crates/flaxdeck-control/src/instance_slots.rs
+++ b/crates/flaxdeck-control/src/instance_slots.rs
@@ -1,10 +1,11 @@
-//! The planner's memory of slots: which run of a forwarder holds each, and for how long something that was lent from it
-//! may be outstanding. A forwarder that returns without stored state learns from it that nothing is, and uses its share
-//! at once.
+//! A planner's table of slots: which run of a forwarder occupies each slot, and until when deposits from it may be
+//! outstanding. A forwarder that restarts without stored state learns from it that no deposits are outstanding, and may
+//! then use its share at once.
 //!
-//! That is safe for two reasons. A planner that has heard a later run of a slot takes nothing more from an earlier one,
-//! so a report that was on its way when that run ended can't lend what the later run already uses. And a planner that
-//! has started so lately that an earlier run of its own may have taken a deposit says that it can't tell.
+//! That is safe for two reasons. Once a planner has received a report from a later run of a slot, it accepts nothing
+//! more from an earlier one, so a report that was in transit when the earlier run ended can't lend what the later run
+//! already uses. And a planner that started so recently that an earlier run of its own may have accepted a deposit
+//! answers that it does not know.
 
 use std::collections::BTreeMap;
 
@@ -13,29 +14,31 @@
 use crate::LeaseTerms;
 use crate::messages::{Epoch, SlotId};
 
-/// The most slots, and the most ended runs, that are remembered. Beyond it a slot's forwarder is told that nobody can
-/// tell.
+/// Maximum number of slots, and of ended runs, in the table. For a slot that does not fit, the planner answers that it
+/// does not know what is outstanding.
 const MAX_SLOTS: usize = 4_096;
-/// How many drifts a deposit's span is made longer by: the lender's clock against this one, and that against a third.
+/// How many times the maximum clock drift a deposit's lifetime is extended by: for the drift between the lender's clock
+/// and this one, and between this one and that of the next run.
 const DEPOSIT_DRIFTS: f64 = 5.0;
 
 struct Slot {
+    /// The latest run in the slot.
     run: Epoch,
-    /// Nothing that was lent from it is outstanding after that.
+    /// When the last deposit from the slot has expired.
     outstanding_until: Time,
 }
 
-/// The slots that a planner knows.
+/// The slots known to a planner.
 pub struct InstanceSlots {
     started_at: Time,
     deposit_lifetime: Span,
     slots: BTreeMap<SlotId, Slot>,
-    /// Runs that a later one has followed, and until when they could still lend.
+    /// Runs that were superseded by a later one, and until when a report of theirs could still lend.
     ended: BTreeMap<Epoch, Time>,
 }
 
 impl InstanceSlots {
-    /// Those of a planner that has just started.
+    /// Creates the empty table of a planner that starts at `now`.
     pub fn new(now: Time, lease_terms: LeaseTerms) -> InstanceSlots {
         InstanceSlots {
             started_at: now,
@@ -45,17 +48,18 @@
         }
     }
 
-    /// For how long a deposit may be outstanding, from when it was taken.
+    /// Returns how long a deposit may be outstanding after it was accepted.
     pub fn deposit_lifetime(&self) -> Span {
         self.deposit_lifetime
     }
 
-    /// A run reports from a slot; false if a later run was heard there, so that nothing may be taken from this one.
+    /// Records that a run reports from a slot. Returns false if a later run has reported from the slot, so that nothing
+    /// may be accepted from this one.
     pub fn admit(&mut self, now: Time, slot: SlotId, run: Epoch) -> bool {
         if self.ended.contains_key(&run) {
             return false;
         }
-        if slot == SlotId::NONE || !self.has_room_for(now, slot) {
+        if slot == SlotId::NONE || !self.has_capacity_for(now, slot) {
             return true;
         }
         let known = self.slots.entry(slot).or_insert(Slot {
@@ -69,14 +73,15 @@
         if self.ended.len() < MAX_SLOTS {
             self.ended.insert(known.run, now + self.deposit_lifetime);
         } else {
-            // Without room to remember that run its deposits can't be kept out: all that it could lend counts as lent.
+            // The table of ended runs is full, so late deposits of that run can't be rejected. The slot is treated as
+            // if one had been accepted now.
             known.outstanding_until = now + self.deposit_lifetime;
         }
         known.run = run;
         true
     }
 
-    fn has_room_for(&mut self, now: Time, slot: SlotId) -> bool {
+    fn has_capacity_for(&mut self, now: Time, slot: SlotId) -> bool {
         if !self.slots.contains_key(&slot) && self.slots.len() >= MAX_SLOTS {
             self.slots.retain(|_, slot| slot.outstanding_until > now);
             return self.slots.len() < MAX_SLOTS;
@@ -84,14 +89,14 @@
         true
     }
 
-    /// A deposit from that slot was taken.
+    /// Records that a deposit from the slot was accepted.
     pub fn record_deposit(&mut self, now: Time, slot: SlotId) {
         if let Some(slot) = self.slots.get_mut(&slot) {
             slot.outstanding_until = now + self.deposit_lifetime;
         }
     }
 
-    /// For how long something that was lent from the slot may still be outstanding; none if this planner can't tell.
+    /// Returns how long deposits from the slot may still be outstanding; `None` if this planner does not know.
     pub fn outstanding(&self, now: Time, slot: SlotId) -> Option<Span> {
         let slot = self.slots.get(&slot)?;
         (now >= self.started_at + self.deposit_lifetime).then(|| slot.outstanding_until.since(now))
--- a/crates/flaxdeck-control/src/planner.rs
+++ b/crates/flaxdeck-control/src/planner.rs
@@ -1,6 +1,7 @@
-//! The planner's side as a whole: forwarders' reports and the coordinator's events go in, guidance comes out.
+//! The planner's side of its sessions with forwarders: takes in their reports and the coordinator's events, and returns
+//! guidance.
 //!
-//! A planner decides no request. When it is lost, nothing is left behind that anybody waits for.
+//! A planner takes no part in decisions about single requests. If one is lost, no other process has to wait for it.
 
 mod guidance;
 mod relay_log;
@@ -22,110 +23,119 @@
 
 pub use relay_log::MAX_RELAYED_EVENTS;
 
-/// A forwarder that says nothing for so long is forgotten; what it lent ends by itself.
+/// A forwarder that sends no report for this long is forgotten; its deposits expire on their own.
 pub const FORWARDER_TIMEOUT: Span = Span::from_ms(10_000);
-/// The most forwarders that are kept.
+/// Maximum number of forwarders that a planner tracks.
 pub const MAX_FORWARDERS: usize = 4_096;
-/// The most incarnations of warming hosts that are kept.
+/// Maximum number of incarnations of warming hosts that a planner tracks.
 pub const MAX_POOLS: usize = 16_384;
-/// The most bytes of events in one guidance: some lists of changes, or one whole list of 5,000 hosts.
+/// Maximum size of the events in one guidance, in bytes: several delta endpoint lists, or one full list of 5,000 hosts.
 pub const MAX_EVENT_BYTES: usize = 192 * 1024;
-/// A rating is published again after so long if there was any sample since.
+/// A rating is published again after this time if there was any new sample, even if it changed little.
 const REPUBLISH_AFTER: Span = Span::from_ms(2_000);
-/// How often what has ended is forgotten.
-const PRUNE_EVERY: Span = Span::from_ms(1_000);
+/// Interval at which expired state is removed.
+const PRUNE_INTERVAL: Span = Span::from_ms(1_000);
 
-/// What a planner knows of a forwarder.
+/// A planner's state about one forwarder.
 struct Forwarder {
-    /// Number and stamp of its last report.
+    /// Number of its last report.
     last_number: u64,
+    /// Stamp of its last report.
     last_stamp: Stamp,
     last_heard: Time,
-    /// Messages sent to it.
+    /// Number of messages sent to it.
     messages_sent: u64,
     last_event: EventPosition,
-    /// Events reach it by a subscription.
+    /// Whether it receives events by a subscription instead of by guidance.
     subscribes: bool,
-    /// The version of the ratings that it has.
+    /// The version of this planner's ratings that it has.
     version: u64,
     zone: u32,
 }
 
-/// What a planner knows of a listed host.
+/// A planner's state about one host of the endpoint list.
 struct Host {
     started: u64,
     health: HostHealth,
-    /// The version of its last published change; 0 if there was none.
+    /// Version of the last published change of its rating; 0 if there was none.
     version: u64,
     published: Time,
 }
 
-/// Counts since the start of the planner.
+/// Counters since the start of the planner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Reports taken.
+    /// Reports accepted.
     pub reports: u64,
-    /// Reports that did not come after the last one taken.
+    /// Reports whose number is not higher than that of the last one accepted from the forwarder.
     pub out_of_order: u64,
-    /// Reports that were meant for another run of this planner; what does not rest on its stamps is taken.
+    /// Reports that were addressed to another run of this planner. All of their content is accepted except what depends
+    /// on this run's stamps.
     pub not_for_us: u64,
-    /// Reports of runs that a later one has followed.
+    /// Reports from runs of a forwarder that have been superseded by a later run.
     pub ended: u64,
-    /// Messages, and samples or link loads in them, that say what can't be.
+    /// Reports with invalid content, and invalid samples or link loads in reports.
     pub invalid_message: u64,
-    /// Samples and lease reports of hosts that are not listed.
+    /// Samples and lease reports of hosts that are not in the endpoint list, and lease reports beyond [`MAX_POOLS`].
     pub unlisted: u64,
-    /// Grants given.
+    /// Grants issued.
     pub grants: u64,
-    /// Guidance sent between reports.
+    /// Guidance sent without a report that it answers.
     pub pushes: u64,
 }
 
-/// How much a planner holds.
+/// How much state and quota a planner holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PlannerLoad {
-    /// Forwarders heard from lately.
+    /// Number of forwarders heard from recently.
     pub forwarders: usize,
-    /// Incarnations of which something is lent or reserved.
+    /// Number of incarnations with deposits, reservations or attempts in flight.
     pub pools: usize,
-    /// What is held of them together, as multiples of one host's whole.
+    /// Total quota held over all incarnations, as a multiple of one host's full quota.
     pub held: f64,
-    /// What is reserved for grants.
+    /// Total quota reserved for grants, in the same unit.
     pub reserved: f64,
 }
 
-/// A planner.
+/// State of a planner.
 pub struct Planner {
     epoch: Epoch,
     lease_terms: LeaseTerms,
-    own: QuotaFraction,
-    own_from: Time,
+    /// The planner's own part of each incarnation's quota.
+    own_quota: QuotaFraction,
+    own_quota_from: Time,
     forwarders: BTreeMap<Epoch, Forwarder>,
     pools: BTreeMap<Incarnation, QuotaPool>,
     instance_slots: InstanceSlots,
     hosts: BTreeMap<String, Host>,
-    /// Hosts by the version of their last change, the youngest last.
+    /// Names of hosts by the version of the last change of their rating, the latest last.
     changes: BTreeMap<u64, String>,
     version: u64,
     links: ZoneLinks,
     relay_log: RelayLog,
-    /// When the coordinator was last heard.
+    /// When the coordinator was last heard from.
     coordinator_heard: Option<Time>,
-    /// Whether all is known here that the coordinator had to tell then.
+    /// Whether the planner had all of the coordinator's events then.
     is_current: bool,
     next_prune: Time,
-    /// Counts since the start.
+    /// Counters since the start.
     pub counters: Counters,
 }
 
 impl Planner {
-    /// A planner that has just started, with `own` of each incarnation to grant besides what is lent to it.
-    pub fn start(now: Time, epoch: Epoch, lease_terms: LeaseTerms, own: QuotaFraction) -> Planner {
+    /// Creates a planner that starts at `now` and may grant `own_quota` of each incarnation in addition to what is lent
+    /// to it.
+    pub fn start(
+        now: Time,
+        epoch: Epoch,
+        lease_terms: LeaseTerms,
+        own_quota: QuotaFraction,
+    ) -> Planner {
         Planner {
             epoch,
             lease_terms,
-            own,
-            own_from: now + lease_terms.planner_startup_wait(),
+            own_quota,
+            own_quota_from: now + lease_terms.planner_startup_wait(),
             forwarders: BTreeMap::new(),
             pools: BTreeMap::new(),
             instance_slots: InstanceSlots::new(now, lease_terms),
@@ -141,7 +151,8 @@
         }
     }
 
-    /// A host is listed with its start in milliseconds of Unix time, 0 if that is long past; none if it was removed.
+    /// Adds or updates a host of the endpoint list, with its start in milliseconds of Unix time, 0 if that is long
+    /// past. `None` removes the host.
     pub fn update_host(&mut self, now: Time, host: &str, started: Option<u64>) {
         let Some(started) = started else {
             if let Some(removed) = self.hosts.remove(host) {
@@ -157,18 +168,19 @@
         };
         let known = self.hosts.entry(host.to_owned()).or_insert_with(new);
         if known.started != started {
-            // Another process: what was measured of the old one says nothing of it.
+            // Another process serves under this name now, so measurements of the old one do not apply.
             self.changes.remove(&known.version);
             *known = new();
         }
     }
 
-    /// The names of all listed hosts.
+    /// Returns the names of all hosts in the endpoint list.
     pub fn hosts(&self) -> impl Iterator<Item = &String> {
         self.hosts.keys()
     }
 
-    /// The coordinator was heard; an event is kept to be relayed. `is_current` if all is known here that it had to tell.
+    /// Records a message of the coordinator, and appends its event, if any, to the log of events to relay. `is_current`
+    /// tells whether all of the coordinator's events are known here.
     pub fn coordinator_heard(&mut self, now: Time, event: Option<RelayedEvent>, is_current: bool) {
         self.coordinator_heard = Some(now);
         self.is_current = is_current;
@@ -177,22 +189,22 @@
         }
     }
 
-    /// All that is known here of the coordinator's events ends with that one: at the start, and where its numbering
-    /// turned out to be another. What was relayed before follows from nothing any more.
+    /// Empties the log of events to relay and lets it start after `position`. Called at the start, and when the
+    /// coordinator turns out to have a new numbering, in which events relayed earlier have no place.
     pub fn restart_log_at(&mut self, position: EventPosition) {
         self.relay_log = RelayLog::starting_at(position);
     }
 
     fn prune(&mut self, now: Time) {
         if now >= self.next_prune {
-            self.next_prune = now + PRUNE_EVERY;
+            self.next_prune = now + PRUNE_INTERVAL;
             self.forwarders
                 .retain(|_, forwarder| now.since(forwarder.last_heard) < FORWARDER_TIMEOUT);
             self.pools.retain(|_, pool| !pool.prune(now));
         }
     }
 
-    /// How much is held now, for the log.
+    /// Returns how much the planner holds at `now`, for the log.
     pub fn load(&self, now: Time) -> PlannerLoad {
         let mut load = PlannerLoad {
             forwarders: self.forwarders.len(),
--- a/crates/flaxdeck-control/src/planner/guidance.rs
+++ b/crates/flaxdeck-control/src/planner/guidance.rs
@@ -1,4 +1,4 @@
-//! What a planner tells forwarders: ratings that changed, and events to relay.
+//! Content of a planner's guidance: ratings that changed, and events to relay.
 
 use flaxdeck::Time;
 
@@ -7,14 +7,15 @@
     Envelope, Epoch, Guidance, MAX_RATINGS, MAX_ROUTINE_RATINGS, Rating, Sample, Stamp, ceil_ms,
 };
 
-/// Ratings, and the version that a forwarder has once it was told them.
+/// Ratings to send, and the version that the forwarder has once it received them.
 struct ChangedRatings {
     version: u64,
     ratings: Vec<Rating>,
 }
 
 impl Planner {
-    /// What a forwarder is to hear at once, between its reports; none if there is nothing.
+    /// Returns guidance to send to a forwarder without waiting for its next report; `None` if there are no new events
+    /// for it.
     pub fn unsolicited_guidance(&mut self, now: Time, to: Epoch) -> Option<Guidance> {
         let forwarder = self.forwarders.get(&to)?;
         if forwarder.subscribes || !self.relay_log.has_events_after(forwarder.last_event) {
@@ -24,13 +25,13 @@
         Some(self.guidance(now, to))
     }
 
-    /// Takes a valid sample into the host's rating.
-    pub(super) fn record_sample(&mut self, now: Time, from: Epoch, written: Time, sample: &Sample) {
+    /// Adds a valid sample to the host's rating and publishes the rating if needed.
+    pub(super) fn record_sample(&mut self, now: Time, from: Epoch, created: Time, sample: &Sample) {
         let Some(host) = self.hosts.get_mut(&sample.host) else {
             self.counters.unlisted += 1;
             return;
         };
-        let changed = host.health.record_sample(now, from, written, sample);
+        let changed = host.health.record_sample(now, from, created, sample);
         if changed || now.since(host.published) >= REPUBLISH_AFTER {
             self.changes.remove(&host.version);
             self.version += 1;
@@ -40,7 +41,8 @@
         }
     }
 
-    /// Guidance for a forwarder without answers to a report; what it tells counts as told from then on.
+    /// Returns guidance for a forwarder, without the fields that answer a report. Its events and ratings count as sent
+    /// to the forwarder from then on.
     pub(super) fn guidance(&mut self, now: Time, to: Epoch) -> Guidance {
         let Some(forwarder) = self.forwarders.get_mut(&to) else {
             return Guidance::default();
@@ -82,11 +84,12 @@
         }
     }
 
-    /// The ratings that changed since the version that a forwarder has, as many as it is to be told.
+    /// Returns the ratings that changed since the version that a forwarder has, limited to what one guidance may hold.
     fn changed_ratings(&self, now: Time, since: u64, subscribes: bool) -> ChangedRatings {
         let changes = self.changes.range(since + 1..);
         let (version, names): (u64, Vec<&String>) = if subscribes {
-            // What it is told is a choice, which it has to take for all.
+            // A subscriber gets only the most important ratings. The others are skipped for good: its version moves to
+            // the current one.
             let names = changes.map(|(_, name)| name).rev();
             (self.version, self.most_important(now, names))
         } else {
@@ -105,7 +108,7 @@
         }
     }
 
-    /// Of these hosts, those that are down, and the first few of the others.
+    /// Selects from `names` the hosts that are down, and the first few of the others.
     fn most_important<'a>(
         &self,
         now: Time,
--- a/crates/flaxdeck-control/src/planner/relay_log.rs
+++ b/crates/flaxdeck-control/src/planner/relay_log.rs
@@ -1,4 +1,4 @@
-//! The coordinator's events that a planner keeps to relay them to forwarders.
+//! Log of the coordinator's events that a planner relays to forwarders.
 
 use std::collections::VecDeque;
 
@@ -7,19 +7,19 @@
 use super::MAX_EVENT_BYTES;
 use crate::messages::{MAX_EVENTS, RelayedEvent};
 
-/// The most events that are kept to be relayed.
+/// Maximum number of events kept for relaying.
 pub const MAX_RELAYED_EVENTS: usize = 4_096;
 
-/// The latest events in order.
+/// The latest events, in order.
 #[derive(Default)]
 pub(super) struct RelayLog {
-    /// The event before the first one kept.
+    /// Position of the event before the first one in the log.
     base: EventPosition,
     events: VecDeque<RelayedEvent>,
 }
 
 impl RelayLog {
-    /// A log in which nothing follows that event yet.
+    /// Creates an empty log that starts after the event at `base`.
     pub(super) fn starting_at(base: EventPosition) -> RelayLog {
         RelayLog {
             base,
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Keeps an event that comes after the last one.
+    /// Appends an event, unless its number is not higher than that of the last one. The oldest event is dropped if the
+    /// log is full.
     pub(super) fn append(&mut self, event: RelayedEvent) {
         if event.position.number <= self.last().number {
             return;
@@ -40,12 +41,13 @@
         }
     }
 
-    /// The last event known.
+    /// Returns the position of the last known event.
     pub(super) fn last(&self) -> EventPosition {
         self.events.back().map_or(self.base, |event| event.position)
     }
 
-    /// The index of what follows that event; none if it is of another numbering, or before what is kept.
+    /// Returns the index of the first event after `position`; `None` if the position is of another numbering or is no
+    /// longer in the log.
     fn index_after(&self, position: EventPosition) -> Option<usize> {
         if position == self.base {
             return Some(0);
@@ -57,13 +59,13 @@
         (found.position == position).then_some(index + 1)
     }
 
-    /// Whether something is kept that follows that event.
+    /// Returns whether the log has events after `position`.
     pub(super) fn has_events_after(&self, position: EventPosition) -> bool {
         self.index_after(position)
             .is_some_and(|index| index < self.events.len())
     }
 
-    /// The events that follow that one, as many as one guidance may hold.
+    /// Returns the events after `position`, limited to what one guidance may hold.
     pub(super) fn events_after(&self, position: EventPosition) -> Vec<RelayedEvent> {
         let Some(index) = self.index_after(position) else {
             return Vec::new();
--- a/crates/flaxdeck-control/src/planner/reports.rs
+++ b/crates/flaxdeck-control/src/planner/reports.rs
@@ -1,4 +1,4 @@
-//! How a planner takes in a forwarder's report.
+//! How a planner handles a forwarder's report.
 
 use flaxdeck::Time;
 
@@ -12,36 +12,37 @@
 use crate::ratings::{is_valid_link, is_valid_sample};
 
 impl Planner {
-    /// Takes in a forwarder's report and answers it with guidance.
+    /// Applies a forwarder's report and returns guidance in answer.
     ///
     /// # Errors
     ///
-    /// Nothing of the report is taken in, and the reason is counted: [`MessageError::Invalid`], `OutOfOrder`, or
-    /// `OldEpoch` where a later run was heard from the forwarder's slot.
+    /// [`MessageError::Invalid`], `OutOfOrder`, or `OldEpoch` if a later run has reported from the forwarder's slot.
+    /// Nothing of such a report is applied, and the reason is counted.
     pub fn handle_report(&mut self, now: Time, report: &Report) -> Result<Guidance, MessageError> {
         self.prune(now);
-        let seen = self.admit(now, report)?;
+        let echoed = self.admit(now, report)?;
         self.counters.reports += 1;
         self.record_forwarder(now, report);
-        let written = seen.unwrap_or(now);
-        self.record_link(now, written, report);
+        let created = echoed.unwrap_or(now);
+        self.record_link(now, created, report);
         let from = report.envelope.from;
         for sample in &report.samples {
-            // An age counts from the stamp at the earliest, and no stamp is taken to be older than this.
-            let written = written.max(now - REPUBLISH_AFTER);
+            // The report was created no earlier than the stamp that it echoes. Ages count back from that stamp, or from
+            // REPUBLISH_AFTER ago if the stamp is older.
+            let created = created.max(now - REPUBLISH_AFTER);
             if !is_valid_sample(sample) {
                 self.counters.invalid_message += 1;
                 continue;
             }
-            self.record_sample(now, from, written, sample);
+            self.record_sample(now, from, created, sample);
         }
         let grants = report
             .lease_reports
             .iter()
-            .filter_map(|lease_report| self.apply_lease_report(now, from, seen, lease_report))
+            .filter_map(|lease_report| self.apply_lease_report(now, from, echoed, lease_report))
             .collect();
         let lends = |lease_report: &LeaseReport| lease_report.deposit > QuotaFraction::NONE;
-        if seen.is_some() && report.lease_reports.iter().any(lends) {
+        if echoed.is_some() && report.lease_reports.iter().any(lends) {
             self.instance_slots.record_deposit(now, report.slot);
         }
         let outstanding = self.instance_slots.outstanding(now, report.slot);
@@ -53,8 +54,8 @@
         })
     }
 
-    /// Whether a report is to be taken in; gives this planner's own stamp that the forwarder had seen, if that is of
-    /// this run.
+    /// Checks whether a report is to be accepted. Returns this planner's own stamp that the report echoes, if it is a
+    /// stamp of this run.
     fn admit(&mut self, now: Time, report: &Report) -> Result<Option<Time>, MessageError> {
         let envelope = report.envelope;
         self.check(InvalidMessage::check_length(
@@ -85,17 +86,17 @@
             });
         }
         let is_for_this_run = envelope.to == self.epoch;
-        let seen = envelope.echo.filter(|_| is_for_this_run).map(Stamp::time);
-        if let Some(echo) = seen.filter(|seen| *seen > now) {
+        let echoed = envelope.echo.filter(|_| is_for_this_run).map(Stamp::time);
+        if let Some(echo) = echoed.filter(|echoed| *echoed > now) {
             self.check(Err(InvalidMessage::StampFromTheFuture { echo, now }))?;
         }
         if !is_for_this_run && envelope.to != Epoch::default() {
             self.counters.not_for_us += 1;
         }
-        Ok(seen)
+        Ok(echoed)
     }
 
-    /// Counts an invalid message.
+    /// Passes on the result of a validation, and counts a failure.
     fn check(&mut self, checked: Result<(), InvalidMessage>) -> Result<(), MessageError> {
         if checked.is_err() {
             self.counters.invalid_message += 1;
@@ -128,21 +129,21 @@
         known.version = version;
     }
 
-    fn record_link(&mut self, now: Time, written: Time, report: &Report) {
+    fn record_link(&mut self, now: Time, created: Time, report: &Report) {
         let Some(link) = report.link else { return };
         if is_valid_link(&link) {
-            self.links.record(now, written, report.zone, link);
+            self.links.record(now, created, report.zone, link);
         } else {
             self.counters.invalid_message += 1;
         }
     }
 
-    /// Takes in what a forwarder lends and demands of one incarnation; gives the grant, if any.
+    /// Applies a forwarder's deposit and demand for one incarnation; returns the grant, if any.
     fn apply_lease_report(
         &mut self,
         now: Time,
         from: Epoch,
-        seen: Option<Time>,
+        echoed: Option<Time>,
         lease_report: &LeaseReport,
     ) -> Option<Grant> {
         let incarnation = &lease_report.incarnation;
@@ -150,16 +151,16 @@
             .hosts
             .get(&incarnation.host)
             .is_some_and(|host| host.started == incarnation.started);
-        let has_room = self.pools.len() < MAX_POOLS || self.pools.contains_key(incarnation);
-        if !is_listed || !has_room {
+        let has_capacity = self.pools.len() < MAX_POOLS || self.pools.contains_key(incarnation);
+        if !is_listed || !has_capacity {
             self.counters.unlisted += 1;
             return None;
         }
         let pool = self.pools.entry(incarnation.clone()).or_default();
-        pool.set_own(self.own, now, self.own_from);
-        // Without a stamp of this run it can't be told from when a deposit counts.
-        if let Some(seen) = seen.filter(|_| lease_report.deposit > QuotaFraction::NONE) {
-            pool.add_deposit(self.lease_terms, now, from, lease_report.deposit, seen);
+        pool.set_own_quota(self.own_quota, now, self.own_quota_from);
+        // Without a stamp of this run, the planner can't tell when the deposit began.
+        if let Some(echoed) = echoed.filter(|_| lease_report.deposit > QuotaFraction::NONE) {
+            pool.add_deposit(self.lease_terms, now, from, lease_report.deposit, echoed);
         }
         pool.record_in_flight(now, from, lease_report.in_flight);
         let amount = pool.grant(self.lease_terms, now, from, lease_report.demand);
@@ -174,7 +175,7 @@
         })
     }
 
-    /// What others do at the warming hosts of a report.
+    /// Returns the demand and load of other forwarders at the warming hosts of a report.
     fn peer_summaries(&self, report: &Report) -> Vec<PeerSummary> {
         let from = report.envelope.from;
         report
--- a/crates/flaxdeck-control/src/quota_pool.rs
+++ b/crates/flaxdeck-control/src/quota_pool.rs
@@ -1,7 +1,8 @@
-//! The planner's side of the quotas: what forwarders have lent of one incarnation, and to whom it is granted until when.
+//! The planner's side of the quotas: what forwarders have lent of one incarnation's quota, and which grants were issued
+//! from it.
 //!
-//! Nothing is granted that is not covered, at every moment until its use can no longer matter, by what was lent for
-//! longer.
+//! A grant counts as reserved until its use can no longer affect the host's load. At every moment until then, deposits
+//! and the planner's own quota cover all reservations.
 
 mod promised_totals;
 
@@ -14,75 +15,76 @@
 use promised_totals::slot_of;
 pub use promised_totals::{PromisedTotals, TimeSlot, slot_start};
 
-/// How long demand, and the figure of attempts in flight, counts: a few reports.
-const DEMAND_LIFETIME: Span = Span::from_ms(1000);
+/// How long a reported demand or number of attempts in flight counts: a few report intervals.
+const REPORTED_VALUE_LIFETIME: Span = Span::from_ms(1000);
 
-/// What a pool holds, and how much of it is granted.
+/// Amounts that a pool holds and has reserved.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolTotals {
-    /// Lent to this planner, or its own part.
+    /// Lent to this planner, or part of its own quota.
     pub held: QuotaFraction,
     /// Reserved for grants.
     pub reserved: QuotaFraction,
 }
 
-/// The level up to which all demand is served, and the slot for which it was worked out.
+/// The max-min fair share: each demand is served up to this level.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct FairLevel {
+    /// The slot for which the level was computed.
     slot: TimeSlot,
     level: QuotaFraction,
 }
 
-/// What a forwarder last demanded.
+/// A forwarder's last reported demand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Demand {
     amount: QuotaFraction,
-    told: Time,
+    reported_at: Time,
 }
 
-/// The attempts that a forwarder last had in flight.
+/// A forwarder's last reported number of attempts in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct InFlight {
     attempts: u16,
-    told: Time,
+    reported_at: Time,
 }
 
-/// What one planner holds of one incarnation.
+/// One planner's deposits, reservations and demand for one incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct QuotaPool {
     deposits: PromisedTotals,
-    /// Until when a grant, and the window after it, can matter.
+    /// Grants, until the end of the window after each of them.
     reserved: PromisedTotals,
     demand: BTreeMap<Epoch, Demand>,
     fair_level: FairLevel,
     in_flight: BTreeMap<Epoch, InFlight>,
     total_in_flight: u32,
-    /// The planner's own part.
-    own: QuotaFraction,
+    /// The planner's own part of the quota.
+    own_quota: QuotaFraction,
 }
 
 impl QuotaPool {
-    /// Sets the part of the planner's own, which may be granted from `from` on; before that an earlier run may have it
-    /// granted.
-    pub fn set_own(&mut self, own: QuotaFraction, now: Time, from: Time) {
-        self.own = if now >= from {
-            own
+    /// Sets the planner's own part of the quota, which may be granted from `from` on. Until then, grants of an earlier
+    /// run may use it.
+    pub fn set_own_quota(&mut self, own_quota: QuotaFraction, now: Time, from: Time) {
+        self.own_quota = if now >= from {
+            own_quota
         } else {
             QuotaFraction::NONE
         };
     }
 
-    /// A forwarder has lent so much. `seen` is this planner's own stamp that the forwarder had seen by then, the earliest
-    /// moment at which it can have lent. A deposit that is told several times counts once.
+    /// Records a forwarder's deposit. `echoed` is this planner's own stamp that the forwarder echoed, which is the
+    /// earliest time at which it can have lent. A deposit that is reported repeatedly counts once.
     pub fn add_deposit(
         &mut self,
         lease_terms: LeaseTerms,
         now: Time,
         from: Epoch,
         amount: QuotaFraction,
-        seen: Time,
+        echoed: Time,
     ) {
-        let end = slot_of(seen + lease_terms.deposit_counted_for());
+        let end = slot_of(echoed + lease_terms.deposit_counted_for());
         self.deposits
             .promise(slot_of(now), from, amount.at_most_whole(), end);
     }
@@ -90,12 +92,13 @@
     fn held_at(&self, slot: TimeSlot) -> QuotaFraction {
         self.deposits
             .total_at(slot)
-            .saturating_add(self.own)
+            .saturating_add(self.own_quota)
             .at_most_whole()
     }
 
-    /// Grants a forwarder that demands so much now what it can have. All demand divides what there is evenly, the
-    /// smallest served in full first (max-min fairness); grants that others have run off before a share moves.
+    /// Returns the amount that is granted to a forwarder for its demand. The amount held is divided by max-min
+    /// fairness: evenly among all demand, but with small demands served in full. A share moves from one forwarder to
+    /// another only when the grants of the former expire.
     pub fn grant(
         &mut self,
         lease_terms: LeaseTerms,
@@ -107,18 +110,18 @@
             self.demand.remove(&to);
             return QuotaFraction::NONE;
         }
-        let told = Demand {
+        let demanded = Demand {
             amount: demand,
-            told: now,
+            reported_at: now,
         };
-        let is_new = self.demand.insert(to, told).is_none();
-        // Rounded up to the end of its slot.
+        let is_new = self.demand.insert(to, demanded).is_none();
         let begin = slot_of(now);
+        // Rounded up to the end of the slot.
         let end = slot_of(now + lease_terms.grant_reserved_for()) + 1;
         self.deposits.advance(begin);
         self.reserved.advance(begin);
         if is_new || self.fair_level.slot != begin {
-            self.forget_old_demand(now);
+            self.prune_demand(now);
             self.fair_level = FairLevel {
                 slot: begin,
                 level: self.level_of(self.held_at(end - 1)),
@@ -133,7 +136,7 @@
         amount
     }
 
-    /// What others have left free in all slots from `begin` to before `end`.
+    /// Returns the amount that is not reserved for other forwarders in any slot from `begin` to before `end`.
     fn free_within(&self, to: Epoch, begin: TimeSlot, end: TimeSlot) -> QuotaFraction {
         let free = |slot| {
             let total = self.reserved.total_at(slot);
@@ -143,7 +146,7 @@
         (begin..end).map(free).min().unwrap_or_default()
     }
 
-    /// The level up to which all demand is served when it divides so much.
+    /// Returns the level up to which each demand is served if `held` is divided among all demand by max-min fairness.
     fn level_of(&self, held: QuotaFraction) -> QuotaFraction {
         let mut demand: Vec<QuotaFraction> =
             self.demand.values().map(|demand| demand.amount).collect();
@@ -158,25 +161,25 @@
         level
     }
 
-    fn forget_old_demand(&mut self, now: Time) {
+    fn prune_demand(&mut self, now: Time) {
         self.demand
-            .retain(|_, demand| now.since(demand.told) < DEMAND_LIFETIME);
+            .retain(|_, demand| now.since(demand.reported_at) < REPORTED_VALUE_LIFETIME);
     }
 
-    /// A forwarder has so many attempts in flight.
+    /// Records the number of attempts that a forwarder has in flight.
     pub fn record_in_flight(&mut self, now: Time, forwarder: Epoch, attempts: u16) {
-        let told = InFlight {
+        let reported = InFlight {
             attempts,
-            told: now,
+            reported_at: now,
         };
         let before = self
             .in_flight
-            .insert(forwarder, told)
+            .insert(forwarder, reported)
             .map_or(0, |before| before.attempts);
         self.total_in_flight = self.total_in_flight + u32::from(attempts) - u32::from(before);
     }
 
-    /// Attempts that others than this forwarder have in flight, as they told lately.
+    /// Returns the attempts that all other forwarders have in flight, as they recently reported.
     pub fn peers_in_flight(&self, forwarder: Epoch) -> u32 {
         let own = self
             .in_flight
@@ -185,16 +188,17 @@
         self.total_in_flight - own
     }
 
-    /// Whether others than this forwarder demand some of it, as they told lately.
+    /// Returns whether other forwarders demand quota of the incarnation, as they recently reported.
     pub fn is_demanded_by_peers(&self, forwarder: Epoch) -> bool {
         self.demand.len() > usize::from(self.demand.contains_key(&forwarder))
     }
 
-    /// Forgets what has ended; true if nothing is left. To be called each second.
+    /// Removes expired deposits, reservations and reported values. Returns true if none is left, so that the pool can
+    /// be removed. Must be called every second.
     pub fn prune(&mut self, now: Time) -> bool {
-        self.forget_old_demand(now);
+        self.prune_demand(now);
         self.in_flight
-            .retain(|_, known| now.since(known.told) < DEMAND_LIFETIME);
+            .retain(|_, known| now.since(known.reported_at) < REPORTED_VALUE_LIFETIME);
         self.total_in_flight = self
             .in_flight
             .values()
@@ -205,7 +209,7 @@
         no_deposits && none_reserved && self.in_flight.is_empty()
     }
 
-    /// What is held, and what of it is reserved for grants, at that time.
+    /// Returns the amounts held and reserved for grants at `at`.
     pub fn totals(&self, at: Time) -> PoolTotals {
         PoolTotals {
             held: self.held_at(slot_of(at)),
--- a/crates/flaxdeck-control/src/quota_pool/promised_totals.rs
+++ b/crates/flaxdeck-control/src/quota_pool/promised_totals.rs
@@ -1,4 +1,4 @@
-//! The sum of many parties' lease schedules by slots of time.
+//! Sums of many parties' lease schedules, by time slot.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,26 +7,26 @@
 use crate::messages::Epoch;
 use crate::{LeaseSchedule, QuotaFraction};
 
-/// The grain of time in which totals are kept, in milliseconds. Deposits are rounded down to it, grants up.
+/// Length of a time slot in milliseconds. The ends of deposits are rounded down to slots, those of grants up.
 const SLOT_MS: u64 = 50;
 
-/// A slot of time, counted from the beginning of the planner's clock.
+/// Number of a time slot, counted from time zero of the planner's clock.
 pub type TimeSlot = u64;
 
-/// The slot in which a moment falls.
+/// Returns the slot that contains a time.
 pub(super) fn slot_of(time: Time) -> TimeSlot {
     time.ms() as u64 / SLOT_MS
 }
 
-/// When a slot begins.
+/// Returns the start time of a slot.
 pub fn slot_start(slot: TimeSlot) -> Time {
     Time::at_ms((slot * SLOT_MS) as f64)
 }
 
-/// The sum of many parties' lease schedules: a ring of totals by slots, along which time moves.
+/// Sums of many parties' lease schedules: a queue of totals per time slot, which advances with time.
 ///
-/// A promise costs the slots that it raises and a look costs one, however many parties there are; adding all schedules up
-/// would cost one look each.
+/// Adding a promise takes time linear in the slots that it covers, and reading a total takes constant time, independent
+/// of the number of parties. Adding up all schedules would take time linear in the number of parties.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PromisedTotals {
     parties: BTreeMap<Epoch, LeaseSchedule>,
@@ -35,7 +35,7 @@
 }
 
 impl PromisedTotals {
-    /// Drops the slots before `now`.
+    /// Removes the slots before `now`.
     pub(super) fn advance(&mut self, now: TimeSlot) {
         while self.first < now && self.totals.pop_front().is_some() {
             self.first += 1;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Raises one party's promise to that amount in all slots from `now` to before `end` where it is less.
+    /// Raises one party's promise to `amount` in all slots from `now` to before `end` in which it is lower.
     pub fn promise(&mut self, now: TimeSlot, party: Epoch, amount: QuotaFraction, end: TimeSlot) {
         self.advance(now);
         let schedule = self.parties.entry(party).or_default();
@@ -60,15 +60,15 @@
         schedule.add(amount, slot_start(end));
     }
 
-    /// The sum of all parties' promises in a slot.
+    /// Returns the sum of all parties' promises in a slot.
     pub fn total_at(&self, slot: TimeSlot) -> QuotaFraction {
         let total = slot
             .checked_sub(self.first)
-            .and_then(|place| self.totals.get(place as usize));
+            .and_then(|index| self.totals.get(index as usize));
         QuotaFraction(total.copied().unwrap_or(0))
     }
 
-    /// One party's promise in a slot.
+    /// Returns one party's promise in a slot.
     pub fn promised_by(&self, party: Epoch, slot: TimeSlot) -> QuotaFraction {
         self.parties
             .get(&party)
@@ -77,10 +77,10 @@
             })
     }
 
-    /// Forgets what has ended; true if nothing is left.
+    /// Removes expired promises; returns true if none is left.
     pub fn prune(&mut self, now: Time) -> bool {
         self.advance(slot_of(now));
-        // By whole slots, as the totals hold them.
+        // Rounds down to the start of the slot, because the totals are kept by whole slots.
         let begun = slot_start(slot_of(now));
         self.parties.retain(|_, schedule| !schedule.prune(begun));
         self.parties.is_empty()
--- a/crates/flaxdeck-control/src/ratings.rs
+++ b/crates/flaxdeck-control/src/ratings.rs
@@ -1,59 +1,63 @@
-//! Every forwarder's samples of a host combined into one rating, in memory that does not grow with the forwarders.
+//! Combines the samples of a host from all forwarders into one rating, in memory that does not grow with the number of
+//! forwarders.
 
 use flaxdeck::{Span, Time};
 
 use crate::messages::{Epoch, LinkLoad, Measurements, Rating, Sample, ceil_ms};
 
-/// After this a sample counts half: some fills of a forwarder with little traffic.
-const HALF_LIFE: Span = Span::from_ms(5_000);
-/// Below this weight a mean has been forgotten.
+/// Half-life of a sample's weight: the time of a few fills at a forwarder with little traffic.
+const SAMPLE_HALF_LIFE: Span = Span::from_ms(5_000);
+/// A mean with less total weight than this counts as absent.
 const MIN_WEIGHT: f64 = 1e-6;
-/// How many forwarders must have failed at a host since anybody succeeded before the others are told: one alone may have
-/// lost its own network.
+/// How many forwarders must have failed at a host since the last success of any forwarder before the host is rated as
+/// down. A single forwarder may have lost its own network.
 const FAILURE_QUORUM: usize = 2;
-/// How long a failure counts: longer than the spacing of trials, so that a host's trials keep it rated as down.
+/// How long a failure counts. Longer than the interval between trials, so that failed trials keep a host rated as down.
 const FAILURE_LIFETIME: Span = Span::from_ms(6_000);
-/// Of how many forwarders the latest failure is kept for each host.
+/// Maximum number of forwarders whose latest failure is kept for each host.
 const MAX_FAILURES: usize = 4;
-/// The part of what all have in flight at a host that is down which they are advised to have together.
+/// Fraction of all forwarders' current attempts in flight at a host that is down to which they are advised to reduce
+/// their total.
 const DOWN_CONCURRENCY_FACTOR: f64 = 0.8;
-/// How long a forwarder's figure of its attempts in flight counts.
+/// How long a forwarder's reported number of attempts in flight counts.
 const IN_FLIGHT_LIFETIME: Span = Span::from_ms(1_000);
-/// A mean that changes by more than this part of its old value is published.
+/// A mean is published when it changes by more than this fraction of its old value.
 const PUBLISHED_CHANGE: f64 = 0.05;
 
-/// Bounds of what a sample may tell; a message that tells more is invalid.
+/// Maximum latency in a valid sample or rating.
 const MAX_LATENCY_MS: f32 = 600_000.0;
+/// Maximum bandwidth in a valid sample or rating, in KB per millisecond.
 const MAX_BANDWIDTH: f32 = 1e7;
+/// Maximum utilization of a link in a valid message.
 const MAX_UTILIZATION: f32 = 1e4;
 
-/// A mean whose samples lose weight exponentially with their age.
+/// A mean of samples whose weight decays exponentially with age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct DecayingMean {
     sum: f64,
     weight: f64,
-    youngest: Time,
+    newest: Time,
 }
 
 impl DecayingMean {
     fn decay(age: Span) -> f64 {
-        0.5f64.powf(age.ms() / HALF_LIFE.ms())
+        0.5f64.powf(age.ms() / SAMPLE_HALF_LIFE.ms())
     }
 
     fn add(&mut self, value: f64, at: Time) {
-        let youngest = at.max(self.youngest);
-        let old = Self::decay(youngest.since(self.youngest));
-        let new = Self::decay(youngest.since(at));
+        let newest = at.max(self.newest);
+        let old = Self::decay(newest.since(self.newest));
+        let new = Self::decay(newest.since(at));
         self.sum = self.sum * old + value * new;
         self.weight = self.weight * old + new;
-        self.youngest = youngest;
+        self.newest = newest;
     }
 
     fn mean(&self) -> Option<f64> {
         (self.weight > MIN_WEIGHT).then(|| self.sum / self.weight)
     }
 
-    /// Takes in a new value; true if the mean changed by so much that others would want to know.
+    /// Adds a sample; returns true if the mean changed by enough to be published.
     fn record(&mut self, value: f32, at: Time) -> bool {
         let old = self.mean();
         self.add(f64::from(value), at);
@@ -69,23 +73,23 @@
     at: Time,
 }
 
-/// A forwarder's attempts in flight at a host, as it last told.
+/// A forwarder's attempts in flight at a host, as last reported.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct InFlight {
     forwarder: Epoch,
     attempts: u16,
-    told: Time,
+    reported_at: Time,
 }
 
-/// What forwarders together know of one host.
+/// Combined observations of one host by all forwarders.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HostHealth {
     latency: DecayingMean,
     bandwidth: DecayingMean,
-    /// The latest failures of different forwarders, youngest first.
+    /// The latest failures of different forwarders, newest first.
     failures: Vec<Failure>,
     last_success: Option<Time>,
-    /// Forwarders with attempts in flight.
+    /// Attempts in flight of the forwarders that have any.
     in_flight: Vec<InFlight>,
 }
 
@@ -95,32 +99,33 @@
     within(measurements.latency_ms, MAX_LATENCY_MS) && within(measurements.bandwidth, MAX_BANDWIDTH)
 }
 
-/// Whether a sample can be true.
+/// Returns whether the measurements of a sample are within the valid range.
 pub fn is_valid_sample(sample: &Sample) -> bool {
     are_valid_measurements(sample.measurements)
 }
 
-/// Whether a link's load can be true.
+/// Returns whether the utilization of a link is within the valid range.
 pub fn is_valid_link(link: &LinkLoad) -> bool {
     (0.0..=MAX_UTILIZATION).contains(&link.utilization)
 }
 
-/// Whether a rating can be true.
+/// Returns whether the measurements and window of a rating are within the valid range.
 pub fn is_valid_rating(rating: &Rating) -> bool {
     are_valid_measurements(rating.measurements) && rating.window != Some(0)
 }
 
 impl HostHealth {
-    /// Takes in a sample that was written at `written` at the earliest; true if others would want to know.
+    /// Adds a forwarder's sample from a report created at `created` or later. Returns true if the rating changed by
+    /// enough to be published.
     pub fn record_sample(
         &mut self,
         now: Time,
         from: Epoch,
-        written: Time,
+        created: Time,
         sample: &Sample,
     ) -> bool {
         let was_down = self.down_since(now).is_some();
-        let ago = |ms: u32| written - Span::from_ms(u64::from(ms));
+        let ago = |ms: u32| created - Span::from_ms(u64::from(ms));
         let measured = ago(sample.measured_ago_ms);
         let mut changed = false;
         if let Some(latency) = sample.measurements.latency_ms {
@@ -143,9 +148,9 @@
             .iter()
             .position(|failure| failure.forwarder == from);
         let at = known.map_or(at, |index| self.failures.remove(index).at.max(at));
-        let place = self.failures.partition_point(|failure| failure.at > at);
+        let index = self.failures.partition_point(|failure| failure.at > at);
         self.failures.insert(
-            place,
+            index,
             Failure {
                 forwarder: from,
                 at,
@@ -155,18 +160,20 @@
     }
 
     fn record_in_flight(&mut self, now: Time, from: Epoch, attempts: u16) {
-        self.in_flight
-            .retain(|known| known.forwarder != from && now.since(known.told) < IN_FLIGHT_LIFETIME);
+        self.in_flight.retain(|known| {
+            known.forwarder != from && now.since(known.reported_at) < IN_FLIGHT_LIFETIME
+        });
         if attempts > 0 {
             self.in_flight.push(InFlight {
                 forwarder: from,
                 attempts,
-                told: now,
+                reported_at: now,
             });
         }
     }
 
-    /// When the last of enough forwarders failed there, if nobody has succeeded since the first of them did.
+    /// Returns the time of the latest failure if the host counts as down: enough forwarders failed at it recently, and
+    /// after the last success of any forwarder.
     pub fn down_since(&self, now: Time) -> Option<Time> {
         let counts = |failure: &&Failure| {
             self.last_success.is_none_or(|success| success < failure.at)
@@ -176,7 +183,7 @@
         (failed.len() >= FAILURE_QUORUM).then(|| failed[0].at)
     }
 
-    /// The rating that is published, as it stands now.
+    /// Returns the rating to publish, as of `now`.
     pub fn rating(&self, now: Time, host: &str) -> Rating {
         let ago = |at: Time| ceil_ms(now.since(at));
         let down = self.down_since(now);
@@ -190,7 +197,7 @@
                 bandwidth: self.bandwidth.mean().map(|mean| mean as f32),
             },
             measured_ago_ms: measured
-                .map(|mean| ago(mean.youngest))
+                .map(|mean| ago(mean.newest))
                 .min()
                 .unwrap_or(u32::MAX),
             down_ago_ms: down.map(ago),
@@ -199,13 +206,13 @@
         }
     }
 
-    /// How many attempts each forwarder should have in flight while the host is down: an even part of a little less
-    /// than what all have now.
+    /// Returns how many attempts each forwarder should have in flight while the host is down: an equal part of slightly
+    /// less than the current total.
     fn advised_window(&self, now: Time) -> u16 {
         let recent = self
             .in_flight
             .iter()
-            .filter(|known| now.since(known.told) < IN_FLIGHT_LIFETIME);
+            .filter(|known| now.since(known.reported_at) < IN_FLIGHT_LIFETIME);
         let (sum, count) = recent.fold((0, 0), |(sum, count), known| {
             (sum + u32::from(known.attempts), count + 1)
         });
--- a/crates/flaxdeck-control/tests/lease_model/transitions.rs
+++ b/crates/flaxdeck-control/tests/lease_model/transitions.rs
@@ -51,7 +51,7 @@
         let now = self.time(self.planner(report.to), state.step);
         let known = &mut state.planners[report.to];
         known.pool.prune(now);
-        known.pool.set_own(self.own(), now, known.owns_from);
+        known.pool.set_own_quota(self.own(), now, known.owns_from);
         let lender = Epoch(report.epoch.0 * 10 + report.from as u64);
         let lease_terms = self.lease_terms();
         // Stamps are of the run that the forwarder knew.
