--- a/crates/flaxdeck-control/examples/size.rs
+++ b/crates/flaxdeck-control/examples/size.rs
@@ -1,5 +1,6 @@
-//! How large and how slow it gets: a planner fed by generated reports, a forwarder's report, and the time that a
-//! request's decision takes with guidance and without. `cargo run --release -p flaxdeck-control --example size`
+//! Measures the cost of the control plane: memory and time of a planner that handles generated reports, the time of a
+//! forwarder's reports, and the time of a request's decisions with and without guidance.
+//! Run with `cargo run --release -p flaxdeck-control --example size`.
 
 use std::time::Instant;
 
@@ -21,7 +22,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// When the hosts that warm up started, in milliseconds of Unix time.
+/// Start time of the warming hosts, in milliseconds of Unix time.
 const STARTED_MS: u64 = 999_000;
 
 fn at(ms: u64) -> Time {
@@ -32,7 +33,7 @@
     LeaseTerms::new(Span::from_ms(3_000), Span::from_ms(1_200), 10)
 }
 
-/// Memory held now in MB; none where the system does not tell.
+/// Returns the resident memory of this process in MB; `None` if the system does not report it.
 fn memory_mb() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
@@ -61,7 +62,7 @@
     }
 }
 
-/// Three of four forwarders lend, the fourth demands.
+/// Generates a lease report: three of four forwarders lend, the fourth demands.
 fn generated_lease_report(host: u64, from: u64) -> LeaseReport {
     let lends = !from.is_multiple_of(4);
     let (deposit, demand) = if lends {
@@ -104,43 +105,43 @@
     }
 }
 
-fn planner(forwarders: u64, hosts: u64) {
+fn measure_planner(forwarders: u64, hosts: u64) {
     let before = memory_mb().unwrap_or(0.0);
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut planner = Planner::start(at(0), Epoch(1), lease_terms(), QuotaFraction::NONE);
     for n in 0..hosts {
-        // A twentieth of the hosts warms up, as in a rolling deploy.
+        // A twentieth of the hosts is warming up, as in a rolling deployment.
         let started = if n.is_multiple_of(20) { STARTED_MS } else { 0 };
         planner.update_host(at(0), &host_name(n), Some(started));
     }
-    let (mut spent, mut reports, mut most) = (0.0, 0u32, 0.0f64);
+    let (mut total_us, mut reports, mut max_us) = (0.0, 0u32, 0.0f64);
     for round in 0..10u64 {
         for from in 0..forwarders {
             let now = at(round * 200 + from * 200 / forwarders);
             let report = generated_report(now, round, from, hosts, &mut random);
-            let begun = Instant::now();
+            let start = Instant::now();
             if let Err(error) = planner.handle_report(now, &report) {
-                panic!("a generated report is refused: {error}");
+                panic!("generated report {round} of forwarder {from} rejected: {error}");
             }
-            let took = begun.elapsed().as_secs_f64() * 1e6;
-            spent += took;
+            let elapsed_us = start.elapsed().as_secs_f64() * 1e6;
+            total_us += elapsed_us;
             reports += 1;
-            most = most.max(took);
+            max_us = max_us.max(elapsed_us);
         }
     }
     let after = memory_mb().unwrap_or(0.0);
-    let mean = spent / f64::from(reports);
+    let mean_us = total_us / f64::from(reports);
     println!(
-        "planner, {forwarders} forwarders, {hosts} hosts: {:.1} MB, {mean:.1} us a report, {most:.0} us at most, \
-         {:.0} % of a core at 5 reports a second each",
+        "planner, {forwarders} forwarders, {hosts} hosts: {:.1} MB, {mean_us:.1} us per report, \
+         at most {max_us:.0} us, {:.0} % of a core at 5 reports per second and forwarder",
         after - before,
-        mean * forwarders as f64 * 5.0 / 1e4,
+        mean_us * forwarders as f64 * 5.0 / 1e4,
     );
 }
 
-fn report(hosts: u64) {
+fn measure_reports(hosts: u64) {
     let (mut engine, _) = DecisionEngine::start(at(0), 1, terms());
-    engine.list(at(0), ListKind::Full, lines(hosts));
+    engine.list(at(0), ListKind::Full, endpoints(hosts));
     let options = ForwarderOptions {
         lease_terms: lease_terms(),
         reserve: 0.0,
@@ -149,21 +150,22 @@
         unconfirmed_limit: None,
     };
     let mut forwarder = ForwarderSession::start(at(0), Epoch(1), options, 2);
-    let begun = Instant::now();
-    const TIMES: u64 = 50;
-    for n in 0..TIMES {
+    let start = Instant::now();
+    const ROUNDS: u64 = 50;
+    for n in 0..ROUNDS {
         let now = at(200 * n);
         let observations = engine.observations(now);
         forwarder.update_usage(now, &observations);
         for to in 0..2 {
             forwarder.report(now, PlannerId(to), &observations, EventPosition::NONE);
         }
-        let guided = forwarder.hints(now);
-        engine.guided(now, guided);
+        let hints = forwarder.hints(now);
+        engine.guided(now, hints);
     }
-    let took = begun.elapsed().as_secs_f64() * 1e6 / TIMES as f64;
+    let elapsed_us = start.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64;
     println!(
-        "forwarder, {hosts} hosts: {took:.0} us for a look, two reports and telling the engine, 5 times a second"
+        "forwarder, {hosts} hosts: {elapsed_us:.0} us for observations, two reports and hints to the engine, \
+         5 times per second"
     );
 }
 
@@ -204,8 +206,8 @@
     }
 }
 
-fn lines(hosts: u64) -> Vec<Endpoint> {
-    let line = |n: u64| Endpoint {
+fn endpoints(hosts: u64) -> Vec<Endpoint> {
+    let endpoint = |n: u64| Endpoint {
         host: HostId(format!("s-{n:08x}").into()),
         weight: 5.0,
         zone: Some(ZoneId(usize::from(n.is_multiple_of(10)))),
@@ -220,7 +222,7 @@
         health: Health::InService,
         started: n.is_multiple_of(20).then(|| at(0)),
     };
-    (0..hosts).map(line).collect()
+    (0..hosts).map(endpoint).collect()
 }
 
 fn peer_hints(now: Time, hosts: u64) -> PeerHints {
@@ -251,12 +253,13 @@
     }
 }
 
-/// The mean time of a request's decisions, from its arrival to its end, every one a hit.
-fn decisions(hosts: u64, guided: bool) -> f64 {
+/// Returns the mean time in microseconds of all decisions about a request, from its arrival to its end. Every request
+/// is a hit.
+fn decision_time_us(hosts: u64, guided: bool) -> f64 {
     let (mut engine, _) = DecisionEngine::start(at(0), 1, terms());
-    engine.list(at(0), ListKind::Full, lines(hosts));
+    engine.list(at(0), ListKind::Full, endpoints(hosts));
     const REQUESTS: u64 = 20_000;
-    let mut spent = 0.0;
+    let mut total_s = 0.0;
     for n in 0..REQUESTS {
         let now = at(5_000 + n);
         if guided && n.is_multiple_of(200) {
@@ -272,13 +275,13 @@
             deadline: now + Span::from_ms(2_500),
             again: false,
         };
-        let begun = Instant::now();
-        let offs = engine.request(now, request).attempts;
-        for (index, off) in offs.into_iter().enumerate() {
+        let start = Instant::now();
+        let attempts = engine.request(now, request).attempts;
+        for (index, attempt) in attempts.into_iter().enumerate() {
             let ended = AttemptEnded {
-                request: off.request,
+                request: attempt.request,
                 index: AttemptIndex(index as u32),
-                host: off.host,
+                host: attempt.host,
                 outcome: AttemptOutcome::Answered,
                 took: Span::from_ms(5),
                 closed: true,
@@ -288,63 +291,72 @@
             };
             engine.attempt_ended(now, ended);
         }
-        spent += begun.elapsed().as_secs_f64();
+        total_s += start.elapsed().as_secs_f64();
     }
-    spent * 1e6 / REQUESTS as f64
+    total_s * 1e6 / REQUESTS as f64
 }
 
-/// What a lease schedule saves over keeping every promise.
-fn lease_schedule() {
-    let renewals = |keep: &mut dyn FnMut(QuotaFraction, Time),
-                    look: &mut dyn FnMut(Time) -> QuotaFraction| {
-        let begun = Instant::now();
-        let mut sum = 0u64;
-        for n in 0..100_000u64 {
-            keep(
-                QuotaFraction(1_000 + (n * 7 % 13) as u32),
-                at(n * 200 + 4_900),
-            );
-            sum += u64::from(look(at(n * 200)).0);
-        }
-        (begun.elapsed().as_secs_f64() * 1e4, sum)
-    };
+/// Compares the time of a lease schedule with that of a plain list of all promises.
+fn measure_lease_schedule() {
+    let measure_renewals =
+        |add: &mut dyn FnMut(QuotaFraction, Time),
+         amount_at: &mut dyn FnMut(Time) -> QuotaFraction| {
+            let start = Instant::now();
+            let mut sum = 0u64;
+            for n in 0..100_000u64 {
+                add(
+                    QuotaFraction(1_000 + (n * 7 % 13) as u32),
+                    at(n * 200 + 4_900),
+                );
+                sum += u64::from(amount_at(at(n * 200)).0);
+            }
+            (start.elapsed().as_secs_f64() * 1e4, sum)
+        };
     let schedule = std::cell::RefCell::new(LeaseSchedule::default());
-    let made = renewals(
+    let (schedule_ns, schedule_sum) = measure_renewals(
         &mut |amount, until| schedule.borrow_mut().add(amount, until),
         &mut |now| {
             schedule.borrow_mut().prune(now);
             schedule.borrow().amount_at(now)
         },
     );
-    let all = std::cell::RefCell::new(Vec::new());
-    let plain = renewals(
-        &mut |amount, until| all.borrow_mut().push((until, amount)),
+    let list = std::cell::RefCell::new(Vec::new());
+    let (list_ns, list_sum) = measure_renewals(
+        &mut |amount, until| list.borrow_mut().push((until, amount)),
         &mut |now| {
-            all.borrow_mut().retain(|(until, _)| *until > now);
-            all.borrow()
+            list.borrow_mut().retain(|(until, _)| *until > now);
+            list.borrow()
                 .iter()
                 .map(|(_, amount)| *amount)
                 .max()
                 .unwrap_or_default()
         },
     );
-    assert_eq!(made.1, plain.1, "both tell the same");
+    assert_eq!(
+        schedule_sum, list_sum,
+        "schedule and list give the same amounts"
+    );
     println!(
-        "a promise kept and looked up: {:.0} ns as a schedule, {:.0} ns in a plain list",
-        made.0, plain.0
+        "a promise added and looked up: {schedule_ns:.0} ns in a schedule, {list_ns:.0} ns in a plain list"
     );
 }
 
 fn main() {
     for (forwarders, hosts) in [(10, 100), (100, 1_000), (1_000, 1_000), (1_000, 5_000)] {
-        planner(forwarders, hosts);
+        measure_planner(forwarders, hosts);
     }
-    [10, 100, 1_000, 5_000].into_iter().for_each(report);
+    [10, 100, 1_000, 5_000]
+        .into_iter()
+        .for_each(measure_reports);
     for hosts in [10, 100, 1_000] {
-        let (alone, guided) = (decisions(hosts, false), decisions(hosts, true));
+        let (unguided_us, guided_us) = (
+            decision_time_us(hosts, false),
+            decision_time_us(hosts, true),
+        );
         println!(
-            "a request's decisions at {hosts} hosts: {alone:.2} us alone, {guided:.2} us guided"
+            "a request's decisions at {hosts} hosts: {unguided_us:.2} us without guidance, \
+             {guided_us:.2} us with guidance"
         );
     }
-    lease_schedule();
+    measure_lease_schedule();
 }
