--- a/crates/flaxdeck-control/src/ratings.rs
+++ b/crates/flaxdeck-control/src/ratings.rs
@@ -1,5 +1,5 @@
-//! Combines the samples of a host from all forwarders into one rating, in memory that does not grow with the number of
-//! forwarders.
+//! Combines the samples of a host from all forwarders into one rating. The memory for measurements and failures does
+//! not grow with the number of forwarders.
 
 use flaxdeck::{Span, Time};
 
@@ -46,10 +46,10 @@
 
     fn add(&mut self, value: f64, at: Time) {
         let newest = at.max(self.newest);
-        let old = Self::decay(newest.since(self.newest));
-        let new = Self::decay(newest.since(at));
-        self.sum = self.sum * old + value * new;
-        self.weight = self.weight * old + new;
+        let old_weight = Self::decay(newest.since(self.newest));
+        let new_weight = Self::decay(newest.since(at));
+        self.sum = self.sum * old_weight + value * new_weight;
+        self.weight = self.weight * old_weight + new_weight;
         self.newest = newest;
     }
 
--- a/crates/flaxdeck-control/tests/common/mod.rs
+++ b/crates/flaxdeck-control/tests/common/mod.rs
@@ -15,7 +15,8 @@
 use flaxdeck_control::{LeaseTerms, QuotaFraction};
 use flaxdeck_recovery::EventPosition;
 
-pub(crate) const WINDOW: u64 = 3_000;
+/// The window over which a warming host's load is summed.
+pub(crate) const WINDOW_MS: u64 = 3_000;
 
 pub(crate) const PLANNER: PlannerId = PlannerId(0);
 
@@ -32,7 +33,7 @@
 }
 
 pub(crate) fn lease_terms() -> LeaseTerms {
-    LeaseTerms::new(Span::from_ms(WINDOW), Span::from_ms(1_200), 10)
+    LeaseTerms::new(Span::from_ms(WINDOW_MS), Span::from_ms(1_200), 10)
 }
 
 pub(crate) fn options() -> ForwarderOptions {
--- a/crates/flaxdeck-control/tests/lending_under_faults.rs
+++ b/crates/flaxdeck-control/tests/lending_under_faults.rs
@@ -12,7 +12,7 @@
 
 use std::collections::BTreeMap;
 
-use common::{WINDOW, at, observation, options, planner, position, warming};
+use common::{WINDOW_MS, at, observation, options, planner, position, warming};
 use flaxdeck::Time;
 use flaxdeck_control::forwarder::{ForwarderOptions, ForwarderSession};
 use flaxdeck_control::membership::PlannerId;
@@ -77,13 +77,13 @@
         ForwarderSession::start(at(ms), epoch, options, PLANNERS as u32)
     }
 
-    /// In the first window after its start, the decision engine assumes that its whole quota is used.
+    /// In the first window after its start, the decision engine assumes that its full quota is used.
     fn is_in_first_window(&self, ms: u64) -> bool {
-        ms < self.started_ms + WINDOW
+        ms < self.started_ms + WINDOW_MS
     }
 
     fn used_within_window(&mut self, ms: u64) -> f64 {
-        self.used.retain(|(when, _)| when + WINDOW > ms);
+        self.used.retain(|(when, _)| when + WINDOW_MS > ms);
         self.used.iter().map(|(_, cost)| cost).sum()
     }
 
@@ -100,7 +100,7 @@
         } else {
             quota.unwrap_or(own_share * hints.unhinted_share)
         };
-        let demanded = demand * STEP_MS as f64 / WINDOW as f64;
+        let demanded = demand * STEP_MS as f64 / WINDOW_MS as f64;
         if used + demanded <= usable {
             self.used.push((ms, demanded));
         } else {
