--- a/src/decision/answers.rs
+++ b/src/decision/answers.rs
@@ -1,4 +1,4 @@
-//! The end of a request: when it is given up, with which answer, and what is released then.
+//! The end of a request: when it is given up, which answer it gets, and what is released then.
 
 use crate::{Cancel, Final, RequestId};
 
@@ -6,7 +6,7 @@
 use super::state::ObjectPart;
 
 impl DecisionEngine {
-    /// Rule: forgets a request that is done, and cancels what it has in flight.
+    /// Rule: removes a request that is done, and cancels its attempts in flight.
     pub(super) fn remove_finished(&mut self, id: RequestId) -> bool {
         if !self.requests.get(&id).is_some_and(|state| state.done) {
             return false;
@@ -33,7 +33,7 @@
 
     /// Rule: gives a request up shortly before its deadline.
     ///
-    /// Guards against a lost request: whatever else happens, the client gets its answer while it waits for it.
+    /// Guards against lost requests: whatever else happens, the client gets an answer while it still waits.
     pub(super) fn answer_before_deadline(&mut self, id: RequestId) -> bool {
         let Some(state) = self.requests.get(&id) else {
             return false;
@@ -45,7 +45,8 @@
         true
     }
 
-    /// Rule: gives a request up that has nothing in flight, and may have no further attempt or no time for one.
+    /// Rule: gives up a request that has no attempt in flight, if it may not be retried or has no time left for a
+    /// retry.
     pub(super) fn give_up_without_retries(&mut self, id: RequestId) -> bool {
         let Some(state) = self.requests.get(&id) else {
             return false;
@@ -61,7 +62,7 @@
         true
     }
 
-    /// Gives a request its final answer: rejected, or failed where a retry by the client might do harm.
+    /// Gives a request its final answer: rejected, or failed if a retry by the client might take effect twice.
     pub(super) fn give_up(&mut self, id: RequestId) {
         self.refund_penalties(id);
         let Some(state) = self.requests.get(&id) else {
--- a/src/decision/cache_selection.rs
+++ b/src/decision/cache_selection.rs
@@ -1,4 +1,4 @@
-//! Which cache of the location gets a request.
+//! Selects the cache of the location that gets a request.
 
 use crate::{HostId, Role};
 
@@ -9,9 +9,9 @@
 use super::state::{Host, RequestState};
 
 impl DecisionEngine {
-    /// Decides which cache gets a request: the first in hash order that is in use and admits it, or none.
+    /// Selects the cache for a request: the first in hash order that is usable and admits it, if there is one.
     ///
-    /// `link_open` tells whether the location's link carries a fill.
+    /// `link_open` tells whether the location's link has capacity for a fill.
     pub(super) fn select_cache(&self, state: &RequestState, link_open: bool) -> Option<HostId> {
         let class = self.class_of(&state.request);
         let cost = class.warmup_cost(state.transfer_ms);
@@ -36,18 +36,19 @@
             .map(|cache| cache.id().clone())
     }
 
-    /// Whether a cache is not ejected, or may have a trial with this request.
+    /// Whether a cache is not ejected, or is due for a trial for which this request may be used.
     fn accepts_or_tries(&self, cache: &Host, may_try: bool) -> bool {
         cache.reputation >= MIN_REPUTATION || (may_try && cache.due_for_trial(self.now))
     }
 }
 
-/// Decides up to which load a request that comes in time is admitted, `least` being the load of the least loaded cache.
+/// Returns the highest load at which a request is admitted that can still meet its objective. `least` is the load of
+/// the least loaded cache.
 ///
-/// Guards against small requests taking each place that comes free before a large one is looked at again: the larger a
-/// request is within its class, the higher the load at which it is admitted. Guards also against the hash order being
-/// lost where all caches are loaded alike: no object moves then. On a full link only the cache that may hold the
-/// object helps, so the hash order is kept for longer.
+/// Guards against small requests taking every slot that becomes free before a large one gets its next try: the larger a
+/// request is within its class, the higher the load at which it is admitted. Also guards against objects moving off
+/// their caches where all caches are evenly loaded: none moves then. On a full link only a cache that may already hold
+/// the object is of use, so the limit relative to the least loaded cache does not apply.
 fn max_admitted_load(relative_size: f64, least: f64, link_open: bool) -> f64 {
     let most = MAX_ADMITTED_LOAD * relative_size.clamp(1.0, MAX_LARGE_ADMISSION_FACTOR);
     if link_open {
--- a/src/decision/clearance.rs
+++ b/src/decision/clearance.rs
@@ -1,4 +1,4 @@
-//! Whether an attempt still stands once its connection is up.
+//! Clearance: whether an attempt may still be sent once its connection is established.
 
 use crate::{AttemptIndex, Clearance, RequestId, Role, Time};
 
@@ -6,9 +6,10 @@
 use super::state::Host;
 
 impl DecisionEngine {
-    /// Whether an attempt may still be sent now that its connection is up, and what it may ask for by now.
+    /// Decides whether an attempt may still be sent now that its connection is established, and on which terms.
     ///
-    /// Guards against a connect that outlasts a grace, a window or the request: the rules bind what is sent.
+    /// Guards against a connect that takes longer than a purge grace, a slow start window or the request itself: the
+    /// limits have to hold when the attempt is written, not only when it was decided.
     pub fn clear(&mut self, now: Time, id: RequestId, index: AttemptIndex) -> Option<Clearance> {
         self.now = now;
         let state = self.requests.get(&id)?;
@@ -33,10 +34,11 @@
         (now < sent_by).then_some(Clearance { oldest, sent_by })
     }
 
-    /// Decides whether a host still takes part in an attempt, which may count against its slow start already.
+    /// Decides whether a host may still take part in an attempt. `counted` tells whether the attempt is charged against
+    /// the host's slow start.
     ///
-    /// Guards against a cold host that has started anew since the attempt was decided: what was counted for its earlier
-    /// process does not hold for this one.
+    /// Guards against a cold host that has restarted since the attempt was decided: the charge against its earlier
+    /// process does not count for the new one.
     fn still_accepts(&self, host: &Host, counted: bool) -> bool {
         if !host.in_service() {
             return false;
--- a/src/decision/freshness.rs
+++ b/src/decision/freshness.rs
@@ -1,4 +1,4 @@
-//! How old a copy may be that answers a request.
+//! The greatest age of a cached copy that may answer a request.
 
 use crate::{GroupId, Request, Span};
 
@@ -17,10 +17,11 @@
 }
 
 impl DecisionEngine {
-    /// The age limit of copies for an attempt, or none where the class's own holds.
+    /// Returns the age limit of copies for an attempt, or `None` if the class's own limit applies.
     ///
-    /// Guards against purged copies, wherever they lie: no copy from before the youngest purge will do. Where only a
-    /// hit is asked for, a copy past its fresh time, up to the class's grace, is worth more than none.
+    /// Guards against purged copies that are still cached somewhere: no copy from before the latest purge may be used.
+    /// Where only a hit is requested, a copy past its fresh time is accepted up to the class's grace: it is worth more
+    /// than no answer.
     pub(super) fn max_copy_age(
         &self,
         request: &Request,
--- a/src/decision/load_polls.rs
+++ b/src/decision/load_polls.rs
@@ -1,4 +1,4 @@
-//! Load polls, where hosts tell their load only when asked.
+//! Load polls, for hosts that report their load only when polled.
 
 use rand::Rng;
 
@@ -8,7 +8,7 @@
 use super::constants::{JITTER, LOAD_POLL_INTERVAL};
 
 impl DecisionEngine {
-    /// Polls the cache of this location that was polled longest ago.
+    /// Polls the cache of this location whose last poll is the longest ago.
     pub(super) fn poll_load(&mut self) {
         self.next_load_poll = self.now + LOAD_POLL_INTERVAL * self.rng.random_range(JITTER);
         let next = self
@@ -23,7 +23,7 @@
         self.decisions.looks.extend(next);
     }
 
-    /// A host that was polled has told its load, or nothing.
+    /// Applies the answer of a host to a load poll; its report may be empty.
     pub fn seen(&mut self, now: Time, host: &HostId, report: LoadReport) -> Decisions {
         self.now = now;
         self.record_link_report(report.link);
--- a/src/decision/measurements.rs
+++ b/src/decision/measurements.rs
@@ -1,5 +1,5 @@
-//! Latency and bandwidth of each source of fills, and whether the origin beats a parent (Tuxedo paper, section 3.2,
-//! table 1).
+//! Measures the latency and bandwidth of each source of fills, and whether the origin beats a parent (Tuxedo paper,
+//! section 3.2, table 1).
 
 use crate::{AttemptOutcome, FillOutcome, HostId, Request, Role, SourceMeasurements};
 
@@ -12,14 +12,14 @@
 /// A measure by which sources are compared.
 #[derive(Clone, Copy)]
 pub(super) enum Measure {
-    /// Milliseconds to a fill's first byte; decides for small objects.
+    /// Milliseconds to a fill's first byte; used for small objects.
     Latency,
-    /// Kilobytes per millisecond; decides for large objects.
+    /// Kilobytes per millisecond; used for large objects.
     Bandwidth,
 }
 
 impl Measure {
-    /// The measure that decides for a request.
+    /// Returns the measure by which the sources for a request are compared.
     pub(super) fn for_request(class: &ClassStatistics, request: &Request) -> Measure {
         if class.is_large(request) {
             Measure::Bandwidth
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Whether the origin's average beats a source's by more than [`ORIGIN_MARGIN`].
+    /// Whether the origin's average is better than a source's by more than [`ORIGIN_MARGIN`].
     fn origin_beats(self, origin: f64, source: f64) -> bool {
         match self {
             Measure::Latency => origin < source * (1.0 - ORIGIN_MARGIN),
@@ -66,16 +66,16 @@
 }
 
 impl Host {
-    /// Whether the origin has clearly beaten this source for several fills in a row.
+    /// Whether the origin has beaten this source in [`ORIGIN_WINS_TO_LEAVE`] consecutive fills.
     ///
-    /// A source without samples counts as average and is never beaten.
+    /// A source without samples is never beaten.
     pub(super) fn beaten_by_origin(&self, measure: Measure) -> bool {
         measure.wins(&self.origin_wins) >= ORIGIN_WINS_TO_LEAVE
     }
 }
 
 impl DecisionEngine {
-    /// Takes in the latency and the bandwidth of a fill that was answered.
+    /// Records the latency and the bandwidth of a completed fill.
     pub(super) fn measure_fill(&mut self, completed: &CompletedAttempt) {
         let Some(waited) = completed.ended.waited else {
             return;
@@ -83,7 +83,7 @@
         let Some(source) = self.hosts.get_mut(&completed.attempt.source) else {
             return;
         };
-        // What a parent passed on to the origin tells nothing of the parent's own latency.
+        // A fill that a parent fetched from the origin says nothing about the parent's own latency.
         let own = source.is(Role::Origin) || completed.ended.fill == FillOutcome::Filled;
         let transfer_ms = completed.ended.took.less(waited).ms().max(1.0);
         let samples = SourceMeasurements {
@@ -95,7 +95,7 @@
         self.record_measurements(&completed.attempt.source, samples);
     }
 
-    /// Takes samples of a source into its averages, and compares these with the origin's.
+    /// Adds samples of a source to its averages, and compares these with the origin's.
     pub(super) fn record_measurements(&mut self, id: &HostId, samples: SourceMeasurements) {
         for measure in [Measure::Latency, Measure::Bandwidth] {
             if let Some(sample) = measure.of(&samples) {
@@ -125,8 +125,8 @@
         };
     }
 
-    /// Takes in how much longer than its transfer time a cache's answer took, and holds it against who caused it:
-    /// a hit against the cache, a fill against its source.
+    /// Records how much longer than its transfer time a cache's answer took: as a slowdown of the cache for a hit, of
+    /// the source for a fill.
     pub(super) fn record_slowdowns(&mut self, completed: &CompletedAttempt) {
         let ended = &completed.ended;
         if !completed.through_cache || ended.outcome != AttemptOutcome::Answered {
--- a/src/decision/retries.rs
+++ b/src/decision/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: whether a request may run again, and where, by the idempotency of its class.
+//! Retries: whether a request may be sent again, and to which hosts, by the idempotency of its class.
 
 use crate::{Repeats, Scope, Time};
 
@@ -12,8 +12,8 @@
 
     /// Decides whether a request may have another attempt.
     ///
-    /// Guards against an effect that happens twice: what may have run is sent again only if that has no effect, or
-    /// while the hosts that drop its repeats remember it.
+    /// Guards against an effect that happens twice: a request that may have run is sent again only if it is idempotent,
+    /// or while the hosts that deduplicate it still remember the first run.
     pub(super) fn may_retry(&self, state: &RequestState) -> bool {
         self.list_trusted
             && state.attempts < self.terms.most_attempts.max(1)
@@ -33,9 +33,10 @@
         }
     }
 
-    /// Decides whether a host drops repeats of a request that may have run; if it has not, every host will do.
+    /// Decides whether a host would drop a repeat of a request that may have run. Any host is in scope if it has not
+    /// run.
     ///
-    /// Guards against a deduplicated request that runs a second time at a host which does not know of the first.
+    /// Guards against a deduplicated request that runs a second time at a host that does not know of the first run.
     pub(super) fn in_deduplication_scope(&self, state: &RequestState, host: &Host) -> bool {
         let repeats = self.class_of(&state.request).terms.repeats;
         let Repeats::Deduplicated { scope, .. } = repeats else {
@@ -53,7 +54,8 @@
         }
     }
 
-    /// When the hosts that drop repeats forget a request that may have run; never if nothing is at stake.
+    /// Returns the end of the deduplication window of a request that may have run, or [`Time::NEVER`] if it may be sent
+    /// at any time.
     pub(super) fn repeats_dropped_until(&self, state: &RequestState) -> Time {
         let repeats = self.class_of(&state.request).terms.repeats;
         match (repeats, &state.may_have_run) {
@@ -62,7 +64,8 @@
         }
     }
 
-    /// Decides whether a request may be answered as rejected, which promises that a retry has no second effect.
+    /// Decides whether a request may be answered as rejected, which promises the client that a retry has no second
+    /// effect.
     pub(super) fn rejection_is_harmless(&self, state: &RequestState) -> bool {
         match self.class_of(&state.request).terms.repeats {
             Repeats::Idempotent
@@ -76,7 +79,7 @@
     }
 }
 
-/// When the first attempt was sent that may have run, one in flight included.
+/// Returns when the first attempt that may have run was sent; an attempt in flight may have run.
 fn first_possible_run(state: &RequestState) -> Option<Time> {
     match &state.may_have_run {
         Some(run) => Some(run.sent),
--- a/src/decision/route_selection.rs
+++ b/src/decision/route_selection.rs
@@ -1,5 +1,5 @@
-//! Which way a request takes: to a cache with a source for its fill, to a cache for a hit alone, past the caches, or
-//! none now.
+//! Selects the route of a request: to a cache with a source for its fill, to a cache for a hit only, past the caches,
+//! or none for now.
 
 use crate::{HostId, Role};
 
@@ -8,12 +8,12 @@
 use super::rendezvous::score;
 use super::state::{Host, RequestState};
 
-/// The way of an attempt.
+/// The host and the source of an attempt.
 pub(super) struct Route {
     pub(super) host: HostId,
-    /// The host itself where only a hit will do.
+    /// Equal to `host` if only a hit is requested.
     pub(super) source: HostId,
-    /// The source gives only what it holds.
+    /// The source may answer only from its cache.
     pub(super) only_held: bool,
 }
 
@@ -23,27 +23,28 @@
     }
 }
 
-/// What the sources of a request have to keep to.
+/// The limits on the source of a request.
 struct SourceLimits<'a> {
     state: &'a RequestState,
-    /// The class runs at the origin alone.
+    /// The requests of the class run at the origin only.
     goes_through: bool,
-    /// Nothing may be fetched from the origin for this request.
+    /// The request's object may not be fetched from the origin now.
     origin_closed: bool,
 }
 
 impl SourceLimits<'_> {
-    /// Whether a source has capacity for the request, and can hold what it needs.
+    /// Whether a source has capacity for the request. A known miss is not admitted while the origin is closed to it.
     fn admit(&self, source: &Host) -> bool {
         self.goes_through || (source.has_capacity() && !(self.origin_closed && self.state.missed))
     }
 }
 
 impl DecisionEngine {
-    /// Decides which way a request takes, if any is open: to a cache with a source for its fill, to a cache for a hit
-    /// alone, or past the caches.
+    /// Selects the route of a request, if there is one: to a cache with a source for its fill, to a cache for a hit
+    /// only, or past the caches.
     ///
-    /// Guards against slow sources whose fills take up the caches: without an open source only a hit is asked for.
+    /// Guards against slow sources whose fills take up the caches: if no source admits the request, only a hit is
+    /// requested.
     pub(super) fn select_route(&self, state: &RequestState) -> Option<Route> {
         let class = self.class_of(&state.request);
         let goes_through = class.terms.goes_through;
@@ -84,8 +85,8 @@
         })
     }
 
-    /// Decides whether a request may go past the caches: a write, or one that no cache of the location could take, or a
-    /// small one while the link is idle.
+    /// Decides whether a request may go past the caches: if its class is never cached, if the location has no usable
+    /// cache, or if it is small and the link is idle.
     fn may_pass_caches(
         &self,
         state: &RequestState,
@@ -113,11 +114,11 @@
             .map(|origin| origin.id())
     }
 
-    /// Decides whether a request's object may not be fetched from the origin now.
+    /// Whether a request's object may not be fetched from the origin now.
     ///
-    /// Guards against an ejected origin being asked on by parents, or every parent in turn for what the first one
-    /// lacks. Behind a slow origin parents fetch the objects that the hash picks, the same at every dispatcher, so that
-    /// what is fetched serves all.
+    /// Guards against parents forwarding fills to an ejected origin, and against trying every parent in turn for an
+    /// object that the first one lacks. From a slow origin, parents fetch only a fraction of the objects; the hash
+    /// selects the same ones at every dispatcher, so that a fetched copy serves all of them.
     fn origin_closed(&self, state: &RequestState) -> bool {
         self.origin().is_some_and(|origin| {
             let ejected = !origin.usable() && !origin.due_for_trial(self.now);
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,6 +1,7 @@
-//! Slow start: a cold host gets no more than its rising capacity bears, over all dispatchers together.
+//! Slow start: the dispatchers together send a cold host no more work than its rising capacity allows.
 //!
-//! Each dispatcher keeps to its part of what the host bears by its least possible rise, within any window.
+//! Each dispatcher keeps to its quota of the work that the host can take within any window, calculated from the slowest
+//! possible rise of its capacity.
 
 use crate::{AttemptIndex, DeploymentTerms, RequestId, Role, Span, Time};
 
@@ -8,22 +9,22 @@
 use super::constants::{MAX_WARMUP_OVERLOAD, USABLE_OVERLOAD};
 use super::state::{Host, WarmupCharge};
 
-/// The least rise of a cold host, what it can be asked for, and this dispatcher's equal part of that.
+/// The slowest rise of a cold host's capacity, how far it may be overloaded, and this dispatcher's equal share.
 pub(super) struct SlowStart {
     /// The fraction of its capacity that a host has at its start, 0 to 1.
     initial_fraction: f64,
-    /// Time after which a host has all its capacity.
+    /// Time from its start after which a host has all its capacity.
     warm_within: Span,
-    /// The time over which requests are counted.
+    /// The time over which the work sent to a host is summed.
     pub(super) window: Span,
-    /// Times its present capacity that all dispatchers together may ask for.
+    /// The multiple of its present capacity that all dispatchers together may send to a host.
     pub(super) total: f64,
-    /// This dispatcher's equal part of the total.
+    /// This dispatcher's share of the total if all dispatchers get the same.
     pub(super) equal_share: f64,
 }
 
 impl SlowStart {
-    /// The terms for caches, which the dispatchers of one location share.
+    /// Returns the limits of caches, which are shared by the dispatchers of one location.
     pub(super) fn of_caches(terms: &DeploymentTerms, zone_dispatchers: f64) -> SlowStart {
         let total = (terms.overload_factor * USABLE_OVERLOAD).min(MAX_WARMUP_OVERLOAD);
         SlowStart {
@@ -35,7 +36,7 @@
         }
     }
 
-    /// The terms for parents, which all dispatchers share.
+    /// Returns the limits of parents, which are shared by all dispatchers.
     pub(super) fn of_parents(terms: &DeploymentTerms) -> SlowStart {
         let total = (terms.parent_overload_factor * USABLE_OVERLOAD).min(MAX_WARMUP_OVERLOAD);
         SlowStart {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The least fraction of its capacity that a host started then has at a time, 0 to 1.
+    /// Returns the least fraction of its capacity, 0 to 1, that a host has at a time if it was started at `started`.
     pub(super) fn capacity_fraction(&self, started: Option<Time>, at: Time) -> f64 {
         let Some(started) = started else { return 1.0 };
         let risen = at.since(started).ms() / self.warm_within.ms().max(1.0);
@@ -56,7 +57,7 @@
 }
 
 impl Host {
-    /// Adds an attempt in flight, and forgets charges from before a window.
+    /// Adds an attempt in flight with its charge, and drops the charges that are older than a window.
     pub(super) fn add_attempt(&mut self, charge: WarmupCharge, window: Span) {
         let now = charge.at;
         self.in_flight += 1.0;
@@ -65,7 +66,7 @@
             .retain(|charge| now.since(charge.at) <= window);
     }
 
-    /// Counts an attempt from now on instead of from when it was decided; tells whether it counts here at all.
+    /// Moves the charge of an attempt from the time of its decision to now; returns whether there is one.
     pub(super) fn renew_charge(
         &mut self,
         now: Time,
@@ -90,13 +91,13 @@
         }
     }
 
-    /// The least fraction of its capacity that a host has had for a whole window.
+    /// Returns the least fraction of its capacity that a host has had throughout the last window.
     pub(super) fn capacity_over_window(&self, host: &Host, now: Time) -> f64 {
         let slow_start = self.slow_start(host);
         slow_start.capacity_fraction(host.endpoint.started, now - slow_start.window)
     }
 
-    /// Milliseconds of work that this dispatcher has sent to a host within a window.
+    /// Returns the work in ms that this dispatcher has sent to a host within the last window.
     pub(super) fn charged_over_window(&self, host: &Host, now: Time) -> f64 {
         let since = now - self.slow_start(host).window;
         host.warmup_charges
@@ -106,10 +107,11 @@
             .sum::<f64>()
     }
 
-    /// Decides whether a host may be sent work of a cost in milliseconds; a warm host always may.
+    /// Decides whether a host may be sent work of a cost in ms; a warm host always may.
     ///
-    /// Guards against a cold host being overloaded by all dispatchers together: each keeps to its quota of what the
-    /// slowest rise bears within any window. An attempt without a fill counts for the mean as well.
+    /// Guards against a cold host being overloaded by all dispatchers together: each keeps to its quota of the work
+    /// that the slowest rise allows within any window. At a cache, an attempt without a fill is charged the class's
+    /// mean as well.
     pub(super) fn fits_slow_start(&self, host: &Host, cost: f64) -> bool {
         let fraction = self.capacity_over_window(host, self.now);
         if fraction >= 1.0 || host.is(Role::Origin) {
@@ -124,7 +126,7 @@
         self.charged_over_window(host, self.now) + cost <= budget
     }
 
-    /// Notes work that belongs at a cold host whose quota is used up, for peers to hear.
+    /// Records work that belongs at a cold host but does not fit its quota, to be reported to peers.
     pub(super) fn note_unmet_demand(&self, preferred: Option<&&Host>, cost: f64) {
         if let Some(host) = preferred
             && !self.fits_slow_start(host, cost)
--- a/src/decision/source_selection.rs
+++ b/src/decision/source_selection.rs
@@ -1,7 +1,7 @@
-//! Which source fills a miss: the adaptive neighbour set of the Tuxedo paper, section 3.2.
+//! Selects the source that fills a miss, by the adaptive neighbour set of the Tuxedo paper, section 3.2.
 //!
-//! Parents are the neighbours, the origin is the server. A parent stays in the set unless the origin clearly beats it on
-//! the measure that the object's size picks, or it is ejected. The hash order picks within the set.
+//! Parents are the neighbours, the origin is the server. A parent stays in the set unless it is ejected, too slow, or
+//! clearly beaten by the origin on the measure that applies to the object's size. The hash order decides within the set.
 
 use crate::{HostId, Role};
 
@@ -11,11 +11,11 @@
 use super::rendezvous::move_factor;
 use super::state::{Host, RequestState};
 
-/// What decides whether a parent is in the neighbour set of a request.
+/// The criteria by which a parent is in the neighbour set of a request.
 struct NeighbourSet<'a> {
     state: &'a RequestState,
     measure: Measure,
-    /// The least slowdown of any parent in use.
+    /// The least slowdown of any usable parent.
     least_slowdown: f64,
 }
 
@@ -26,7 +26,9 @@
             && self.keeps_object(engine, parent)
     }
 
-    /// Guards against parents that grow slow: objects leave them one by one, as they leave a loaded cache.
+    /// Whether a parent is not too slow for the object.
+    ///
+    /// Guards against parents that become slow: objects move off them one by one, as they move off a loaded cache.
     fn keeps_object(&self, engine: &DecisionEngine, parent: &Host) -> bool {
         let factor = move_factor(parent, &self.state.request);
         parent.current_slowdown(engine.now) <= self.least_slowdown * FULL_LOAD * factor
@@ -34,14 +36,14 @@
 }
 
 impl DecisionEngine {
-    /// The origin, if it is in service.
+    /// Returns the origin, if it is in service.
     pub(super) fn origin(&self) -> Option<&Host> {
         self.hosts
             .values()
             .find(|host| host.is(Role::Origin) && host.in_service())
     }
 
-    /// Decides which source fills a miss, or gets a request that goes past the caches.
+    /// Selects the source that fills a miss, or the host for a request that goes past the caches.
     pub(super) fn select_source(&self, state: &RequestState) -> Option<HostId> {
         let mut parents = self.in_hash_order(Role::Parent, &state.request);
         self.note_unmet_demand(parents.first(), state.transfer_ms);
@@ -60,12 +62,12 @@
         chosen.map(|source| source.id().clone())
     }
 
-    /// Whether a source has not been tried for a request, and is warm enough for it.
+    /// Whether a source has not been tried for a request, and the slow start of a cold one allows it.
     fn may_fill(&self, source: &Host, state: &RequestState) -> bool {
         !state.has_tried(source) && self.fits_slow_start(source, state.transfer_ms)
     }
 
-    /// The least slowdown of the parents in use, [`MAX_ADMITTED_LOAD`] at most.
+    /// Returns the least slowdown of the usable parents, [`MAX_ADMITTED_LOAD`] at most.
     fn least_slowdown(&self, parents: &[&Host]) -> f64 {
         parents
             .iter()
@@ -74,11 +76,11 @@
             .fold(MAX_ADMITTED_LOAD, f64::min)
     }
 
-    /// Decides which source fills a miss: one that is due for a trial, else the first parent of the set in hash order,
-    /// else the origin.
+    /// Selects the source that fills a miss: one that is due for a trial, else the first parent of the set in hash
+    /// order, else the origin.
     ///
-    /// Guards against fills that queue at a full parent while the origin has capacity, and against requests that find
-    /// no source at all while everything is ejected: the first parent, which may hold a copy, is asked then.
+    /// Guards against fills that queue at a full parent while the origin has capacity, and against requests that have
+    /// no source at all while all sources are ejected: the first parent, which may hold a copy, is used then.
     fn select_fill_source<'a>(
         &'a self,
         parents: &[&'a Host],
@@ -99,7 +101,7 @@
         let open_origin = origin.filter(|origin| {
             origin.usable() && origin.has_capacity() && self.may_fill(origin, state)
         });
-        // Guards against a few parents left with the fills of all: they refuse, and the next one would too.
+        // Guards against overload where few parents are left for all fills: where one has rejected, the next would too.
         if open_origin.is_some() && self.parent_failed(state) {
             return open_origin;
         }
