--- a/src/decision/completed_attempt.rs
+++ b/src/decision/completed_attempt.rs
@@ -1,23 +1,23 @@
-//! An attempt that has ended, and what its end says of its host and its source.
+//! An attempt that has ended, and what its outcome shows about its host and its source.
 
 use crate::{AttemptEnded, AttemptOutcome, ClassId, FillOutcome};
 
 use super::state::AttemptState;
 
-/// An attempt that has ended, with what its request and its hosts were at that time.
+/// An attempt that has ended, with the properties of its request and its hosts at that time.
 pub(super) struct CompletedAttempt {
     pub(super) attempt: AttemptState,
     pub(super) ended: AttemptEnded,
     pub(super) class: ClassId,
     /// The request's expected transfer time, in ms.
     pub(super) transfer_ms: f64,
-    /// The request told its size.
+    /// Whether the size of the request is known.
     pub(super) size_known: bool,
-    /// KB of a request that bandwidth decides for.
+    /// The size in KB, if the sources for the request are compared by bandwidth.
     pub(super) large_kb: Option<f64>,
-    /// Its host is a cache, or no longer known.
+    /// Whether its host is a cache, or no longer known.
     pub(super) through_cache: bool,
-    /// Its source is a parent.
+    /// Whether its source is a parent.
     pub(super) from_parent: bool,
 }
 
@@ -26,17 +26,17 @@
         self.ended.outcome == AttemptOutcome::Answered
     }
 
-    /// A parent refused the fill, which is a sign of load and no failure.
+    /// Whether a parent rejected the fill, which is a sign of load and not a failure.
     pub(super) fn parent_is_full(&self) -> bool {
         self.from_parent && self.ended.fill == FillOutcome::SourceRefused
     }
 
-    /// The cache has no copy, or no place for a fill.
+    /// Whether the cache has no copy, or no slot for a fill.
     pub(super) fn copy_is_missing(&self) -> bool {
         self.ended.outcome == AttemptOutcome::NoCopy || self.ended.fill == FillOutcome::NoSlot
     }
 
-    /// The source, not the host, is why there was no answer.
+    /// Whether the source, not the host, is the reason that there was no answer.
     pub(super) fn source_failed(&self) -> bool {
         matches!(
             self.ended.fill,
@@ -47,7 +47,8 @@
         )
     }
 
-    /// The attempt was not to be sent any more, or its connection had died while idle: the host is as it was.
+    /// Whether the outcome says nothing about the host: the attempt was no longer needed, or an idle connection turned
+    /// out to be closed.
     pub(super) fn host_is_unaffected(&self) -> bool {
         matches!(
             self.ended.outcome,
@@ -55,7 +56,7 @@
         )
     }
 
-    /// The host has answered something, be it a refusal.
+    /// Whether the host has responded in any way, rejections included.
     pub(super) fn host_responded(&self) -> bool {
         !matches!(
             self.ended.outcome,
@@ -67,15 +68,15 @@
         )
     }
 
-    /// The host or the source could not be reached at all.
+    /// Whether no connection to the host or the source came up.
     pub(super) fn is_unreachable(&self) -> bool {
         self.ended.outcome == AttemptOutcome::NotConnected
             || (self.ended.outcome == AttemptOutcome::Rejected
                 && self.ended.fill == FillOutcome::SourceUnreached)
     }
 
-    /// The cache answered by itself, so that its source had no work.
-    pub(super) fn spared_source(&self) -> bool {
+    /// Whether the cache answered without its source.
+    pub(super) fn source_was_unused(&self) -> bool {
         matches!(
             self.ended.fill,
             FillOutcome::Hit | FillOutcome::Stale | FillOutcome::Joined
@@ -89,12 +90,12 @@
         )
     }
 
-    /// A cache asked a source beside itself.
+    /// Whether the attempt went to a cache that had another host as its source.
     pub(super) fn has_source_behind_cache(&self) -> bool {
         self.through_cache && !self.attempt.without_fill()
     }
 
-    /// Decides whether the request has to wait before its next attempt: the next one would meet the same load.
+    /// Decides whether the request has to back off before its next attempt, which would otherwise meet the same load.
     pub(super) fn calls_for_backoff(&self) -> bool {
         self.copy_is_missing()
             || !self.through_cache
--- a/src/decision/completion.rs
+++ b/src/decision/completion.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt changes: its request, and what is known of its host and its source.
+//! Processing the end of an attempt: updates its request, its host and its source.
 
 use crate::{AttemptEnded, AttemptOutcome, Decisions, FillOutcome, HostId, RequestId, Role, Time};
 
@@ -10,7 +10,7 @@
 use super::state::{AttemptState, PossibleRun, RequestState, Timer};
 
 impl RequestState {
-    fn take_attempt(&mut self, ended: &AttemptEnded) -> Option<AttemptState> {
+    fn remove_attempt(&mut self, ended: &AttemptEnded) -> Option<AttemptState> {
         let position = self
             .in_flight
             .iter()
@@ -18,11 +18,14 @@
         Some(self.in_flight.remove(position))
     }
 
-    /// Takes in what an attempt's end says of the request, and which hosts are not to be asked again.
+    /// Updates the request after an attempt has ended, and excludes the host or source that failed from its next
+    /// attempts.
     ///
-    /// Guards against full parents scattering their objects: a parent that refuses has not failed. Its request goes on
-    /// to the origin only while that is healthy; another parent would fetch the object there anew. Guards also against a
-    /// full link being filled again elsewhere: what failed is passed by, nothing else.
+    /// Guards against full parents scattering their objects: a parent that rejects a fill has not failed. It is
+    /// excluded, so that the request goes to the origin, only while the origin is healthy; otherwise the request waits
+    /// for the same parent, as another one would fetch the object from the origin again. Also guards against a second
+    /// fill over a full link: only the participant that failed is excluded, so the request stays with a cache whose
+    /// source failed.
     fn record_completion(&mut self, completed: &CompletedAttempt, origin_healthy: bool) {
         let (attempt, ended) = (&completed.attempt, &completed.ended);
         self.done |= completed.is_answered() || ended.closed;
@@ -46,7 +49,7 @@
         }
     }
 
-    /// Doubles the backoff, and starts it.
+    /// Doubles the backoff and starts it.
     fn back_off(&mut self, now: Time) {
         self.backoffs += 1;
         let doublings = self.backoffs.min(MAX_BACKOFF_DOUBLINGS);
@@ -55,7 +58,7 @@
 }
 
 impl DecisionEngine {
-    /// An attempt has ended.
+    /// Processes the end of an attempt.
     pub fn attempt_ended(&mut self, now: Time, ended: AttemptEnded) -> Decisions {
         self.now = now;
         if let Some(completed) = self.complete_attempt(ended) {
@@ -70,12 +73,12 @@
         self.wake(now)
     }
 
-    /// Takes an ended attempt from its request; none if the request or the attempt is no longer known.
+    /// Removes an ended attempt from its request; returns `None` if the request or the attempt is no longer known.
     fn complete_attempt(&mut self, ended: AttemptEnded) -> Option<CompletedAttempt> {
         let origin_healthy = ended.fill == FillOutcome::SourceRefused && self.origin_is_healthy();
         let id: RequestId = ended.request;
         let state = self.requests.get_mut(&id)?;
-        let attempt = state.take_attempt(&ended)?;
+        let attempt = state.remove_attempt(&ended)?;
         let class = &self.classes[state.request.class.0];
         let is_large = class.is_large(&state.request);
         let role_of = |id: &HostId| self.hosts.get(id).map(|host| host.endpoint.role);
@@ -100,14 +103,14 @@
         Some(completed)
     }
 
-    /// Whether the origin is in use, and its window stands where it began or wider.
+    /// Whether the origin is usable, and its concurrency window is at least as wide as at the start.
     fn origin_is_healthy(&self) -> bool {
         self.origin()
             .is_some_and(|origin| origin.usable() && origin.window >= INITIAL_WINDOW)
     }
 
-    /// Takes in what an ended attempt gives back: its places, what its host reports, and the quota of a cold source that
-    /// a hit did not use.
+    /// Applies the host's load report, and releases the attempt at its host and its source, along with the quota of a
+    /// cold source if the cache did not need it.
     fn release_attempt(&mut self, completed: &CompletedAttempt) {
         let (attempt, ended) = (&completed.attempt, &completed.ended);
         if completed.through_cache {
@@ -122,12 +125,12 @@
                 host.record_report(self.now, ended.report);
             }
             host.release();
-            // Any answer, a failed fill too, shows that a host is not silent.
+            // Any response, even that a fill has failed, shows that a host is not silent.
             if is_host && completed.host_responded() {
-                host.last_heard = self.now;
+                host.last_response = self.now;
                 host.silent_attempts = 0;
             }
-            if !is_host && completed.spared_source() {
+            if !is_host && completed.source_was_unused() {
                 host.warmup_charges
                     .retain(|charge| !charge.is_of(ended.request, ended.index));
                 if attempt.trial {
@@ -137,8 +140,8 @@
         }
     }
 
-    /// Narrows the window of a parent that refuses, and adjusts what parents may fetch from the origin by how long a
-    /// fill of it waited.
+    /// Narrows the window of a parent that rejected a fill, and adjusts the fraction of objects that parents may fetch
+    /// from the origin by how long a fill through the origin waited.
     fn adjust_limits(&mut self, completed: &CompletedAttempt) {
         let (attempt, ended) = (&completed.attempt, &completed.ended);
         if completed.parent_is_full()
@@ -157,7 +160,7 @@
         }
     }
 
-    /// Takes an attempt's end into the reputation of its host and its source, and into the source's measurements.
+    /// Updates the reputation of the host and the source of an attempt by its outcome, and the source's measurements.
     fn rate_hosts(&mut self, completed: &CompletedAttempt) {
         let attempt = &completed.attempt;
         if completed.is_answered() {
@@ -171,7 +174,7 @@
         let Some(culprit) = self.culprit(completed) else {
             return;
         };
-        // Guards against all dispatchers losing requests to each dead host: one that is not reached is ejected at once.
+        // Guards against all dispatchers losing requests to a dead host: an unreachable one is ejected at once.
         let penalty = if completed.is_unreachable() {
             UNREACHABLE_PENALTY
         } else {
@@ -182,8 +185,8 @@
 
     /// Decides which host a failed attempt counts against, if any.
     ///
-    /// Guards against a parent paying for the origin's failure, and against writes that clients have spoilt ejecting the
-    /// origin.
+    /// Guards against blaming a parent for the origin's failure, and against ejecting the origin because of clients'
+    /// faulty writes.
     fn culprit(&self, completed: &CompletedAttempt) -> Option<HostId> {
         let (attempt, ended) = (&completed.attempt, &completed.ended);
         match ended.fill {
--- a/src/decision/dispatch.rs
+++ b/src/decision/dispatch.rs
@@ -1,4 +1,4 @@
-//! Attempts that are sent: when, what they ask for, and what is noted of them.
+//! Sending attempts: when a request gets one, with which options, and how it is recorded.
 
 use crate::{Attempt, AttemptIndex, RequestId, Role, Span};
 
@@ -12,10 +12,11 @@
 use super::state::{AttemptState, RequestState, Timer, WarmupCharge};
 
 impl DecisionEngine {
-    /// Rule: sends a request that has nothing in flight and is not backing off.
+    /// Rule: starts an attempt for a request that has none in flight and is not backing off.
     ///
-    /// Guards against overload in which all answers come late: what can't come in time is given up at once. So is a
-    /// known miss that may not be filled, as those held back would go on together when a link clears.
+    /// Guards against overload in which all answers come late: a request without a route is given up if even a fully
+    /// loaded cache could no longer answer it in time. So is a known miss that may not be filled now: if such requests
+    /// were held back, they would all be sent together once the link has capacity again.
     pub(super) fn start_waiting_attempt(&mut self, id: RequestId) -> bool {
         let now = self.now;
         let waits = |state: &RequestState| state.in_flight.is_empty() && now >= state.not_before;
@@ -41,7 +42,7 @@
         true
     }
 
-    /// Sends a request to a cache, or past the caches; tells whether any way was open.
+    /// Sends a request to a cache, or past the caches; returns whether there was a route for it.
     pub(super) fn start_attempt(&mut self, id: RequestId) -> bool {
         let Some(state) = self.requests.get(&id) else {
             return false;
@@ -49,12 +50,12 @@
         let Some(route) = self.select_route(state) else {
             return false;
         };
-        let patience = self.patience(state, &route);
-        let attempt = self.attempt_on(&route, state, patience);
+        let time_to_overdue = self.time_to_overdue(state, &route);
+        let attempt = self.build_attempt(&route, state, time_to_overdue);
         let attempt_state = AttemptState {
             index: AttemptIndex(state.attempts),
             sent: self.now,
-            overdue: self.now + patience,
+            overdue: self.now + time_to_overdue,
             overdue_cause: None,
             trial: self.hosts[&route.source].due_for_trial(self.now),
             host: route.host,
@@ -65,20 +66,20 @@
         true
     }
 
-    /// The time after which an attempt is overdue, by the load of its host and the latency of its source.
-    fn patience(&self, state: &RequestState, route: &Route) -> Span {
+    /// Returns the time after which an attempt is overdue, from the load of its host and the latency of its source.
+    fn time_to_overdue(&self, state: &RequestState, route: &Route) -> Span {
         let slowdown = self.load(&self.hosts[&route.host]).max(1.0);
         let latency_ms = self.hosts[&route.source].measurements.latency;
         let latency_ms = latency_ms.unwrap_or(OVERDUE_ALLOWANCE.ms());
         overdue_after(state.transfer_ms * slowdown + latency_ms)
     }
 
-    /// What the caller is asked to send.
-    fn attempt_on(&self, route: &Route, state: &RequestState, patience: Span) -> Attempt {
+    /// Builds the attempt that the caller is to send.
+    fn build_attempt(&self, route: &Route, state: &RequestState, time_to_overdue: Span) -> Attempt {
         let request = &state.request;
         let class = self.class_of(request);
         let idempotent = self.is_idempotent(state);
-        // Where an overdue attempt can be neither cancelled nor hedged, it has to end by itself.
+        // An attempt that can be neither cancelled nor hedged when overdue has to end by its own time-out.
         let ends_itself = idempotent && !self.terms.may_duplicate && !self.terms.may_cancel;
         let left = state.deadline_left(self.now);
         let oldest = self.max_copy_age(request, class, route.is_hit_only());
@@ -87,7 +88,7 @@
             host: route.host.clone(),
             source: route.source.clone(),
             allow: if ends_itself {
-                patience.min(left)
+                time_to_overdue.min(left)
             } else {
                 left
             },
@@ -95,7 +96,7 @@
             renew: class.terms.fresh.is_some() && oldest.is_none(),
             only_held: route.only_held,
             oldest,
-            fresh: !idempotent, // a reset there could not be made good
+            fresh: !idempotent, // such a request could not be sent again after a reset of an idle connection
             keep: if self.recent_objects.contains_key(&request.object) {
                 SEEN_OBJECT_RANK
             } else {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Notes an attempt at its request, its host and its source.
+    /// Records an attempt with its request, its host and its source.
     fn record_attempt(&mut self, id: RequestId, attempt: AttemptState) {
         let Some(state) = self.requests.get_mut(&id) else {
             return;
--- a/src/decision/hedging.rs
+++ b/src/decision/hedging.rs
@@ -1,4 +1,5 @@
-//! Overdue attempts: telling silent hosts from slow ones, and hedged requests beside the silent.
+//! Overdue attempts: distinguishing silent hosts from slow ones, and sending hedged requests in parallel to silent
+//! attempts.
 
 use std::collections::BTreeMap;
 
@@ -11,17 +12,17 @@
 };
 use super::state::{AttemptState, Host, OverdueCause, Timer};
 
-/// A host that has answered nothing since an overdue attempt; the greatest is to blame.
+/// A silent participant of an overdue attempt. The greatest in the derived order is blamed.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct SilentHost {
     /// Attempts found overdue there since it last answered.
     attempts: u32,
-    /// It is the attempt's host, not its source.
+    /// Whether it is the attempt's host; its source otherwise.
     is_host: bool,
     id: HostId,
 }
 
-/// The time after which an attempt is overdue, from its expected milliseconds.
+/// Returns the time after which an attempt is overdue, from its expected time in ms.
 pub(super) fn overdue_after(expected_ms: f64) -> Span {
     Span::of_ms(expected_ms) * OVERDUE_FACTOR + OVERDUE_ALLOWANCE
 }
@@ -33,10 +34,11 @@
 }
 
 impl DecisionEngine {
-    /// Rule: looks at an attempt that has become overdue, and blames a host that is silent.
+    /// Rule: handles an attempt that has become overdue, and penalizes a host that is silent.
     ///
-    /// Guards against hosts that take requests and answer none: one that has answered nothing since is blamed, a slow
-    /// one has answered others. No source is blamed for a cache that was cut off in the middle of a fill.
+    /// Guards against hosts that accept requests and never answer: a silent host has answered nothing since the attempt
+    /// was sent, a slow one has answered others. A source is not blamed for a cache that was cut off in the middle of a
+    /// fill.
     pub(super) fn note_overdue_attempt(&mut self, id: RequestId) -> bool {
         let now = self.now;
         let Some(state) = self.requests.get_mut(&id) else {
@@ -59,7 +61,7 @@
             SILENCE_PROOF_IF_CANCELLED
         };
         let silent = count_silence(&mut self.hosts, attempt, now, proof);
-        // Guards against blaming a host for one request that is large, or for what waits behind another.
+        // Guards against blaming a host for a single large request, or for requests that queue behind one.
         if !silent.is_empty() && silent.iter().all(|host| host.attempts < proof) {
             attempt.overdue = now + attempt.overdue.since(attempt.sent);
             self.timers.insert(Timer {
@@ -80,7 +82,7 @@
         true
     }
 
-    /// Cancels a silent attempt whose request may run again, but not beside it.
+    /// Cancels a silent attempt if its request may run again but hedged requests are not allowed.
     fn cancel_silent_attempt(&mut self, cancel: Cancel) {
         let Some(state) = self.requests.get(&cancel.request) else {
             return;
@@ -90,9 +92,9 @@
         }
     }
 
-    /// Rule: sends a hedged request beside attempts that are all silent.
+    /// Rule: sends a hedged request if all attempts in flight are silent.
     ///
-    /// Guards against a request lost to a host that never answers, without copies of what is only slow.
+    /// Guards against requests lost to a host that never answers, without duplicating requests that are only slow.
     pub(super) fn start_hedged_attempt(&mut self, id: RequestId) -> bool {
         let Some(state) = self.requests.get(&id) else {
             return false;
@@ -111,10 +113,11 @@
     }
 }
 
-/// Counts an overdue attempt at its host and its source, if they are silent, up to the number that proves it.
+/// Counts an overdue attempt against its host and its source if they are silent, and returns these. The count stops at
+/// `proof`, the number that proves a host silent.
 ///
-/// A source is silent if it has answered nothing since the attempt was sent, its host if nothing in the latter part
-/// of that time.
+/// A source is silent if it has answered nothing since the attempt was sent. The host is silent if it has answered
+/// nothing in the latter part of that time.
 fn count_silence(
     hosts: &mut BTreeMap<HostId, Host>,
     attempt: &AttemptState,
@@ -126,7 +129,7 @@
     for id in attempt.participants() {
         let is_host = *id == attempt.host;
         let since = if is_host { host_since } else { attempt.sent };
-        let Some(host) = hosts.get_mut(id).filter(|host| host.last_heard <= since) else {
+        let Some(host) = hosts.get_mut(id).filter(|host| host.last_response <= since) else {
             continue;
         };
         host.silent_attempts = (host.silent_attempts + 1).min(proof);
--- a/src/decision/link.rs
+++ b/src/decision/link.rs
@@ -1,14 +1,14 @@
-//! The load of the location's link: transfers over those that fit at full pace.
+//! The load of the location's link: the number of transfers over those that it carries at full speed.
 
 use crate::Sampled;
 
 use super::DecisionEngine;
 use super::constants::{FULL_LINK, IDLE_LINK, MAX_LINK_SIZE_BIAS, REPORT_LIFETIME, SAMPLE_WEIGHT};
-use super::load::current;
+use super::load::unexpired;
 use super::state::RequestState;
 
 impl DecisionEngine {
-    /// Takes in a host's report of the link, if it has one.
+    /// Applies a host's report of the link's load, if there is one.
     pub(super) fn record_link_report(&mut self, load: Option<f64>) {
         if let Some(value) = load {
             self.link = Some(Sampled {
@@ -18,15 +18,17 @@
         }
     }
 
-    /// Estimates the link's load where no report tells it, from a fill's transfer time over the expected one.
+    /// Estimates the link's load from the ratio of a fill's transfer time to the expected one, where hosts do not
+    /// report it.
     ///
-    /// Guards against a full link that no report tells of: a fill outruns its answer unless the link holds it up.
+    /// Guards against a full link that goes unnoticed: a fill is faster than the answer that it feeds, unless the link
+    /// slows it down.
     pub(super) fn estimate_link(&mut self, slowdown: f64) {
         if self.terms.tells_link {
             return;
         }
         let sample = FULL_LINK * (slowdown - 1.0).max(0.0);
-        let value = match current(self.link, self.now) {
+        let value = match unexpired(self.link, self.now) {
             Some(old) => old + SAMPLE_WEIGHT * (sample - old),
             None => sample,
         };
@@ -36,12 +38,14 @@
         });
     }
 
-    /// Decides whether the link carries a fill of a request, the mean transfer time of whose class is given in ms.
+    /// Decides whether the link has capacity for a fill of a request. `class_mean_ms` is the mean transfer time of the
+    /// request's class.
     ///
-    /// Guards against a full link, where fills outlive their requests and every miss comes late: while it is full
-    /// only hits are asked for, and known misses are rejected, large ones first.
+    /// Guards against a full link, where fills outlast their requests and every miss is answered late: while it is full
+    /// only hits are requested, and known misses are rejected, large ones first.
     pub(super) fn link_admits(&self, state: &RequestState, class_mean_ms: f64) -> bool {
-        // Of requests without a size most bytes are in few large ones, so these stop sooner, by their class's mean.
+        // Among requests of unknown size a few large ones carry most of the bytes. They are held to a lower limit, and
+        // their class's mean stands for their size.
         let mean_ms = if state.request.size_kb.is_some() {
             class_mean_ms
         } else {
@@ -59,7 +63,7 @@
         })
     }
 
-    /// Whether the link, by its last report, has capacity beside the fills.
+    /// Whether the link, by its last known load, has capacity for more than fills.
     pub(super) fn link_is_idle(&self) -> bool {
         self.link.is_some_and(|link| link.value < IDLE_LINK)
     }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,25 +1,28 @@
-//! Every decision of one dispatcher. A caller makes a [`DecisionEngine`] with `start` and tells it each fact by a
-//! call: `list`, `request`, `attempt_ended`, `purge`, `guided`, `wake`, `client_left`, `ends_at`. Each call
-//! returns [`Decisions`], applied in the order of its fields: cancels, attempts, final answers, next wake.
-//! An answered attempt is its request's final answer. Reasons: `docs/design.md`.
+//! The decision engine: all routing decisions of one dispatcher.
+//!
+//! A caller creates a [`DecisionEngine`] with `start` and reports each event by a call: `list`, `request`,
+//! `attempt_ended`, `purge`, `guided`, `seen`, `wake`, `client_left`, `ends_at`. Each call returns [`Decisions`], which
+//! the caller applies in the order of the fields: cancels, attempts, final answers, load polls, next wake. The answer
+//! to an attempt is its request's final answer, so the engine returns none for it. The reasons behind the decisions are
+//! in `docs/design.md`.
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | `rules` | in which order the rules of a request are gone through, and when |
-//! | `dispatch` | when an attempt is sent, and what it asks for |
-//! | `route_selection` | which way a request takes: cache and source, past the caches, or none now |
+//! | `rules` | in which order the rules of a request are applied, and when |
+//! | `dispatch` | when an attempt is sent, and with which options |
+//! | `route_selection` | which route a request takes: cache and source, past the caches, or none now |
 //! | `cache_selection`, `source_selection` | the cache of a request, the source of its fill |
 //! | `rendezvous` | the hash order of hosts for an object |
-//! | `load`, `link` | whether a cache, or the location's link, takes one more request |
-//! | `slow_start` | how much a cold host is sent |
-//! | `outliers`, `measurements` | which hosts are out of use, and which sources the origin beats |
-//! | `retries`, `hedging` | whether a request may be sent again, or beside a silent attempt |
+//! | `load`, `link` | whether a cache, or the location's link, has capacity for one more request |
+//! | `slow_start` | how much work a cold host is sent |
+//! | `outliers`, `measurements` | which hosts are ejected, and which sources the origin beats |
+//! | `retries`, `hedging` | whether a request may be sent again, or in parallel to a silent attempt |
 //! | `answers` | when a request is given up, and with which answer |
 //! | `freshness` | how old a copy may be |
-//! | `clearance` | whether an attempt still stands once its connection is up |
-//! | `completion`, `peers`, `load_polls` | what ended attempts, peers and polled hosts change |
+//! | `clearance` | whether an attempt may still be sent once its connection is established |
+//! | `completion`, `peers`, `load_polls` | what ended attempts, hints of peers and load polls change |
 //!
-//! `state`, `class_statistics`, `completed_attempt` and `constants` hold what these work on.
+//! `state`, `class_statistics`, `completed_attempt` and `constants` define the data that these modules work on.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -60,51 +63,51 @@
 use slow_start::SlowStart;
 use state::{Host, ObjectPart, Purge, RequestState, Timer, WarmupCharge};
 
-/// All decisions of one dispatcher, with all that they depend on.
+/// Makes all routing decisions of one dispatcher, and holds the state that they depend on.
 pub struct DecisionEngine {
-    /// The time of the present call.
+    /// The time of the current call.
     now: Time,
     started_at: Time,
     rng: Pcg64Mcg,
-    /// In the order of [`DeploymentTerms::classes`].
+    /// By [`ClassId`](crate::ClassId), in the order of [`DeploymentTerms::classes`].
     classes: Vec<ClassStatistics>,
-    /// Dispatchers of this location, this one among them.
+    /// Dispatchers of this location, this one included.
     zone_dispatchers: f64,
-    /// Load of the location's link by its last report: transfers over those that fit at full pace.
+    /// The last known load of the location's link: transfers over those that it carries at full speed.
     pub link: Option<Sampled<f64>>,
     cache_slow_start: SlowStart,
     parent_slow_start: SlowStart,
-    /// How long before its deadline a request gets its answer.
+    /// How long before its deadline a request is answered at the latest.
     answer_margin: Span,
     shutdown_at: Time,
-    /// The time named to rejected clients, those among them that the caller has no capacity for.
+    /// The retry-after for rejected clients, including those that the caller rejects for lack of capacity.
     pub retry_after: Option<Span>,
     terms: DeploymentTerms,
-    /// Whether the list of hosts can be trusted; if not, no new attempt is made.
+    /// Whether the endpoint list can be trusted; if not, no new attempt is made.
     list_trusted: bool,
-    /// The part of the equal share of a cold host that holds where peers name no quota, 0 to 1.
+    /// The fraction of its equal share that this dispatcher may use of a cold host without a quota from peers, 0 to 1.
     unhinted_fraction: f64,
-    /// Mean transfer time of all requests, in ms.
+    /// Mean transfer time of the requests of all classes, in ms.
     mean_transfer_ms: f64,
     next_load_poll: Time,
     hosts: BTreeMap<HostId, Host>,
     requests: BTreeMap<RequestId, RequestState>,
     purges: Vec<Purge>,
-    /// When objects were last asked for.
+    /// When each object was last requested.
     recent_objects: BTreeMap<ObjectId, Time>,
-    /// What was promised to requests that were given up, for clients that ask again.
+    /// The latency objectives of requests that were given up, which hold for the clients' retries as well.
     promised_objectives: BTreeMap<ObjectPart, Time>,
     timers: BTreeSet<Timer>,
-    /// Requests whose rules are to be gone through in this call.
+    /// Requests whose rules are applied in this call.
     ready: BTreeSet<RequestId>,
     next_cleanup: Time,
     /// The time last returned as [`Decisions::wake`].
     announced_wake: Option<Time>,
-    /// What the present call returns.
+    /// What the current call returns.
     decisions: Decisions,
 }
 
-/// Dispatchers of this dispatcher's location, at least itself.
+/// Returns the number of dispatchers in this dispatcher's location, at least 1.
 fn dispatchers_of_own_zone(terms: &DeploymentTerms) -> f64 {
     terms
         .zone_dispatchers
@@ -113,7 +116,7 @@
 }
 
 impl DecisionEngine {
-    /// A new instance; the seed is its only source of chance.
+    /// Creates an engine; the seed is its only source of randomness.
     pub fn start(now: Time, seed: u64, mut terms: DeploymentTerms) -> (DecisionEngine, Decisions) {
         let zone_dispatchers = dispatchers_of_own_zone(&terms);
         let classes = std::mem::take(&mut terms.classes);
@@ -155,11 +158,11 @@
         (engine, decisions)
     }
 
-    /// Lines of the list of hosts; with the whole list, what it leaves out is gone.
+    /// Applies an endpoint list; hosts that a full list does not name are removed.
     pub fn list(&mut self, now: Time, list_kind: ListKind, lines: Vec<Endpoint>) -> Decisions {
         if list_kind == ListKind::Full {
             for host in self.hosts.values_mut() {
-                host.endpoint.health = Health::Removed; // unless a line says otherwise
+                host.endpoint.health = Health::Removed; // until the list names the host
             }
         }
         for line in lines {
@@ -169,7 +172,8 @@
         self.wake(now)
     }
 
-    /// Takes in a line of the list: a host that has started anew keeps nothing but what is in flight there.
+    /// Applies one line of the endpoint list. The state of a host that has restarted is reset, except for the count of
+    /// attempts in flight.
     fn update_host(&mut self, now: Time, line: Endpoint) {
         let host = self
             .hosts
@@ -183,7 +187,7 @@
             };
         }
         host.endpoint = line;
-        // Guards against a restarted dispatcher giving a cold host its share a second time.
+        // Guards against a restarted dispatcher using its quota of a cold host a second time.
         let just_started = now.since(self.started_at) < self.cache_slow_start.window;
         if just_started && host.warmup_charges.is_empty() {
             let charge = WarmupCharge::of_earlier_process(self.started_at);
@@ -191,11 +195,11 @@
         }
     }
 
-    /// A client's request, to be given exactly one final answer.
+    /// Accepts a client's request, which is given exactly one final answer.
     pub fn request(&mut self, now: Time, mut request: Request) -> Decisions {
         request.deadline = request.deadline.min(self.shutdown_at);
-        let transfer_ms = self.expect_transfer(&request);
-        // A client that asks again waits since its first request, so what that was promised holds on.
+        let transfer_ms = self.estimate_transfer_ms(&request);
+        // A client that retries has been waiting since its first request, so the objective of that request still holds.
         let promised = self
             .promised_objectives
             .remove(&ObjectPart::of(&request))
@@ -211,9 +215,9 @@
         self.wake(now)
     }
 
-    /// Milliseconds that the answer of a request is expected to take at full pace, by its size or its class's mean; takes
-    /// the request into the means.
-    fn expect_transfer(&mut self, request: &Request) -> f64 {
+    /// Returns the expected transfer time of a request's answer at full speed, in ms, by its size or its class's mean.
+    /// Also adds the request to the means.
+    fn estimate_transfer_ms(&mut self, request: &Request) -> f64 {
         let class = &mut self.classes[request.class.0];
         let kb_per_ms = self.terms.client_kb_per_s / 1000.0;
         let by_size = match request.size_kb {
@@ -232,7 +236,7 @@
         &self.classes[request.class.0]
     }
 
-    /// A purge of one object, or of a whole group, made at the given time.
+    /// Applies a purge of one object, or of a whole group, made at the given time.
     pub fn purge(
         &mut self,
         now: Time,
@@ -248,7 +252,7 @@
         self.wake(now)
     }
 
-    /// The client has left; no answer is owed any more.
+    /// Ends a request whose client has disconnected: it gets no final answer.
     pub fn client_left(&mut self, now: Time, id: RequestId) -> Decisions {
         if let Some(state) = self.requests.get_mut(&id) {
             state.done = true;
@@ -257,7 +261,7 @@
         self.wake(now)
     }
 
-    /// The process ends at that time: no request outlasts it.
+    /// Sets the time at which the process ends: the deadline of every request is that time at the latest.
     pub fn ends_at(&mut self, now: Time, ends: Time) -> Decisions {
         self.shutdown_at = ends;
         for state in self.requests.values_mut() {
--- a/src/decision/outliers.rs
+++ b/src/decision/outliers.rs
@@ -1,4 +1,4 @@
-//! Outliers: reputation, ejection, trials of ejected hosts, and windows of attempts in flight.
+//! Outliers: reputation and ejection of hosts, trials of ejected hosts, and concurrency windows.
 
 use std::collections::BTreeSet;
 
@@ -20,7 +20,7 @@
         self.in_service() && self.reputation >= MIN_REPUTATION
     }
 
-    /// Whether the host's window has a place for one more attempt.
+    /// Whether the host's concurrency window allows one more attempt.
     pub(super) fn has_capacity(&self) -> bool {
         self.in_flight < self.window
     }
@@ -30,7 +30,7 @@
     }
 
     fn record_success(&mut self, now: Time, attempt: &AttemptState) {
-        self.last_heard = now;
+        self.last_response = now;
         self.silent_attempts = 0;
         self.last_success = Some(now);
         let slow_fraction = if self.is(Role::Origin) {
@@ -40,13 +40,15 @@
         };
         let prompt_until = attempt.sent + attempt.overdue.since(attempt.sent) * slow_fraction;
         self.adjust_window(now < prompt_until);
-        // The epsilon keeps rounding from leaving a successful trial below the floor.
+        // The epsilon makes sure that rounding does not leave the reputation below the minimum after a successful
+        // trial.
         self.reputation += SUCCESS_RECOVERY * (1.0 - self.reputation) + f64::EPSILON;
     }
 
-    /// Widens the window of attempts in flight after a prompt success, narrows it after anything else.
+    /// Widens the concurrency window after a prompt success, and narrows it after anything else.
     ///
-    /// Guards against a source that all dispatchers turn to when others fail: it slows down, then stops.
+    /// Guards against overload of a source that all dispatchers turn to when others fail: it would slow down and then
+    /// stop answering.
     pub(super) fn adjust_window(&mut self, prompt: bool) {
         self.window = if prompt {
             self.window + 1.0
@@ -55,10 +57,10 @@
         };
     }
 
-    /// Changes the fraction of objects that parents may fetch from this origin, in the steps of a window.
+    /// Adjusts the fraction of objects that parents may fetch from this origin, as a concurrency window is adjusted.
     ///
-    /// Guards against overload of the origin by fills that parents pass on: no dispatcher sees their sum, but each
-    /// sees how long they wait.
+    /// Guards against overload of the origin by fills that parents forward: no dispatcher sees their total, but each
+    /// sees how long its own ones wait.
     pub(super) fn adjust_origin_fill_fraction(&mut self, prompt: bool) {
         let step = 1.0 / INITIAL_WINDOW;
         self.origin_fill_fraction = if prompt {
@@ -68,10 +70,10 @@
         };
     }
 
-    /// Takes a share of the reputation, narrows the window, and puts the next trial off.
+    /// Reduces the reputation by a fraction of it, narrows the window, and sets the time of the next trial.
     ///
-    /// Guards against a host that stays ejected long after its fault: no reputation sinks below what one success
-    /// lifts back to [`MIN_REPUTATION`].
+    /// Guards against a host that stays ejected long after it has recovered: the reputation does not fall below the
+    /// value that a single success raises back to [`MIN_REPUTATION`].
     fn penalize(&mut self, penalty: f64, next_trial: Time) {
         let lowest = (MIN_REPUTATION - SUCCESS_RECOVERY) / (1.0 - SUCCESS_RECOVERY);
         self.reputation = (self.reputation * (1.0 - penalty)).max(lowest);
@@ -79,7 +81,7 @@
         self.next_trial = next_trial;
     }
 
-    /// Gives back what one failure cost.
+    /// Reverts the reputation penalty of one failure.
     fn refund_penalty(&mut self) {
         self.reputation = (self.reputation / (1.0 - FAILURE_PENALTY)).min(1.0);
     }
@@ -99,7 +101,7 @@
         self.penalize(id, penalty);
     }
 
-    /// Takes a share of a host's reputation, 0 to 1; the whole of it ejects the host at once.
+    /// Reduces a host's reputation by a fraction of it, 0 to 1. A penalty of 1 ejects the host at once.
     pub(super) fn penalize(&mut self, id: &HostId, penalty: f64) {
         let next_trial = self.now + TRIAL_INTERVAL * self.rng.random_range(JITTER);
         if let Some(host) = self.hosts.get_mut(id) {
@@ -107,10 +109,10 @@
         }
     }
 
-    /// Gives caches back what a request that is given up has cost them, if the request itself was at fault.
+    /// Refunds caches the penalties for a request that is given up, if the request itself was the cause.
     ///
-    /// Guards against bad clients that eject caches: a request that three or more caches have failed, each of which
-    /// answered others lately, and that nobody answered, is the cause itself.
+    /// Guards against faulty clients that get caches ejected: a request is the cause itself if all its attempts failed,
+    /// at [`MIN_CACHES_TO_REFUND`] caches or more, each of which has answered other requests recently.
     pub(super) fn refund_penalties(&mut self, id: RequestId) {
         let Some(state) = self.requests.get(&id) else {
             return;
@@ -118,13 +120,13 @@
         if state.failed_by.len() != state.attempts as usize {
             return;
         }
-        let lately = Some(self.now - REPORT_LIFETIME);
+        let recent_since = Some(self.now - REPORT_LIFETIME);
         let mut distinct = BTreeSet::new();
         for id in &state.failed_by {
             let Some(cache) = self.hosts.get(id).filter(|host| host.is(Role::Cache)) else {
                 continue;
             };
-            if cache.last_success <= lately {
+            if cache.last_success <= recent_since {
                 return;
             }
             distinct.insert(id);
--- a/src/decision/peers.rs
+++ b/src/decision/peers.rs
@@ -1,4 +1,4 @@
-//! What dispatchers tell each other of hosts.
+//! Exchange of knowledge about hosts with other dispatchers: hints of peers are applied, own observations are reported.
 
 use crate::{Decisions, Observation, PeerHint, PeerHints, Role, Sampled, Time, WarmupUsage};
 
@@ -7,12 +7,13 @@
 use super::state::Host;
 
 impl DecisionEngine {
-    /// What other dispatchers tell; each call replaces what the one before said. Own samples outweigh theirs of that age.
+    /// Applies the hints of other dispatchers. The quotas, the unhinted share and the trust in the endpoint list
+    /// replace those of the call before. Measurements count only if they are newer than what is known here.
     pub fn guided(&mut self, now: Time, peer_hints: PeerHints) -> Decisions {
         self.now = now;
         self.list_trusted = peer_hints.list_trusted;
         self.unhinted_fraction = peer_hints.unhinted_share.clamp(0.0, 1.0);
-        self.link = later(self.link, peer_hints.link);
+        self.link = later_sample(self.link, peer_hints.link);
         for host in self.hosts.values_mut() {
             host.warmup_quota = None;
         }
@@ -23,7 +24,7 @@
         self.wake(now)
     }
 
-    /// Takes in what peers know of a host; a hint of a host that is not listed has no effect.
+    /// Applies the hint about a host; a hint about a host that is not listed has no effect.
     fn apply_hint(&mut self, hint: &PeerHint) {
         let now = self.now;
         let Some(host) = self.hosts.get_mut(&hint.host) else {
@@ -41,7 +42,7 @@
             host.window = host.window.min(most.max(1.0));
         }
         let ejected = !host.usable();
-        // What others reach again is tried at once, and trusted by what comes of it.
+        // A host that others have reached again gets a trial at once, whose outcome decides about its reputation.
         if ejected && hint.last_success > host.last_failure {
             host.next_trial = now;
         }
@@ -56,7 +57,7 @@
         }
     }
 
-    /// What was seen of each host here, for others to hear.
+    /// Returns what this dispatcher has observed of each host, to be reported to its peers. Resets the unmet demand.
     pub fn observations(&self, now: Time) -> Vec<Observation> {
         self.hosts
             .values()
@@ -73,7 +74,8 @@
             .collect()
     }
 
-    /// This dispatcher's use of a cold host, and the demand that it could not meet since the last time.
+    /// Returns this dispatcher's use of a cold host and its unmet demand there since the last call; `None` for a warm
+    /// host.
     fn warmup_usage(&self, host: &Host, now: Time) -> Option<WarmupUsage> {
         let unmet_ms = host.unmet_demand.take();
         let fraction = self.capacity_over_window(host, now);
@@ -92,8 +94,8 @@
     }
 }
 
-/// The later of two samples; the second if both are of the same time.
-fn later(first: Option<Sampled<f64>>, second: Option<Sampled<f64>>) -> Option<Sampled<f64>> {
+/// Returns the later of two samples; the second if both were taken at the same time.
+fn later_sample(first: Option<Sampled<f64>>, second: Option<Sampled<f64>>) -> Option<Sampled<f64>> {
     match (first, second) {
         (Some(first), Some(second)) if first.at > second.at => Some(first),
         (first, second) => second.or(first),
--- a/src/decision/rules.rs
+++ b/src/decision/rules.rs
@@ -1,14 +1,14 @@
-//! The rules of a request: short ones in a fixed order, gone through until none fires.
+//! The rules that are applied to a request: in a fixed order, until none of them fires.
 
 use crate::{Decisions, Health, RequestId, Time};
 
 use super::DecisionEngine;
 use super::constants::{CLEANUP_INTERVAL, OBJECT_MEMORY};
 
-/// A rule for a request; tells whether it fired, that is, changed anything.
+/// A rule for a request; returns whether it fired, that is, changed anything.
 type Rule = fn(&mut DecisionEngine, RequestId) -> bool;
 
-/// The rules in their order: after one has fired, they are gone through from the first again.
+/// The rules in their order. After one has fired, they are applied from the first again.
 const RULES: [Rule; 6] = [
     DecisionEngine::remove_finished,
     DecisionEngine::answer_before_deadline,
@@ -19,7 +19,8 @@
 ];
 
 impl DecisionEngine {
-    /// The time asked for in an earlier `Decisions::wake` has come, or a fact that calls for decisions.
+    /// Applies the rules to all requests that are ready or whose timers have expired. The caller calls this at the time
+    /// requested by [`Decisions::wake`]; every other event ends in it as well.
     pub fn wake(&mut self, now: Time) -> Decisions {
         self.now = now;
         if now >= self.next_cleanup {
@@ -39,7 +40,7 @@
         std::mem::take(&mut self.decisions)
     }
 
-    /// Asks for a wake at the next timer, unless an earlier one has been asked for and is still to come.
+    /// Requests a wake at the next timer, unless one that is no later has been requested and is still to come.
     fn announce_wake(&mut self) {
         let periodic = self.next_cleanup.min(self.next_load_poll);
         let next = match self.timers.first() {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Forgets what no decision needs any more.
+    /// Removes state that no decision needs any more.
     fn clean_up(&mut self) {
         let now = self.now;
         self.next_cleanup = now + CLEANUP_INTERVAL;
--- a/src/decision/state.rs
+++ b/src/decision/state.rs
@@ -1,4 +1,4 @@
-//! What the decision engine remembers of hosts, requests and attempts.
+//! The state that the decision engine keeps of hosts, requests and attempts.
 
 use std::cell::Cell;
 
@@ -10,66 +10,66 @@
 use super::constants::{INITIAL_WINDOW, TRIAL_INTERVAL};
 use super::rendezvous;
 
-/// A host with its ratings and what this dispatcher has in flight there.
+/// A host with its ratings and this dispatcher's attempts there.
 #[derive(Default)]
 pub(super) struct Host {
     pub(super) endpoint: Endpoint,
-    /// The host's part of every rendezvous score.
+    /// The hash of its id, which is part of every rendezvous score.
     pub(super) hash: u64,
     /// From 0 to 1; below [`MIN_REPUTATION`](super::constants::MIN_REPUTATION) the host is ejected.
     pub(super) reputation: f64,
-    /// From when on the host may have a trial while it is ejected.
+    /// The earliest time of its next trial while it is ejected.
     pub(super) next_trial: Time,
-    /// When it last answered anything.
-    pub(super) last_heard: Time,
-    /// Attempts found overdue since then, up to the number that proves its silence.
+    /// When it last answered an attempt.
+    pub(super) last_response: Time,
+    /// Attempts found overdue since it last answered, up to the number that proves it silent.
     pub(super) silent_attempts: u32,
-    /// Moving averages over own and peers' samples.
+    /// Moving averages over the samples of this dispatcher and its peers.
     pub(super) measurements: SourceMeasurements,
-    /// Fills in a row in which the origin beat it, by each measure.
+    /// Consecutive fills in which the origin beat it, by each measure.
     pub(super) origin_wins: OriginWins,
     /// This dispatcher's attempts in flight, as host or as source.
     pub(super) in_flight: f64,
-    /// The share of its capacity in use by its last report, 0 to 1.
+    /// The fraction of its capacity in use by its last report, 0 to 1.
     pub(super) utilization: Option<Sampled<f64>>,
-    /// Other dispatchers' requests there by the host's last report.
+    /// Requests that other dispatchers have in flight there, by the host's last report.
     pub(super) reported_others: Option<Sampled<f64>>,
-    /// Other dispatchers' attempts in flight there by their own account.
+    /// Attempts that other dispatchers have in flight there, as they report themselves.
     pub(super) others_in_flight: Option<Sampled<f64>>,
-    /// Attempts of this dispatcher that may be in flight, as a source or past the caches.
+    /// Concurrency window: how many attempts this dispatcher may have in flight there, as a source or past the caches.
     pub(super) window: f64,
     /// Of the origin: the fraction of objects that parents may fetch there, 0 to 1.
     pub(super) origin_fill_fraction: f64,
-    /// What this dispatcher sent to it within a window, in the order of sending.
+    /// The work that this dispatcher sent to it within a slow start window.
     pub(super) warmup_charges: Vec<WarmupCharge>,
     /// The fraction of a cold host's capacity that peers grant this dispatcher, 0 to 1.
     pub(super) warmup_quota: Option<f64>,
-    /// Milliseconds of work that it could not be sent for want of quota since the last observation.
+    /// Milliseconds of work that it could not be sent for lack of quota since the last observation.
     pub(super) unmet_demand: Cell<f64>,
-    /// The last own samples.
+    /// This dispatcher's latest samples.
     pub(super) latest_samples: SourceMeasurements,
-    /// When those were taken.
+    /// When the latest samples were taken.
     pub(super) own_measured_at: Option<Time>,
-    /// When the last sample of peers that was taken in was measured.
+    /// When the last applied sample of peers was measured.
     pub(super) peer_measured_at: Option<Time>,
     /// When it was last polled for its load.
     pub(super) last_polled: Option<Time>,
-    /// Times its transfer time that its answers take, with the time of the last sample.
+    /// Moving average of answer times over their transfer times, with the time of the last sample.
     pub(super) slowdown: Sampled<f64>,
-    /// The last own success.
+    /// This dispatcher's last success there.
     pub(super) last_success: Option<Time>,
-    /// The last own failure.
+    /// This dispatcher's last failure there.
     pub(super) last_failure: Option<Time>,
 }
 
-/// Fills in a row in which the origin beat a source, by each measure.
+/// Consecutive fills in which the origin beat a source, by each measure.
 #[derive(Default)]
 pub(super) struct OriginWins {
     pub(super) latency: u32,
     pub(super) bandwidth: u32,
 }
 
-/// What an attempt counts for against the slow start of a host.
+/// The work of one attempt, counted against the slow start quota of a host.
 pub(super) struct WarmupCharge {
     pub(super) at: Time,
     pub(super) request: RequestId,
@@ -79,7 +79,7 @@
 }
 
 impl WarmupCharge {
-    /// Stands for all that an earlier process of this dispatcher may have sent: it uses up any quota.
+    /// Stands for whatever an earlier process of this dispatcher may have sent: it uses up any quota.
     pub(super) fn of_earlier_process(at: Time) -> WarmupCharge {
         WarmupCharge {
             at,
@@ -107,7 +107,7 @@
                 value: 1.0,
                 at: now,
             },
-            last_heard: now,
+            last_response: now,
             ..Host::default()
         }
     }
@@ -124,7 +124,7 @@
         self.endpoint.health == Health::InService
     }
 
-    /// Takes in the host's own report; what that leaves out stays as it was.
+    /// Applies the host's own load report; values that the report leaves out stay as they were.
     pub(super) fn record_report(&mut self, now: Time, report: LoadReport) {
         if let Some(requests) = report.in_hand {
             self.reported_others = Some(Sampled {
@@ -140,18 +140,18 @@
         }
     }
 
-    /// An attempt is no longer in flight.
+    /// Removes one attempt from those in flight.
     pub(super) fn release(&mut self) {
         self.in_flight = (self.in_flight - 1.0).max(0.0);
     }
 }
 
-/// What an overdue attempt was found to be.
+/// Why an attempt is overdue.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum OverdueCause {
-    /// Its host or source has answered nothing since.
+    /// Its host or source has stopped answering.
     Silent,
-    /// Both have answered others.
+    /// Its host and source have answered other attempts in the meantime.
     Slow,
 }
 
@@ -159,19 +159,19 @@
 pub(super) struct AttemptState {
     pub(super) index: AttemptIndex,
     pub(super) host: HostId,
-    /// The host itself where there is no fill.
+    /// Equal to `host` if there is no fill.
     pub(super) source: HostId,
     pub(super) sent: Time,
-    /// When it counts as overdue.
+    /// When it becomes overdue.
     pub(super) overdue: Time,
-    /// Set once it is overdue.
+    /// Set once the cause of its being overdue is decided.
     pub(super) overdue_cause: Option<OverdueCause>,
-    /// Its source was due for a trial.
+    /// Whether its source was due for a trial.
     pub(super) trial: bool,
 }
 
 impl AttemptState {
-    /// Its host and its source, each once, in the order of their ids.
+    /// Returns its host and its source in the order of their ids; one item if they are the same.
     pub(super) fn participants(&self) -> impl Iterator<Item = &HostId> {
         let (first, second) = if self.host <= self.source {
             (&self.host, &self.source)
@@ -181,7 +181,7 @@
         std::iter::once(first).chain((first != second).then_some(second))
     }
 
-    /// Nothing but a hit is asked for: the host has no source beside itself.
+    /// Whether only a hit is requested: the host has no source other than itself.
     pub(super) fn without_fill(&self) -> bool {
         self.source == self.host
     }
@@ -198,23 +198,23 @@
     pub(super) request: Request,
     /// Milliseconds that a cache at full pace takes to send the answer.
     pub(super) transfer_ms: f64,
-    /// The time promised to the client.
+    /// When its answer is due by the latency objective.
     pub(super) objective: Time,
     pub(super) in_flight: Vec<AttemptState>,
     /// Attempts made so far.
     pub(super) attempts: u32,
     pub(super) may_have_run: Option<PossibleRun>,
-    /// No attempt before this time.
+    /// The earliest time of its next attempt.
     pub(super) not_before: Time,
     /// Backoffs so far.
     pub(super) backoffs: u32,
-    /// The cache that it belongs to lacks the object.
+    /// A cache answered that it has no copy, or no slot for a fill.
     pub(super) missed: bool,
-    /// Hosts and sources not to be asked again.
+    /// Hosts and sources that are not used for it again.
     pub(super) tried: Vec<HostId>,
-    /// Hosts that answered it as failed, and named no other.
+    /// Hosts that answered it with a failure of their own, not of a source.
     pub(super) failed_by: Vec<HostId>,
-    /// It is answered, or its client has left.
+    /// It has its final answer, or its client has disconnected.
     pub(super) done: bool,
 }
 
@@ -245,12 +245,12 @@
         self.tried.contains(host.id())
     }
 
-    /// Milliseconds until the time promised to the client; none if that has passed.
+    /// Returns the milliseconds until the answer is due by the latency objective; zero if that time has passed.
     pub(super) fn objective_left_ms(&self, now: Time) -> f64 {
         self.objective.since(now).ms()
     }
 
-    /// When the request has to get its answer, a margin before its deadline.
+    /// Returns the timer at which the request has to be answered, a margin before its deadline.
     pub(super) fn answer_timer(&self, margin: Span) -> Timer {
         Timer {
             at: self.request.deadline - margin,
@@ -263,7 +263,7 @@
     }
 }
 
-/// An object's part, which caches keep by itself.
+/// A part of an object; caches keep each part separately.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ObjectPart {
     pub(super) object: ObjectId,
@@ -279,14 +279,14 @@
     }
 }
 
-/// A purge of an object, or of a group where no object is named.
+/// A purge of one object, or of a whole group if no object is named.
 pub(super) struct Purge {
     pub(super) object: Option<ObjectId>,
     pub(super) group: GroupId,
     pub(super) made: Time,
 }
 
-/// A time at which a request has to be looked at again.
+/// A time at which the rules of a request are applied again.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Timer {
     pub(super) at: Time,
