--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: a request sent to one host, and how that ended.
+//! Attempts to have a request answered by a host, their outcomes and cancels.
 
 use crate::{AttemptIndex, HostId, LoadReport, RequestId, Span, Time};
 
@@ -7,25 +7,25 @@
 pub enum AttemptOutcome {
     /// The host gave the client's answer.
     Answered,
-    /// The host answered that it had failed; the request may have run.
+    /// The host answered that it failed to process the request, which may have run.
     Errored,
-    /// The host refused the request, which has not run.
+    /// The host rejected the request, which has not run.
     Rejected,
-    /// No answer came in the time allowed; the request may have run.
+    /// No answer arrived in the time allowed; the request may have run.
     TimedOut,
-    /// No connection came up, or it ended before the last byte was written: the request has not run.
+    /// No connection was established, or it ended before the last byte was written: the request has not run.
     NotConnected,
     /// The connection ended, or could not be read, after the request was written: it may have run.
     Broken,
     /// A connection that had been idle ended without an answer: the request may have run, and the host is not at fault.
     Stale,
-    /// It was cancelled; the request may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// This process could not send it: the request has not run.
+    /// The dispatcher's process could not send the attempt: the request has not run.
     NotSent,
-    /// It was not sent because it was no longer needed by the time it could be.
+    /// The attempt was not sent, because it was no longer needed by the time that it could be sent.
     Superseded,
-    /// The host holds no copy and was not to fill one.
+    /// The host has no copy, and the attempt did not allow a fill.
     NoCopy,
 }
 
@@ -43,95 +43,95 @@
     }
 }
 
-/// What the answer tells of the copy or of the fill.
+/// How a cache obtained its answer, or why it could not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FillOutcome {
-    /// Nothing is told.
+    /// The answer says nothing about it.
     Nothing,
-    /// The host held a copy.
+    /// The host had a copy.
     Hit,
-    /// The source filled the miss from what it held.
+    /// The source filled the miss from its own copy.
     Filled,
     /// The source, a parent, fetched the object from the origin to fill the miss.
     FilledThroughOrigin,
-    /// The host was filling the same object already, and this request waited for that.
+    /// The host was already filling the same object, and this request waited for that fill.
     Joined,
-    /// The host gave a copy past its fresh time.
+    /// The host answered with a copy past its fresh time.
     Stale,
-    /// The source refused the fill.
+    /// The source rejected the fill.
     SourceRefused,
     /// The source could not be reached.
     SourceUnreached,
-    /// The source was to give only what it held, and held no copy.
+    /// The source was to answer from its cache only, and has no copy.
     SourceLacks,
-    /// The host had no place for a fill.
+    /// The host had no free slot for a fill.
     NoSlot,
-    /// The origin failed, asked by the host or by its source.
+    /// A fetch from the origin failed, by the host or by its source.
     OriginFailed,
 }
 
-/// The end of an attempt.
+/// The report of the caller that an attempt has ended.
 #[derive(Clone, Debug)]
 pub struct AttemptEnded {
     /// The request.
     pub request: RequestId,
-    /// The attempt's number within it.
+    /// The index of the attempt within its request.
     pub index: AttemptIndex,
     /// The host that it was sent to.
     pub host: HostId,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// From its start to its end.
+    /// The time from its start to its end.
     pub took: Span,
-    /// The request has its final answer.
+    /// Whether the request has its final answer.
     pub closed: bool,
-    /// What the answer tells of the copy or of the fill.
+    /// How the cache obtained its answer, or why it could not.
     pub fill: FillOutcome,
-    /// The fill's wait for the source's first byte, or until it failed.
+    /// How long the fill waited for the source's first byte, or until it failed.
     pub waited: Option<Span>,
-    /// What the host reports of its load with the answer.
+    /// The load that the host reported with the answer.
     pub report: LoadReport,
 }
 
-/// Cancel an attempt.
+/// A decision to cancel an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cancel {
     /// The request.
     pub request: RequestId,
-    /// The attempt's number within it.
+    /// The index of the attempt within its request.
     pub index: AttemptIndex,
 }
 
-/// Send a request to a host.
+/// A decision to send a request to a host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
     /// The request.
     pub request: RequestId,
     /// The host that it is sent to.
     pub host: HostId,
-    /// Where a miss is filled from; the host itself for no fill.
+    /// The host that a miss is filled from; equal to `host` if a miss is not filled.
     pub source: HostId,
     /// The time allowed for the answer.
     pub allow: Span,
-    /// A miss may wait for a fill of the same object that is under way.
+    /// Whether a miss may wait for a fill of the same object that is in progress.
     pub join: bool,
-    /// The host may renew a copy in the last part of its fresh time, after it has answered.
+    /// Whether the host may renew a copy in the last part of its fresh time, after it has answered.
     pub renew: bool,
-    /// The source gives only what it holds.
+    /// Whether the source may answer only from its cache.
     pub only_held: bool,
-    /// The age of the oldest copy that will do; none for the class's fresh time.
+    /// The greatest age of a copy that may be used; `None` for the class's fresh time.
     pub oldest: Option<Span>,
-    /// Not on a connection that has been idle, which may be dead without a sign.
+    /// Whether it must not be sent on a connection that has been idle, as such a connection may be dead unnoticed.
     pub fresh: bool,
     /// The rank at which the cache keeps the object, 1 to 3; 0 for not at all.
     pub keep: u8,
 }
 
-/// What an attempt that still stands may ask for by now, its connection having taken a while to come up.
+/// Permission to send an attempt once its connection is established, with the terms that apply by then.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Clearance {
-    /// The age of the oldest copy that will do; none for the class's fresh time.
+    /// The greatest age of a copy that may be used; `None` for the class's fresh time.
     pub oldest: Option<Span>,
-    /// When its last byte has to be written: past that it may not run any more.
+    /// The time by which the last byte has to be written; after that the request may no longer run.
     pub sent_by: Time,
 }
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -1,8 +1,8 @@
-//! What a deployment settles before the first request.
+//! The parameters of a deployment, which are fixed before the first request.
 
 use crate::{RequestClass, Span, ZoneId};
 
-/// What an instance is handed at start.
+/// The parameters of a deployment that a decision engine is started with.
 #[derive(Clone, Debug)]
 pub struct DeploymentTerms {
     /// The classes of requests, by [`ClassId`](crate::ClassId).
@@ -13,25 +13,25 @@
     pub zone_dispatchers: Vec<u32>,
     /// Dispatchers in all zones.
     pub dispatchers: u32,
-    /// The longest time between a wake that was asked for and the call.
+    /// The longest delay of a `wake` call after the time that was requested for it.
     pub tick: Span,
-    /// Attempts in flight may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub may_cancel: bool,
-    /// A request may have several attempts in flight.
+    /// Whether a request may have several attempts in flight, that is, whether it may be hedged.
     pub may_duplicate: bool,
-    /// A rejection may name a time after which to retry.
+    /// Whether a rejection may carry a retry-after.
     pub may_name_return: bool,
-    /// The longest such time.
+    /// The longest retry-after.
     pub longest_return: Span,
-    /// Attempts that a request may have.
+    /// The number of attempts that a request may have.
     pub most_attempts: u32,
     /// The fraction of its capacity that a cache has at its start, 0 to 1.
     pub cold_from: f64,
     /// Time from its start after which a cache has all its capacity.
     pub warm_within: Span,
-    /// Times its present capacity that a warming cache can be asked for over a window before it falls over.
+    /// The multiple of its present capacity that a warming cache can be sent over an overload window without failing.
     pub overload_factor: f64,
-    /// The length of that window, for caches and parents.
+    /// The length of the overload window of caches and parents.
     pub fall_window: Span,
     /// As `cold_from`, of parents.
     pub parent_cold_from: f64,
@@ -39,16 +39,16 @@
     pub parent_warm_within: Span,
     /// As `overload_factor`, of parents.
     pub parent_overload_factor: f64,
-    /// Requests may be sent past the caches.
+    /// Whether requests may be sent past the caches.
     pub direct: bool,
-    /// Caches may let a miss wait for a fill of the same object that is under way.
+    /// Whether a cache may let a miss wait for a fill of the same object that is in progress.
     pub joins: bool,
-    /// The pace of an answer to a client, in KB a second; 0 if sizes say nothing of times.
+    /// The speed of an answer to a client, in KB per second; 0 if transfer times can't be derived from sizes.
     pub client_kb_per_s: f64,
     /// Time after which a purge has reached all copies.
     pub purge_settles: Span,
-    /// Reports tell how full the location's link is.
+    /// Whether load reports contain the load of the location's link.
     pub tells_link: bool,
-    /// Hosts may be polled, and tell their load only then.
+    /// Whether hosts may be polled for their load, which they report only then.
     pub may_look: bool,
 }
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -1,5 +1,5 @@
-//! The hash behind orders that are the same everywhere: every dispatcher's order of hosts, every forwarder's order of
-//! planners.
+//! The hash functions of rendezvous hashing, by which all dispatchers order hosts and all forwarders order planners in
+//! the same way.
 
 /// Mixes the bits of a number (the finalizer of SplitMix64).
 pub fn mix(mut x: u64) -> u64 {
@@ -8,7 +8,7 @@
     x ^ (x >> 31)
 }
 
-/// A hash of a name with a seed (FNV-1a).
+/// Returns the hash of a name with a seed (FNV-1a).
 pub fn of_name(name: &str, with: u64) -> u64 {
     name.bytes().fold(0xcbf29ce484222325 ^ with, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x100000001b3)
--- a/src/id.rs
+++ b/src/id.rs
@@ -1,21 +1,21 @@
-//! Names of requests, objects, hosts and places, each a type of its own.
+//! Identifiers of requests, objects, hosts and locations, each a type of its own.
 
 use std::rc::Rc;
 
-/// Names a request within its dispatcher.
+/// Identifies a request within its dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// Names an object, the same at every dispatcher.
+/// Identifies an object, the same at every dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ObjectId(pub u64);
 
-/// Names a group of objects that are purged together.
+/// Identifies a group of objects that are purged together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GroupId(pub u64);
 
 impl GroupId {
-    /// Stands for all groups in a purge.
+    /// The value by which a purge applies to all groups.
     pub const ALL: GroupId = GroupId(u64::MAX);
 }
 
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub usize);
 
-/// Names a cell, a part of a location whose hosts drop each other's repeats.
+/// Identifies a cell: a part of a location, whose hosts may deduplicate requests among each other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CellId(pub u64);
 
@@ -35,6 +35,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptIndex(pub u32);
 
-/// Names a host, the same at every dispatcher; its address may differ.
+/// Identifies a host, the same at every dispatcher; its address may differ between dispatchers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostId(pub Rc<str>);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! flaxdeck: which cache gets a request, which source fills a miss, and when to stop trying.
+//! flaxdeck: decides which cache gets a request, which source fills a miss, and when a request is given up.
 //!
-//! [`decision::DecisionEngine`] holds every decision of one dispatcher; [`polled::PolledEngine`] serves callers that give
-//! each request a task of its own. The types that go in and come out are re-exported at the root of the crate.
+//! [`decision::DecisionEngine`] makes all decisions of one dispatcher; [`polled::PolledEngine`] wraps it for callers
+//! that run each request in a task of its own. Their input and output types are re-exported at the root of the crate.
 
 mod attempt;
 pub mod decision;
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,26 +1,26 @@
-//! What dispatchers tell each other of hosts: observations go out, hints come in.
+//! What dispatchers exchange about hosts: a dispatcher reports observations and receives hints.
 
 use crate::{HostId, Sampled, Time};
 
-/// Mean measurements of a host as a source of fills; a measurement without a sample is absent.
+/// Measurements of a host as a source of fills; `None` without a sample.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SourceMeasurements {
-    /// Milliseconds to a fill's first byte.
+    /// Time to a fill's first byte, in ms.
     pub latency: Option<f64>,
-    /// Kilobytes per millisecond.
+    /// Transfer rate of a fill, in KB per ms.
     pub bandwidth: Option<f64>,
 }
 
-/// What one dispatcher has seen of a host itself.
+/// What one dispatcher has observed of a host itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
     /// The host.
     pub host: HostId,
-    /// Its latest start; absent if that is long past.
+    /// Its latest start; `None` if that is long past.
     pub started: Option<Time>,
     /// This dispatcher's own latest samples.
     pub measurements: SourceMeasurements,
-    /// When those were taken.
+    /// When the samples were taken.
     pub measured_at: Option<Time>,
     /// This dispatcher's last success at the host.
     pub last_success: Option<Time>,
@@ -28,42 +28,42 @@
     pub last_failure: Option<Time>,
     /// This dispatcher's attempts in flight there.
     pub in_flight: f64,
-    /// Present while the host warms up.
+    /// This dispatcher's use of the host while it warms up; `None` for a warm host.
     pub warmup: Option<WarmupUsage>,
 }
 
-/// A dispatcher's use of a host that warms up, as fractions of all that the host can take within a window.
+/// A dispatcher's use of a warming host, as fractions of the work that the host can take within a slow start window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmupUsage {
     /// The fraction that each dispatcher gets if all get the same.
     pub equal_share: f64,
-    /// What this dispatcher has used within the window.
+    /// The work that this dispatcher has sent within the window.
     pub used: f64,
-    /// What it could not send to the host for want of quota since the last observation.
+    /// The work that it could not send for lack of quota since the last observation.
     pub unmet: f64,
 }
 
-/// A dispatcher's quota of a host that warms up, granted for one start of it.
+/// A dispatcher's quota of a warming host, granted for one start of the host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmupQuota {
-    /// The start that the quota belongs to; it is void after another.
+    /// The start of the host that the quota applies to; it is void after a later one.
     pub started: Option<Time>,
-    /// A fraction of all that the host can take within a window, 0 to 1.
+    /// The fraction of the work that the host can take within a slow start window, 0 to 1.
     pub fraction: f64,
 }
 
-/// What others know of a host.
+/// What other dispatchers know about a host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerHint {
     /// The host.
     pub host: HostId,
-    /// The quota while it warms up; the equal share if absent.
+    /// The quota while it warms up; `None` for a part of the equal share, see [`PeerHints::unhinted_share`].
     pub quota: Option<WarmupQuota>,
-    /// Measurements weighed over several dispatchers.
+    /// Measurements combined over several dispatchers.
     pub measurements: SourceMeasurements,
-    /// When the youngest sample in them was taken.
+    /// When the latest sample among the measurements was taken.
     pub measured_at: Option<Time>,
-    /// When the last of several dispatchers failed there, with no success of any since.
+    /// When the last of several dispatchers failed there, if none has succeeded since.
     pub down_at: Option<Time>,
     /// When any dispatcher last succeeded there.
     pub last_success: Option<Time>,
@@ -73,14 +73,14 @@
     pub others_in_flight: Option<Sampled<f64>>,
 }
 
-/// All that holds of what others told at a time.
+/// The hints of other dispatchers that are valid at a time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerHints {
-    /// Hints by host; a host without one is decided by own knowledge.
+    /// Hints by host. For a host without one, a dispatcher relies on its own observations.
     pub hints: Vec<PeerHint>,
-    /// The part of its equal share that a dispatcher may use of a host whose quota no hint names, 0 to 1.
+    /// The fraction of its equal share that a dispatcher may use of a warming host without a quota, 0 to 1.
     pub unhinted_share: f64,
-    /// Load of the location's link, as [`LoadReport::link`](crate::LoadReport::link) tells it.
+    /// Load of the location's link, as in [`LoadReport::link`](crate::LoadReport::link).
     pub link: Option<Sampled<f64>>,
     /// Whether the endpoint list can be trusted; if not, no new attempt is made.
     pub list_trusted: bool,
--- a/src/polled.rs
+++ b/src/polled.rs
@@ -1,6 +1,8 @@
-//! The decision engine for callers that give each request a task of its own: `report` what became known, `pick` a
-//! request's next step until that is to wait, `tick` at the time that `due` names. It only keeps in order what the
-//! decision engine returns; nothing here decides.
+//! The decision engine for callers that run each request in a task of its own.
+//!
+//! A caller reports events with `report`, takes a request's steps with `pick` until the step is to wait, and calls
+//! `tick` at the time that `due` returns. This module only queues what the decision engine returns, and decides nothing
+//! itself.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -11,29 +13,29 @@
     Sampled, Span, Time,
 };
 
-/// What became known.
+/// An event that the caller reports.
 #[derive(Debug)]
 pub enum Input {
-    /// Lines of the list of hosts.
+    /// A full or delta endpoint list has arrived.
     EndpointList(ListKind, Vec<Endpoint>),
     /// A purge was made.
     Purged {
-        /// The object; none for all objects of the group.
+        /// The object; `None` for all objects of the group.
         object: Option<ObjectId>,
         /// The group; [`GroupId::ALL`] for all groups.
         group: GroupId,
-        /// When it was made.
+        /// When the purge was made.
         made: Time,
     },
-    /// A client's request has come.
+    /// A client's request has arrived.
     RequestArrived(Request),
     /// An attempt has ended; if it was answered, that is its request's final answer.
     AttemptEnded(AttemptEnded),
-    /// The client of a request has left.
+    /// The client of a request has disconnected.
     ClientLeft(RequestId),
-    /// What other dispatchers tell.
+    /// Hints of other dispatchers have arrived.
     PeerHints(PeerHints),
-    /// This process ends at that time.
+    /// The process ends at the given time.
     ShutdownAt(Time),
 }
 
@@ -44,34 +46,34 @@
     Attempt(AttemptIndex, Attempt),
     /// Cancel an attempt.
     Cancel(AttemptIndex),
-    /// Reject the request, and name the time after which the client may retry.
+    /// Reject the request, with a retry-after for the client if there is one.
     Reject(Option<Span>),
     /// Answer the request as failed.
     Fail,
-    /// Nothing now; ask again when the request is named by `report` or `tick`.
+    /// Nothing to do until `report` or `tick` returns the request again.
     Wait,
 }
 
-/// The steps of a request that were not picked yet.
+/// The steps of a request that have not been picked yet.
 #[derive(Default)]
 struct StepQueue {
     steps: VecDeque<Step>,
     /// Attempts so far, picked or not.
     attempts: u32,
-    /// The request has its final answer, or its client has left.
-    over: bool,
+    /// Whether the request has its final answer, or its client has disconnected.
+    finished: bool,
 }
 
-/// One dispatcher's decisions, asked for request by request.
+/// A decision engine whose decisions are picked request by request.
 pub struct PolledEngine {
     engine: DecisionEngine,
     queues: BTreeMap<RequestId, StepQueue>,
-    /// All times at which the decision engine asked to be woken, and that have not come.
+    /// The times still to come at which the decision engine has to be woken.
     wakes: BTreeSet<Time>,
 }
 
 impl PolledEngine {
-    /// A new instance; the seed is its only source of chance.
+    /// Creates an engine; the seed is its only source of randomness.
     pub fn start(now: Time, seed: u64, terms: DeploymentTerms) -> PolledEngine {
         let (engine, decisions) = DecisionEngine::start(now, seed, terms);
         let mut engine = PolledEngine {
@@ -83,7 +85,7 @@
         engine
     }
 
-    /// Takes in what became known; gives the requests that have a step to pick.
+    /// Applies an event; returns the requests that have a step to pick.
     pub fn report(&mut self, now: Time, input: Input) -> Vec<RequestId> {
         let decisions = match input {
             Input::EndpointList(list_kind, lines) => self.engine.list(now, list_kind, lines),
@@ -98,21 +100,22 @@
             }
             Input::AttemptEnded(ended) => {
                 if ended.outcome == AttemptOutcome::Answered {
-                    self.end(ended.request);
+                    self.finish(ended.request);
                 }
                 self.engine.attempt_ended(now, ended)
             }
             Input::PeerHints(hints) => self.engine.guided(now, hints),
             Input::ShutdownAt(ends) => self.engine.ends_at(now, ends),
             Input::ClientLeft(request) => {
-                self.end(request);
+                self.finish(request);
                 self.engine.client_left(now, request)
             }
         };
         self.enqueue_all(decisions)
     }
 
-    /// To be called at the time that `due` names, or a little later; gives the requests that have a step to pick.
+    /// Applies what is due by now; returns the requests that have a step to pick. To be called at the time that `due`
+    /// returns, or a little later.
     pub fn tick(&mut self, now: Time) -> Vec<RequestId> {
         if self.due().is_none_or(|due| due > now) {
             return Vec::new();
@@ -122,7 +125,8 @@
         self.enqueue_all(decisions)
     }
 
-    /// Whether an attempt that was picked may still be sent, and what it may ask for by now.
+    /// Decides whether an attempt that was picked may still be sent now that its connection is established, and on
+    /// which terms.
     pub fn clear(
         &mut self,
         now: Time,
@@ -132,50 +136,50 @@
         self.engine.clear(now, request, index)
     }
 
-    /// What was seen of each host here, for others to hear.
+    /// Returns what this dispatcher has observed of each host, to be reported to its peers. Resets the unmet demand.
     pub fn observations(&self, now: Time) -> Vec<Observation> {
         self.engine.observations(now)
     }
 
-    /// Load of the location's link by its last report: transfers over those that fit at full pace.
+    /// Returns the last known load of the location's link: transfers over those that it carries at full speed.
     pub fn link(&self) -> Option<Sampled<f64>> {
         self.engine.link
     }
 
-    /// The time after which a client may retry whose request was not even reported.
+    /// Returns the retry-after for clients whose requests the caller rejects without reporting them.
     pub fn retry_after(&self) -> Option<Span> {
         self.engine.retry_after
     }
 
-    /// When `tick` is to be called next.
+    /// Returns when `tick` is to be called next.
     pub fn due(&self) -> Option<Time> {
         self.wakes.first().copied()
     }
 
-    /// Takes a request's next step; [`Step::Wait`] if it has none.
+    /// Takes a request's next step from its queue; returns [`Step::Wait`] if there is none.
     pub fn pick(&mut self, request: RequestId) -> Step {
         let Some(queue) = self.queues.get_mut(&request) else {
             return Step::Wait;
         };
         let step = queue.steps.pop_front().unwrap_or(Step::Wait);
-        queue.over |= matches!(step, Step::Reject(_) | Step::Fail);
-        if queue.over && step == Step::Wait {
+        queue.finished |= matches!(step, Step::Reject(_) | Step::Fail);
+        if queue.finished && step == Step::Wait {
             self.queues.remove(&request);
         }
         step
     }
 
-    /// Drops what was not picked yet of a request that is over by what the caller saw; cancels stay.
-    fn end(&mut self, request: RequestId) {
+    /// Drops the steps not picked yet of a request that has ended on the caller's side, except for cancels.
+    fn finish(&mut self, request: RequestId) {
         if let Some(queue) = self.queues.get_mut(&request) {
-            queue.over = true;
+            queue.finished = true;
             queue.steps.retain(|step| matches!(step, Step::Cancel(_)));
         }
     }
 
-    /// Puts each decision in its request's queue; gives the requests that have a step to pick.
+    /// Adds each decision to its request's queue; returns the requests that have a step to pick.
     fn enqueue_all(&mut self, decisions: Decisions) -> Vec<RequestId> {
-        // The platform's protocol has no load poll on sockets, so none is passed on.
+        // The wire protocol has no load poll, so the hosts to poll are ignored.
         let Decisions {
             cancels,
             attempts,
@@ -183,18 +187,18 @@
             looks: _,
             wake,
         } = decisions;
-        let mut named = Vec::new();
+        let mut ready = Vec::new();
         for cancel in cancels {
-            named.extend(self.enqueue(cancel.request, |_| Step::Cancel(cancel.index)));
+            ready.extend(self.enqueue(cancel.request, |_| Step::Cancel(cancel.index)));
         }
         for attempt in attempts {
-            named.extend(self.enqueue(attempt.request, |queue| {
+            ready.extend(self.enqueue(attempt.request, |queue| {
                 queue.attempts += 1;
                 Step::Attempt(AttemptIndex(queue.attempts - 1), attempt)
             }));
         }
         for answer in finals {
-            named.extend(match answer {
+            ready.extend(match answer {
                 Final::Rejected {
                     request,
                     retry_after,
@@ -203,11 +207,11 @@
             });
         }
         self.wakes.extend(wake);
-        named.dedup();
-        named
+        ready.dedup();
+        ready
     }
 
-    /// Adds a step to a request's queue, if that is still kept.
+    /// Adds a step to a request's queue; returns `None` if the request has no queue any more.
     fn enqueue(
         &mut self,
         request: RequestId,
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,20 +1,20 @@
-//! Requests of clients, their classes, and the answers that a dispatcher gives by itself.
+//! Clients' requests, their classes, and the final answers that a dispatcher gives itself.
 
 use crate::{ClassId, GroupId, ObjectId, RequestId, Span, Time};
 
-/// Whether a request may run again.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeats {
     /// It may run any number of times.
     Idempotent,
-    /// Hosts that know of its first run drop its repeats.
+    /// Hosts deduplicate it: those that know of its first run drop its repeats.
     Deduplicated {
-        /// The hosts that know of it.
+        /// The hosts that know of the first run.
         scope: Scope,
-        /// How long after the first attempt they do.
+        /// The deduplication window: how long after the first attempt the hosts remember it.
         remembered: Span,
     },
-    /// It must not run again unless it is certain that it has not run.
+    /// It may be sent again only if it is certain that it has not run.
     AtMostOnce,
 }
 
@@ -23,28 +23,29 @@
 pub enum Scope {
     /// All hosts.
     All,
-    /// The hosts of its location.
+    /// The hosts of the same location.
     Zone,
-    /// The hosts of its cell.
+    /// The hosts of the same cell.
     Cell,
 }
 
-/// What is known of a class before its first request.
+/// The parameters of a class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// The time in which an answer without any content is due.
+    /// The latency objective of an answer of size zero.
     pub objective: Span,
-    /// The objective grows by this multiple of the request's sending time.
+    /// The multiple of the request's transfer time that is added to the objective.
     pub stretch: f64,
-    /// Whether its requests may run again.
+    /// Whether its requests may run more than once.
     pub repeats: Repeats,
-    /// Its requests run at the origin and are never cached.
+    /// Whether its requests run at the origin and are never cached, as writes do.
     pub goes_through: bool,
-    /// Its objects are cached in parts.
+    /// Whether its objects are cached in parts.
     pub parted: bool,
-    /// How long a copy is fresh; none if it is until it is purged.
+    /// How long a copy is fresh; `None` if it stays fresh until it is purged.
     pub fresh: Option<Span>,
-    /// How much older than that a copy may be where nothing fresh is to be had, at a part of its priority weight.
+    /// How much older than its fresh time a copy may be where no fresh one is available. Such an answer counts for a
+    /// part of its priority weight.
     pub older: Span,
 }
 
@@ -57,29 +58,29 @@
     pub class: ClassId,
     /// The object that it is for.
     pub object: ObjectId,
-    /// The part of the object, which caches keep by itself.
+    /// The part of the object; caches keep each part separately.
     pub part: u64,
     /// The group that the object is purged with.
     pub group: GroupId,
-    /// The size of the answer in KB, if that is told.
+    /// The size of the answer in KB, if known.
     pub size_kb: Option<f64>,
     /// When the client stops waiting for this request.
     pub deadline: Time,
-    /// The client says that this is a retry of its own.
+    /// Whether the client has marked it as a retry of an earlier request.
     pub again: bool,
 }
 
 /// A final answer that the dispatcher gives itself.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Final {
-    /// It has had no effect, or a retry has no second one.
+    /// The request has had no effect, or a retry would not take effect a second time.
     Rejected {
         /// The request.
         request: RequestId,
-        /// The time after which the client may retry, if one is named.
+        /// The time after which the client may retry, if there is one.
         retry_after: Option<Span>,
     },
-    /// It may have had an effect.
+    /// The request may have had an effect.
     Failed {
         /// The request.
         request: RequestId,
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time and spans of time, as two types that can't be mixed up.
+//! Points in time and lengths of time, as separate types that can't be mixed up.
 
 use std::ops::{Add, Mul, Sub};
 
@@ -10,12 +10,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Span(u64);
 
-/// A value with the time at which it was true.
+/// A value with the time at which it was sampled.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sampled<T> {
     /// The value.
     pub value: T,
-    /// When it was true.
+    /// When it was sampled.
     pub at: Time,
 }
 
@@ -23,42 +23,42 @@
     /// Later than any other time.
     pub const NEVER: Time = Time(u64::MAX);
 
-    /// The time at so many milliseconds of the caller's clock, rounded to microseconds; zero for negative ones.
+    /// Returns the time at `ms` milliseconds of the caller's clock, rounded to microseconds; zero if negative.
     pub fn at_ms(ms: f64) -> Time {
         Time((ms.max(0.0) * 1000.0).round() as u64)
     }
 
-    /// Milliseconds of the caller's clock.
+    /// Returns the milliseconds of the caller's clock.
     pub fn ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 
-    /// The time from `earlier` to this one; zero if `earlier` is later.
+    /// Returns the time from `earlier` to this one; zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Span {
-    /// No time.
+    /// A span of zero length.
     pub const ZERO: Span = Span(0);
 
-    /// A whole number of milliseconds.
+    /// Returns a span of a whole number of milliseconds.
     pub const fn from_ms(ms: u64) -> Span {
         Span(ms * 1000)
     }
 
-    /// So many milliseconds, rounded to microseconds; zero for negative ones.
+    /// Returns a span of `ms` milliseconds, rounded to microseconds; zero if negative.
     pub fn of_ms(ms: f64) -> Span {
         Span((ms.max(0.0) * 1000.0).round() as u64)
     }
 
-    /// Milliseconds.
+    /// Returns its length in milliseconds.
     pub fn ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 
-    /// This span without another; zero if the other is longer.
+    /// Returns this span minus another; zero if the other is longer.
     pub fn less(self, other: Span) -> Span {
         Span(self.0.saturating_sub(other.0))
     }
