--- a/tests/documents.rs
+++ b/tests/documents.rs
@@ -1,5 +1,5 @@
-//! The documents hold against the tree: links lead to files, names of code stand where a link says, and the page on the
-//! architecture names every package.
+//! Checks the documents against the repository: links lead to existing files, linked names are defined in the linked
+//! source files, and the architecture page names every package.
 
 #![allow(
     clippy::expect_used,
@@ -12,7 +12,7 @@
 
 const ARCHITECTURE: &str = "docs/ARCHITECTURE.md";
 
-/// A link of a page: its text and its target, both as written.
+/// A Markdown link of a page: its text and its target, both as written.
 struct Link {
     text: String,
     target: String,
@@ -26,12 +26,15 @@
     fs::read_to_string(path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// The pages at the root and in docs/, incidents aside: those tell of the code as it was.
+/// Returns the pages at the root and in docs/. Incident reports in folders below are left out: they describe the code
+/// as it was at the time.
 fn pages() -> Vec<PathBuf> {
     let mut pages = Vec::new();
     for folder in [root().to_owned(), root().join("docs")] {
-        for entry in fs::read_dir(folder).expect("a folder of the repository") {
-            let path = entry.expect("a file of the repository").path();
+        for entry in fs::read_dir(folder).expect("a folder of the repository is readable") {
+            let path = entry
+                .expect("a folder of the repository is readable")
+                .path();
             if path.extension().is_some_and(|extension| extension == "md") {
                 pages.push(path);
             }
@@ -41,7 +44,7 @@
     pages
 }
 
-/// The links of a page that lead into the repository.
+/// Returns the links of a page that lead to files of the repository.
 fn links(page: &str) -> Vec<Link> {
     let mut links = Vec::new();
     let mut rest = page;
@@ -59,15 +62,15 @@
     links
 }
 
-/// The file or folder that a link of this page leads to.
+/// Returns the file or folder that a link of a page leads to.
 fn file_of(page: &Path, link: &Link) -> PathBuf {
     let target = link.target.split('#').next().unwrap_or_default();
     page.parent()
-        .expect("a page stands in a folder")
+        .expect("a page has a parent folder")
         .join(target)
 }
 
-/// Whether a source file defines an item of that name.
+/// Whether a source file defines an item of the given name.
 fn defines(source: &str, name: &str) -> bool {
     [
         "fn", "struct", "enum", "trait", "type", "const", "static", "mod",
@@ -85,20 +88,23 @@
 
 #[test]
 fn every_link_of_the_documents_leads_to_a_file() {
-    let mut lost = Vec::new();
+    let mut missing = Vec::new();
     for page in pages() {
         for link in links(&read(&page)) {
             if !file_of(&page, &link).exists() {
-                lost.push(format!("{}: {}", page.display(), link.target));
+                missing.push(format!("{}: {}", page.display(), link.target));
             }
         }
     }
-    assert!(lost.is_empty(), "{lost:#?}");
+    assert!(
+        missing.is_empty(),
+        "links whose target does not exist: {missing:#?}"
+    );
 }
 
 #[test]
 fn every_name_linked_to_a_source_file_is_defined_there() {
-    let (mut checked, mut lost) = (0, Vec::new());
+    let (mut checked, mut missing) = (0, Vec::new());
     for page in pages() {
         for link in links(&read(&page)) {
             let named = link
@@ -112,7 +118,7 @@
             checked += 1;
             for part in name.trim_end_matches("()").split("::") {
                 if !defines(&source, part) {
-                    lost.push(format!(
+                    missing.push(format!(
                         "{}: {part} of {name} in {}",
                         page.display(),
                         link.target
@@ -121,28 +127,40 @@
             }
         }
     }
-    assert!(lost.is_empty(), "{lost:#?}");
-    assert!(checked > 30, "only {checked} names are linked");
+    assert!(
+        missing.is_empty(),
+        "names that the linked file does not define: {missing:#?}"
+    );
+    assert!(
+        checked > 30,
+        "the documents link {checked} names to source files, expected more than 30"
+    );
 }
 
 #[test]
-fn the_page_on_the_architecture_names_every_package() {
+fn the_architecture_page_names_every_package() {
     let page = read(&root().join(ARCHITECTURE));
     let mut packages = vec!["examples/toy".to_owned()];
-    for entry in fs::read_dir(root().join("crates")).expect("the packages") {
-        let name = entry.expect("a package").file_name();
+    for entry in fs::read_dir(root().join("crates")).expect("crates is readable") {
+        let name = entry.expect("crates is readable").file_name();
         packages.push(format!("crates/{}", name.to_string_lossy()));
     }
     let missing: Vec<&String> = packages
         .iter()
         .filter(|package| !page.contains(&format!("](../{package})")))
         .collect();
-    assert!(missing.is_empty(), "not in {ARCHITECTURE}: {missing:?}");
+    assert!(
+        missing.is_empty(),
+        "packages that {ARCHITECTURE} does not link: {missing:?}"
+    );
 }
 
 #[test]
-fn the_readme_links_the_page_on_the_architecture_before_all_others() {
+fn the_first_link_of_the_readme_leads_to_the_architecture_page() {
     let readme = read(&root().join("README.md"));
-    let first = links(&readme).into_iter().next().expect("a link");
+    let first = links(&readme)
+        .into_iter()
+        .next()
+        .expect("README.md has a link");
     assert_eq!(first.target, ARCHITECTURE);
 }
