--- a/tests/concurrency_windows.rs
+++ b/tests/concurrency_windows.rs
@@ -1,4 +1,4 @@
-//! How many attempts may be in flight at a source, and what happens at a source that is full.
+//! Concurrency windows: how many attempts may be in flight at a source, and what happens when a source is full.
 
 #![allow(
     clippy::unwrap_used,
@@ -8,16 +8,16 @@
 
 mod fake;
 
-use fake::{Fake, host, is_parent, terms, usual};
+use fake::{Fake, default_hosts, host, is_parent, terms};
 use flaxdeck::{AttemptOutcome, Endpoint, FillOutcome, Role};
 
 #[test]
-fn fills_at_a_parent_keep_to_a_window_and_past_it_only_hits_are_asked_for() {
-    let wide = |line: Endpoint| Endpoint {
+fn fills_from_a_parent_stay_within_its_window_and_only_hits_are_requested_beyond_it() {
+    let wide = |endpoint: Endpoint| Endpoint {
         weight: 500.0,
-        ..line
+        ..endpoint
     };
-    let mut fake = Fake::new(terms(), usual().into_iter().map(wide).collect());
+    let mut fake = Fake::new(terms(), default_hosts().into_iter().map(wide).collect());
     for object in 0..200 {
         fake.request(0, object);
     }
@@ -26,71 +26,90 @@
         .iter()
         .filter(|sent| is_parent(&sent.source))
         .count();
-    assert!((20..100).contains(&fills), "{fills} of 200 may be filled");
+    assert!(
+        (20..100).contains(&fills),
+        "{fills} of 200 attempts may be filled by a parent, expected 20 to 99"
+    );
     assert!(
         fake.sent.iter().any(|sent| sent.source == sent.host),
-        "hits are still asked for"
+        "no hits were requested beyond the window"
     );
 }
 
 #[test]
-fn a_fill_whose_parent_has_no_capacity_goes_to_an_origin_that_has() {
-    let wide = |line: Endpoint| Endpoint {
+fn a_fill_whose_parent_is_full_goes_to_an_origin_with_capacity() {
+    let wide = |endpoint: Endpoint| Endpoint {
         weight: 500.0,
-        ..line
+        ..endpoint
     };
-    let hosts = usual().into_iter().filter(|line| line.host != host("q"));
+    let hosts = default_hosts()
+        .into_iter()
+        .filter(|endpoint| endpoint.host != host("q"));
     let mut fake = Fake::new(terms(), hosts.map(wide).collect());
     for object in 0..60 {
         fake.request(0, object);
     }
-    let at = |name: &str| {
+    let attempts_with_source = |name: &str| {
         fake.sent
             .iter()
             .filter(|sent| sent.source == host(name))
             .count()
     };
     assert_eq!(
-        (at("p"), at("o")),
+        (attempts_with_source("p"), attempts_with_source("o")),
         (24, 24),
-        "its window first, then the origin's, then only hits"
+        "expected fills up to the parent's window, then up to the origin's, then hits only"
     );
 }
 
 #[test]
-fn a_parent_that_refuses_fills_keeps_its_objects() {
-    let no_origin: Vec<_> = usual()
+fn a_parent_that_rejects_fills_keeps_its_objects() {
+    let no_origin: Vec<_> = default_hosts()
         .into_iter()
-        .filter(|line| line.role != Role::Origin)
+        .filter(|endpoint| endpoint.role != Role::Origin)
         .collect();
     let mut fake = Fake::new(terms(), no_origin);
-    let at = fake.request(0, 1);
-    let full = fake.sent[at].source.clone();
+    let position = fake.request(0, 1);
+    let full = fake.sent[position].source.clone();
     assert!(is_parent(&full));
-    // Refused twice, the request waits each time and asks the same parent again, not the other one.
+    // After each of two rejections the request backs off and then uses the same parent again, not the other one.
     for refusals in 1..3 {
         fake.end(
-            at + refusals - 1,
+            position + refusals - 1,
             AttemptOutcome::Rejected,
             FillOutcome::SourceRefused,
             20,
         );
-        assert_eq!(fake.sent.len(), at + refusals, "not at once");
-        fake.pass(250);
-        assert_eq!(fake.sent[at + refusals].source, full);
+        assert_eq!(
+            fake.sent.len(),
+            position + refusals,
+            "the fill was retried without a backoff"
+        );
+        fake.advance(250);
+        assert_eq!(fake.sent[position + refusals].source, full);
     }
-    fake.end(at + 2, AttemptOutcome::Answered, FillOutcome::Filled, 20);
+    fake.end(
+        position + 2,
+        AttemptOutcome::Answered,
+        FillOutcome::Filled,
+        20,
+    );
     let used = (2..40)
-        .filter(|object| fake.fill(*object, 100.0, FillOutcome::Filled, |_| 20) == full)
+        .filter(|object| {
+            fake.request_and_answer(*object, 100.0, FillOutcome::Filled, |_| 20) == full
+        })
         .count();
-    assert!(used > 8, "{used} of 38: its other objects stay as well");
+    assert!(
+        used > 8,
+        "{used} of 38 objects are filled by the parent, expected more than 8"
+    );
 }
 
 #[test]
-fn a_request_refused_by_its_parent_goes_to_a_healthy_origin_and_the_parent_stays_in_use() {
-    let mut fake = Fake::new(terms(), usual());
-    let at = fake.request(0, 1);
-    let full = fake.sent[at].source.clone();
+fn a_fill_rejected_by_a_parent_goes_to_a_healthy_origin_and_the_parent_stays_usable() {
+    let mut fake = Fake::new(terms(), default_hosts());
+    let position = fake.request(0, 1);
+    let full = fake.sent[position].source.clone();
     for object in 2..6 {
         fake.end(
             fake.sent.len() - 1,
@@ -98,7 +117,7 @@
             FillOutcome::SourceRefused,
             20,
         );
-        fake.pass(250);
+        fake.advance(250);
         assert_eq!(fake.last_sent().source, host("o"));
         fake.end(
             fake.sent.len() - 1,
@@ -106,25 +125,31 @@
             FillOutcome::Filled,
             20,
         );
-        let next = (object * 100..object * 100 + 40)
-            .find(|object| fake.fill(*object, 100.0, FillOutcome::Filled, |_| 20) == full);
+        let next = (object * 100..object * 100 + 40).find(|object| {
+            fake.request_and_answer(*object, 100.0, FillOutcome::Filled, |_| 20) == full
+        });
         fake.request(0, next.unwrap());
         assert_eq!(fake.last_sent().source, full);
     }
 }
 
 #[test]
-fn refusals_narrow_a_parents_window() {
+fn rejected_fills_narrow_a_parents_window() {
     let mut fake = Fake::new(
         terms(),
-        usual()
+        default_hosts()
             .into_iter()
-            .filter(|line| line.host != host("q"))
+            .filter(|endpoint| endpoint.host != host("q"))
             .collect(),
     );
     for object in 0..20 {
-        let at = fake.request(0, object);
-        fake.end(at, AttemptOutcome::Rejected, FillOutcome::SourceRefused, 20);
+        let position = fake.request(0, object);
+        fake.end(
+            position,
+            AttemptOutcome::Rejected,
+            FillOutcome::SourceRefused,
+            20,
+        );
     }
     let before = fake.sent.len();
     for object in 100..110 {
@@ -136,22 +161,22 @@
         .count();
     assert!(
         (1..4).contains(&fills),
-        "{fills} of 10 fills at a parent that refused them all"
+        "{fills} of 10 attempts at a parent that rejected 20 fills, expected 1 to 3"
     );
 }
 
 #[test]
 fn slow_fills_narrow_the_origins_window_before_they_are_overdue() {
-    let only_origin = usual()
+    let only_origin = default_hosts()
         .into_iter()
-        .filter(|line| line.role != Role::Parent)
+        .filter(|endpoint| endpoint.role != Role::Parent)
         .collect::<Vec<_>>();
     let sent_at_once = |slow: u64| {
         let mut fake = Fake::new(terms(), only_origin.clone());
         for object in 0..30 {
-            let at = fake.request(0, object);
-            fake.pass(slow);
-            fake.end(at, AttemptOutcome::Answered, FillOutcome::Filled, 20);
+            let position = fake.request(0, object);
+            fake.advance(slow);
+            fake.end(position, AttemptOutcome::Answered, FillOutcome::Filled, 20);
         }
         let before = fake.sent.len();
         for object in 100..130 {
@@ -162,22 +187,23 @@
             .filter(|sent| sent.source == host("o"))
             .count()
     };
-    // A request of 100 ms at an idle cache, with 20 ms to the first byte, is overdue after 390 ms.
+    // A request with a transfer time of 100 ms at an idle cache, with 20 ms to the first byte, is overdue after 390 ms.
     let (quick, slow) = (sent_at_once(100), sent_at_once(300));
     assert!(
         slow < 4 && quick > 12,
-        "{quick} quick and {slow} slow fills at the origin"
+        "{quick} of 30 attempts at the origin after quick fills, expected more than 12; {slow} after slow ones, expected less than 4"
     );
 }
 
-/// With hundreds of dispatchers an origin is asked for twice what it can do while each has one fill in flight there.
+/// Guards against overload of the origin by many dispatchers: with hundreds of them, one fill in flight from each is
+/// twice what the origin can serve, so their concurrency windows alone do not limit the load.
 #[test]
-fn fills_that_wait_long_behind_a_parent_leave_it_fewer_objects_to_fetch() {
-    let mut fake = Fake::new(terms(), usual());
+fn slow_origin_fetches_through_parents_reduce_the_fraction_of_objects_that_may_be_fetched() {
+    let mut fake = Fake::new(terms(), default_hosts());
     let mut first = 0;
     let mut fetched_after = |waited: u64| {
         for n in first..first + 30 {
-            fake.fill(n, 100.0, FillOutcome::FilledThroughOrigin, |_| waited);
+            fake.request_and_answer(n, 100.0, FillOutcome::FilledThroughOrigin, |_| waited);
         }
         let before = fake.sent.len();
         for object in first + 100..first + 120 {
@@ -187,18 +213,18 @@
             .iter()
             .filter(|sent| is_parent(&sent.source) && !sent.only_held)
             .count();
-        for at in before..fake.sent.len() {
-            fake.end(at, AttemptOutcome::Answered, FillOutcome::Hit, 20);
+        for position in before..fake.sent.len() {
+            fake.end(position, AttemptOutcome::Answered, FillOutcome::Hit, 20);
         }
         first += 1000;
         fetched
     };
-    // 500 ms are promised.
+    // The latency objective is 500 ms.
     let prompt = fetched_after(400);
     let slow = fetched_after(900);
     let again = fetched_after(400);
     assert!(
         prompt >= 18 && slow <= 4 && again >= 18,
-        "{prompt}, then {slow}, then {again} of 20 may be fetched"
+        "{prompt} of 20 may be fetched after prompt fills, {slow} after slow ones, {again} after prompt ones again"
     );
 }
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -1,4 +1,4 @@
-//! A fake location: a dispatcher's decision engine, a clock, and hosts that answer as a test says.
+//! A fake location: a dispatcher's decision engine, a clock, and hosts that answer as a test specifies.
 
 #![allow(dead_code, reason = "each test file uses a part of this")]
 #![allow(clippy::expect_used, reason = "a failed expectation fails the test")]
@@ -10,6 +10,7 @@
     ObjectId, Repeats, Request, RequestClass, RequestId, Role, Scope, Span, Time, ZoneId,
 };
 
+/// The fake location, with all decisions that its engine has returned.
 pub(crate) struct Fake {
     pub(crate) engine: DecisionEngine,
     pub(crate) now: Time,
@@ -17,23 +18,29 @@
     pub(crate) cancels: Vec<Cancel>,
     /// All attempts, in the order in which they were sent.
     pub(crate) sent: Vec<Attempt>,
-    pub(crate) looks: Vec<HostId>,
-    pub(crate) again: bool,
-    /// The requests that host "a" reports, and those that every other does.
-    pub(crate) at_a: f64,
-    pub(crate) elsewhere: f64,
-    /// The share of its capacity that host "a" reports in use.
-    pub(crate) busy: Option<f64>,
-    /// Milliseconds that an answer takes unless said otherwise.
-    pub(crate) took: u64,
-    next: u64,
+    /// The hosts that were to be polled for their load, in order.
+    pub(crate) load_polls: Vec<HostId>,
+    /// Whether requests are marked as retries of the client.
+    pub(crate) client_retry: bool,
+    /// The requests in flight that host "a" reports.
+    pub(crate) in_flight_at_a: f64,
+    /// The requests in flight that each host other than "a" reports.
+    pub(crate) in_flight_elsewhere: f64,
+    /// The utilization that host "a" reports, 0 to 1.
+    pub(crate) utilization_of_a: Option<f64>,
+    /// Milliseconds that an answer takes by default.
+    pub(crate) answer_ms: u64,
+    /// The id of the latest request.
+    latest_id: u64,
 }
 
 pub(crate) fn host(name: &str) -> HostId {
     HostId(name.into())
 }
 
-pub(crate) fn line(name: &str, role: Role) -> Endpoint {
+/// Returns an endpoint with a capacity of 5. Caches are in the dispatcher's location, in the cell of their name's
+/// length.
+pub(crate) fn endpoint(name: &str, role: Role) -> Endpoint {
     Endpoint {
         host: host(name),
         weight: 5.0,
@@ -57,6 +64,7 @@
     }
 }
 
+/// Returns terms with three classes: 0 is idempotent, 1 at most once, 2 deduplicated within a cell for 2 s.
 pub(crate) fn terms() -> DeploymentTerms {
     let deduplicated = Repeats::Deduplicated {
         scope: Scope::Cell,
@@ -91,8 +99,8 @@
     }
 }
 
-/// Two caches, two parents and the origin.
-pub(crate) fn usual() -> Vec<Endpoint> {
+/// Returns the endpoints of two caches, two parents and the origin.
+pub(crate) fn default_hosts() -> Vec<Endpoint> {
     let roles = [
         Role::Cache,
         Role::Cache,
@@ -103,17 +111,17 @@
     ["a", "bb", "p", "q", "o"]
         .iter()
         .zip(roles)
-        .map(|(name, role)| line(name, role))
+        .map(|(name, role)| endpoint(name, role))
         .collect()
 }
 
-/// Whether a host is one of the parents of [`usual`].
+/// Whether a host is one of the parents of [`default_hosts`].
 pub(crate) fn is_parent(id: &HostId) -> bool {
     [host("p"), host("q")].contains(id)
 }
 
-/// Terms under which a request has one attempt in flight at most.
-pub(crate) fn single() -> DeploymentTerms {
+/// Returns terms under which a request has at most one attempt in flight.
+pub(crate) fn single_attempt_terms() -> DeploymentTerms {
     DeploymentTerms {
         may_duplicate: false,
         ..terms()
@@ -130,13 +138,13 @@
             finals: Vec::new(),
             cancels: Vec::new(),
             sent: Vec::new(),
-            looks: Vec::new(),
-            again: false,
-            at_a: 0.0,
-            elsewhere: 0.0,
-            busy: None,
-            took: 110,
-            next: 0,
+            load_polls: Vec::new(),
+            client_retry: false,
+            in_flight_at_a: 0.0,
+            in_flight_elsewhere: 0.0,
+            utilization_of_a: None,
+            answer_ms: 110,
+            latest_id: 0,
         };
         fake.list(hosts);
         fake
@@ -145,31 +153,32 @@
     fn apply(&mut self, decisions: Decisions) {
         self.cancels.extend(decisions.cancels);
         self.finals.extend(decisions.finals);
-        self.looks.extend(decisions.looks);
+        self.load_polls.extend(decisions.looks);
         self.sent.extend(decisions.attempts);
     }
 
-    /// The attempt that was sent last.
+    /// Returns the attempt that was sent last.
     pub(crate) fn last_sent(&self) -> &Attempt {
         self.sent.last().expect("an attempt was sent")
     }
 
-    /// The number, within its request, of the attempt at a place.
-    pub(crate) fn index_of(&self, at: usize) -> AttemptIndex {
-        let earlier = self.sent[..at]
+    /// Returns the index within its request of the attempt at a position in `sent`.
+    pub(crate) fn index_of(&self, position: usize) -> AttemptIndex {
+        let earlier = self.sent[..position]
             .iter()
-            .filter(|earlier| earlier.request == self.sent[at].request)
+            .filter(|earlier| earlier.request == self.sent[position].request)
             .count();
         AttemptIndex(earlier as u32)
     }
 
+    /// Applies a delta endpoint list.
     pub(crate) fn list(&mut self, hosts: Vec<Endpoint>) {
         let decisions = self.engine.list(self.now, ListKind::Delta, hosts);
         self.apply(decisions);
     }
 
-    /// Lets so many milliseconds pass, waking the decision engine at each.
-    pub(crate) fn pass(&mut self, ms: u64) {
+    /// Advances the clock by `ms` milliseconds, waking the decision engine at each.
+    pub(crate) fn advance(&mut self, ms: u64) {
         for _ in 0..ms {
             self.now = self.now + Span::from_ms(1);
             let decisions = self.engine.wake(self.now);
@@ -177,82 +186,97 @@
         }
     }
 
-    /// A request of 100 KB, so 100 ms; gives the place of its first attempt, should there be one.
+    /// Sends a request of 100 KB, which has a transfer time of 100 ms.
+    ///
+    /// Like the other functions that send a request, returns the position in `sent` of its first attempt, if one was
+    /// sent.
     pub(crate) fn request(&mut self, class: usize, object: u64) -> usize {
         self.request_of(class, object, 100.0)
     }
 
+    /// Sends a request of the given size.
     pub(crate) fn request_of(&mut self, class: usize, object: u64, kb: f64) -> usize {
-        self.ask(class, object, 0, Some(kb))
+        self.send(class, object, 0, Some(kb))
     }
 
-    /// A request that does not tell its size.
+    /// Sends a request of unknown size.
     pub(crate) fn request_without_size(&mut self, object: u64) -> usize {
-        self.ask(0, object, 0, None)
+        self.send(0, object, 0, None)
     }
 
-    pub(crate) fn part(&mut self, object: u64, part: u64) -> usize {
-        self.ask(0, object, part, Some(20.0))
+    /// Sends a request of 20 KB for a part of an object.
+    pub(crate) fn request_part(&mut self, object: u64, part: u64) -> usize {
+        self.send(0, object, part, Some(20.0))
     }
 
-    fn ask(&mut self, class: usize, object: u64, part: u64, size_kb: Option<f64>) -> usize {
-        self.next += 1;
-        let at = self.sent.len();
+    fn send(&mut self, class: usize, object: u64, part: u64, size_kb: Option<f64>) -> usize {
+        self.latest_id += 1;
+        let position = self.sent.len();
         let request = Request {
-            id: RequestId(self.next),
+            id: RequestId(self.latest_id),
             class: ClassId(class),
             object: ObjectId(object),
             part,
             group: GroupId(object % 4),
             size_kb,
             deadline: self.now + Span::from_ms(4000),
-            again: self.again,
+            again: self.client_retry,
         };
         let decisions = self.engine.request(self.now, request);
         self.apply(decisions);
-        at
+        position
     }
 
+    /// Ends the attempt at a position in `sent`, after the default time.
     pub(crate) fn end(
         &mut self,
-        at: usize,
+        position: usize,
         outcome: AttemptOutcome,
         fill: FillOutcome,
         waited: u64,
     ) {
-        self.end_with(at, outcome, fill, waited, None);
+        self.end_with(position, outcome, fill, waited, None);
     }
 
-    /// An attempt that took so many milliseconds.
+    /// Ends an attempt after `took` milliseconds, without a wait for a fill.
     pub(crate) fn end_after(
         &mut self,
-        at: usize,
+        position: usize,
         outcome: AttemptOutcome,
         fill: FillOutcome,
         took: u64,
     ) {
-        self.ended(at, outcome, fill, Span::ZERO, Span::from_ms(took), None);
+        self.ended(
+            position,
+            outcome,
+            fill,
+            Span::ZERO,
+            Span::from_ms(took),
+            None,
+        );
     }
 
+    /// Ends an attempt after the default time, with a report of the link's load.
     pub(crate) fn end_with(
         &mut self,
-        at: usize,
+        position: usize,
         outcome: AttemptOutcome,
         fill: FillOutcome,
         waited: u64,
         link: Option<f64>,
     ) {
         self.ended(
-            at,
+            position,
             outcome,
             fill,
             Span::from_ms(waited),
-            Span::from_ms(self.took),
+            Span::from_ms(self.answer_ms),
             link,
         );
     }
 
-    pub(crate) fn seen(&mut self, name: &str, link: Option<f64>) {
+    /// Answers a load poll of a host with a report of the link's load.
+    pub(crate) fn answer_load_poll(&mut self, name: &str, link: Option<f64>) {
         let decisions = self.engine.seen(
             self.now,
             &host(name),
@@ -266,18 +290,18 @@
 
     fn ended(
         &mut self,
-        at: usize,
+        position: usize,
         outcome: AttemptOutcome,
         fill: FillOutcome,
         waited: Span,
         took: Span,
         link: Option<f64>,
     ) {
-        let sent = &self.sent[at];
-        let at_a = sent.host == host("a");
+        let sent = &self.sent[position];
+        let is_a = sent.host == host("a");
         let ended = AttemptEnded {
             request: sent.request,
-            index: self.index_of(at),
+            index: self.index_of(position),
             host: sent.host.clone(),
             outcome,
             took,
@@ -286,25 +310,29 @@
             waited: Some(waited),
             report: LoadReport {
                 link,
-                in_hand: Some(if at_a { self.at_a } else { self.elsewhere }),
-                busy: self.busy.filter(|_| at_a),
+                in_hand: Some(if is_a {
+                    self.in_flight_at_a
+                } else {
+                    self.in_flight_elsewhere
+                }),
+                busy: self.utilization_of_a.filter(|_| is_a),
             },
         };
         let decisions = self.engine.attempt_ended(self.now, ended);
         self.apply(decisions);
     }
 
-    /// A request that is answered at once; gives its source.
-    pub(crate) fn fill(
+    /// Sends a request whose first attempt is answered; returns the source of that attempt.
+    pub(crate) fn request_and_answer(
         &mut self,
         object: u64,
         kb: f64,
         fill: FillOutcome,
         waited: impl Fn(&HostId) -> u64,
     ) -> HostId {
-        let at = self.request_of(0, object, kb);
-        let source = self.sent[at].source.clone();
-        self.end(at, AttemptOutcome::Answered, fill, waited(&source));
+        let position = self.request_of(0, object, kb);
+        let source = self.sent[position].source.clone();
+        self.end(position, AttemptOutcome::Answered, fill, waited(&source));
         source
     }
 }
--- a/tests/guided.rs
+++ b/tests/guided.rs
@@ -1,8 +1,8 @@
-//! Peer hints: what other dispatchers tell changes the decisions, and no more than it should.
+//! Peer hints: how the reports of other dispatchers change the decisions, and the limits of their effect.
 
 mod fake;
 
-use fake::{host, line, terms};
+use fake::{endpoint, host, terms};
 use flaxdeck::decision::DecisionEngine;
 use flaxdeck::{
     Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, ClassId, Endpoint, FillOutcome, Final,
@@ -47,18 +47,18 @@
     WarmupQuota { started, fraction }
 }
 
-fn engine(lines: Vec<Endpoint>) -> DecisionEngine {
+fn engine(endpoints: Vec<Endpoint>) -> DecisionEngine {
     let (mut engine, _) = DecisionEngine::start(at(0), 1, terms());
-    engine.list(at(0), ListKind::Full, lines);
+    engine.list(at(0), ListKind::Full, endpoints);
     engine
 }
 
-fn lines() -> Vec<Endpoint> {
+fn endpoints() -> Vec<Endpoint> {
     vec![
-        line("a", Role::Cache),
-        line("p", Role::Parent),
-        line("q", Role::Parent),
-        line("o", Role::Origin),
+        endpoint("a", Role::Cache),
+        endpoint("p", Role::Parent),
+        endpoint("q", Role::Parent),
+        endpoint("o", Role::Origin),
     ]
 }
 
@@ -81,11 +81,16 @@
         .collect()
 }
 
-fn ended(of: &Attempt, outcome: AttemptOutcome, fill: FillOutcome, waited: f64) -> AttemptEnded {
+fn ended(
+    attempt: &Attempt,
+    outcome: AttemptOutcome,
+    fill: FillOutcome,
+    waited: f64,
+) -> AttemptEnded {
     AttemptEnded {
-        request: of.request,
+        request: attempt.request,
         index: AttemptIndex(0),
-        host: of.host.clone(),
+        host: attempt.host.clone(),
         outcome,
         took: Span::of_ms(waited + 5.0),
         closed: false,
@@ -96,8 +101,8 @@
 }
 
 #[test]
-fn a_parent_that_several_others_found_down_gets_nothing_before_its_trial() {
-    let mut engine = engine(lines());
+fn a_parent_that_peers_report_down_gets_no_fills_before_its_trial() {
+    let mut engine = engine(endpoints());
     assert!(sources(&mut engine, at(10), 1..9).contains(&host("p")));
     engine.guided(
         at(20),
@@ -110,18 +115,18 @@
 }
 
 #[test]
-fn an_own_success_outweighs_older_reports_of_a_failure() {
-    let mut engine = engine(lines());
+fn a_later_success_outweighs_failures_reported_by_peers() {
+    let mut engine = engine(endpoints());
     let attempts: Vec<Attempt> = (1..9)
         .flat_map(|id| engine.request(at(10), request(id, at(10), 0)).attempts)
         .collect();
-    let of = attempts
+    let attempt = attempts
         .iter()
         .find(|attempt| attempt.source == host("p"))
         .unwrap();
     engine.attempt_ended(
         at(100),
-        ended(of, AttemptOutcome::Answered, FillOutcome::Filled, 5.0),
+        ended(attempt, AttemptOutcome::Answered, FillOutcome::Filled, 5.0),
     );
     engine.guided(
         at(110),
@@ -141,13 +146,13 @@
     );
     assert!(
         sources(&mut engine, at(140), 30..40).contains(&host("p")),
-        "somebody has succeeded since"
+        "the parent is unused although a peer has succeeded there since the failure"
     );
 }
 
 #[test]
-fn an_ejected_parent_gets_a_trial_at_once_when_others_reach_it_again() {
-    let mut engine = engine(lines());
+fn an_ejected_parent_gets_a_trial_at_once_when_peers_reach_it_again() {
+    let mut engine = engine(endpoints());
     engine.guided(
         at(20),
         hints_of(vec![PeerHint {
@@ -167,12 +172,15 @@
         .into_iter()
         .filter(|source| *source == host("p"))
         .count();
-    assert_eq!(tried, 1, "one trial, and trust only by its outcome");
+    assert_eq!(
+        tried, 1,
+        "expected a single trial until its outcome is known"
+    );
 }
 
 #[test]
-fn peer_measurements_of_latency_change_the_choice_and_are_not_passed_on_as_own_samples() {
-    let mut engine = engine(lines());
+fn latency_measured_by_peers_changes_the_source_and_is_not_reported_as_an_own_sample() {
+    let mut engine = engine(endpoints());
     let slow = |now| PeerHint {
         measurements: latency(900.0),
         measured_at: Some(now),
@@ -192,7 +200,7 @@
     let before = sources(&mut engine, at(40), 1..40);
     assert!(
         !before.contains(&host("p")) && before.contains(&host("q")),
-        "{before:?}"
+        "expected fills from q and none from the slow parent p: {before:?}"
     );
     let own = Observation {
         ..engine
@@ -204,17 +212,21 @@
     assert_eq!(
         (own.measurements, own.measured_at),
         (SourceMeasurements::default(), None),
-        "what others saw is not passed on as an own sample"
+        "measurements of peers were reported as own samples"
     );
 }
 
 #[test]
-fn a_cold_cache_gets_the_quota_that_peers_grant_for_its_present_start_only() {
-    let mut cold = line("a", Role::Cache);
+fn a_quota_granted_by_peers_applies_to_the_present_start_of_a_cold_cache_only() {
+    let mut cold = endpoint("a", Role::Cache);
     cold.started = Some(at(0));
-    let lines = vec![cold, line("p", Role::Parent), line("o", Role::Origin)];
+    let endpoints = vec![
+        cold,
+        endpoint("p", Role::Parent),
+        endpoint("o", Role::Origin),
+    ];
     let count = |quota: Option<WarmupQuota>, unhinted_share: f64| {
-        let mut engine = engine(lines.clone());
+        let mut engine = engine(endpoints.clone());
         let now = at(2_500);
         let hints = vec![PeerHint { quota, ..hint("a") }];
         engine.guided(
@@ -229,28 +241,38 @@
         let attempts = (1..200).flat_map(|id| engine.request(now, request(id, now, 0)).attempts);
         attempts.filter(|attempt| attempt.host == host("a")).count()
     };
-    let plain = count(None, 1.0);
+    let equal = count(None, 1.0);
     let none = count(Some(quota(Some(at(0)), 0.0)), 1.0);
-    let double = count(Some(quota(Some(at(0)), 1.0)), 1.0);
-    assert!(none == 0 && plain > 0, "{none} {plain}");
-    assert!(double >= plain, "{double} {plain}");
+    let whole = count(Some(quota(Some(at(0)), 1.0)), 1.0);
+    assert!(
+        none == 0 && equal > 0,
+        "{none} attempts with a quota of 0, expected none; {equal} without a quota, expected some"
+    );
+    assert!(
+        whole >= equal,
+        "{whole} attempts with the whole quota, {equal} with the equal share"
+    );
     assert_eq!(
         count(Some(quota(Some(at(7)), 0.0)), 1.0),
-        plain,
-        "the quota of another start says nothing"
+        equal,
+        "a quota for another start of the host was applied"
     );
     assert_eq!(
         count(None, 0.0),
         0,
-        "a forwarder without a quota of its own"
+        "attempts were sent without a quota and with an unhinted share of 0"
     );
 }
 
 #[test]
-fn demand_unmet_for_want_of_quota_is_observed_once() {
-    let mut cold = line("a", Role::Cache);
+fn demand_unmet_for_lack_of_quota_is_reported_once() {
+    let mut cold = endpoint("a", Role::Cache);
     cold.started = Some(at(0));
-    let mut engine = engine(vec![cold, line("p", Role::Parent), line("o", Role::Origin)]);
+    let mut engine = engine(vec![
+        cold,
+        endpoint("p", Role::Parent),
+        endpoint("o", Role::Origin),
+    ]);
     engine.guided(
         at(2_500),
         hints_of(vec![PeerHint {
@@ -269,13 +291,20 @@
             .unwrap()
     };
     let first = used(&engine);
-    assert!(first.unmet > 0.0 && first.used == 0.0, "{first:?}");
-    assert_eq!(used(&engine).unmet, 0.0);
+    assert!(
+        first.unmet > 0.0 && first.used == 0.0,
+        "expected unmet demand and no use: {first:?}"
+    );
+    assert_eq!(
+        used(&engine).unmet,
+        0.0,
+        "the unmet demand was reported twice"
+    );
 }
 
 #[test]
-fn without_a_trusted_list_new_requests_are_rejected_at_once_and_attempts_in_flight_go_on() {
-    let mut engine = engine(lines());
+fn an_untrusted_endpoint_list_rejects_new_requests_at_once_and_keeps_attempts_in_flight() {
+    let mut engine = engine(endpoints());
     let out = engine
         .request(at(10), request(1, at(10), 0))
         .attempts
@@ -300,7 +329,11 @@
         at(40),
         ended(&out, AttemptOutcome::Answered, FillOutcome::Hit, 1.0),
     );
-    assert!(decisions.finals.is_empty(), "answered by its host");
+    assert!(
+        decisions.finals.is_empty(),
+        "a request that its host answered got a second answer: {:?}",
+        decisions.finals
+    );
     engine.guided(at(50), hints_of(vec![]));
     assert_eq!(
         engine.request(at(60), request(3, at(60), 0)).attempts.len(),
@@ -310,7 +343,7 @@
 
 #[test]
 fn hints_about_unlisted_hosts_change_nothing() {
-    let mut engine = engine(lines());
+    let mut engine = engine(endpoints());
     engine.guided(
         at(10),
         hints_of(vec![PeerHint {
@@ -323,8 +356,8 @@
 }
 
 #[test]
-fn a_full_link_reported_by_peers_holds_back_misses_until_the_report_is_old() {
-    let mut engine = engine(lines());
+fn a_full_link_reported_by_peers_stops_fills_until_the_report_expires() {
+    let mut engine = engine(endpoints());
     let now = at(100);
     engine.guided(
         now,
@@ -337,7 +370,10 @@
         },
     );
     let attempt = engine.request(now, request(1, now, 0)).attempts.remove(0);
-    assert_eq!(attempt.source, attempt.host, "only a hit is asked for");
+    assert_eq!(
+        attempt.source, attempt.host,
+        "a fill was requested over a full link"
+    );
     engine.guided(
         at(110),
         PeerHints {
@@ -354,7 +390,7 @@
         .remove(0);
     assert_eq!(
         attempt.source, attempt.host,
-        "an older report changes nothing"
+        "an older report replaced a newer one"
     );
     let later = at(5_000);
     let attempt = engine
@@ -363,6 +399,6 @@
         .remove(0);
     assert_ne!(
         attempt.source, attempt.host,
-        "a report that is old by now says nothing"
+        "an expired report still prevents fills"
     );
 }
--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -1,8 +1,8 @@
-//! No request takes effect twice.
+//! Idempotency: no request takes effect twice.
 
 mod fake;
 
-use fake::{Fake, host, line, terms, usual};
+use fake::{Fake, default_hosts, endpoint, host, terms};
 use flaxdeck::{AttemptOutcome, FillOutcome, Final, RequestId, Role};
 
 #[test]
@@ -12,12 +12,12 @@
         AttemptOutcome::Errored,
         AttemptOutcome::Broken,
     ] {
-        let mut fake = Fake::new(terms(), usual());
-        let at = fake.request(1, 1);
-        assert_eq!(fake.sent[at].host, host("o"));
-        fake.pass(2000);
-        fake.end(at, outcome, FillOutcome::Nothing, 0);
-        fake.pass(3000);
+        let mut fake = Fake::new(terms(), default_hosts());
+        let position = fake.request(1, 1);
+        assert_eq!(fake.sent[position].host, host("o"));
+        fake.advance(2000);
+        fake.end(position, outcome, FillOutcome::Nothing, 0);
+        fake.advance(3000);
         assert_eq!(fake.sent.len(), 1);
         assert_eq!(
             fake.finals,
@@ -26,39 +26,43 @@
             }]
         );
     }
-    let mut fake = Fake::new(terms(), usual());
-    let at = fake.request(1, 1);
-    fake.end(at, AttemptOutcome::Rejected, FillOutcome::Nothing, 0);
-    fake.pass(200);
-    assert_eq!(fake.sent.len(), 2, "a refusal proves that nothing ran");
+    let mut fake = Fake::new(terms(), default_hosts());
+    let position = fake.request(1, 1);
+    fake.end(position, AttemptOutcome::Rejected, FillOutcome::Nothing, 0);
+    fake.advance(200);
+    assert_eq!(
+        fake.sent.len(),
+        2,
+        "a rejected request was not sent again, although a rejection proves that it has not run"
+    );
 }
 
 #[test]
-fn a_deduplicated_request_that_may_have_run_stays_in_its_cell_while_that_remembers() {
-    let mut hosts = usual();
-    hosts.extend([line("cc", Role::Cache), line("dd", Role::Cache)]);
+fn a_deduplicated_request_that_may_have_run_is_retried_only_within_its_cell_and_window() {
+    let mut hosts = default_hosts();
+    hosts.extend([endpoint("cc", Role::Cache), endpoint("dd", Role::Cache)]);
     let mut fake = Fake::new(terms(), hosts);
     for object in 0..20 {
-        let at = fake.request(2, object);
-        let first = fake.sent[at].host.clone();
-        fake.end(at, AttemptOutcome::Errored, FillOutcome::Nothing, 0);
-        for again in &fake.sent[at + 1..] {
+        let position = fake.request(2, object);
+        let first = fake.sent[position].host.clone();
+        fake.end(position, AttemptOutcome::Errored, FillOutcome::Nothing, 0);
+        for again in &fake.sent[position + 1..] {
             assert_eq!(
                 again.host.0.len(),
                 first.0.len(),
-                "the fake's cells go by the length of names"
+                "retried in another cell (the cell is the length of the host's name)"
             );
             assert_ne!(again.host, first);
         }
-        fake.pass(4000);
+        fake.advance(4000);
     }
     assert!(
         fake.finals
             .iter()
-            .all(|last| matches!(last, Final::Failed { .. }))
+            .all(|answer| matches!(answer, Final::Failed { .. }))
     );
     assert!(
         fake.sent.len() > 20,
-        "some went to a second host of the cell"
+        "no request was retried at a second host of its cell"
     );
 }
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -1,32 +1,39 @@
-//! The location's link: while it is full, only hits are asked for.
+//! The location's link: while it is full, only hits are requested.
 
 mod fake;
 
-use fake::{Fake, is_parent, single, terms, usual};
+use fake::{Fake, default_hosts, is_parent, single_attempt_terms, terms};
 use flaxdeck::{AttemptOutcome, DeploymentTerms, FillOutcome, Final};
 
 #[test]
-fn while_the_link_is_full_only_hits_are_asked_for_and_known_misses_are_rejected() {
-    let mut fake = Fake::new(terms(), usual());
-    let at = fake.request(0, 1);
+fn while_the_link_is_full_only_hits_are_requested_and_known_misses_are_rejected() {
+    let mut fake = Fake::new(terms(), default_hosts());
+    let position = fake.request(0, 1);
     fake.end_with(
-        at,
+        position,
         AttemptOutcome::Answered,
         FillOutcome::Hit,
         0,
         Some(20.0),
     );
-    let at = fake.request(0, 2);
-    assert_eq!(fake.sent[at].source, fake.sent[at].host, "no fill");
+    let position = fake.request(0, 2);
+    assert_eq!(
+        fake.sent[position].source, fake.sent[position].host,
+        "a fill was requested over the full link"
+    );
     fake.end_with(
-        at,
+        position,
         AttemptOutcome::NoCopy,
         FillOutcome::Nothing,
         0,
         Some(20.0),
     );
-    fake.pass(150);
-    assert_eq!(fake.sent.len(), at + 1, "the known miss goes nowhere");
+    fake.advance(150);
+    assert_eq!(
+        fake.sent.len(),
+        position + 1,
+        "the known miss was sent again"
+    );
     assert!(
         matches!(
             fake.finals[..],
@@ -35,7 +42,8 @@
                 ..
             }]
         ),
-        "its client is answered at once"
+        "the known miss was not rejected at once: {:?}",
+        fake.finals
     );
     let hit = fake.request(0, 3);
     fake.end_with(
@@ -48,23 +56,28 @@
     fake.request(0, 2);
     assert!(
         is_parent(&fake.last_sent().source),
-        "the link has capacity again"
+        "no fill was requested although the link has capacity again"
     );
 }
 
 #[test]
-fn without_reports_slow_fills_tell_that_the_link_is_full() {
+fn without_link_reports_a_full_link_is_inferred_from_slow_fills() {
     let fills_after = |took: u64| {
         let mut fake = Fake::new(
             DeploymentTerms {
                 tells_link: false,
-                ..single()
+                ..single_attempt_terms()
             },
-            usual(),
+            default_hosts(),
         );
         for object in 0..20 {
-            let at = fake.request(0, object);
-            fake.end_after(at, AttemptOutcome::Answered, FillOutcome::Filled, took);
+            let position = fake.request(0, object);
+            fake.end_after(
+                position,
+                AttemptOutcome::Answered,
+                FillOutcome::Filled,
+                took,
+            );
         }
         let before = fake.sent.len();
         for object in 100..140 {
@@ -78,10 +91,10 @@
     assert_eq!(
         fills_after(900),
         0,
-        "fills take nine times the sending time: only hits are asked for"
+        "fills were requested although fills take nine times the transfer time"
     );
     assert!(
         fills_after(110) > 15,
-        "fills that outrun their answers leave the link open"
+        "fills that are faster than their answers made the link count as full"
     );
 }
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -1,55 +1,60 @@
-//! The load of caches: which requests are admitted, and which objects move.
+//! The load of caches: which requests are admitted, and which objects move to another cache.
 
 mod fake;
 
-use fake::{Fake, host, single, terms, usual};
+use fake::{Fake, default_hosts, host, single_attempt_terms, terms};
 use flaxdeck::{AttemptOutcome, DeploymentTerms, FillOutcome, HostId};
 
 #[test]
-fn full_caches_admit_large_requests_at_higher_loads_but_only_those_that_come_in_time() {
-    let mut fake = Fake::new(terms(), usual());
-    let sent =
+fn large_requests_are_admitted_at_higher_loads_if_they_can_be_answered_in_time() {
+    let mut fake = Fake::new(terms(), default_hosts());
+    let is_sent =
         |fake: &mut Fake, object: u64, kb: f64| fake.request_of(0, object, kb) < fake.sent.len();
     let small = (0..200)
-        .filter(|object| sent(&mut fake, *object, 10.0))
+        .filter(|object| is_sent(&mut fake, *object, 10.0))
         .count();
     assert!(
         (20..60).contains(&small),
-        "{small} small ones are in hand at 10 places"
+        "{small} of 200 small requests are in flight at caches with a total capacity of 10, expected 20 to 59"
     );
     assert!(
-        !sent(&mut fake, 200, 10.0),
-        "no cache has capacity for a small one"
+        !is_sent(&mut fake, 200, 10.0),
+        "a small request was sent to a full cache"
     );
     assert!(
-        !sent(&mut fake, 201, 2_000.0),
-        "this one would come late behind so many"
+        !is_sent(&mut fake, 201, 2_000.0),
+        "a large request was sent that could not be answered in time behind {small} others"
     );
     let large = (300..400)
-        .filter(|object| sent(&mut fake, *object, 100.0))
+        .filter(|object| is_sent(&mut fake, *object, 100.0))
         .count();
     assert!(
         (1..=small).contains(&large),
-        "{large} large ones beside {small} small ones"
+        "{large} large requests in flight beside {small} small ones, expected 1 to {small}"
     );
     assert!(
-        !sent(&mut fake, 400, 100.0),
-        "large ones are bounded as well"
+        !is_sent(&mut fake, 400, 100.0),
+        "a large request was sent past the limit for large ones"
     );
 }
 
-/// Where 60 objects go in a location of 17 dispatchers whose caches report so many requests.
-fn hosts_under(at_a: f64, elsewhere: f64) -> Vec<HostId> {
+/// Returns the hosts that 60 objects are sent to in a location of 17 dispatchers, whose caches report the given numbers
+/// of requests in flight.
+fn hosts_under(in_flight_at_a: f64, in_flight_elsewhere: f64) -> Vec<HostId> {
     let mut fake = Fake::new(
         DeploymentTerms {
             zone_dispatchers: vec![17, 0],
             ..terms()
         },
-        usual(),
+        default_hosts(),
     );
-    (fake.at_a, fake.elsewhere, fake.took) = (at_a, elsewhere, 20);
+    (
+        fake.in_flight_at_a,
+        fake.in_flight_elsewhere,
+        fake.answer_ms,
+    ) = (in_flight_at_a, in_flight_elsewhere, 20);
     let mut host_of = |object| {
-        fake.fill(object, 20.0, FillOutcome::Hit, |_| 0);
+        fake.request_and_answer(object, 20.0, FillOutcome::Hit, |_| 0);
         fake.last_sent().host.clone()
     };
     for object in 0..10 {
@@ -59,7 +64,7 @@
 }
 
 #[test]
-fn the_same_objects_leave_a_loaded_cache_at_every_dispatcher() {
+fn every_dispatcher_moves_the_same_objects_off_a_loaded_cache() {
     let (idle, loaded) = (hosts_under(0.0, 0.0), hosts_under(14.0, 0.0));
     let moved = idle
         .iter()
@@ -67,8 +72,15 @@
         .filter(|(idle, loaded)| idle != loaded)
         .count();
     assert_eq!(idle, hosts_under(3.0, 0.0));
-    assert!((5..55).contains(&moved), "{moved} of 60 moved");
-    assert_eq!(loaded, hosts_under(14.0, 0.0), "the hash tells which");
+    assert!(
+        (5..55).contains(&moved),
+        "{moved} of 60 objects moved off the loaded cache, expected 5 to 54"
+    );
+    assert_eq!(
+        loaded,
+        hosts_under(14.0, 0.0),
+        "another dispatcher moved other objects"
+    );
 }
 
 #[test]
@@ -77,102 +89,114 @@
 }
 
 #[test]
-fn requests_that_wait_for_slow_fills_do_not_count_as_work_of_a_cache() {
-    let moved_with = |busy: f64| {
+fn requests_waiting_for_slow_fills_do_not_count_as_load_of_a_cache() {
+    let stay_with = |utilization: f64| {
         let mut fake = Fake::new(
             DeploymentTerms {
                 zone_dispatchers: vec![17, 0],
-                ..single()
+                ..single_attempt_terms()
             },
-            usual(),
+            default_hosts(),
         );
-        (fake.at_a, fake.busy) = (14.0, Some(busy));
-        let at = |fake: &mut Fake, object| {
-            fake.fill(object, 100.0, FillOutcome::Hit, |_| 0);
+        (fake.in_flight_at_a, fake.utilization_of_a) = (14.0, Some(utilization));
+        let is_sent_to_a = |fake: &mut Fake, object| {
+            fake.request_and_answer(object, 100.0, FillOutcome::Hit, |_| 0);
             fake.last_sent().host == host("a")
         };
         for object in 0..60 {
-            at(&mut fake, object);
+            is_sent_to_a(&mut fake, object);
         }
-        (0..60).filter(|object| at(&mut fake, *object)).count()
+        (0..60)
+            .filter(|object| is_sent_to_a(&mut fake, *object))
+            .count()
     };
-    let (busy, idle) = (moved_with(1.0), moved_with(0.1));
+    let (full, waiting) = (stay_with(1.0), stay_with(0.1));
     assert!(
-        busy < idle,
-        "of 60 objects {busy} stay at a cache that is full, {idle} at one that waits"
+        full < waiting,
+        "{full} of 60 objects stay at a cache with full utilization, {waiting} at one whose requests wait for fills"
     );
 }
 
 #[test]
-fn a_cache_whose_hits_take_long_loses_a_part_of_its_objects_and_gets_them_back() {
-    let mut fake = Fake::new(single(), usual());
-    let at_a = |fake: &mut Fake, took: u64| {
-        let mut there = 0;
+fn a_cache_with_slow_hits_loses_some_objects_and_regains_them() {
+    let mut fake = Fake::new(single_attempt_terms(), default_hosts());
+    let count_at_a = |fake: &mut Fake, took: u64| {
+        let mut count = 0;
         for object in 0..100 {
-            let at = fake.request(0, object);
-            let slow = fake.sent[at].host == host("a");
-            there += u32::from(slow);
+            let position = fake.request(0, object);
+            let slow = fake.sent[position].host == host("a");
+            count += u32::from(slow);
             fake.end_after(
-                at,
+                position,
                 AttemptOutcome::Answered,
                 FillOutcome::Hit,
                 if slow { took } else { 100 },
             );
         }
-        there
+        count
     };
-    let usual = at_a(&mut fake, 100);
+    let before = count_at_a(&mut fake, 100);
     for _ in 0..3 {
-        at_a(&mut fake, 900);
+        count_at_a(&mut fake, 900);
     }
-    let slow = at_a(&mut fake, 900);
+    let slow = count_at_a(&mut fake, 900);
     assert!(
-        slow < usual / 3,
-        "{usual} before, {slow} while its hits take nine times as long"
+        slow < before / 3,
+        "{before} of 100 objects at the cache before, {slow} while its hits take nine times as long"
     );
-    fake.pass(12_000);
+    fake.advance(12_000);
     assert_eq!(
-        at_a(&mut fake, 100),
-        usual,
-        "left alone for a while it is tried again"
+        count_at_a(&mut fake, 100),
+        before,
+        "the objects did not return after 12 s without slow hits"
     );
 }
 
 #[test]
-fn caches_that_tell_their_load_only_when_polled_are_polled_in_turn() {
+fn caches_that_report_load_only_when_polled_are_polled_in_turn() {
     let mut fake = Fake::new(
         DeploymentTerms {
             may_look: true,
             ..terms()
         },
-        usual(),
+        default_hosts(),
     );
-    fake.pass(2200);
-    assert!((4..7).contains(&fake.looks.len()), "{:?}", fake.looks);
+    fake.advance(2200);
     assert!(
-        fake.looks.windows(2).all(|pair| pair[0] != pair[1]),
-        "each in its turn"
+        (4..7).contains(&fake.load_polls.len()),
+        "expected 4 to 6 load polls: {:?}",
+        fake.load_polls
     );
     assert!(
-        fake.looks
+        fake.load_polls.windows(2).all(|pair| pair[0] != pair[1]),
+        "a cache was polled twice in a row: {:?}",
+        fake.load_polls
+    );
+    assert!(
+        fake.load_polls
             .iter()
             .all(|id| [host("a"), host("bb")].contains(id)),
-        "no parent, not the origin"
+        "a parent or the origin was polled: {:?}",
+        fake.load_polls
     );
-    fake.seen("a", Some(30.0));
-    let at = fake.request(0, 1);
+    fake.answer_load_poll("a", Some(30.0));
+    let position = fake.request(0, 1);
     assert_eq!(
-        fake.sent[at].source, fake.sent[at].host,
-        "the link is full: only a hit is asked for"
+        fake.sent[position].source, fake.sent[position].host,
+        "a fill was requested although the link is full"
     );
-    fake.pass(2100);
-    let at = fake.request(0, 2);
+    fake.advance(2100);
+    let position = fake.request(0, 2);
     assert_ne!(
-        fake.sent[at].source, fake.sent[at].host,
-        "an old report says nothing"
+        fake.sent[position].source, fake.sent[position].host,
+        "an expired link report still prevents fills"
     );
 
-    let mut fake = Fake::new(terms(), usual());
-    fake.pass(2200);
-    assert_eq!(fake.looks, [], "answers tell the load here");
+    let mut fake = Fake::new(terms(), default_hosts());
+    fake.advance(2200);
+    assert_eq!(
+        fake.load_polls,
+        [],
+        "hosts were polled although they report their load with their answers"
+    );
 }
--- a/tests/polled.rs
+++ b/tests/polled.rs
@@ -1,4 +1,4 @@
-//! The engine for callers that ask request by request.
+//! The polled engine, for callers that pick decisions request by request.
 
 #![allow(
     clippy::unwrap_used,
@@ -8,7 +8,7 @@
 
 mod fake;
 
-use fake::{terms, usual};
+use fake::{default_hosts, terms};
 use flaxdeck::polled::{Input, PolledEngine, Step};
 use flaxdeck::{
     AttemptEnded, AttemptOutcome, ClassId, FillOutcome, GroupId, ListKind, LoadReport, ObjectId,
@@ -16,11 +16,11 @@
 };
 
 #[test]
-fn steps_not_picked_are_dropped_once_a_request_is_answered_or_its_client_has_left() {
+fn unpicked_steps_are_dropped_once_a_request_is_answered_or_its_client_disconnects() {
     for answered in [true, false] {
         let now = Time::at_ms(100_000.0);
         let mut engine = PolledEngine::start(now, 7, terms());
-        engine.report(now, Input::EndpointList(ListKind::Full, usual()));
+        engine.report(now, Input::EndpointList(ListKind::Full, default_hosts()));
         let id = RequestId(1);
         let request = Request {
             id,
@@ -34,10 +34,14 @@
         };
         assert_eq!(engine.report(now, Input::RequestArrived(request)), [id]);
         let Step::Attempt(index, sent) = engine.pick(id) else {
-            panic!("an attempt is to be sent")
+            panic!("the first step of a new request is not an attempt")
         };
         let late = now + Span::from_ms(899);
-        assert_eq!(engine.tick(late), [id], "given up, but not picked yet");
+        assert_eq!(
+            engine.tick(late),
+            [id],
+            "the request was not given up just before its deadline"
+        );
         let ended = AttemptEnded {
             request: id,
             index,
@@ -65,7 +69,7 @@
 }
 
 #[test]
-fn a_report_just_before_a_late_tick_loses_no_later_tick() {
+fn a_report_just_before_a_late_tick_keeps_the_next_tick_scheduled() {
     let now = Time::at_ms(100_000.0);
     let mut engine = PolledEngine::start(now, 7, terms());
     let first = engine.due().unwrap();
@@ -81,6 +85,7 @@
     engine.tick(late);
     assert!(
         engine.due().is_some_and(|due| due > late),
-        "the engine has named its next time to the report"
+        "the wake requested during the report was lost: due {:?}",
+        engine.due()
     );
 }
--- a/tests/same.rs
+++ b/tests/same.rs
@@ -1,11 +1,12 @@
-//! Without guidance the decision engine decides as it did before it could be guided: generated days are played through it,
-//! and all that it decides is compared, bit by bit, with what commit 2d87754 decided on the same days.
+//! Guards against unintended changes of decisions: generated days are played through the decision engine without
+//! guidance, and the digest of all its decisions is compared, bit by bit, with a recorded one. The digests were first
+//! recorded with commit 2d87754, before the engine accepted guidance.
 
 mod fake;
 
 use std::collections::BTreeMap;
 
-use fake::{line, terms};
+use fake::{endpoint, terms};
 use flaxdeck::decision::DecisionEngine;
 use flaxdeck::{
     Attempt, AttemptEnded, AttemptIndex, AttemptOutcome, ClassId, Decisions, Endpoint, FillOutcome,
@@ -14,8 +15,9 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Days by seed, with the digest of the decisions without guidance and how many attempts were in them; recorded
-/// anew whenever the decisions change on purpose: last for requests that tell no size, and hosts that are slow.
+/// Seeds of days, with the digest of the decisions without guidance and the number of attempts in them. They are
+/// recorded again whenever the decisions change on purpose; the last time for requests without a size and for slow
+/// hosts.
 const RECORDED: [(u64, u64, u64); 6] = [
     (1, 0xe4e3b24a49b4cb4a, 6022),
     (2, 0xdde1a6c1e9dc6b22, 8543),
@@ -26,31 +28,31 @@
 ];
 
 /// The length of a day in milliseconds.
-const MS: u64 = 30_000;
+const DAY_MS: u64 = 30_000;
 
-/// What comes to be known later, by its time.
-enum Later {
+/// An event that the engine is notified of at a later time.
+enum Event {
     AttemptEnded(AttemptEnded),
-    Leaves(RequestId),
+    ClientLeft(RequestId),
 }
 
 struct Day {
     engine: DecisionEngine,
-    chance: Pcg64Mcg,
-    later: BTreeMap<(Time, u64), Later>,
+    rng: Pcg64Mcg,
+    events: BTreeMap<(Time, u64), Event>,
     wake: Option<Time>,
-    next: u64,
+    last_id: u64,
     attempts_of: BTreeMap<RequestId, u32>,
     digest: u64,
     attempts: u64,
     faults: Vec<Fault>,
-    lines: Vec<Endpoint>,
+    endpoints: Vec<Endpoint>,
 }
 
-/// A host that fails for a while.
+/// A period in which a host fails.
 struct Fault {
     host: HostId,
-    /// Its first millisecond, and the first one after it.
+    /// The first millisecond of the period, and the first one after it.
     from: u64,
     to: u64,
     outcome: AttemptOutcome,
@@ -58,19 +60,20 @@
 }
 
 impl Fault {
-    fn hits(&self, attempt: &Attempt, ms: u64) -> bool {
+    fn affects(&self, attempt: &Attempt, ms: u64) -> bool {
         (self.from..self.to).contains(&ms) && [&attempt.host, &attempt.source].contains(&&self.host)
     }
 }
 
-/// How an attempt ends, and after how many milliseconds.
-struct End {
+/// How an attempt ends.
+struct DrawnOutcome {
     outcome: AttemptOutcome,
     fill: FillOutcome,
+    /// Milliseconds from its start to its end.
     took: f64,
 }
 
-/// Names that types and fields had when the decisions were recorded, by those that they have now.
+/// Pairs of a present name of a type, variant or field, and the name that it had when the decisions were recorded.
 const RECORDED_NAMES: [(&str, &str); 9] = [
     ("RequestId(", "PullId("),
     ("AttemptIndex(", "Leg("),
@@ -83,7 +86,7 @@
     ("retry_after:", "come_back:"),
 ];
 
-/// What was printed, as it was at the time of the record.
+/// Replaces the present names in a printed text by those of the time of the recording.
 fn as_recorded(printed: &str) -> String {
     RECORDED_NAMES
         .iter()
@@ -93,47 +96,47 @@
 }
 
 impl Day {
-    fn take(&mut self, now: Time, decisions: Decisions) {
+    fn apply(&mut self, now: Time, decisions: Decisions) {
         for byte in as_recorded(&format!("{now:?}{decisions:?}")).bytes() {
             self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(0x100000001b3);
         }
         self.wake = decisions.wake.or(self.wake);
         for attempt in decisions.attempts {
             self.attempts += 1;
-            self.end_later(now, attempt);
+            self.schedule_end(now, attempt);
         }
     }
 
-    /// Draws how an attempt ends, and when.
-    fn end_later(&mut self, now: Time, attempt: Attempt) {
+    /// Draws how and when an attempt ends, and schedules that event.
+    fn schedule_end(&mut self, now: Time, attempt: Attempt) {
         let attempts = self.attempts_of.entry(attempt.request).or_default();
         let index = AttemptIndex(*attempts);
         *attempts += 1;
-        let quick = self.chance.random_range(1.0..90.0);
-        let waited = self.chance.random_range(0.5..60.0);
-        let hit = self.chance.random_bool(0.6) || attempt.source == attempt.host;
+        let transfer_ms = self.rng.random_range(1.0..90.0);
+        let waited = self.rng.random_range(0.5..60.0);
+        let hit = self.rng.random_bool(0.6) || attempt.source == attempt.host;
         let ms = now.ms() as u64;
-        let fault = self.faults.iter().find(|fault| fault.hits(&attempt, ms));
+        let fault = self.faults.iter().find(|fault| fault.affects(&attempt, ms));
         let end = match fault {
-            Some(fault) if fault.outcome == AttemptOutcome::TimedOut => End {
+            Some(fault) if fault.outcome == AttemptOutcome::TimedOut => DrawnOutcome {
                 outcome: AttemptOutcome::TimedOut,
                 fill: FillOutcome::Nothing,
                 took: attempt.allow.ms(),
             },
-            Some(fault) => End {
+            Some(fault) => DrawnOutcome {
                 outcome: fault.outcome,
                 fill: fault.fill,
                 took: 2.0,
             },
-            None if hit => End {
+            None if hit => DrawnOutcome {
                 outcome: AttemptOutcome::Answered,
                 fill: FillOutcome::Hit,
-                took: quick,
+                took: transfer_ms,
             },
-            None => End {
+            None => DrawnOutcome {
                 outcome: AttemptOutcome::Answered,
                 fill: FillOutcome::Filled,
-                took: quick + waited,
+                took: transfer_ms + waited,
             },
         };
         let report = self.draw_report();
@@ -148,22 +151,22 @@
             waited: (end.fill == FillOutcome::Filled).then(|| Span::of_ms(waited)),
             report,
         };
-        self.next += 1;
-        self.later.insert(
-            (now + Span::of_ms(end.took), self.next),
-            Later::AttemptEnded(ended),
+        self.last_id += 1;
+        self.events.insert(
+            (now + Span::of_ms(end.took), self.last_id),
+            Event::AttemptEnded(ended),
         );
     }
 
     fn draw_report(&mut self) -> LoadReport {
         let link = self
-            .chance
+            .rng
             .random_bool(0.5)
-            .then(|| self.chance.random_range(0.0..4.0));
+            .then(|| self.rng.random_range(0.0..4.0));
         let in_hand = self
-            .chance
+            .rng
             .random_bool(0.5)
-            .then(|| f64::from(self.chance.random_range(0..12)));
+            .then(|| f64::from(self.rng.random_range(0..12)));
         LoadReport {
             link,
             in_hand,
@@ -171,96 +174,97 @@
         }
     }
 
-    /// Passes on what has come to be known by now, and wakes the engine if it asked for that.
-    fn catch_up(&mut self, now: Time) {
+    /// Notifies the engine of the events that are due, and wakes it if a requested wake is due.
+    fn process_events(&mut self, now: Time) {
         while let Some(entry) = self
-            .later
+            .events
             .first_entry()
             .filter(|entry| entry.key().0 <= now)
         {
             let decisions = match entry.remove() {
-                Later::AttemptEnded(ended) => self.engine.attempt_ended(now, ended),
-                Later::Leaves(request) => self.engine.client_left(now, request),
+                Event::AttemptEnded(ended) => self.engine.attempt_ended(now, ended),
+                Event::ClientLeft(request) => self.engine.client_left(now, request),
             };
-            self.take(now, decisions);
+            self.apply(now, decisions);
         }
         if self.wake.is_some_and(|wake| wake <= now) {
             let decisions = self.engine.wake(now);
-            self.take(now, decisions);
+            self.apply(now, decisions);
         }
     }
 
     fn request(&mut self, now: Time) {
-        self.next += 1;
-        let id = RequestId(self.next);
-        let object = (1.0 / self.chance.random_range(0.002..1.0f64)) as u64;
+        self.last_id += 1;
+        let id = RequestId(self.last_id);
+        let object = (1.0 / self.rng.random_range(0.002..1.0f64)) as u64;
         let request = Request {
             id,
-            class: ClassId([0, 0, 0, 0, 1, 2][self.chance.random_range(0..6)]),
+            class: ClassId([0, 0, 0, 0, 1, 2][self.rng.random_range(0..6)]),
             object: ObjectId(object),
             part: 0,
             group: GroupId(object % 5),
             size_kb: self
-                .chance
+                .rng
                 .random_bool(0.8)
-                .then(|| self.chance.random_range(1.0..2_000.0)),
+                .then(|| self.rng.random_range(1.0..2_000.0)),
             deadline: now + Span::from_ms(2_500),
-            again: self.chance.random_bool(0.1),
+            again: self.rng.random_bool(0.1),
         };
         let decisions = self.engine.request(now, request);
-        self.take(now, decisions);
-        if self.chance.random_bool(0.03) {
-            let leaves_at = now + Span::from_ms(5);
-            self.later.insert((leaves_at, self.next), Later::Leaves(id));
+        self.apply(now, decisions);
+        if self.rng.random_bool(0.03) {
+            let left_at = now + Span::from_ms(5);
+            self.events
+                .insert((left_at, self.last_id), Event::ClientLeft(id));
         }
     }
 
-    /// Any host but the origin changes its health; one that is back in service has started anew.
+    /// Changes the health of a random host other than the origin; a host that returns to service has restarted.
     fn change_list(&mut self, now: Time) {
-        let at = self.chance.random_range(0..self.lines.len() - 1);
+        let at = self.rng.random_range(0..self.endpoints.len() - 1);
         let healths = [
             Health::InService,
             Health::Draining,
             Health::Removed,
             Health::InService,
         ];
-        let line = &mut self.lines[at];
-        line.health = healths[self.chance.random_range(0..healths.len())];
-        if line.health == Health::InService {
-            line.started = Some(now);
+        let endpoint = &mut self.endpoints[at];
+        endpoint.health = healths[self.rng.random_range(0..healths.len())];
+        if endpoint.health == Health::InService {
+            endpoint.started = Some(now);
         }
-        let changed = vec![line.clone()];
+        let changed = vec![endpoint.clone()];
         let decisions = self.engine.list(now, ListKind::Delta, changed);
-        self.take(now, decisions);
+        self.apply(now, decisions);
     }
 
     fn purge(&mut self, now: Time) {
         let object = self
-            .chance
+            .rng
             .random_bool(0.5)
-            .then(|| ObjectId(self.chance.random_range(1..20)));
+            .then(|| ObjectId(self.rng.random_range(1..20)));
         let made = now - Span::from_ms(20);
         let decisions = self.engine.purge(now, object, GroupId(1), made);
-        self.take(now, decisions);
+        self.apply(now, decisions);
     }
 }
 
-/// Six caches, three parents and the origin, which comes last.
+/// Returns the endpoints of six caches, three parents and the origin, which comes last.
 fn hosts() -> Vec<Endpoint> {
     let roles = [
         (Role::Cache, 6, "c"),
         (Role::Parent, 3, "p"),
         (Role::Origin, 1, "o"),
     ];
-    let mut lines = Vec::new();
+    let mut endpoints = Vec::new();
     for (role, count, name) in roles {
-        lines.extend((0..count).map(|n| line(&format!("{name}{n}"), role)));
+        endpoints.extend((0..count).map(|n| endpoint(&format!("{name}{n}"), role)));
     }
-    lines
+    endpoints
 }
 
-fn draw_faults(chance: &mut Pcg64Mcg, lines: &[Endpoint]) -> Vec<Fault> {
-    let endings = [
+fn draw_faults(rng: &mut Pcg64Mcg, endpoints: &[Endpoint]) -> Vec<Fault> {
+    let outcomes = [
         (AttemptOutcome::TimedOut, FillOutcome::Nothing),
         (AttemptOutcome::NotConnected, FillOutcome::Nothing),
         (AttemptOutcome::Errored, FillOutcome::Nothing),
@@ -272,13 +276,13 @@
     ];
     let mut faults = Vec::new();
     for _ in 0..6 {
-        let from = 100_000 + chance.random_range(0..MS);
-        let (outcome, fill) = endings[chance.random_range(0..endings.len())];
-        let host = lines[chance.random_range(0..lines.len())].host.clone();
+        let from = 100_000 + rng.random_range(0..DAY_MS);
+        let (outcome, fill) = outcomes[rng.random_range(0..outcomes.len())];
+        let host = endpoints[rng.random_range(0..endpoints.len())].host.clone();
         faults.push(Fault {
             host,
             from,
-            to: from + chance.random_range(500..9_000),
+            to: from + rng.random_range(500..9_000),
             outcome,
             fill,
         });
@@ -286,42 +290,44 @@
     faults
 }
 
-/// Plays a day; gives the digest of its decisions and the number of attempts.
-fn day(seed: u64) -> (u64, u64) {
+/// Plays a day; returns the digest of its decisions and the number of attempts.
+fn play_day(seed: u64) -> (u64, u64) {
     let start = Time::at_ms(100_000.0);
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let peers = (seed % 4) as u32;
     let mut terms = terms();
     terms.zone_dispatchers = vec![1 + peers, 2];
     terms.dispatchers = 3 + peers;
     let (engine, decisions) = DecisionEngine::start(start, seed, terms);
-    let lines = hosts();
-    let faults = draw_faults(&mut chance, &lines);
+    let endpoints = hosts();
+    let faults = draw_faults(&mut rng, &endpoints);
     let mut day = Day {
         engine,
-        chance,
-        later: BTreeMap::new(),
+        rng,
+        events: BTreeMap::new(),
         wake: None,
-        next: 0,
+        last_id: 0,
         attempts_of: BTreeMap::new(),
         digest: 0,
         attempts: 0,
         faults,
-        lines,
+        endpoints,
     };
-    day.take(start, decisions);
-    let decisions = day.engine.list(start, ListKind::Full, day.lines.clone());
-    day.take(start, decisions);
-    for ms in 0..MS {
+    day.apply(start, decisions);
+    let decisions = day
+        .engine
+        .list(start, ListKind::Full, day.endpoints.clone());
+    day.apply(start, decisions);
+    for ms in 0..DAY_MS {
         let now = Time::at_ms(100_000.0 + ms as f64);
-        day.catch_up(now);
-        if day.chance.random_bool(0.25) {
+        day.process_events(now);
+        if day.rng.random_bool(0.25) {
             day.request(now);
         }
-        if day.chance.random_bool(0.0008) {
+        if day.rng.random_bool(0.0008) {
             day.change_list(now);
         }
-        if day.chance.random_bool(0.0005) {
+        if day.rng.random_bool(0.0005) {
             day.purge(now);
         }
     }
@@ -329,9 +335,9 @@
 }
 
 #[test]
-fn without_guidance_all_decisions_are_those_of_the_module_before() {
+fn without_guidance_decisions_match_the_recorded_digests() {
     let played = RECORDED.map(|(seed, ..)| {
-        let (digest, attempts) = day(seed);
+        let (digest, attempts) = play_day(seed);
         println!("    ({seed}, {digest:#018x}, {attempts}),");
         (seed, digest, attempts)
     });
@@ -339,7 +345,7 @@
 }
 
 #[test]
-fn the_digest_tells_days_apart() {
-    assert_eq!(day(7), day(7));
-    assert_ne!(day(8).0, day(7).0);
+fn digests_are_reproducible_and_differ_between_seeds() {
+    assert_eq!(play_day(7), play_day(7));
+    assert_ne!(play_day(8).0, play_day(7).0);
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Cold hosts get no more than this dispatcher's share of what they bear.
+//! Slow start: cold hosts get no more than this dispatcher's share of the work that they can take.
 
 #![allow(
     clippy::unwrap_used,
@@ -8,20 +8,20 @@
 
 mod fake;
 
-use fake::{Fake, host, line, single, terms, usual};
+use fake::{Fake, default_hosts, endpoint, host, single_attempt_terms, terms};
 use flaxdeck::{AttemptOutcome, Endpoint, FillOutcome, Role, Time};
 
 #[test]
-fn a_cold_cache_and_a_cold_parent_get_this_dispatchers_share_and_no_more() {
-    let mut fake = Fake::new(terms(), usual());
-    fake.pass(3000);
+fn cold_hosts_get_no_more_than_this_dispatchers_share() {
+    let mut fake = Fake::new(terms(), default_hosts());
+    fake.advance(3000);
     let cold = |name, role| Endpoint {
         started: Some(Time::at_ms(103_000.0)),
-        ..line(name, role)
+        ..endpoint(name, role)
     };
     fake.list(vec![cold("a", Role::Cache), cold("p", Role::Parent)]);
     for object in 0..400 {
-        fake.fill(object, 100.0, FillOutcome::Filled, |_| 20);
+        fake.request_and_answer(object, 100.0, FillOutcome::Filled, |_| 20);
     }
     let at_cache = fake
         .sent
@@ -33,44 +33,51 @@
         .iter()
         .filter(|sent| sent.source == host("p"))
         .count();
-    // 5 places x 0.2 cold x 2 times x 2 s hold 40 transfers of 100 ms; at the parent 20, for two dispatchers.
-    assert!((10..40).contains(&at_cache), "{at_cache} to the cold cache");
+    // Capacity 5 x cold fraction 0.2 x overload factor 2 x window 2 s allow 40 transfers of 100 ms at the cache; at the
+    // parent, with a cold fraction of 0.1, they allow 20, which two dispatchers share.
+    assert!(
+        (10..40).contains(&at_cache),
+        "{at_cache} attempts at the cold cache, expected 10 to 39"
+    );
     assert!(
         (3..10).contains(&at_parent),
-        "{at_parent} to the cold parent"
+        "{at_parent} attempts with the cold parent as source, expected 3 to 9"
     );
 }
 
 #[test]
-fn a_restarted_dispatcher_takes_a_cold_hosts_share_as_used_up_for_a_window() {
+fn a_restarted_dispatcher_sends_nothing_to_cold_hosts_for_a_window() {
     let cold = |l: Endpoint| Endpoint {
         started: Some(Time::at_ms(99_000.0)),
         ..l
     };
-    let mut fake = Fake::new(terms(), usual().into_iter().map(cold).collect());
+    let mut fake = Fake::new(terms(), default_hosts().into_iter().map(cold).collect());
     fake.request(0, 1);
     assert!(fake.sent.is_empty());
-    fake.pass(2100);
+    fake.advance(2100);
     fake.request(0, 2);
-    assert!(!fake.sent.is_empty(), "the window has passed");
+    assert!(
+        !fake.sent.is_empty(),
+        "nothing was sent after the window of 2 s had passed"
+    );
 }
 
 #[test]
-fn small_requests_without_a_fill_count_for_the_mean_at_a_cold_cache() {
-    let mut fake = Fake::new(terms(), usual());
+fn small_hit_only_requests_are_charged_the_mean_at_a_cold_cache() {
+    let mut fake = Fake::new(terms(), default_hosts());
     for object in 0..200 {
-        fake.fill(object, 100.0, FillOutcome::Hit, |_| 0);
+        fake.request_and_answer(object, 100.0, FillOutcome::Hit, |_| 0);
     }
-    fake.pass(3000);
+    fake.advance(3000);
     fake.list(vec![Endpoint {
         started: Some(Time::at_ms(103_000.0)),
-        ..line("a", Role::Cache)
+        ..endpoint("a", Role::Cache)
     }]);
     let before = fake.sent.len();
     for object in 0..400 {
-        let at = fake.request_of(0, object, 10.0);
+        let position = fake.request_of(0, object, 10.0);
         fake.end_with(
-            at,
+            position,
             AttemptOutcome::Answered,
             FillOutcome::Hit,
             0,
@@ -81,26 +88,32 @@
         .iter()
         .filter(|sent| sent.host == host("a"))
         .count();
-    assert!((10..60).contains(&at_cache), "{at_cache} to the cold cache");
+    assert!(
+        (10..60).contains(&at_cache),
+        "{at_cache} of 400 small requests at the cold cache, expected 10 to 59"
+    );
 }
 
 #[test]
-fn without_sizes_the_mean_transfer_time_is_learnt_from_hits() {
+fn without_sizes_the_mean_transfer_time_is_measured_from_hits() {
     let sent_at_once = |took: u64| {
-        let wide = |line: Endpoint| Endpoint {
+        let wide = |endpoint: Endpoint| Endpoint {
             weight: 20.0,
-            ..line
+            ..endpoint
         };
-        let mut fake = Fake::new(single(), usual().into_iter().map(wide).collect());
+        let mut fake = Fake::new(
+            single_attempt_terms(),
+            default_hosts().into_iter().map(wide).collect(),
+        );
         for object in 0..200 {
-            let at = fake.request_without_size(object);
-            fake.end_after(at, AttemptOutcome::Answered, FillOutcome::Hit, took);
+            let position = fake.request_without_size(object);
+            fake.end_after(position, AttemptOutcome::Answered, FillOutcome::Hit, took);
         }
         fake.list(vec![Endpoint {
             started: Some(fake.now),
-            ..wide(line("a", Role::Cache))
+            ..wide(endpoint("a", Role::Cache))
         }]);
-        fake.pass(2100);
+        fake.advance(2100);
         for object in 0..80 {
             fake.request_without_size(object);
         }
@@ -112,23 +125,27 @@
     let (small, large) = (sent_at_once(50), sent_at_once(800));
     assert!(
         2 * small > 3 * large,
-        "a cold cache gets {small} small or {large} large ones"
+        "a cold cache gets {small} small or {large} large requests, expected more than 1.5 times as many small ones"
     );
 }
 
-/// An attempt is decided, its host dies and is back empty before the connection is up: its share has to be taken anew.
+/// Guards against overload of a host that restarts between the decision of an attempt and the moment its connection is
+/// established: the new process is cold, and the quota was taken from the earlier one.
 #[test]
-fn a_host_that_is_back_cold_before_an_attempt_is_written_does_not_get_it() {
-    let mut fake = Fake::new(terms(), usual());
-    let at = fake.request(0, 1);
-    let (index, sent) = (fake.index_of(at), fake.sent[at].clone());
+fn an_attempt_is_not_cleared_if_its_host_or_source_has_restarted() {
+    let mut fake = Fake::new(terms(), default_hosts());
+    let position = fake.request(0, 1);
+    let (index, sent) = (fake.index_of(position), fake.sent[position].clone());
     let now = fake.now;
     assert!(
         fake.engine.clear(now, sent.request, index).is_some(),
-        "it stands as long as nothing has changed"
+        "the attempt was not cleared although nothing has changed"
     );
     for id in [&sent.host, &sent.source] {
-        let was = usual().into_iter().find(|line| line.host == *id).unwrap();
+        let was = default_hosts()
+            .into_iter()
+            .find(|endpoint| endpoint.host == *id)
+            .unwrap();
         fake.list(vec![Endpoint {
             started: Some(now),
             ..was.clone()
@@ -136,7 +153,7 @@
         assert_eq!(
             fake.engine.clear(now, sent.request, index),
             None,
-            "{id:?} is another process"
+            "the attempt was cleared although {id:?} has restarted"
         );
         fake.list(vec![was]);
     }
