--- a/crates/flaxdeck-control/examples/size.rs
+++ b/crates/flaxdeck-control/examples/size.rs
@@ -200,7 +200,7 @@
         client_kb_per_s: 11_000.0,
         purge_settles: Span::from_ms(2000),
         tells_link: true,
-        may_look: false,
+        may_poll_load: false,
     }
 }
 
--- a/crates/flaxdeck-fleet/src/model/deployment.rs
+++ b/crates/flaxdeck-fleet/src/model/deployment.rs
@@ -50,6 +50,6 @@
         client_kb_per_s: scenario.slot_kb_per_ms * 1000.0,
         purge_settles: Span::from_ms(6_000),
         tells_link: true,
-        may_look: false,
+        may_poll_load: false,
     }
 }
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -217,6 +217,6 @@
         client_kb_per_s: 11_000.0,
         purge_settles: Span::of_ms(settles_ms),
         tells_link: true,
-        may_look: false,
+        may_poll_load: false,
     }
 }
--- a/crates/flaxdeck-terms/src/lib.rs
+++ b/crates/flaxdeck-terms/src/lib.rs
@@ -176,7 +176,7 @@
         client_kb_per_s: family.number_or("client_kb_per_s", 0.0)?,
         purge_settles: family.span_or_zero("purge_settles_ms")?,
         tells_link: index_of(&reports.fields, LINK).is_some(),
-        may_look: reports.by_health_check,
+        may_poll_load: reports.by_health_check,
     })
 }
 
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -137,7 +137,7 @@
             list_trusted: true,
             unhinted_fraction: 1.0,
             mean_transfer_ms: 0.0,
-            next_load_poll: if terms.may_look {
+            next_load_poll: if terms.may_poll_load {
                 now + LOAD_POLL_INTERVAL
             } else {
                 Time::NEVER
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -50,5 +50,5 @@
     /// Whether load reports contain the load of the location's link.
     pub tells_link: bool,
     /// Whether hosts may be polled for their load, which they report only then.
-    pub may_look: bool,
+    pub may_poll_load: bool,
 }
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -95,7 +95,7 @@
         client_kb_per_s: 1000.0,
         purge_settles: Span::from_ms(6000),
         tells_link: true,
-        may_look: false,
+        may_poll_load: false,
     }
 }
 
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -156,7 +156,7 @@
 fn caches_that_report_load_only_when_polled_are_polled_in_turn() {
     let mut fake = Fake::new(
         DeploymentTerms {
-            may_look: true,
+            may_poll_load: true,
             ..terms()
         },
         default_hosts(),
