--- a/crates/flaxdeck-control/examples/size.rs
+++ b/crates/flaxdeck-control/examples/size.rs
@@ -199,7 +199,7 @@
         joins: false,
         client_kb_per_s: 11_000.0,
         purge_settles: Span::from_ms(2000),
-        tells_link: true,
+        reports_link_load: true,
         may_poll_load: false,
     }
 }
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -216,7 +216,7 @@
         joins: false,
         client_kb_per_s: 11_000.0,
         purge_settles: Span::of_ms(settles_ms),
-        tells_link: true,
+        reports_link_load: true,
         may_poll_load: false,
     }
 }
--- a/src/decision/link.rs
+++ b/src/decision/link.rs
@@ -24,7 +24,7 @@
     /// Guards against a full link that goes unnoticed: a fill is faster than the answer that it feeds, unless the link
     /// slows it down.
     pub(super) fn estimate_link(&mut self, slowdown: f64) {
-        if self.terms.tells_link {
+        if self.terms.reports_link_load {
             return;
         }
         let sample = FULL_LINK * (slowdown - 1.0).max(0.0);
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -48,7 +48,7 @@
     /// Time after which a purge has reached all copies.
     pub purge_settles: Span,
     /// Whether load reports contain the load of the location's link.
-    pub tells_link: bool,
+    pub reports_link_load: bool,
     /// Whether hosts may be polled for their load, which they report only then.
     pub may_poll_load: bool,
 }
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -94,7 +94,7 @@
         joins: true,
         client_kb_per_s: 1000.0,
         purge_settles: Span::from_ms(6000),
-        tells_link: true,
+        reports_link_load: true,
         may_poll_load: false,
     }
 }
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -65,7 +65,7 @@
     let fills_after = |took: u64| {
         let mut fake = Fake::new(
             DeploymentTerms {
-                tells_link: false,
+                reports_link_load: false,
                 ..single_attempt_terms()
             },
             default_hosts(),
