--- a/crates/flaxdeck-control/examples/size.rs
+++ b/crates/flaxdeck-control/examples/size.rs
@@ -185,7 +185,7 @@
         tick: Span::from_ms(2),
         may_cancel: true,
         may_duplicate: true,
-        may_name_return: true,
+        may_set_retry_after: true,
         longest_return: Span::from_ms(1000),
         most_attempts: 6,
         cold_from: 0.2,
--- a/crates/flaxdeck-fleet/src/model/deployment.rs
+++ b/crates/flaxdeck-fleet/src/model/deployment.rs
@@ -35,7 +35,7 @@
         tick: Span::from_ms(2),
         may_cancel: true,
         may_duplicate: true,
-        may_name_return: true,
+        may_set_retry_after: true,
         longest_return: Span::from_ms(2_000),
         most_attempts: 6,
         cold_from: scenario.slow_start_initial,
--- a/crates/flaxdeck-terms/src/lib.rs
+++ b/crates/flaxdeck-terms/src/lib.rs
@@ -161,7 +161,7 @@
         tick: settings.span("tick_ms")?,
         may_cancel: allowed.flag_or_false("cancel")?,
         may_duplicate: allowed.flag_or_false("may_duplicate")?,
-        may_name_return: allowed.flag_or_false("retry_after")?,
+        may_set_retry_after: allowed.flag_or_false("retry_after")?,
         longest_return: allowed.span_or_zero("max_retry_after_ms")?,
         most_attempts: allowed.number("max_attempts")? as u32,
         cold_from: rules.number("cold_from")?,
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -132,7 +132,7 @@
             answer_margin: terms.tick * ANSWER_TICKS_BEFORE_DEADLINE,
             shutdown_at: Time::NEVER,
             retry_after: terms
-                .may_name_return
+                .may_set_retry_after
                 .then(|| RETRY_AFTER.min(terms.longest_return)),
             list_trusted: true,
             unhinted_fraction: 1.0,
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -20,7 +20,7 @@
     /// Whether a request may have several attempts in flight, that is, whether it may be hedged.
     pub may_duplicate: bool,
     /// Whether a rejection may carry a retry-after.
-    pub may_name_return: bool,
+    pub may_set_retry_after: bool,
     /// The longest retry-after.
     pub longest_return: Span,
     /// The number of attempts that a request may have.
