--- a/crates/flaxdeck-fleet/src/model/deployment.rs
+++ b/crates/flaxdeck-fleet/src/model/deployment.rs
@@ -36,7 +36,7 @@
         may_cancel: true,
         may_duplicate: true,
         may_set_retry_after: true,
-        longest_return: Span::from_ms(2_000),
+        max_retry_after: Span::from_ms(2_000),
         most_attempts: 6,
         cold_from: scenario.slow_start_initial,
         warm_within: Span::of_ms(scenario.slow_start_ms),
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -203,7 +203,7 @@
         may_cancel: true,
         may_duplicate: true,
         may_set_retry_after: true,
-        longest_return: Span::from_ms(1_000),
+        max_retry_after: Span::from_ms(1_000),
         most_attempts: 6,
         cold_from: 0.2,
         warm_within: Span::from_ms(60_000),
--- a/crates/flaxdeck-terms/src/lib.rs
+++ b/crates/flaxdeck-terms/src/lib.rs
@@ -162,7 +162,7 @@
         may_cancel: allowed.flag_or_false("cancel")?,
         may_duplicate: allowed.flag_or_false("may_duplicate")?,
         may_set_retry_after: allowed.flag_or_false("retry_after")?,
-        longest_return: allowed.span_or_zero("max_retry_after_ms")?,
+        max_retry_after: allowed.span_or_zero("max_retry_after_ms")?,
         most_attempts: allowed.number("max_attempts")? as u32,
         cold_from: rules.number("cold_from")?,
         warm_within: rules.span("warm_within_ms")?,
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -133,7 +133,7 @@
             shutdown_at: Time::NEVER,
             retry_after: terms
                 .may_set_retry_after
-                .then(|| RETRY_AFTER.min(terms.longest_return)),
+                .then(|| RETRY_AFTER.min(terms.max_retry_after)),
             list_trusted: true,
             unhinted_fraction: 1.0,
             mean_transfer_ms: 0.0,
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -22,7 +22,7 @@
     /// Whether a rejection may carry a retry-after.
     pub may_set_retry_after: bool,
     /// The longest retry-after.
-    pub longest_return: Span,
+    pub max_retry_after: Span,
     /// The number of attempts that a request may have.
     pub most_attempts: u32,
     /// The fraction of its capacity that a cache has at its start, 0 to 1.
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -81,7 +81,7 @@
         may_cancel: true,
         may_duplicate: true,
         may_set_retry_after: true,
-        longest_return: Span::from_ms(1000),
+        max_retry_after: Span::from_ms(1000),
         most_attempts: 6,
         cold_from: 0.2,
         warm_within: Span::from_ms(10_000),
