--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -60,7 +60,7 @@
     })?;
     let window = || {
         let settings = Fields::of(&value, "the whole")?.inner("settings")?;
-        flaxdeck_terms::read(&settings).map(|(terms, _)| terms.fall_window)
+        flaxdeck_terms::read(&settings).map(|(terms, _)| terms.overload_window)
     };
     let window = window().map_err(|fault| usage_error(format!("{file}: settings: {fault}")))?;
     Ok(Platform {
--- a/crates/flaxdeck-fleet/src/model/deployment.rs
+++ b/crates/flaxdeck-fleet/src/model/deployment.rs
@@ -41,7 +41,7 @@
         cold_from: scenario.slow_start_initial,
         warm_within: Span::of_ms(scenario.slow_start_ms),
         overload_factor: scenario.overload_factor,
-        fall_window: Span::of_ms(scenario.load_window_ms),
+        overload_window: Span::of_ms(scenario.load_window_ms),
         parent_cold_from: scenario.slow_start_initial,
         parent_warm_within: Span::of_ms(scenario.slow_start_ms),
         parent_overload_factor: scenario.overload_factor,
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -208,7 +208,7 @@
         cold_from: 0.2,
         warm_within: Span::from_ms(60_000),
         overload_factor: 2.0,
-        fall_window: Span::from_ms(3_000),
+        overload_window: Span::from_ms(3_000),
         parent_cold_from: 0.1,
         parent_warm_within: Span::from_ms(60_000),
         parent_overload_factor: 2.0,
--- a/crates/flaxdeck-terms/src/lib.rs
+++ b/crates/flaxdeck-terms/src/lib.rs
@@ -167,7 +167,7 @@
         cold_from: rules.number("cold_from")?,
         warm_within: rules.span("warm_within_ms")?,
         overload_factor: rules.number("overload_factor")?,
-        fall_window: rules.span("fall_ms")?,
+        overload_window: rules.span("fall_ms")?,
         parent_cold_from: family.number_or("upper_cold_from", 0.0)?,
         parent_warm_within: family.span_or_zero("upper_cold_ms")?,
         parent_overload_factor: family.number_or("upper_fall_multiple", 0.0)?,
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -30,7 +30,7 @@
         SlowStart {
             initial_fraction: terms.cold_from,
             warm_within: terms.warm_within,
-            window: terms.fall_window,
+            window: terms.overload_window,
             total,
             equal_share: total / zone_dispatchers.max(1.0),
         }
@@ -42,7 +42,7 @@
         SlowStart {
             initial_fraction: terms.parent_cold_from,
             warm_within: terms.parent_warm_within,
-            window: terms.fall_window,
+            window: terms.overload_window,
             total,
             equal_share: total / f64::from(terms.dispatchers).max(1.0),
         }
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -32,7 +32,7 @@
     /// The multiple of its present capacity that a warming cache can be sent over an overload window without failing.
     pub overload_factor: f64,
     /// The length of the overload window of caches and parents.
-    pub fall_window: Span,
+    pub overload_window: Span,
     /// As `cold_from`, of parents.
     pub parent_cold_from: f64,
     /// As `warm_within`, of parents.
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -86,7 +86,7 @@
         cold_from: 0.2,
         warm_within: Span::from_ms(10_000),
         overload_factor: 2.0,
-        fall_window: Span::from_ms(2000),
+        overload_window: Span::from_ms(2000),
         parent_cold_from: 0.1,
         parent_warm_within: Span::from_ms(10_000),
         parent_overload_factor: 2.0,
