--- a/crates/flaxdeck-adapter/src/instance.rs
+++ b/crates/flaxdeck-adapter/src/instance.rs
@@ -126,7 +126,7 @@
         let value = |index: Option<usize>| values.get(index?).copied();
         Ok(LoadReport {
             link: value(self.names.link_index),
-            in_hand: value(self.names.in_hand_index),
+            in_flight: value(self.names.in_hand_index),
             busy: value(self.names.busy_index),
         })
     }
--- a/crates/flaxdeck-fleet/src/model/attempts.rs
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -157,7 +157,7 @@
                 .map(Span::of_ms),
             report: LoadReport {
                 link: over_link.then(|| self.zone_links[host.zone].load),
-                in_hand: answered.then_some(host.reported_load),
+                in_flight: answered.then_some(host.reported_load),
                 busy: None,
             },
         }
--- a/crates/flaxdeck-wire/tests/lines.rs
+++ b/crates/flaxdeck-wire/tests/lines.rs
@@ -98,7 +98,7 @@
         (Some(Span::of_ms(85.8)), Some(1.25))
     );
     assert_eq!(
-        (host_reply.report.in_hand, host_reply.unchanged),
+        (host_reply.report.in_flight, host_reply.unchanged),
         (Some(7.0), false)
     );
     for _ in 0..2 {
--- a/src/decision/state.rs
+++ b/src/decision/state.rs
@@ -126,7 +126,7 @@
 
     /// Applies the host's own load report; values that the report leaves out stay as they were.
     pub(super) fn record_report(&mut self, now: Time, report: LoadReport) {
-        if let Some(requests) = report.in_hand {
+        if let Some(requests) = report.in_flight {
             self.reported_others = Some(Sampled {
                 value: (requests - self.in_flight).max(0.0),
                 at: now,
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -60,7 +60,7 @@
     /// Of a cache: the number of transfers on its location's link over those that the link carries at full speed.
     pub link: Option<f64>,
     /// Requests in flight at the host, of all dispatchers.
-    pub in_hand: Option<f64>,
+    pub in_flight: Option<f64>,
     /// The fraction of its capacity in use, 0 to 1.
     pub busy: Option<f64>,
 }
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -310,7 +310,7 @@
             waited: Some(waited),
             report: LoadReport {
                 link,
-                in_hand: Some(if is_a {
+                in_flight: Some(if is_a {
                     self.in_flight_at_a
                 } else {
                     self.in_flight_elsewhere
--- a/tests/same.rs
+++ b/tests/same.rs
@@ -163,13 +163,13 @@
             .rng
             .random_bool(0.5)
             .then(|| self.rng.random_range(0.0..4.0));
-        let in_hand = self
+        let in_flight = self
             .rng
             .random_bool(0.5)
             .then(|| f64::from(self.rng.random_range(0..12)));
         LoadReport {
             link,
-            in_hand,
+            in_flight,
             busy: None,
         }
     }
