--- a/crates/flaxdeck-adapter/src/instance.rs
+++ b/crates/flaxdeck-adapter/src/instance.rs
@@ -127,7 +127,7 @@
         Ok(LoadReport {
             link: value(self.names.link_index),
             in_flight: value(self.names.in_hand_index),
-            busy: value(self.names.busy_index),
+            utilization: value(self.names.busy_index),
         })
     }
 
--- a/crates/flaxdeck-fleet/src/model/attempts.rs
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -158,7 +158,7 @@
             report: LoadReport {
                 link: over_link.then(|| self.zone_links[host.zone].load),
                 in_flight: answered.then_some(host.reported_load),
-                busy: None,
+                utilization: None,
             },
         }
     }
--- a/crates/flaxdeck-wire/src/lines.rs
+++ b/crates/flaxdeck-wire/src/lines.rs
@@ -285,7 +285,7 @@
             None => {}
             index if index == names.link_index => report.link = read_number(value),
             index if index == names.in_hand_index => report.in_flight = read_number(value),
-            index if index == names.busy_index => report.busy = read_number(value),
+            index if index == names.busy_index => report.utilization = read_number(value),
             Some(_) => {}
         }
     }
--- a/src/decision/state.rs
+++ b/src/decision/state.rs
@@ -132,7 +132,7 @@
                 at: now,
             });
         }
-        if let Some(utilization) = report.busy {
+        if let Some(utilization) = report.utilization {
             self.utilization = Some(Sampled {
                 value: utilization,
                 at: now,
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -62,5 +62,5 @@
     /// Requests in flight at the host, of all dispatchers.
     pub in_flight: Option<f64>,
     /// The fraction of its capacity in use, 0 to 1.
-    pub busy: Option<f64>,
+    pub utilization: Option<f64>,
 }
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -315,7 +315,7 @@
                 } else {
                     self.in_flight_elsewhere
                 }),
-                busy: self.utilization_of_a.filter(|_| is_a),
+                utilization: self.utilization_of_a.filter(|_| is_a),
             },
         };
         let decisions = self.engine.attempt_ended(self.now, ended);
--- a/tests/same.rs
+++ b/tests/same.rs
@@ -170,7 +170,7 @@
         LoadReport {
             link,
             in_flight,
-            busy: None,
+            utilization: None,
         }
     }
 
