--- a/crates/flaxdeck-adapter/src/instance.rs
+++ b/crates/flaxdeck-adapter/src/instance.rs
@@ -117,7 +117,7 @@
             group: GroupId(fields.whole_or_none("set_no")?.unwrap_or(0)),
             size_kb: fields.number_or_none("bytes_k")?.filter(|kb| *kb > 0.0),
             deadline: fields.time("expires_ms")?,
-            again: fields.flag_or_false("again_by_client")?,
+            is_retry: fields.flag_or_false("again_by_client")?,
         })
     }
 
--- a/crates/flaxdeck-control/examples/size.rs
+++ b/crates/flaxdeck-control/examples/size.rs
@@ -270,7 +270,7 @@
             group: GroupId(0),
             size_kb: Some(50.0),
             deadline: now + Span::from_ms(2_500),
-            again: false,
+            is_retry: false,
         };
         let begun = Instant::now();
         let offs = engine.request(now, request).attempts;
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -71,7 +71,7 @@
             group: asked.group,
             size_kb: asked.size_kb,
             deadline: self.clock.now() + asked.timeout,
-            again: asked.is_retry,
+            is_retry: asked.is_retry,
         };
         let entry = self.requests.open(id, asked.id.clone(), asked.object);
         if let Some(client) = self.control_client.get() {
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -192,7 +192,7 @@
             group: GroupId(3),
             size_kb: Some(size_kb).filter(|_| self.seed.is_multiple_of(2)),
             deadline,
-            again: false,
+            is_retry: false,
         };
         self.engine.report(self.now, Input::RequestArrived(request));
     }
--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -160,7 +160,7 @@
             group: GroupId(operation.object % GROUPS),
             size_kb: Some(operation.kb),
             deadline: time(self.now + self.scenario.client_timeout_ms),
-            again: operation.tries > 1,
+            is_retry: operation.tries > 1,
         }
     }
 
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -138,7 +138,7 @@
         group: GroupId(0),
         size_kb: Some(50.0),
         deadline: now + Span::from_ms(2_500),
-        again: false,
+        is_retry: false,
     };
     let begun = Instant::now();
     let attempts = engine.request(now, request).attempts;
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -203,7 +203,7 @@
         let promised = self
             .promised_objectives
             .remove(&ObjectPart::of(&request))
-            .filter(|_| request.again);
+            .filter(|_| request.is_retry);
         let terms = &self.class_of(&request).terms;
         let objective =
             promised.unwrap_or(now + terms.objective + Span::of_ms(transfer_ms * terms.stretch));
--- a/src/request.rs
+++ b/src/request.rs
@@ -67,7 +67,7 @@
     /// When the client stops waiting for this request.
     pub deadline: Time,
     /// Whether the client has marked it as a retry of an earlier request.
-    pub again: bool,
+    pub is_retry: bool,
 }
 
 /// A final answer that the dispatcher gives itself.
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -220,7 +220,7 @@
             group: GroupId(object % 4),
             size_kb,
             deadline: self.now + Span::from_ms(4000),
-            again: self.client_retry,
+            is_retry: self.client_retry,
         };
         let decisions = self.engine.request(self.now, request);
         self.apply(decisions);
--- a/tests/guided.rs
+++ b/tests/guided.rs
@@ -71,7 +71,7 @@
         group: GroupId(1),
         size_kb: Some(50.0),
         deadline: now + Span::from_ms(2_000),
-        again: false,
+        is_retry: false,
     }
 }
 
--- a/tests/polled.rs
+++ b/tests/polled.rs
@@ -30,7 +30,7 @@
             group: GroupId(1),
             size_kb: Some(100.0),
             deadline: now + Span::from_ms(900),
-            again: false,
+            is_retry: false,
         };
         assert_eq!(engine.report(now, Input::RequestArrived(request)), [id]);
         let Step::Attempt(index, sent) = engine.pick(id) else {
--- a/tests/same.rs
+++ b/tests/same.rs
@@ -208,7 +208,7 @@
                 .random_bool(0.8)
                 .then(|| self.rng.random_range(1.0..2_000.0)),
             deadline: now + Span::from_ms(2_500),
-            again: self.rng.random_bool(0.1),
+            is_retry: self.rng.random_bool(0.1),
         };
         let decisions = self.engine.request(now, request);
         self.apply(now, decisions);
