--- a/crates/flaxdeck-control/examples/size.rs
+++ b/crates/flaxdeck-control/examples/size.rs
@@ -175,7 +175,7 @@
         goes_through: false,
         parted: false,
         fresh: None,
-        older: Span::ZERO,
+        stale_grace: Span::ZERO,
     };
     DeploymentTerms {
         classes: vec![class],
--- a/crates/flaxdeck-fleet/src/model/deployment.rs
+++ b/crates/flaxdeck-fleet/src/model/deployment.rs
@@ -17,7 +17,7 @@
         goes_through,
         parted: false,
         fresh: None,
-        older: Span::ZERO,
+        stale_grace: Span::ZERO,
     }
 }
 
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -192,7 +192,7 @@
         goes_through: false,
         parted: false,
         fresh: None,
-        older: Span::ZERO,
+        stale_grace: Span::ZERO,
     };
     DeploymentTerms {
         classes: vec![class],
--- a/crates/flaxdeck-terms/src/classes.rs
+++ b/crates/flaxdeck-terms/src/classes.rs
@@ -70,7 +70,7 @@
         fresh: Some(ms(&properties.fresh_ms))
             .filter(|ms| *ms > 0.0)
             .map(Span::of_ms),
-        older: Span::of_ms(ms(&properties.older_ms)),
+        stale_grace: Span::of_ms(ms(&properties.older_ms)),
     })
 }
 
--- a/src/decision/freshness.rs
+++ b/src/decision/freshness.rs
@@ -39,7 +39,7 @@
             .min();
         let fresh = class.terms.fresh;
         let grace = if hit_only {
-            class.terms.older
+            class.terms.stale_grace
         } else {
             Span::ZERO
         };
--- a/src/request.rs
+++ b/src/request.rs
@@ -46,7 +46,7 @@
     pub fresh: Option<Span>,
     /// How much older than its fresh time a copy may be where no fresh one is available. Such an answer counts for a
     /// part of its priority weight.
-    pub older: Span,
+    pub stale_grace: Span,
 }
 
 /// A client's request.
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -60,7 +60,7 @@
         goes_through: repeats == Repeats::AtMostOnce,
         parted: false,
         fresh: None,
-        older: Span::ZERO,
+        stale_grace: Span::ZERO,
     }
 }
 
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -30,10 +30,10 @@
 
 #[test]
 fn a_hit_only_attempt_accepts_a_stale_copy_within_the_grace_but_none_older_than_a_purge() {
-    let (fresh, older) = (Span::from_ms(8000), Span::from_ms(20_000));
+    let (fresh, stale_grace) = (Span::from_ms(8000), Span::from_ms(20_000));
     let ageing = |class: &RequestClass| RequestClass {
         fresh: Some(fresh),
-        older,
+        stale_grace,
         ..class.clone()
     };
     let mut fake = Fake::new(
