--- a/crates/flaxdeck-control/src/forwarder/guidance.rs
+++ b/crates/flaxdeck-control/src/forwarder/guidance.rs
@@ -219,5 +219,5 @@
 /// When the coordinator was surely heard by a planner that told at `true_at` how long ago that was. Between two of the
 /// coordinator's messages a planner on a good connection would hear of any change at once.
 fn confirmed_at(true_at: Time, coordinator_ago_ms: u32) -> Time {
-    true_at - span_of(coordinator_ago_ms).less(COORDINATOR_TIMEOUT)
+    true_at - span_of(coordinator_ago_ms).saturating_sub(COORDINATOR_TIMEOUT)
 }
--- a/crates/flaxdeck-control/tests/instance_slots.rs
+++ b/crates/flaxdeck-control/tests/instance_slots.rs
@@ -43,7 +43,7 @@
     instance_slots.admit(at(10_000), SLOT, Epoch(2));
     assert_eq!(
         instance_slots.outstanding(at(10_000), SLOT),
-        Some(lasts.less(Span::from_ms(1_000)))
+        Some(lasts.saturating_sub(Span::from_ms(1_000)))
     );
     assert_eq!(
         instance_slots.outstanding(at(9_000) + lasts, SLOT),
--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -152,7 +152,7 @@
 async fn shut_down(router: &Router, clock: Clock, longest_wait: Span) {
     log::info!("asked to end");
     let kill_after = longest_wait.min(MAX_LONGEST_WAIT) + KILL_DELAY;
-    let answers_by = clock.now() + kill_after.less(KILL_MARGIN);
+    let answers_by = clock.now() + kill_after.saturating_sub(KILL_MARGIN);
     router.end_by(answers_by);
     wait_until_idle(router, clock, answers_by + KILL_MARGIN * ANSWERS_PART).await;
     router.end_clients();
--- a/src/decision/freshness.rs
+++ b/src/decision/freshness.rs
@@ -34,7 +34,7 @@
             .filter(|purge| purge.covers(request))
             .map(|purge| {
                 let age = self.now.since(purge.made);
-                age.less(AGE_ROUNDING).max(AGE_ROUNDING)
+                age.saturating_sub(AGE_ROUNDING).max(AGE_ROUNDING)
             })
             .min();
         let fresh = class.terms.fresh;
--- a/src/decision/load.rs
+++ b/src/decision/load.rs
@@ -24,7 +24,7 @@
     /// After the first [`REPORT_LIFETIME`] without a sample, the excess over 1 halves with each further one: a host
     /// whose objects have moved away yields no samples, and has to be tried again.
     pub(super) fn current_slowdown(&self, now: Time) -> f64 {
-        let age = now.since(self.slowdown.at).less(REPORT_LIFETIME);
+        let age = now.since(self.slowdown.at).saturating_sub(REPORT_LIFETIME);
         let decay = 0.5f64.powf(age.ms() / REPORT_LIFETIME.ms());
         1.0 + (self.slowdown.value - 1.0) * decay
     }
--- a/src/decision/measurements.rs
+++ b/src/decision/measurements.rs
@@ -85,7 +85,7 @@
         };
         // A fill that a parent fetched from the origin says nothing about the parent's own latency.
         let own = source.is(Role::Origin) || completed.ended.fill == FillOutcome::Filled;
-        let transfer_ms = completed.ended.took.less(waited).ms().max(1.0);
+        let transfer_ms = completed.ended.took.saturating_sub(waited).ms().max(1.0);
         let samples = SourceMeasurements {
             latency: own.then_some(waited.ms()),
             bandwidth: completed.large_kb.map(|kb| kb / transfer_ms),
@@ -151,7 +151,7 @@
         }
         let source = filled_by.and_then(|id| self.hosts.get_mut(&id));
         if let (Some(source), Some(waited)) = (source, ended.waited) {
-            let ratio = ended.took.less(waited).ms() / expected_ms / cache_slowdown;
+            let ratio = ended.took.saturating_sub(waited).ms() / expected_ms / cache_slowdown;
             source.record_slowdown(self.now, ratio);
             if completed.size_known {
                 self.estimate_link(ratio);
--- a/src/time.rs
+++ b/src/time.rs
@@ -59,7 +59,7 @@
     }
 
     /// Returns this span minus another; zero if the other is longer.
-    pub fn less(self, other: Span) -> Span {
+    pub fn saturating_sub(self, other: Span) -> Span {
         Span(self.0.saturating_sub(other.0))
     }
 }
