--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -218,7 +218,7 @@
     fn clear(&self, request: RequestId, index: AttemptIndex) -> Option<Clearance> {
         self.engine
             .borrow_mut()
-            .clear(self.clock.now(), request, index)
+            .clear_attempt(self.clock.now(), request, index)
     }
 
     /// When a client that finds no room may come back.
--- a/src/decision/clearance.rs
+++ b/src/decision/clearance.rs
@@ -10,7 +10,12 @@
     ///
     /// Guards against a connect that takes longer than a purge grace, a slow start window or the request itself: the
     /// limits have to hold when the attempt is written, not only when it was decided.
-    pub fn clear(&mut self, now: Time, id: RequestId, index: AttemptIndex) -> Option<Clearance> {
+    pub fn clear_attempt(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        index: AttemptIndex,
+    ) -> Option<Clearance> {
         self.now = now;
         let state = self.requests.get(&id)?;
         if state.done || !self.list_trusted {
--- a/src/polled.rs
+++ b/src/polled.rs
@@ -127,13 +127,13 @@
 
     /// Decides whether an attempt that was picked may still be sent now that its connection is established, and on
     /// which terms.
-    pub fn clear(
+    pub fn clear_attempt(
         &mut self,
         now: Time,
         request: RequestId,
         index: AttemptIndex,
     ) -> Option<Clearance> {
-        self.engine.clear(now, request, index)
+        self.engine.clear_attempt(now, request, index)
     }
 
     /// Returns what this dispatcher has observed of each host, to be reported to its peers. Resets the unmet demand.
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -138,7 +138,9 @@
     let (index, sent) = (fake.index_of(position), fake.sent[position].clone());
     let now = fake.now;
     assert!(
-        fake.engine.clear(now, sent.request, index).is_some(),
+        fake.engine
+            .clear_attempt(now, sent.request, index)
+            .is_some(),
         "the attempt was not cleared although nothing has changed"
     );
     for id in [&sent.host, &sent.source] {
@@ -151,7 +153,7 @@
             ..was.clone()
         }]);
         assert_eq!(
-            fake.engine.clear(now, sent.request, index),
+            fake.engine.clear_attempt(now, sent.request, index),
             None,
             "the attempt was cleared although {id:?} has restarted"
         );
