--- a/src/polled.rs
+++ b/src/polled.rs
@@ -105,7 +105,7 @@
                 self.engine.attempt_ended(now, ended)
             }
             Input::PeerHints(hints) => self.engine.guided(now, hints),
-            Input::ShutdownAt(ends) => self.engine.ends_at(now, ends),
+            Input::ShutdownAt(ends) => self.engine.shut_down_at(now, ends),
             Input::ClientLeft(request) => {
                 self.finish(request);
                 self.engine.client_left(now, request)
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -90,7 +90,7 @@
     let mut fake = Fake::new(terms(), default_hosts());
     fake.request(0, 1);
     let now = fake.now;
-    let decisions = fake.engine.ends_at(now, now + Span::from_ms(300));
+    let decisions = fake.engine.shut_down_at(now, now + Span::from_ms(300));
     assert_eq!(decisions.finals, []);
     fake.request(0, 2);
     fake.advance(299);
