--- a/crates/flaxdeck-adapter/src/instance.rs
+++ b/crates/flaxdeck-adapter/src/instance.rs
@@ -65,7 +65,7 @@
             "CheckResult" => {
                 let host = HostId(fields.text("host")?.into());
                 let report = self.load_report(fields)?;
-                self.engine.seen(now, &host, report)
+                self.engine.load_polled(now, &host, report)
             }
             // Streamed answers and messages are never asked for here: nothing follows from them.
             _ => Decisions::default(),
--- a/src/decision/load_polls.rs
+++ b/src/decision/load_polls.rs
@@ -24,7 +24,7 @@
     }
 
     /// Applies the answer of a host to a load poll; its report may be empty.
-    pub fn seen(&mut self, now: Time, host: &HostId, report: LoadReport) -> Decisions {
+    pub fn load_polled(&mut self, now: Time, host: &HostId, report: LoadReport) -> Decisions {
         self.now = now;
         self.record_link_report(report.link);
         if let Some(host) = self.hosts.get_mut(host) {
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -277,7 +277,7 @@
 
     /// Answers a load poll of a host with a report of the link's load.
     pub(crate) fn answer_load_poll(&mut self, name: &str, link: Option<f64>) {
-        let decisions = self.engine.seen(
+        let decisions = self.engine.load_polled(
             self.now,
             &host(name),
             LoadReport {
