--- a/crates/flaxdeck-control/examples/size.rs
+++ b/crates/flaxdeck-control/examples/size.rs
@@ -159,7 +159,7 @@
             forwarder.report(now, PlannerId(to), &observations, EventPosition::NONE);
         }
         let guided = forwarder.hints(now);
-        engine.guided(now, guided);
+        engine.apply_peer_hints(now, guided);
     }
     let took = begun.elapsed().as_secs_f64() * 1e6 / TIMES as f64;
     println!(
@@ -260,7 +260,7 @@
     for n in 0..REQUESTS {
         let now = at(5_000 + n);
         if guided && n.is_multiple_of(200) {
-            engine.guided(now, peer_hints(now, hosts));
+            engine.apply_peer_hints(now, peer_hints(now, hosts));
         }
         let request = Request {
             id: RequestId(n),
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -97,7 +97,7 @@
         else {
             return;
         };
-        let decisions = engine.guided(now, session.hints(now));
+        let decisions = engine.apply_peer_hints(now, session.hints(now));
         self.decide(forwarder, decisions);
     }
 
--- a/src/decision/peers.rs
+++ b/src/decision/peers.rs
@@ -9,7 +9,7 @@
 impl DecisionEngine {
     /// Applies the hints of other dispatchers. The quotas, the unhinted share and the trust in the endpoint list
     /// replace those of the call before. Measurements count only if they are newer than what is known here.
-    pub fn guided(&mut self, now: Time, peer_hints: PeerHints) -> Decisions {
+    pub fn apply_peer_hints(&mut self, now: Time, peer_hints: PeerHints) -> Decisions {
         self.now = now;
         self.list_trusted = peer_hints.list_trusted;
         self.unhinted_fraction = peer_hints.unhinted_share.clamp(0.0, 1.0);
--- a/src/polled.rs
+++ b/src/polled.rs
@@ -104,7 +104,7 @@
                 }
                 self.engine.attempt_ended(now, ended)
             }
-            Input::PeerHints(hints) => self.engine.guided(now, hints),
+            Input::PeerHints(hints) => self.engine.apply_peer_hints(now, hints),
             Input::ShutdownAt(ends) => self.engine.shut_down_at(now, ends),
             Input::ClientLeft(request) => {
                 self.finish(request);
--- a/tests/guided.rs
+++ b/tests/guided.rs
@@ -104,7 +104,7 @@
 fn a_parent_that_peers_report_down_gets_no_fills_before_its_trial() {
     let mut engine = engine(endpoints());
     assert!(sources(&mut engine, at(10), 1..9).contains(&host("p")));
-    engine.guided(
+    engine.apply_peer_hints(
         at(20),
         hints_of(vec![PeerHint {
             down_at: Some(at(15)),
@@ -128,7 +128,7 @@
         at(100),
         ended(attempt, AttemptOutcome::Answered, FillOutcome::Filled, 5.0),
     );
-    engine.guided(
+    engine.apply_peer_hints(
         at(110),
         hints_of(vec![PeerHint {
             down_at: Some(at(90)),
@@ -136,7 +136,7 @@
         }]),
     );
     assert!(sources(&mut engine, at(120), 20..30).contains(&host("p")));
-    engine.guided(
+    engine.apply_peer_hints(
         at(130),
         hints_of(vec![PeerHint {
             down_at: Some(at(125)),
@@ -153,7 +153,7 @@
 #[test]
 fn an_ejected_parent_gets_a_trial_at_once_when_peers_reach_it_again() {
     let mut engine = engine(endpoints());
-    engine.guided(
+    engine.apply_peer_hints(
         at(20),
         hints_of(vec![PeerHint {
             down_at: Some(at(15)),
@@ -161,7 +161,7 @@
         }]),
     );
     assert!(!sources(&mut engine, at(30), 1..20).contains(&host("p")));
-    engine.guided(
+    engine.apply_peer_hints(
         at(40),
         hints_of(vec![PeerHint {
             last_success: Some(at(35)),
@@ -192,7 +192,7 @@
         ..hint("o")
     };
     for n in 0..6 {
-        engine.guided(
+        engine.apply_peer_hints(
             at(20 + n),
             hints_of(vec![quick(at(10 + n)), slow(at(10 + n))]),
         );
@@ -229,7 +229,7 @@
         let mut engine = engine(endpoints.clone());
         let now = at(2_500);
         let hints = vec![PeerHint { quota, ..hint("a") }];
-        engine.guided(
+        engine.apply_peer_hints(
             now,
             PeerHints {
                 hints,
@@ -273,7 +273,7 @@
         endpoint("p", Role::Parent),
         endpoint("o", Role::Origin),
     ]);
-    engine.guided(
+    engine.apply_peer_hints(
         at(2_500),
         hints_of(vec![PeerHint {
             quota: Some(quota(Some(at(0)), 0.0)),
@@ -309,7 +309,7 @@
         .request(at(10), request(1, at(10), 0))
         .attempts
         .remove(0);
-    engine.guided(
+    engine.apply_peer_hints(
         at(20),
         PeerHints {
             list_trusted: false,
@@ -334,7 +334,7 @@
         "a request that its host answered got a second answer: {:?}",
         decisions.finals
     );
-    engine.guided(at(50), hints_of(vec![]));
+    engine.apply_peer_hints(at(50), hints_of(vec![]));
     assert_eq!(
         engine.request(at(60), request(3, at(60), 0)).attempts.len(),
         1
@@ -344,7 +344,7 @@
 #[test]
 fn hints_about_unlisted_hosts_change_nothing() {
     let mut engine = engine(endpoints());
-    engine.guided(
+    engine.apply_peer_hints(
         at(10),
         hints_of(vec![PeerHint {
             quota: Some(quota(None, 1.0)),
@@ -359,7 +359,7 @@
 fn a_full_link_reported_by_peers_stops_fills_until_the_report_expires() {
     let mut engine = engine(endpoints());
     let now = at(100);
-    engine.guided(
+    engine.apply_peer_hints(
         now,
         PeerHints {
             link: Some(Sampled {
@@ -374,7 +374,7 @@
         attempt.source, attempt.host,
         "a fill was requested over a full link"
     );
-    engine.guided(
+    engine.apply_peer_hints(
         at(110),
         PeerHints {
             link: Some(Sampled {
