--- a/src/decision/clearance.rs
+++ b/src/decision/clearance.rs
@@ -28,7 +28,7 @@
         let class = self.class_of(&state.request);
         let oldest = self.max_copy_age(&state.request, class, attempt.without_fill());
         let deadline = state.request.deadline;
-        let sent_by = self.repeats_dropped_until(state).min(deadline) - self.answer_margin;
+        let sent_by = self.deduplicated_until(state).min(deadline) - self.answer_margin;
         for participant in attempt.participants() {
             let host = self.hosts.get_mut(participant)?;
             let counted = host.in_service() && host.renew_charge(now, id, index);
--- a/src/decision/measurements.rs
+++ b/src/decision/measurements.rs
@@ -68,7 +68,7 @@
 impl Host {
     /// Whether the origin has beaten this source in [`ORIGIN_WINS_TO_LEAVE`] consecutive fills.
     ///
-    /// A source without samples is never beaten.
+    /// A source without samples counts as average and is never beaten.
     pub(super) fn beaten_by_origin(&self, measure: Measure) -> bool {
         measure.wins(&self.origin_wins) >= ORIGIN_WINS_TO_LEAVE
     }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,10 +1,10 @@
 //! The decision engine: all routing decisions of one dispatcher.
 //!
 //! A caller creates a [`DecisionEngine`] with `start` and reports each event by a call: `list`, `request`,
-//! `attempt_ended`, `purge`, `apply_peer_hints`, `load_polled`, `wake`, `client_left`, `shut_down_at`. Each call returns [`Decisions`], which
-//! the caller applies in the order of the fields: cancels, attempts, final answers, load polls, next wake. The answer
-//! to an attempt is its request's final answer, so the engine returns none for it. The reasons behind the decisions are
-//! in `docs/design.md`.
+//! `attempt_ended`, `purge`, `apply_peer_hints`, `load_polled`, `wake`, `client_left`, `shut_down_at`. Each call
+//! returns [`Decisions`], which the caller applies in the order of the fields: cancels, attempts, final answers, load
+//! polls, next wake. The answer to an attempt is its request's final answer, so the engine returns none for it. The
+//! reasons behind the decisions are in `docs/design.md`.
 //!
 //! | module | decides |
 //! | --- | --- |
--- a/src/decision/retries.rs
+++ b/src/decision/retries.rs
@@ -56,7 +56,7 @@
 
     /// Returns the end of the deduplication window of a request that may have run, or [`Time::NEVER`] if it may be sent
     /// at any time.
-    pub(super) fn repeats_dropped_until(&self, state: &RequestState) -> Time {
+    pub(super) fn deduplicated_until(&self, state: &RequestState) -> Time {
         let repeats = self.class_of(&state.request).terms.repeats;
         match (repeats, &state.may_have_run) {
             (Repeats::Deduplicated { remembered, .. }, Some(run)) => run.sent + remembered,
--- a/src/decision/source_selection.rs
+++ b/src/decision/source_selection.rs
@@ -1,7 +1,8 @@
 //! Selects the source that fills a miss, by the adaptive neighbour set of the Tuxedo paper, section 3.2.
 //!
 //! Parents are the neighbours, the origin is the server. A parent stays in the set unless it is ejected, too slow, or
-//! clearly beaten by the origin on the measure that applies to the object's size. The hash order decides within the set.
+//! clearly beaten by the origin on the measure that applies to the object's size. The hash order decides within the
+//! set.
 
 use crate::{HostId, Role};
 
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -9,8 +9,8 @@
 }
 
 /// Returns the hash of a name with a seed (FNV-1a).
-pub fn of_name(name: &str, with: u64) -> u64 {
-    name.bytes().fold(0xcbf29ce484222325 ^ with, |hash, byte| {
+pub fn of_name(name: &str, seed: u64) -> u64 {
+    name.bytes().fold(0xcbf29ce484222325 ^ seed, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x100000001b3)
     })
 }
