--- a/src/decision/retries.rs
+++ b/src/decision/retries.rs
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Returns the end of the deduplication window of a request that may have run, or [`Time::NEVER`] if it may be sent
-    /// at any time.
+    /// Returns the end of the deduplication window of a request that may have run, or [`Time::NEVER`] if no such window
+    /// applies.
     pub(super) fn deduplicated_until(&self, state: &RequestState) -> Time {
         let repeats = self.class_of(&state.request).terms.repeats;
         match (repeats, &state.may_have_run) {
