--- a/crates/flaxdeck-adapter/src/instance.rs
+++ b/crates/flaxdeck-adapter/src/instance.rs
@@ -65,7 +65,7 @@
             "CheckResult" => {
                 let host = HostId(fields.text("host")?.into());
                 let report = self.load_report(fields)?;
-                self.engine.seen(now, &host, report)
+                self.engine.load_polled(now, &host, report)
             }
             // Streamed answers and messages are never asked for here: nothing follows from them.
             _ => Decisions::default(),
@@ -117,7 +117,7 @@
             group: GroupId(fields.whole_or_none("set_no")?.unwrap_or(0)),
             size_kb: fields.number_or_none("bytes_k")?.filter(|kb| *kb > 0.0),
             deadline: fields.time("expires_ms")?,
-            again: fields.flag_or_false("again_by_client")?,
+            is_retry: fields.flag_or_false("again_by_client")?,
         })
     }
 
@@ -126,8 +126,8 @@
         let value = |index: Option<usize>| values.get(index?).copied();
         Ok(LoadReport {
             link: value(self.names.link_index),
-            in_hand: value(self.names.in_hand_index),
-            busy: value(self.names.busy_index),
+            in_flight: value(self.names.in_hand_index),
+            utilization: value(self.names.busy_index),
         })
     }
 
--- a/crates/flaxdeck-control/examples/size.rs
+++ b/crates/flaxdeck-control/examples/size.rs
@@ -160,7 +160,7 @@
             forwarder.report(now, PlannerId(to), &observations, EventPosition::NONE);
         }
         let hints = forwarder.hints(now);
-        engine.guided(now, hints);
+        engine.apply_peer_hints(now, hints);
     }
     let elapsed_us = start.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64;
     println!(
@@ -177,7 +177,7 @@
         goes_through: false,
         parted: false,
         fresh: None,
-        older: Span::ZERO,
+        stale_grace: Span::ZERO,
     };
     DeploymentTerms {
         classes: vec![class],
@@ -187,13 +187,13 @@
         tick: Span::from_ms(2),
         may_cancel: true,
         may_duplicate: true,
-        may_name_return: true,
-        longest_return: Span::from_ms(1000),
+        may_set_retry_after: true,
+        max_retry_after: Span::from_ms(1000),
         most_attempts: 6,
         cold_from: 0.2,
         warm_within: Span::from_ms(60_000),
         overload_factor: 2.0,
-        fall_window: Span::from_ms(3_000),
+        overload_window: Span::from_ms(3_000),
         parent_cold_from: 0.1,
         parent_warm_within: Span::from_ms(60_000),
         parent_overload_factor: 2.0,
@@ -201,8 +201,8 @@
         joins: false,
         client_kb_per_s: 11_000.0,
         purge_settles: Span::from_ms(2000),
-        tells_link: true,
-        may_look: false,
+        reports_link_load: true,
+        may_poll_load: false,
     }
 }
 
@@ -263,7 +263,7 @@
     for n in 0..REQUESTS {
         let now = at(5_000 + n);
         if guided && n.is_multiple_of(200) {
-            engine.guided(now, peer_hints(now, hosts));
+            engine.apply_peer_hints(now, peer_hints(now, hosts));
         }
         let request = Request {
             id: RequestId(n),
@@ -273,7 +273,7 @@
             group: GroupId(0),
             size_kb: Some(50.0),
             deadline: now + Span::from_ms(2_500),
-            again: false,
+            is_retry: false,
         };
         let start = Instant::now();
         let attempts = engine.request(now, request).attempts;
--- a/crates/flaxdeck-control/src/forwarder/guidance.rs
+++ b/crates/flaxdeck-control/src/forwarder/guidance.rs
@@ -222,5 +222,5 @@
 /// it had heard the coordinator `coordinator_ago_ms` before. An age of up to [`COORDINATOR_TIMEOUT`] counts as none:
 /// between two of the coordinator's messages, a planner on a working connection would receive any change at once.
 fn confirmed_at(as_of: Time, coordinator_ago_ms: u32) -> Time {
-    as_of - span_of(coordinator_ago_ms).less(COORDINATOR_TIMEOUT)
+    as_of - span_of(coordinator_ago_ms).saturating_sub(COORDINATOR_TIMEOUT)
 }
--- a/crates/flaxdeck-control/tests/instance_slots.rs
+++ b/crates/flaxdeck-control/tests/instance_slots.rs
@@ -43,7 +43,7 @@
     instance_slots.admit(at(10_000), SLOT, Epoch(2));
     assert_eq!(
         instance_slots.outstanding(at(10_000), SLOT),
-        Some(lifetime.less(Span::from_ms(1_000)))
+        Some(lifetime.saturating_sub(Span::from_ms(1_000)))
     );
     assert_eq!(
         instance_slots.outstanding(at(9_000) + lifetime, SLOT),
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -220,7 +220,7 @@
     fn clear(&self, request: RequestId, index: AttemptIndex) -> Option<Clearance> {
         self.engine
             .borrow_mut()
-            .clear(self.clock.now(), request, index)
+            .clear_attempt(self.clock.now(), request, index)
     }
 
     /// Returns the time after which a client rejected for lack of capacity may retry, if one is to be named.
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -72,7 +72,7 @@
             group: client_request.group,
             size_kb: client_request.size_kb,
             deadline: self.clock.now() + client_request.timeout,
-            again: client_request.is_retry,
+            is_retry: client_request.is_retry,
         };
         let entry = self
             .requests
--- a/crates/flaxdeck-fleet/src/model/attempts.rs
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -157,8 +157,8 @@
                 .map(Span::of_ms),
             report: LoadReport {
                 link: over_link.then(|| self.zone_links[host.zone].load),
-                in_hand: answered.then_some(host.reported_load),
-                busy: None,
+                in_flight: answered.then_some(host.reported_load),
+                utilization: None,
             },
         }
     }
--- a/crates/flaxdeck-fleet/src/model/deployment.rs
+++ b/crates/flaxdeck-fleet/src/model/deployment.rs
@@ -17,7 +17,7 @@
         goes_through,
         parted: false,
         fresh: None,
-        older: Span::ZERO,
+        stale_grace: Span::ZERO,
     }
 }
 
@@ -35,13 +35,13 @@
         tick: Span::from_ms(2),
         may_cancel: true,
         may_duplicate: true,
-        may_name_return: true,
-        longest_return: Span::from_ms(2_000),
+        may_set_retry_after: true,
+        max_retry_after: Span::from_ms(2_000),
         most_attempts: 6,
         cold_from: scenario.slow_start_initial,
         warm_within: Span::of_ms(scenario.slow_start_ms),
         overload_factor: scenario.overload_factor,
-        fall_window: Span::of_ms(scenario.load_window_ms),
+        overload_window: Span::of_ms(scenario.load_window_ms),
         parent_cold_from: scenario.slow_start_initial,
         parent_warm_within: Span::of_ms(scenario.slow_start_ms),
         parent_overload_factor: scenario.overload_factor,
@@ -49,7 +49,7 @@
         joins: false,
         client_kb_per_s: scenario.slot_kb_per_ms * 1000.0,
         purge_settles: Span::from_ms(6_000),
-        tells_link: true,
-        may_look: false,
+        reports_link_load: true,
+        may_poll_load: false,
     }
 }
--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -138,7 +138,7 @@
         group: GroupId(0),
         size_kb: Some(50.0),
         deadline: now + Span::from_ms(2_500),
-        again: false,
+        is_retry: false,
     };
     let begun = Instant::now();
     let attempts = engine.request(now, request).attempts;
@@ -192,7 +192,7 @@
         goes_through: false,
         parted: false,
         fresh: None,
-        older: Span::ZERO,
+        stale_grace: Span::ZERO,
     };
     DeploymentTerms {
         classes: vec![class],
@@ -202,13 +202,13 @@
         tick: Span::from_ms(2),
         may_cancel: true,
         may_duplicate: true,
-        may_name_return: true,
-        longest_return: Span::from_ms(1_000),
+        may_set_retry_after: true,
+        max_retry_after: Span::from_ms(1_000),
         most_attempts: 6,
         cold_from: 0.2,
         warm_within: Span::from_ms(60_000),
         overload_factor: 2.0,
-        fall_window: Span::from_ms(3_000),
+        overload_window: Span::from_ms(3_000),
         parent_cold_from: 0.1,
         parent_warm_within: Span::from_ms(60_000),
         parent_overload_factor: 2.0,
@@ -216,7 +216,7 @@
         joins: false,
         client_kb_per_s: 11_000.0,
         purge_settles: Span::of_ms(settles_ms),
-        tells_link: true,
-        may_look: false,
+        reports_link_load: true,
+        may_poll_load: false,
     }
 }
--- a/crates/flaxdeck-terms/src/lib.rs
+++ b/crates/flaxdeck-terms/src/lib.rs
@@ -161,13 +161,13 @@
         tick: settings.span("tick_ms")?,
         may_cancel: allowed.flag_or_false("cancel")?,
         may_duplicate: allowed.flag_or_false("may_duplicate")?,
-        may_name_return: allowed.flag_or_false("retry_after")?,
-        longest_return: allowed.span_or_zero("max_retry_after_ms")?,
+        may_set_retry_after: allowed.flag_or_false("retry_after")?,
+        max_retry_after: allowed.span_or_zero("max_retry_after_ms")?,
         most_attempts: allowed.number("max_attempts")? as u32,
         cold_from: rules.number("cold_from")?,
         warm_within: rules.span("warm_within_ms")?,
         overload_factor: rules.number("overload_factor")?,
-        fall_window: rules.span("fall_ms")?,
+        overload_window: rules.span("fall_ms")?,
         parent_cold_from: family.number_or("upper_cold_from", 0.0)?,
         parent_warm_within: family.span_or_zero("upper_cold_ms")?,
         parent_overload_factor: family.number_or("upper_fall_multiple", 0.0)?,
@@ -175,8 +175,8 @@
         joins: family.flag_or_false("collapses")?,
         client_kb_per_s: family.number_or("client_kb_per_s", 0.0)?,
         purge_settles: family.span_or_zero("purge_settles_ms")?,
-        tells_link: index_of(&reports.fields, LINK).is_some(),
-        may_look: reports.by_health_check,
+        reports_link_load: index_of(&reports.fields, LINK).is_some(),
+        may_poll_load: reports.by_health_check,
     })
 }
 
--- a/src/decision/clearance.rs
+++ b/src/decision/clearance.rs
@@ -1,4 +1,4 @@
-//! Whether an attempt still stands once its connection is up.
+//! Clearance: whether an attempt may still be sent once its connection is established.
 
 use crate::{AttemptIndex, Clearance, RequestId, Role, Time};
 
@@ -6,10 +6,16 @@
 use super::state::Host;
 
 impl DecisionEngine {
-    /// Whether an attempt may still be sent now that its connection is up, and what it may ask for by now.
+    /// Decides whether an attempt may still be sent now that its connection is established, and on which terms.
     ///
-    /// Guards against a connect that outlasts a grace, a window or the request: the rules bind what is sent.
-    pub fn clear(&mut self, now: Time, id: RequestId, index: AttemptIndex) -> Option<Clearance> {
+    /// Guards against a connect that takes longer than a purge grace, a slow start window or the request itself: the
+    /// limits have to hold when the attempt is written, not only when it was decided.
+    pub fn clear_attempt(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        index: AttemptIndex,
+    ) -> Option<Clearance> {
         self.now = now;
         let state = self.requests.get(&id)?;
         if state.done || !self.list_trusted {
@@ -22,7 +28,7 @@
         let class = self.class_of(&state.request);
         let oldest = self.max_copy_age(&state.request, class, attempt.without_fill());
         let deadline = state.request.deadline;
-        let sent_by = self.repeats_dropped_until(state).min(deadline) - self.answer_margin;
+        let sent_by = self.deduplicated_until(state).min(deadline) - self.answer_margin;
         for participant in attempt.participants() {
             let host = self.hosts.get_mut(participant)?;
             let counted = host.in_service() && host.renew_charge(now, id, index);
@@ -33,10 +39,11 @@
         (now < sent_by).then_some(Clearance { oldest, sent_by })
     }
 
-    /// Decides whether a host still takes part in an attempt, which may count against its slow start already.
+    /// Decides whether a host may still take part in an attempt. `counted` tells whether the attempt is charged against
+    /// the host's slow start.
     ///
-    /// Guards against a cold host that has started anew since the attempt was decided: what was counted for its earlier
-    /// process does not hold for this one.
+    /// Guards against a cold host that has restarted since the attempt was decided: the charge against its earlier
+    /// process does not count for the new one.
     fn still_accepts(&self, host: &Host, counted: bool) -> bool {
         if !host.in_service() {
             return false;
