--- a/crates/flaxdeck-channel/src/lib.rs
+++ b/crates/flaxdeck-channel/src/lib.rs
@@ -1,19 +1,19 @@
-//! Conversations over connections: with the coordinator, and between forwarders and planners.
+//! Connections to the coordinator, and authenticated connections between forwarders and planners.
 //!
 //! | module | entry point |
 //! | --- | --- |
-//! | [`watch`] | [`Watch::next`](watch::Watch::next): the coordinator's next event, over connections that are opened again as they end |
+//! | [`watch`] | [`Watch::next`](watch::Watch::next): the coordinator's next event; connections that end are opened again |
 //! | [`connection`] | [`connect`](connection::connect) for a forwarder, [`accept`](connection::accept) for a planner: each gives a [`Sender`](connection::Sender) and a [`Receiver`](connection::Receiver) |
-//! | [`messages`] | what the two sides send |
-//! | [`authenticated`] | the bytes of that: a greeting, then frames with a counter and a keyed hash |
-//! | [`message_kind`] | which counters of traffic a message belongs to |
+//! | [`messages`] | [`FromForwarder`](messages::FromForwarder), [`FromPlanner`](messages::FromPlanner): the messages between the two |
+//! | [`authenticated`] | the wire format of these connections: a greeting, then frames with a counter and a keyed hash |
+//! | [`message_kind`] | which traffic counters a message belongs to |
 //!
-//! [`authenticated`] and [`watch::protocol`] are pure: bytes, events and the time in, messages and actions out. Sockets
-//! are read and written in [`connection`] and in [`watch::Watch`] alone, on one thread. Nothing here starts a task:
-//! whoever holds a [`Watch`](watch::Watch) or a [`Receiver`](connection::Receiver) polls it, and dropping it ends the
-//! connection.
+//! [`authenticated`] and [`watch::protocol`] do no I/O: they turn bytes, events and the current time into messages and
+//! actions. Only [`connection`] and [`watch::Watch`] use sockets, on one thread. This crate starts no tasks: the owner of
+//! a [`Watch`](watch::Watch) or a [`Receiver`](connection::Receiver) has to poll it. Dropping a watch, or both halves of
+//! a connection, closes the socket.
 //!
-//! Frames between two instances that share a key:
+//! Example: a frame between two instances that share a key.
 //!
 //! ```
 //! use bytes::BytesMut;
@@ -26,7 +26,7 @@
 //! let (mut signer, _) = forwarder.keys(&planner, &key);
 //! let (_, mut verifier) = planner.keys(&forwarder, &key);
 //!
-//! let frame = signer.sign(&"a report").expect("it fits in a frame");
+//! let frame = signer.sign(&"a report").expect("the message fits in a frame");
 //! let read = verifier.verify::<String>(&mut BytesMut::from(&frame[..]));
 //! assert_eq!(read, Ok(Parsed::Complete("a report".to_owned())));
 //! ```
--- a/crates/flaxdeck-channel/src/message_kind.rs
+++ b/crates/flaxdeck-channel/src/message_kind.rs
@@ -1,28 +1,28 @@
-//! The kinds of messages that the counters of traffic tell apart: each has one counter of messages and one of bytes,
-//! each way.
+//! The kinds of messages that the traffic counters distinguish: each kind has a counter of messages and one of bytes,
+//! for either direction.
 
 use flaxdeck_control::messages::{Guidance, Report};
 use flaxdeck_net::metrics::Counter;
 
 use crate::messages::{FromForwarder, FromPlanner};
 
-/// What a message between a forwarder and a planner counts as.
+/// The kind that a message between a forwarder and a planner is counted as.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
-    /// The first bytes of either side, before any frame.
+    /// The first bytes that either side sends, before any frame.
     Greeting,
-    /// What a forwarder reports.
+    /// A forwarder's report.
     Report,
-    /// What a planner answers to a report.
+    /// A planner's guidance: the answer to a report, or sent between reports.
     Guidance,
-    /// A forwarder's wish for events.
+    /// A forwarder's request to be sent events, or to be sent none.
     Subscription,
-    /// Events, to a forwarder that subscribed to them.
+    /// Events that a planner sends to a subscribed forwarder.
     Delivery,
 }
 
 impl MessageKind {
-    /// The counters of messages and bytes that came in.
+    /// Returns the counters of received messages and of their bytes.
     pub fn counters_in(self) -> [Counter; 2] {
         match self {
             MessageKind::Greeting => [Counter::greetings_messages_in, Counter::greetings_bytes_in],
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The counters of messages and bytes that went out.
+    /// Returns the counters of sent messages and of their bytes.
     pub fn counters_out(self) -> [Counter; 2] {
         match self {
             MessageKind::Greeting => [
@@ -60,9 +60,9 @@
     }
 }
 
-/// A message between a forwarder and a planner, which goes in one authenticated frame.
+/// A message between a forwarder and a planner. Each is sent in one authenticated frame.
 pub trait Message {
-    /// What it counts as.
+    /// Returns the kind that the message is counted as.
     fn kind(&self) -> MessageKind;
 }
 
--- a/crates/flaxdeck-channel/src/messages.rs
+++ b/crates/flaxdeck-channel/src/messages.rs
@@ -1,23 +1,23 @@
-//! What a forwarder and a planner send each other: one type each way, so that a frame tells what it holds.
+//! Messages between a forwarder and a planner: one enum for each direction, whose variant says what a frame holds.
 
 use flaxdeck_control::messages::{Guidance, Report};
 use flaxdeck_distribution::messages::{Delivery, Subscription};
 use serde::{Deserialize, Serialize};
 
-/// What a forwarder sends to a planner.
+/// A message from a forwarder to a planner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromForwarder {
-    /// What it has observed, lends and asks for; answered with guidance.
+    /// Observations of hosts, and the quotas that the forwarder lends and needs. Answered with guidance.
     Report(Report),
-    /// Which events it wants to be sent.
+    /// Which events the planner is to send.
     Subscribe(Subscription),
 }
 
-/// What a planner sends to a forwarder.
+/// A message from a planner to a forwarder.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromPlanner {
-    /// The answer to a report: what it grants, and what it knows.
+    /// Granted quotas, ratings of hosts and relayed events: the answer to a report, or sent between reports.
     Guidance(Guidance),
-    /// Events, to a forwarder that subscribed to them.
+    /// Events, sent to a forwarder that subscribed to them.
     Delivery(Delivery),
 }
