--- a/crates/flaxdeck-channel/src/connection.rs
+++ b/crates/flaxdeck-channel/src/connection.rs
@@ -1,8 +1,8 @@
-//! One connection between a forwarder and a planner, greeted and with authenticated frames.
+//! An authenticated connection between a forwarder and a planner.
 //!
-//! [`connect`] and [`accept`] give its two halves. Whoever holds the [`Receiver`] has to poll [`Receiver::receive`]: what
-//! the [`Sender`] has queued is written meanwhile. The connection ends when both halves are dropped, or by
-//! [`Sender::end`].
+//! [`connect`] and [`accept`] exchange greetings and return the two halves of the connection. The owner of the
+//! [`Receiver`] has to poll [`Receiver::receive`], which also writes the messages that the [`Sender`] has queued. The
+//! connection is closed by dropping both halves; [`Sender::end`] makes [`Receiver::receive`] return an error.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,80 +20,81 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 use crate::authenticated::{
-    FrameSigner, FrameVerifier, GREETING, Greeting, InvalidFrame, Key, Role,
+    FrameSigner, FrameVerifier, GREETING_BYTES, Greeting, InvalidFrame, Key, Role,
 };
 use crate::message_kind::{Message, MessageKind};
 
-/// How long connecting may take, and greeting after that.
+/// Time limit for connecting, and again for receiving the greeting after that.
 const GREETING_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Messages that may wait to be written; past that the other side reads too slowly to be sent more.
-const MAX_WAITING: usize = 4;
-/// How long the other side may take nothing of what waits for it, or send nothing.
-const SILENT_AFTER: Duration = Duration::from_millis(2500);
+/// Limit of queued messages: while so many wait to be written, the other side reads too slowly to be sent more.
+const MAX_PENDING_MESSAGES: usize = 4;
+/// Time without a complete message from the other side after which the connection ends.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Why a connection could not begin or went no further.
+/// Why a connection could not be opened, or ended.
 #[derive(Debug, Error)]
 pub enum CloseReason {
-    /// There is nobody to connect to.
-    #[error("no connection")]
+    /// The system could not connect.
+    #[error("cannot connect: {0}")]
     Unreachable(#[source] io::Error),
-    /// Connecting took too long.
-    #[error("no connection")]
+    /// Connecting took longer than the limit.
+    #[error("cannot connect within {} ms", GREETING_TIMEOUT.as_millis())]
     ConnectTimeout,
-    /// The other side did not greet in time.
-    #[error("no greeting in time")]
+    /// No complete greeting was received within the limit.
+    #[error("no greeting received within {} ms", GREETING_TIMEOUT.as_millis())]
     GreetingTimeout,
-    /// The other side ended the connection before its greeting was whole.
-    #[error("ended before the greeting")]
+    /// The other side closed the connection, or reading failed, before its greeting was complete.
+    #[error("the connection ended before a complete greeting was received")]
     EndedBeforeGreeting,
-    /// The own side has ended it, also by a message over a bound.
-    #[error("closed here")]
+    /// This side closed the connection, or could not send a message: encoding or writing it failed.
+    #[error("closed by this side, or a message could not be sent")]
     ClosedHere,
-    /// The other side has ended it.
-    #[error("the other side has ended it")]
+    /// The other side closed the connection.
+    #[error("closed by the other side")]
     ClosedByPeer,
-    /// It broke while it was read.
-    #[error("the other side has ended it")]
+    /// Reading failed.
+    #[error("reading from the other side failed: {0}")]
     Read(#[source] io::Error),
-    /// It broke while it was written.
-    #[error("broken while writing")]
+    /// Writing failed.
+    #[error("writing to the other side failed: {0}")]
     Write(#[source] io::Error),
-    /// The other side has sent nothing for too long.
-    #[error("silent")]
+    /// No complete message was received within the limit.
+    #[error("the other side is silent: no message received for {} ms", SILENCE_TIMEOUT.as_millis())]
     Silent,
-    /// The other side is none of ours, or not as it should be.
+    /// The other side sent an invalid greeting or frame.
     #[error(transparent)]
     Refused(InvalidFrame),
 }
 
 impl CloseReason {
-    /// Whether the other side is at fault, so that trying again soon is of no use until somebody has looked at it.
+    /// Returns whether the other side sent an invalid greeting or frame, such as one made with another key or of
+    /// another version. Reconnecting soon does not help: an operator has to correct that.
     pub fn is_refusal(&self) -> bool {
         matches!(self, CloseReason::Refused(_))
     }
 }
 
 impl From<InvalidFrame> for CloseReason {
-    fn from(malformed: InvalidFrame) -> CloseReason {
-        CloseReason::Refused(malformed)
+    fn from(invalid: InvalidFrame) -> CloseReason {
+        CloseReason::Refused(invalid)
     }
 }
 
-/// The two halves of a connection that is up.
+/// The two halves of an open connection, after both greetings.
 pub struct Connection {
-    /// The half that sends.
+    /// Sends messages, or queues them.
     pub sender: Sender,
-    /// The half that receives, and writes what the other has queued.
+    /// Receives messages, and writes those that the sender has queued.
     pub receiver: Receiver,
 }
 
-/// The half that sends.
+/// The sending half of a connection.
 pub struct Sender {
     outbound: Outbound,
     signer: FrameSigner,
 }
 
-/// The half that receives; while it does, what waits is written.
+/// The receiving half of a connection. Also writes the queued messages while it is polled.
 pub struct Receiver {
     inbound: Inbound,
     outbound: Outbound,
@@ -101,11 +102,11 @@
     last_received_at: Instant,
 }
 
-/// Connects to a planner and greets it.
+/// Connects to a planner and exchanges greetings.
 ///
 /// # Errors
 ///
-/// If nobody is there, or nobody greets in time, or who does is no planner with that key.
+/// If connecting fails or takes too long, or no valid greeting of a planner with the same key is received in time.
 pub async fn connect(address: SocketAddr, key: &Key) -> Result<Connection, CloseReason> {
     let stream = timeout(GREETING_TIMEOUT, TcpStream::connect(address))
         .await
@@ -114,11 +115,11 @@
     greet(stream, key, Role::Forwarder, Role::Planner).await
 }
 
-/// Greets whoever has connected, as a planner.
+/// Exchanges greetings on a connection that a planner has accepted.
 ///
 /// # Errors
 ///
-/// If nobody greets in time, or who does is no forwarder with that key.
+/// If no valid greeting of a forwarder with the same key is received in time.
 pub async fn accept(stream: TcpStream, key: &Key) -> Result<Connection, CloseReason> {
     greet(stream, key, Role::Planner, Role::Forwarder).await
 }
@@ -126,17 +127,20 @@
 async fn greet(
     stream: TcpStream,
     key: &Key,
-    own: Role,
-    other: Role,
+    own_role: Role,
+    peer_role: Role,
 ) -> Result<Connection, CloseReason> {
     let (mut inbound, outbound) = link::split(stream);
-    let ours = Greeting::new(own, rand::rng().random());
-    outbound.send([ours.bytes(key)], [None, None]);
-    count_message(MessageKind::Greeting.counters_out(), GREETING);
-    let theirs = timeout(GREETING_TIMEOUT, read_greeting(&mut inbound, key, other))
-        .await
-        .map_err(|_| CloseReason::GreetingTimeout)??;
-    let (signer, verifier) = ours.keys(&theirs, key);
+    let sent = Greeting::new(own_role, rand::rng().random());
+    outbound.send([sent.bytes(key)], [None, None]);
+    count_message(MessageKind::Greeting.counters_out(), GREETING_BYTES);
+    let received = timeout(
+        GREETING_TIMEOUT,
+        read_greeting(&mut inbound, key, peer_role),
+    )
+    .await
+    .map_err(|_| CloseReason::GreetingTimeout)??;
+    let (signer, verifier) = sent.keys(&received, key);
     Ok(Connection {
         sender: Sender {
             outbound: outbound.clone(),
@@ -159,7 +163,7 @@
     loop {
         match Greeting::read(&mut inbound.bytes, key, from)? {
             Parsed::Complete(greeting) => {
-                count_message(MessageKind::Greeting.counters_in(), GREETING);
+                count_message(MessageKind::Greeting.counters_in(), GREETING_BYTES);
                 return Ok(greeting);
             }
             Parsed::Incomplete(missing) => {
@@ -172,46 +176,47 @@
 }
 
 impl Sender {
-    /// Whether another message may be sent: the other side keeps up.
+    /// Returns whether the caller may send another message: the connection is open and its queue is not full.
     pub fn may_send(&self) -> bool {
-        !self.outbound.is_closed() && self.outbound.pending_messages() < MAX_WAITING
+        !self.outbound.is_closed() && self.outbound.pending_messages() < MAX_PENDING_MESSAGES
     }
 
-    /// Writes one message, or queues it. One over a bound is not sent, and ends the connection.
+    /// Writes a message, or queues it. A message that can't be encoded or is too long for a frame ends the connection.
     pub fn send(&mut self, message: &(impl Serialize + Message)) {
         match self.signer.sign(message) {
             Ok(bytes) => {
                 count_message(message.kind().counters_out(), bytes.len());
                 self.outbound.send([bytes], [None, None]);
             }
-            Err(malformed) => {
-                log::error!("not sent: {}", malformed);
+            Err(invalid) => {
+                let kind = message.kind();
+                log::error!("not sent: {kind:?}, {invalid}; closing the connection");
                 self.outbound.close();
             }
         }
     }
 
-    /// Ends the connection, without what waits to be written.
+    /// Ends the connection. Messages that are still queued are discarded.
     pub fn end(&self) {
         self.outbound.close();
     }
 }
 
 impl Receiver {
-    /// The next message. May be dropped and called again without loss.
+    /// Returns the next message. Cancel-safe: dropping the future loses no bytes.
     ///
     /// # Errors
     ///
-    /// If the connection has ended, or is of no more use.
+    /// If the connection has ended, or has to be closed because of an invalid frame.
     pub async fn receive<T: DeserializeOwned + Message>(&mut self) -> Result<T, CloseReason> {
         loop {
             if self.outbound.is_closed() {
                 return Err(CloseReason::ClosedHere);
             }
-            let before = self.inbound.bytes.len();
+            let buffered_before = self.inbound.bytes.len();
             match self.verifier.verify::<T>(&mut self.inbound.bytes)? {
                 Parsed::Complete(message) => {
-                    let length = before - self.inbound.bytes.len();
+                    let length = buffered_before - self.inbound.bytes.len();
                     count_message(message.kind().counters_in(), length);
                     self.last_received_at = Instant::now();
                     return Ok(message);
@@ -221,7 +226,8 @@
         }
     }
 
-    /// Until something has come, something was written or the connection was closed here.
+    /// Waits until bytes were read, queued bytes were written, or the sender has queued a message or ended the
+    /// connection.
     async fn read_and_write(&mut self, missing: usize) -> Result<(), CloseReason> {
         self.inbound.release_buffer();
         let pending = self.outbound.has_pending();
@@ -232,7 +238,7 @@
                 Err(error) => Err(CloseReason::Read(error)),
             },
             written = self.outbound.write_some(), if pending => written.map_err(CloseReason::Write),
-            () = sleep_until(self.last_received_at + SILENT_AFTER) => Err(CloseReason::Silent),
+            () = sleep_until(self.last_received_at + SILENCE_TIMEOUT) => Err(CloseReason::Silent),
             () = self.outbound.notified() => Ok(()),
         }
     }
--- a/crates/flaxdeck-channel/tests/authenticated.rs
+++ b/crates/flaxdeck-channel/tests/authenticated.rs
@@ -1,4 +1,4 @@
-//! Sealed frames: those that are genuine and in their place open, all others do not.
+//! Signed frames and greetings: valid ones are accepted, all others are rejected.
 
 #![allow(
     clippy::unwrap_used,
@@ -17,7 +17,10 @@
     Key::from_hex(&digit.to_string().repeat(64)).unwrap()
 }
 
-fn pair(nonces: [u8; 2]) -> ((FrameSigner, FrameVerifier), (FrameSigner, FrameVerifier)) {
+/// Returns the signer and verifier of a forwarder, then those of its planner, on a connection with these nonces.
+fn forwarder_and_planner(
+    nonces: [u8; 2],
+) -> ((FrameSigner, FrameVerifier), (FrameSigner, FrameVerifier)) {
     let forwarder = Greeting::new(Role::Forwarder, [nonces[0]; 16]);
     let planner = Greeting::new(Role::Planner, [nonces[1]; 16]);
     (
@@ -38,63 +41,76 @@
 }
 
 #[test]
-fn frames_cut_at_every_byte_open_once_they_are_whole() {
-    let ((mut seals, _), (_, mut opens)) = pair([1, 2]);
+fn frames_received_byte_by_byte_are_read_once_complete() {
+    let ((mut signer, _), (_, mut verifier)) = forwarder_and_planner([1, 2]);
     let bytes = [
-        seals.sign(&report(1)).unwrap(),
-        seals.sign(&report(2)).unwrap(),
+        signer.sign(&report(1)).unwrap(),
+        signer.sign(&report(2)).unwrap(),
     ]
     .concat();
-    let (mut buffer, mut opened) = (BytesMut::new(), Vec::new());
+    let (mut buffer, mut received) = (BytesMut::new(), Vec::new());
     for byte in bytes {
         buffer.extend_from_slice(&[byte]);
-        if let Parsed::Complete(report) = opens.verify::<Report>(&mut buffer).unwrap() {
-            opened.push(report);
+        if let Parsed::Complete(report) = verifier.verify::<Report>(&mut buffer).unwrap() {
+            received.push(report);
         }
     }
-    assert_eq!(opened, [report(1), report(2)]);
+    assert_eq!(received, [report(1), report(2)]);
 }
 
 #[test]
-fn a_frame_doubled_left_out_changed_or_of_another_connection_does_not_open() {
-    let open = |opens: &mut FrameVerifier, bytes: &[u8]| {
-        opens.verify::<Report>(&mut BytesMut::from(bytes))
+fn repeated_skipped_changed_reflected_and_foreign_frames_are_rejected() {
+    let verify = |verifier: &mut FrameVerifier, bytes: &[u8]| {
+        verifier.verify::<Report>(&mut BytesMut::from(bytes))
     };
-    let ((mut seals, _), (_, mut opens)) = pair([1, 2]);
+    let ((mut signer, _), (_, mut verifier)) = forwarder_and_planner([1, 2]);
     let (first, second) = (
-        seals.sign(&report(1)).unwrap(),
-        seals.sign(&report(2)).unwrap(),
+        signer.sign(&report(1)).unwrap(),
+        signer.sign(&report(2)).unwrap(),
+    );
+    assert!(verify(&mut verifier, &first).is_ok());
+    assert_eq!(verify(&mut verifier, &first), Err(InvalidFrame::OutOfOrder));
+    let (_, (_, mut verifier)) = forwarder_and_planner([1, 2]);
+    assert_eq!(
+        verify(&mut verifier, &second),
+        Err(InvalidFrame::OutOfOrder)
+    );
+    let (_, (_, mut other_connection)) = forwarder_and_planner([1, 3]);
+    assert_eq!(
+        verify(&mut other_connection, &first),
+        Err(InvalidFrame::HashMismatch)
     );
-    assert!(open(&mut opens, &first).is_ok());
-    assert_eq!(open(&mut opens, &first), Err(InvalidFrame::OutOfOrder));
-    let (_, (_, mut opens)) = pair([1, 2]);
-    assert_eq!(open(&mut opens, &second), Err(InvalidFrame::OutOfOrder));
-    let (_, (_, mut other)) = pair([1, 3]);
-    assert_eq!(open(&mut other, &first), Err(InvalidFrame::NotGenuine));
     for at in 4..first.len() {
         let mut changed = first.to_vec();
         changed[at] ^= 1;
-        assert!(open(&mut pair([1, 2]).1.1, &changed).is_err(), "byte {at}");
+        let (_, (_, mut verifier)) = forwarder_and_planner([1, 2]);
+        assert!(
+            verify(&mut verifier, &changed).is_err(),
+            "accepted with byte {at} changed"
+        );
     }
-    // Its own frames, sent back.
-    let ((mut seals, mut opens), _) = pair([1, 2]);
-    assert!(open(&mut opens, &seals.sign(&report(1)).unwrap()).is_err());
+    // An instance rejects its own frames if they are sent back to it.
+    let ((mut signer, mut verifier), _) = forwarder_and_planner([1, 2]);
+    assert!(verify(&mut verifier, &signer.sign(&report(1)).unwrap()).is_err());
 }
 
 #[test]
-fn a_greeting_of_another_key_version_or_side_is_refused_by_name() {
+fn a_greeting_with_another_key_version_role_or_protocol_is_rejected_with_its_reason() {
     let read = |bytes: &[u8], from| {
         Greeting::read(&mut BytesMut::from(bytes), &key('a'), from).map(|_| ())
     };
     let bytes = Greeting::new(Role::Forwarder, [9; 16]).bytes(&key('a'));
     assert_eq!(read(&bytes, Role::Forwarder), Ok(()));
-    assert_eq!(read(&bytes, Role::Planner), Err(InvalidFrame::WrongSide));
-    let other = Greeting::new(Role::Forwarder, [9; 16]).bytes(&key('b'));
-    assert_eq!(read(&other, Role::Forwarder), Err(InvalidFrame::OtherKey));
-    let mut later = bytes.to_vec();
-    later[4] = VERSION + 1;
+    assert_eq!(read(&bytes, Role::Planner), Err(InvalidFrame::WrongRole));
+    let other_key = Greeting::new(Role::Forwarder, [9; 16]).bytes(&key('b'));
+    assert_eq!(
+        read(&other_key, Role::Forwarder),
+        Err(InvalidFrame::OtherKey)
+    );
+    let mut other_version = bytes.to_vec();
+    other_version[4] = VERSION + 1;
     assert_eq!(
-        read(&later, Role::Forwarder),
+        read(&other_version, Role::Forwarder),
         Err(InvalidFrame::OtherVersion)
     );
     assert_eq!(
@@ -104,12 +120,12 @@
 }
 
 #[test]
-fn what_is_too_long_is_refused_before_it_is_held() {
-    let (_, (_, mut opens)) = pair([1, 2]);
-    let huge = [0x7f, 0xff, 0xff, 0xff];
+fn a_frame_over_the_length_limit_is_rejected_by_its_length_field() {
+    let (_, (_, mut verifier)) = forwarder_and_planner([1, 2]);
+    let length_field = [0x7f, 0xff, 0xff, 0xff];
     assert!(
-        opens
-            .verify::<Guidance>(&mut BytesMut::from(&huge[..]))
+        verifier
+            .verify::<Guidance>(&mut BytesMut::from(&length_field[..]))
             .is_err()
     );
 }
--- a/crates/flaxdeck-channel/tests/connections.rs
+++ b/crates/flaxdeck-channel/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Forwarders and planners at both ends of real connections, and strangers at one.
+//! Connections between forwarders and planners over TCP, also with a peer of another key or protocol.
 
 #![allow(
     clippy::unwrap_used,
@@ -15,26 +15,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
 
-/// Longer than anything here takes.
-const SOON: Duration = Duration::from_secs(20);
+/// Time limit of a test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn key(digit: &str) -> Key {
     Key::from_hex(&digit.repeat(64)).unwrap()
 }
 
-/// Runs a story on one thread, with a listener.
-fn story<F: Future<Output = ()>>(tell: impl FnOnce(TcpListener) -> F) {
+/// Runs a test on a runtime with one thread, with a listener on loopback.
+fn run_with_listener<F: Future<Output = ()>>(test: impl FnOnce(TcpListener) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
-    let told = async {
+    let run = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        tokio::time::timeout(SOON, tell(listener))
+        tokio::time::timeout(TEST_TIMEOUT, test(listener))
             .await
-            .expect("the story ends");
+            .expect("the test ends within its time limit");
     };
-    LocalSet::new().block_on(&runtime, told);
+    LocalSet::new().block_on(&runtime, run);
 }
 
 fn report(number: u64) -> Report {
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn reports_and_guidance_come_through_in_order() {
-    story(|listener| async move {
+fn reports_and_guidance_arrive_in_order() {
+    run_with_listener(|listener| async move {
         let address = listener.local_addr().unwrap();
         spawn_local(async move {
             let (stream, _) = listener.accept().await.unwrap();
@@ -92,84 +92,90 @@
         } = connection::connect(address, &key("a")).await.unwrap();
         (1..=50).for_each(|number| sender.send(&report(number)));
         for number in 1..=50 {
-            let heard: Guidance = receiver.receive().await.unwrap();
-            assert_eq!((heard.envelope.number, heard.ratings.len()), (number, 100));
+            let guidance: Guidance = receiver.receive().await.unwrap();
+            assert_eq!(
+                (guidance.envelope.number, guidance.ratings.len()),
+                (number, 100)
+            );
         }
     });
 }
 
 #[test]
-fn who_has_another_key_is_refused_by_name_on_both_sides() {
-    story(|listener| async move {
+fn both_sides_reject_a_peer_with_another_key() {
+    run_with_listener(|listener| async move {
         let address = listener.local_addr().unwrap();
         let planner = spawn_local(async move {
             let (stream, _) = listener.accept().await.unwrap();
             connection::accept(stream, &key("a")).await.err()
         });
-        let refused = connection::connect(address, &key("b")).await.err();
+        let error = connection::connect(address, &key("b")).await.err();
         assert!(
-            matches!(refused, Some(CloseReason::Refused(InvalidFrame::OtherKey))),
-            "{refused:?}"
+            matches!(error, Some(CloseReason::Refused(InvalidFrame::OtherKey))),
+            "connect: {error:?}"
         );
-        let refused = planner.await.unwrap();
+        let error = planner.await.unwrap();
         assert!(
-            matches!(refused, Some(CloseReason::Refused(InvalidFrame::OtherKey))),
-            "{refused:?}"
+            matches!(error, Some(CloseReason::Refused(InvalidFrame::OtherKey))),
+            "accept: {error:?}"
         );
     });
 }
 
 #[test]
-fn a_stranger_who_says_nothing_or_something_else_is_left_within_the_time_for_greeting() {
-    story(|listener| async move {
+fn a_peer_that_sends_no_greeting_or_another_protocol_is_disconnected() {
+    run_with_listener(|listener| async move {
         let address = listener.local_addr().unwrap();
-        let mut mute = TcpStream::connect(address).await.unwrap();
+        let mut silent_peer = TcpStream::connect(address).await.unwrap();
         let (stream, _) = listener.accept().await.unwrap();
-        let begun = Instant::now();
-        let over = connection::accept(stream, &key("a")).await.err();
+        let started = Instant::now();
+        let error = connection::accept(stream, &key("a")).await.err();
         assert!(
-            matches!(over, Some(CloseReason::GreetingTimeout)),
-            "{over:?}"
+            matches!(error, Some(CloseReason::GreetingTimeout)),
+            "a peer that sends nothing: {error:?}"
         );
-        assert!(begun.elapsed() < Duration::from_secs(5));
-        let mut rest = Vec::new();
-        mute.read_to_end(&mut rest).await.unwrap();
-        let mut other = TcpStream::connect(address).await.unwrap();
-        other.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
+        assert!(started.elapsed() < Duration::from_secs(5));
+        let mut received = Vec::new();
+        silent_peer.read_to_end(&mut received).await.unwrap();
+        let mut http_peer = TcpStream::connect(address).await.unwrap();
+        http_peer
+            .write_all(b"GET / HTTP/1.1\r\n\r\n")
+            .await
+            .unwrap();
         let (stream, _) = listener.accept().await.unwrap();
-        let over = connection::accept(stream, &key("a")).await.err();
+        let error = connection::accept(stream, &key("a")).await.err();
         assert!(
             matches!(
-                over,
+                error,
                 Some(CloseReason::Refused(InvalidFrame::NotThisProtocol))
             ),
-            "{over:?}"
+            "a peer that sends an HTTP request: {error:?}"
         );
     });
 }
 
 #[test]
-fn who_does_not_read_is_told_no_more_and_holds_a_bounded_queue() {
-    story(|listener| async move {
+fn the_queue_for_a_peer_that_does_not_read_is_bounded() {
+    run_with_listener(|listener| async move {
         let address = listener.local_addr().unwrap();
-        // The planner never hears, so nothing of what is written to it is taken out.
-        let held = spawn_local(async move {
+        // The planner never reads after the greeting.
+        let planner = spawn_local(async move {
             let (stream, _) = listener.accept().await.unwrap();
-            let ends = connection::accept(stream, &key("a")).await;
-            tokio::time::sleep(SOON).await;
-            drop(ends);
+            let connection = connection::accept(stream, &key("a")).await;
+            tokio::time::sleep(TEST_TIMEOUT).await;
+            drop(connection);
         });
         let Connection {
             mut sender,
             receiver: _receiver,
         } = connection::connect(address, &key("a")).await.unwrap();
-        let mut spoken = 0;
+        let mut sent = 0;
         while sender.may_send() {
-            assert!(spoken < 100_000, "it goes on for ever");
-            sender.send(&guidance(spoken, 128));
-            spoken += 1;
+            assert!(sent < 100_000, "the queue accepted {sent} messages");
+            sender.send(&guidance(sent, 128));
+            sent += 1;
         }
-        assert!(spoken > 4);
-        held.abort();
+        assert!(sent > 4, "the queue was full after {sent} messages");
+        planner.abort();
     });
 }
--- a/crates/flaxdeck-channel/tests/recorded_messages.rs
+++ b/crates/flaxdeck-channel/tests/recorded_messages.rs
@@ -1,5 +1,5 @@
-//! Frames between forwarders and planners, recorded from version 3 of the protocol (revision 45b174f) under a fixed
-//! key and fixed nonces. Today's code has to read each of them, and to write the same bytes.
+//! Compares frames between forwarders and planners with recorded ones of version 3 of the protocol (revision 45b174f),
+//! made with a fixed key and fixed nonces. The code has to read each of them and to write the same bytes.
 
 #![allow(
     clippy::unwrap_used,
@@ -25,8 +25,11 @@
 
 fn assert_recorded(name: &str, bytes: &[u8]) {
     let path = format!("{}/tests/fixtures/{name}", env!("CARGO_MANIFEST_DIR"));
-    let recorded = std::fs::read(path).expect("a recorded file");
-    assert!(recorded == bytes, "{name} is written otherwise");
+    let recorded = std::fs::read(path).expect("the recorded file can be read");
+    assert!(
+        recorded == bytes,
+        "the bytes written differ from the recorded file {name}"
+    );
 }
 
 fn key() -> Key {
@@ -39,25 +42,29 @@
     (forwarder, planner)
 }
 
-/// Seals the messages one after another, compares them with the recorded frames and opens these again.
-fn check<T>(name: &str, mut signer: FrameSigner, mut verifier: FrameVerifier, messages: &[T])
-where
+/// Signs the messages in order, compares the frames with the recorded ones and reads the messages from them again.
+fn assert_recorded_messages<T>(
+    name: &str,
+    mut signer: FrameSigner,
+    mut verifier: FrameVerifier,
+    messages: &[T],
+) where
     T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
 {
     let mut written = Vec::new();
     for message in messages {
-        written.extend_from_slice(&signer.sign(message).expect("it fits a frame"));
+        written.extend_from_slice(&signer.sign(message).expect("the message fits in a frame"));
     }
     assert_recorded(name, &written);
     let mut buffer = BytesMut::from(&written[..]);
     for message in messages {
-        let opened = verifier.verify::<T>(&mut buffer).expect("a genuine frame");
-        let Parsed::Complete(opened) = opened else {
-            panic!("{name} is cut off")
+        let read = verifier.verify::<T>(&mut buffer).expect("a valid frame");
+        let Parsed::Complete(read) = read else {
+            panic!("{name} ends within a frame")
         };
-        assert_eq!(&opened, message);
+        assert_eq!(&read, message);
     }
-    assert!(buffer.is_empty());
+    assert!(buffer.is_empty(), "{name} has further bytes");
 }
 
 fn envelope() -> Envelope {
@@ -77,7 +84,7 @@
     }
 }
 
-fn mark(number: u64) -> EventPosition {
+fn position(number: u64) -> EventPosition {
     EventPosition {
         number,
         hash: 0x7f3a_9c21_e0b4_d655 ^ number,
@@ -88,7 +95,7 @@
     Report {
         envelope: envelope(),
         slot: SlotId(0xfeed_beef),
-        last_event: mark(41),
+        last_event: position(41),
         subscribes: true,
         version: 9,
         zone: 3,
@@ -121,11 +128,11 @@
         envelope: envelope(),
         coordinator_ago_ms: Some(33),
         outstanding_ms: Some(900),
-        coordinator_position: Some(mark(44)),
+        coordinator_position: Some(position(44)),
         version: 10,
-        after: mark(42),
+        after: position(42),
         events: vec![RelayedEvent {
-            position: mark(43),
+            position: position(43),
             frame: vec![0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 43, 0],
         }],
         link: None,
@@ -163,7 +170,7 @@
 
 fn full_event() -> FullEvent {
     FullEvent {
-        position: mark(51),
+        position: position(51),
         frame: vec![
             0, 0, 0, 19, 0, 0, 0, 0, 0, 0, 0, 51, 4, 0, 17, 0, 0, 1, 154, 0, 0, 0, 0,
         ],
@@ -171,7 +178,7 @@
 }
 
 #[test]
-fn greetings_keep_their_bytes() {
+fn greetings_match_the_recorded_bytes() {
     let (forwarder, planner) = greetings();
     assert_recorded("greeting-forwarder.bin", &forwarder.bytes(&key()));
     assert_recorded("greeting-planner.bin", &planner.bytes(&key()));
@@ -181,33 +188,33 @@
 }
 
 #[test]
-fn each_message_of_a_forwarder_keeps_its_bytes() {
+fn messages_from_a_forwarder_match_the_recorded_bytes() {
     let (forwarder, planner) = greetings();
     let (signer, _) = forwarder.keys(&planner, &key());
     let (_, verifier) = planner.keys(&forwarder, &key());
     let messages = [
         FromForwarder::Report(Report::default()),
         FromForwarder::Report(report()),
-        FromForwarder::Subscribe(Subscription::After(mark(40))),
+        FromForwarder::Subscribe(Subscription::After(position(40))),
         FromForwarder::Subscribe(Subscription::FromSnapshot),
         FromForwarder::Subscribe(Subscription::None),
     ];
-    check("from-forwarder.bin", signer, verifier, &messages);
+    assert_recorded_messages("from-forwarder.bin", signer, verifier, &messages);
 }
 
 #[test]
-fn each_message_of_a_planner_keeps_its_bytes() {
+fn messages_from_a_planner_match_the_recorded_bytes() {
     let (forwarder, planner) = greetings();
     let (signer, _) = planner.keys(&forwarder, &key());
     let (_, verifier) = forwarder.keys(&planner, &key());
     let batch = Batch {
-        after: mark(50),
-        last: mark(52),
+        after: position(50),
+        last: position(52),
         purges: digest(),
         events: vec![full_event()],
     };
     let snapshot = Snapshot {
-        position: mark(60),
+        position: position(60),
         list: vec![0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 60, 1],
         purges: digest(),
         group_purges: vec![full_event()],
@@ -225,7 +232,7 @@
         delivery(Update::Batch(Batch::default()), None),
         delivery(Update::Batch(batch), Some(12)),
         delivery(Update::Snapshot(Box::new(snapshot)), Some(13)),
-        delivery(Update::Behind { last: mark(61) }, Some(14)),
+        delivery(Update::Behind { last: position(61) }, Some(14)),
     ];
-    check("from-planner.bin", signer, verifier, &messages);
+    assert_recorded_messages("from-planner.bin", signer, verifier, &messages);
 }
