--- a/crates/flaxdeck-channel/src/connection.rs
+++ b/crates/flaxdeck-channel/src/connection.rs
@@ -48,7 +48,7 @@
     EndedBeforeGreeting,
     /// This side closed the connection, or could not send a message: encoding or writing it failed.
     #[error("closed by this side, or a message could not be sent")]
-    ClosedHere,
+    ClosedLocally,
     /// The other side closed the connection.
     #[error("closed by the other side")]
     ClosedByPeer,
@@ -211,7 +211,7 @@
     pub async fn receive<T: DeserializeOwned + Message>(&mut self) -> Result<T, CloseReason> {
         loop {
             if self.outbound.is_closed() {
-                return Err(CloseReason::ClosedHere);
+                return Err(CloseReason::ClosedLocally);
             }
             let buffered_before = self.inbound.bytes.len();
             match self.verifier.verify::<T>(&mut self.inbound.bytes)? {
--- a/crates/flaxdeck-channel/src/lib.rs
+++ b/crates/flaxdeck-channel/src/lib.rs
@@ -9,9 +9,9 @@
 //! | [`message_kind`] | which traffic counters a message belongs to |
 //!
 //! [`authenticated`] and [`watch::protocol`] do no I/O: they turn bytes, events and the current time into messages and
-//! actions. Only [`connection`] and [`watch::Watch`] use sockets, on one thread. This crate starts no tasks: the owner of
-//! a [`Watch`](watch::Watch) or a [`Receiver`](connection::Receiver) has to poll it. Dropping a watch, or both halves of
-//! a connection, closes the socket.
+//! actions. Only [`connection`] and [`watch::Watch`] use sockets, on one thread. This crate starts no tasks: the owner
+//! of a [`Watch`](watch::Watch) or a [`Receiver`](connection::Receiver) has to poll it. Dropping a watch, or both halves
+//! of a connection, closes the socket.
 //!
 //! Example: a frame between two instances that share a key.
 //!
--- a/crates/flaxdeck-channel/src/watch/expedited_reconnect.rs
+++ b/crates/flaxdeck-channel/src/watch/expedited_reconnect.rs
@@ -1,33 +1,34 @@
-//! How urgent the next connection to the coordinator is.
+//! The urgency of the next connection to the coordinator.
 
 use std::cell::Cell;
 
 use tokio::sync::Notify;
 
-/// Whether others bring the coordinator's events meanwhile, so that a connection to it has time. Shared between a
-/// [`Watch`](super::Watch), which waits by it, and whoever knows of the others, who sets it.
+/// Whether the next connection to the coordinator is urgent: it is not while planners relay all of its events. Shared
+/// between a [`Watch`](super::Watch), whose pauses depend on it, and the client of the planners, which sets it.
 #[derive(Default)]
 pub struct ExpeditedReconnect {
-    calm: Cell<bool>,
+    is_relaxed: Cell<bool>,
     expedited: Notify,
 }
 
 impl ExpeditedReconnect {
-    /// Nobody else can be asked: a pause that is under way ends.
+    /// Makes the connection urgent, as no planner relays events: a pause in progress is cut short.
     pub fn expedite(&self) {
-        self.calm.set(false);
+        self.is_relaxed.set(false);
         self.expedited.notify_one();
     }
 
-    /// Whether others bring the events. Once they do no more, the next connection is expedited.
-    pub fn set_calm(&self, calm: bool) {
-        if self.calm.replace(calm) && !calm {
+    /// Sets whether planners relay all events, so that pauses may be longer. A change to false expedites the
+    /// connection.
+    pub fn set_calm(&self, is_relaxed: bool) {
+        if self.is_relaxed.replace(is_relaxed) && !is_relaxed {
             self.expedite();
         }
     }
 
-    pub(super) fn is_calm(&self) -> bool {
-        self.calm.get()
+    pub(super) fn is_relaxed(&self) -> bool {
+        self.is_relaxed.get()
     }
 
     /// Waits until the connection is expedited.
--- a/crates/flaxdeck-channel/src/watch/mod.rs
+++ b/crates/flaxdeck-channel/src/watch/mod.rs
@@ -1,4 +1,5 @@
-//! The coordinator's connection: a [`Watch`] opens it, reads it and opens it again when it ends, as [`protocol`] says.
+//! The connection to the coordinator. A [`Watch`] opens it, reads events from it and reopens it when it ends; what to
+//! do when is decided in [`protocol`].
 
 mod expedited_reconnect;
 pub mod protocol;
@@ -27,17 +28,18 @@
 pub use protocol::WatchEvent;
 use protocol::{Action, Disconnect, WatchProtocol};
 
-/// How long a connection to the coordinator may take to come up: as long as the longest pause between two.
+/// Time limit for connecting to the coordinator: the same as the longest pause between two attempts.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// The two halves of a connection that is up.
+/// The two halves of an open connection.
 struct Link {
     inbound: Inbound,
-    /// Held so that the connection stays open.
+    /// Owned so that the connection stays open.
     _outbound: Outbound,
 }
 
-/// Follows the coordinator. It owns the connection; the numbering is shared with whoever brings events beside it.
+/// Follows the coordinator's events. Owns the connection; shares the numbering with the client of the planners, which
+/// advances it when planners relay events.
 pub struct Watch {
     address: SocketAddr,
     names: Rc<Names>,
@@ -45,24 +47,25 @@
     protocol: WatchProtocol,
     link: Option<Link>,
     expedited_reconnect: Rc<ExpeditedReconnect>,
-    /// Others may bring the same sooner: the first connection waits.
-    waits_at_first: bool,
-    /// Others bring all of it: no connection is held, none is opened.
+    /// The first connection is delayed, as planners may relay the same events sooner.
+    delays_first_connection: bool,
+    /// Planners relay all events: no connection is open, and none is opened.
     is_paused: bool,
 }
 
 impl Watch {
-    /// The watch after the events of a configuration, and these. One that trusts keeps to the platform's page, by which
-    /// a number always means the same event; the other has it proven. The seed spreads its connections.
+    /// Creates a watch that continues after the events of a configuration, and returns those events too. With
+    /// `trusts_numbers` a number always identifies the same event, as the platform's documentation says; without, each
+    /// connection has to prove the numbering. `seed` randomizes the pauses between connections.
     ///
     /// # Errors
     ///
-    /// If `known` does not hold the events of a configuration.
+    /// If the events of the configuration can't be read from `known`.
     pub fn start(
         address: SocketAddr,
         known: &Fields,
         names: Rc<Names>,
-        trusts: bool,
+        trusts_numbers: bool,
         seed: u64,
     ) -> Result<(Watch, NumberedEvents), KnownEventsError> {
         let KnownEvents {
@@ -74,7 +77,7 @@
             .filter(|(last, _)| *last == number)
             .map_or(0, |(_, event)| event.hash());
         let last = EventPosition { number, hash };
-        let numbering = if trusts {
+        let numbering = if trusts_numbers {
             Numbering::with_trusted_numbers(last)
         } else {
             Numbering::new(last)
@@ -87,48 +90,49 @@
             protocol: WatchProtocol::new(numbering, seed, clock.now()),
             link: None,
             expedited_reconnect: Rc::default(),
-            waits_at_first: false,
+            delays_first_connection: false,
             is_paused: false,
         };
         Ok((watch, events))
     }
 
-    /// What is known of the numbering, to be moved on when others bring events.
+    /// Returns the shared state of the numbering. Events that planners relay advance it too.
     pub fn numbering(&self) -> Rc<RefCell<Numbering>> {
         self.protocol.numbering()
     }
 
-    /// What tells it how urgent its next connection is. Beside planners, who may bring the same sooner, the first one
-    /// waits a little.
-    pub fn expedited_reconnect(&mut self, beside_planners: bool) -> Rc<ExpeditedReconnect> {
-        self.waits_at_first = beside_planners;
+    /// Returns the shared urgency of the next connection. With planners, which may relay the same events sooner, the
+    /// first connection is delayed.
+    pub fn expedited_reconnect(&mut self, has_planners: bool) -> Rc<ExpeditedReconnect> {
+        self.delays_first_connection = has_planners;
         self.expedited_reconnect.clone()
     }
 
-    /// Ends the connection while others bring all that the coordinator would, or has it opened again. What they bring
-    /// may be late, so a numbering that is found to be another afterwards counts as not heard to its end.
-    pub fn pause_while(&mut self, others_bring_all: bool) {
-        if others_bring_all && !self.is_paused {
-            self.hang_up(true);
+    /// Closes the connection while planners relay all events, or lets it be opened again. Planners may lag behind, so
+    /// if the coordinator turns out to use another numbering afterwards, events of the previous one may have been
+    /// missed.
+    pub fn pause_while(&mut self, is_paused: bool) {
+        if is_paused && !self.is_paused {
+            self.close_connection(true);
         }
-        self.is_paused = others_bring_all;
+        self.is_paused = is_paused;
     }
 
-    /// The names by which frames are read.
+    /// Returns the platform's names that frames are parsed with.
     pub fn names(&self) -> Rc<Names> {
         self.names.clone()
     }
 
-    /// Whether all has come that the coordinator had when the connection came up.
+    /// Returns whether all events have been received that the coordinator had when the connection was opened.
     pub fn is_current(&self) -> bool {
         self.protocol.is_current()
     }
 
-    /// Goes on with the same numbering at the coordinator of a later configuration; gives those of its events
-    /// that are new here. Asks again even at the same address.
-    pub fn go_on_at(&mut self, later: Watch, known: NumberedEvents) -> Vec<Event> {
-        self.address = later.address;
-        self.hang_up(false);
+    /// Switches to the coordinator of a reloaded configuration, with the same numbering. Returns those events of the
+    /// configuration that are new to this instance. Reconnects even if the address is the same.
+    pub fn go_on_at(&mut self, reloaded: Watch, known: NumberedEvents) -> Vec<Event> {
+        self.address = reloaded.address;
+        self.close_connection(false);
         let numbering = self.numbering();
         let mut numbering = numbering.borrow_mut();
         let is_new = |(number, event): &(u64, Event)| {
@@ -144,22 +148,22 @@
             .collect()
     }
 
-    fn hang_up(&mut self, by_silence: bool) {
+    fn close_connection(&mut self, is_incomplete: bool) {
         self.link = None;
-        self.protocol.disconnected(by_silence);
+        self.protocol.disconnected(is_incomplete);
     }
 
-    /// The coordinator's next event; connections that end are opened again. May be dropped and called again without
-    /// loss.
+    /// Returns the coordinator's next event. Reopens connections that end. Cancel-safe: dropping the future loses no
+    /// events.
     pub async fn next(&mut self) -> WatchEvent {
         loop {
             if self.is_paused {
                 std::future::pending::<()>().await;
             }
-            if self.waits_at_first {
-                let first = self.protocol.first_pause();
-                self.wait(first).await;
-                self.waits_at_first = false;
+            if self.delays_first_connection {
+                let delay = self.protocol.initial_delay();
+                self.wait(delay).await;
+                self.delays_first_connection = false;
             }
             if self.link.is_none() {
                 self.connect().await;
@@ -176,7 +180,7 @@
         }
     }
 
-    /// Takes a frame from what was read, or reads more.
+    /// Handles the next frame of the read buffer, or reads more bytes if it is incomplete.
     async fn step(&mut self) -> Action {
         let Some(Link { inbound, .. }) = &mut self.link else {
             return Action::Continue;
@@ -194,7 +198,7 @@
         }
     }
 
-    /// Reads until so many bytes more have come, or some of them.
+    /// Reads some more bytes, up to the time limit of the protocol. `missing` is how many the frame lacks at least.
     async fn read(&mut self, missing: usize) -> Action {
         let Some(Link { inbound, .. }) = &mut self.link else {
             return Action::Continue;
@@ -219,15 +223,18 @@
         if matches!(reason, Disconnect::DoesNotFollow { .. }) {
             count(Counter::feed_gaps);
         }
-        log::warn!("{reason}");
+        log::warn!(
+            "reconnecting to the coordinator at {}: {reason}",
+            self.address
+        );
         if reason.pauses() {
             self.pause().await;
         }
     }
 
     async fn pause(&mut self) {
-        let calm = self.expedited_reconnect.is_calm();
-        let pause = self.protocol.next_pause(self.clock.now(), calm);
+        let is_relaxed = self.expedited_reconnect.is_relaxed();
+        let pause = self.protocol.next_pause(self.clock.now(), is_relaxed);
         self.wait(pause).await;
     }
 
@@ -246,13 +253,13 @@
         count(Counter::feed_connects);
         match timeout(CONNECT_TIMEOUT, link::connect(self.address)).await {
             Ok(Ok((inbound, outbound))) => {
-                let asked = self.protocol.connected(self.clock.now());
-                let asked = Bytes::copy_from_slice(&asked.to_be_bytes());
+                let requested_after = self.protocol.connected(self.clock.now());
+                let request = Bytes::copy_from_slice(&requested_after.to_be_bytes());
                 count_message(
                     [Counter::feed_messages_out, Counter::feed_bytes_out],
-                    asked.len(),
+                    request.len(),
                 );
-                outbound.send([asked], [None, None]);
+                outbound.send([request], [None, None]);
                 self.link = Some(Link {
                     inbound,
                     _outbound: outbound,
@@ -262,7 +269,7 @@
                 log::debug!("no connection to the coordinator: {error}");
                 self.pause().await;
             }
-            // It has taken as long as the longest pause.
+            // Retries without a pause: the attempt has already taken as long as the longest one.
             Err(_) => {}
         }
     }
--- a/crates/flaxdeck-channel/src/watch/protocol.rs
+++ b/crates/flaxdeck-channel/src/watch/protocol.rs
@@ -1,8 +1,9 @@
-//! The watch's protocol without its connection: frames, timeouts and the time in, actions out.
+//! The state machine of the watch, without I/O: frames, timeouts and the current time in, actions out.
 //!
-//! The coordinator is asked for the events from some number on. It sends those it has, one a frame, then each as it
-//! happens, and an empty frame each second. What follows what, and whether the numbering is still the one known here, is
-//! decided in [`flaxdeck_recovery::numbering`].
+//! The watch requests the events after a number. The coordinator sends those that it has, one in each frame, then each
+//! new event as it happens, and a heartbeat, which is an empty frame, every second.
+//! [`flaxdeck_recovery::numbering`] decides whether an event follows the known ones, and whether the coordinator still
+//! uses the known numbering.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,132 +16,134 @@
 use flaxdeck_wire::frames::{Event, Frame};
 use thiserror::Error;
 
-/// A frame comes each second; two missing are a dead connection. What a coordinator that stopped would have announced
-/// counts as announced after 4 s, so the rest is for the new connection.
-const SILENT_AFTER: Span = Span::from_ms(2200);
-/// The first pause between two connections: short, since what is announced counts as announced while none is up.
+/// Time without a frame after which the connection counts as dead: the coordinator sends one every second, so two are
+/// missing. An event counts as announced after 4 s even if the coordinator has stopped, and the rest of that time is
+/// needed to reconnect.
+const SILENCE_TIMEOUT: Span = Span::from_ms(2200);
+/// Shortest pause between two connections. It is short because events count as announced while no connection is open.
 const MIN_BACKOFF: Span = Span::from_ms(100);
-/// The longest: the watch is back within a second of the coordinator, with a far trip and a busy machine's delay for the
-/// rest.
+/// Longest pause between two connections: the watch is connected within 1 s after the coordinator is reachable again.
+/// The remaining 100 ms are for a long round trip and the delay of a busy machine.
 const MAX_BACKOFF: Span = Span::from_ms(900);
-/// Added to the time of a timeout, so that it has come when the timer ends.
+/// Added to each time limit, so that the limit has passed when the timer fires.
 const TIMER_MARGIN: Span = Span::from_ms(1);
 
-/// What the coordinator says.
+/// What the watch has received from the coordinator.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// Nothing new, but it is there.
+    /// No event, but the coordinator is alive.
     Heartbeat,
-    /// An event that follows.
+    /// An event that follows the last known one.
     Event {
-        /// Its place among the coordinator's events.
+        /// Position of the event in the coordinator's numbering.
         position: EventPosition,
-        /// The frame that it came in, for who passes it on.
+        /// The frame that carried the event, for relaying it.
         frame: Bytes,
         /// The event itself.
         event: Event,
     },
-    /// A full list in place of all that was known.
+    /// A full endpoint list that replaces all known state.
     Relisted {
-        /// The last event that is part of it.
+        /// Position of the event that holds the list.
         position: EventPosition,
-        /// The list.
+        /// The event that holds the list.
         list: Event,
-        /// What may have been announced to nobody here, if anything was known before.
+        /// Period in which events may have been missed; none if only the configuration was known.
         missed: Option<MissedPeriod>,
     },
 }
 
-/// What is to be done next.
+/// What the caller has to do next.
 #[derive(Debug)]
 pub enum Action {
-    /// Go on reading.
+    /// Continue reading.
     Continue,
-    /// Give this to whoever follows the watch.
+    /// Return this event to the caller of the watch.
     Emit(WatchEvent),
-    /// End the connection, which [`WatchProtocol::disconnected`] has been told already, and open another.
+    /// Close the connection and open another. The protocol has already recorded the end of the connection.
     Reconnect(Disconnect),
 }
 
-/// Why a connection is of no more use.
+/// Why a connection has to be closed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Disconnect {
-    /// The coordinator has no event where the last one known here should be.
+    /// The coordinator does not have the requested event, or events that planners have relayed.
     #[error("the coordinator has nothing where it was asked: {0:?}")]
-    NothingThere(EventAction),
-    /// An event that can't follow what is known.
+    EventMissing(EventAction),
+    /// An event can't follow the known ones.
     #[error("event {number} does not follow what is known: {why:?}, asking again")]
     DoesNotFollow {
-        /// The number that it bears.
+        /// The number of the event.
         number: u64,
-        /// What is wrong with it.
+        /// Why it can't follow.
         why: ReconnectReason,
     },
-    /// It has ended, or a frame on it comes too slowly.
-    #[error("the coordinator's connection has ended")]
+    /// The coordinator closed the connection, reading failed, or a frame was not complete within the time limit.
+    #[error("the coordinator's connection has ended, or a frame took longer than {} ms", SILENCE_TIMEOUT.ms())]
     Ended,
-    /// Nothing has come for too long.
-    #[error("the coordinator's connection has ended")]
+    /// No bytes were received within the time limit.
+    #[error("the coordinator has sent nothing for {} ms", SILENCE_TIMEOUT.ms())]
     Silent,
-    /// Bytes that are not of the protocol.
-    #[error("the coordinator's connection is closed: {0}")]
+    /// A frame can't be parsed.
+    #[error("the coordinator has sent an invalid frame: {0}")]
     Malformed(Malformed),
 }
 
 impl Disconnect {
-    /// Whether a pause comes before the next connection. The coordinator has answered where an event does not follow,
-    /// and the next connection asks for all, which ends that at once.
+    /// Returns whether to pause before the next connection. No pause is needed if an event does not follow: the
+    /// coordinator answers, and the next connection requests all events, which resolves the mismatch.
     pub fn pauses(&self) -> bool {
         match self {
             Disconnect::DoesNotFollow { why, .. } => *why == ReconnectReason::NoList,
-            Disconnect::NothingThere(_)
+            Disconnect::EventMissing(_)
             | Disconnect::Ended
             | Disconnect::Silent
             | Disconnect::Malformed(_) => true,
         }
     }
 
-    fn is_by_silence(&self) -> bool {
+    fn is_timeout(&self) -> bool {
         *self == Disconnect::Silent
     }
 }
 
-/// What it means if nothing comes until a time.
+/// What it means if no bytes are received until a time limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timeout {
-    /// All that was on its way has come.
+    /// All events that the coordinator has have been received.
     Current,
-    /// What had to come at once is not there.
-    NothingThere,
+    /// The coordinator does not have an event that it would have sent by now.
+    EventMissing,
     /// The connection is dead.
     Silent,
 }
 
-/// How long to wait for the rest of a frame.
+/// How long to wait for more bytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReadLimit {
-    /// Until when.
+    /// The time limit.
     pub until: Time,
-    /// What it means if nothing comes until then.
+    /// What it means if no bytes are received until then.
     pub timeout: Timeout,
 }
 
-/// The state of the watch. It does not know its connection: the caller tells it of one that is up, of each frame and of
-/// each timeout, and does what it answers.
+/// State of the watch. It does no I/O: the caller reports connections, frames and timeouts, and performs the returned
+/// actions.
 pub struct WatchProtocol {
-    /// Others may bring events as well, and move it on.
+    /// Shared, as events that planners relay advance it too.
     numbering: Rc<RefCell<Numbering>>,
     backoff: ReconnectBackoff,
-    /// When the connection came up, last had a whole frame, or began one.
+    /// When the connection was opened, the last complete frame was received, or the first bytes of a frame were.
     last_received_at: Time,
-    /// All has come that the coordinator had when the connection came up.
+    /// All events have been received that the coordinator had when the connection was opened.
     is_current: bool,
-    /// Tells that where events come without a pause.
+    /// Detects that also where events arrive without a pause.
     live_edge: LiveEdge,
 }
 
 impl WatchProtocol {
-    /// A watch that has no connection yet. The seed spreads the connections of many.
+    /// Creates the state of a watch without a connection. `seed` randomizes the pauses between connections, so that
+    /// those of many instances are spread.
     pub fn new(numbering: Numbering, seed: u64, now: Time) -> WatchProtocol {
         WatchProtocol {
             numbering: Rc::new(RefCell::new(numbering)),
@@ -151,33 +154,34 @@
         }
     }
 
-    /// What is known of the numbering, to be moved on when others bring events.
+    /// Returns the shared state of the numbering. Events that planners relay advance it too.
     pub fn numbering(&self) -> Rc<RefCell<Numbering>> {
         self.numbering.clone()
     }
 
-    /// Whether all has come that the coordinator had when the connection came up.
+    /// Returns whether all events have been received that the coordinator had when the connection was opened.
     pub fn is_current(&self) -> bool {
         self.is_current
     }
 
-    /// The pause before the first connection, where others may bring the same sooner.
-    pub fn first_pause(&mut self) -> Span {
+    /// Draws the delay of the first connection, for an instance whose planners may relay the same events sooner.
+    pub fn initial_delay(&mut self) -> Span {
         self.backoff.initial_delay()
     }
 
-    /// The pause before the next connection; a calm one has time.
-    pub fn next_pause(&mut self, now: Time, calm: bool) -> Span {
-        self.backoff.pause(now, calm)
+    /// Returns the pause before the next connection. `is_relaxed` allows a longer one, as planners relay the events.
+    pub fn next_pause(&mut self, now: Time, is_relaxed: bool) -> Span {
+        self.backoff.pause(now, is_relaxed)
     }
 
-    /// A pause was ended before its time. All that expedite at once still draw a pause each, which this gives.
+    /// Records that a pause was cut short. Returns a short random pause to take instead, so that instances that are
+    /// expedited together do not connect at the same moment.
     pub fn expedite(&mut self, now: Time) -> Span {
         self.backoff.expedite();
         self.backoff.pause(now, false)
     }
 
-    /// A connection is up; gives the number from which events are to be asked for on it.
+    /// Records that a connection was opened. Returns the number after which to request events.
     pub fn connected(&mut self, now: Time) -> u64 {
         self.last_received_at = now;
         self.is_current = false;
@@ -185,20 +189,21 @@
         self.numbering.borrow_mut().connection_opened(now)
     }
 
-    /// The connection has ended, or there is none; `by_silence` if the coordinator may only be hanging.
-    pub fn disconnected(&mut self, by_silence: bool) {
+    /// Records that the connection has ended, or that there is none. `is_incomplete` is true if the coordinator may
+    /// have had more events to send: the connection timed out, or the watch is paused.
+    pub fn disconnected(&mut self, is_incomplete: bool) {
         self.is_current = false;
         self.live_edge = LiveEdge::default();
-        self.numbering.borrow_mut().connection_closed(by_silence);
+        self.numbering.borrow_mut().connection_closed(is_incomplete);
     }
 
-    /// The connection is of no more use for that reason.
+    /// Records that the connection has to be closed for that reason, and returns the action to do so.
     pub fn disconnect(&mut self, reason: Disconnect) -> Action {
-        self.disconnected(reason.is_by_silence());
+        self.disconnected(reason.is_timeout());
         Action::Reconnect(reason)
     }
 
-    /// A whole frame has come.
+    /// Handles a complete frame.
     pub fn frame(&mut self, now: Time, frame: Frame) -> Action {
         self.last_received_at = now;
         match frame.event {
@@ -208,9 +213,9 @@
     }
 
     fn heartbeat(&mut self, now: Time) -> Action {
-        let next = self.numbering.borrow_mut().receive_heartbeat(now);
-        if next != EventAction::Skip {
-            return self.disconnect(Disconnect::NothingThere(next));
+        let action = self.numbering.borrow_mut().receive_heartbeat(now);
+        if action != EventAction::Skip {
+            return self.disconnect(Disconnect::EventMissing(action));
         }
         self.backoff.answered(now);
         self.is_current = true;
@@ -218,16 +223,16 @@
     }
 
     fn event(&mut self, now: Time, number: u64, bytes: Bytes, event: Event) -> Action {
-        self.note_live_edge(now, &event);
+        self.update_live_edge(now, &event);
         let position = EventPosition {
             number,
             hash: event.hash(),
         };
-        let next = self
+        let action = self
             .numbering
             .borrow_mut()
             .receive(now, position, event.is_full_list());
-        match next {
+        match action {
             EventAction::Skip => Action::Continue,
             EventAction::Apply => {
                 self.backoff.answered(now);
@@ -251,8 +256,9 @@
         }
     }
 
-    /// Notes that events come as they happen, where they come without a pause.
-    fn note_live_edge(&mut self, now: Time, event: &Event) {
+    /// Marks the watch as current if events arrive as fast as they happen. Without this it would not become current
+    /// before the next pause between events.
+    fn update_live_edge(&mut self, now: Time, event: &Event) {
         let Event::Purged { made, .. } = event else {
             return;
         };
@@ -261,20 +267,21 @@
         self.is_current |= is_live;
     }
 
-    /// How long to wait for the rest of a frame. All that was on its way has come once nothing more does for a moment;
-    /// what has to come at once and does not is not there.
+    /// Returns how long to wait for more bytes, and what it means if none arrive. Until the watch is current, a short
+    /// idle time means that all events have been received. If the coordinator owes a known event, it does not have that
+    /// event unless it sends it soon. Otherwise the limit is that of a dead connection.
     pub fn read_limit(&self) -> ReadLimit {
         let numbering = self.numbering.borrow();
         let current_at = numbering.current_at().filter(|_| !self.is_current);
-        let proven_by = numbering.proof_due();
-        match (current_at, proven_by) {
-            (Some(at), proven_by) if proven_by.is_none_or(|by| at <= by) => ReadLimit {
+        let proof_due = numbering.proof_due();
+        match (current_at, proof_due) {
+            (Some(at), proof_due) if proof_due.is_none_or(|due| at <= due) => ReadLimit {
                 until: at + TIMER_MARGIN,
                 timeout: Timeout::Current,
             },
-            (_, Some(by)) => ReadLimit {
-                until: by + TIMER_MARGIN,
-                timeout: Timeout::NothingThere,
+            (_, Some(due)) => ReadLimit {
+                until: due + TIMER_MARGIN,
+                timeout: Timeout::EventMissing,
             },
             (_, None) => ReadLimit {
                 until: self.silent_at(),
@@ -284,11 +291,11 @@
     }
 
     fn silent_at(&self) -> Time {
-        self.last_received_at + SILENT_AFTER
+        self.last_received_at + SILENCE_TIMEOUT
     }
 
-    /// Bytes have come, the first of a frame or more of one. Guards against a frame that comes byte by byte and never
-    /// ends.
+    /// Records that bytes were read. `begins_frame` is true if they are the first of a frame. Closes a connection on
+    /// which a frame arrives so slowly that it is not complete within the time limit.
     pub fn bytes_read(&mut self, now: Time, begins_frame: bool) -> Action {
         if begins_frame {
             self.last_received_at = now;
@@ -298,7 +305,7 @@
         Action::Continue
     }
 
-    /// Nothing has come until the limit.
+    /// Handles that no bytes were received until the time of [`WatchProtocol::read_limit`].
     pub fn timed_out(&mut self, now: Time, timeout: Timeout) -> Action {
         match timeout {
             Timeout::Current => {
@@ -309,9 +316,9 @@
                 self.backoff.answered(now);
                 Action::Emit(WatchEvent::Heartbeat)
             }
-            Timeout::NothingThere => {
-                let next = self.numbering.borrow_mut().proof_overdue(now);
-                self.disconnect(Disconnect::NothingThere(next))
+            Timeout::EventMissing => {
+                let action = self.numbering.borrow_mut().proof_overdue(now);
+                self.disconnect(Disconnect::EventMissing(action))
             }
             Timeout::Silent => self.disconnect(Disconnect::Silent),
         }
--- a/crates/flaxdeck-channel/tests/watch_protocol.rs
+++ b/crates/flaxdeck-channel/tests/watch_protocol.rs
@@ -1,4 +1,4 @@
-//! The watch's protocol without a connection: frames, timeouts and the time in, actions out.
+//! The state machine of the watch: frames, timeouts and the current time in, actions out.
 
 #![allow(
     clippy::unwrap_used,
@@ -29,7 +29,7 @@
     }
 }
 
-fn frame_of(number: u64, event: Option<Event>) -> Frame {
+fn received_frame(number: u64, event: Option<Event>) -> Frame {
     Frame {
         number,
         bytes: Bytes::from_static(b"as it came"),
@@ -37,13 +37,14 @@
     }
 }
 
-/// A protocol that has applied the purge of object 7 as event 7, and trusts the numbers or has them proven.
-fn after_event_seven(trusts: bool) -> WatchProtocol {
+/// Creates a protocol whose last known event is number 7, a purge of object 7. Its numbers are trusted, or each
+/// connection has to prove them.
+fn protocol_at_event_7(trusts_numbers: bool) -> WatchProtocol {
     let last = EventPosition {
         number: 7,
         hash: purge(7).hash(),
     };
-    let numbering = if trusts {
+    let numbering = if trusts_numbers {
         Numbering::with_trusted_numbers(last)
     } else {
         Numbering::new(last)
@@ -51,36 +52,36 @@
     WatchProtocol::new(numbering, 1, at(0))
 }
 
-fn reason(action: Action) -> Disconnect {
+fn disconnect_reason(action: Action) -> Disconnect {
     match action {
         Action::Reconnect(reason) => reason,
-        other => panic!("the connection goes on: {other:?}"),
+        other => panic!("expected a reconnect, got {other:?}"),
     }
 }
 
 #[test]
-fn events_that_follow_are_emitted_once_with_the_frame_that_they_came_in() {
-    let mut protocol = after_event_seven(true);
+fn a_following_event_is_emitted_once_with_its_frame() {
+    let mut protocol = protocol_at_event_7(true);
     assert_eq!(protocol.connected(at(10)), 7);
-    let emitted = protocol.frame(at(20), frame_of(8, Some(purge(8))));
+    let emitted = protocol.frame(at(20), received_frame(8, Some(purge(8))));
     let Action::Emit(WatchEvent::Event {
         position, frame, ..
     }) = emitted
     else {
-        panic!("event 8 follows: {emitted:?}");
+        panic!("event 8 follows and has to be emitted, got {emitted:?}");
     };
     assert_eq!((position.number, &frame[..]), (8, &b"as it came"[..]));
     assert_eq!(protocol.numbering().borrow().last(), position);
-    let again = protocol.frame(at(30), frame_of(8, Some(purge(8))));
-    assert!(matches!(again, Action::Continue), "{again:?}");
+    let repeated = protocol.frame(at(30), received_frame(8, Some(purge(8))));
+    assert!(matches!(repeated, Action::Continue), "{repeated:?}");
 }
 
 #[test]
-fn a_heartbeat_makes_the_watch_current_until_the_connection_ends() {
-    let mut protocol = after_event_seven(true);
+fn the_watch_is_current_from_a_heartbeat_until_the_connection_ends() {
+    let mut protocol = protocol_at_event_7(true);
     protocol.connected(at(0));
     assert!(!protocol.is_current());
-    let action = protocol.frame(at(10), frame_of(7, None));
+    let action = protocol.frame(at(10), received_frame(7, None));
     assert!(
         matches!(action, Action::Emit(WatchEvent::Heartbeat)),
         "{action:?}"
@@ -91,20 +92,20 @@
 }
 
 #[test]
-fn an_unproven_numbering_asks_for_the_last_event_again_and_skips_it_as_its_proof() {
-    let mut protocol = after_event_seven(false);
+fn an_unproven_numbering_requests_the_last_event_again_and_skips_it_as_its_proof() {
+    let mut protocol = protocol_at_event_7(false);
     assert_eq!(protocol.connected(at(0)), 6);
-    assert_eq!(protocol.read_limit().timeout, Timeout::NothingThere);
-    let proof = protocol.frame(at(10), frame_of(7, Some(purge(7))));
+    assert_eq!(protocol.read_limit().timeout, Timeout::EventMissing);
+    let proof = protocol.frame(at(10), received_frame(7, Some(purge(7))));
     assert!(matches!(proof, Action::Continue), "{proof:?}");
     assert_eq!(protocol.numbering().borrow().confirmed_at(), Some(at(10)));
 }
 
 #[test]
-fn an_event_that_does_not_follow_has_all_asked_for_at_once() {
-    let mut protocol = after_event_seven(false);
+fn after_an_event_that_does_not_follow_all_events_are_requested_without_a_pause() {
+    let mut protocol = protocol_at_event_7(false);
     protocol.connected(at(0));
-    let why = reason(protocol.frame(at(10), frame_of(7, Some(purge(70)))));
+    let why = disconnect_reason(protocol.frame(at(10), received_frame(7, Some(purge(70)))));
     let expected = Disconnect::DoesNotFollow {
         number: 7,
         why: ReconnectReason::OtherEvent,
@@ -112,7 +113,7 @@
     assert_eq!(why, expected);
     assert!(!why.pauses());
     assert_eq!(protocol.connected(at(20)), 0);
-    let why = reason(protocol.frame(at(30), frame_of(9, Some(purge(9)))));
+    let why = disconnect_reason(protocol.frame(at(30), received_frame(9, Some(purge(9)))));
     let expected = Disconnect::DoesNotFollow {
         number: 9,
         why: ReconnectReason::NoList,
@@ -122,51 +123,56 @@
 }
 
 #[test]
-fn what_had_to_come_at_once_and_does_not_ends_the_connection_with_a_pause() {
-    let mut protocol = after_event_seven(false);
+fn a_connection_without_the_requested_event_is_closed_and_reopened_after_a_pause() {
+    let mut protocol = protocol_at_event_7(false);
     protocol.connected(at(0));
     let limit = protocol.read_limit();
-    assert_eq!(limit.timeout, Timeout::NothingThere);
-    let why = reason(protocol.timed_out(limit.until, limit.timeout));
-    assert!(matches!(why, Disconnect::NothingThere(_)), "{why:?}");
+    assert_eq!(limit.timeout, Timeout::EventMissing);
+    let why = disconnect_reason(protocol.timed_out(limit.until, limit.timeout));
+    assert!(matches!(why, Disconnect::EventMissing(_)), "{why:?}");
     assert!(why.pauses());
 }
 
 #[test]
-fn silence_ends_the_connection_after_two_heartbeats_that_are_missing() {
-    let mut protocol = after_event_seven(true);
+fn the_connection_is_closed_after_two_missing_heartbeats() {
+    let mut protocol = protocol_at_event_7(true);
     protocol.connected(at(0));
-    protocol.frame(at(10), frame_of(7, None));
+    protocol.frame(at(10), received_frame(7, None));
     let limit = protocol.read_limit();
     assert_eq!(limit.timeout, Timeout::Silent);
     assert_eq!(limit.until, at(10 + 2200));
-    let why = reason(protocol.timed_out(limit.until, limit.timeout));
+    let why = disconnect_reason(protocol.timed_out(limit.until, limit.timeout));
     assert_eq!(why, Disconnect::Silent);
     assert!(why.pauses());
 }
 
 #[test]
-fn a_frame_that_comes_byte_by_byte_and_never_ends_is_not_waited_for() {
-    let mut protocol = after_event_seven(true);
+fn a_frame_that_is_not_complete_within_the_time_limit_closes_the_connection() {
+    let mut protocol = protocol_at_event_7(true);
     protocol.connected(at(0));
-    protocol.frame(at(10), frame_of(7, None));
-    let begins = protocol.bytes_read(at(2000), true);
-    assert!(matches!(begins, Action::Continue), "{begins:?}");
+    protocol.frame(at(10), received_frame(7, None));
+    let first_bytes = protocol.bytes_read(at(2000), true);
+    assert!(matches!(first_bytes, Action::Continue), "{first_bytes:?}");
     assert_eq!(protocol.read_limit().until, at(2000 + 2200));
-    let goes_on = protocol.bytes_read(at(4199), false);
-    assert!(matches!(goes_on, Action::Continue), "{goes_on:?}");
-    let why = reason(protocol.bytes_read(at(4200), false));
+    let more_bytes = protocol.bytes_read(at(4199), false);
+    assert!(matches!(more_bytes, Action::Continue), "{more_bytes:?}");
+    let why = disconnect_reason(protocol.bytes_read(at(4200), false));
     assert_eq!(why, Disconnect::Ended);
 }
 
 #[test]
-fn reasons_say_what_the_log_has_always_said() {
+fn disconnect_reasons_have_the_logged_messages() {
     let malformed = Disconnect::Malformed(Malformed::FrameLength);
     assert_eq!(
         malformed.to_string(),
-        "the coordinator's connection is closed: a frame's length is out of bounds"
+        "the coordinator has sent an invalid frame: a frame's length is out of bounds"
+    );
+    assert_eq!(
+        Disconnect::Ended.to_string(),
+        "the coordinator's connection has ended, or a frame took longer than 2200 ms"
+    );
+    assert_eq!(
+        Disconnect::Silent.to_string(),
+        "the coordinator has sent nothing for 2200 ms"
     );
-    for ended in [Disconnect::Ended, Disconnect::Silent] {
-        assert_eq!(ended.to_string(), "the coordinator's connection has ended");
-    }
 }
