--- a/crates/flaxdeck-channel/src/watch/expedited_reconnect.rs
+++ b/crates/flaxdeck-channel/src/watch/expedited_reconnect.rs
@@ -21,7 +21,7 @@
 
     /// Sets whether planners relay all events, so that pauses may be longer. A change to false expedites the
     /// connection.
-    pub fn set_calm(&self, is_relaxed: bool) {
+    pub fn set_relaxed(&self, is_relaxed: bool) {
         if self.is_relaxed.replace(is_relaxed) && !is_relaxed {
             self.expedite();
         }
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/reporting.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/reporting.rs
@@ -69,7 +69,7 @@
     /// A coordinator that has little room is left to planners while they say the same.
     fn update_reconnect_priority(&self, router: &Router) {
         let calm = self.session.is_confirmed_by_planners(router.clock.now());
-        self.expedited_reconnect.set_calm(calm);
+        self.expedited_reconnect.set_relaxed(calm);
     }
 
     /// Endpoints that were withheld for long enough are used again.
