--- a/crates/flaxdeck-channel/src/watch/mod.rs
+++ b/crates/flaxdeck-channel/src/watch/mod.rs
@@ -111,7 +111,7 @@
     /// Closes the connection while planners relay all events, or lets it be opened again. Planners may lag behind, so
     /// if the coordinator turns out to use another numbering afterwards, events of the previous one may have been
     /// missed.
-    pub fn pause_while(&mut self, is_paused: bool) {
+    pub fn set_paused(&mut self, is_paused: bool) {
         if is_paused && !self.is_paused {
             self.close_connection(true);
         }
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/mod.rs
@@ -118,7 +118,7 @@
             session.suppress_reports(subscription.report_idle_every);
             EventSubscription::start(now, count as u32, seed, subscription, router.purge_settles)
         });
-        watch.pause_while(subscription.is_some());
+        watch.set_paused(subscription.is_some());
         let without_contact = options
             .session
             .unconfirmed_limit
--- a/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
@@ -23,8 +23,8 @@
             tokio::select! {
                 needed = self.coordinator_need_changed() => {
                     // What a link was asked for may have been replaced since.
-                    watch.pause_while(true);
-                    watch.pause_while(!needed);
+                    watch.set_paused(true);
+                    watch.set_paused(!needed);
                 }
                 event = watch.next() => self.apply_watch_event(&watch, event),
                 () = self.configuration_changed.notified() => self.change_over(&mut watch),
