--- a/crates/flaxdeck-channel/src/watch/mod.rs
+++ b/crates/flaxdeck-channel/src/watch/mod.rs
@@ -130,7 +130,7 @@
 
     /// Switches to the coordinator of a reloaded configuration, with the same numbering. Returns those events of the
     /// configuration that are new to this instance. Reconnects even if the address is the same.
-    pub fn go_on_at(&mut self, reloaded: Watch, known: NumberedEvents) -> Vec<Event> {
+    pub fn switch_coordinator(&mut self, reloaded: Watch, known: NumberedEvents) -> Vec<Event> {
         self.address = reloaded.address;
         self.close_connection(false);
         let numbering = self.numbering();
--- a/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
@@ -69,7 +69,7 @@
         let Some(later) = self.later_configuration.take() else {
             return;
         };
-        let events = watch.go_on_at(later.watch, later.known);
+        let events = watch.switch_coordinator(later.watch, later.known);
         let position = watch.numbering().borrow().last();
         for event in events {
             self.apply_event(position, event);
