--- a/crates/flaxdeck-channel/src/watch/mod.rs
+++ b/crates/flaxdeck-channel/src/watch/mod.rs
@@ -279,6 +279,6 @@
     match event {
         WatchEvent::Heartbeat => {}
         WatchEvent::Event { .. } => count(Counter::feed_events),
-        WatchEvent::Relisted { .. } => count(Counter::feed_anew),
+        WatchEvent::FullList { .. } => count(Counter::feed_anew),
     }
 }
--- a/crates/flaxdeck-channel/src/watch/protocol.rs
+++ b/crates/flaxdeck-channel/src/watch/protocol.rs
@@ -43,7 +43,7 @@
         event: Event,
     },
     /// A full endpoint list that replaces all known state.
-    Relisted {
+    FullList {
         /// Position of the event that holds the list.
         position: EventPosition,
         /// The event that holds the list.
@@ -244,7 +244,7 @@
             }
             EventAction::Replace(missed) => {
                 self.backoff.answered(now);
-                Action::Emit(WatchEvent::Relisted {
+                Action::Emit(WatchEvent::FullList {
                     position,
                     list: event,
                     missed,
--- a/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
@@ -51,7 +51,7 @@
                 }
                 self.apply_event(position, event);
             }
-            WatchEvent::Relisted {
+            WatchEvent::FullList {
                 position,
                 list,
                 missed,
--- a/crates/flaxdeck-planner/src/coordinator.rs
+++ b/crates/flaxdeck-planner/src/coordinator.rs
@@ -16,7 +16,7 @@
                 frame,
                 event,
             } => Some(state.apply_event(position, &frame, event)),
-            WatchEvent::Relisted {
+            WatchEvent::FullList {
                 position,
                 list,
                 missed,
