--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -1,19 +1,19 @@
-//! A planner on sockets: one connection to the coordinator, one from each forwarder. All that it decides is
-//! [`flaxdeck_control::planner`] and [`flaxdeck_distribution::publisher`]; here messages only move.
+//! The planner's process: one connection to the coordinator and one from each forwarder. All decisions are made in
+//! [`flaxdeck_control::planner`] and [`flaxdeck_distribution::publisher`]; this crate receives and sends the messages.
 //!
-//! [`run`] is the entry point: it serves until SIGTERM or ctrl-c on a runtime of its own, which has one thread. [`Start`]
-//! says what it needs to know.
+//! [`run`] is the entry point: it serves until SIGTERM or ctrl-c on a runtime of its own, which has one thread.
+//! [`Start`] holds its parameters.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `server` | starts the tasks and owns them, accepts forwarders, writes the counters to the log |
-//! | `state` | the one place that holds and changes what the tasks share: the planner, its senders, events, subscribers |
-//! | `session` | a task for each forwarder: reports in, guidance out |
+//! | `server` | starts and owns the tasks, accepts forwarders, logs the counters |
+//! | `state` | the state that the tasks share: the planner, connected forwarders, events, subscribers |
+//! | `session` | a task for each forwarder: receives its reports and subscriptions |
 //! | `coordinator` | a task that follows the coordinator |
-//! | `publishing` | a task that sends events to subscribers as they are due |
-//! | `events` | what is known of the coordinator's events, and who subscribes to them |
+//! | `publishing` | a task that sends events to subscribers when they are due |
+//! | `events` | the coordinator's events and their subscribers |
 //!
-//! At the end nothing is owed: what was granted runs off by itself at the forwarders.
+//! A planner that ends has nothing to return: its grants expire by themselves at the forwarders.
 //!
 //! ```
 //! use flaxdeck_planner::{RunError, run};
@@ -41,59 +41,60 @@
 use thiserror::Error;
 use tokio::task::LocalSet;
 
-/// Forwarders that may be connected at once, each with at most a frame and some messages in memory.
+/// Maximum number of connected forwarders. Each needs memory for at most a frame and some queued messages.
 pub const MAX_CONNECTIONS: usize = 4_096;
 
-/// What a planner is told at start.
+/// Parameters of a planner.
 pub struct Start {
-    /// Its name in the plan.
+    /// Name of the planner in the plan.
     pub name: String,
-    /// Where forwarders connect to it.
+    /// Address to listen on for forwarders.
     pub listen: SocketAddr,
-    /// The key that all instances share.
+    /// The key that all forwarders and planners share.
     pub key: Key,
     /// How long leases last.
     pub lease_terms: LeaseTerms,
-    /// Its own part of each cold host.
+    /// Fraction of each warming host's capacity that this planner may grant besides what forwarders lend to it.
     pub own: QuotaFraction,
-    /// How often forwarders that subscribe are sent events.
+    /// How often subscribed forwarders are sent events.
     pub cadence: Cadence,
-    /// Follows the coordinator.
+    /// Watch of the coordinator.
     pub watch: Watch,
-    /// The events that the configuration holds.
+    /// Events of the configuration.
     pub known: NumberedEvents,
-    /// Where its counters are written as they grow, if anywhere.
+    /// File to which the counters are written regularly; none if they are not written.
     pub counters: Option<PathBuf>,
 }
 
-/// Why a planner did not run.
+/// Why a planner could not run.
 #[derive(Debug, Error)]
 pub enum RunError<E> {
-    /// What it needs to know could not be told.
+    /// The parameters could not be determined.
     #[error("{0}")]
     Start(E),
-    /// The system has no room for a runtime.
-    #[error("no runtime: {0}")]
+    /// The runtime can't be created.
+    #[error("cannot create the runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// Signals can't be received.
-    #[error("no signals: {0}")]
+    /// The handlers of SIGTERM and SIGINT can't be installed.
+    #[error("cannot handle SIGTERM and SIGINT: {0}")]
     Signals(#[source] io::Error),
-    /// The address can't be listened at.
+    /// The planner can't listen at its address.
     #[error("cannot listen at {address}: {error}")]
     Listen {
-        /// That address.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         #[source]
         error: io::Error,
     },
 }
 
-/// Runs until SIGTERM or ctrl-c. `start` is called on the planner's runtime, as a watch begins there.
+/// Runs a planner until SIGTERM or ctrl-c. `start` is called on the planner's runtime, as a watch has to be created
+/// there.
 ///
 /// # Errors
 ///
-/// If `start` fails, or the system does not give what a planner needs.
+/// If `start` fails, or the runtime, the signal handlers or the listener can't be created.
 pub fn run<E>(start: impl FnOnce() -> Result<Start, E>) -> Result<(), RunError<E>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
