--- a/crates/flaxdeck-planner/src/publishing.rs
+++ b/crates/flaxdeck-planner/src/publishing.rs
@@ -1,4 +1,4 @@
-//! Sending events to subscribers.
+//! The task that sends events to subscribers.
 
 use std::rc::Rc;
 
@@ -6,12 +6,12 @@
 
 use crate::state::State;
 
-/// Sends events to each subscriber when it is due, until it is aborted.
+/// Sends events to each subscriber when they are due. Runs until the task is aborted.
 pub(crate) async fn publish(state: Rc<State>) {
     loop {
-        let next = state.next_delivery();
+        let next_delivery = state.next_delivery();
         tokio::select! {
-            () = sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => {}
+            () = sleep_until(next_delivery.unwrap_or_else(Instant::now)), if next_delivery.is_some() => {}
             () = state.schedule_changed() => {}
         }
         state.deliver();
--- a/crates/flaxdeck-planner/src/server.rs
+++ b/crates/flaxdeck-planner/src/server.rs
@@ -1,4 +1,4 @@
-//! The process: it starts the planner's tasks, owns them and ends them with the first signal.
+//! Starts the planner's tasks, owns them, and ends them at the first signal.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,15 +20,15 @@
 use crate::state::State;
 use crate::{MAX_CONNECTIONS, RunError, Start, coordinator, publishing, session};
 
-/// Between lines of counters in the log.
+/// Time between log lines with counters.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// After an accept that failed.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 
-/// Serves until a signal comes. All tasks are its own and end with it.
+/// Serves until SIGTERM or SIGINT is received. Owns all tasks, which end with it.
 pub(crate) async fn serve<E>(start: Start) -> Result<(), RunError<E>> {
-    let mut terminate = receive(SignalKind::terminate())?;
-    let mut interrupt = receive(SignalKind::interrupt())?;
+    let mut terminate = handle_signal(SignalKind::terminate())?;
+    let mut interrupt = handle_signal(SignalKind::interrupt())?;
     let clock = Clock::start();
     let epoch = Epoch::new(clock.now(), process::id());
     let planner = Planner::start(clock.now(), epoch, start.lease_terms, start.own);
@@ -38,10 +38,11 @@
         state.apply_list(event);
     }
     state.restart_log_at(start.watch.numbering().borrow().last());
-    let listener = Listener::bind(start.listen).map_err(|error| refused(start.listen, error))?;
+    let listener =
+        Listener::bind(start.listen).map_err(|error| listen_error(start.listen, error))?;
     let address = listener
         .local_addr()
-        .map_err(|error| refused(start.listen, error))?;
+        .map_err(|error| listen_error(start.listen, error))?;
     let mut tasks = JoinSet::new();
     tasks.spawn_local(coordinator::follow(state.clone(), start.watch));
     tasks.spawn_local(accept(state.clone(), start.key, listener));
@@ -60,27 +61,27 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    log_line(&state);
-    tracing::info!("asked to end; what was granted runs off by itself");
+    log_counters_once(&state);
+    tracing::info!("asked to end; granted quotas expire by themselves");
     tasks.shutdown().await;
     Ok(())
 }
 
-fn receive<E>(kind: SignalKind) -> Result<Signal, RunError<E>> {
+fn handle_signal<E>(kind: SignalKind) -> Result<Signal, RunError<E>> {
     signal(kind).map_err(RunError::Signals)
 }
 
-fn refused<E>(address: SocketAddr, error: io::Error) -> RunError<E> {
+fn listen_error<E>(address: SocketAddr, error: io::Error) -> RunError<E> {
     RunError::Listen { address, error }
 }
 
-/// Accepts forwarders until it is aborted; it owns their sessions, which end with it.
+/// Accepts forwarders until the task is aborted. Owns their sessions, which end with it.
 async fn accept(state: Rc<State>, key: Key, listener: Listener) {
     let budget = Budget::new(MAX_CONNECTIONS);
     let mut sessions = JoinSet::new();
     loop {
         let permit = budget.acquire_many(1).await;
-        // Sessions that have ended are asked for, so that the set does not grow.
+        // Removes ended sessions, so that the set does not grow.
         while sessions.try_join_next().is_some() {}
         match listener.accept().await {
             Ok(stream) => {
@@ -99,11 +100,11 @@
     ticks.tick().await;
     loop {
         ticks.tick().await;
-        log_line(&state);
+        log_counters_once(&state);
     }
 }
 
-fn log_line(state: &State) {
+fn log_counters_once(state: &State) {
     state.log_status();
     tracing::info!("traffic: {}", metrics::line());
 }
