--- a/crates/flaxdeck-planner/src/coordinator.rs
+++ b/crates/flaxdeck-planner/src/coordinator.rs
@@ -6,7 +6,7 @@
 
 use crate::state::State;
 
-/// Applies what the coordinator says, until it is aborted.
+/// Applies the coordinator's events and relays them to forwarders. Runs until the task is aborted.
 pub(crate) async fn follow(state: Rc<State>, mut watch: Watch) {
     loop {
         let relayed = match watch.next().await {
@@ -22,8 +22,8 @@
                 missed,
             } => {
                 tracing::warn!(
-                    mark = ?position,
-                    doubt = ?missed,
+                    ?position,
+                    ?missed,
                     "the coordinator's numbering is another: its list is taken anew"
                 );
                 state.apply_list(list);
--- a/crates/flaxdeck-planner/src/events.rs
+++ b/crates/flaxdeck-planner/src/events.rs
@@ -1,5 +1,5 @@
-//! The coordinator's events as subscribers get them: the list of hosts as it stands, who is connected, and the
-//! publisher that decides who is sent what and when.
+//! The coordinator's events for subscribers: the current hosts, from which snapshots are made, and the publisher, which
+//! decides what each subscriber is sent and when.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,19 +13,19 @@
 use flaxdeck_terms::Names;
 use flaxdeck_wire::frames::{AddressedEndpoint, write_full_list};
 
-/// How much a planner holds of the coordinator's events.
+/// Size of the planner's event log, and its counters.
 pub(crate) struct Load {
     /// Forwarders that subscribe.
     pub(crate) subscribers: usize,
-    /// Events that are held for them.
+    /// Events in the log.
     pub(crate) events: usize,
-    /// The bytes of those.
+    /// Bytes of these events.
     pub(crate) bytes: usize,
-    /// What was counted since the start.
+    /// Counts since the start.
     pub(crate) counters: Counters,
 }
 
-/// Owns what a planner knows of the coordinator's events, and which subscriber has which of them.
+/// Owns the coordinator's events that the planner knows, and the position of each subscriber.
 pub(crate) struct Events {
     publisher: Publisher,
     hosts: BTreeMap<HostId, AddressedEndpoint>,
@@ -33,7 +33,7 @@
 }
 
 impl Events {
-    /// A planner that has just started and has heard nothing of the coordinator.
+    /// Creates the events of a planner that has just started and has received nothing from the coordinator.
     pub(crate) fn start(now: Time, cadence: Cadence, names: Rc<Names>) -> Events {
         let publisher = Publisher::start(now, cadence, Retention::default(), EventPosition::NONE);
         Events {
@@ -43,13 +43,14 @@
         }
     }
 
-    /// All that is known here ends with that event, and nothing that was told before leads to it.
-    pub(crate) fn begins_at(&mut self, now: Time, position: EventPosition) {
+    /// Restarts the event log at that position. Earlier events do not lead to it, so subscribers that are at one of them
+    /// have to be sent a snapshot.
+    pub(crate) fn restart_log_at(&mut self, now: Time, position: EventPosition) {
         self.publisher.restart_numbering(now, position);
     }
 
-    /// Takes in what an event says of hosts.
-    pub(crate) fn list(&mut self, event: &Event) {
+    /// Updates the hosts from an event with a full list or a delta; ignores a purge.
+    pub(crate) fn update_hosts(&mut self, event: &Event) {
         let Event::Hosts(list_kind, endpoints) = event else {
             return;
         };
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The coordinator has announced an event, which came in that frame.
+    /// Applies an event of the coordinator and appends it to the log. `frame` is the frame that it was received in.
     pub(crate) fn apply(
         &mut self,
         now: Time,
@@ -85,36 +86,37 @@
             Event::Purged { object: None, .. } => Content::GroupPurge(frame.to_vec()),
             Event::Hosts(..) => Content::HostChange(frame.to_vec()),
         };
-        self.list(event);
+        self.update_hosts(event);
         self.publisher.append_event(now, position, content);
     }
 
-    /// The coordinator was heard; `current` if all is known here that it had to tell.
-    pub(crate) fn coordinator_alive(&mut self, now: Time, current: bool) {
-        self.publisher.coordinator_heard(now, current);
+    /// Records that the coordinator sent an event or a heartbeat. `is_current` is true if all of its events have been
+    /// received.
+    pub(crate) fn coordinator_alive(&mut self, now: Time, is_current: bool) {
+        self.publisher.coordinator_heard(now, is_current);
     }
 
-    /// A forwarder asks for events, or for no more of them.
+    /// Starts, changes or ends a forwarder's subscription.
     pub(crate) fn subscribe(&mut self, now: Time, id: SubscriberId, subscription: Subscription) {
         self.publisher.subscribe(now, id, subscription);
     }
 
-    /// A forwarder's conversation has ended.
-    pub(crate) fn leave(&mut self, id: SubscriberId) {
+    /// Removes a subscriber whose connection has ended.
+    pub(crate) fn unsubscribe(&mut self, id: SubscriberId) {
         self.publisher.unsubscribe(id);
     }
 
-    /// Who is to be sent something now.
+    /// Returns the subscribers that have to be sent something now.
     pub(crate) fn due(&mut self, now: Time) -> Vec<SubscriberId> {
         self.publisher.due(now)
     }
 
-    /// When somebody is due next.
+    /// Returns when the next subscriber is due; none if no subscriber is waiting.
     pub(crate) fn next_due(&self) -> Option<Time> {
         self.publisher.next_due()
     }
 
-    /// What a subscriber is sent now; its position moves by it.
+    /// Returns what a subscriber is sent now, and advances its position accordingly.
     pub(crate) fn delivery(&mut self, now: Time, id: SubscriberId) -> Option<Delivery> {
         let Events {
             publisher,
@@ -124,14 +126,16 @@
         publisher.update_for(now, id, &mut |number| {
             write_full_list(number, hosts.values(), names).unwrap_or_else(|| {
                 tracing::error!(
-                    "the list of hosts has no form as a frame: no snapshot can be taken in"
+                    number,
+                    hosts = hosts.len(),
+                    "the full list does not fit in a frame or cannot be encoded: subscribers cannot apply the snapshot"
                 );
                 Vec::new()
             })
         })
     }
 
-    /// How much is held now, and the counters since the start.
+    /// Returns the size of the event log and the counters since the start.
     pub(crate) fn load(&self) -> Load {
         let size = self.publisher.size();
         Load {
--- a/crates/flaxdeck-planner/src/session.rs
+++ b/crates/flaxdeck-planner/src/session.rs
@@ -1,4 +1,4 @@
-//! One forwarder's connection, from its greeting to its end.
+//! A forwarder's session: its connection from the greeting to the end.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,18 +14,19 @@
 
 use crate::state::{ConnectionNumber, SharedSender, State};
 
-/// Why a session is over.
+/// Why a session ended.
 #[derive(Debug, Error)]
 enum SessionEnd {
-    /// The connection is.
+    /// The connection could not be established, or ended.
     #[error(transparent)]
     Closed(#[from] CloseReason),
-    /// Reports of two forwarders came on it.
-    #[error("a second forwarder on one connection")]
+    /// A report on the connection came from another epoch than the first one.
+    #[error("reports of two forwarders on one connection")]
     SecondForwarder,
 }
 
 impl SessionEnd {
+    /// Returns whether the other side is invalid, so that the session counts as refused.
     fn is_refusal(&self) -> bool {
         match self {
             SessionEnd::Closed(reason) => reason.is_refusal(),
@@ -34,12 +35,12 @@
     }
 }
 
-/// Serves a forwarder until its connection ends; the permit is given back then.
+/// Serves a forwarder until its connection ends. The permit is held until then.
 pub(crate) async fn serve(state: Rc<State>, key: Key, stream: TcpStream, _permit: Permit) {
     let peer = stream
         .peer_addr()
-        .map_or("somebody gone".to_owned(), |peer| peer.to_string());
-    let end = converse(&state, &key, stream).await;
+        .map_or("unknown address".to_owned(), |peer| peer.to_string());
+    let end = run_session(&state, &key, stream).await;
     let why = end.to_string();
     if end.is_refusal() {
         let refused = state.count_refused();
@@ -49,31 +50,31 @@
     }
 }
 
-async fn converse(state: &State, key: &Key, stream: TcpStream) -> SessionEnd {
+async fn run_session(state: &State, key: &Key, stream: TcpStream) -> SessionEnd {
     let connection = match connection::accept(stream, key).await {
         Ok(connection) => connection,
         Err(reason) => return reason.into(),
     };
-    let number = state.next_connection();
+    let number = state.next_connection_number();
     let sender = Rc::new(RefCell::new(connection.sender));
-    let end = receive(state, number, &sender, connection.receiver).await;
+    let end = handle_messages(state, number, &sender, connection.receiver).await;
     state.disconnected(number);
     end
 }
 
-/// Takes in what the forwarder sends, until the connection ends.
-async fn receive(
+/// Handles the forwarder's messages until the connection ends.
+async fn handle_messages(
     state: &State,
     number: ConnectionNumber,
     sender: &SharedSender,
     mut receiver: Receiver,
 ) -> SessionEnd {
-    let mut forwarder: Option<Epoch> = None;
+    let mut forwarder_epoch: Option<Epoch> = None;
     loop {
         match receiver.receive().await {
             Ok(FromForwarder::Report(report)) => {
                 let from = report.envelope.from;
-                if *forwarder.get_or_insert(from) != from {
+                if *forwarder_epoch.get_or_insert(from) != from {
                     return SessionEnd::SecondForwarder;
                 }
                 state.apply_report(number, sender, &report);
--- a/crates/flaxdeck-planner/src/state.rs
+++ b/crates/flaxdeck-planner/src/state.rs
@@ -1,4 +1,4 @@
-//! What the planner's tasks share. Each cell is borrowed within one call, never across an await.
+//! The state that the planner's tasks share. Each cell is borrowed within one call, never across an await.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,41 +21,42 @@
 
 use crate::events::Events;
 
-/// The sending half of a forwarder's connection. Its session owns it; others send by it while the session lasts.
+/// The sending half of a forwarder's connection. The session shares it with [`State`], through which other tasks send,
+/// until the connection ends.
 pub(crate) type SharedSender = Rc<RefCell<Sender>>;
 
-/// The number of a connection, which no other of this process has.
+/// Number of a connection, unique within the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ConnectionNumber(u64);
 
 impl ConnectionNumber {
-    fn subscriber(self) -> SubscriberId {
+    fn subscriber_id(self) -> SubscriberId {
         SubscriberId(self.0)
     }
 }
 
-/// A forwarder that has sent a report.
+/// The connection of a forwarder that has sent a report.
 struct ConnectedForwarder {
     connection: ConnectionNumber,
     sender: SharedSender,
 }
 
-/// Owns the planner's state. Nothing of it survives a restart.
+/// Owns the planner's state. It is not persisted.
 pub(crate) struct State {
     pub(crate) clock: Clock,
     planner: RefCell<Planner>,
     forwarders: RefCell<BTreeMap<Epoch, ConnectedForwarder>>,
     events: RefCell<Events>,
     subscribers: RefCell<BTreeMap<SubscriberId, SharedSender>>,
-    /// Some subscriber may be due sooner than was known.
+    /// Notified when a subscriber may be due earlier than scheduled.
     schedule_changed: Notify,
-    next_connection: Cell<u64>,
-    /// Peers that were refused, for the log.
+    next_connection_number: Cell<u64>,
+    /// Number of refused peers, for the log.
     refused: Cell<u64>,
 }
 
 impl State {
-    /// Of a planner that has just started.
+    /// Creates the state of a planner that has just started.
     pub(crate) fn new(clock: Clock, planner: Planner, events: Events) -> State {
         State {
             clock,
@@ -64,26 +65,27 @@
             events: RefCell::new(events),
             subscribers: RefCell::default(),
             schedule_changed: Notify::new(),
-            next_connection: Cell::new(0),
+            next_connection_number: Cell::new(0),
             refused: Cell::new(0),
         }
     }
 
-    /// All that is known here of the coordinator's events ends with that one.
+    /// Restarts the event logs at that position: at the start, and when the coordinator uses another numbering.
     pub(crate) fn restart_log_at(&self, position: EventPosition) {
         self.planner.borrow_mut().restart_log_at(position);
         self.events
             .borrow_mut()
-            .begins_at(self.clock.now(), position);
+            .restart_log_at(self.clock.now(), position);
     }
 
-    /// Takes in what an event outside the numbering says of hosts.
+    /// Updates the hosts from an event without appending it to the logs. Used for the events of the configuration, and
+    /// for the full list of another numbering.
     pub(crate) fn apply_list(&self, event: Event) {
-        self.events.borrow_mut().list(&event);
+        self.events.borrow_mut().update_hosts(&event);
         self.apply_hosts(event);
     }
 
-    /// Applies an event that follows, and gives it as it is passed on in guidance.
+    /// Applies an event that follows the last one. Returns it in the form in which guidance relays it.
     pub(crate) fn apply_event(
         &self,
         position: EventPosition,
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Tells the planner of hosts: which there are, and since when each has run.
+    /// Updates the planner's hosts and their start times; ignores a purge.
     fn apply_hosts(&self, event: Event) {
         let Event::Hosts(list_kind, endpoints) = event else {
             return;
@@ -112,26 +114,28 @@
         for endpoint in &endpoints {
             let listed = &endpoint.listed;
             let started = listed.started.map_or(0, |at| at.ms() as u64);
-            let is_there = listed.health != Health::Removed;
-            planner.update_host(now, &listed.host.0, is_there.then_some(started));
+            let is_listed = listed.health != Health::Removed;
+            planner.update_host(now, &listed.host.0, is_listed.then_some(started));
         }
     }
 
-    /// The coordinator was heard, with an event or without; `current` if all is known here that it had to say.
-    pub(crate) fn coordinator_alive(&self, event: Option<RelayedEvent>, current: bool) {
+    /// Records that the coordinator sent an event or a heartbeat, and relays an event to the connected forwarders.
+    /// `is_current` is true if all of the coordinator's events have been received.
+    pub(crate) fn coordinator_alive(&self, event: Option<RelayedEvent>, is_current: bool) {
         let now = self.clock.now();
-        let is_new = event.is_some();
+        let has_event = event.is_some();
         self.planner
             .borrow_mut()
-            .coordinator_heard(now, event, current);
-        self.events.borrow_mut().coordinator_alive(now, current);
-        if is_new {
+            .coordinator_heard(now, event, is_current);
+        self.events.borrow_mut().coordinator_alive(now, is_current);
+        if has_event {
             self.push_guidance();
         }
         self.schedule_changed.notify_one();
     }
 
-    /// Sends what has just come to all forwarders: nobody waits for its next report to learn of a drain.
+    /// Sends new events to all connected forwarders that lack them, so that none has to wait for the answer to its next
+    /// report to learn that a host drains. A forwarder that reads too slowly is skipped.
     fn push_guidance(&self) {
         for (epoch, forwarder) in self.forwarders.borrow().iter() {
             let mut sender = forwarder.sender.borrow_mut();
@@ -148,15 +152,15 @@
         }
     }
 
-    /// A connection was greeted.
-    pub(crate) fn next_connection(&self) -> ConnectionNumber {
-        let number = self.next_connection.get();
-        self.next_connection.set(number + 1);
+    /// Returns the number of a new connection.
+    pub(crate) fn next_connection_number(&self) -> ConnectionNumber {
+        let number = self.next_connection_number.get();
+        self.next_connection_number.set(number + 1);
         ConnectionNumber(number)
     }
 
-    /// A forwarder has sent a report on that connection: guidance goes there from now on, and it is answered unless it
-    /// does not read what it was sent.
+    /// Handles a forwarder's report: guidance is sent on that connection from now on. The report is ignored and not
+    /// answered if the forwarder reads too slowly.
     pub(crate) fn apply_report(
         &self,
         connection: ConnectionNumber,
@@ -192,14 +196,14 @@
         }
     }
 
-    /// A forwarder asks for events, or for no more of them.
+    /// Starts, changes or ends a forwarder's subscription.
     pub(crate) fn subscribe(
         &self,
         connection: ConnectionNumber,
         sender: &SharedSender,
         subscription: Subscription,
     ) {
-        let id = connection.subscriber();
+        let id = connection.subscriber_id();
         self.subscribers.borrow_mut().insert(id, sender.clone());
         self.events
             .borrow_mut()
@@ -207,34 +211,35 @@
         self.schedule_changed.notify_one();
     }
 
-    /// A connection has ended. A later one of the same forwarder is not touched.
+    /// Removes a connection that has ended. A later connection of the same forwarder is kept.
     pub(crate) fn disconnected(&self, connection: ConnectionNumber) {
         self.forwarders
             .borrow_mut()
             .retain(|_, forwarder| forwarder.connection != connection);
-        let id = connection.subscriber();
+        let id = connection.subscriber_id();
         self.subscribers.borrow_mut().remove(&id);
-        self.events.borrow_mut().leave(id);
+        self.events.borrow_mut().unsubscribe(id);
     }
 
-    /// A peer was refused; gives how many that are.
+    /// Counts a refused peer and returns how many there have been.
     pub(crate) fn count_refused(&self) -> u64 {
         self.refused.set(self.refused.get() + 1);
         self.refused.get()
     }
 
-    /// When some subscriber is due next.
+    /// Returns when the next subscriber is due; none if no subscriber is waiting.
     pub(crate) fn next_delivery(&self) -> Option<Instant> {
         let next = self.events.borrow().next_due();
         next.map(|at| self.clock.instant(at))
     }
 
-    /// Waits until a subscriber may be due sooner than was known.
+    /// Waits until a subscriber may be due earlier than [`State::next_delivery`] said.
     pub(crate) async fn schedule_changed(&self) {
         self.schedule_changed.notified().await;
     }
 
-    /// Sends events to all subscribers that are due; who reads slowly is sent more at once later.
+    /// Sends events to all subscribers that are due. One that reads too slowly is skipped and gets more events at once
+    /// later.
     pub(crate) fn deliver(&self) {
         let now = self.clock.now();
         let due = self.events.borrow_mut().due(now);
@@ -252,7 +257,7 @@
         }
     }
 
-    /// Writes what the planner knows, and its counters, to the log.
+    /// Logs the sizes of the planner's state and its counters.
     pub(crate) fn log_status(&self) {
         let planner = self.planner.borrow();
         let leases = planner.load(self.clock.now());
@@ -276,7 +281,7 @@
     }
 }
 
-/// A full list names all hosts: the others are gone.
+/// Removes the planner's hosts that a full list does not name.
 fn remove_unlisted(planner: &mut Planner, now: Time, endpoints: &[AddressedEndpoint]) {
     let listed: BTreeSet<&str> = endpoints
         .iter()
