--- a/crates/flaxdeck-channel/src/watch/protocol.rs
+++ b/crates/flaxdeck-channel/src/watch/protocol.rs
@@ -91,7 +91,8 @@
 
 impl Disconnect {
     /// Returns whether to pause before the next connection. No pause is needed if an event does not follow: the
-    /// coordinator answers, and the next connection requests all events, which resolves the mismatch.
+    /// coordinator answers, and the next connection requests all events, which resolves the mismatch. The exception is
+    /// a coordinator that was asked for all events and did not begin with a full list.
     pub fn pauses(&self) -> bool {
         match self {
             Disconnect::DoesNotFollow { why, .. } => *why == ReconnectReason::NoList,
@@ -268,8 +269,9 @@
     }
 
     /// Returns how long to wait for more bytes, and what it means if none arrive. Until the watch is current, a short
-    /// idle time means that all events have been received. If the coordinator owes a known event, it does not have that
-    /// event unless it sends it soon. Otherwise the limit is that of a dead connection.
+    /// idle time means that all events have been received. A known event that the coordinator has to send again, and
+    /// does not send within a short time, is one that it does not have. Otherwise the limit is that of a dead
+    /// connection.
     pub fn read_limit(&self) -> ReadLimit {
         let numbering = self.numbering.borrow();
         let current_at = numbering.current_at().filter(|_| !self.is_current);
--- a/crates/flaxdeck-channel/tests/watch_protocol.rs
+++ b/crates/flaxdeck-channel/tests/watch_protocol.rs
@@ -32,7 +32,7 @@
 fn received_frame(number: u64, event: Option<Event>) -> Frame {
     Frame {
         number,
-        bytes: Bytes::from_static(b"as it came"),
+        bytes: Bytes::from_static(b"frame bytes"),
         event,
     }
 }
@@ -70,7 +70,7 @@
     else {
         panic!("event 8 follows and has to be emitted, got {emitted:?}");
     };
-    assert_eq!((position.number, &frame[..]), (8, &b"as it came"[..]));
+    assert_eq!((position.number, &frame[..]), (8, &b"frame bytes"[..]));
     assert_eq!(protocol.numbering().borrow().last(), position);
     let repeated = protocol.frame(at(30), received_frame(8, Some(purge(8))));
     assert!(matches!(repeated, Action::Continue), "{repeated:?}");
