--- a/crates/flaxdeck-dispatcher/src/routing/control_client/reporting.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/reporting.rs
@@ -70,7 +70,8 @@
     /// the coordinator's limited capacity to the planners.
     fn update_reconnect_priority(&self, router: &Router) {
         let is_confirmed_by_planners = self.session.is_confirmed_by_planners(router.clock.now());
-        self.expedited_reconnect.set_calm(is_confirmed_by_planners);
+        self.expedited_reconnect
+            .set_relaxed(is_confirmed_by_planners);
     }
 
     /// Reports endpoints whose withholding has ended to the decision engine, so that they are used again.
--- a/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
@@ -23,8 +23,8 @@
             tokio::select! {
                 needed = self.coordinator_need_changed() => {
                     // Closes the present connection first: events from planners may have replaced what it asked for.
-                    watch.pause_while(true);
-                    watch.pause_while(!needed);
+                    watch.set_paused(true);
+                    watch.set_paused(!needed);
                 }
                 event = watch.next() => self.apply_watch_event(&watch, event),
                 () = self.reload_requested.notified() => self.apply_reload(&mut watch),
@@ -51,7 +51,7 @@
                 }
                 self.apply_event(position, event);
             }
-            WatchEvent::Relisted {
+            WatchEvent::FullList {
                 position,
                 list,
                 missed,
@@ -69,7 +69,7 @@
         let Some(reload) = self.pending_reload.take() else {
             return;
         };
-        let events = watch.go_on_at(reload.watch, reload.configured_events);
+        let events = watch.switch_coordinator(reload.watch, reload.configured_events);
         let position = watch.numbering().borrow().last();
         for event in events {
             self.apply_event(position, event);
