--- a/crates/flaxdeck-net/src/budget.rs
+++ b/crates/flaxdeck-net/src/budget.rs
@@ -1,4 +1,4 @@
-//! What bounds memory and descriptors, derived from the limits of the configuration.
+//! Bounds on memory and descriptors, derived from the limits in the configuration, and permits that enforce them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -7,58 +7,58 @@
 
 use tokio::sync::Notify;
 
-/// Descriptors kept for the listener, the coordinator, the runtime and standard streams.
-pub const OWN_SOCKETS: usize = 24;
-/// Descriptors with which there is one for a client and one for a host.
-pub const MIN_SOCKETS: u64 = OWN_SOCKETS as u64 + 2;
-/// The fraction of the memory limit that requests may take beside the bytes they carry. What this and the next leave
-/// is for the program, its tables and what the allocator can't give back.
-const REQUESTS_FRACTION: f64 = 0.2;
-/// The fraction of the memory limit for the bytes of requests and their responses.
-const BYTES_FRACTION: f64 = 0.4;
-/// Bytes that one request takes beside those it carries: its task, its entries in tables, its connection's read buffer.
+/// Descriptors reserved for the listener, the coordinator's connection, the runtime and the standard streams.
+pub const RESERVED_SOCKETS: usize = 24;
+/// The smallest usable number of descriptors: the reserved ones, one for a client and one for a host.
+pub const MIN_SOCKETS: u64 = RESERVED_SOCKETS as u64 + 2;
+/// The fraction of the memory limit available for the fixed overhead of requests. What this and the next fraction leave
+/// over is for the program itself, its tables and memory that the allocator cannot return to the system.
+const REQUEST_OVERHEAD_FRACTION: f64 = 0.2;
+/// The fraction of the memory limit available for the bytes of requests and their responses.
+const MESSAGE_BYTES_FRACTION: f64 = 0.4;
+/// Bytes that one request needs besides its message: its task, its table entries and its connection's read buffer.
 pub const REQUEST_OVERHEAD: f64 = 16.0 * 1024.0;
-/// Bytes of the largest message that counts with its connection or request; a larger one acquires a permit of its own
-/// before it is read.
+/// Bytes of the largest message that is covered by the memory reserved for its connection or request; a larger one
+/// needs a permit of its own before it is read.
 pub const MAX_SMALL_MESSAGE: usize = 8 * 1024;
-/// Bytes of the largest object that the protocol provides for.
+/// Bytes of the largest object that the protocol allows.
 pub const MAX_OBJECT: usize = 240_000;
-/// Bytes of the largest write that the protocol provides for.
+/// Bytes of the largest write that the protocol allows.
 pub const MAX_WRITE: usize = 48_000;
-/// Bytes of one message of a client: the largest write, and as much again as fields could need.
+/// Bytes of the largest client message: the largest write plus 16 KiB for the fields.
 pub const MAX_MESSAGE: usize = MAX_WRITE + 16 * 1024;
 
-/// How much of everything this process may hold.
+/// Upper bounds on the connections, requests and message bytes that this process holds.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Connections of clients.
+    /// Client connections.
     pub clients: usize,
-    /// Connections to hosts.
+    /// Host connections.
     pub hosts: usize,
-    /// Requests that are open or whose answers are not written yet.
+    /// Requests that are open or whose answers have not been fully written.
     pub requests: usize,
-    /// Bytes that clients' messages may hold together. A response waits for memory while its request holds some, so
-    /// with one budget for both all of it could be held by requests whose responses wait for it.
+    /// Total bytes of client messages. A request holds its memory while its response waits for memory, so a single
+    /// budget for both could deadlock with all of it held by requests whose responses wait for some.
     pub request_bytes: usize,
-    /// Bytes that responses may hold together.
+    /// Total bytes of responses.
     pub response_bytes: usize,
 }
 
 impl Bounds {
-    /// The bounds within a memory limit in MiB and a number of descriptors.
+    /// Derives the bounds from a memory limit in MiB and a number of descriptors.
     pub fn of(memory_mb: f64, sockets: usize) -> Bounds {
         let clients = (sockets / 3).max(1);
-        let hosts = sockets.saturating_sub(clients + OWN_SOCKETS).max(1);
+        let hosts = sockets.saturating_sub(clients + RESERVED_SOCKETS).max(1);
         let memory = memory_mb.max(0.0) * 1024.0 * 1024.0;
-        // Each client may have the start of a message here that is no request yet.
-        let bytes =
-            ((memory * BYTES_FRACTION) as usize).saturating_sub(clients * MAX_SMALL_MESSAGE);
+        // Each client connection may buffer the start of a message that is not counted as a request yet.
+        let bytes = ((memory * MESSAGE_BYTES_FRACTION) as usize)
+            .saturating_sub(clients * MAX_SMALL_MESSAGE);
         let bytes = bytes.max(MAX_WRITE + MAX_OBJECT);
         let request_bytes = bytes / (MAX_WRITE + MAX_OBJECT) * MAX_WRITE;
         Bounds {
             clients,
             hosts,
-            requests: ((memory * REQUESTS_FRACTION / REQUEST_OVERHEAD) as usize).max(1),
+            requests: ((memory * REQUEST_OVERHEAD_FRACTION / REQUEST_OVERHEAD) as usize).max(1),
             request_bytes,
             response_bytes: bytes - request_bytes,
         }
@@ -68,17 +68,17 @@
 struct Shared {
     in_use: Cell<usize>,
     capacity: Cell<usize>,
-    /// Some units have been released, or who waits first has changed.
+    /// Wakes the waiters when units are released, the capacity changes or a waiter leaves the queue.
     released: Notify,
-    /// The tickets of those who wait, in the order in which they came.
+    /// The tickets of the waiters, in order of arrival.
     waiting: RefCell<VecDeque<u64>>,
     next_ticket: Cell<u64>,
 }
 
-/// A counting semaphore for one thread, first come, first served: so many units, held by [`Permit`]s.
+/// A single-threaded counting semaphore that serves waiters in order of arrival; its units are held by [`Permit`]s.
 pub struct Budget(Rc<Shared>);
 
-/// A place in the queue for units, given up when dropped.
+/// A position in the queue of waiters, given up when dropped.
 struct Waiter<'a> {
     shared: &'a Shared,
     ticket: u64,
@@ -91,7 +91,7 @@
 }
 
 impl Budget {
-    /// A budget of which nothing is in use.
+    /// Creates a budget with no units in use.
     pub fn new(capacity: usize) -> Budget {
         Budget(Rc::new(Shared {
             in_use: Cell::new(0),
@@ -102,18 +102,18 @@
         }))
     }
 
-    /// Sets the capacity. Under what is in use, nothing more is acquired until enough has been released.
+    /// Sets the capacity. If more units than that are in use, none can be acquired until enough have been released.
     pub fn resize(&self, capacity: usize) {
         self.0.capacity.set(capacity);
         self.0.released.notify_waiters();
     }
 
-    /// One unit, if one is free and nobody waits.
+    /// Acquires one unit if one is free and nobody is waiting.
     pub fn try_acquire(&self) -> Option<Permit> {
         self.try_acquire_many(1)
     }
 
-    /// So many units at once, if they are free and nobody waits for any.
+    /// Acquires `units` at once if they are free and nobody is waiting.
     pub fn try_acquire_many(&self, units: usize) -> Option<Permit> {
         let has_waiters = units > 0 && !self.0.waiting.borrow().is_empty();
         if has_waiters {
@@ -122,7 +122,7 @@
         self.acquire_free(units)
     }
 
-    /// So many units if they are free, whoever waits.
+    /// Acquires `units` if they are free, regardless of waiters.
     fn acquire_free(&self, units: usize) -> Option<Permit> {
         let in_use = self.in_use() + units;
         if in_use > self.0.capacity.get() {
@@ -135,9 +135,9 @@
         })
     }
 
-    /// Waits for its turn and until so many units are free. A wish for more than the capacity gets all of it once nobody
-    /// holds any. Dropping the future gives the turn up.
-    // Guards against small wishes that are met past a large one for ever: first come, first served.
+    /// Waits for its turn and until `units` are free. A request for more than the capacity is granted the whole
+    /// capacity once nothing is in use. Dropping the future gives up the position in the queue.
+    // Waiters are served strictly in order of arrival, so that small requests cannot starve a large one.
     pub async fn acquire_many(&self, units: usize) -> Permit {
         let waiter = self.enqueue();
         loop {
@@ -161,15 +161,15 @@
         }
     }
 
-    /// Waits for the memory of a message of so many bytes, before it is read. A message of at most
-    /// [`MAX_SMALL_MESSAGE`], or one that has its permit already, acquires none.
+    /// Waits for the memory of a message of `bytes` bytes before it is read, and stores the permit. A message of at
+    /// most [`MAX_SMALL_MESSAGE`] bytes, or one that already has a permit, acquires none.
     pub async fn reserve_for_message(&self, bytes: usize, permit: &mut Option<Permit>) {
         if bytes > MAX_SMALL_MESSAGE && permit.is_none() {
             *permit = Some(self.acquire_many(bytes).await);
         }
     }
 
-    /// Units that permits hold.
+    /// The number of units held by permits.
     pub fn in_use(&self) -> usize {
         self.0.in_use.get()
     }
--- a/crates/flaxdeck-net/src/clock.rs
+++ b/crates/flaxdeck-net/src/clock.rs
@@ -1,4 +1,5 @@
-//! One clock: monotonic, tied to Unix time at its start, so that times from outside mean the same here.
+//! A monotonic clock that starts from Unix time, so that its times can be compared with timestamps of other machines,
+//! and the time since the machine booted.
 
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -6,19 +7,19 @@
 use flaxdeck::{Span, Time};
 use tokio::time::Instant;
 
-/// Hex digits of the system's boot id that make up [`SinceBoot::boot_id`]: 64 bits.
+/// The number of leading hex digits of the system's boot id used for [`SinceBoot::boot_id`]: 64 bits.
 const BOOT_ID_DIGITS: usize = 16;
 
-/// By how much this process's wall clock is taken to differ, in milliseconds.
+/// Offset added to the system's wall clock when a [`Clock`] starts, in milliseconds.
 static OFFSET_MS: AtomicI64 = AtomicI64::new(0);
 
-/// Sets all clocks that start from now on apart from the system's by so many milliseconds: for tests of machines whose
-/// clocks were set.
+/// Sets the offset in milliseconds between the system's wall clock and every [`Clock`] that starts after this call.
+/// Tests use it to simulate machines with wrong wall clocks.
 pub fn set_offset_ms(offset: i64) {
     OFFSET_MS.store(offset, Ordering::Relaxed);
 }
 
-/// A clock that goes on evenly, whatever happens to the system's wall clock after its start.
+/// A monotonic clock in Unix time; changes of the system's wall clock after its start do not affect it.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -26,7 +27,7 @@
 }
 
 impl Clock {
-    /// A clock that shows the system's time now.
+    /// Starts a clock at the system's current time plus the offset of [`set_offset_ms`].
     pub fn start() -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -38,27 +39,28 @@
         }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         Time::at_ms(self.start_unix_ms + self.start.elapsed().as_secs_f64() * 1000.0)
     }
 
-    /// When the runtime's timers reach that time; the clock's start for an earlier one.
+    /// Converts a time to the runtime's instant; a time before the clock's start becomes that start.
     pub fn instant(&self, time: Time) -> Instant {
         self.start + to_duration(time.since(Time::at_ms(self.start_unix_ms)))
     }
 }
 
-/// How long the machine has been up, which no setting of a clock changes. All zero where the system does not tell.
+/// The time since the machine booted, which is unaffected by changes of the wall clock. All fields are zero where the
+/// system does not provide it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SinceBoot {
-    /// Differs from boot to boot.
+    /// Identifies the boot; changes at every boot.
     pub boot_id: u64,
     /// Milliseconds since the machine booted.
     pub ms: u64,
 }
 
-/// How long the machine has been up.
+/// Reads the boot id and the time since boot from `/proc`.
 pub fn since_boot() -> SinceBoot {
     let text = |path| std::fs::read_to_string(path).unwrap_or_default();
     let digits: String = text("/proc/sys/kernel/random/boot_id")
@@ -79,7 +81,7 @@
     })
 }
 
-/// The same length as the standard library's type.
+/// Converts a span to the standard library's duration.
 pub fn to_duration(span: Span) -> Duration {
     Duration::from_secs_f64(span.ms() / 1000.0)
 }
--- a/crates/flaxdeck-net/src/counters_file.rs
+++ b/crates/flaxdeck-net/src/counters_file.rs
@@ -1,5 +1,5 @@
-//! Counters of a thread written to a file as they grow, for whoever measures the process from outside: one JSON object
-//! a line, with the microseconds since the writing began under `elapsed_us` and every counter under its name.
+//! Periodically writes the counters of a thread to a file, for external measurement tools: one JSON object per line,
+//! with the microseconds since the writer started under `elapsed_us` and every counter under its name.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -9,16 +9,16 @@
 
 use crate::metrics::{self, Reader};
 
-/// Between lines.
-const INTERVAL: Duration = Duration::from_millis(250);
+/// Time between two lines of the file.
+const WRITE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Has the counters of this thread written for as long as the process lives, by a thread that no other work holds up. A
-/// file that can't be written is said in the log once.
+/// Spawns a thread that writes the counters of the calling thread until the process ends. A dedicated thread keeps the
+/// lines regular when the calling thread is busy. It stops at the first write error, which it logs.
 pub fn spawn(path: PathBuf) {
     let counters = metrics::reader();
     thread::spawn(move || {
         if let Err(error) = write_lines(&path, &counters) {
-            log::error!("counters are not written to {}: {error}", path.display());
+            log::error!("cannot write counters to {}: {error}", path.display());
         }
     });
 }
@@ -28,7 +28,7 @@
     let started = Instant::now();
     loop {
         file.write_all(json_line(started.elapsed(), counters).as_bytes())?;
-        thread::sleep(INTERVAL);
+        thread::sleep(WRITE_INTERVAL);
     }
 }
 
--- a/crates/flaxdeck-net/src/eviction.rs
+++ b/crates/flaxdeck-net/src/eviction.rs
@@ -1,40 +1,42 @@
-//! Which client connections are closed to make room for new ones.
+//! Selects the client connections that are closed to free capacity for new ones.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// How long a connection may send nothing before it is the first to make room: a few round trips of a far client.
+/// How long a new connection may send nothing before it is one of the first to be closed: a few round trips of a
+/// distant client.
 const MIN_SILENCE: Duration = Duration::from_millis(250);
 
-/// What the choice depends on.
+/// The state of a connection that [`choose`] uses.
 pub trait Connection {
-    /// It has sent a whole message.
+    /// Whether the client has sent a complete message.
     fn has_sent(&self) -> bool;
-    /// When it last sent a whole message, or when it was accepted.
+    /// When the client last sent a complete message, or when the connection was accepted if it has sent none.
     fn quiet_since(&self) -> Instant;
-    /// Something of it is open: a request, an answer that it has not taken, a message that has come in part.
+    /// Whether the connection has an open request, an answer that is not fully written or a partly received message.
     fn is_busy(&self) -> bool;
-    /// Something has come on it that was not read yet. This one costs a system call.
+    /// Whether received bytes have not been read yet. Unlike the other methods, this costs a system call.
     fn has_unread(&self) -> bool;
 }
 
 /// The connections to close.
 #[derive(Debug)]
 pub enum Eviction<'a, C> {
-    /// All that never sent a message.
+    /// All connections that have sent no message.
     Silent(Vec<&'a C>),
-    /// The one that has been idle longest.
+    /// The connection that has been idle longest.
     Idle(&'a C),
-    /// None can be closed.
+    /// No connection can be closed.
     Nothing,
 }
 
-/// Those that never sent a message go first, all of them; else the longest idle does. A new one that has not spoken yet
-/// stays, as its first request may be on its way.
-// Guards against a full process in which each new connection costs a system call for every one that is open: near its
-// share of the core it then accepts later than clients wait. So what is free to know is looked at first, and idle ones
-// are asked in order, up to the first that can go.
+/// Chooses all connections that have sent no message, or else the one that has been idle longest. A connection
+/// accepted less than `MIN_SILENCE` ago is kept, as its first request may be in transit, and so is one that is busy or
+/// has unread bytes.
+// At the connection limit, a system call per open connection for every new one would use so much of the available CPU
+// that clients time out before they are accepted. The checks without system calls therefore come first, and idle
+// connections are checked for unread bytes in order of idle time, up to the first one that can be closed.
 pub fn choose<C: Connection>(connections: &[C], now: Instant) -> Eviction<'_, C> {
     let silent: Vec<&C> = connections
         .iter()
--- a/crates/flaxdeck-net/src/lib.rs
+++ b/crates/flaxdeck-net/src/lib.rs
@@ -1,16 +1,16 @@
-//! The transport that all flaxdeck programs share: bytes in, bytes out, and what bounds them. Nothing here knows a
+//! The transport that all flaxdeck programs share: listeners, connections and resource limits, independent of any
 //! protocol.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | [`listener`] | binds an address and accepts connections |
-//! | [`link`] | one TCP connection: its read buffer, its queue of messages to write, its orderly end |
-//! | [`budget`] | how many connections, requests and bytes a process may hold, and permits for them |
-//! | [`eviction`] | which client connections are closed to make room for new ones |
-//! | [`clock`] | Unix time that never steps, and the conversion to the runtime's instants |
-//! | [`metrics`], [`counters_file`] | counters of a thread, in the log or in a file |
+//! | [`link`] | one TCP connection: its read buffer, its write queue and its graceful close |
+//! | [`budget`] | limits on connections, requests and bytes of a process, and permits for them |
+//! | [`eviction`] | selects the client connections to close when new ones need capacity |
+//! | [`clock`] | monotonic Unix time, its conversion to the runtime's instants, and the time since boot |
+//! | [`metrics`], [`counters_file`] | counters of a thread, written to the log or to a file |
 //!
-//! A permit is acquired before memory or a descriptor is used, and comes back when it is dropped:
+//! A permit is acquired before memory or a descriptor is used, and its units are released when it is dropped:
 //!
 //! ```
 //! use flaxdeck_net::budget::Budget;
--- a/crates/flaxdeck-net/src/link.rs
+++ b/crates/flaxdeck-net/src/link.rs
@@ -1,7 +1,8 @@
-//! One TCP connection: what came in and is not parsed yet, and what is to go out, in gathered writes.
+//! One TCP connection: a buffer of received bytes that have not been parsed, and a queue of messages sent by vectored
+//! writes.
 //!
-//! [`Inbound`] belongs to the one task that reads; [`Outbound`] is cloned to all that write. Whoever owns the connection
-//! ends it with [`close_gracefully`].
+//! [`Inbound`] belongs to the one task that reads; every task that writes has a clone of [`Outbound`]. The owner of the
+//! connection closes it with [`close_gracefully`].
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -23,30 +24,31 @@
 
 use crate::budget::Permit;
 
-/// Least bytes of free buffer for a read: a head or two and a small object.
+/// Minimum bytes of free buffer space for a read: enough for one or two message heads and a small object.
 const MIN_READ: usize = 8 * 1024;
-/// Slices of one gathered write; a head, a body and a tail make three.
+/// Maximum slices of one vectored write; a message usually has three: head, body and tail.
 const MAX_SLICES: usize = 48;
-/// How long the other side has to end a connection that was ended here: a few round trips of a far one, and a lost
-/// segment.
+/// How long the peer has to close its side after this side has closed: a few round trips of a distant peer, including
+/// one retransmission.
 pub const LINGER: Duration = Duration::from_millis(500);
-/// Bytes that are read and dropped meanwhile: all that a client may have had on its way by the protocol.
+/// Maximum bytes that are read and discarded while waiting for the peer to close: as much as the protocol lets a client
+/// have in transit.
 const MAX_DRAINED: usize = 2 * 1024 * 1024;
 
 /// The reading side.
 pub struct Inbound {
     stream: Rc<TcpStream>,
-    /// What came in and is not parsed yet.
+    /// Received bytes that have not been parsed.
     pub bytes: BytesMut,
 }
 
 impl Inbound {
-    /// Waits for more bytes, with room for `expected` of them if that many are known to be coming; false at the end.
-    /// May be dropped and called again without loss.
+    /// Waits for more bytes and appends them to the buffer, which gets free space for at least `expected` bytes.
+    /// Returns false at the end of the stream. Cancel safe: dropping the future loses no bytes.
     ///
     /// # Errors
     ///
-    /// Those of the system; the connection is of no more use.
+    /// Returns the system's error; the connection is then unusable.
     pub async fn read_more(&mut self, expected: usize) -> io::Result<bool> {
         loop {
             self.stream.readable().await?;
@@ -58,14 +60,14 @@
         }
     }
 
-    /// Gives the buffer's memory back if nothing is in it; what was taken out may go on holding its own.
+    /// Frees the buffer if it is empty. Bytes split off from it earlier keep the allocation that they share.
     pub fn release_buffer(&mut self) {
         if self.bytes.is_empty() {
             self.bytes = BytesMut::new();
         }
     }
 
-    /// Whether an idle connection is of no more use: the other side has closed it, or sent what nobody asked for.
+    /// Whether an idle connection cannot be used any more: the peer has closed it or sent unsolicited bytes.
     pub fn is_stale(&mut self) -> bool {
         let read = self.stream.try_read(&mut [0; 1]);
         let is_quiet = matches!(read, Err(error) if error.kind() == ErrorKind::WouldBlock);
@@ -73,21 +75,21 @@
     }
 }
 
-/// Ends a connection from this side: what is queued is written, the writing side is shut, and what still comes is read
-/// and dropped until the other side has ended too, for so long at the most.
-// Guards against a close over unread bytes: that resets the connection, and answers which the other side has not read
-// yet go with it.
+/// Closes a connection: writes the queue, shuts down the writing side, and reads and discards what still arrives until
+/// the peer has closed too, but no longer than `within`.
+// Closing a socket with unread received bytes resets the connection, and the peer loses answers it has not read yet.
 pub async fn close_gracefully(inbound: &mut Inbound, outbound: &Outbound, within: Duration) {
     let closing = async {
         outbound.flush().await?;
         SockRef::from(&*outbound.stream).shutdown(Shutdown::Write)?;
         drain(inbound).await
     };
-    let _: Result<io::Result<()>, _> = timeout(within, closing).await; // who has not ended by then is left to the system
+    // After a time-out or an error the rest of the close is left to the system.
+    let _: Result<io::Result<()>, _> = timeout(within, closing).await;
     outbound.drop_queue();
 }
 
-/// Reads and drops what comes until the other side has ended, [`MAX_DRAINED`] bytes at most.
+/// Reads and discards bytes until the peer has closed, [`MAX_DRAINED`] bytes at most.
 async fn drain(inbound: &mut Inbound) -> io::Result<()> {
     let mut drained = 0;
     loop {
@@ -100,7 +102,7 @@
     }
 }
 
-/// A message to go out, with the permits that it holds until it is written.
+/// A message to be sent, with the permits that it holds until it is fully written.
 struct QueuedMessage {
     pieces: VecDeque<Bytes>,
     _permits: [Option<Permit>; 2],
@@ -108,38 +110,38 @@
 
 struct Queue {
     messages: VecDeque<QueuedMessage>,
-    /// Nothing more is taken to be sent.
+    /// No further messages are accepted.
     closed: bool,
-    /// Nothing more can be written.
+    /// A write has failed, so nothing more can be written.
     broken: bool,
-    /// Since when the other side has taken nothing of what waits for it; none while nothing waits.
+    /// Since when no byte of the queue could be written; none while nothing is blocked.
     stalled_since: Option<Instant>,
 }
 
-/// The writing side, shared by all that write to the connection.
+/// The writing side, shared by all tasks that write to the connection.
 #[derive(Clone)]
 pub struct Outbound {
     stream: Rc<TcpStream>,
     queue: Rc<RefCell<Queue>>,
-    /// Something is left to be written, or the connection is to end.
+    /// Wakes the owner when messages are left to be written or the connection is to be closed.
     changed: Rc<Notify>,
 }
 
-/// What lies next to be read on a connection.
+/// What the next read on a connection would find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
-    /// Nothing has come.
+    /// Nothing; a read would block.
     Nothing,
-    /// Bytes have come.
+    /// Received bytes.
     Bytes,
-    /// The other side has closed or reset the connection, or shut its writing side.
+    /// The peer has closed or reset the connection, or shut down its writing side.
     End,
 }
 
-/// Makes the two sides of a connection that is up.
+/// Splits an established connection into its reading and its writing side.
 pub fn split(stream: TcpStream) -> (Inbound, Outbound) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("TCP_NODELAY not set: {error}");
+        log::debug!("cannot set TCP_NODELAY: {error}");
     }
     let stream = Rc::new(stream);
     let queue = Queue {
@@ -160,18 +162,18 @@
     (inbound, outbound)
 }
 
-/// Opens a connection; how long that may take is the caller's matter.
+/// Opens a connection, without a time-out of its own.
 ///
 /// # Errors
 ///
-/// Those of the system: nobody listens there, or nothing comes back from there.
+/// Returns the system's error, for example if the connection is refused or the address cannot be reached.
 pub async fn connect(address: SocketAddr) -> io::Result<(Inbound, Outbound)> {
     TcpStream::connect(address).await.map(split)
 }
 
 impl Outbound {
-    /// Queues one message and writes what the connection takes at once. The permits are released once all of it is
-    /// written, or with the connection. Once the connection is closed nothing is queued.
+    /// Queues one message and writes as much of the queue as possible without blocking. The permits are released once
+    /// the message is fully written or the queue is dropped. If the connection is closed, the message is discarded.
     pub fn send(&self, pieces: impl IntoIterator<Item = Bytes>, permits: [Option<Permit>; 2]) {
         if self.is_closed() {
             return;
@@ -189,27 +191,27 @@
         }
     }
 
-    /// Whether a message is not written to its end.
+    /// Whether the queue holds a message that is not fully written.
     pub fn has_pending(&self) -> bool {
         self.pending_messages() > 0
     }
 
-    /// Messages that are not written to their end.
+    /// The number of messages that are not fully written.
     pub fn pending_messages(&self) -> usize {
         self.queue.borrow().messages.len()
     }
 
-    /// Since when the other side has taken nothing of what waits for it; none while nothing waits.
+    /// Since when the peer has accepted none of the queued bytes; none while nothing is blocked.
     pub fn stalled_since(&self) -> Option<Instant> {
         self.queue.borrow().stalled_since
     }
 
-    /// Whether nothing more is taken to be sent: the connection was closed here, or broke.
+    /// Whether further messages are discarded, because [`Outbound::close`] was called or a write has failed.
     pub fn is_closed(&self) -> bool {
         self.queue.borrow().closed
     }
 
-    /// What has come from the other side that nobody here has read.
+    /// Checks for unread received bytes or the end of the stream without reading; costs a system call.
     pub fn unread(&self) -> Unread {
         let mut byte = [MaybeUninit::uninit()];
         match SockRef::from(&*self.stream).peek(&mut byte) {
@@ -219,21 +221,21 @@
         }
     }
 
-    /// Whether bytes have come from the other side that nobody here has read.
+    /// Whether received bytes have not been read yet.
     pub fn has_unread(&self) -> bool {
         self.unread() == Unread::Bytes
     }
 
-    /// Waits until the other side has closed or reset the connection, or shut its writing side. Bytes that it sent before
-    /// may lie unread: the system tells of the end as soon as it has come, not once it has been read up to.
+    /// Waits until the peer has closed or reset the connection, or shut down its writing side. The system signals this
+    /// as soon as it happens, even while earlier bytes are still unread.
     pub async fn peer_closed(&self) {
-        // Of a stream, priority interest wakes for the end of reading alone: nothing here sends urgent bytes.
+        // Priority readiness signals urgent data or a closed read side, and no flaxdeck protocol uses urgent data.
         if self.stream.ready(Interest::PRIORITY).await.is_err() {
-            std::future::pending().await // the runtime ends
+            std::future::pending().await // the runtime is shutting down
         }
     }
 
-    /// Whether that is known to have happened already.
+    /// Whether [`Outbound::peer_closed`] would return at once.
     pub fn is_peer_closed(&self) -> bool {
         let mut context = Context::from_waker(Waker::noop());
         pin!(self.peer_closed())
@@ -242,7 +244,7 @@
             .is_ready()
     }
 
-    /// Takes nothing more to send; the connection ends at its owner's next look, which writes what is queued.
+    /// Accepts no further messages and wakes the owner, which writes the queue and closes the connection.
     pub fn close(&self) {
         self.queue.borrow_mut().closed = true;
         self.changed.notify_one();
@@ -252,26 +254,26 @@
         self.queue.borrow_mut().messages.clear();
     }
 
-    /// Waits until something is left to be written or the connection is to end.
+    /// Waits until messages are left to be written or the connection is to be closed.
     pub async fn notified(&self) {
         self.changed.notified().await;
     }
 
-    /// Waits until the connection takes something, and writes what it takes.
+    /// Waits until the connection is writable and writes as much of the queue as possible.
     ///
     /// # Errors
     ///
-    /// Those of the system; the connection is of no more use.
+    /// Returns the system's error; the connection is then unusable.
     pub async fn write_some(&self) -> io::Result<()> {
         self.stream.writable().await?;
         self.write()
     }
 
-    /// Writes all that is queued.
+    /// Writes the complete queue.
     ///
     /// # Errors
     ///
-    /// Those of the system; [`ErrorKind::BrokenPipe`] where the connection had broken before.
+    /// Returns the system's error; [`ErrorKind::BrokenPipe`] if an earlier write has failed.
     pub async fn flush(&self) -> io::Result<()> {
         while self.has_pending() {
             self.write_some().await?;
@@ -299,7 +301,7 @@
             }
             match self.stream.try_write_vectored(&slices[..used]) {
                 Ok(count) => {
-                    queue.written(count);
+                    queue.advance(count);
                     queue.stalled_since = None;
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
@@ -318,7 +320,8 @@
 }
 
 impl Queue {
-    fn written(&mut self, mut count: usize) {
+    /// Removes `count` written bytes from the front of the queue, and the messages that are thereby complete.
+    fn advance(&mut self, mut count: usize) {
         while let Some(message) = self.messages.front_mut() {
             while let Some(piece) = message.pieces.front_mut() {
                 let part = piece.len().min(count);
--- a/crates/flaxdeck-net/src/listener.rs
+++ b/crates/flaxdeck-net/src/listener.rs
@@ -1,4 +1,4 @@
-//! The listening socket.
+//! Listening sockets.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,21 +6,22 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections that the kernel may hold before they are accepted: a burst while the one core is busy.
+/// Connections that the kernel queues before they are accepted: enough for a burst while the process, which runs on one
+/// core, is busy.
 pub const BACKLOG: i32 = 512;
 
-/// A socket that accepts connections at one address.
+/// A socket that accepts connections on one address.
 pub struct Listener(TcpListener);
 
-/// An address that is bound and not listened at yet: connections to it are refused at once.
+/// A bound socket that does not listen yet; connections to its address are refused at once.
 pub struct BoundAddress(Socket);
 
 impl BoundAddress {
-    /// Binds the address. A start right after a kill finds it free again.
+    /// Binds the address with `SO_REUSEADDR`, so that a process restarted right after a kill can bind it again.
     ///
     /// # Errors
     ///
-    /// Those of the system; [`io::ErrorKind::AddrInUse`] where somebody listens there.
+    /// Returns the system's error; [`io::ErrorKind::AddrInUse`] if another socket listens on the address.
     pub fn bind(address: SocketAddr) -> io::Result<BoundAddress> {
         let socket = Socket::new(
             Domain::for_address(address),
@@ -33,11 +34,11 @@
         Ok(BoundAddress(socket))
     }
 
-    /// Begins to listen.
+    /// Starts listening.
     ///
     /// # Errors
     ///
-    /// Those of the system, which may have given the address to another listener meanwhile.
+    /// Returns the system's error, for example if another socket has started listening on the address in the meantime.
     pub fn listen(self) -> io::Result<Listener> {
         self.0.listen(BACKLOG)?;
         TcpListener::from_std(self.0.into()).map(Listener)
@@ -45,29 +46,29 @@
 }
 
 impl Listener {
-    /// Binds that address and listens there.
+    /// Binds the address and listens on it.
     ///
     /// # Errors
     ///
-    /// Those of [`BoundAddress::bind`] and [`BoundAddress::listen`].
+    /// Returns the errors of [`BoundAddress::bind`] and [`BoundAddress::listen`].
     pub fn bind(address: SocketAddr) -> io::Result<Listener> {
         BoundAddress::bind(address)?.listen()
     }
 
-    /// The address, with the port that the system chose if none was given.
+    /// Returns the local address, with the port that the system chose if port 0 was bound.
     ///
     /// # Errors
     ///
-    /// Those of the system.
+    /// Returns the system's error.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.0.local_addr()
     }
 
-    /// Waits for the next connection. May be dropped and called again without loss.
+    /// Waits for the next connection. Cancel safe: dropping the future loses no connection.
     ///
     /// # Errors
     ///
-    /// Those of the system, as when descriptors have run out; the listener stays good.
+    /// Returns the system's error, for example when no descriptor is free; the listener remains usable.
     pub async fn accept(&self) -> io::Result<TcpStream> {
         self.0.accept().await.map(|(stream, _)| stream)
     }
--- a/crates/flaxdeck-net/src/metrics.rs
+++ b/crates/flaxdeck-net/src/metrics.rs
@@ -1,16 +1,16 @@
-//! Counters of this process. Every layer counts, the program writes them to the log.
+//! Counters of events, which the program writes to the log.
 //!
-//! A counter belongs to the thread that counts; [`reader`] hands its counters to another thread.
+//! Each thread has its own set of counters; [`reader`] gives another thread read access to them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 macro_rules! counters {
     ($($(#[$documentation:meta])* $name:ident),* $(,)?) => {
-        /// What is counted.
+        /// The counters; each variant documents what it counts.
         #[allow(
             non_camel_case_types,
-            reason = "a variant's name is the name that operators see in the log"
+            reason = "a variant's name is printed as the counter's name in the log"
         )]
         #[derive(Clone, Copy)]
         pub enum Counter { $($(#[$documentation])* $name),* }
@@ -23,107 +23,108 @@
 counters!(
     /// Client connections accepted.
     clients_opened,
-    /// Client connections closed to make room: the longest idle.
+    /// Client connections closed to free capacity, as the one that had been idle longest.
     clients_closed_idle,
-    /// Client connections closed as what came on them is not of the protocol.
+    /// Client connections closed as the client sent malformed messages.
     clients_malformed,
-    /// Client connections closed as their clients took none of what waited for them.
+    /// Client connections closed as the client accepted none of the bytes queued for it.
     clients_stalled,
-    /// Client connections closed to make room: those that never sent a message.
+    /// Client connections closed to free capacity, as they had sent no message.
     clients_closed_silent,
-    /// Client connections closed as no whole message came in time.
+    /// Client connections closed as a message was not completely received in time.
     clients_not_whole,
-    /// Client connections closed as too many answers were owed to a client that took none.
+    /// Client connections closed as too many answers were pending for a client that did not read them.
     clients_flooding,
     /// Requests admitted.
     requests,
-    /// Requests that could be read, but not acted upon.
+    /// Requests answered with an error as they were well-formed messages with invalid content.
     requests_invalid,
-    /// Requests rejected at once: no capacity for another, or no memory.
+    /// Requests rejected at once as the limit on requests or on memory was reached.
     requests_no_room,
-    /// Requests refused under the id of another whose attempts are not over.
+    /// Requests not accepted as their id belongs to another request that still has attempts in flight.
     requests_id_in_use,
     /// Requests answered with an object.
     served,
-    /// Requests answered: the client's own copy is current.
+    /// Requests answered with the message that the client's own copy is current.
     unchanged,
-    /// Host responses that call a copy current which the client does not hold.
+    /// Host responses that report a copy as current which the client does not hold.
     unchanged_of_another,
-    /// Requests rejected, most with a retry-after.
+    /// Requests answered with a rejection, usually with a retry-after.
     rejected,
-    /// Requests that failed.
+    /// Requests answered with a failure.
     failed,
-    /// Requests whose clients cancelled or left.
+    /// Requests whose clients cancelled them or disconnected.
     left,
-    /// Of `left`, those of which nothing had been sent.
+    /// Requests counted in `left` of which nothing had been sent to a host.
     left_unsent,
-    /// Attempts begun.
+    /// Attempts started.
     attempts,
-    /// Attempts cancelled before their end.
+    /// Attempts cancelled before they ended.
     taken_back,
-    /// Attempts not written, as they were no longer wanted once their connection was up.
+    /// Attempts not written as they were no longer wanted, or their time to be sent had passed, once they had a
+    /// connection.
     superseded,
     /// Connections opened to hosts.
     hosts_connected,
-    /// Connections that hosts refused.
+    /// Connections to hosts that were refused or failed with another error.
     hosts_refused,
-    /// Connections to hosts that did not come up in time, or requests that could not be written.
+    /// Connections to hosts that were not established in time, or requests that could not be written.
     hosts_unreached,
-    /// Host connections that broke with an attempt on them.
+    /// Host connections that failed with an attempt in flight.
     hosts_broken,
-    /// Host connections that had died while idle.
+    /// Host connections that turned out to be closed after they had been idle.
     hosts_stale,
-    /// Attempts without a response in time.
+    /// Attempts that received no response in time.
     hosts_timed_out,
-    /// Host connections closed as what came on them is not of the protocol.
+    /// Host connections closed as the host sent malformed responses.
     hosts_malformed,
-    /// Host responses under an id that was not asked for on that connection.
+    /// Host responses with an id other than that of the attempt on the connection.
     hosts_strays,
-    /// Attempts not sent as no descriptor was free for a connection.
+    /// Attempts not sent as the limit on host connections was reached.
     hosts_no_room,
-    /// Connections to the coordinator.
+    /// Attempts to connect to the coordinator.
     feed_connects,
-    /// Events of the coordinator.
+    /// Events received from the coordinator.
     feed_events,
-    /// Gaps in the coordinator's numbering.
+    /// Gaps found in the coordinator's numbering of events.
     feed_gaps,
-    /// Whole lists taken in place of all that was known, as the coordinator's numbering is another.
+    /// Full lists that replaced the known state as the coordinator had started another numbering.
     feed_anew,
-    /// Hosts that stay out as an older numbering had withdrawn them.
+    /// Hosts withheld from the endpoint list as an earlier numbering had withdrawn them.
     hosts_doubted,
-    /// Findings that the wall clock and the coordinator's differ.
+    /// Updates of the measured offset between the local clock and the coordinator's.
     clocks_apart,
-    /// Stored states read up to their damage only.
+    /// Stored states found to be damaged, which are read only up to the damage, or to be unusable.
     state_damaged,
-    /// Times that storing fell behind the events.
+    /// Write jobs of the stored state that found the queue of the writer full.
     state_behind,
-    /// Stores given up as their disk failed.
+    /// Stores abandoned after a write error.
     state_broken,
-    /// Connections to planners.
+    /// Attempts to connect to planners.
     planners_connects,
-    /// Planners refused: of another key, version or side.
+    /// Planners rejected for a wrong key, protocol version or role.
     planners_refused,
-    /// Messages of planners refused.
+    /// Guidance messages of planners rejected.
     guidance_refused,
     /// Reports not sent to a planner that reads too slowly.
     reports_skipped,
-    /// Events that came by way of planners.
+    /// Events of the coordinator relayed by planners.
     events_relayed,
-    /// Relayed events that this build can not read.
+    /// Relayed events that this version cannot parse.
     events_unreadable,
-    /// Batches of events refused.
+    /// Batches of events rejected.
     deliveries_refused,
-    /// Times that copies of before a moment were withheld, as a purge may have been missed.
+    /// Times that copies older than a given time were withheld as a purge may have been missed.
     copies_doubted,
-    /// Connections that the system could not accept.
+    /// Errors of the system while accepting a connection.
     accept_errors,
-    /// Configurations read again.
+    /// Configurations reloaded.
     reloads,
-    /// Configurations that could not be used, which changed nothing.
+    /// Reloads rejected as the new configuration was invalid; the previous one stays in force.
     reloads_refused,
-    /// Log lines lost as nobody read the log.
+    /// Log lines dropped as the queue of the logger was full because nobody read the log.
     log_lines_lost,
-    /// Invariants violated.
+    /// Violated invariants.
     must_not_happen,
     /// Messages received: the coordinator's watch.
     feed_messages_in,
@@ -133,29 +134,29 @@
     feed_messages_out,
     /// Bytes sent: the coordinator's watch.
     feed_bytes_out,
-    /// Messages received: greetings between forwarders and planners.
+    /// Messages received: session greetings between forwarders and planners.
     greetings_messages_in,
-    /// Bytes received: greetings between forwarders and planners.
+    /// Bytes received: session greetings between forwarders and planners.
     greetings_bytes_in,
-    /// Messages sent: greetings between forwarders and planners.
+    /// Messages sent: session greetings between forwarders and planners.
     greetings_messages_out,
-    /// Bytes sent: greetings between forwarders and planners.
+    /// Bytes sent: session greetings between forwarders and planners.
     greetings_bytes_out,
-    /// Messages received: forwarders' reports.
+    /// Messages received: reports of forwarders.
     reports_messages_in,
-    /// Bytes received: forwarders' reports.
+    /// Bytes received: reports of forwarders.
     reports_bytes_in,
-    /// Messages sent: forwarders' reports.
+    /// Messages sent: reports of forwarders.
     reports_messages_out,
-    /// Bytes sent: forwarders' reports.
+    /// Bytes sent: reports of forwarders.
     reports_bytes_out,
-    /// Messages received: planners' guidance.
+    /// Messages received: guidance of planners.
     guidance_messages_in,
-    /// Bytes received: planners' guidance.
+    /// Bytes received: guidance of planners.
     guidance_bytes_in,
-    /// Messages sent: planners' guidance.
+    /// Messages sent: guidance of planners.
     guidance_messages_out,
-    /// Bytes sent: planners' guidance.
+    /// Bytes sent: guidance of planners.
     guidance_bytes_out,
     /// Messages received: subscriptions to events.
     subscriptions_messages_in,
@@ -178,32 +179,33 @@
 type Values = [AtomicU64; NAMES.len()];
 
 thread_local! {
-    /// Only this thread writes them, so that no counting needs more than a load and a store; others may read them.
+    /// Written by this thread only, so that counting needs no more than a load and a store; other threads may read
+    /// them.
     static VALUES: Arc<Values> = Arc::new([const { AtomicU64::new(0) }; NAMES.len()]);
 }
 
-/// The counters of one thread, to be read by another.
+/// Read access to the counters of one thread, usable from another.
 pub struct Reader(Arc<Values>);
 
-/// The counters of this thread.
+/// Returns read access to the counters of this thread.
 pub fn reader() -> Reader {
     Reader(VALUES.with(Arc::clone))
 }
 
 impl Reader {
-    /// All counters by name, zero ones too.
+    /// Returns all counters with their names, including those that are zero.
     pub fn snapshot(&self) -> impl Iterator<Item = (&'static str, u64)> {
         let values = self.0.iter().map(|value| value.load(Ordering::Relaxed));
         NAMES.iter().copied().zip(values)
     }
 }
 
-/// Counts one.
+/// Increments a counter by one.
 pub fn count(counter: Counter) {
     count_by(counter, 1);
 }
 
-/// Counts several at once.
+/// Increments a counter by `amount`.
 pub fn count_by(counter: Counter, amount: u64) {
     VALUES.with(|values| {
         let value = &values[counter as usize];
@@ -211,23 +213,23 @@
     });
 }
 
-/// Counts one message of so many bytes.
+/// Counts one message of `length` bytes with a counter of messages and one of bytes.
 pub fn count_message([messages, bytes]: [Counter; 2], length: usize) {
     count(messages);
     count_by(bytes, length as u64);
 }
 
-/// Checks what must hold: panics in debug builds; in release builds a violation is counted and logged, and the process
-/// goes on.
+/// Checks an invariant, described by `what`. A violation panics in debug builds; in release builds it is counted and
+/// logged, and the process continues.
 pub fn assert_invariant(holds: bool, what: &str) {
     debug_assert!(holds, "{what}");
     if !holds {
         count(Counter::must_not_happen);
-        log::error!("must not happen: {what}");
+        log::error!("invariant violated: {what}");
     }
 }
 
-/// All counters of this thread that are not zero, as `name=value` words.
+/// Returns the non-zero counters of this thread as space-separated `name=value` pairs.
 pub fn line() -> String {
     let words: Vec<String> = reader()
         .snapshot()
--- a/crates/flaxdeck-net/tests/eviction.rs
+++ b/crates/flaxdeck-net/tests/eviction.rs
@@ -1,4 +1,4 @@
-//! Which connections make room for new ones, and how much is asked of the system to find them.
+//! Tests of the choice of connections to close, and of the system calls needed for it.
 
 #![allow(
     clippy::unwrap_used,
@@ -12,8 +12,8 @@
 use flaxdeck_net::eviction::{Connection, Eviction, choose};
 use tokio::time::Instant;
 
-/// A connection whose system_calls for unread bytes are counted.
-struct Fake {
+/// A connection that counts the calls of [`Connection::has_unread`], which cost a system call each.
+struct FakeConnection {
     has_sent: bool,
     quiet_since: Instant,
     is_busy: bool,
@@ -21,7 +21,7 @@
     system_calls: Cell<usize>,
 }
 
-impl Connection for Fake {
+impl Connection for FakeConnection {
     fn has_sent(&self) -> bool {
         self.has_sent
     }
@@ -37,9 +37,9 @@
     }
 }
 
-fn quiet_for(now: Instant, milliseconds: u64, has_sent: bool) -> Fake {
+fn quiet_for(now: Instant, milliseconds: u64, has_sent: bool) -> FakeConnection {
     let quiet_since = now - Duration::from_millis(milliseconds);
-    Fake {
+    FakeConnection {
         has_sent,
         quiet_since,
         is_busy: false,
@@ -48,7 +48,7 @@
     }
 }
 
-fn system_calls(connections: &[Fake]) -> usize {
+fn system_calls(connections: &[FakeConnection]) -> usize {
     connections
         .iter()
         .map(|connection| connection.system_calls.get())
@@ -56,37 +56,38 @@
 }
 
 #[test]
-fn the_longest_idle_is_evicted_at_the_cost_of_one_system_call() {
+fn choosing_the_longest_idle_connection_costs_one_system_call() {
     let now = Instant::now();
-    // Not in the order of their rest.
-    let connections: Vec<Fake> = (0..400)
+    // Not sorted by idle time.
+    let connections: Vec<FakeConnection> = (0..400)
         .map(|n| quiet_for(now, 1000 + (n * 37) % 400, true))
         .collect();
     let Eviction::Idle(longest) = choose(&connections, now) else {
-        panic!("all are idle")
+        panic!("all connections are idle, and none was chosen")
     };
     assert_eq!(now - longest.quiet_since, Duration::from_millis(1399));
     assert_eq!(system_calls(&connections), 1);
 }
 
 #[test]
-fn idle_connections_with_unread_bytes_stay_and_cost_one_system_call_each() {
+fn idle_connections_with_unread_bytes_are_kept_and_cost_one_system_call_each() {
     let now = Instant::now();
-    let mut connections: Vec<Fake> = (0..400).map(|n| quiet_for(now, 1000 + n, true)).collect();
+    let mut connections: Vec<FakeConnection> =
+        (0..400).map(|n| quiet_for(now, 1000 + n, true)).collect();
     for connection in &mut connections[397..] {
         connection.has_unread = true;
     }
     let Eviction::Idle(longest) = choose(&connections, now) else {
-        panic!("one can go")
+        panic!("idle connections without unread bytes exist, and none was chosen")
     };
     assert_eq!(now - longest.quiet_since, Duration::from_millis(1396));
     assert_eq!(system_calls(&connections), 4);
 }
 
 #[test]
-fn busy_connections_stay_and_cost_no_system_call() {
+fn busy_connections_are_kept_and_cost_no_system_call() {
     let now = Instant::now();
-    let mut connections: Vec<Fake> = (0..400)
+    let mut connections: Vec<FakeConnection> = (0..400)
         .map(|n| quiet_for(now, 1000 + n, n % 2 == 0))
         .collect();
     for connection in &mut connections {
@@ -97,13 +98,14 @@
 }
 
 #[test]
-fn all_silent_connections_are_evicted_before_any_idle_one() {
+fn all_silent_connections_are_chosen_before_any_idle_one() {
     let now = Instant::now();
-    let mut connections: Vec<Fake> = (0..10).map(|n| quiet_for(now, 300 + n, n >= 5)).collect();
+    let mut connections: Vec<FakeConnection> =
+        (0..10).map(|n| quiet_for(now, 300 + n, n >= 5)).collect();
     connections[0].has_unread = true;
     connections.push(quiet_for(now, 200, false));
     let Eviction::Silent(silent) = choose(&connections, now) else {
-        panic!("some are silent")
+        panic!("silent connections exist, and were not chosen")
     };
     assert_eq!(silent.len(), 4);
     assert!(
@@ -115,7 +117,7 @@
 }
 
 #[test]
-fn a_new_connection_that_has_sent_nothing_stays() {
+fn a_new_connection_that_has_sent_nothing_is_kept() {
     let now = Instant::now();
     let connections = [quiet_for(now, 250, false), quiet_for(now, 0, false)];
     assert!(matches!(choose(&connections, now), Eviction::Nothing));
