--- a/crates/flaxdeck-wire/src/error.rs
+++ b/crates/flaxdeck-wire/src/error.rs
@@ -1,152 +1,156 @@
-//! What can be wrong with bytes that came in.
+//! Errors of the parsers.
 
+use flaxdeck_net::budget::{MAX_MESSAGE, MAX_OBJECT};
 use thiserror::Error;
 
-/// Bytes that are not of the protocol; the connection they came on is of no more use.
+use crate::lines::MAX_HEAD;
+
+/// A violation of the protocol that makes the rest of the connection unreadable.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Malformed {
-    /// A client's message is not MessagePack.
+    /// A value in a client's message is not valid MessagePack, or not of the expected type or length.
     #[error(transparent)]
     Value(#[from] InvalidValue),
-    /// A client's message is longer than any of the protocol.
-    #[error("a message over the bound")]
+    /// A client's message is longer than the protocol allows.
+    #[error("message is longer than {MAX_MESSAGE} bytes")]
     MessageTooLong,
-    /// A client's message has a number that no answer could carry.
-    #[error("a message id over 32 bits")]
+    /// The call number of a client's message does not fit in the 32 bits that an answer has for it.
+    #[error("message id does not fit in 32 bits")]
     CallNumber,
-    /// A client's message is of another kind of MessagePack-RPC, or of none.
-    #[error("neither a request nor a notification")]
+    /// A client's message is not a request or a notification of MessagePack-RPC.
+    #[error("message is neither a request nor a notification")]
     MessageKind,
-    /// A host's answer has no end of its first line where one has to be.
-    #[error("an answer's line is too long")]
+    /// The first line of a host's answer is longer than [`MAX_HEAD`].
+    #[error("first line of a host's answer is longer than {MAX_HEAD} bytes")]
     LineTooLong,
-    /// A host's answer is not text.
-    #[error("a line is not UTF-8")]
+    /// The first line of a host's answer is not UTF-8.
+    #[error("first line of a host's answer is not UTF-8")]
     LineNotUtf8,
-    /// A host's answer ends too soon.
-    #[error("a word is missing")]
+    /// The first line of a host's answer has too few words.
+    #[error("first line of a host's answer has too few words")]
     MissingWord,
-    /// A host's answer begins with a word that the protocol does not have.
-    #[error("an unknown answer")]
+    /// The second word of a host's answer, its outcome, is unknown.
+    #[error("unknown outcome in a host's answer")]
     UnknownAnswer,
-    /// A host's answer does not tell the length of its body.
-    #[error("a length is no number")]
+    /// The body length in a host's answer is not a number.
+    #[error("body length in a host's answer is not a number")]
     BodyLength,
-    /// The body of a host's answer is longer than [`MAX_OBJECT`](flaxdeck_net::budget::MAX_OBJECT).
-    #[error("an answer over the bound")]
+    /// The body of a host's answer is longer than [`MAX_OBJECT`].
+    #[error("body of a host's answer is longer than {MAX_OBJECT} bytes")]
     BodyTooLong,
-    /// The body of a host's answer is not as long as the answer tells.
-    #[error("a body does not end where it should")]
+    /// The body of a host's answer is not followed by a line end at the stated length.
+    #[error("body of a host's answer is not followed by a line end")]
     BodyEnd,
-    /// A field of a host's answer has a name only.
-    #[error("a field without a value")]
+    /// A field of a host's answer has no value.
+    #[error("field of a host's answer has no value")]
     FieldWithoutValue,
-    /// A frame of the coordinator is shorter or longer than any of the protocol.
+    /// The length of a coordinator's frame is outside the range that the protocol allows.
     #[error("a frame's length is out of bounds")]
     FrameLength,
-    /// A relayed frame was cut, or has more behind it.
-    #[error("a frame that is not whole")]
-    FrameCut,
-    /// A frame is of a kind that the protocol does not have.
-    #[error("a frame of no known kind")]
+    /// A relayed frame is shorter or longer than its length field states.
+    #[error("frame is not as long as its length field states")]
+    FrameLengthMismatch,
+    /// The kind of a frame is unknown.
+    #[error("unknown frame kind")]
     FrameKind,
-    /// A list of hosts is no multiple of a record.
-    #[error("a list that is not made of records")]
+    /// The length of an endpoint list is not a multiple of a record's length.
+    #[error("length of an endpoint list is not a multiple of a record's length")]
     ListLength,
-    /// A purge is shorter or longer than one of its kind.
-    #[error("a purge of the wrong length")]
+    /// A purge does not have the length of its kind.
+    #[error("purge does not have the length of its kind")]
     PurgeLength,
-    /// A host has a health that the protocol does not have.
-    #[error("a host of no known state")]
-    HostState,
+    /// The health of a host in a list is unknown.
+    #[error("unknown health of a host")]
+    HostHealth,
 }
 
-/// A value that can't be read as MessagePack of the type that is expected.
+/// A value that is not MessagePack of the expected type and length. Clients receive these texts as part of
+/// [`InvalidRequest`]: they are part of the protocol.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum InvalidValue {
-    /// A value is longer than its bound.
+    /// The value is longer than its bound.
     #[error("too long")]
     TooLong,
-    /// Arrays and maps are nested deeper than in any message of the protocol.
+    /// Arrays and maps are nested deeper than the protocol allows.
     #[error("nested too deep")]
     TooDeep,
-    /// A byte that begins no value.
+    /// The first byte is not that of any MessagePack type.
     #[error("no such type")]
     UnknownType,
-    /// Another type where an array is expected.
+    /// An array was expected.
     #[error("not an array")]
     NotArray,
-    /// Another type where a map is expected.
+    /// A map was expected.
     #[error("not a map")]
     NotMap,
-    /// Another type where a whole number from 0 up is expected.
+    /// An unsigned integer was expected.
     #[error("not a whole number")]
-    NotWhole,
-    /// Another type where a string is expected.
+    NotUnsigned,
+    /// A string was expected.
     #[error("not a string")]
-    NotText,
-    /// A string that is not UTF-8.
+    NotString,
+    /// The string is not UTF-8.
     #[error("not UTF-8")]
     NotUtf8,
-    /// Another type where bytes are expected.
+    /// Binary data was expected.
     #[error("not binary")]
     NotBinary,
 }
 
-/// Why a client's request can't be acted upon. Its client is told so, in these words.
+/// Why a client's request is invalid. The client receives these texts in the answer: they are part of the protocol.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum InvalidRequest {
-    /// A value is of another type, or over its bound.
+    /// A value is not of the expected type, or longer than its bound.
     #[error(transparent)]
     Value(#[from] InvalidValue),
-    /// The method is no request class.
+    /// The method is not the name of a request class.
     #[error("no such method")]
     UnknownMethod,
-    /// There are more parameters than fields and a body.
+    /// More parameters follow the fields and the body.
     #[error("parameters left over")]
-    LeftOver,
-    /// The parameters are not fields and a body.
+    ExtraParameters,
+    /// The parameters are not exactly two: the fields and the body.
     #[error("not two parameters")]
     ParameterCount,
-    /// There are more fields than any request has.
+    /// The request has more fields than are accepted.
     #[error("too many fields")]
     FieldCount,
-    /// The request's id is absent or not as the protocol has it.
+    /// The request's id is missing or not 16 hex digits.
     #[error("id is not 16 hex digits")]
     Id,
-    /// The object's key is not as the protocol has it.
+    /// The object's key is not 16 hex digits.
     #[error("key is not 16 hex digits")]
     Key,
-    /// There is no key.
+    /// The object's key is missing.
     #[error("key is missing")]
     MissingKey,
-    /// How long the client waits is absent or no number of milliseconds.
+    /// The time that the client waits is missing or not a valid number of milliseconds.
     #[error("wait is no number")]
     Wait,
-    /// The part of the object is no number.
+    /// The part of the object is not a number.
     #[error("slice is no number")]
     Part,
-    /// The object's group is no number.
+    /// The object's purge group is not a number.
     #[error("set is no number")]
     Group,
-    /// The object's size is no number.
+    /// The object's size is not a valid number of KB.
     #[error("kb is no number")]
     Size,
-    /// The tag of the client's copy can't stand in a line to a host.
+    /// The version tag of the client's copy has characters that a line to a host cannot contain.
     #[error("seen is no tag")]
     Tag,
-    /// The idempotency key can't stand in a line to a host.
+    /// The idempotency key has characters that a line to a host cannot contain.
     #[error("once is no mark")]
     IdempotencyKey,
 }
 
-/// Why something could not be read from the bytes that came in so far.
+/// Why nothing could be read from the bytes received so far.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ReadError<E = InvalidValue> {
-    /// At least so many bytes more are needed.
-    #[error("{0} bytes more are needed")]
+    /// At least this many more bytes are needed.
+    #[error("at least {0} more bytes are needed")]
     Incomplete(usize),
-    /// No further bytes will make it valid.
+    /// The bytes are invalid, whatever follows.
     #[error(transparent)]
     Invalid(E),
 }
--- a/crates/flaxdeck-wire/src/frames/event.rs
+++ b/crates/flaxdeck-wire/src/frames/event.rs
@@ -1,45 +1,45 @@
-//! Events of the coordinator, and the hash by which two of one number are told apart.
+//! Events of the coordinator, and a hash that distinguishes different events with the same number.
 
 use std::net::SocketAddr;
 
 use flaxdeck::{Endpoint, GroupId, ListKind, ObjectId, Time};
 
-/// What a numbered event says.
+/// The content of a numbered event.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Hosts: all of them, or those that are new or have changed.
+    /// An endpoint list: all hosts, or those that are new or have changed.
     Hosts(ListKind, Vec<AddressedEndpoint>),
-    /// Copies from before a moment are not to be given out any more.
+    /// A purge: copies from before a given time must not be served any more.
     Purged {
-        /// The object; none where the whole group is purged.
+        /// The purged object; none if a group is purged.
         object: Option<ObjectId>,
-        /// The group, where no object is named.
+        /// The purged group if `object` is none.
         group: GroupId,
-        /// When the purge was made, by the coordinator's clock.
+        /// The time of the purge, on the coordinator's clock.
         made: Time,
     },
 }
 
-/// Events with their numbers, in their order.
+/// Events with their numbers, in order.
 pub type NumberedEvents = Vec<(u64, Event)>;
 
-/// A line of the list with the address at which this dispatcher reaches the host.
+/// An entry of the endpoint list with the address at which this dispatcher reaches the host.
 #[derive(Clone, Debug)]
 pub struct AddressedEndpoint {
-    /// The line.
+    /// The entry.
     pub listed: Endpoint,
-    /// The address.
+    /// The host's address.
     pub address: SocketAddr,
 }
 
 impl Event {
-    /// Whether it replaces all that was known of hosts.
+    /// Whether it is a full endpoint list, which replaces all entries known so far.
     pub fn is_full_list(&self) -> bool {
         matches!(self, Event::Hosts(ListKind::Full, _))
     }
 
-    /// A hash of what it says, the same whether it came in a frame or in a file, in whatever order its lines stand. Never
-    /// zero, which stands for an event that is not known.
+    /// Returns a hash of the content, which is the same for an event from a frame and from a file and does not depend
+    /// on the order of the list's entries. It is never zero, which stands for an unknown event.
     pub fn hash(&self) -> u64 {
         let hash = match self {
             Event::Hosts(kind, endpoints) => {
@@ -83,7 +83,8 @@
         .fold(hash, |hash, word| fold(hash, &word.to_be_bytes()))
 }
 
-/// FNV-1a over the bytes, and one more mixing step: two events of one number are told apart, no adversary is met.
+/// FNV-1a over the bytes, and one more mixing step. This distinguishes different events with the same number, but does
+/// not resist deliberate collisions.
 fn fold(hash: u64, bytes: &[u8]) -> u64 {
     let step = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x100_0000_01b3);
     let hash = bytes.iter().fold(hash ^ 0xcbf2_9ce4_8422_2325, step);
--- a/crates/flaxdeck-wire/src/frames/known.rs
+++ b/crates/flaxdeck-wire/src/frames/known.rs
@@ -1,4 +1,4 @@
-//! The events that a configuration holds, in JSON.
+//! Reads the events that a configuration contains as JSON.
 
 use std::net::{AddrParseError, SocketAddr};
 use std::num::ParseIntError;
@@ -12,30 +12,30 @@
 use super::record::started;
 use super::{AddressedEndpoint, Event, NumberedEvents};
 
-/// What is wrong with the events of a configuration.
+/// Errors in the events of a configuration.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum KnownEventsError {
-    /// A field is missing or of another type.
+    /// A field is missing or has the wrong type.
     #[error(transparent)]
     Field(#[from] SettingsError),
-    /// A host has a health that the platform does not have.
-    #[error("unknown health {health}")]
+    /// The health of a host is unknown.
+    #[error("field health: unknown value {health:?}")]
     UnknownHealth {
         /// The field's value.
         health: String,
     },
-    /// A host can't be reached at what stands as its address.
-    #[error("dial {dial} is no address")]
+    /// The address of a host is not an IP address with a port.
+    #[error("field dial: {dial:?} is not an IP address with a port")]
     Address {
         /// The field's value.
         dial: String,
-        /// Why not.
+        /// The parse error.
         source: AddrParseError,
     },
-    /// A purged object is not named as the platform does.
-    #[error("field ref is not in hex")]
+    /// The key of a purged object is not a hex number.
+    #[error("field ref: not a 64-bit hex number")]
     Object {
-        /// Why not.
+        /// The parse error.
         source: ParseIntError,
     },
 }
@@ -45,7 +45,7 @@
 pub struct KnownEvents {
     /// The number of the last event.
     pub last: u64,
-    /// The events, in their order.
+    /// The events, in order.
     pub events: NumberedEvents,
 }
 
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 ///
-/// The first event that can't be read.
+/// Returns the error of the first event that is invalid.
 pub fn known_events(known: &Fields, names: &Names) -> Result<KnownEvents, KnownEventsError> {
     let mut events = NumberedEvents::new();
     for update in known.rows("updates")? {
--- a/crates/flaxdeck-wire/src/frames/mod.rs
+++ b/crates/flaxdeck-wire/src/frames/mod.rs
@@ -1,7 +1,7 @@
-//! The coordinator's events: frames on its connection, and the same as JSON in the configuration.
+//! The coordinator's events: as frames on its connection, and as JSON in the configuration.
 //!
-//! A frame is its length in 4 bytes, the event's number in 8, its kind in 1, and a payload by its kind; all numbers are
-//! big-endian.
+//! A frame consists of its length in 4 bytes, the event's number in 8, its kind in 1, and a payload that depends on the
+//! kind. All numbers are big-endian.
 
 mod event;
 mod known;
@@ -16,46 +16,47 @@
 
 pub use event::{AddressedEndpoint, Event, NumberedEvents};
 pub use known::{KnownEvents, KnownEventsError, known_events};
-pub use record::record;
+pub use record::read_record;
 
-/// Bytes of one frame behind its length: a list of some 37,000 hosts, over a hundred times the largest fleet foreseen.
+/// Maximum bytes of a frame after its length field: enough for a list of some 37,000 hosts, over a hundred times the
+/// largest expected fleet.
 pub const MAX_FRAME: usize = 1 << 20;
-/// Bytes of a frame's length, which does not count itself.
+/// Bytes of a frame's length field, which the length does not include.
 const LENGTH_BYTES: usize = 4;
-/// Bytes of the number and the kind, which stand in every frame.
+/// Bytes of the number and the kind, which every frame has after its length field.
 pub const HEADER_BYTES: usize = 9;
-/// Where the kind stands.
+/// The offset of the kind in a frame.
 const KIND_AT: usize = LENGTH_BYTES + HEADER_BYTES - 1;
-/// Bytes of the time of a purge.
+/// Bytes of a purge's time.
 const TIME_BYTES: usize = 8;
 
-/// Nothing new; the coordinator is there.
+/// No event; shows that the connection is alive.
 const HEARTBEAT: u8 = 0;
-/// All hosts.
+/// An endpoint list of all hosts.
 const FULL_LIST: u8 = 1;
-/// Hosts that are new or have changed.
+/// An endpoint list of the hosts that are new or have changed.
 const DELTA_LIST: u8 = 2;
 /// A purge of one object.
 const PURGE_OBJECT: u8 = 3;
 /// A purge of a group of objects.
 const PURGE_GROUP: u8 = 4;
 
-/// One frame that came in.
+/// One received frame.
 #[derive(Debug)]
 pub struct Frame {
-    /// The number that it carries: the event's, where it has one.
+    /// The number in its header: that of the event, if it has one.
     pub number: u64,
-    /// The frame as it came, for whoever passes it on.
+    /// The complete frame as received, for relaying.
     pub bytes: Bytes,
     /// The event; none in a heartbeat.
     pub event: Option<Event>,
 }
 
-/// Parses one frame at the head of the buffer and takes its bytes out.
+/// Parses one frame at the front of the buffer and removes its bytes.
 ///
 /// # Errors
 ///
-/// What is not of the protocol; the connection is of no more use.
+/// Returns the violation of the protocol; the connection is then unusable.
 pub fn parse(buffer: &mut BytesMut, names: &Names) -> Result<Parsed<Frame>, Malformed> {
     let bytes = match split(buffer)? {
         Parsed::Complete(bytes) => bytes,
@@ -68,7 +69,7 @@
     }))
 }
 
-/// Takes one complete frame out of the head of the buffer.
+/// Splits one complete frame off the front of the buffer.
 fn split(buffer: &mut BytesMut) -> Result<Parsed<Bytes>, Malformed> {
     if buffer.len() < LENGTH_BYTES {
         return Ok(Parsed::Incomplete(LENGTH_BYTES - buffer.len()));
@@ -84,15 +85,15 @@
     Ok(Parsed::Complete(buffer.split_to(used).freeze()))
 }
 
-/// The event of a complete frame, which may have come by way of another instance; none in a heartbeat.
+/// Reads the event of a complete frame, which may have been relayed by another instance; none for a heartbeat.
 ///
 /// # Errors
 ///
-/// What is not of the protocol.
+/// Returns the violation of the protocol.
 pub fn read(frame: &[u8], names: &Names) -> Result<Option<Event>, Malformed> {
     let has_header = frame.len() >= LENGTH_BYTES + HEADER_BYTES;
     if !has_header || big_endian(&frame[..LENGTH_BYTES]) as usize + LENGTH_BYTES != frame.len() {
-        return Err(Malformed::FrameCut);
+        return Err(Malformed::FrameLengthMismatch);
     }
     let payload = &frame[KIND_AT + 1..];
     match frame[KIND_AT] {
@@ -125,12 +126,12 @@
     }
     let endpoints: Result<_, _> = payload
         .chunks(RECORD_BYTES)
-        .map(|bytes| record(bytes, names))
+        .map(|bytes| read_record(bytes, names))
         .collect();
     Ok(Event::Hosts(kind, endpoints?))
 }
 
-/// What is purged, a number of so many bytes, and when the purge was made.
+/// Reads the number of the purged object or group, which has `name_bytes` bytes, and the time of the purge.
 fn read_purge(payload: &[u8], name_bytes: usize) -> Result<(u64, Time), Malformed> {
     if payload.len() != name_bytes + TIME_BYTES {
         return Err(Malformed::PurgeLength);
@@ -139,8 +140,8 @@
     Ok((big_endian(name), Time::at_ms(big_endian(made) as f64)))
 }
 
-/// A frame with the full list of hosts under that number, for instances that pass it on in the coordinator's stead; none
-/// if a host's name or address has no form in a frame, or the list is over the bound of a frame.
+/// Encodes a frame with a full endpoint list under the given number, for instances that relay it in place of the
+/// coordinator. Returns none if an endpoint cannot be represented in a frame, or the list exceeds [`MAX_FRAME`].
 pub fn write_full_list<'a>(
     number: u64,
     endpoints: impl Iterator<Item = &'a AddressedEndpoint>,
--- a/crates/flaxdeck-wire/src/frames/record.rs
+++ b/crates/flaxdeck-wire/src/frames/record.rs
@@ -1,14 +1,14 @@
-//! One line of a list of hosts in a frame.
+//! The record of one host in an endpoint list of a frame.
 //!
 //! | bytes | field |
 //! | --- | --- |
 //! | 0 to 3 | the number in the host's name |
 //! | 4 to 9 | IPv4 address and port |
 //! | 10 | health |
-//! | 11, 12 | zone and machine kind, by their places in the settings' lists |
+//! | 11, 12 | zone and machine kind, as indexes into the settings' lists |
 //! | 13, 14 | cell |
 //! | 15 to 18 | weight in thousandths |
-//! | 19 to 26 | when the process started, in milliseconds since 1970; 0 if that is not known |
+//! | 19 to 26 | start of the host's process, in milliseconds since 1970; 0 if unknown |
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -18,31 +18,31 @@
 use super::AddressedEndpoint;
 use crate::{Malformed, big_endian};
 
-/// Bytes of one line.
+/// Bytes of one record.
 pub(super) const RECORD_BYTES: usize = 27;
-/// Written where a host has no zone, or no machine kind of its role is known.
+/// Written in place of an index if a host has no zone, or the settings have no machine kind of its role.
 const NOT_IN_LIST: u8 = u8::MAX;
-/// What stands before the number in a host's name.
+/// The prefix of the number in a host's name.
 const HOST_PREFIX: &str = "s-";
 /// Hex digits of the number in a host's name.
 const HOST_DIGITS: usize = 8;
 
-/// When a process started; 0 stands for a time that is not known.
+/// Converts the start time of a host's process; 0 stands for an unknown time.
 pub(super) fn started(unix_ms: f64) -> Option<Time> {
     Some(unix_ms).filter(|ms| *ms > 0.0).map(Time::at_ms)
 }
 
-/// Reads one line of a list from its 27 bytes.
+/// Reads one record of 27 bytes.
 ///
 /// # Errors
 ///
-/// [`Malformed::HostState`].
-pub fn record(bytes: &[u8], names: &Names) -> Result<AddressedEndpoint, Malformed> {
+/// Returns [`Malformed::HostHealth`] if the health is unknown.
+pub fn read_record(bytes: &[u8], names: &Names) -> Result<AddressedEndpoint, Malformed> {
     let health = match bytes[10] {
         0 => Health::InService,
         1 => Health::Draining,
         2 => Health::Removed,
-        _ => return Err(Malformed::HostState),
+        _ => return Err(Malformed::HostHealth),
     };
     let zone = Some(usize::from(bytes[11])).filter(|zone| *zone < names.zones.len());
     let address = Ipv4Addr::new(bytes[4], bytes[5], bytes[6], bytes[7]);
@@ -60,7 +60,8 @@
     })
 }
 
-/// The reverse of [`record`]; none if the host's name, address, zone or cell has no form in a record.
+/// Encodes a record, the inverse of [`read_record`]; none if the host's name, address, zone or cell cannot be
+/// represented.
 pub(super) fn write_record(
     endpoint: &AddressedEndpoint,
     names: &Names,
--- a/crates/flaxdeck-wire/src/lib.rs
+++ b/crates/flaxdeck-wire/src/lib.rs
@@ -1,13 +1,13 @@
-//! The users' protocol: pure parsers and writers over bytes, which know no connection.
+//! Parsers and writers for the protocols of clients, hosts and the coordinator. They work on bytes and do no I/O.
 //!
-//! | module | speaks with |
+//! | module | protocol |
 //! | --- | --- |
 //! | [`rpc`] over [`msgpack`] | clients: MessagePack-RPC |
-//! | [`lines`] | cache hosts, parents and the origin: lines with a body |
+//! | [`lines`] | cache hosts, parents and the origin: text lines, each with a body |
 //! | [`frames`] | the coordinator: binary frames, and the same events as JSON in the configuration |
 //!
-//! A parser takes a complete message out of the head of a buffer, or says how many bytes it lacks; what it takes out is
-//! not copied. Every length is checked against its bound before anything waits for that many bytes.
+//! A parser takes a complete message off the front of a buffer without copying it, or returns how many more bytes it
+//! needs. It checks every length against its bound before it asks for that many bytes.
 //!
 //! ```
 //! use bytes::BytesMut;
@@ -30,48 +30,48 @@
 pub use error::{InvalidRequest, InvalidValue, Malformed, ReadError};
 pub use lines::AttemptOptions;
 
-/// What a parser makes of bytes that came in so far.
+/// The result of parsing the bytes received so far.
 #[derive(Debug, PartialEq)]
 pub enum Parsed<T> {
-    /// A complete message; its bytes are taken out of the buffer.
+    /// A complete message; its bytes have been removed from the buffer.
     Complete(T),
-    /// At least so many bytes more are needed.
+    /// The message is incomplete; at least this many more bytes are needed.
     Incomplete(usize),
 }
 
-/// A big-endian number of at most 8 bytes.
+/// Reads a big-endian number of at most 8 bytes.
 fn big_endian(bytes: &[u8]) -> u64 {
     bytes
         .iter()
         .fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
-/// A client's request. Texts are slices of the bytes that came in.
+/// A client's request. Its texts and its body are slices of the received bytes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// The request class, by the name of the method.
+    /// The request class, which the RPC method names.
     pub class: ClassId,
-    /// The client's id of the request, 16 hex digits; hosts know the request by it.
+    /// The id that the client gave the request, 16 hex digits; hosts identify the request by it.
     pub id: Bytes,
-    /// The object's key as it came, 16 hex digits.
+    /// The object's key as received, 16 hex digits.
     pub key: Bytes,
-    /// The object, which the key names.
+    /// The object, the number that the key encodes.
     pub object: ObjectId,
-    /// The part of the object, from 0 up.
+    /// The index of the requested part of the object, from 0.
     pub part: u64,
-    /// The group by which the object may be purged.
+    /// The purge group of the object.
     pub group: GroupId,
-    /// The object's size in KB, where the client knows it.
+    /// The object's size in KB, if the client knows it.
     pub size_kb: Option<f64>,
     /// How long the client waits for the complete answer.
     pub timeout: Span,
-    /// The client has sent the same before.
+    /// Whether the client is retrying a request that it has sent before.
     pub is_retry: bool,
-    /// The tag of a copy that the client holds.
+    /// The version tag of the client's own copy, if it has one.
     pub cached_tag: Option<Bytes>,
-    /// The mark by which hosts know a repeat of a deduplicated request; goes on as it came.
+    /// The key by which hosts recognize repeats of a deduplicated request; forwarded unchanged.
     pub idempotency_key: Option<Bytes>,
-    /// What is written; empty for a read.
+    /// The data to be written; empty for a read.
     pub body: Bytes,
 }
 
@@ -82,33 +82,33 @@
     Served(Bytes),
     /// The client's own copy is current.
     Unchanged,
-    /// Rejected, with the time after which to try again where one is given.
+    /// Rejected, with an optional time after which the client may retry.
     Rejected(Option<Span>),
-    /// Failed: no host has answered, and one may have run it.
+    /// Failed: no host has answered, and a host may have run the request.
     Failed,
 }
 
-/// How an attempt ended, with all that its answer tells.
+/// The result of an attempt, with the contents of the host's answer.
 #[derive(Debug, PartialEq)]
 pub struct HostReply {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// The object; empty where there is none.
+    /// The object; empty if the answer has none.
     pub body: Bytes,
-    /// The client's own copy is current.
+    /// The host reports the client's own copy as current.
     pub unchanged: bool,
-    /// The tag of the copy that an unchanged answer speaks of.
+    /// The version tag of the copy that the host reports as current.
     pub tag: Option<Bytes>,
-    /// How the host came by the object.
+    /// How the host obtained the object.
     pub fill: FillOutcome,
-    /// How long the fill waited for the source's first byte, or until it failed.
+    /// Time from the start of the fill to the source's first byte, or to its failure.
     pub waited: Option<Span>,
     /// The host's load.
     pub report: LoadReport,
 }
 
 impl HostReply {
-    /// An end of which nothing more is known.
+    /// Creates a reply with an outcome only.
     pub fn without_body(outcome: AttemptOutcome) -> HostReply {
         HostReply {
             outcome,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Whether it calls a copy current that the client does not hold.
+    /// Whether it reports as current a copy that the client does not hold. A reply without a tag counts as such.
     pub fn is_of_another_copy(&self, request: &ClientRequest) -> bool {
         self.unchanged && (self.tag.is_none() || self.tag != request.cached_tag)
     }
--- a/crates/flaxdeck-wire/src/lines.rs
+++ b/crates/flaxdeck-wire/src/lines.rs
@@ -1,4 +1,5 @@
-//! The line protocol of cache hosts, parents and the origin: a line, a body of the length that the line tells, a line end.
+//! The line protocol of cache hosts, parents and the origin. A message is a line, a body of the length stated in the
+//! line, and a line end.
 
 use std::borrow::Cow;
 use std::fmt::{Arguments, Write};
@@ -10,13 +11,14 @@
 
 use crate::{ClientRequest, HostReply, Malformed, Parsed};
 
-/// Bytes of an answer's first line; real ones have some 150.
+/// Maximum bytes of an answer's first line; typical lines have about 150.
 pub const MAX_HEAD: usize = 2048;
-/// What ends a line, and a body.
+/// Ends a line, and follows a body.
 const LINE_END: &[u8] = b"\r\n";
-/// Stands in place of an id in the sign that follows a cancelled request: whatever comes behind it is of later ones.
+/// Takes the place of the id in the fence that follows a cancellation, and in the host's answer to it. All answers
+/// after that one belong to later requests.
 const FENCE: &[u8] = b"fence";
-/// How hosts call what [`fill_outcome`] has numbers for, from 1 up.
+/// The hosts' names of fill outcomes, in the order of the numbers of [`fill_outcome`], from 1.
 const FILL_OUTCOMES: [&str; 10] = [
     "hit",
     "filled",
@@ -30,29 +32,30 @@
     "origin_failed",
 ];
 
-/// What an attempt asks of a host, beside the request itself.
+/// The options of an attempt, which are sent to the host with the request.
 pub struct AttemptOptions<'a> {
     /// The name of the request class.
     pub class: &'a str,
-    /// How long the attempt is waited for; sent in whole milliseconds, one at least.
+    /// How long the attempt may take; sent in whole milliseconds, at least one.
     pub timeout: Span,
-    /// Where a miss is filled from; none for no fill.
+    /// The host from which a miss is filled; none if it must not be filled.
     pub source: Option<&'a HostId>,
-    /// 0 has the object passed through; 1 to 3 is the rank at which the host retains it.
+    /// The rank, 1 to 3, at which the host caches the object; 0 if it does not cache it.
     pub retention_rank: u8,
-    /// The attempt needs a connection that carried nothing before. Not sent to the host.
+    /// The attempt needs a connection that has carried no other request. Not sent to the host.
     pub new_connection: bool,
-    /// The oldest copy that will do; none for the class's fresh time.
+    /// The maximum age of an acceptable copy; none for the freshness of the request class.
     pub max_age: Option<Span>,
-    /// A fill of the same object that is under way may be joined.
+    /// The request may wait for a fill of the same object that is already in progress.
     pub join: bool,
-    /// The source gives only what it has cached.
+    /// The source serves only cached copies.
     pub only_cached: bool,
-    /// The host makes sure that its copy is current.
+    /// The host must check that its copy is current.
     pub revalidate: bool,
 }
 
-/// The pieces of a request to a host. All fields are written here, from typed values; the body is not copied.
+/// Encodes a request to a host: its line, its body, which is not copied, and the line end. The line is built from
+/// parsed fields only.
 pub fn encode_request(request: &ClientRequest, options: &AttemptOptions) -> [Bytes; 3] {
     let mut buffer = BytesMut::with_capacity(256);
     let (id, key) = (text(&request.id), text(&request.key));
@@ -104,12 +107,17 @@
     }
 }
 
-#[expect(clippy::expect_used, reason = "the buffer grows as it is written to")]
+#[expect(
+    clippy::expect_used,
+    reason = "writing to a growable buffer cannot fail"
+)]
 fn put(buffer: &mut BytesMut, words: Arguments) {
-    buffer.write_fmt(words).expect("a buffer grows");
+    buffer
+        .write_fmt(words)
+        .expect("writing to a growable buffer cannot fail");
 }
 
-/// Whole milliseconds, one at least.
+/// Truncates to whole milliseconds, at least one.
 fn whole_ms(span: Span) -> u64 {
     (span.ms() as u64).max(1)
 }
@@ -118,7 +126,8 @@
     String::from_utf8_lossy(bytes)
 }
 
-/// Cancels a request, and asks for a sign by which it is known that no answer to it is on its way.
+/// Encodes a cancellation followed by a fence. Once the host has answered the fence, no answer to the cancelled request
+/// is in transit.
 pub fn encode_cancel(id: &Bytes) -> Bytes {
     let mut buffer = BytesMut::with_capacity(64);
     buffer.put_slice(b"never_mind ");
@@ -132,17 +141,17 @@
 /// One answer of a host.
 #[derive(Debug, PartialEq)]
 pub struct Response {
-    /// The id of the request it answers; none for the sign that [`encode_cancel`] asks for.
+    /// The id of the request that it answers; none for the answer to the fence of [`encode_cancel`].
     pub id: Option<Bytes>,
-    /// What it tells.
+    /// The contents of the answer.
     pub host_reply: HostReply,
 }
 
-/// Parses one answer at the head of the buffer and takes its bytes out; its body is not copied.
+/// Parses one answer at the front of the buffer and removes its bytes; the body is not copied.
 ///
 /// # Errors
 ///
-/// What is not of the protocol; the connection is of no more use.
+/// Returns the violation of the protocol; the connection is then unusable.
 pub fn parse(buffer: &mut BytesMut, names: &Names) -> Result<Parsed<Response>, Malformed> {
     let Some(line_end) = find_line_end(buffer)? else {
         return Ok(Parsed::Incomplete(1));
@@ -175,7 +184,7 @@
     Ok(Parsed::Complete(Response { id, host_reply }))
 }
 
-/// Where the first line ends; none if its end has not come.
+/// Returns the position of the first line end; none if it has not been received.
 fn find_line_end(buffer: &[u8]) -> Result<Option<usize>, Malformed> {
     let mut pairs = buffer.windows(LINE_END.len()).take(MAX_HEAD);
     let end = pairs.position(|pair| pair == LINE_END);
@@ -190,11 +199,11 @@
     id: &'a str,
     outcome: AttemptOutcome,
     unchanged: bool,
-    /// None in a sign of two words.
+    /// None if the answer to a fence has two words only, and thus no body.
     body: Option<Body<'a>>,
 }
 
-/// The words of the first line about what follows.
+/// The fields and the body length in the first line.
 #[derive(Clone, Copy)]
 struct Body<'a> {
     fields: &'a str,
@@ -218,7 +227,7 @@
             "full" => head.outcome = AttemptOutcome::Rejected,
             "failed" => head.outcome = AttemptOutcome::Errored,
             "moot" => head.outcome = AttemptOutcome::NotSent,
-            // Whatever the sign says, it shows that the host has read what came before it.
+            // Any answer to a fence shows that the host has read everything sent before it.
             _ if is_fence => head.outcome = AttemptOutcome::NotSent,
             _ => return Err(Malformed::UnknownAnswer),
         }
@@ -253,7 +262,7 @@
         .ok_or(Malformed::MissingWord)
 }
 
-/// What the fields tell; those that are not known here are passed over.
+/// Reads the fields; unknown ones are ignored.
 fn read_fields(fields: &str, head: &Head, names: &Names) -> Result<HostReply, Malformed> {
     let mut host_reply = HostReply {
         unchanged: head.unchanged,
@@ -291,7 +300,7 @@
     }
 }
 
-/// A number from 0 up; none for infinity and what is no number.
+/// Reads a finite number from 0; none for any other value.
 fn read_number(text: &str) -> Option<f64> {
     text.parse()
         .ok()
--- a/crates/flaxdeck-wire/src/msgpack.rs
+++ b/crates/flaxdeck-wire/src/msgpack.rs
@@ -1,7 +1,7 @@
-//! The parts of MessagePack that the clients' protocol uses, read in place.
+//! The parts of MessagePack that the clients' protocol uses, read without copying.
 //!
-//! Numbers are whole and not negative, lengths are checked against the bounds of the caller before anything waits for
-//! that many bytes.
+//! Only unsigned integers are read. Lengths are checked against the caller's bounds before that many bytes are asked
+//! for.
 
 use bytes::{BufMut, BytesMut};
 
@@ -9,24 +9,24 @@
 
 type Read<T> = Result<T, ReadError>;
 
-/// Arrays and maps nested deeper than this are no message of the protocol.
+/// Maximum nesting of values in a message.
 const MAX_DEPTH: usize = 8;
-/// Bytes of the longest string that is written here.
+/// Maximum bytes of a string written by [`put_text`].
 const MAX_STRING: usize = 255;
 
-/// Reads values one after the other.
+/// Reads consecutive values.
 pub struct Reader<'a> {
     bytes: &'a [u8],
     position: usize,
 }
 
 impl<'a> Reader<'a> {
-    /// A reader that stands at the first of the bytes.
+    /// Creates a reader at the start of the bytes.
     pub fn new(bytes: &'a [u8]) -> Reader<'a> {
         Reader { bytes, position: 0 }
     }
 
-    /// How many bytes have been read.
+    /// Returns the number of bytes read so far.
     pub fn position(&self) -> usize {
         self.position
     }
@@ -45,12 +45,12 @@
         self.take(1).map(|byte| byte[0])
     }
 
-    /// A big-endian number of so many bytes, at most 8.
+    /// Reads a big-endian number of at most 8 bytes.
     fn number(&mut self, bytes: usize) -> Read<u64> {
         self.take(bytes).map(big_endian)
     }
 
-    /// A length that is written in so many bytes, at most `max`.
+    /// Reads a length that is encoded in `bytes` bytes and may be at most `max`.
     fn length(&mut self, bytes: usize, max: usize) -> Read<usize> {
         let length = self.number(bytes)?;
         match usize::try_from(length) {
@@ -59,11 +59,11 @@
         }
     }
 
-    /// The head of an array: how many values follow.
+    /// Reads the head of an array and returns how many values follow.
     ///
     /// # Errors
     ///
-    /// [`InvalidValue::NotArray`], or bytes are missing.
+    /// [`InvalidValue::NotArray`]; [`ReadError::Incomplete`] if bytes are missing.
     pub fn array(&mut self) -> Read<usize> {
         match self.byte()? {
             head @ 0x90..=0x9f => Ok(usize::from(head & 0x0f)),
@@ -73,11 +73,11 @@
         }
     }
 
-    /// The head of a map: how many pairs of values follow.
+    /// Reads the head of a map and returns how many pairs of values follow.
     ///
     /// # Errors
     ///
-    /// [`InvalidValue::NotMap`], or bytes are missing.
+    /// [`InvalidValue::NotMap`]; [`ReadError::Incomplete`] if bytes are missing.
     pub fn map(&mut self) -> Read<usize> {
         match self.byte()? {
             head @ 0x80..=0x8f => Ok(usize::from(head & 0x0f)),
@@ -87,11 +87,11 @@
         }
     }
 
-    /// A whole number from 0 up.
+    /// Reads an unsigned integer.
     ///
     /// # Errors
     ///
-    /// [`InvalidValue::NotWhole`], or bytes are missing.
+    /// [`InvalidValue::NotUnsigned`]; [`ReadError::Incomplete`] if bytes are missing.
     pub fn unsigned(&mut self) -> Read<u64> {
         match self.byte()? {
             head @ 0x00..=0x7f => Ok(u64::from(head)),
@@ -99,41 +99,42 @@
             0xcd => self.number(2),
             0xce => self.number(4),
             0xcf => self.number(8),
-            _ => Err(InvalidValue::NotWhole.into()),
+            _ => Err(InvalidValue::NotUnsigned.into()),
         }
     }
 
-    /// A string of at most so many bytes.
+    /// Reads a string of at most `max` bytes.
     ///
     /// # Errors
     ///
-    /// [`InvalidValue::NotText`], [`InvalidValue::NotUtf8`], [`InvalidValue::TooLong`], or bytes are missing.
+    /// [`InvalidValue::NotString`], [`InvalidValue::NotUtf8`], [`InvalidValue::TooLong`]; [`ReadError::Incomplete`] if
+    /// bytes are missing.
     pub fn text(&mut self, max: usize) -> Read<&'a str> {
         let length = match self.byte()? {
             head @ 0xa0..=0xbf => usize::from(head & 0x1f),
             0xd9 => self.length(1, max)?,
             0xda => self.length(2, max)?,
             0xdb => self.length(4, max)?,
-            _ => return Err(InvalidValue::NotText.into()),
+            _ => return Err(InvalidValue::NotString.into()),
         };
         str::from_utf8(self.take(length)?).map_err(|_| InvalidValue::NotUtf8.into())
     }
 
-    /// The bytes of a `bin` value, at most so many; nil and an empty string are none.
+    /// Reads a `bin` value of at most `max` bytes; nil and an empty string are read as empty.
     ///
     /// # Errors
     ///
-    /// [`InvalidValue::NotBinary`], [`InvalidValue::TooLong`], or bytes are missing.
+    /// [`InvalidValue::NotBinary`], [`InvalidValue::TooLong`]; [`ReadError::Incomplete`] if bytes are missing.
     pub fn binary(&mut self, max: usize) -> Read<&'a [u8]> {
         let length = self.binary_length(max)?;
         self.take(length)
     }
 
-    /// How many bytes the `bin` value has that begins here, at most so many; they follow.
+    /// Reads the head of a `bin` value and returns its length, at most `max`; the bytes follow.
     ///
     /// # Errors
     ///
-    /// [`InvalidValue::NotBinary`], [`InvalidValue::TooLong`], or bytes are missing.
+    /// [`InvalidValue::NotBinary`], [`InvalidValue::TooLong`]; [`ReadError::Incomplete`] if bytes are missing.
     pub fn binary_length(&mut self, max: usize) -> Read<usize> {
         match self.byte()? {
             0xc0 | 0xa0 => Ok(0),
@@ -144,11 +145,12 @@
         }
     }
 
-    /// Passes over one value of any type; gives a reader that stands before it and ends with it.
+    /// Skips one value of any type and returns a reader over its bytes. Positions of that reader count from the start
+    /// of this one's bytes.
     ///
     /// # Errors
     ///
-    /// As [`Reader::skip`].
+    /// Returns the errors of [`Reader::skip`].
     pub fn value(&mut self, max: usize) -> Read<Reader<'a>> {
         let position = self.position;
         self.skip(max)?;
@@ -158,11 +160,12 @@
         })
     }
 
-    /// Passes over one value of any type, of which no part has a length over `max`.
+    /// Skips one value of any type in which no length exceeds `max`.
     ///
     /// # Errors
     ///
-    /// [`InvalidValue::UnknownType`], [`InvalidValue::TooDeep`], [`InvalidValue::TooLong`], or bytes are missing.
+    /// [`InvalidValue::UnknownType`], [`InvalidValue::TooDeep`], [`InvalidValue::TooLong`]; [`ReadError::Incomplete`]
+    /// if bytes are missing.
     pub fn skip(&mut self, max: usize) -> Read<()> {
         self.skip_nested(max, MAX_DEPTH)
     }
@@ -180,7 +183,7 @@
         self.take(bytes).map(|_| ())
     }
 
-    /// How many values follow the head of an array or a map; none for other types.
+    /// Returns how many values follow the head of an array or a map; none for other types.
     fn nested_values(&mut self, head: u8, max: usize) -> Read<Option<usize>> {
         let values = match head {
             0x90..=0x9f => usize::from(head & 0x0f),
@@ -194,7 +197,7 @@
         Ok(Some(values))
     }
 
-    /// How many bytes follow the head of a value that holds no others.
+    /// Returns how many bytes follow the head of a value that contains no other values.
     fn scalar_length(&mut self, head: u8, max: usize) -> Read<usize> {
         Ok(match head {
             0x00..=0x7f | 0xe0..=0xff | 0xc0 | 0xc2 | 0xc3 => 0,
@@ -215,7 +218,7 @@
     }
 }
 
-/// Writes a whole number in as few bytes as it takes.
+/// Writes an unsigned integer in its shortest form.
 pub fn put_unsigned(out: &mut BytesMut, number: u32) {
     match number {
         0..=0x7f => out.put_u8(number as u8),
@@ -231,7 +234,7 @@
     }
 }
 
-/// Writes a string; what it has over 255 bytes is cut off.
+/// Writes a string, truncated to 255 bytes.
 pub fn put_text(out: &mut BytesMut, text: &str) {
     let text = &text.as_bytes()[..text.len().min(MAX_STRING)];
     match text.len() {
@@ -241,7 +244,7 @@
     out.put_slice(text);
 }
 
-/// Writes the head of a `bin` value; its bytes follow.
+/// Writes the head of a `bin` value; the caller writes its bytes.
 pub fn put_binary_length(out: &mut BytesMut, length: usize) {
     match length {
         0..=0xff => out.put_slice(&[0xc4, length as u8]),
--- a/crates/flaxdeck-wire/src/rpc/answer.rs
+++ b/crates/flaxdeck-wire/src/rpc/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to clients.
+//! Encodes answers to clients.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use flaxdeck::Span;
@@ -6,22 +6,22 @@
 use crate::Answer;
 use crate::msgpack::{put_binary_length, put_text, put_unsigned};
 
-/// The head of an answer: an array of four, and the kind of an answer.
+/// The head of an answer: an array of four values, and the type number of an answer.
 const ANSWER: [u8; 2] = [0x94, 0x01];
-/// An array of two.
+/// The head of an array of two values.
 const PAIR: u8 = 0x92;
-/// A map without fields; one more for each field.
+/// The head of an empty map; the lower four bits hold the number of fields.
 const NO_FIELDS: u8 = 0x80;
 const NIL: u8 = 0xc0;
 const TRUE: u8 = 0xc3;
-/// The error of a request that was rejected.
+/// The error name of a rejected request.
 const REJECTED: &str = "Backoff";
-/// The error of a request that failed.
+/// The error name of a failed request.
 const FAILED: &str = "Lost";
 
-/// The pieces of an answer; the body goes on uncopied.
+/// Encodes an answer as head, body and tail; the body is not copied.
 pub fn encode_answer(call: u32, answer: Answer) -> [Bytes; 3] {
-    let alone = |bytes| [bytes, Bytes::new(), Bytes::new()];
+    let without_body = |bytes| [bytes, Bytes::new(), Bytes::new()];
     match answer {
         Answer::Served(body) => [
             result_head(call, body.len()).freeze(),
@@ -31,24 +31,24 @@
         Answer::Unchanged => {
             let mut out = result_head(call, 0);
             put_field(&mut out, "current", "1");
-            alone(out.freeze())
+            without_body(out.freeze())
         }
-        Answer::Rejected(retry_after) => alone(encode_rejected(call, retry_after)),
-        Answer::Failed => alone(encode_failed(call)),
+        Answer::Rejected(retry_after) => without_body(encode_rejected(call, retry_after)),
+        Answer::Failed => without_body(encode_failed(call)),
     }
 }
 
-/// An answer: rejected, with the time after which to try again.
+/// Encodes a rejection, with an optional time after which the client may retry.
 pub fn encode_rejected(call: u32, retry_after: Option<Span>) -> Bytes {
     encode_error(call, REJECTED, retry_after)
 }
 
-/// An answer: failed.
+/// Encodes the answer to a failed request.
 pub fn encode_failed(call: u32) -> Bytes {
     encode_error(call, FAILED, None)
 }
 
-/// An answer that is an error.
+/// Encodes an error answer, with an optional time after which the client may retry.
 pub fn encode_error(call: u32, error: &str, retry_after: Option<Span>) -> Bytes {
     let mut out = head(call);
     out.put_u8(PAIR);
@@ -61,7 +61,7 @@
     out.freeze()
 }
 
-/// The answer to a client that asks whether this dispatcher is up.
+/// Encodes the answer to a client's health check.
 pub fn encode_alive(call: u32) -> Bytes {
     let mut out = head(call);
     out.put_slice(&[NIL, PAIR, TRUE, NO_FIELDS]);
@@ -75,7 +75,7 @@
     out
 }
 
-/// The head of an answer that is no error, up to a body of so many bytes; fields follow.
+/// Writes the head of a successful answer up to its body of `body_length` bytes; the body and the fields follow.
 fn result_head(call: u32, body_length: usize) -> BytesMut {
     let mut out = head(call);
     out.put_slice(&[NIL, PAIR]);
--- a/crates/flaxdeck-wire/src/rpc/mod.rs
+++ b/crates/flaxdeck-wire/src/rpc/mod.rs
@@ -1,4 +1,4 @@
-//! MessagePack-RPC as clients speak it: messages in, answers out.
+//! MessagePack-RPC with clients: parses their messages and encodes answers.
 //!
 //! A request is `[0, call, class, [fields, body]]`, a cancellation `[2, "cancelRequest", [call]]`, an answer
 //! `[1, call, error, result]`.
@@ -17,61 +17,61 @@
 
 pub use answer::{encode_alive, encode_answer, encode_error, encode_failed, encode_rejected};
 
-/// Bytes of a field's name or value; the longest of the protocol are 32.
+/// Maximum bytes of a field's name or value; the longest that the protocol defines has 32.
 const MAX_FIELD: usize = MAX_NAME;
-/// Fields of a message; the protocol knows nine.
+/// Maximum fields of a message; the protocol defines nine.
 const MAX_FIELDS: usize = 64;
-/// The length of a request, and its kind.
+/// The array length and the type number of a request.
 const REQUEST: (usize, u64) = (4, 0);
-/// The length of a notification, and its kind.
+/// The array length and the type number of a notification.
 const NOTIFICATION: (usize, u64) = (3, 2);
-/// The method by which clients ask whether a dispatcher is up.
+/// The method of a client's health check of a dispatcher.
 const ALIVE: &str = "alive";
-/// The notification that cancels a request.
+/// The method of the notification that cancels a request.
 const CANCEL: &str = "cancelRequest";
 
-/// A client's message. A call number is the client's own, and counts on its connection.
+/// A client's message. The call number is chosen by the client and identifies a request on its connection.
 #[derive(Debug, PartialEq)]
 pub enum ClientMessage {
     /// A request.
     Request {
-        /// Its number.
+        /// The call number.
         call: u32,
-        /// What is requested.
+        /// The request.
         request: Box<ClientRequest>,
     },
-    /// Asks whether this dispatcher is up.
+    /// A health check of this dispatcher.
     Alive {
-        /// Its number.
+        /// The call number.
         call: u32,
     },
-    /// No answer is awaited any more.
+    /// Cancels a request: the client no longer waits for the answer.
     Cancel {
-        /// The number of the request.
+        /// The call number of the request.
         call: u32,
     },
-    /// A request that can't be acted upon, though it can be answered.
+    /// An invalid request, which can be answered with an error.
     Invalid {
-        /// Its number.
+        /// The call number.
         call: u32,
-        /// Why not.
+        /// Why it is invalid.
         reason: InvalidRequest,
     },
-    /// A notification that nothing follows from.
+    /// A notification other than a cancellation.
     Ignored,
 }
 
-/// A message; a request's texts are still ranges of the bytes it was parsed from.
+/// A parsed message; the texts of a request are still ranges of the buffer.
 enum Draft {
     Request { call: u32, draft: RequestDraft },
     Message(ClientMessage),
 }
 
-/// Parses one message at the head of the buffer and takes its bytes out; texts and the body are not copied.
+/// Parses one message at the front of the buffer and removes its bytes; texts and the body are not copied.
 ///
 /// # Errors
 ///
-/// What is not of the protocol and can't be answered; the connection is of no more use.
+/// Returns a violation of the protocol that cannot be answered; the connection is then unusable.
 pub fn parse(buffer: &mut BytesMut, names: &Names) -> Result<Parsed<ClientMessage>, Malformed> {
     let mut reader = Reader::new(buffer);
     let draft = match read(&mut reader, names) {
@@ -96,17 +96,17 @@
     }))
 }
 
-/// A request that lacks nothing but the rest of its body.
+/// A request of which only the rest of the body has not been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartialRequest {
-    /// Its number.
+    /// The call number.
     pub call: u32,
-    /// Bytes of the body that are still to come.
+    /// Bytes of the body that have not been received.
     pub missing: usize,
 }
 
-/// The request at the head of the buffer if it lacks nothing but the rest of its body. For a reader that has no memory
-/// for it and reads past it.
+/// Returns the request at the front of the buffer if only the rest of its body has not been received. A reader without
+/// memory for the body uses it to answer the request and discard the body.
 pub fn partial_request(buffer: &BytesMut) -> Option<PartialRequest> {
     let mut reader = Reader::new(buffer);
     let kind = (reader.array().ok()?, reader.unsigned().ok()?);
@@ -124,8 +124,10 @@
         reader.text(MAX_FIELD).ok()?;
     }
     let length = reader.binary_length(MAX_WRITE).ok()?;
-    let here = buffer.len() - reader.position();
-    let missing = length.checked_sub(here).filter(|missing| *missing > 0)?;
+    let received = buffer.len() - reader.position();
+    let missing = length
+        .checked_sub(received)
+        .filter(|missing| *missing > 0)?;
     Some(PartialRequest { call, missing })
 }
 
@@ -158,7 +160,8 @@
     }))
 }
 
-// What can be read as MessagePack but is no request gets an answer, so the reader must stand behind it.
+// An invalid request that is valid MessagePack is answered and the connection stays open, so the reader has to end up
+// behind it.
 fn read_request(
     reader: &mut Reader,
     call: u32,
@@ -169,7 +172,7 @@
         Ok(draft) if parameters.position() == reader.position() => {
             return Ok(Draft::Request { call, draft });
         }
-        Ok(_) => InvalidRequest::LeftOver,
+        Ok(_) => InvalidRequest::ExtraParameters,
         Err(ReadError::Invalid(reason)) => reason,
         Err(ReadError::Incomplete(missing)) => return Err(ReadError::Incomplete(missing)),
     };
--- a/crates/flaxdeck-wire/src/rpc/request.rs
+++ b/crates/flaxdeck-wire/src/rpc/request.rs
@@ -1,4 +1,4 @@
-//! The parameters of a request: its fields, and its body.
+//! Parses the parameters of a client's request: its fields and its body.
 
 use std::ops::Range;
 
@@ -10,10 +10,10 @@
 use crate::msgpack::Reader;
 use crate::{ClientRequest, InvalidRequest, ReadError};
 
-/// Hex digits of an id and of a key.
+/// Hex digits of a request id and of an object key.
 const HEX_DIGITS: usize = 16;
 
-/// A request whose texts are still ranges of the bytes it was parsed from.
+/// A request whose texts and body are still ranges of the buffer that it was parsed from.
 pub(super) struct RequestDraft {
     class: ClassId,
     id: Option<Range<usize>>,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Reads both parameters.
+    /// Reads the two parameters, fields and body.
     pub(super) fn read(
         reader: &mut Reader,
         class: ClassId,
@@ -71,7 +71,7 @@
         Ok(draft)
     }
 
-    /// Sets one field; those that the protocol does not have are passed over.
+    /// Sets one field; unknown fields are ignored.
     fn set(&mut self, name: &str, value: &str, range: Range<usize>) -> Result<(), InvalidRequest> {
         match name {
             "id" => self.id = Some(range).filter(|_| read_hex(value).is_some()),
@@ -93,7 +93,7 @@
         Ok(())
     }
 
-    /// The request, if nothing is missing that it has to have.
+    /// Returns the request, with its texts as slices of `bytes`, if no required field is missing.
     pub(super) fn finish(self, bytes: &Bytes) -> Result<ClientRequest, InvalidRequest> {
         let slice = |range: Range<usize>| bytes.slice(range);
         Ok(ClientRequest {
@@ -118,7 +118,8 @@
     u64::from_str_radix(value, 16).ok().filter(|_| is_hex)
 }
 
-/// A number of milliseconds or KB that is small enough for any use; none for negative ones, infinity and the like.
+/// Reads a number of milliseconds or KB from 0 to below 1e9, which cannot overflow later computations; none for any
+/// other value.
 fn read_number(value: &str) -> Option<f64> {
     value
         .parse()
@@ -126,7 +127,7 @@
         .filter(|number| (0.0..1e9).contains(number))
 }
 
-/// Whether a value can stand in a line's fields as it is.
+/// Whether a line to a host can contain the value unescaped.
 fn is_word(value: &str) -> bool {
     let is_plain = |byte: u8| byte.is_ascii_graphic() && !b",=+".contains(&byte);
     !value.is_empty() && value.bytes().all(is_plain)
--- a/crates/flaxdeck-wire/tests/errors.rs
+++ b/crates/flaxdeck-wire/tests/errors.rs
@@ -1,31 +1,67 @@
-//! What is told of bytes that can't be read: clients and operators see these words.
+//! The texts of errors. Operators see all of them in the log; clients receive those of invalid requests in answers.
 
 use flaxdeck_wire::{InvalidRequest, InvalidValue, Malformed, ReadError};
 
 #[test]
-fn errors_keep_their_texts() {
+fn errors_of_messages_and_requests_keep_their_texts() {
     let malformed = [
         (Malformed::Value(InvalidValue::NotArray), "not an array"),
-        (Malformed::MessageTooLong, "a message over the bound"),
-        (Malformed::CallNumber, "a message id over 32 bits"),
+        (
+            Malformed::MessageTooLong,
+            "message is longer than 64384 bytes",
+        ),
+        (Malformed::CallNumber, "message id does not fit in 32 bits"),
         (
             Malformed::MessageKind,
-            "neither a request nor a notification",
+            "message is neither a request nor a notification",
+        ),
+        (
+            Malformed::LineTooLong,
+            "first line of a host's answer is longer than 2048 bytes",
+        ),
+        (
+            Malformed::LineNotUtf8,
+            "first line of a host's answer is not UTF-8",
+        ),
+        (
+            Malformed::MissingWord,
+            "first line of a host's answer has too few words",
+        ),
+        (
+            Malformed::UnknownAnswer,
+            "unknown outcome in a host's answer",
+        ),
+        (
+            Malformed::BodyLength,
+            "body length in a host's answer is not a number",
+        ),
+        (
+            Malformed::BodyTooLong,
+            "body of a host's answer is longer than 240000 bytes",
+        ),
+        (
+            Malformed::BodyEnd,
+            "body of a host's answer is not followed by a line end",
+        ),
+        (
+            Malformed::FieldWithoutValue,
+            "field of a host's answer has no value",
         ),
-        (Malformed::LineTooLong, "an answer's line is too long"),
-        (Malformed::LineNotUtf8, "a line is not UTF-8"),
-        (Malformed::MissingWord, "a word is missing"),
-        (Malformed::UnknownAnswer, "an unknown answer"),
-        (Malformed::BodyLength, "a length is no number"),
-        (Malformed::BodyTooLong, "an answer over the bound"),
-        (Malformed::BodyEnd, "a body does not end where it should"),
-        (Malformed::FieldWithoutValue, "a field without a value"),
         (Malformed::FrameLength, "a frame's length is out of bounds"),
-        (Malformed::FrameCut, "a frame that is not whole"),
-        (Malformed::FrameKind, "a frame of no known kind"),
-        (Malformed::ListLength, "a list that is not made of records"),
-        (Malformed::PurgeLength, "a purge of the wrong length"),
-        (Malformed::HostState, "a host of no known state"),
+        (
+            Malformed::FrameLengthMismatch,
+            "frame is not as long as its length field states",
+        ),
+        (Malformed::FrameKind, "unknown frame kind"),
+        (
+            Malformed::ListLength,
+            "length of an endpoint list is not a multiple of a record's length",
+        ),
+        (
+            Malformed::PurgeLength,
+            "purge does not have the length of its kind",
+        ),
+        (Malformed::HostHealth, "unknown health of a host"),
     ];
     for (error, text) in malformed {
         assert_eq!(error.to_string(), text);
@@ -33,7 +69,7 @@
     let invalid = [
         (InvalidRequest::Value(InvalidValue::TooLong), "too long"),
         (InvalidRequest::UnknownMethod, "no such method"),
-        (InvalidRequest::LeftOver, "parameters left over"),
+        (InvalidRequest::ExtraParameters, "parameters left over"),
         (InvalidRequest::ParameterCount, "not two parameters"),
         (InvalidRequest::FieldCount, "too many fields"),
         (InvalidRequest::Id, "id is not 16 hex digits"),
@@ -59,8 +95,8 @@
         (InvalidValue::UnknownType, "no such type"),
         (InvalidValue::NotArray, "not an array"),
         (InvalidValue::NotMap, "not a map"),
-        (InvalidValue::NotWhole, "not a whole number"),
-        (InvalidValue::NotText, "not a string"),
+        (InvalidValue::NotUnsigned, "not a whole number"),
+        (InvalidValue::NotString, "not a string"),
         (InvalidValue::NotUtf8, "not UTF-8"),
         (InvalidValue::NotBinary, "not binary"),
     ];
--- a/crates/flaxdeck-wire/tests/frames.rs
+++ b/crates/flaxdeck-wire/tests/frames.rs
@@ -1,4 +1,4 @@
-//! The coordinator's frames and the events of the start.
+//! Tests of parsing the coordinator's frames and the events of a configuration.
 
 #![allow(
     clippy::unwrap_used,
@@ -14,7 +14,7 @@
 use flaxdeck_wire::Parsed;
 use flaxdeck_wire::frames::{
     AddressedEndpoint, Event, Frame, HEADER_BYTES, KnownEvents, MAX_FRAME, known_events, parse,
-    record,
+    read_record,
 };
 use names::names;
 use serde_json::Value;
@@ -30,7 +30,7 @@
     .concat()
 }
 
-fn row(state: u8) -> Vec<u8> {
+fn host_record(health: u8) -> Vec<u8> {
     let head = [
         &0x00c41f7au32.to_be_bytes()[..],
         &[127, 1, 0, 9],
@@ -38,7 +38,7 @@
     ]
     .concat();
     let tail = [
-        &[state, 0, 1, 0, 2][..],
+        &[health, 0, 1, 0, 2][..],
         &4500u32.to_be_bytes(),
         &1764576000123u64.to_be_bytes(),
     ]
@@ -46,8 +46,8 @@
     [head, tail].concat()
 }
 
-/// Whether it is what [`row`] writes with state 1.
-fn assert_is_row(endpoint: &AddressedEndpoint) {
+/// Asserts that the endpoint is the one that [`host_record`] encodes with health 1.
+fn assert_is_draining_host(endpoint: &AddressedEndpoint) {
     let Endpoint {
         host,
         weight,
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn frames_split_at_every_byte_are_read_once_they_are_complete() {
+fn frames_received_byte_by_byte_are_parsed_once_they_are_complete() {
     let purge = [
         0x7f3a9c21e0b4d655u64.to_be_bytes(),
         1764576000123u64.to_be_bytes(),
@@ -79,7 +79,7 @@
     let group = [&17u16.to_be_bytes()[..], &1764576000480u64.to_be_bytes()].concat();
     let frames = [
         frame(4, 0, &[]),
-        frame(5, 2, &row(1)),
+        frame(5, 2, &host_record(1)),
         frame(6, 3, &purge),
         frame(7, 4, &group),
     ];
@@ -100,7 +100,7 @@
     else {
         panic!("{events:?}")
     };
-    assert_is_row(&hosts[0]);
+    assert_is_draining_host(&hosts[0]);
     assert!(matches!(
         purge,
         Event::Purged {
@@ -119,14 +119,14 @@
 }
 
 #[test]
-fn malformed_frames_are_refused() {
-    let long = [&(MAX_FRAME as u32 + 1).to_be_bytes()[..], &[0; 9]].concat();
+fn malformed_frames_are_rejected() {
+    let too_long = [&(MAX_FRAME as u32 + 1).to_be_bytes()[..], &[0; 9]].concat();
     let bad = [
         frame(1, 9, &[]),
-        frame(1, 2, &row(3)),
-        frame(1, 1, &row(0)[1..]),
+        frame(1, 2, &host_record(3)),
+        frame(1, 1, &host_record(0)[1..]),
         frame(1, 3, &[0; 15]),
-        long,
+        too_long,
     ];
     for bytes in bad.into_iter().chain([vec![0, 0, 0, 8]]) {
         assert!(
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn events_of_the_configuration_equal_those_of_frames() {
+fn events_of_a_configuration_equal_those_of_frames() {
     let text = r#"{"index":43,"updates":[
         {"index":41,"endpoints":{"seq":7,"whole":true,"hosts":[{"host":"s-00c41f7a","dial":"127.1.0.9:5050",
             "site":"here","class":"parent","block":2,"health":"Terminating","share":4.5,"born_ms":1764576000123}]}},
@@ -150,8 +150,8 @@
     let (41, Event::Hosts(ListKind::Full, hosts)) = &events[0] else {
         panic!("{events:?}")
     };
-    let same = record(&row(1), &names()).unwrap();
-    assert_eq!(format!("{:?}", hosts[0]), format!("{same:?}"));
+    let from_frame = read_record(&host_record(1), &names()).unwrap();
+    assert_eq!(format!("{:?}", hosts[0]), format!("{from_frame:?}"));
     assert!(matches!(
         events[1].1,
         Event::Purged {
--- a/crates/flaxdeck-wire/tests/full_list.rs
+++ b/crates/flaxdeck-wire/tests/full_list.rs
@@ -1,4 +1,4 @@
-//! A full list that is written for others reads back as it was.
+//! Tests of encoding a full endpoint list as a frame.
 
 #![allow(
     clippy::unwrap_used,
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_full_list_reads_back_to_the_hash() {
+fn an_encoded_full_list_is_parsed_to_an_event_with_the_same_hash() {
     let endpoints = vec![
         endpoint(0, Role::Cache, Health::InService, Some(ZoneId(0))),
         endpoint(1, Role::Parent, Health::Draining, None),
@@ -40,17 +40,20 @@
     let frame = write_full_list(77, endpoints.iter(), &names()).unwrap();
     assert_eq!(frame[4..12], 77u64.to_be_bytes());
     let event = read(&frame, &names()).unwrap().unwrap();
-    let told = Event::Hosts(ListKind::Full, endpoints);
-    assert_eq!(event.hash(), told.hash());
-    assert_eq!(format!("{event:?}"), format!("{told:?}"));
+    let expected = Event::Hosts(ListKind::Full, endpoints);
+    assert_eq!(event.hash(), expected.hash());
+    assert_eq!(format!("{event:?}"), format!("{expected:?}"));
 }
 
 #[test]
-fn a_host_that_no_frame_can_name_is_not_written() {
-    let mut named = endpoint(1, Role::Cache, Health::InService, None);
-    named.listed.host = HostId("cache-one".into());
-    assert_eq!(write_full_list(1, [&named].into_iter(), &names()), None);
-    let mut far = endpoint(1, Role::Cache, Health::InService, None);
-    far.address = "[::1]:5050".parse().unwrap();
-    assert_eq!(write_full_list(1, [&far].into_iter(), &names()), None);
+fn a_list_with_a_host_that_a_frame_cannot_represent_is_not_encoded() {
+    let mut without_number = endpoint(1, Role::Cache, Health::InService, None);
+    without_number.listed.host = HostId("cache-one".into());
+    assert_eq!(
+        write_full_list(1, [&without_number].into_iter(), &names()),
+        None
+    );
+    let mut with_ipv6 = endpoint(1, Role::Cache, Health::InService, None);
+    with_ipv6.address = "[::1]:5050".parse().unwrap();
+    assert_eq!(write_full_list(1, [&with_ipv6].into_iter(), &names()), None);
 }
--- a/crates/flaxdeck-wire/tests/lines.rs
+++ b/crates/flaxdeck-wire/tests/lines.rs
@@ -1,4 +1,4 @@
-//! Requests to hosts and their answers, line by line.
+//! Tests of encoding requests to hosts and parsing their answers.
 
 #![allow(
     clippy::unwrap_used,
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_request_carries_its_options_in_whole_milliseconds() {
+fn a_request_is_encoded_with_its_options_and_times_in_whole_milliseconds() {
     let source = HostId("s-00009a01".into());
     let mut options = AttemptOptions {
         class: "page",
@@ -56,10 +56,10 @@
     .concat();
     let fields =
         "class=page,key=7f3a9c21e0b4d655,part=3,wait=1,fetch=s-00009a01,retain=2,newer=1500,";
-    let whole = format!(
+    let expected = format!(
         "want 9b1f03aa5c7e2d41 {fields}handle=merge+local+revalidate,holds=tag 2\r\nab\r\n"
     );
-    assert_eq!(line, whole.as_bytes());
+    assert_eq!(line, expected.as_bytes());
     (options.source, options.retention_rank, options.max_age) = (None, 0, None);
     (options.join, options.only_cached, options.revalidate) = (false, false, false);
     let line = encode_request(&request(), &options).concat();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_response_split_at_every_byte_is_read_once_it_is_complete() {
+fn a_response_received_byte_by_byte_is_parsed_once_it_is_complete() {
     let fields = "version=v1,stamp=1764576000123,how=via_origin,took=85.8,stats=outstanding:7;x0:0.6;x1:1.25";
     let message = format!("9b1f03aa5c7e2d41 data {fields} 5\r\na\r\nbc\r\n");
     let mut buffer = BytesMut::new();
@@ -83,11 +83,11 @@
     }
     buffer.put_slice(b"fence well - 0\r\n\r\n");
     buffer.put_slice(b"fence well\r\n");
-    let Ok(Parsed::Complete(line)) = parse(&mut buffer, &names()) else {
-        panic!("it is whole")
+    let Ok(Parsed::Complete(response)) = parse(&mut buffer, &names()) else {
+        panic!("a complete response was not parsed")
     };
-    assert_eq!(line.id.as_deref(), Some(&b"9b1f03aa5c7e2d41"[..]));
-    let host_reply = line.host_reply;
+    assert_eq!(response.id.as_deref(), Some(&b"9b1f03aa5c7e2d41"[..]));
+    let host_reply = response.host_reply;
     assert_eq!(
         (host_reply.outcome, host_reply.fill),
         (AttemptOutcome::Answered, FillOutcome::FilledThroughOrigin)
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn each_outcome_and_fill_outcome_is_known() {
+fn outcomes_and_fill_outcomes_of_responses_are_parsed() {
     let rows = [
         ("data", "hit", AttemptOutcome::Answered, FillOutcome::Hit),
         (
@@ -140,60 +140,60 @@
         ),
         (
             "moot",
-            "what is new",
+            "not a fill outcome",
             AttemptOutcome::NotSent,
             FillOutcome::Nothing,
         ),
     ];
-    for (word, note, outcome, told) in rows {
+    for (word, how, outcome, fill) in rows {
         let mut buffer = BytesMut::from(&*format!(
             "1 {word} how={} 0\r\n\r\n",
-            note.replace(' ', "_")
+            how.replace(' ', "_")
         ));
-        let Ok(Parsed::Complete(line)) = parse(&mut buffer, &names()) else {
-            panic!("{word} is whole")
+        let Ok(Parsed::Complete(response)) = parse(&mut buffer, &names()) else {
+            panic!("a complete response with the outcome {word} was not parsed")
         };
         assert_eq!(
-            (line.host_reply.outcome, line.host_reply.fill),
-            (outcome, told)
+            (response.host_reply.outcome, response.host_reply.fill),
+            (outcome, fill)
         );
-        assert_eq!(line.host_reply.unchanged, word == "unchanged");
+        assert_eq!(response.host_reply.unchanged, word == "unchanged");
     }
 }
 
 #[test]
-fn a_copy_is_current_only_if_its_tag_is_named() {
-    let read = |fields: &str, holds: Option<&'static str>| {
+fn a_client_copy_is_current_only_if_the_response_names_its_tag() {
+    let is_of_another_copy = |fields: &str, cached_tag: Option<&'static str>| {
         let mut buffer = BytesMut::from(&*format!("1 unchanged {fields} 0\r\n\r\n"));
-        let Ok(Parsed::Complete(line)) = parse(&mut buffer, &names()) else {
-            panic!("it is whole")
+        let Ok(Parsed::Complete(response)) = parse(&mut buffer, &names()) else {
+            panic!("a complete response was not parsed")
         };
-        line.host_reply.is_of_another_copy(&ClientRequest {
-            cached_tag: holds.map(Bytes::from),
+        response.host_reply.is_of_another_copy(&ClientRequest {
+            cached_tag: cached_tag.map(Bytes::from),
             ..request()
         })
     };
-    assert!(!read("version=4be0,how=hit", Some("4be0")));
-    for (fields, holds) in [
+    assert!(!is_of_another_copy("version=4be0,how=hit", Some("4be0")));
+    for (fields, cached_tag) in [
         ("version=4be1", Some("4be0")),
         ("how=hit", Some("4be0")),
         ("version=4be0", None),
     ] {
-        assert!(read(fields, holds), "{fields}");
+        assert!(is_of_another_copy(fields, cached_tag), "{fields}");
     }
-    assert!(read("how=hit", None));
+    assert!(is_of_another_copy("how=hit", None));
 }
 
 #[test]
-fn malformed_responses_are_refused() {
-    let long = "x".repeat(MAX_HEAD + 2);
+fn malformed_responses_are_rejected() {
+    let too_long = "x".repeat(MAX_HEAD + 2);
     let bad = [
         "1 what - 0\r\n",
         "1 data - x\r\n",
         "1 data - 240001\r\n",
         "1 data 3\r\n",
         "\r\n",
-        &long,
+        &too_long,
     ];
     for bytes in bad
         .into_iter()
--- a/crates/flaxdeck-wire/tests/msgpack.rs
+++ b/crates/flaxdeck-wire/tests/msgpack.rs
@@ -1,4 +1,4 @@
-//! MessagePack: values are passed over whole, bounded before they come, and come back as written.
+//! Tests of reading, skipping and writing MessagePack values.
 
 #![allow(
     clippy::unwrap_used,
@@ -11,7 +11,7 @@
 use flaxdeck_wire::{InvalidValue, ReadError};
 
 #[test]
-fn every_type_is_skipped_completely_and_incomplete_when_cut() {
+fn values_of_every_type_are_skipped_and_truncated_ones_are_incomplete() {
     let values: [&[u8]; 12] = [
         &[0x05],
         &[0xff],
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn what_is_too_long_or_too_deep_is_refused_before_it_comes() {
+fn too_long_and_too_deep_values_are_rejected_before_they_are_received() {
     assert_eq!(
         Reader::new(&[0xc6, 0xff, 0xff, 0xff, 0xff]).binary(100),
         Err(ReadError::Invalid(InvalidValue::TooLong))
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn numbers_and_texts_come_back_as_written() {
+fn written_numbers_strings_and_binaries_are_read_back() {
     for number in [0, 0x7f, 0x80, 0xff, 0x100, 0xffff, 0x10000, u32::MAX] {
         let mut out = BytesMut::new();
         put_unsigned(&mut out, number);
--- a/crates/flaxdeck-wire/tests/recorded_bytes.rs
+++ b/crates/flaxdeck-wire/tests/recorded_bytes.rs
@@ -1,5 +1,5 @@
-//! Bytes of clients, cache hosts and the coordinator as revision 45b174f wrote and read them, one file each. Today's
-//! code has to write the same bytes, and to read what others sent in the same way.
+//! Compatibility with recorded bytes of clients, cache hosts and the coordinator, which revision 45b174f wrote and
+//! read. The current code must write the same bytes and parse received ones to the same values.
 
 #![allow(
     clippy::unwrap_used,
@@ -28,11 +28,14 @@
 }
 
 fn recorded(name: &str) -> Vec<u8> {
-    std::fs::read(path(name)).expect("a recorded file")
+    std::fs::read(path(name)).expect("recorded fixture is readable")
 }
 
 fn assert_recorded(name: &str, bytes: &[u8]) {
-    assert!(recorded(name) == bytes, "{name} is written otherwise");
+    assert!(
+        recorded(name) == bytes,
+        "written bytes differ from the recorded {name}"
+    );
 }
 
 fn endpoint(health: Health) -> AddressedEndpoint {
@@ -46,7 +49,7 @@
             health,
             started: Some(Time::at_ms(1_764_576_000_123.0)),
         },
-        address: "127.1.0.9:5050".parse().expect("an address"),
+        address: "127.1.0.9:5050".parse().expect("valid socket address"),
     }
 }
 
@@ -67,24 +70,24 @@
     }
 }
 
-/// A purge under the number 6.
-fn purge_frame(kind: u8, named: &[u8]) -> Vec<u8> {
+/// Encodes a purge frame with the number 6.
+fn purge_frame(kind: u8, purged: &[u8]) -> Vec<u8> {
     let made = 1_764_576_000_480u64.to_be_bytes();
-    let length = (9 + named.len() + 8) as u32;
+    let length = (9 + purged.len() + 8) as u32;
     [
         &length.to_be_bytes()[..],
         &6u64.to_be_bytes(),
         &[kind],
-        named,
+        purged,
         &made,
     ]
     .concat()
 }
 
-/// Whether they are what [`purge_frame`] writes of the object and of the group.
-fn assert_purges(purged: &[(u64, Option<Event>)]) {
+/// Asserts that the events are the purges of the object and of the group in the recorded frames.
+fn assert_purges(events: &[(u64, Option<Event>)]) {
     let made_at = Time::at_ms(1_764_576_000_480.0);
-    for (_, event) in purged {
+    for (_, event) in events {
         let Some(Event::Purged {
             object,
             group,
@@ -99,17 +102,18 @@
             None => assert_eq!(*group, GroupId(17)),
         }
     }
-    assert_eq!(purged.len(), 2);
+    assert_eq!(events.len(), 2);
 }
 
 #[test]
-fn frames_of_the_coordinator_keep_their_bytes_and_meaning() {
+fn frames_of_the_coordinator_are_written_and_parsed_as_recorded() {
     let endpoints = [
         endpoint(Health::InService),
         endpoint(Health::Draining),
         endpoint(Health::Removed),
     ];
-    let list = frames::write_full_list(5, endpoints.iter(), &names()).expect("it fits a frame");
+    let list =
+        frames::write_full_list(5, endpoints.iter(), &names()).expect("endpoints fit into a frame");
     let mut delta = list.clone();
     delta[12] = 2;
     let empty = [&9u32.to_be_bytes()[..], &4u64.to_be_bytes(), &[0]].concat();
@@ -123,9 +127,9 @@
     let mut buffer = BytesMut::from(&recorded("coordinator-frames.bin")[..]);
     let mut events = Vec::new();
     while !buffer.is_empty() {
-        match frames::parse(&mut buffer, &names()).expect("frames of the protocol") {
+        match frames::parse(&mut buffer, &names()).expect("valid frames") {
             Parsed::Complete(Frame { number, event, .. }) => events.push((number, event)),
-            Parsed::Incomplete(more) => panic!("{more} bytes are missing"),
+            Parsed::Incomplete(missing) => panic!("last frame lacks {missing} bytes"),
         }
     }
     let hashes: Vec<_> = events
@@ -138,30 +142,34 @@
     );
     let [
         _,
-        (5, Some(Event::Hosts(ListKind::Full, full))),
+        (5, Some(Event::Hosts(ListKind::Full, endpoints_read))),
         (5, Some(Event::Hosts(ListKind::Delta, _))),
-        purged @ ..,
+        purges @ ..,
     ] = &events[..]
     else {
         panic!("{events:?}")
     };
-    let health: Vec<Health> = full.iter().map(|line| line.listed.health).collect();
+    let health: Vec<Health> = endpoints_read
+        .iter()
+        .map(|endpoint| endpoint.listed.health)
+        .collect();
     assert_eq!(
         health,
         [Health::InService, Health::Draining, Health::Removed]
     );
-    assert_eq!(full[0].address, endpoints[0].address);
-    assert_purges(purged);
+    assert_eq!(endpoints_read[0].address, endpoints[0].address);
+    assert_purges(purges);
 }
 
 #[test]
-fn events_of_a_configuration_have_the_hashes_that_were_recorded() {
+fn events_of_a_configuration_have_the_recorded_hashes() {
     let config = include_str!("../../../examples/toy/config.json");
-    let value: serde_json::Value = serde_json::from_str(config).expect("JSON");
-    let known = Fields::of(&value, "the whole")
-        .and_then(|whole| whole.inner("known"))
-        .expect("the events of the start");
-    let KnownEvents { last, events } = frames::known_events(&known, &names()).expect("events");
+    let value: serde_json::Value = serde_json::from_str(config).expect("configuration is JSON");
+    let known = Fields::of(&value, "the configuration")
+        .and_then(|configuration| configuration.inner("known"))
+        .expect("configuration has known events");
+    let KnownEvents { last, events } =
+        frames::known_events(&known, &names()).expect("valid events");
     let hashes: Vec<_> = events
         .iter()
         .map(|(number, event)| format!("{number} {:016x}", event.hash()))
@@ -173,14 +181,14 @@
 }
 
 #[test]
-fn requests_to_a_host_keep_their_bytes() {
+fn requests_to_a_host_are_written_as_recorded() {
     let host = HostId("s-00c41f7b".into());
-    let plain = ClientRequest {
+    let minimal_request = ClientRequest {
         cached_tag: None,
         idempotency_key: None,
         ..request(b"")
     };
-    let bare = AttemptOptions {
+    let no_options = AttemptOptions {
         class: "page",
         timeout: Span::of_ms(0.2),
         source: None,
@@ -191,7 +199,7 @@
         only_cached: false,
         revalidate: false,
     };
-    let full = AttemptOptions {
+    let all_options = AttemptOptions {
         class: "submit",
         timeout: Span::of_ms(2_999.9),
         source: Some(&host),
@@ -203,8 +211,8 @@
         revalidate: true,
     };
     let written = [
-        lines::encode_request(&plain, &bare).concat(),
-        lines::encode_request(&request(b"body of a write"), &full).concat(),
+        lines::encode_request(&minimal_request, &no_options).concat(),
+        lines::encode_request(&request(b"body of a write"), &all_options).concat(),
         lines::encode_cancel(&Bytes::from_static(b"a1b2c3d4")).to_vec(),
     ];
     assert_recorded("host-requests.txt", &written.concat());
@@ -220,18 +228,21 @@
 fence here\r\n";
 
 #[test]
-fn answers_of_a_host_keep_their_meaning() {
+fn answers_of_a_host_are_parsed_as_recorded() {
     assert_recorded("host-answers.txt", ANSWERS);
     let mut buffer = BytesMut::from(&recorded("host-answers.txt")[..]);
-    let mut read = Vec::new();
+    let mut responses = Vec::new();
     while !buffer.is_empty() {
-        match lines::parse(&mut buffer, &names()).expect("answers of the protocol") {
-            Parsed::Complete(line) => read.push(line),
-            Parsed::Incomplete(more) => panic!("{more} bytes are missing"),
+        match lines::parse(&mut buffer, &names()).expect("valid answers") {
+            Parsed::Complete(response) => responses.push(response),
+            Parsed::Incomplete(missing) => panic!("last answer lacks {missing} bytes"),
         }
     }
-    let endings: Vec<AttemptOutcome> = read.iter().map(|line| line.host_reply.outcome).collect();
-    let wanted = [
+    let outcomes: Vec<AttemptOutcome> = responses
+        .iter()
+        .map(|response| response.host_reply.outcome)
+        .collect();
+    let expected = [
         AttemptOutcome::Answered,
         AttemptOutcome::Answered,
         AttemptOutcome::NoCopy,
@@ -241,9 +252,12 @@
         AttemptOutcome::Answered,
         AttemptOutcome::NotSent,
     ];
-    assert_eq!(endings, wanted);
-    let told: Vec<FillOutcome> = read.iter().map(|line| line.host_reply.fill).collect();
-    let wanted = [
+    assert_eq!(outcomes, expected);
+    let fill_outcomes: Vec<FillOutcome> = responses
+        .iter()
+        .map(|response| response.host_reply.fill)
+        .collect();
+    let expected = [
         FillOutcome::Hit,
         FillOutcome::Nothing,
         FillOutcome::Nothing,
@@ -253,19 +267,19 @@
         FillOutcome::FilledThroughOrigin,
         FillOutcome::Nothing,
     ];
-    assert_eq!(told, wanted);
-    let HostReply { body, waited, .. } = &read[0].host_reply;
+    assert_eq!(fill_outcomes, expected);
+    let HostReply { body, waited, .. } = &responses[0].host_reply;
     assert_eq!((&body[..], *waited), (&b"abc"[..], Some(Span::of_ms(12.5))));
-    assert!(read[1].host_reply.unchanged);
-    assert_eq!(read[1].host_reply.tag.as_deref(), Some(&b"tag-1"[..]));
+    assert!(responses[1].host_reply.unchanged);
+    assert_eq!(responses[1].host_reply.tag.as_deref(), Some(&b"tag-1"[..]));
     assert_eq!(
-        (read[6].id.as_deref(), &read[7].id),
+        (responses[6].id.as_deref(), &responses[7].id),
         (Some(&b"a7"[..]), &None)
     );
 }
 
 #[test]
-fn answers_to_a_client_keep_their_bytes() {
+fn answers_to_a_client_are_written_as_recorded() {
     let written = [
         rpc::encode_answer(7, Answer::Served(Bytes::from(vec![0x5a; 70_000]))).concat(),
         rpc::encode_answer(70_000, Answer::Unchanged).concat(),
@@ -279,7 +293,7 @@
 }
 
 #[test]
-fn a_request_of_a_client_keeps_its_meaning() {
+fn a_request_of_a_client_is_parsed_as_recorded() {
     let fields = [
         ("id", "9b1f03aa5c7e2d41"),
         ("wait", "1500"),
@@ -294,7 +308,7 @@
     let bytes = request_message(70_000, "submit", &fields, b"a form");
     assert_recorded("client-request.bin", &bytes);
     let mut buffer = BytesMut::from(&recorded("client-request.bin")[..]);
-    let wanted = ClientRequest {
+    let expected = ClientRequest {
         class: ClassId(2),
         id: "9b1f03aa5c7e2d41".into(),
         key: "7f3a9c21e0b4d655".into(),
@@ -311,8 +325,8 @@
     let Ok(Parsed::Complete(ClientMessage::Request { call, request })) =
         rpc::parse(&mut buffer, &names())
     else {
-        panic!("no whole request")
+        panic!("the recorded request was not parsed")
     };
-    assert_eq!((call, *request), (70_000, wanted));
+    assert_eq!((call, *request), (70_000, expected));
     assert!(buffer.is_empty());
 }
--- a/crates/flaxdeck-wire/tests/rpc.rs
+++ b/crates/flaxdeck-wire/tests/rpc.rs
@@ -1,4 +1,4 @@
-//! Clients' calls and the answers to them.
+//! Tests of parsing clients' messages and encoding the answers to them.
 
 #![allow(
     clippy::unwrap_used,
@@ -30,12 +30,12 @@
 ];
 
 #[test]
-fn a_request_split_at_every_byte_is_read_once_it_is_complete() {
+fn a_request_received_byte_by_byte_is_parsed_once_it_is_complete() {
     let message = request_message(7, "submit", &FIELDS, b"a form");
     let mut buffer = BytesMut::new();
     for (at, byte) in message.iter().enumerate() {
         assert!(
-            matches!(parse(&mut buffer, &names()), Ok(Parsed::Incomplete(more)) if more <= message.len() - at)
+            matches!(parse(&mut buffer, &names()), Ok(Parsed::Incomplete(missing)) if missing <= message.len() - at)
         );
         buffer.put_u8(*byte);
     }
@@ -55,33 +55,35 @@
         body: "a form".into(),
     };
     for _ in 0..2 {
-        let whole = Parsed::Complete(ClientMessage::Request {
+        let expected = Parsed::Complete(ClientMessage::Request {
             call: 7,
             request: Box::new(request.clone()),
         });
-        let before = buffer.len();
-        assert_eq!(parse(&mut buffer, &names()), Ok(whole));
-        assert_eq!(before - buffer.len(), message.len());
+        let length_before = buffer.len();
+        assert_eq!(parse(&mut buffer, &names()), Ok(expected));
+        assert_eq!(length_before - buffer.len(), message.len());
     }
     assert!(buffer.is_empty());
 }
 
 #[test]
-fn no_cut_or_flipped_byte_makes_the_parser_panic_or_wait_past_its_bound() {
+fn corrupted_bytes_never_make_the_parser_panic_or_ask_for_more_than_the_bound() {
     let message = request_message(7, "page", &FIELDS, b"");
     for at in 0..message.len() {
         for flip in [0x01, 0x40, 0x80, 0xff] {
             let mut bytes = message.clone();
             bytes[at] ^= flip;
-            if let Ok(Parsed::Incomplete(more)) = parse(&mut BytesMut::from(&bytes[..]), &names()) {
-                assert!(more <= MAX_MESSAGE);
+            if let Ok(Parsed::Incomplete(missing)) =
+                parse(&mut BytesMut::from(&bytes[..]), &names())
+            {
+                assert!(missing <= MAX_MESSAGE);
             }
         }
     }
 }
 
 #[test]
-fn a_body_over_the_bound_is_an_invalid_request_and_one_far_over_it_is_refused_before_it_comes() {
+fn a_body_over_the_bound_is_an_invalid_request_and_a_message_over_the_bound_is_rejected_early() {
     let message = request_message(7, "submit", &FIELDS, &[0; MAX_WRITE + 1]);
     let invalid = ClientMessage::Invalid {
         call: 7,
@@ -89,14 +91,17 @@
     };
     let mut buffer = BytesMut::from(&message[..]);
     assert_eq!(parse(&mut buffer, &names()), Ok(Parsed::Complete(invalid)));
-    assert!(buffer.is_empty(), "all its bytes are taken");
+    assert!(
+        buffer.is_empty(),
+        "the parser removes all bytes of the invalid request"
+    );
     let message = request_message(7, "submit", &FIELDS, &[0; MAX_MESSAGE]);
     assert!(parse(&mut BytesMut::from(&message[..200]), &names()).is_err());
 }
 
 #[test]
-fn answers_are_written_as_the_page_shows_them() {
-    let bytes = |answered| encode_answer(7, answered).concat();
+fn answers_are_encoded_as_the_documentation_shows_them() {
+    let bytes = |answer| encode_answer(7, answer).concat();
     assert_eq!(
         bytes(Answer::Served("ab".into())),
         b"\x94\x01\x07\xc0\x92\xc4\x02ab\x80"
@@ -105,9 +110,9 @@
         bytes(Answer::Unchanged),
         b"\x94\x01\x07\xc0\x92\xc4\x00\x81\xa7current\xa11"
     );
-    let after = Some(Span::of_ms(299.5));
+    let retry_after = Some(Span::of_ms(299.5));
     assert_eq!(
-        bytes(Answer::Rejected(after)),
+        bytes(Answer::Rejected(retry_after)),
         b"\x94\x01\x07\x92\xa7Backoff\x81\xa5after\xa3300\xc0"
     );
     assert_eq!(bytes(Answer::Failed), b"\x94\x01\x07\x92\xa4Lost\x80\xc0");
