--- a/crates/flaxdeck-terms/src/classes.rs
+++ b/crates/flaxdeck-terms/src/classes.rs
@@ -1,4 +1,4 @@
-//! The request classes of the settings.
+//! Reads the request classes from the settings.
 
 use flaxdeck::{Repeats, RequestClass, Scope, Span};
 
@@ -6,21 +6,21 @@
 use crate::error::{ClassNameError, SettingsError};
 use crate::fields::Fields;
 
-/// The method by which clients ask whether a dispatcher is up.
+/// The method of a client's health check of a dispatcher.
 const ALIVE: &str = "alive";
 
-/// The request classes, and their names in the same order.
+/// The request classes and their names, in the same order.
 pub(crate) struct Classes {
     pub(crate) names: Vec<String>,
     pub(crate) classes: Vec<RequestClass>,
 }
 
-/// What `family_info` says of all classes, a list for each property, by the classes' numbers.
+/// The lists in `family_info` that hold one property each of all classes, indexed by the class's number.
 struct Properties {
-    parted: Vec<bool>,
+    has_parts: Vec<bool>,
     goes_through: Vec<bool>,
-    fresh_ms: Vec<f64>,
-    older_ms: Vec<f64>,
+    max_age_ms: Vec<f64>,
+    older_by_ms: Vec<f64>,
 }
 
 impl Classes {
@@ -46,10 +46,10 @@
 impl Properties {
     fn read(family: &Fields) -> Result<Properties, SettingsError> {
         Ok(Properties {
-            parted: family.flags("class_parts")?,
+            has_parts: family.flags("class_parts")?,
             goes_through: family.flags("goes_through")?,
-            fresh_ms: family.numbers("max_age_ms")?,
-            older_ms: family.numbers("older_by_ms")?,
+            max_age_ms: family.numbers("max_age_ms")?,
+            older_by_ms: family.numbers("older_by_ms")?,
         })
     }
 }
@@ -66,15 +66,15 @@
         stretch: fields.number_or("aim_stretch", 0.0)?,
         repeats: repeats(fields)?,
         goes_through: flag(&properties.goes_through),
-        parted: flag(&properties.parted),
-        fresh: Some(ms(&properties.fresh_ms))
+        parted: flag(&properties.has_parts),
+        fresh: Some(ms(&properties.max_age_ms))
             .filter(|ms| *ms > 0.0)
             .map(Span::of_ms),
-        older: Span::of_ms(ms(&properties.older_ms)),
+        older: Span::of_ms(ms(&properties.older_by_ms)),
     })
 }
 
-/// A class's name, which clients send as a method and hosts get as a word of a line's fields.
+/// Checks a class's name, which clients send as a method and hosts receive as a field of a line.
 fn class_name(name: &str, others: &[String]) -> Result<String, SettingsError> {
     match class_name_error(name, others) {
         None => Ok(name.to_owned()),
@@ -86,12 +86,13 @@
 }
 
 fn class_name_error(name: &str, others: &[String]) -> Option<ClassNameError> {
-    let is_refused =
-        |letter: char| letter.is_whitespace() || letter.is_control() || ",=".contains(letter);
+    let is_invalid = |character: char| {
+        character.is_whitespace() || character.is_control() || ",=".contains(character)
+    };
     if name.is_empty() || name.len() > MAX_NAME {
         Some(ClassNameError::Length { bytes: name.len() })
-    } else if name.contains(is_refused) {
-        Some(ClassNameError::Letter)
+    } else if name.contains(is_invalid) {
+        Some(ClassNameError::Character)
     } else if name == ALIVE {
         Some(ClassNameError::Reserved)
     } else if others.iter().any(|other| other == name) {
--- a/crates/flaxdeck-terms/src/error.rs
+++ b/crates/flaxdeck-terms/src/error.rs
@@ -1,89 +1,92 @@
-//! What can be wrong with a settings object.
+//! Errors in a settings object.
 
 use thiserror::Error;
 
 use crate::MAX_NAME;
 
-/// What is wrong with a settings object or another JSON object of the platform, and at which field.
+/// An error in a settings object or another JSON object of the platform, with the field concerned.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
-    /// A value that has to be an object is of another type.
+    /// A value is not an object.
     #[error("{what} is not an object")]
     NotAnObject {
-        /// What the value is, in words.
+        /// A description of the value.
         what: String,
     },
-    /// A field that has to be there is absent or null.
+    /// A required field is absent or null.
     #[error("field {field} is missing")]
     Missing {
         /// The field's name.
         field: String,
     },
-    /// A field's value is of another type, or out of its range.
+    /// A field's value has the wrong type or is out of range.
     #[error("field {field} is not {expected}")]
     WrongType {
         /// The field's name.
         field: String,
-        /// What it has to be, in words.
+        /// A description of the expected value.
         expected: &'static str,
     },
-    /// An array has an element of another type.
-    #[error("field {field} holds no {expected}")]
+    /// An array has an element of the wrong type.
+    #[error("field {field} is not an array of {expected}")]
     WrongElement {
         /// The field's name.
         field: String,
-        /// What its elements have to be, in words.
+        /// A description of the expected elements.
         expected: &'static str,
     },
     /// The instance's own zone is not in the list of zones.
-    #[error("zone {zone} is not among the zones")]
+    #[error("field zone: {zone:?} is not in field zones")]
     UnknownZone {
         /// The zone's name.
         zone: String,
     },
-    /// There is no request class.
-    #[error("field request_classes names no class")]
+    /// The list of request classes is empty.
+    #[error("field request_classes has no classes")]
     NoClass,
-    /// A request class's name can't be used.
+    /// The name of a request class is invalid.
     #[error("request_classes: field name: {name:?} {source}")]
     ClassName {
         /// The name.
         name: String,
-        /// Why not.
+        /// Why it is invalid.
         source: ClassNameError,
     },
-    /// A request class's effect is none of the known ones.
-    #[error("unknown effect {effect}")]
+    /// The effect of a request class is unknown.
+    #[error(
+        "request_classes: field effect is {effect:?}, expected idempotent, at_most_once or deduplicated"
+    )]
     UnknownEffect {
         /// The field's value.
         effect: String,
     },
-    /// Where a deduplicated class's repeats are known is none of the known scopes, or absent.
-    #[error("unknown key_scope {scope:?}")]
+    /// The scope in which hosts recognize repeats of a deduplicated request is unknown or missing.
+    #[error("request_classes: field key_scope is {scope:?}, expected all, zone or cell")]
     UnknownKeyScope {
         /// The field's value.
         scope: Option<String>,
     },
 }
 
-/// Why a name can't be that of a request class: clients send it as a method, and hosts get it as a word of a line.
+/// Why the name of a request class is invalid. Clients send the name as a method, and hosts receive it as a field of a
+/// line.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ClassNameError {
-    /// It is empty or too long.
-    #[error("has {bytes} bytes, 1 to {MAX_NAME} can be sent")]
+    /// The name is empty or too long.
+    #[error("has {bytes} bytes, expected 1 to {MAX_NAME}")]
     Length {
-        /// Its length.
+        /// The name's length.
         bytes: usize,
     },
-    /// A line to a host can't hold one of its letters.
+    /// The name has a character that a field of a line to a host cannot contain.
     #[error(
-        "holds a space, a comma, an equals sign or a control character, which no line to a host can"
+        "contains a space, a comma, an equals sign or a control character, which a line to a host cannot contain"
     )]
-    Letter,
-    /// The protocol has another meaning for it.
-    #[error("is the method by which clients ask whether a dispatcher is up")]
+    Character,
+    /// The protocol reserves the name for health checks of dispatchers.
+    #[error("is reserved: it is the method with which clients check whether a dispatcher is up")]
     Reserved,
-    /// Another class has it.
-    #[error("is that of two classes")]
+    /// Another class has the same name.
+    #[error("is used by two classes")]
     Duplicate,
 }
--- a/crates/flaxdeck-terms/src/lib.rs
+++ b/crates/flaxdeck-terms/src/lib.rs
@@ -1,9 +1,9 @@
-//! Reads the settings object that every dispatcher is handed at its start.
+//! Reads the settings object that every dispatcher receives when it starts.
 //!
-//! [`read`] gives the figures that decisions use, [`DeploymentTerms`], and [`Names`], which stand for places in lists;
-//! [`ConnectionTerms::read`] gives what connections to hosts need. [`fields::Fields`] is the typed access to JSON objects
-//! beneath them, which readers of the platform's other objects use too. Whatever is wrong is a [`SettingsError`] that
-//! names the field.
+//! [`read`] returns the parameters of the decision engine, [`DeploymentTerms`], and [`Names`], which maps names to
+//! their indexes in the lists of the settings; [`ConnectionTerms::read`] returns the parameters of connections to
+//! hosts. [`fields::Fields`] gives typed access to the fields of JSON objects and is also used to read the platform's
+//! other objects. Every error is a [`SettingsError`] that names the field.
 //!
 //! ```
 //! use flaxdeck_terms::fields::Fields;
@@ -28,26 +28,26 @@
 pub use error::{ClassNameError, SettingsError};
 pub use names::{Names, index_of};
 
-/// Bytes of the longest name that a client's message may hold.
+/// Maximum bytes of a name in a client's message.
 pub const MAX_NAME: usize = 256;
 
-/// What the settings say of connections to hosts.
+/// The parameters of connections to hosts, and the longest deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionTerms {
-    /// How long a connection may take to come up.
+    /// How long establishing a connection may take.
     pub connect_timeout: Span,
-    /// Hosts close connections that have been idle for so long.
+    /// The idle time after which hosts close a connection.
     pub idle_timeout: Span,
-    /// The longest that a client of any class waits for an answer.
+    /// The longest deadline of any request class.
     pub longest_wait: Span,
 }
 
 impl ConnectionTerms {
-    /// What the settings say of connections to hosts.
+    /// Reads the parameters from the settings.
     ///
     /// # Errors
     ///
-    /// A field that is missing or not a time.
+    /// Returns an error if a field is missing or not a valid span.
     pub fn read(settings: &Fields) -> Result<ConnectionTerms, SettingsError> {
         let allowed = settings.inner("allowed")?;
         let mut longest_wait = Span::ZERO;
@@ -63,7 +63,7 @@
     }
 }
 
-/// What a host's response says of how its cache was filled, by the number of its note, from 1 up.
+/// Returns the fill outcome with the given number, from 1; [`FillOutcome::Nothing`] for any other number.
 pub fn fill_outcome(number: u64) -> FillOutcome {
     match number {
         1 => FillOutcome::Hit,
@@ -80,11 +80,11 @@
     }
 }
 
-/// Reads the settings: the figures that decisions use, and the names that stand for places in lists.
+/// Reads the parameters of the decision engine, and the names with their indexes in the lists of the settings.
 ///
 /// # Errors
 ///
-/// The first field that is missing, of another type or out of its range, and names that can't be used.
+/// Returns an error for the first field that is missing, has the wrong type, is out of range or holds an invalid name.
 pub fn read(settings: &Fields) -> Result<(DeploymentTerms, Names), SettingsError> {
     let sections = Sections {
         settings,
@@ -101,7 +101,7 @@
     Ok((terms, names))
 }
 
-/// The settings and those objects in them that hold most fields.
+/// The settings and the objects in them that contain most of the fields.
 struct Sections<'a> {
     settings: &'a Fields<'a>,
     family: Fields<'a>,
@@ -109,11 +109,11 @@
     rules: Fields<'a>,
 }
 
-/// What the settings say of hosts' load reports.
+/// How hosts report their load.
 struct LoadReports {
-    /// Hosts tell their load only to health checks, and those are allowed.
+    /// Hosts report their load only in answers to health checks, and the settings allow those.
     by_health_check: bool,
-    /// The values of a report, in their order.
+    /// The names of the values in a report, in order; empty if hosts send no reports.
     fields: Vec<String>,
 }
 
--- a/crates/flaxdeck-terms/src/names.rs
+++ b/crates/flaxdeck-terms/src/names.rs
@@ -1,18 +1,18 @@
-//! The names that the settings give to numbers.
+//! The names in the settings, which stand for numbers.
 
 use flaxdeck::{ClassId, Role};
 
 use crate::Sections;
 use crate::error::SettingsError;
 
-/// The value of a load report that tells how full the location's link is.
+/// The value of a load report that holds the utilization of the location's link.
 pub(crate) const LINK: &str = "x1";
-/// The value of a load report that tells how many requests are in hand.
+/// The value of a load report that holds the number of requests in flight at the host.
 const IN_HAND: &str = "outstanding";
-/// The value of a load report that tells the fraction of capacity in use.
+/// The value of a load report that holds the fraction of the host's capacity in use.
 const BUSY: &str = "utilization";
 
-/// The names that the settings give to numbers: a number is a name's place in its list.
+/// The lists of names in the settings. A name stands for the number that is its index in its list.
 #[derive(Clone, Debug)]
 pub struct Names {
     /// Request classes.
@@ -21,25 +21,25 @@
     pub zones: Vec<String>,
     /// Kinds of machines.
     pub machine_kinds: Vec<String>,
-    /// The values of a load report, in their order; empty where hosts send none.
+    /// The names of the values in a load report, in order; empty if hosts send no reports.
     pub report_fields: Vec<String>,
-    /// Where in a load report the fullness of the location's link stands.
+    /// The index in `report_fields` of the utilization of the location's link.
     pub link_index: Option<usize>,
-    /// Where in a load report the number of requests in hand stands.
+    /// The index in `report_fields` of the number of requests in flight at the host.
     pub in_hand_index: Option<usize>,
-    /// Where in a load report the fraction of capacity in use stands.
+    /// The index in `report_fields` of the fraction of the host's capacity in use.
     pub busy_index: Option<usize>,
     parent_kind: Option<usize>,
     origin_kind: Option<usize>,
 }
 
-/// A name's place in a list; none if the list does not have it.
+/// Returns the index of a name in a list; none if the list does not contain it.
 pub fn index_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
 impl Names {
-    /// The names of the settings, with the lists that were read before.
+    /// Reads the remaining names of the settings; the given lists have been read already.
     pub(crate) fn read(
         sections: &Sections,
         classes: Vec<String>,
@@ -62,17 +62,17 @@
         })
     }
 
-    /// The request class of that name.
+    /// Returns the request class with the given name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         index_of(&self.classes, name).map(ClassId)
     }
 
-    /// A machine kind of that role, by its place in the list of kinds; none where the list has no such kind.
+    /// Returns the index of the first machine kind with the given role; none if there is no such kind.
     pub fn kind_of(&self, role: Role) -> Option<usize> {
         (0..self.machine_kinds.len()).find(|kind| self.role(Some(*kind)) == role)
     }
 
-    /// The role of a machine kind, by its place in the list of kinds.
+    /// Returns the role of the machine kind with the given index; an unknown kind is a cache.
     pub fn role(&self, kind: Option<usize>) -> Role {
         match kind {
             Some(kind) if Some(kind) == self.parent_kind => Role::Parent,
@@ -82,7 +82,7 @@
     }
 }
 
-/// The settings write a negative number where no kind has the role.
+/// Converts the index of a role's machine kind; the settings have a negative number if no kind has the role.
 fn kind_index(number: Option<f64>) -> Option<usize> {
     number
         .filter(|index| *index >= 0.0)
--- a/crates/flaxdeck-terms/tests/settings.rs
+++ b/crates/flaxdeck-terms/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are read, and what is wrong with them is told in the words that operators know.
+//! Tests of reading settings, and of the errors for invalid ones, which name the field for operators.
 
 #![allow(
     clippy::unwrap_used,
@@ -11,20 +11,20 @@
 use flaxdeck_terms::{ConnectionTerms, SettingsError, read};
 use serde_json::{Value, json};
 
-/// The settings of the toy world.
+/// The settings of the toy example.
 fn settings() -> Value {
     let config = include_str!("../../../examples/toy/config.json");
     let config: Value = serde_json::from_str(config).unwrap();
     config["settings"].clone()
 }
 
-fn error(settings: &Value) -> String {
+fn error_text(settings: &Value) -> String {
     let error: SettingsError = read(&Fields::of(settings, "settings").unwrap()).unwrap_err();
     error.to_string()
 }
 
 #[test]
-fn settings_of_the_toy_world_are_read() {
+fn settings_of_the_toy_example_are_read() {
     let settings = settings();
     let fields = Fields::of(&settings, "settings").unwrap();
     let (terms, names) = read(&fields).unwrap();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn what_is_wrong_with_a_field_is_told_with_its_name() {
+fn errors_in_fields_name_the_field() {
     let cases: [(&str, Value, &str); 7] = [
         ("/family_info", Value::Null, "field family_info is missing"),
         (
@@ -52,11 +52,15 @@
             json!(1),
             "field family_info is not an object",
         ),
-        ("/zones", json!([1]), "field zones holds no strings"),
+        (
+            "/zones",
+            json!([1]),
+            "field zones is not an array of strings",
+        ),
         (
             "/zone",
             json!("nowhere"),
-            "zone nowhere is not among the zones",
+            "field zone: \"nowhere\" is not in field zones",
         ),
         (
             "/tick_ms",
@@ -66,7 +70,7 @@
         (
             "/request_classes",
             json!([]),
-            "field request_classes names no class",
+            "field request_classes has no classes",
         ),
         (
             "/request_classes",
@@ -74,46 +78,55 @@
             "a request class is not an object",
         ),
     ];
-    for (place, value, told) in cases {
+    for (pointer, value, expected) in cases {
         let mut settings = settings();
-        *settings.pointer_mut(place).unwrap() = value;
-        assert_eq!(error(&settings), told);
+        *settings.pointer_mut(pointer).unwrap() = value;
+        assert_eq!(error_text(&settings), expected);
     }
 }
 
 #[test]
-fn what_is_wrong_with_a_class_is_told_with_its_value() {
-    let long = "x".repeat(257);
+fn errors_in_request_classes_name_the_value() {
+    let too_long = "x".repeat(257);
     let cases: [(&str, &str, &str); 6] = [
         (
             "name",
-            &long,
-            &format!("request_classes: field name: {long:?} has 257 bytes, 1 to 256 can be sent"),
+            &too_long,
+            &format!("request_classes: field name: {too_long:?} has 257 bytes, expected 1 to 256"),
         ),
         (
             "name",
             "a b",
-            "request_classes: field name: \"a b\" holds a space, a comma, an equals sign or a control character, \
-             which no line to a host can",
+            "request_classes: field name: \"a b\" contains a space, a comma, an equals sign or a control character, \
+             which a line to a host cannot contain",
         ),
         (
             "name",
             "alive",
-            "request_classes: field name: \"alive\" is the method by which clients ask whether a dispatcher is up",
+            "request_classes: field name: \"alive\" is reserved: it is the method with which clients check whether a \
+             dispatcher is up",
         ),
         (
             "name",
             "page",
-            "request_classes: field name: \"page\" is that of two classes",
+            "request_classes: field name: \"page\" is used by two classes",
+        ),
+        (
+            "effect",
+            "twice",
+            "request_classes: field effect is \"twice\", expected idempotent, at_most_once or deduplicated",
+        ),
+        (
+            "effect",
+            "deduplicated",
+            "request_classes: field key_scope is Some(\"here\"), expected all, zone or cell",
         ),
-        ("effect", "twice", "unknown effect twice"),
-        ("effect", "deduplicated", "unknown key_scope Some(\"here\")"),
     ];
-    for (field, value, told) in cases {
+    for (field, value, expected) in cases {
         let mut settings = settings();
         let class = &mut settings["request_classes"][2];
         class["key_scope"] = json!("here");
         class[field] = json!(value);
-        assert_eq!(error(&settings), told);
+        assert_eq!(error_text(&settings), expected);
     }
 }
