--- a/crates/flaxdeck-wire/tests/errors.rs
+++ b/crates/flaxdeck-wire/tests/errors.rs
@@ -3,7 +3,7 @@
 use flaxdeck_wire::{InvalidRequest, InvalidValue, Malformed, ReadError};
 
 #[test]
-fn errors_of_messages_and_requests_keep_their_texts() {
+fn errors_of_client_messages_keep_their_texts() {
     let malformed = [
         (Malformed::Value(InvalidValue::NotArray), "not an array"),
         (
@@ -15,6 +15,15 @@
             Malformed::MessageKind,
             "message is neither a request nor a notification",
         ),
+    ];
+    for (error, text) in malformed {
+        assert_eq!(error.to_string(), text);
+    }
+}
+
+#[test]
+fn errors_of_host_answers_keep_their_texts() {
+    let malformed = [
         (
             Malformed::LineTooLong,
             "first line of a host's answer is longer than 2048 bytes",
@@ -47,6 +56,15 @@
             Malformed::FieldWithoutValue,
             "field of a host's answer has no value",
         ),
+    ];
+    for (error, text) in malformed {
+        assert_eq!(error.to_string(), text);
+    }
+}
+
+#[test]
+fn errors_of_frames_keep_their_texts() {
+    let malformed = [
         (Malformed::FrameLength, "a frame's length is out of bounds"),
         (
             Malformed::FrameLengthMismatch,
@@ -66,6 +84,10 @@
     for (error, text) in malformed {
         assert_eq!(error.to_string(), text);
     }
+}
+
+#[test]
+fn errors_of_requests_keep_their_texts() {
     let invalid = [
         (InvalidRequest::Value(InvalidValue::TooLong), "too long"),
         (InvalidRequest::UnknownMethod, "no such method"),
