--- a/crates/flaxdeck-adapter/src/adapter.rs
+++ b/crates/flaxdeck-adapter/src/adapter.rs
@@ -96,7 +96,7 @@
         match event {
             "Directory" => {
                 let rows = fields.rows("elements")?;
-                self.lists.insert(fields.whole("sheet")?, rows.clone());
+                self.lists.insert(fields.unsigned("sheet")?, rows.clone());
                 Ok(())
             }
             "Launch" => {
@@ -126,7 +126,7 @@
             let Some(kind) = list_kind(fields.text("how")?)? else {
                 return Ok(());
             };
-            let number = fields.whole("sheet")?;
+            let number = fields.unsigned("sheet")?;
             let rows = self.lists.get(&number);
             instance.list(now, kind, rows.ok_or(EventError::ListNeverSent { number })?)?
         } else {
--- a/crates/flaxdeck-adapter/src/instance.rs
+++ b/crates/flaxdeck-adapter/src/instance.rs
@@ -20,7 +20,7 @@
 impl Instance {
     /// Starts an instance, with its first decisions.
     pub(crate) fn launch(fields: &Fields, now: Time) -> Result<(Instance, Decisions), EventError> {
-        let seed = fields.whole("entropy")?;
+        let seed = fields.unsigned("entropy")?;
         let (terms, names) = flaxdeck_terms::read(&fields.inner("params")?)?;
         let (engine, decisions) = DecisionEngine::start(now, seed, terms);
         Ok((Instance { engine, names }, decisions))
@@ -55,11 +55,11 @@
             }
             "Outdated" => self.purge(fields, now)?,
             "Elapsed" => {
-                fields.whole("ctx")?;
+                fields.unsigned("ctx")?;
                 self.engine.wake(now)
             }
             "Dropped" => {
-                let request = RequestId(fields.whole("request_id")?);
+                let request = RequestId(fields.unsigned("request_id")?);
                 self.engine.client_left(now, request)
             }
             "CheckResult" => {
@@ -73,8 +73,8 @@
     }
 
     fn purge(&mut self, fields: &Fields, now: Time) -> Result<Decisions, EventError> {
-        let key = fields.whole_or_none("key")?.filter(|key| *key != 0);
-        let group = GroupId(fields.whole("family_id")?);
+        let key = fields.unsigned_or_none("key")?.filter(|key| *key != 0);
+        let group = GroupId(fields.unsigned("family_id")?);
         let made = now - fields.span_or_zero("how_old_ms")?;
         Ok(self.engine.purge(now, key.map(ObjectId), group, made))
     }
@@ -92,7 +92,7 @@
             host: HostId(row.text("host")?.into()),
             weight: row.number_or("heft", 1.0)?,
             zone: zone.map(ZoneId),
-            cell: CellId(row.whole_or_none("cluster")?.unwrap_or(0)),
+            cell: CellId(row.unsigned_or_none("cluster")?.unwrap_or(0)),
             role: self.names.role(kind),
             health,
             started: row
@@ -110,11 +110,11 @@
             });
         };
         Ok(Request {
-            id: RequestId(fields.whole("request_id")?),
+            id: RequestId(fields.unsigned("request_id")?),
             class,
-            object: ObjectId(fields.whole_or_none("key")?.unwrap_or(0)),
-            part: fields.whole_or_none("slice")?.unwrap_or(0),
-            group: GroupId(fields.whole_or_none("set_no")?.unwrap_or(0)),
+            object: ObjectId(fields.unsigned_or_none("key")?.unwrap_or(0)),
+            part: fields.unsigned_or_none("slice")?.unwrap_or(0),
+            group: GroupId(fields.unsigned_or_none("set_no")?.unwrap_or(0)),
             size_kb: fields.number_or_none("bytes_k")?.filter(|kb| *kb > 0.0),
             deadline: fields.time("expires_ms")?,
             again: fields.flag_or_false("again_by_client")?,
@@ -133,13 +133,13 @@
 
     fn attempt_ended(&self, fields: &Fields) -> Result<AttemptEnded, EventError> {
         Ok(AttemptEnded {
-            request: RequestId(fields.whole("request_id")?),
-            index: AttemptIndex(fields.whole("leg")? as u32),
+            request: RequestId(fields.unsigned("request_id")?),
+            index: AttemptIndex(fields.unsigned("leg")? as u32),
             host: HostId(fields.text("host")?.into()),
             outcome: outcome(fields.text("reason")?)?,
             took: fields.span_or_zero("latency_ms")?,
             closed: fields.flag_or_false("no_more")?,
-            fill: fill_outcome(fields.whole_or_none("detail")?.unwrap_or(0)),
+            fill: fill_outcome(fields.unsigned_or_none("detail")?.unwrap_or(0)),
             waited: fields.number_or_none("waited_ms")?.map(Span::of_ms),
             report: self.load_report(fields)?,
         })
--- a/crates/flaxdeck-dispatcher/src/program/start.rs
+++ b/crates/flaxdeck-dispatcher/src/program/start.rs
@@ -124,7 +124,7 @@
 
 fn parse_limits(limits: &Fields) -> Result<Bounds, ConfigurationError> {
     let memory_mb = limits.number("memory_mb")?;
-    let sockets = limits.whole("sockets")?;
+    let sockets = limits.unsigned("sockets")?;
     if memory_mb <= 0.0 {
         return Err(ConfigurationError::Memory { memory_mb });
     }
--- a/crates/flaxdeck-terms/src/fields.rs
+++ b/crates/flaxdeck-terms/src/fields.rs
@@ -103,8 +103,8 @@
     /// # Errors
     ///
     /// Returns an error if the field is missing or not an unsigned integer.
-    pub fn whole(&self, name: &str) -> Read<u64> {
-        Self::required(name, self.whole_or_none(name)?)
+    pub fn unsigned(&self, name: &str) -> Read<u64> {
+        Self::required(name, self.unsigned_or_none(name)?)
     }
 
     /// Reads an optional unsigned integer, which may be written as a float without a fraction.
@@ -112,7 +112,7 @@
     /// # Errors
     ///
     /// Returns an error if the field is not an unsigned integer.
-    pub fn whole_or_none(&self, name: &str) -> Read<Option<u64>> {
+    pub fn unsigned_or_none(&self, name: &str) -> Read<Option<u64>> {
         let from_float = |value: &Value| {
             let float = value.as_f64()?;
             (float.fract() == 0.0 && (0.0..9.0e18).contains(&float)).then_some(float as u64)
--- a/crates/flaxdeck-wire/src/frames/known.rs
+++ b/crates/flaxdeck-wire/src/frames/known.rs
@@ -58,9 +58,9 @@
     let mut events = NumberedEvents::new();
     for update in known.rows("updates")? {
         let update = Fields::of(update, "an update")?;
-        events.push((update.whole("index")?, read_event(&update, names)?));
+        events.push((update.unsigned("index")?, read_event(&update, names)?));
     }
-    let last = known.whole("index")?;
+    let last = known.unsigned("index")?;
     Ok(KnownEvents { last, events })
 }
 
@@ -93,7 +93,7 @@
         }
         None => None,
     };
-    let group = GroupId(purge.whole_or_none("shard")?.unwrap_or(0));
+    let group = GroupId(purge.unsigned_or_none("shard")?.unwrap_or(0));
     Ok(Event::Purged {
         object,
         group,
@@ -109,7 +109,7 @@
         host: HostId(row.text("host")?.into()),
         weight: row.number_or("share", 1.0)?,
         zone: index_in(&names.zones, row.text_or_none("site")?).map(ZoneId),
-        cell: CellId(row.whole_or_none("block")?.unwrap_or(0)),
+        cell: CellId(row.unsigned_or_none("block")?.unwrap_or(0)),
         role: names.role(index_in(&names.machine_kinds, row.text_or_none("class")?)),
         health,
         started: started(row.number_or("born_ms", 0.0)?),
