--- a/crates/flaxdeck-cli/tests/coming_back.rs
+++ b/crates/flaxdeck-cli/tests/coming_back.rs
@@ -451,7 +451,7 @@
     });
     assert_eq!(count(&lines, "none is used"), 1, "{lines:#?}");
     assert_eq!(
-        count(&lines, "nothing is lent: it is the store of"),
+        count(&lines, "nothing is lent: the store belongs to instance"),
         1,
         "{lines:#?}"
     );
--- a/crates/flaxdeck-dispatcher/tests/recorded_state.rs
+++ b/crates/flaxdeck-dispatcher/tests/recorded_state.rs
@@ -123,10 +123,7 @@
 fn a_log_that_ends_in_the_middle_of_a_record_is_read_up_to_it() {
     let (found, kept) = read("state-cut");
     let damage = found.damage.expect("the log is cut");
-    assert_eq!(
-        (damage.file, damage.reason),
-        ("log", "a record ends too soon")
-    );
+    assert_eq!((damage.file, damage.reason), ("log", "truncated record"));
     assert_eq!(found.records.len(), 3);
     assert_eq!(kept, state_after(3));
 }
--- a/crates/flaxdeck-store/src/disk.rs
+++ b/crates/flaxdeck-store/src/disk.rs
@@ -1,51 +1,51 @@
-//! The few things that a store does with files, so that tests can put something else in their place.
+//! The file operations that a store needs, as a trait, so that tests can replace the file system.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, ErrorKind, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// Files of one folder, by name.
+/// File operations within one folder; files are addressed by name.
 pub trait Disk {
-    /// All bytes of a file; none if there is no such file.
+    /// Reads a whole file. Returns `None` if the file does not exist.
     ///
     /// # Errors
     ///
-    /// That of the system, or `FileTooLarge` if it has more than `max_bytes`.
+    /// The error of the operating system, or `FileTooLarge` if the file has more than `max_bytes`.
     fn read(&mut self, name: &str, max_bytes: usize) -> io::Result<Option<Vec<u8>>>;
 
-    /// Makes a file anew with these bytes.
+    /// Creates a file with these bytes, or replaces the content of an existing one.
     ///
     /// # Errors
     ///
-    /// That of the system.
+    /// The error of the operating system.
     fn create(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Adds bytes to the end of a file.
+    /// Appends bytes to an existing file.
     ///
     /// # Errors
     ///
-    /// That of the system.
+    /// The error of the operating system.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// What was written to a file is on the disk once this has returned.
+    /// Flushes all earlier writes to a file to the disk. They are durable once this has returned.
     ///
     /// # Errors
     ///
-    /// That of the system; what was written may be lost then.
+    /// The error of the operating system; unflushed writes may be lost in that case.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Gives a file another name, in place of any file of that name.
+    /// Renames a file, replacing any file named `to`.
     ///
     /// # Errors
     ///
-    /// That of the system.
+    /// The error of the operating system.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Renames in the folder are on the disk once this has returned.
+    /// Flushes the folder itself to the disk. All earlier renames are durable once this has returned.
     ///
     /// # Errors
     ///
-    /// That of the system; the renames may be lost then.
+    /// The error of the operating system; unflushed renames may be lost in that case.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
@@ -57,16 +57,16 @@
 /// A folder of the file system.
 pub struct Folder {
     path: PathBuf,
-    /// The file that is appended to, kept open.
+    /// The file that was written last, kept open for further appends.
     open: Option<OpenFile>,
 }
 
 impl Folder {
-    /// Opens a folder; makes it if it is not there.
+    /// Opens a folder, and creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// That of the system.
+    /// The error of the operating system.
     pub fn open(path: &Path) -> io::Result<Folder> {
         std::fs::create_dir_all(path)?;
         Ok(Folder {
@@ -75,7 +75,7 @@
         })
     }
 
-    fn file(&mut self, name: &str) -> io::Result<&mut File> {
+    fn open_file(&mut self, name: &str) -> io::Result<&mut File> {
         let open = match self.open.take().filter(|open| open.name == name) {
             Some(open) => open,
             None => OpenFile {
@@ -98,7 +98,7 @@
         if bytes.len() > max_bytes {
             return Err(io::Error::new(
                 ErrorKind::FileTooLarge,
-                "larger than a store's file can be",
+                format!("{name} is larger than {max_bytes} bytes"),
             ));
         }
         Ok(Some(bytes))
@@ -120,11 +120,11 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.file(name)?.write_all(bytes)
+        self.open_file(name)?.write_all(bytes)
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.file(name)?.sync_all()
+        self.open_file(name)?.sync_all()
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
--- a/crates/flaxdeck-store/src/error.rs
+++ b/crates/flaxdeck-store/src/error.rs
@@ -1,45 +1,45 @@
-//! Why nothing is stored any more.
+//! Errors of a store.
 
 use std::io;
 use std::sync::Arc;
 
-/// Why a store does not take anything (any more).
+/// Why a store can't be opened, or why it does not accept writes any more.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The folder holds the store of another instance, which is not written over.
-    #[error("it is the store of {found}, not of {expected}")]
+    /// The folder holds the store of another instance, which is not overwritten.
+    #[error("the store belongs to instance {found}, not to {expected}")]
     OtherInstance {
-        /// The instance that wrote it.
+        /// The instance that wrote the store.
         found: String,
-        /// The instance that wants to write.
+        /// The instance that tried to open it.
         expected: String,
     },
-    /// A snapshot is larger than a store's file may be.
-    #[error("a snapshot over the bound of a store: {bytes} bytes, where {most} are allowed")]
+    /// A snapshot exceeds the size limit.
+    #[error("snapshot too large: {bytes} bytes, at most {max_bytes} are allowed")]
     SnapshotTooLarge {
-        /// Its bytes.
+        /// The size of its body.
         bytes: usize,
-        /// The most that are allowed.
-        most: usize,
+        /// The size limit.
+        max_bytes: usize,
     },
-    /// A record is larger than one may be.
-    #[error("a record over the bound of a store: {bytes} bytes, where {most} are allowed")]
+    /// A record exceeds the size limit.
+    #[error("record too large: {bytes} bytes, at most {max_bytes} are allowed")]
     RecordTooLarge {
-        /// Its bytes.
+        /// The size of its body.
         bytes: usize,
-        /// The most that are allowed.
-        most: usize,
+        /// The size limit.
+        max_bytes: usize,
     },
-    /// The folder can't be opened or made.
-    #[error("{0}")]
+    /// The folder can't be opened or created.
+    #[error("opening or creating the folder failed: {0}")]
     Folder(#[source] Arc<io::Error>),
-    /// A file operation failed.
-    #[error("it can't be written: {0}")]
+    /// A file operation failed while writing.
+    #[error("write to the store failed: {0}")]
     Io(#[source] Arc<io::Error>),
 }
 
 impl StoreError {
-    /// A folder could not be opened or made, for that reason.
+    /// Wraps the error of opening or creating the folder.
     pub fn folder(error: io::Error) -> StoreError {
         StoreError::Folder(Arc::new(error))
     }
--- a/crates/flaxdeck-store/src/faulty.rs
+++ b/crates/flaxdeck-store/src/faulty.rs
@@ -1,60 +1,60 @@
-//! A disk in memory that crashes and fails as told: what was not synced may be lost, in part or all, and a rename
-//! that the folder was not synced after may not have been.
+//! An in-memory disk that injects faults. After a crash, data that was not synced may be lost, in part or completely,
+//! and a rename without a later sync of the folder may be undone.
 
 use std::collections::BTreeMap;
 use std::io::{self, Error, ErrorKind};
 
 use crate::disk::Disk;
 
-/// What goes wrong, by the number of the operation at which it does, counted from 0 over all that write.
+/// The fault to inject. All operations but reads are numbered from 0; a fault names the one at which it occurs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskFault {
-    /// This operation and all later ones that write fail.
+    /// The disk is full: this write operation and all later ones fail.
     Full {
-        /// The first operation that fails.
+        /// The number of the first operation that fails.
         from: usize,
     },
-    /// This sync fails once; later ones claim to have worked, as some systems do.
+    /// This sync fails and the unsynced data is lost; later syncs report success nevertheless, as on some systems.
     SyncFails {
-        /// The operation.
+        /// The number of the operation.
         at: usize,
     },
-    /// The power goes before this operation.
+    /// Power is lost before this operation.
     Crash {
-        /// The first operation that does not happen.
+        /// The number of the first operation that is not executed.
         before: usize,
     },
-    /// Half of what this operation writes is written, then the power goes.
+    /// A torn write: half of the bytes of this operation are written, then power is lost.
     Torn {
-        /// The operation.
+        /// The number of the operation.
         at: usize,
     },
 }
 
-/// A file's bytes.
+/// The content of a file.
 #[derive(Clone, Default)]
 struct FileState {
-    /// As a running program sees them.
+    /// The content that a running program sees.
     bytes: Vec<u8>,
-    /// As they are surely on the disk.
+    /// The content that is guaranteed to survive a crash.
     synced: Vec<u8>,
 }
 
-/// A disk in memory.
+/// An in-memory disk that injects one fault.
 #[derive(Clone, Default)]
 pub struct FaultyDisk {
     files: BTreeMap<String, FileState>,
-    /// Files by their names as they are surely on the disk.
-    named: BTreeMap<String, FileState>,
-    /// Operations that write, so far.
+    /// Files under the names that are guaranteed to survive a crash.
+    durable_names: BTreeMap<String, FileState>,
+    /// Number of write operations so far.
     pub operations: usize,
-    /// What goes wrong.
+    /// The fault to inject, if any.
     pub fault: Option<DiskFault>,
     crashed: bool,
 }
 
 impl FaultyDisk {
-    /// An empty disk with that fault.
+    /// Returns an empty disk with that fault.
     pub fn with_fault(fault: DiskFault) -> FaultyDisk {
         FaultyDisk {
             fault: Some(fault),
@@ -64,28 +64,28 @@
 
     fn check_power(&self) -> io::Result<()> {
         if self.crashed {
-            return Err(Error::other("the power is gone"));
+            return Err(Error::other("power lost"));
         }
         Ok(())
     }
 
-    /// Counts an operation that writes; gives its number unless it fails.
-    fn step(&mut self) -> io::Result<usize> {
+    /// Counts a write operation and returns its number, or the error of the fault if that strikes here.
+    fn begin_write(&mut self) -> io::Result<usize> {
         let at = self.operations;
         self.operations += 1;
         match self.fault {
-            _ if self.crashed => Err(Error::other("the power is gone")),
+            _ if self.crashed => Err(Error::other("power lost")),
             Some(DiskFault::Full { from }) if at >= from => Err(ErrorKind::StorageFull.into()),
             Some(DiskFault::Crash { before }) if at >= before => {
                 self.crashed = true;
-                Err(Error::other("the power is gone"))
+                Err(Error::other("power lost"))
             }
             _ => Ok(at),
         }
     }
 
-    /// Writes all or, if the power goes midway, half of it.
-    fn part<'a>(&mut self, at: usize, bytes: &'a [u8]) -> &'a [u8] {
+    /// Returns the bytes that reach the disk: all of them, or the first half if this is the torn write.
+    fn written_part<'a>(&mut self, at: usize, bytes: &'a [u8]) -> &'a [u8] {
         if self.fault == Some(DiskFault::Torn { at }) {
             self.crashed = true;
             return &bytes[..bytes.len() / 2];
@@ -93,22 +93,22 @@
         bytes
     }
 
-    /// What is found after the power has come back. `kept` draws how much of each file that was not synced is there
-    /// all the same, and whether a rename is: 0 for nothing, 1 for all.
+    /// Returns the disk as a restart after a crash finds it. `kept` draws values from 0 to 1: the first decides whether
+    /// unsynced renames have survived (from 0.5 on), each further one the fraction of a file's unsynced bytes that has.
     pub fn after_crash(&self, mut kept: impl FnMut() -> f64) -> FaultyDisk {
         let names = if kept() < 0.5 {
-            &self.named
+            &self.durable_names
         } else {
             &self.files
         };
         let surviving = |file: &FileState, part: f64| {
-            // What was appended since the sync is there up to some point.
-            let sure = if file.bytes.starts_with(&file.synced) {
+            // Of the bytes appended since the last sync, a prefix survives.
+            let durable = if file.bytes.starts_with(&file.synced) {
                 file.synced.len()
             } else {
                 0
             };
-            let end = sure + ((file.bytes.len() - sure) as f64 * part) as usize;
+            let end = durable + ((file.bytes.len() - durable) as f64 * part) as usize;
             let bytes = file.bytes[..end].to_vec();
             FileState {
                 synced: bytes.clone(),
@@ -120,14 +120,14 @@
             .map(|(name, file)| (name.clone(), surviving(file, kept())))
             .collect();
         FaultyDisk {
-            named: files.clone(),
+            durable_names: files.clone(),
             files,
             ..FaultyDisk::default()
         }
     }
 
-    /// The bytes of a file, for tests to spoil.
-    pub fn bytes_of(&mut self, name: &str) -> Option<&mut Vec<u8>> {
+    /// Returns the bytes of a file, for tests that corrupt them.
+    pub fn bytes_mut(&mut self, name: &str) -> Option<&mut Vec<u8>> {
         self.files.get_mut(name).map(|file| &mut file.bytes)
     }
 }
@@ -138,8 +138,8 @@
     }
 
     fn create(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let at = self.step()?;
-        let bytes = self.part(at, bytes).to_vec();
+        let at = self.begin_write()?;
+        let bytes = self.written_part(at, bytes).to_vec();
         self.files.insert(
             name.to_owned(),
             FileState {
@@ -151,8 +151,8 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let at = self.step()?;
-        let bytes = self.part(at, bytes).to_vec();
+        let at = self.begin_write()?;
+        let bytes = self.written_part(at, bytes).to_vec();
         self.files
             .get_mut(name)
             .ok_or(ErrorKind::NotFound)?
@@ -162,31 +162,31 @@
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        let at = self.step()?;
+        let at = self.begin_write()?;
         if self.fault == Some(DiskFault::SyncFails { at }) {
-            // What could not be written is thrown away, and nobody will hear of it again.
+            // The kernel drops the pages that it could not write, and later syncs do not report them again.
             let file = self.files.get_mut(name).ok_or(ErrorKind::NotFound)?;
             file.bytes = file.synced.clone();
             return Err(Error::other("input/output error"));
         }
         let file = self.files.get_mut(name).ok_or(ErrorKind::NotFound)?;
         file.synced = file.bytes.clone();
-        if let Some(named) = self.named.get_mut(name) {
-            *named = file.clone();
+        if let Some(durable) = self.durable_names.get_mut(name) {
+            *durable = file.clone();
         }
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.step()?;
+        self.begin_write()?;
         let file = self.files.remove(from).ok_or(ErrorKind::NotFound)?;
         self.files.insert(to.to_owned(), file);
         Ok(())
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        self.step()?;
-        self.named = self.files.clone();
+        self.begin_write()?;
+        self.durable_names = self.files.clone();
         Ok(())
     }
 }
--- a/crates/flaxdeck-store/src/inspect.rs
+++ b/crates/flaxdeck-store/src/inspect.rs
@@ -1,23 +1,23 @@
-//! Reads what an earlier run left.
+//! Reads the store that an earlier run has written.
 
 use std::fmt;
 
 use crate::disk::Disk;
 use crate::format::{FormatError, MAX_FILE_BYTES, decode_log, decode_snapshot};
 
-/// The file of the snapshot.
+/// Name of the snapshot file.
 pub(crate) const SNAPSHOT_FILE: &str = "snapshot";
-/// The file of the log.
+/// Name of the log file.
 pub(crate) const LOG_FILE: &str = "log";
 
-/// Where a store can't be read any further, and why.
+/// Where a store can't be read any further, and the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Damage {
-    /// The file.
+    /// The name of the damaged file.
     pub file: &'static str,
-    /// The byte in it.
+    /// The byte offset in the file.
     pub offset: usize,
-    /// The reason.
+    /// Why the file can't be read from there on.
     pub reason: &'static str,
 }
 
@@ -42,22 +42,22 @@
     }
 }
 
-/// What an earlier run left.
+/// The contents of a store that an earlier run has written.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreContents {
-    /// Counts the runs that have written; 0 if none has.
+    /// The number of runs that have written to the store; 0 if none has, or if the snapshot can't be read.
     pub generation: u64,
-    /// The name of the instance that wrote it.
+    /// The name of the instance that wrote the store; empty if there is no snapshot that can be read.
     pub instance: String,
-    /// The body of the snapshot; none if there is no snapshot that can be read.
+    /// The body of the snapshot; `None` if there is no snapshot that can be read.
     pub snapshot: Option<Vec<u8>>,
-    /// The bodies of the records after it, up to the first damage.
+    /// The bodies of the records after the snapshot, up to the first damage.
     pub records: Vec<Vec<u8>>,
-    /// Where it can't be read any further.
+    /// The first damage; `None` if everything could be read.
     pub damage: Option<Damage>,
 }
 
-/// Reads what is there without changing anything.
+/// Reads the contents of a store without changing anything.
 pub fn inspect(disk: &mut impl Disk) -> StoreContents {
     let mut contents = StoreContents::default();
     if let Err(damage) = read_into(disk, &mut contents) {
@@ -90,6 +90,6 @@
     disk.read(file, MAX_FILE_BYTES).map_err(|_| Damage {
         file,
         offset: 0,
-        reason: "it can't be read",
+        reason: "the file can't be read",
     })
 }
--- a/crates/flaxdeck-store/src/lib.rs
+++ b/crates/flaxdeck-store/src/lib.rs
@@ -1,10 +1,10 @@
-//! Durable state of one instance: a snapshot and a short log after it, bound to the instance's name and to a generation
-//! that grows with each start. What is in them is bytes to this package.
+//! Durable state of one instance: a snapshot and a short log of later changes, bound to the instance's name and to a
+//! generation that increases with each start. Bodies of snapshots and records are opaque bytes to this package.
 //!
 //! - [`Store`]: writes the state of this run.
-//! - [`inspect`]: reads what an earlier run left, without changing anything.
-//! - [`Disk`] and [`Folder`]: the file operations that a store needs, and a folder of the file system.
-//! - [`faulty`]: a disk in memory that crashes and fails as told, for tests.
+//! - [`inspect`]: reads the state that an earlier run has written, without changing anything.
+//! - [`Disk`] and [`Folder`]: the file operations that a store needs, and their implementation on the file system.
+//! - [`faulty`]: an in-memory disk that injects crashes and write errors, for tests.
 //!
 //! ```
 //! use flaxdeck_store::faulty::FaultyDisk;
@@ -25,14 +25,17 @@
 //! # Format
 //!
 //! ```text
-//! snapshot  4 "flxs"  1 version  8 generation  1 length of the name  n name  4 length of the body  n body  16 hash of all before
-//! log       4 "flxl"  1 version  8 generation  16 hash of the snapshot that it follows  16 hash of all before
-//! record    4 length of the body  n body  16 hash of the hash before it and of the body
+//! snapshot  4 "flxs"  1 version  8 generation  1 name length  n name  4 body length  n body  16 hash of all before
+//! log       4 "flxl"  1 version  8 generation  16 hash of its snapshot  16 hash of all before
+//! record    4 body length  n body  16 hash of the hash before it and of the body
 //! ```
 //!
-//! Every record's hash covers the one before, so a log can be read up to its first damage and not past it. A snapshot is
-//! written beside, synced, renamed, and the folder synced; only then a new log is begun the same way. A crash in
-//! between leaves a log that follows another snapshot: what it holds is in the new one, or the new one never came to be.
+//! The number before each field is its length in bytes; integers are big-endian, hashes are truncated BLAKE3.
+//!
+//! Every record's hash covers the hash before it, so a log can be read up to its first damage and not past it. A
+//! snapshot is written to a temporary file, which is synced and renamed, and then the folder is synced; only after that
+//! a new log is started in the same way. A crash in between leaves either the old snapshot with its log, or the new
+//! snapshot beside the old log. The old log is not applied then, as its changes are part of the new snapshot already.
 
 pub mod disk;
 mod error;
--- a/crates/flaxdeck-store/src/store.rs
+++ b/crates/flaxdeck-store/src/store.rs
@@ -1,7 +1,7 @@
 //! Writes the state of this run.
 //!
-//! Nothing is tried again once it has failed: a sync that failed may have thrown away what it was to store, and the next
-//! one says nothing of it.
+//! A failed write is never retried and stops all later writes: a failed sync may have dropped the data that it was to
+//! store, and the next sync may report success without that data.
 
 use std::io;
 use std::sync::Arc;
@@ -9,17 +9,17 @@
 use crate::disk::Disk;
 use crate::error::StoreError;
 use crate::format::{
-    Hash, MAX_RECORD_BYTES, MAX_SNAPSHOT_BYTES, encode_log_head, encode_record, encode_snapshot,
-    head_hash,
+    Hash, MAX_RECORD_BYTES, MAX_SNAPSHOT_BYTES, encode_log_header, encode_record, encode_snapshot,
+    header_hash,
 };
 use crate::inspect::{LOG_FILE, SNAPSHOT_FILE, inspect};
 
-/// A store that is being written.
+/// A store that this run writes to.
 pub struct Store<D> {
     disk: D,
     instance: String,
     generation: u64,
-    /// The hash of the log's last record, or of its head.
+    /// The hash of the log's last record, or of its header if there is no record yet.
     last_hash: Hash,
     log_bytes: usize,
     snapshot_bytes: usize,
@@ -27,11 +27,13 @@
 }
 
 impl<D: Disk> Store<D> {
-    /// Begins a run of the instance of that name, a generation after the one found, with its first snapshot.
+    /// Opens the store for a run of that instance and writes the run's first snapshot. Its generation is one above the
+    /// generation found.
     ///
     /// # Errors
     ///
-    /// [`StoreError::OtherInstance`] if another instance has written there, else as [`snapshot`](Store::snapshot).
+    /// [`StoreError::OtherInstance`] if the store was written by another instance, and the errors of
+    /// [`snapshot`](Store::snapshot).
     pub fn begin(mut disk: D, instance: &str, body: &[u8]) -> Result<Store<D>, StoreError> {
         let found = inspect(&mut disk);
         if !found.instance.is_empty() && found.instance != instance {
@@ -53,60 +55,60 @@
         Ok(store)
     }
 
-    /// Counts the runs that have written, this one included.
+    /// Returns the number of runs that have written to the store, including this one.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Bytes of records since the last snapshot.
+    /// Returns the size of all records since the last snapshot, in bytes.
     pub fn log_bytes(&self) -> usize {
         self.log_bytes
     }
 
-    /// Bytes of the last snapshot.
+    /// Returns the size of the last snapshot, in bytes.
     pub fn snapshot_bytes(&self) -> usize {
         self.snapshot_bytes
     }
 
-    /// Why nothing is stored any more, if so.
+    /// Returns the first error, after which nothing is stored any more; `None` while all writes have succeeded.
     pub fn failure(&self) -> Option<&StoreError> {
         self.failure.as_ref()
     }
 
-    /// Stores a full state in place of all before.
+    /// Stores the full state, replacing the previous snapshot and its log. It is durable once this has returned.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if it is too large or can't be written, now or at any time before.
+    /// [`StoreError`] if the body is too large, or if this write or any earlier one failed.
     pub fn snapshot(&mut self, body: &[u8]) -> Result<(), StoreError> {
         if body.len() > MAX_SNAPSHOT_BYTES {
             return Err(self.fail(StoreError::SnapshotTooLarge {
                 bytes: body.len(),
-                most: MAX_SNAPSHOT_BYTES,
+                max_bytes: MAX_SNAPSHOT_BYTES,
             }));
         }
         let (snapshot, hash) = encode_snapshot(self.generation, &self.instance, body);
-        let log_head = encode_log_head(self.generation, &hash);
+        let log_header = encode_log_header(self.generation, &hash);
         self.attempt(|disk| {
             replace(disk, SNAPSHOT_FILE, &snapshot)?;
-            replace(disk, LOG_FILE, &log_head)
+            replace(disk, LOG_FILE, &log_header)
         })?;
-        self.last_hash = head_hash(&log_head);
+        self.last_hash = header_hash(&log_header);
         self.log_bytes = 0;
         self.snapshot_bytes = snapshot.len();
         Ok(())
     }
 
-    /// Stores a change to the state. It is on the disk once this has returned.
+    /// Appends a change of the state to the log. It is durable once this has returned.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if it is too large or can't be written, now or at any time before.
+    /// [`StoreError`] if the body is too large, or if this write or any earlier one failed.
     pub fn record(&mut self, body: &[u8]) -> Result<(), StoreError> {
         if body.len() > MAX_RECORD_BYTES {
             return Err(self.fail(StoreError::RecordTooLarge {
                 bytes: body.len(),
-                most: MAX_RECORD_BYTES,
+                max_bytes: MAX_RECORD_BYTES,
             }));
         }
         let (record, hash) = encode_record(&self.last_hash, body);
@@ -129,22 +131,22 @@
         operation(&mut self.disk).map_err(|error| self.fail(StoreError::Io(Arc::new(error))))
     }
 
-    /// Nothing is stored from now on; gives the first failure.
+    /// Records the error, unless there was one before, which stops all further writes. Returns the first error.
     fn fail(&mut self, error: StoreError) -> StoreError {
         self.failure.get_or_insert(error).clone()
     }
 
-    /// The disk, for tests that go on with it after a crash.
+    /// Returns the disk, for tests that simulate a restart on it.
     pub fn into_disk(self) -> D {
         self.disk
     }
 }
 
-/// Puts these bytes under that name, or leaves what was there.
+/// Replaces a file atomically: after a crash it has either its old content or these bytes.
 fn replace(disk: &mut impl Disk, name: &str, bytes: &[u8]) -> io::Result<()> {
-    let beside = format!("{name}.new");
-    disk.create(&beside, bytes)?;
-    disk.sync(&beside)?;
-    disk.rename(&beside, name)?;
+    let temporary = format!("{name}.new");
+    disk.create(&temporary, bytes)?;
+    disk.sync(&temporary)?;
+    disk.rename(&temporary, name)?;
     disk.sync_folder()
 }
--- a/crates/flaxdeck-store/tests/crashes.rs
+++ b/crates/flaxdeck-store/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! What a store gives back after crashes at every operation, cuts at every byte, flipped bits and failing disks: some
-//! state that it was told, no older than what it said was kept, and never anything else.
+//! What a store returns after crashes at any operation, truncation at any byte, flipped bits and disk errors: a state
+//! that was written to it, no older than the last one that it acknowledged, and never anything else.
 
 #![allow(
     clippy::unwrap_used,
@@ -17,8 +17,9 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The states told one after another are counts: a snapshot holds one, each record the next.
-fn state(disk: &mut FaultyDisk) -> Option<u64> {
+/// Returns the number of the last state on the disk. States are numbered: a snapshot holds one number, and each record
+/// the next one.
+fn last_state(disk: &mut FaultyDisk) -> Option<u64> {
     let found = inspect(disk);
     let number = |bytes: &Vec<u8>| u64::from_be_bytes(bytes[..8].try_into().unwrap());
     let mut last = number(found.snapshot.as_ref()?);
@@ -26,7 +27,7 @@
         assert_eq!(
             number(record),
             last + 1,
-            "a record is never missed before one that is given"
+            "a record is missing before this one"
         );
         last += 1;
     }
@@ -37,60 +38,60 @@
     [n.to_be_bytes().to_vec(), vec![7; n as usize % 40]].concat()
 }
 
-/// Tells states from 1 up, a snapshot at each fifth; gives the last one that was said to be kept.
-fn run(store: &mut Store<FaultyDisk>, from: u64, count: u64) -> u64 {
-    let mut kept = from;
+/// Writes `count` states after number `from`, every fifth as a snapshot. Returns the last one that was acknowledged.
+fn write_states(store: &mut Store<FaultyDisk>, from: u64, count: u64) -> u64 {
+    let mut acknowledged = from;
     for n in from + 1..=from + count {
-        let told = if n % 5 == 0 {
+        let result = if n % 5 == 0 {
             store.snapshot(&body(n))
         } else {
             store.record(&body(n))
         };
-        match told {
-            Ok(()) => kept = n,
+        match result {
+            Ok(()) => acknowledged = n,
             Err(_) => break,
         }
     }
-    kept
+    acknowledged
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     #[test]
-    fn after_a_crash_at_any_operation_what_was_kept_is_there(
+    fn acknowledged_writes_survive_a_crash_at_any_operation(
         before in 4usize..90, torn in any::<bool>(), seed in any::<u64>()
     ) {
         let fault = if torn { DiskFault::Torn { at: before } } else { DiskFault::Crash { before } };
         let disk = FaultyDisk::with_fault(fault);
         let Ok(mut store) = Store::begin(disk, "f1", &body(0)) else { return Ok(()) };
-        let kept = run(&mut store, 0, 40);
+        let acknowledged = write_states(&mut store, 0, 40);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut found = store.into_disk().after_crash(|| rng.random());
-        let state = state(&mut found).expect("a store that has begun is never lost whole");
-        // One more than what was said to be kept may have come through.
-        prop_assert!((kept..=kept + 1).contains(&state), "{state} found, {kept} kept");
-        // And it goes on from there, a generation later.
-        let mut again = Store::begin(found, "f1", &body(state)).unwrap();
-        prop_assert_eq!(again.generation(), 2);
-        prop_assert_eq!(run(&mut again, state, 7), state + 7);
+        let state = last_state(&mut found).expect("the first snapshot survives once begin has returned");
+        // The write that the crash interrupted may have reached the disk.
+        prop_assert!((acknowledged..=acknowledged + 1).contains(&state), "{state} found, {acknowledged} acknowledged");
+        // The next run continues from that state, one generation later.
+        let mut reopened = Store::begin(found, "f1", &body(state)).unwrap();
+        prop_assert_eq!(reopened.generation(), 2);
+        prop_assert_eq!(write_states(&mut reopened, state, 7), state + 7);
     }
 
     #[test]
-    fn a_cut_or_a_flipped_bit_is_told_with_its_place_and_nothing_is_made_up(
+    fn truncation_or_a_flipped_bit_is_reported_at_or_before_its_offset(
         flip in any::<bool>(), at in 0.0f64..1.0, bit in 0u8..8, log in any::<bool>()
     ) {
         let mut store = Store::begin(FaultyDisk::default(), "f1", &body(0)).unwrap();
-        run(&mut store, 0, 9);
+        write_states(&mut store, 0, 9);
         let mut disk = store.into_disk();
-        let bytes = disk.bytes_of(if log { "log" } else { "snapshot" }).unwrap();
-        let place = (bytes.len() as f64 * at) as usize;
-        if flip { bytes[place] ^= 1 << bit } else { bytes.truncate(place) }
+        let bytes = disk.bytes_mut(if log { "log" } else { "snapshot" }).unwrap();
+        let offset = (bytes.len() as f64 * at) as usize;
+        if flip { bytes[offset] ^= 1 << bit } else { bytes.truncate(offset) }
         let found = inspect(&mut disk);
         if log {
-            prop_assert!((5..=9).contains(&state(&mut disk).unwrap()));
-            let told = found.damage.map_or(place, |damage| damage.offset);
-            prop_assert!(told <= place, "told at {told}, is at {place}");
+            prop_assert!((5..=9).contains(&last_state(&mut disk).unwrap()));
+            let reported = found.damage.map_or(offset, |damage| damage.offset);
+            prop_assert!(reported <= offset, "reported at byte {reported}, damaged at byte {offset}");
         } else {
             prop_assert_eq!(found.snapshot, None);
             prop_assert!(found.damage.is_some_and(|damage| damage.file == "snapshot"));
@@ -99,87 +100,96 @@
 }
 
 #[test]
-fn a_log_cut_at_every_byte_is_read_up_to_there() {
+fn a_log_truncated_at_any_byte_is_read_up_to_the_last_complete_record() {
     let mut store = Store::begin(FaultyDisk::default(), "f1", &body(0)).unwrap();
-    run(&mut store, 0, 4);
+    write_states(&mut store, 0, 4);
     let disk = store.into_disk();
-    let whole = disk.clone().bytes_of("log").unwrap().clone();
+    let log = disk.clone().bytes_mut("log").unwrap().clone();
     let mut last = 0;
-    for cut in 0..=whole.len() {
+    for length in 0..=log.len() {
         let mut disk = disk.clone();
-        disk.bytes_of("log").unwrap().truncate(cut);
-        let found = state(&mut disk).unwrap();
-        assert!(found >= last && found <= 4, "cut at {cut}");
+        disk.bytes_mut("log").unwrap().truncate(length);
+        let found = last_state(&mut disk).unwrap();
+        assert!(
+            found >= last && found <= 4,
+            "log truncated to {length} bytes"
+        );
         last = found;
     }
     assert_eq!(last, 4);
 }
 
 #[test]
-fn a_sync_that_failed_is_never_taken_back_by_a_later_one() {
+fn a_failed_sync_stops_all_later_writes() {
     for at in 0..60 {
         let disk = FaultyDisk::with_fault(DiskFault::SyncFails { at });
         let Ok(mut store) = Store::begin(disk, "f1", &body(0)) else {
             continue;
         };
-        let kept = run(&mut store, 0, 12);
-        if kept < 12 {
+        let acknowledged = write_states(&mut store, 0, 12);
+        if acknowledged < 12 {
             assert!(store.failure().is_some());
             assert!(
-                store.record(&body(kept + 1)).is_err(),
-                "nothing is kept from then on"
+                store.record(&body(acknowledged + 1)).is_err(),
+                "a write was accepted after a failed sync"
             );
         }
         let mut found = store.into_disk().after_crash(|| 0.0);
-        assert!(state(&mut found).unwrap() >= kept, "sync {at}");
+        assert!(last_state(&mut found).unwrap() >= acknowledged, "sync {at}");
     }
 }
 
 #[test]
-fn a_full_disk_leaves_what_was_there() {
+fn acknowledged_writes_survive_a_full_disk() {
     for from in 0..60 {
         let disk = FaultyDisk::with_fault(DiskFault::Full { from });
         let Ok(mut store) = Store::begin(disk, "f1", &body(0)) else {
             continue;
         };
-        let kept = run(&mut store, 0, 12);
+        let acknowledged = write_states(&mut store, 0, 12);
         let failure = store.failure().map(ToString::to_string);
         assert!(
-            kept == 12 || failure.is_some_and(|text| text.starts_with("it can't be written: "))
+            acknowledged == 12
+                || failure.is_some_and(|text| text.starts_with("write to the store failed: "))
         );
-        assert!(state(&mut store.into_disk()).unwrap() >= kept);
+        assert!(last_state(&mut store.into_disk()).unwrap() >= acknowledged);
     }
 }
 
 #[test]
-fn another_instances_store_is_refused_by_name_and_left_alone() {
+fn the_store_of_another_instance_is_rejected_and_left_unchanged() {
     let mut store = Store::begin(FaultyDisk::default(), "f1", &body(0)).unwrap();
-    run(&mut store, 0, 3);
+    write_states(&mut store, 0, 3);
     let disk = store.into_disk();
-    let refused = Store::begin(disk.clone(), "f2", &body(0)).err().unwrap();
+    let error = Store::begin(disk.clone(), "f2", &body(0)).err().unwrap();
     assert!(
-        refused.to_string().contains("the store of f1, not of f2"),
-        "{refused:?}"
+        error
+            .to_string()
+            .contains("the store belongs to instance f1, not to f2"),
+        "{error:?}"
     );
-    assert_eq!(state(&mut disk.clone()), Some(3));
+    assert_eq!(last_state(&mut disk.clone()), Some(3));
 }
 
 #[test]
-fn one_put_back_from_earlier_is_an_earlier_state_and_nothing_else() {
+fn a_log_is_not_applied_to_a_snapshot_restored_from_a_backup() {
     let mut store = Store::begin(FaultyDisk::default(), "f1", &body(0)).unwrap();
-    run(&mut store, 0, 3);
-    let yesterday = store.into_disk();
-    let mut store = Store::begin(yesterday.clone(), "f1", &body(3)).unwrap();
-    run(&mut store, 3, 20);
+    write_states(&mut store, 0, 3);
+    let backup = store.into_disk();
+    let mut store = Store::begin(backup.clone(), "f1", &body(3)).unwrap();
+    write_states(&mut store, 3, 20);
     let mut mixed = store.into_disk();
-    // The log of today behind the snapshot of yesterday, as a careless copy would leave it.
-    *mixed.bytes_of("snapshot").unwrap() = yesterday.clone().bytes_of("snapshot").unwrap().clone();
+    // The current log beside the snapshot of the backup, as restoring only one of the two files leaves it.
+    *mixed.bytes_mut("snapshot").unwrap() = backup.clone().bytes_mut("snapshot").unwrap().clone();
     let found = inspect(&mut mixed);
     assert_eq!(found.records.len(), 0);
-    assert_eq!(found.damage.unwrap().reason, "it follows another snapshot");
+    assert_eq!(
+        found.damage.unwrap().reason,
+        "the log belongs to another snapshot"
+    );
 }
 
-/// The far end of the test below: writes states without end, and says each that is kept.
+/// The child process of the test below: writes states until it is killed, and prints each that was acknowledged.
 #[test]
 #[ignore = "started by the test below"]
 fn writes_until_it_is_killed() {
@@ -187,18 +197,18 @@
     let disk = Folder::open(&folder).unwrap();
     let mut store = Store::begin(disk, "f1", &body(0)).unwrap();
     for n in 1..1_000_000 {
-        let told = if n % 5 == 0 {
+        let result = if n % 5 == 0 {
             store.snapshot(&body(n))
         } else {
             store.record(&body(n))
         };
-        told.unwrap();
-        println!("kept {n}");
+        result.unwrap();
+        println!("acknowledged {n}");
     }
 }
 
 #[test]
-fn a_process_killed_at_random_moments_leaves_what_it_said_was_kept() {
+fn acknowledged_writes_survive_killing_the_process_at_a_random_time() {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     for round in 0..40 {
         let folder =
@@ -218,18 +228,18 @@
             .unwrap();
         std::thread::sleep(Duration::from_millis(rng.random_range(15..60)));
         child.kill().unwrap();
-        let said = child.wait_with_output().unwrap();
-        let said = String::from_utf8_lossy(&said.stdout);
-        let kept = said
+        let output = child.wait_with_output().unwrap();
+        let printed = String::from_utf8_lossy(&output.stdout);
+        let acknowledged = printed
             .lines()
-            .filter_map(|line| line.rsplit_once("kept ")?.1.parse::<u64>().ok())
+            .filter_map(|line| line.rsplit_once("acknowledged ")?.1.parse::<u64>().ok())
             .max();
         let found = inspect(&mut Folder::open(&folder).unwrap());
         let number = |bytes: &Vec<u8>| u64::from_be_bytes(bytes[..8].try_into().unwrap());
         let last = found.records.last().or(found.snapshot.as_ref()).map(number);
         assert!(
-            last >= kept,
-            "round {round}: {last:?} found, {kept:?} said to be kept"
+            last >= acknowledged,
+            "round {round}: {last:?} found, {acknowledged:?} acknowledged"
         );
         std::fs::remove_dir_all(&folder).unwrap();
     }
