--- a/crates/flaxdeck-plan/src/form.rs
+++ b/crates/flaxdeck-plan/src/form.rs
@@ -1,43 +1,44 @@
-//! Forms of the file with their places: `(word argument ...)`. Every fault names the place, what is wrong, why, and
-//! how to mend it; reading goes on after one, so that a file's faults come together.
+//! Parses forms, `(word argument ...)`, and keeps their positions in the file. Every fault names the position, the
+//! problem, the reason, and how to fix it. Parsing continues after a fault, so that all faults of a file are reported
+//! together.
 
 use lexpr::Datum;
 use lexpr::Value;
 use lexpr::datum::Ref;
 
-/// Where in the file, counted from 1.
+/// A position in the file; line and column count from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
-    /// The line.
+    /// The line number.
     pub line: usize,
-    /// The column.
+    /// The column number.
     pub column: usize,
 }
 
-/// One thing that is wrong with a file.
+/// One fault of a file, printed as `file:line:column: problem, reason, remedy`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 #[error("{file}:{}:{}: {problem}, {reason}, {remedy}", .place.line, .place.column)]
 pub struct Fault {
     /// The file's name.
     pub file: String,
-    /// Where it stands.
+    /// The position of the fault.
     pub place: Place,
     /// What is wrong.
     pub problem: String,
-    /// Why that is wrong.
+    /// Why that is a problem.
     pub reason: String,
-    /// How to mend it.
+    /// How to fix it.
     pub remedy: String,
 }
 
-/// What is wrong with a file so far.
+/// Collects the faults of one file.
 pub struct Faults {
     file: String,
     found: Vec<Fault>,
 }
 
 impl Faults {
-    /// Those of a file of that name, none yet.
+    /// Returns an empty collection for the file of that name.
     pub fn of(file: &str) -> Faults {
         Faults {
             file: file.to_owned(),
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Adds one.
+    /// Adds a fault.
     pub fn add(
         &mut self,
         place: Place,
@@ -62,11 +63,11 @@
         });
     }
 
-    /// The value if there are none.
+    /// Returns the value if there are no faults.
     ///
     /// # Errors
     ///
-    /// All faults in the order of the file.
+    /// All faults, sorted by their position in the file.
     pub fn or<T>(mut self, value: T) -> Result<T, Vec<Fault>> {
         self.found.sort();
         if self.found.is_empty() {
@@ -77,11 +78,11 @@
     }
 }
 
-/// A form that is being read: each word may be taken once, what is left over is a fault.
+/// A form, `(word argument ...)`, whose arguments are still to be interpreted.
 pub struct Form<'a> {
-    /// The word that it begins with.
+    /// The first word, which says what the form sets.
     pub word: String,
-    /// Where it begins.
+    /// The position at which the form begins.
     pub place: Place,
     arguments: Vec<Ref<'a>>,
 }
@@ -94,32 +95,36 @@
     }
 }
 
-/// The changes of single letters that make one word of another.
-fn distance(one: &str, other: &str) -> usize {
+/// Returns the Levenshtein distance of two words.
+fn edit_distance(one: &str, other: &str) -> usize {
     let other: Vec<char> = other.chars().collect();
     let mut row: Vec<usize> = (0..=other.len()).collect();
-    for (at, letter) in one.chars().enumerate() {
-        let mut corner = at;
-        row[0] = at + 1;
-        for (to, with) in other.iter().enumerate() {
-            let change = corner + usize::from(letter != *with);
-            corner = row[to + 1];
-            row[to + 1] = change.min(corner + 1).min(row[to] + 1);
+    for (i, letter) in one.chars().enumerate() {
+        let mut diagonal = i;
+        row[0] = i + 1;
+        for (j, other_letter) in other.iter().enumerate() {
+            let substitution = diagonal + usize::from(letter != *other_letter);
+            diagonal = row[j + 1];
+            row[j + 1] = substitution.min(diagonal + 1).min(row[j] + 1);
         }
     }
     row[other.len()]
 }
 
-fn nearest(word: &str, known: &[&str]) -> String {
-    let near = known.iter().min_by_key(|other| distance(word, other));
-    match near.filter(|near| distance(word, near) <= word.len().max(near.len()) / 2) {
-        Some(near) => format!("write {near}"),
-        None => format!("take it out; known here: {}", known.join(" ")),
+/// Suggests the valid word that is most similar, or all valid words if none is similar enough.
+fn suggestion(word: &str, known: &[&str]) -> String {
+    let nearest = known.iter().min_by_key(|other| edit_distance(word, other));
+    match nearest
+        .filter(|nearest| edit_distance(word, nearest) <= word.len().max(nearest.len()) / 2)
+    {
+        Some(nearest) => format!("write {nearest}"),
+        None => format!("remove it; allowed here: {}", known.join(" ")),
     }
 }
 
 impl<'a> Form<'a> {
-    /// The form that a datum holds.
+    /// Interprets a datum as a form. Returns `None` if the datum is not a list, or, with a fault, if the list does not
+    /// begin with a word.
     pub fn of(datum: Ref<'a>, faults: &mut Faults) -> Option<Form<'a>> {
         let at = place(datum);
         let mut parts = datum.list_iter()?;
@@ -127,8 +132,13 @@
             .next()
             .and_then(|head| head.value().as_symbol().map(str::to_owned))
         else {
-            let why = "each form begins with its word";
-            faults.add(at, "a form without a word".into(), why, "write (word ...)");
+            let why = "the first word says what a form sets";
+            faults.add(
+                at,
+                "the form does not begin with a word".into(),
+                why,
+                "write (word ...)",
+            );
             return None;
         };
         Some(Form {
@@ -138,11 +148,12 @@
         })
     }
 
-    fn says(&self) -> String {
+    /// Returns the form in abbreviated notation, for messages.
+    fn abbreviated(&self) -> String {
         format!("({} ...)", self.word)
     }
 
-    /// The forms within that begin with one of the known words; anything else is a fault.
+    /// Returns the inner forms that begin with one of the known words; every other argument is a fault.
     pub fn forms(&self, known: &[&str], faults: &mut Faults) -> Vec<Form<'a>> {
         let mut forms = Vec::new();
         for datum in &self.arguments {
@@ -153,20 +164,20 @@
                 if known.contains(&&*form.word) {
                     forms.push(form);
                 } else {
-                    let what = format!("{} is not known in {}", form.word, self.says());
+                    let what = format!("{} is not known in {}", form.word, self.abbreviated());
                     faults.add(
                         form.place,
                         what,
-                        "a misspelt word would do nothing",
-                        nearest(&form.word, known),
+                        "an unknown word would be ignored",
+                        suggestion(&form.word, known),
                     );
                 }
             } else {
-                let what = format!("{} stands alone in {}", datum.value(), self.says());
+                let what = format!("{} in {} is not a form", datum.value(), self.abbreviated());
                 faults.add(
                     place(*datum),
                     what,
-                    "only forms may stand there",
+                    "only forms are allowed there",
                     "write it as (word value)",
                 );
             }
@@ -174,16 +185,16 @@
         forms
     }
 
-    /// The value of a form that has just one.
+    /// Returns the value of a form that takes exactly one, and its position; any other number of values is a fault.
     pub fn value(&self, faults: &mut Faults) -> Option<(&'a Value, Place)> {
         match &self.arguments[..] {
             [one] => Some((one.value(), place(*one))),
             others => {
-                let what = format!("{} has {} values", self.says(), others.len());
+                let what = format!("{} has {} values", self.abbreviated(), others.len());
                 faults.add(
                     self.place,
                     what,
-                    "it takes one",
+                    "it takes exactly one",
                     format!("write ({} value)", self.word),
                 );
                 None
@@ -191,7 +202,7 @@
         }
     }
 
-    /// A number within bounds, both ends allowed.
+    /// Returns the number that the form sets; anything but a number from `least` to `most`, both included, is a fault.
     pub fn number(&self, least: f64, most: f64, faults: &mut Faults) -> Option<f64> {
         let (value, at) = self.value(faults)?;
         let number = value
@@ -202,27 +213,27 @@
             faults.add(
                 at,
                 what,
-                format!("it is a number from {least} to {most}"),
-                "choose one within",
+                format!("it must be a number from {least} to {most}"),
+                "choose a number in that range",
             );
         }
         number
     }
 
-    /// A text in double quotes.
+    /// Returns the string that the form sets, and its position; anything but a string is a fault.
     pub fn text(&self, faults: &mut Faults) -> Option<(String, Place)> {
         let (value, at) = self.value(faults)?;
         match value.as_str() {
             Some(text) => Some((text.to_owned(), at)),
             None => {
                 let what = format!("{} is {value}", self.word);
-                faults.add(at, what, "it is a text", "put it in double quotes");
+                faults.add(at, what, "it must be a string", "put it in double quotes");
                 None
             }
         }
     }
 
-    /// Yes or no.
+    /// Returns whether the form says yes; anything but yes or no is a fault.
     pub fn flag(&self, faults: &mut Faults) -> Option<bool> {
         let (value, at) = self.value(faults)?;
         let flag = value.as_bool().or(match value.as_symbol() {
@@ -232,12 +243,12 @@
         });
         if flag.is_none() {
             let what = format!("{} is {value}", self.word);
-            faults.add(at, what, "it is yes or no", "write yes or no");
+            faults.add(at, what, "it must be yes or no", "write yes or no");
         }
         flag
     }
 
-    /// One of some words.
+    /// Returns the word that the form sets; anything but one of the known words is a fault.
     pub fn choice(&self, known: &[&'static str], faults: &mut Faults) -> Option<&'static str> {
         let (value, at) = self.value(faults)?;
         let chosen = value
@@ -249,28 +260,29 @@
             faults.add(
                 at,
                 what,
-                format!("it is one of: {}", known.join(" ")),
-                nearest(word, known),
+                format!("it must be one of: {}", known.join(" ")),
+                suggestion(word, known),
             );
         }
         chosen
     }
 }
 
-/// Takes the forms of one word out; more than one is a fault, as one would hide the other.
+/// Removes the form that begins with that word and returns it. Further ones are removed too and are faults, as only one
+/// could take effect.
 pub fn only<'a>(forms: &mut Vec<Form<'a>>, word: &str, faults: &mut Faults) -> Option<Form<'a>> {
     let at = forms.iter().position(|form| form.word == word)?;
     let first = forms.remove(at);
-    while let Some(again) = forms.iter().position(|form| form.word == word) {
-        let again = forms.remove(again);
+    while let Some(at) = forms.iter().position(|form| form.word == word) {
+        let duplicate = forms.remove(at);
         let what = format!("{word} is set a second time");
-        let why = format!("line {} has set it", first.place.line);
-        faults.add(again.place, what, why, "take one of them out");
+        let why = format!("line {} sets it already", first.place.line);
+        faults.add(duplicate.place, what, why, "remove one of them");
     }
     Some(first)
 }
 
-/// All datums of a text; none if it is no sequence of S-expressions.
+/// Parses a text into datums. Returns `None`, with a fault, if it is not a sequence of S-expressions.
 fn read_datums(text: &str, faults: &mut Faults) -> Option<Vec<Datum>> {
     let mut parser = lexpr::Parser::from_str_custom(text, lexpr::parse::Options::default());
     let mut datums = Vec::new();
@@ -286,7 +298,7 @@
                 faults.add(
                     place,
                     format!("not an S-expression ({error})"),
-                    "the rest can't be read then",
+                    "the rest of the file can't be read",
                     "look for a missing ) or \"",
                 );
                 return None;
@@ -295,34 +307,40 @@
     }
 }
 
-/// Reads a text that holds one form of that word, and has it looked into; none if there is no such form.
+/// Parses a text that must consist of one form with that word, and reads the form with `read_form`. Returns `None`,
+/// with a fault, if the text is anything else.
 pub fn root<T>(
     text: &str,
     word: &str,
     faults: &mut Faults,
-    look: impl FnOnce(&Form, &mut Faults) -> T,
+    read_form: impl FnOnce(&Form, &mut Faults) -> T,
 ) -> Option<T> {
     let roots = read_datums(text, faults)?;
-    let mend = format!("put all in one ({word} ...)");
+    let remedy = format!("put everything into one ({word} ...)");
     let [root] = &roots[..] else {
-        let what = format!("{} forms stand at the top", roots.len());
-        faults.add(Place { line: 1, column: 1 }, what, "a file holds one", mend);
+        let what = format!("{} forms at the top level", roots.len());
+        faults.add(
+            Place { line: 1, column: 1 },
+            what,
+            "a file consists of one",
+            remedy,
+        );
         return None;
     };
     let Some(form) = Form::of(root.as_ref(), faults) else {
-        let what = format!("the file holds {}", root.value());
-        faults.add(place(root.as_ref()), what, "it is no form", mend);
+        let what = format!("the file consists of {}", root.value());
+        faults.add(place(root.as_ref()), what, "that is not a form", remedy);
         return None;
     };
     if form.word != word {
-        let what = format!("the file holds {}", form.says());
+        let what = format!("the file consists of {}", form.abbreviated());
         faults.add(
             form.place,
             what,
-            format!("it is no {word}"),
+            format!("a ({word} ...) is expected"),
             format!("write ({word} ...)"),
         );
         return None;
     }
-    Some(look(&form, faults))
+    Some(read_form(&form, faults))
 }
--- a/crates/flaxdeck-plan/src/reader.rs
+++ b/crates/flaxdeck-plan/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the forms of a plan file, one function for each.
+//! Reads a plan file, with one function for each top-level setting.
 
 mod planners;
 
@@ -6,30 +6,30 @@
 use crate::plan::{EventDelivery, LogFormat, Plan, WithoutContact};
 use planners::read_planners;
 
-/// The longest time between two reports, in milliseconds: a forwarder that says nothing for a second more counts as lost.
+/// Maximum time between two reports, in milliseconds: a forwarder that stays silent for a second longer counts as lost.
 const MAX_IDLE_MS: f64 = 1_500.0;
-/// The least time between two batches of events, in milliseconds.
+/// Minimum time between two batches of events, in milliseconds.
 const MIN_BATCH_MS: f64 = 100.0;
-/// The longest time between two batches of events, in milliseconds.
+/// Maximum time between two batches of events, in milliseconds.
 const MAX_BATCH_MS: f64 = 2_000.0;
-/// What holds where the file tells none.
+/// Time between two batches of events if the file sets none, in milliseconds.
 const DEFAULT_BATCH_MS: u32 = 1_000;
-/// A grant has to outlast so many reports.
+/// Number of report intervals that a grant must outlast, so that it survives a lost report.
 const REPORTS_PER_GRANT: u32 = 3;
 
-/// The forms of a plan.
+/// The words of the forms in a plan.
 const FORMS: &[&str] = &[
     "key-file", "planners", "shares", "reports", "events", "blind", "state", "log",
 ];
 
-/// Reads one form into the plan.
+/// Reads one form and sets its values in the plan.
 type SectionReader = fn(&Form, &mut Plan, &mut Faults);
 
-/// Reads a file's text; `file` is the name that faults bear.
+/// Reads a plan from the text of a file; `file` is the file name in faults.
 ///
 /// # Errors
 ///
-/// All faults of the file, in its order.
+/// All faults of the file, sorted by their position.
 pub fn read(file: &str, text: &str) -> Result<Plan, Vec<Fault>> {
     let mut faults = Faults::of(file);
     let mut plan = Plan::default();
@@ -44,7 +44,7 @@
     match only(&mut forms, "key-file", faults) {
         Some(form) => plan.key_file = form.text(faults).map(|(text, _)| text).unwrap_or_default(),
         None => {
-            let why = "instances that share no key would believe anybody";
+            let why = "without a shared key, instances can't authenticate each other";
             faults.add(
                 root.place,
                 "key-file is missing".into(),
@@ -56,12 +56,12 @@
     match only(&mut forms, "planners", faults) {
         Some(form) => plan.planners = read_planners(&form, faults),
         None => {
-            let mend = "add (planners (planner (name p1) (listen \"127.0.0.1:7501\")))";
+            let remedy = "add (planners (planner (name p1) (listen \"127.0.0.1:7501\")))";
             faults.add(
                 root.place,
                 "planners is missing".into(),
-                "nobody would guide",
-                mend,
+                "forwarders get their guidance from planners",
+                remedy,
             );
         }
     }
@@ -93,12 +93,12 @@
         .and_then(|form| form.flag(faults))
         .unwrap_or(true);
     if !plan.has_slot && plan.reserve == 0.0 {
-        let why = "a forwarder without a seat lives on what others lend alone";
+        let why = "a forwarder without a slot has only the quota that others lend";
         faults.add(
             form.place,
             "seated no with reserve 0".into(),
             why,
-            "set (reserve 0.1) or more everywhere",
+            "set (reserve 0.1) or more in the plan of every instance",
         );
     }
 }
@@ -115,16 +115,16 @@
             "reports every {} ms with grants of {} ms",
             plan.report_every_ms, plan.grant_ms
         );
-        let why = "a grant must outlast three reports, or every lost one takes it away";
+        let why = "a grant must outlast three reports, so that a lost one does not end it";
         faults.add(
             place.unwrap_or(form.place),
             what,
             why,
-            "report more often or grant for longer",
+            "lower every-ms or raise granted-ms",
         );
     }
-    let least = f64::from(plan.report_every_ms);
-    let idle = idle.and_then(|form| form.number(least, MAX_IDLE_MS, faults));
+    let min_idle_ms = f64::from(plan.report_every_ms);
+    let idle = idle.and_then(|form| form.number(min_idle_ms, MAX_IDLE_MS, faults));
     plan.report_idle_ms = idle.map_or(plan.report_every_ms, |ms| ms as u32);
 }
 
@@ -135,12 +135,12 @@
     let batch = only(&mut inner, "batch-ms", faults);
     if by != Some("digest") {
         if let Some(batch) = batch {
-            let why = "only digests come in batches";
+            let why = "only digests are sent in batches";
             faults.add(
                 batch.place,
                 "batch-ms without (by digest)".into(),
                 why,
-                "take batch-ms out",
+                "remove batch-ms",
             );
         }
         return;
@@ -150,12 +150,12 @@
         batch_ms: batch.map_or(DEFAULT_BATCH_MS, |ms| ms as u32),
     };
     if plan.planners.is_empty() {
-        let why = "digests come from planners";
+        let why = "digests are sent by planners";
         faults.add(
             form.place,
             "(by digest) without planners".into(),
             why,
-            "list planners, or take events out",
+            "list planners, or remove events",
         );
     }
 }
@@ -167,18 +167,19 @@
         only(&mut inner, "then", faults).and_then(|form| form.choice(&["bounce", "go-on"], faults));
     if then == Some("go-on") {
         if let Some(after) = after {
-            let why = "going on needs no time";
+            let why = "(then go-on) has no time limit";
             faults.add(
                 after.place,
-                "after-ms beside (then go-on)".into(),
+                "after-ms together with (then go-on)".into(),
                 why,
-                "take after-ms out",
+                "remove after-ms",
             );
         }
         plan.without_contact = WithoutContact::GoOn;
         return;
     }
-    // Below the coordinator's second, only planners' messages confirm the list on a quiet day.
+    // The coordinator sends a heartbeat each second. With a limit below that, only messages of planners can confirm the
+    // endpoint list in time while there are no events.
     if let Some(ms) = after.and_then(|form| form.number(300.0, 60_000.0, faults)) {
         plan.without_contact = WithoutContact::RejectAfter { ms };
     }
@@ -188,12 +189,12 @@
     match only(&mut form.forms(&["folder"], faults), "folder", faults) {
         Some(folder) => plan.state_folder = folder.text(faults).map(|(text, _)| text),
         None => {
-            let why = "state needs a place that outlasts the process";
+            let why = "the state needs a folder that outlives the process";
             faults.add(
                 form.place,
                 "folder is missing".into(),
                 why,
-                "add (folder \"state\"), or take state out",
+                "add (folder \"state\"), or remove state",
             );
         }
     }
--- a/crates/flaxdeck-plan/src/reader/planners.rs
+++ b/crates/flaxdeck-plan/src/reader/planners.rs
@@ -5,7 +5,7 @@
 use crate::form::{Faults, Form, Place, only};
 use crate::plan::{MAX_PLANNERS, Planner};
 
-/// A value with its place in the file.
+/// A value with its position in the file.
 struct Placed<T> {
     value: T,
     place: Place,
@@ -16,13 +16,14 @@
     let mut planners: Vec<Planner> = Vec::new();
     let forms = form.forms(&["planner"], faults);
     if forms.len() > MAX_PLANNERS {
-        let what = format!("{} planners", forms.len());
-        let why = format!("there may be {MAX_PLANNERS} at most, as each forwarder reports to all");
+        let what = format!("{} planners are listed", forms.len());
+        let why =
+            format!("at most {MAX_PLANNERS} are allowed, as each forwarder reports to all of them");
         faults.add(
             form.place,
             what,
             why,
-            "list them as (planner (name p1) (listen \"address:port\"))",
+            "list fewer, each as (planner (name p1) (listen \"address:port\"))",
         );
     }
     for form in forms {
@@ -64,7 +65,7 @@
         faults.add(
             place,
             format!("name is {value}"),
-            "it is a word",
+            "it must be a word",
             "write (name p1)",
         );
         return None;
@@ -78,7 +79,7 @@
 fn read_address(form: &Form, faults: &mut Faults) -> Option<Placed<SocketAddr>> {
     let (text, place) = form.text(faults)?;
     let Ok(value) = text.parse() else {
-        let why = "it is an IP address and a port; names are not looked up";
+        let why = "it must be an IP address and a port; host names are not resolved";
         faults.add(
             place,
             format!("listen is {text:?}"),
@@ -97,22 +98,22 @@
     faults: &mut Faults,
 ) {
     if planners.iter().any(|planner| planner.name == name.value) {
-        let why = "two planners of one name can't be told apart";
+        let why = "two planners with the same name can't be distinguished";
         faults.add(
             name.place,
-            format!("name {} is taken", name.value),
+            format!("name {} is used twice", name.value),
             why,
             "choose another name",
         );
     }
-    let is_taken = planners
+    let is_duplicate = planners
         .iter()
         .any(|planner| planner.listen == listen.value);
-    if listen.value.port() != 0 && is_taken {
-        let why = "two planners can't listen at one address";
+    if listen.value.port() != 0 && is_duplicate {
+        let why = "two planners can't listen on the same address";
         faults.add(
             listen.place,
-            format!("{} is taken", listen.value),
+            format!("listen {} is used twice", listen.value),
             why,
             "choose another port",
         );
--- a/crates/flaxdeck-plan/tests/events.rs
+++ b/crates/flaxdeck-plan/tests/events.rs
@@ -1,4 +1,4 @@
-//! The words of a plan that say how events reach forwarders, and how often reports go out.
+//! The settings of a plan for the delivery of events to forwarders and for the intervals of reports.
 
 #![allow(
     clippy::unwrap_used,
@@ -8,10 +8,12 @@
 
 use flaxdeck_plan::{EventDelivery, read};
 
+/// Returns a plan with one planner and these further forms.
 fn plan(rest: &str) -> String {
     format!("(plan (key-file \"k\") (planners (planner (name a) (listen \"127.0.0.1:1\"))) {rest})")
 }
 
+/// Returns the only fault of a plan with these further forms.
 fn fault(rest: &str) -> String {
     let faults = read("x.plan", &plan(rest)).unwrap_err();
     assert_eq!(faults.len(), 1, "{faults:?}");
@@ -19,7 +21,7 @@
 }
 
 #[test]
-fn without_a_word_each_event_is_told_by_itself_and_reports_go_on_evenly() {
+fn events_are_sent_singly_and_idle_reports_keep_the_interval_by_default() {
     let read = |rest| read("x.plan", &plan(rest)).unwrap();
     assert_eq!(read("").events, EventDelivery::EachEvent);
     assert_eq!(
@@ -34,7 +36,7 @@
 }
 
 #[test]
-fn digests_come_in_batches_and_idle_reports_are_rarer() {
+fn the_batch_interval_and_the_idle_report_interval_can_be_set() {
     let plan = read(
         "x.plan",
         &plan("(events (by digest)) (reports (every-ms 100) (idle-ms 1500))"),
@@ -50,15 +52,19 @@
 }
 
 #[test]
-fn faults_are_told_with_their_reasons() {
+fn invalid_event_and_report_settings_are_faults_with_a_reason() {
     assert!(fault("(events (by digest) (batch-ms 50))").contains("from 100 to 2000"));
     assert!(fault("(events (by gossip))").contains("one of: each-event digest"));
-    assert!(fault("(events (batch-ms 500))").contains("only digests come in batches"));
+    assert!(fault("(events (batch-ms 500))").contains("only digests are sent in batches"));
     assert!(fault("(reports (every-ms 200) (idle-ms 100))").contains("from 200 to 1500"));
-    let none = read(
+    let without_planners = read(
         "x.plan",
         "(plan (key-file \"k\") (planners) (events (by digest)))",
     )
     .unwrap_err();
-    assert!(none[0].to_string().contains("digests come from planners"));
+    assert!(
+        without_planners[0]
+            .to_string()
+            .contains("digests are sent by planners")
+    );
 }
--- a/crates/flaxdeck-plan/tests/recorded_plan.rs
+++ b/crates/flaxdeck-plan/tests/recorded_plan.rs
@@ -1,5 +1,5 @@
-//! `deploy/two-levels.plan` as revision 45b174f read it, from a copy of the file as it was then: every word of it has
-//! to keep its meaning.
+//! A copy of `deploy/two-levels.plan` as of revision 45b174f, and the settings that the program read from it at that
+//! revision. Later versions must read the same settings from it.
 
 #![allow(
     clippy::unwrap_used,
@@ -14,13 +14,13 @@
 fn planner(name: &str, listen: &str) -> Planner {
     Planner {
         name: name.into(),
-        listen: listen.parse().expect("an address"),
+        listen: listen.parse().expect("a valid address"),
     }
 }
 
 #[test]
-fn the_operators_plan_file_keeps_its_meaning() {
-    let wanted = Plan {
+fn the_recorded_plan_is_read_as_at_that_revision() {
+    let expected = Plan {
         key_file: "two-levels.key".into(),
         planners: vec![
             planner("p1", "127.0.0.1:7501"),
@@ -38,12 +38,15 @@
         state_folder: None,
         log_levels: "info".into(),
     };
-    assert_eq!(read("two-levels.plan", RECORDED), Ok(wanted));
+    assert_eq!(read("two-levels.plan", RECORDED), Ok(expected));
 }
 
 #[test]
-fn the_plan_file_in_deploy_is_the_recorded_one() {
+fn the_plan_in_deploy_equals_the_recorded_one() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/two-levels.plan");
-    let today = std::fs::read_to_string(path).expect("the plan file");
-    assert!(today == RECORDED, "deploy/two-levels.plan has changed");
+    let current = std::fs::read_to_string(path).expect("deploy/two-levels.plan can be read");
+    assert!(
+        current == RECORDED,
+        "deploy/two-levels.plan differs from the recorded copy"
+    );
 }
--- a/crates/flaxdeck-scale/tests/files.rs
+++ b/crates/flaxdeck-scale/tests/files.rs
@@ -74,7 +74,7 @@
     // The @ marks where the fault is.
     for (rest, what) in [
         (" @(sises (hollow 3)))", "write sizes"),
-        (" (sizes (hollow @0)))", "it is a number from 1 to"),
+        (" (sizes (hollow @0)))", "it must be a number from 1 to"),
         (
             " (sizes (hosts 100) @(hosts 200)))",
             "hosts is set a second time",
