--- a/crates/flaxdeck-cli/src/scenario_files.rs
+++ b/crates/flaxdeck-cli/src/scenario_files.rs
@@ -3,7 +3,7 @@
 
 use flaxdeck_fleet::faults::KINDS;
 use flaxdeck_fleet::{Fault, FaultKind, Scenario};
-use flaxdeck_plan::form::{Faults, Form, only, root};
+use flaxdeck_plan::form::{Faults, Form, root, take_single};
 
 use crate::exit::{ExitError, file_faults};
 use crate::files;
@@ -84,13 +84,13 @@
     known.push("faults");
     let mut forms = form.forms(&known, faults);
     for number in NUMBERS {
-        let form = only(&mut forms, number.word, faults);
+        let form = take_single(&mut forms, number.word, faults);
         let value = form.and_then(|form| form.number(number.min, number.max, faults));
         if let Some(value) = value {
             (number.set)(&mut scenario, value);
         }
     }
-    if let Some(list) = only(&mut forms, "faults", faults) {
+    if let Some(list) = take_single(&mut forms, "faults", faults) {
         let fault_forms = list.forms(&["fault"], faults);
         let read = fault_forms
             .iter()
@@ -102,9 +102,9 @@
 
 fn read_fault(form: &Form, faults: &mut Faults) -> Option<Fault> {
     let mut forms = form.forms(&FAULT_FORMS, faults);
-    let kind = only(&mut forms, "kind", faults).and_then(|form| form.choice(KINDS, faults));
+    let kind = take_single(&mut forms, "kind", faults).and_then(|form| form.choice(KINDS, faults));
     let mut number = |word: &str, min: f64, max: f64, default: f64| {
-        only(&mut forms, word, faults)
+        take_single(&mut forms, word, faults)
             .and_then(|form| form.number(min, max, faults))
             .unwrap_or(default)
     };
--- a/crates/flaxdeck-plan/src/form.rs
+++ b/crates/flaxdeck-plan/src/form.rs
@@ -270,7 +270,11 @@
 
 /// Removes the form that begins with that word and returns it. Further ones are removed too and are faults, as only one
 /// could take effect.
-pub fn only<'a>(forms: &mut Vec<Form<'a>>, word: &str, faults: &mut Faults) -> Option<Form<'a>> {
+pub fn take_single<'a>(
+    forms: &mut Vec<Form<'a>>,
+    word: &str,
+    faults: &mut Faults,
+) -> Option<Form<'a>> {
     let at = forms.iter().position(|form| form.word == word)?;
     let first = forms.remove(at);
     while let Some(at) = forms.iter().position(|form| form.word == word) {
--- a/crates/flaxdeck-plan/src/reader.rs
+++ b/crates/flaxdeck-plan/src/reader.rs
@@ -2,7 +2,7 @@
 
 mod planners;
 
-use crate::form::{Fault, Faults, Form, only, root};
+use crate::form::{Fault, Faults, Form, root, take_single};
 use crate::plan::{EventDelivery, LogFormat, Plan, WithoutContact};
 use planners::read_planners;
 
@@ -41,7 +41,7 @@
 
 fn read_plan(plan: &mut Plan, root: &Form, faults: &mut Faults) {
     let mut forms = root.forms(FORMS, faults);
-    match only(&mut forms, "key-file", faults) {
+    match take_single(&mut forms, "key-file", faults) {
         Some(form) => plan.key_file = form.text(faults).map(|(text, _)| text).unwrap_or_default(),
         None => {
             let why = "without a shared key, instances can't authenticate each other";
@@ -53,7 +53,7 @@
             );
         }
     }
-    match only(&mut forms, "planners", faults) {
+    match take_single(&mut forms, "planners", faults) {
         Some(form) => plan.planners = read_planners(&form, faults),
         None => {
             let remedy = "add (planners (planner (name p1) (listen \"127.0.0.1:7501\")))";
@@ -74,7 +74,7 @@
         ("log", read_log),
     ];
     for (word, read) in readers {
-        if let Some(form) = only(&mut forms, word, faults) {
+        if let Some(form) = take_single(&mut forms, word, faults) {
             read(&form, plan, faults);
         }
     }
@@ -82,7 +82,7 @@
 
 fn read_shares(form: &Form, plan: &mut Plan, faults: &mut Faults) {
     let mut inner = form.forms(&["reserve", "granted-ms", "drift", "seated"], faults);
-    let mut take = |word: &str, faults: &mut Faults| only(&mut inner, word, faults);
+    let mut take = |word: &str, faults: &mut Faults| take_single(&mut inner, word, faults);
     let reserve = take("reserve", faults).and_then(|form| form.number(0.0, 0.9, faults));
     plan.reserve = reserve.unwrap_or(plan.reserve);
     let granted = take("granted-ms", faults).and_then(|form| form.number(300.0, 10_000.0, faults));
@@ -105,8 +105,8 @@
 
 fn read_reports(form: &Form, plan: &mut Plan, faults: &mut Faults) {
     let mut inner = form.forms(&["every-ms", "idle-ms"], faults);
-    let every = only(&mut inner, "every-ms", faults);
-    let idle = only(&mut inner, "idle-ms", faults);
+    let every = take_single(&mut inner, "every-ms", faults);
+    let idle = take_single(&mut inner, "idle-ms", faults);
     let place = every.as_ref().map(|form| form.place);
     let every = every.and_then(|form| form.number(20.0, 5_000.0, faults));
     plan.report_every_ms = every.map_or(plan.report_every_ms, |ms| ms as u32);
@@ -130,9 +130,9 @@
 
 fn read_events(form: &Form, plan: &mut Plan, faults: &mut Faults) {
     let mut inner = form.forms(&["by", "batch-ms"], faults);
-    let by = only(&mut inner, "by", faults);
+    let by = take_single(&mut inner, "by", faults);
     let by = by.and_then(|form| form.choice(&["each-event", "digest"], faults));
-    let batch = only(&mut inner, "batch-ms", faults);
+    let batch = take_single(&mut inner, "batch-ms", faults);
     if by != Some("digest") {
         if let Some(batch) = batch {
             let why = "only digests are sent in batches";
@@ -162,9 +162,9 @@
 
 fn read_without_contact(form: &Form, plan: &mut Plan, faults: &mut Faults) {
     let mut inner = form.forms(&["after-ms", "then"], faults);
-    let after = only(&mut inner, "after-ms", faults);
-    let then =
-        only(&mut inner, "then", faults).and_then(|form| form.choice(&["bounce", "go-on"], faults));
+    let after = take_single(&mut inner, "after-ms", faults);
+    let then = take_single(&mut inner, "then", faults)
+        .and_then(|form| form.choice(&["bounce", "go-on"], faults));
     if then == Some("go-on") {
         if let Some(after) = after {
             let why = "(then go-on) has no time limit";
@@ -186,7 +186,7 @@
 }
 
 fn read_state(form: &Form, plan: &mut Plan, faults: &mut Faults) {
-    match only(&mut form.forms(&["folder"], faults), "folder", faults) {
+    match take_single(&mut form.forms(&["folder"], faults), "folder", faults) {
         Some(folder) => plan.state_folder = folder.text(faults).map(|(text, _)| text),
         None => {
             let why = "the state needs a folder that outlives the process";
@@ -202,14 +202,14 @@
 
 fn read_log(form: &Form, plan: &mut Plan, faults: &mut Faults) {
     let mut inner = form.forms(&["format", "levels"], faults);
-    let format =
-        only(&mut inner, "format", faults).and_then(|form| form.choice(&["text", "json"], faults));
+    let format = take_single(&mut inner, "format", faults)
+        .and_then(|form| form.choice(&["text", "json"], faults));
     plan.log_format = if format == Some("json") {
         LogFormat::Json
     } else {
         LogFormat::Text
     };
-    let levels = only(&mut inner, "levels", faults).and_then(|form| form.text(faults));
+    let levels = take_single(&mut inner, "levels", faults).and_then(|form| form.text(faults));
     if let Some((levels, _)) = levels {
         plan.log_levels = levels;
     }
--- a/crates/flaxdeck-plan/src/reader/planners.rs
+++ b/crates/flaxdeck-plan/src/reader/planners.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::form::{Faults, Form, Place, only};
+use crate::form::{Faults, Form, Place, take_single};
 use crate::plan::{MAX_PLANNERS, Planner};
 
 /// A value with its position in the file.
@@ -41,8 +41,8 @@
 
 fn read_planner(form: &Form, faults: &mut Faults) -> Option<(Placed<String>, Placed<SocketAddr>)> {
     let mut inner = form.forms(&["name", "listen"], faults);
-    let name = only(&mut inner, "name", faults);
-    let listen = only(&mut inner, "listen", faults);
+    let name = take_single(&mut inner, "name", faults);
+    let listen = take_single(&mut inner, "listen", faults);
     for (found, word) in [(name.is_some(), "name"), (listen.is_some(), "listen")] {
         if !found {
             let why = "a planner needs both name and listen";
--- a/crates/flaxdeck-scale/src/scenario.rs
+++ b/crates/flaxdeck-scale/src/scenario.rs
@@ -1,7 +1,7 @@
 //! The scale file: sizes, rates, times, the way of distribution and a fault, in S-expressions. A file with a fault in
 //! its words starts nothing.
 
-use flaxdeck_plan::form::{Faults, Form, only, root};
+use flaxdeck_plan::form::{Faults, Form, root, take_single};
 use flaxdeck_plan::{Fault as FileFault, Place};
 
 use crate::measurement::Distribution;
@@ -156,12 +156,12 @@
 
 /// Takes a form that has one number within bounds; what stands already if there is none.
 fn number(forms: &mut Vec<Form>, word: &str, bounds: [f64; 2], faults: &mut Faults) -> Option<f64> {
-    only(forms, word, faults)?.number(bounds[0], bounds[1], faults)
+    take_single(forms, word, faults)?.number(bounds[0], bounds[1], faults)
 }
 
 fn fill(scenario: &mut Scenario, root: &Form, faults: &mut Faults) {
     let mut forms = root.forms(TOP, faults);
-    match only(&mut forms, "name", faults) {
+    match take_single(&mut forms, "name", faults) {
         Some(form) => scenario.name = form.text(faults).map(|(text, _)| text).unwrap_or_default(),
         None => missing(
             root.place,
@@ -180,15 +180,15 @@
     if let Some(every) = number(&mut forms, "reports-ms", [20.0, 5_000.0], faults) {
         scenario.report_every_ms = every as u32;
     }
-    if let Some(form) = only(&mut forms, "distribution", faults) {
+    if let Some(form) = take_single(&mut forms, "distribution", faults) {
         scenario.distribution = distribution(&form, faults);
     }
-    if let Some(form) = only(&mut forms, "times", faults) {
+    if let Some(form) = take_single(&mut forms, "times", faults) {
         times(&mut scenario.times, &form, faults);
     }
     let base = base_point(&mut forms, faults);
-    scenario.fault =
-        only(&mut forms, "fault", faults).and_then(|form| fault(scenario.times, &form, faults));
+    scenario.fault = take_single(&mut forms, "fault", faults)
+        .and_then(|form| fault(scenario.times, &form, faults));
     scenario.points = points(base, &forms, faults);
 }
 
@@ -210,10 +210,10 @@
         purges_per_s: 33.0,
         host_changes_per_s: 1.0,
     };
-    if let Some(form) = only(forms, "sizes", faults) {
+    if let Some(form) = take_single(forms, "sizes", faults) {
         sizes(&mut base, &mut form.forms(SIZES, faults), faults);
     }
-    if let Some(form) = only(forms, "rates", faults) {
+    if let Some(form) = take_single(forms, "rates", faults) {
         rates(&mut base, &mut form.forms(RATES, faults), faults);
     }
     base
@@ -289,7 +289,7 @@
 fn fault(times: Times, form: &Form, faults: &mut Faults) -> Option<Fault> {
     let mut inner = form.forms(&["kind", "at-s", "lasts-s"], faults);
     let words = FaultKind::ALL.map(|(_, word)| word);
-    let Some(kind) = only(&mut inner, "kind", faults) else {
+    let Some(kind) = take_single(&mut inner, "kind", faults) else {
         missing(
             form.place,
             "kind",
--- a/crates/flaxdeck-scale/src/target.rs
+++ b/crates/flaxdeck-scale/src/target.rs
@@ -2,7 +2,7 @@
 //! (`docs/capacity/target.plan`), with the means that follow from it.
 
 use flaxdeck_plan::Fault;
-use flaxdeck_plan::form::{Faults, Form, only, root};
+use flaxdeck_plan::form::{Faults, Form, root, take_single};
 
 use crate::fit::nature::Size;
 
@@ -218,7 +218,7 @@
         .collect();
     let mut forms = form.forms(&words, faults);
     for field in fields {
-        match only(&mut forms, field.word, faults) {
+        match take_single(&mut forms, field.word, faults) {
             Some(form) => {
                 let value = form.number(field.min, field.max, faults);
                 if let Some(value) = value {
@@ -230,7 +230,7 @@
     }
     for word in inner {
         let within: Vec<&'static str> = path.iter().copied().chain([word]).collect();
-        match only(&mut forms, word, faults) {
+        match take_single(&mut forms, word, faults) {
             Some(form) => fill(target, &form, &within, faults),
             None => missing(form, word, faults),
         }
