--- a/crates/flaxdeck-cli/src/scenario_files.rs
+++ b/crates/flaxdeck-cli/src/scenario_files.rs
@@ -75,7 +75,9 @@
     let text = files::read_text(file)?;
     let mut faults = Faults::of(file);
     let scenario = root(&text, "model", &mut faults, read_scenario).unwrap_or_default();
-    faults.or(scenario).map_err(|faults| file_faults(&faults))
+    faults
+        .into_result(scenario)
+        .map_err(|faults| file_faults(&faults))
 }
 
 fn read_scenario(form: &Form, faults: &mut Faults) -> Scenario {
--- a/crates/flaxdeck-plan/src/form.rs
+++ b/crates/flaxdeck-plan/src/form.rs
@@ -68,7 +68,7 @@
     /// # Errors
     ///
     /// All faults, sorted by their position in the file.
-    pub fn or<T>(mut self, value: T) -> Result<T, Vec<Fault>> {
+    pub fn into_result<T>(mut self, value: T) -> Result<T, Vec<Fault>> {
         self.found.sort();
         if self.found.is_empty() {
             Ok(value)
--- a/crates/flaxdeck-plan/src/reader.rs
+++ b/crates/flaxdeck-plan/src/reader.rs
@@ -36,7 +36,7 @@
     root(text, "plan", &mut faults, |form, faults| {
         read_plan(&mut plan, form, faults);
     });
-    faults.or(plan)
+    faults.into_result(plan)
 }
 
 fn read_plan(plan: &mut Plan, root: &Form, faults: &mut Faults) {
--- a/crates/flaxdeck-scale/src/scenario.rs
+++ b/crates/flaxdeck-scale/src/scenario.rs
@@ -151,7 +151,7 @@
     root(text, "scale", &mut faults, |form, faults| {
         fill(&mut scenario, form, faults)
     });
-    faults.or(scenario)
+    faults.into_result(scenario)
 }
 
 /// Takes a form that has one number within bounds; what stands already if there is none.
--- a/crates/flaxdeck-scale/src/target.rs
+++ b/crates/flaxdeck-scale/src/target.rs
@@ -204,7 +204,7 @@
     root(text, "target", &mut faults, |form, faults| {
         fill(&mut target, form, &[], faults)
     });
-    faults.or(target)
+    faults.into_result(target)
 }
 
 /// Fills in what stands in a form that is reached by `path`.
