--- a/crates/flaxdeck-adapter/src/adapter.rs
+++ b/crates/flaxdeck-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! Applies wire lines to the instances, and writes what they decide at the end of each batch.
+//! Dispatches input lines to the instances, and writes their decisions at the end of each batch.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -11,7 +11,7 @@
 use crate::instance::Instance;
 use crate::reply::encode;
 
-/// Events for one instance, beside its start and its end.
+/// Events for one instance, apart from its launch and its end.
 const INSTANCE_EVENTS: [&str; 9] = [
     "Endpoints",
     "Accept",
@@ -24,23 +24,23 @@
     "Whisper",
 ];
 
-/// All instances of this process and the numbered lists, which belong to none.
+/// All instances of this process, and the endpoint lists, which instances refer to by number.
 #[derive(Default)]
 pub(crate) struct Adapter {
     instances: BTreeMap<String, Instance>,
     lists: BTreeMap<u64, Vec<Value>>,
-    /// The batch's time, while a batch is open.
+    /// The time of the open batch; `None` between batches.
     now: Option<Time>,
-    /// Reply lines, in the order of the events that brought them about.
+    /// The actions of the open batch, in the order of the events that caused them.
     reply: Vec<Value>,
 }
 
 impl Adapter {
-    /// Takes one line; writes and flushes a reply when the line ends a batch.
+    /// Processes one input line. Writes and flushes the reply when the line ends a batch.
     ///
     /// # Errors
     ///
-    /// A line that makes no sense, which is passed over; a reply that can't be written.
+    /// [`AdapterError::Input`] for an invalid line, [`AdapterError::Output`] if the reply can't be written.
     pub(crate) fn handle_line(
         &mut self,
         line: &[u8],
@@ -71,7 +71,7 @@
         }
         output.write_all(b"{\"event_type\":\"End\"}\n")?;
         output.flush()?;
-        // The other side waits for a reply all the same.
+        // The reply is written in any case, as the simulator waits for it.
         if was_open {
             Ok(())
         } else {
@@ -109,26 +109,31 @@
             "Destroy" => {
                 let who = fields.text("who")?;
                 let removed = self.instances.remove(who);
-                removed.map(drop).ok_or_else(|| never_started(who))
+                removed.map(drop).ok_or_else(|| not_running(who))
             }
-            event if INSTANCE_EVENTS.contains(&event) => self.apply_to_one(event, fields, now),
+            event if INSTANCE_EVENTS.contains(&event) => self.apply_to_instance(event, fields, now),
             _ => Err(EventError::UnknownEvent),
         }
     }
 
-    fn apply_to_one(&mut self, event: &str, fields: &Fields, now: Time) -> Result<(), EventError> {
+    fn apply_to_instance(
+        &mut self,
+        event: &str,
+        fields: &Fields,
+        now: Time,
+    ) -> Result<(), EventError> {
         let who = fields.text("who")?;
         let instance = self
             .instances
             .get_mut(who)
-            .ok_or_else(|| never_started(who))?;
+            .ok_or_else(|| not_running(who))?;
         let decisions = if event == "Endpoints" {
             let Some(kind) = list_kind(fields.text("how")?)? else {
                 return Ok(());
             };
             let number = fields.whole("sheet")?;
             let rows = self.lists.get(&number);
-            instance.list(now, kind, rows.ok_or(EventError::ListNeverSent { number })?)?
+            instance.apply_list(now, kind, rows.ok_or(EventError::ListNeverSent { number })?)?
         } else {
             instance.apply(event, fields, now)?
         };
@@ -137,13 +142,13 @@
     }
 }
 
-fn never_started(who: &str) -> EventError {
-    EventError::NeverStarted {
-        who: who.to_owned(),
+fn not_running(who: &str) -> EventError {
+    EventError::NotRunning {
+        instance: who.to_owned(),
     }
 }
 
-/// What a list holds; none where the other side could not get one.
+/// Returns whether a list is full or a delta; `None` if the simulator reports that the list could not be fetched.
 fn list_kind(how: &str) -> Result<Option<ListKind>, EventError> {
     match how {
         "Partial" => Ok(Some(ListKind::Delta)),
--- a/crates/flaxdeck-adapter/src/error.rs
+++ b/crates/flaxdeck-adapter/src/error.rs
@@ -1,14 +1,14 @@
-//! What can go wrong with a line.
+//! Errors while processing an input line.
 
 use std::io;
 
 use flaxdeck_terms::SettingsError;
 use thiserror::Error;
 
-/// Why a line had no effect, or no reply.
+/// Why processing an input line failed.
 #[derive(Debug, Error)]
 pub(crate) enum AdapterError {
-    /// The line makes no sense on the wire; it is passed over.
+    /// The line is invalid.
     #[error(transparent)]
     Input(#[from] InputError),
     /// The reply can't be written.
@@ -16,23 +16,23 @@
     Output(#[from] io::Error),
 }
 
-/// Why a line makes no sense.
+/// Why an input line is invalid.
 #[derive(Debug, Error)]
 pub(crate) enum InputError {
-    /// It is no JSON.
-    #[error("not JSON: {0}")]
+    /// The line is not valid JSON.
+    #[error("invalid JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// A field is missing or of another type, or settings can't be used.
+    /// A field is missing or of the wrong type, or the settings are invalid.
     #[error(transparent)]
     Field(#[from] SettingsError),
-    /// A batch begins while another is open.
-    #[error("Mark inside a batch: the clock is set anew")]
+    /// A batch begins while another one is open.
+    #[error("Mark inside an open batch: the batch continues with the new time")]
     MarkInsideBatch,
-    /// A batch ends that never began.
-    #[error("EofBatch without a Mark")]
+    /// A batch ends that was not begun.
+    #[error("EofBatch without a Mark before it")]
     EndWithoutMark,
-    /// An event has no batch, and so no time.
-    #[error("{event} outside a batch")]
+    /// An event outside a batch, which therefore has no time.
+    #[error("{event} outside a batch: there is no Mark before it")]
     OutsideBatch {
         /// The event's name.
         event: String,
@@ -42,7 +42,7 @@
     Event {
         /// The event's name.
         event: String,
-        /// Why not.
+        /// The reason.
         source: EventError,
     },
 }
@@ -50,44 +50,44 @@
 /// Why an event can't be applied.
 #[derive(Debug, Error)]
 pub(crate) enum EventError {
-    /// A field is missing or of another type, or settings can't be used.
+    /// A field is missing or of the wrong type, or the settings are invalid.
     #[error(transparent)]
     Field(#[from] SettingsError),
-    /// The event is none of the wire's.
+    /// The simulator's protocol has no event of that name.
     #[error("unknown event")]
     UnknownEvent,
-    /// The event is for an instance that does not run.
-    #[error("{who} was never started")]
-    NeverStarted {
+    /// The instance was never launched, or has been destroyed.
+    #[error("instance {instance} is not running")]
+    NotRunning {
         /// The instance's name.
-        who: String,
+        instance: String,
     },
-    /// A list is neither complete nor a change.
-    #[error("unknown kind of list {kind}")]
+    /// The field `how` of a list has none of the known values.
+    #[error("unknown value {kind:?} of field how")]
     UnknownListKind {
         /// The field's value.
         kind: String,
     },
-    /// A list is named by a number that none has.
-    #[error("list {number} was never sent")]
+    /// The event refers to an endpoint list that was not sent.
+    #[error("endpoint list {number} was never sent")]
     ListNeverSent {
-        /// The number.
+        /// The number of the list.
         number: u64,
     },
-    /// A host has a health that the wire does not have.
-    #[error("unknown mode {mode}")]
+    /// The field `mode` of a host has none of the known values.
+    #[error("unknown value {mode:?} of field mode")]
     UnknownMode {
         /// The field's value.
         mode: String,
     },
-    /// A request's class is none of the settings.
-    #[error("unknown class {class}")]
+    /// The settings have no request class of that name.
+    #[error("the settings have no request class {class:?}")]
     UnknownClass {
         /// The class's name.
         class: String,
     },
-    /// An attempt ended in a way that the wire does not have.
-    #[error("unknown outcome {outcome}")]
+    /// The field `reason` of an attempt has none of the known values.
+    #[error("unknown value {outcome:?} of field reason")]
     UnknownOutcome {
         /// The field's value.
         outcome: String,
--- a/crates/flaxdeck-adapter/src/instance.rs
+++ b/crates/flaxdeck-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: its decision engine, and the decoding of what happens to it.
+//! One instance: a decision engine, and the decoding of the events for it.
 
 use flaxdeck::decision::DecisionEngine;
 use flaxdeck::{
@@ -11,14 +11,14 @@
 
 use crate::error::EventError;
 
-/// One instance, with the names that its start gave to numbers.
+/// One instance: its decision engine, and the names to which its settings give numbers.
 pub(crate) struct Instance {
     engine: DecisionEngine,
     names: Names,
 }
 
 impl Instance {
-    /// Starts an instance, with its first decisions.
+    /// Starts an instance. Returns it with its first decisions.
     pub(crate) fn launch(fields: &Fields, now: Time) -> Result<(Instance, Decisions), EventError> {
         let seed = fields.whole("entropy")?;
         let (terms, names) = flaxdeck_terms::read(&fields.inner("params")?)?;
@@ -26,8 +26,8 @@
         Ok((Instance { engine, names }, decisions))
     }
 
-    /// Takes in a list of hosts.
-    pub(crate) fn list(
+    /// Applies an endpoint list.
+    pub(crate) fn apply_list(
         &mut self,
         now: Time,
         kind: ListKind,
@@ -37,7 +37,7 @@
         Ok(self.engine.list(now, kind, endpoints?))
     }
 
-    /// Takes in any other event.
+    /// Applies any other event.
     pub(crate) fn apply(
         &mut self,
         event: &str,
@@ -67,7 +67,7 @@
                 let report = self.load_report(fields)?;
                 self.engine.seen(now, &host, report)
             }
-            // Streamed answers and messages are never asked for here: nothing follows from them.
+            // `Started` (of a streamed answer) and `Whisper` (a message) have no effect: the adapter requests neither.
             _ => Decisions::default(),
         })
     }
--- a/crates/flaxdeck-adapter/src/reply.rs
+++ b/crates/flaxdeck-adapter/src/reply.rs
@@ -1,16 +1,16 @@
-//! Encodes decisions as the lines of a reply.
+//! Encodes decisions as actions, the lines of a reply.
 
 use flaxdeck::{Attempt, Cancel, Decisions, Final, Time};
 use serde_json::{Value, json};
 
-/// A fill that is under way may be joined.
+/// A miss may wait for a fill of the same object that is under way.
 const JOIN: u8 = 1;
-/// The source gives only what it has cached.
+/// The source may only serve what it has cached.
 const ONLY_CACHED: u8 = 2;
-/// The host makes sure that its copy is current.
+/// The host makes sure that its copy is up to date.
 const REVALIDATE: u8 = 8;
 
-/// Adds the lines for the decisions of the instance named `who`.
+/// Appends the actions for the decisions of the instance named `who`.
 pub(crate) fn encode(who: &str, now: Time, decisions: Decisions, reply: &mut Vec<Value>) {
     for cancel in &decisions.cancels {
         reply.push(encode_cancel(who, cancel));
--- a/crates/flaxdeck-adapter/tests/looks.rs
+++ b/crates/flaxdeck-adapter/tests/looks.rs
@@ -1,4 +1,4 @@
-//! The adapter's program on its wire, where hosts tell their load only to who asks.
+//! Runs the adapter's program with hosts that report their load only when polled.
 
 #![allow(
     clippy::unwrap_used,
@@ -11,6 +11,7 @@
 
 use serde_json::{Value, json};
 
+/// Returns settings in which hosts report their load by the means `via`, and `probes` tells whether they may be polled.
 fn settings(via: &str, probes: bool) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "objective_ms": 400.0, "aim_stretch": 2.0, "deadline_ms": 3000.0,
@@ -31,7 +32,7 @@
     })
 }
 
-/// What the adapter replies to batches of events, each at its time; batch by batch.
+/// Sends batches of events, each with its time, to the adapter. Returns its actions, one list for each batch.
 fn replies(batches: &[(f64, Vec<Value>)]) -> Vec<Vec<Value>> {
     let mut child = Command::new(env!("CARGO_BIN_EXE_flaxdeck-adapter"))
         .stdin(Stdio::piped())
@@ -64,7 +65,8 @@
     batches
 }
 
-fn started(via: &str, probes: bool) -> Vec<Value> {
+/// Returns the events that start an instance in a zone with one cache, and with a parent and an origin elsewhere.
+fn launch_events(via: &str, probes: bool) -> Vec<Value> {
     let host = |name: &str, shape: &str, zone: &str| {
         json!({"host": name, "heft": 20.0, "region_part": zone, "cluster": 0, "shape": shape, "mode": "in_service",
             "boot_time_ms": null})
@@ -86,7 +88,8 @@
         "set_no": 1, "qos": "page", "expires_ms": at + 3000.0})
 }
 
-fn of<'a>(batch: &'a [Value], name: &str) -> Vec<&'a Value> {
+/// Returns the actions of that type in a batch.
+fn actions<'a>(batch: &'a [Value], name: &str) -> Vec<&'a Value> {
     batch
         .iter()
         .filter(|action| action["event_type"] == name)
@@ -94,36 +97,38 @@
 }
 
 #[test]
-fn a_cache_is_health_checked_and_its_reported_link_load_is_heeded() {
-    let told = json!({"event_type": "CheckResult", "who": "d-0", "host": "c:1", "reason": "S", "latency_ms": 2.0,
-        "stats": [0.4, 0.7, 30.0]});
+fn a_cache_is_polled_and_a_full_link_in_its_load_report_prevents_fills() {
+    let check_result = json!({"event_type": "CheckResult", "who": "d-0", "host": "c:1", "reason": "S",
+        "latency_ms": 2.0, "stats": [0.4, 0.7, 30.0]});
     let wake = json!({"event_type": "Elapsed", "who": "d-0", "ctx": 0});
     let batches = replies(&[
-        (1000.0, started("on_probe", true)),
+        (1000.0, launch_events("on_probe", true)),
         (1500.0, vec![wake]),
         (1510.0, vec![request(1, 1510.0)]),
-        (1520.0, vec![told, request(2, 1520.0)]),
+        (1520.0, vec![check_result, request(2, 1520.0)]),
     ]);
-    let looks = of(&batches[1], "Inspect");
-    assert_eq!(looks.len(), 1, "{:?}", batches[1]);
-    assert_eq!(looks[0]["host"], "c:1");
-    assert_eq!(of(&batches[2], "Obtain")[0]["miss_from"], "p:1");
-    let after = of(&batches[3], "Obtain")[0];
+    let polls = actions(&batches[1], "Inspect");
+    assert_eq!(polls.len(), 1, "{:?}", batches[1]);
+    assert_eq!(polls[0]["host"], "c:1");
+    assert_eq!(actions(&batches[2], "Obtain")[0]["miss_from"], "p:1");
+    let after = actions(&batches[3], "Obtain")[0];
     assert_eq!(
         after["miss_from"], "c:1",
-        "the link is full: only a hit is asked for"
+        "with a full link, the cache must not fill a miss"
     );
-    assert_eq!(after["how_old_ms"], 28_000.0, "and an ageing one will do");
+    assert_eq!(after["how_old_ms"], 28_000.0, "a stale copy is accepted");
 }
 
 #[test]
-fn no_health_check_is_sent_where_responses_carry_the_load_or_checks_are_not_allowed() {
+fn hosts_are_not_polled_if_responses_carry_the_load_or_polls_are_not_allowed() {
     for (via, probes) in [("inline", true), ("on_probe", false), ("off", true)] {
         let wake = json!({"event_type": "Elapsed", "who": "d-0", "ctx": 0});
-        let batches = replies(&[(1000.0, started(via, probes)), (2500.0, vec![wake])]);
+        let batches = replies(&[(1000.0, launch_events(via, probes)), (2500.0, vec![wake])]);
         assert!(
-            batches.iter().all(|batch| of(batch, "Inspect").is_empty()),
-            "{via} {probes}"
+            batches
+                .iter()
+                .all(|batch| actions(batch, "Inspect").is_empty()),
+            "via {via}, probes {probes}: a host was polled"
         );
     }
 }
