--- a/crates/flaxdeck-store/src/disk.rs
+++ b/crates/flaxdeck-store/src/disk.rs
@@ -98,7 +98,7 @@
         if bytes.len() > max_bytes {
             return Err(io::Error::new(
                 ErrorKind::FileTooLarge,
-                format!("{name} is larger than {max_bytes} bytes"),
+                "the file is larger than the size limit of a store's files",
             ));
         }
         Ok(Some(bytes))
