--- a/crates/flaxdeck-plan/src/form.rs
+++ b/crates/flaxdeck-plan/src/form.rs
@@ -132,11 +132,11 @@
             .next()
             .and_then(|head| head.value().as_symbol().map(str::to_owned))
         else {
-            let why = "the first word says what a form sets";
+            let reason = "the first word says what a form sets";
             faults.add(
                 at,
                 "the form does not begin with a word".into(),
-                why,
+                reason,
                 "write (word ...)",
             );
             return None;
@@ -164,19 +164,19 @@
                 if known.contains(&&*form.word) {
                     forms.push(form);
                 } else {
-                    let what = format!("{} is not known in {}", form.word, self.abbreviated());
+                    let problem = format!("{} is not known in {}", form.word, self.abbreviated());
                     faults.add(
                         form.place,
-                        what,
+                        problem,
                         "an unknown word would be ignored",
                         suggestion(&form.word, known),
                     );
                 }
             } else {
-                let what = format!("{} in {} is not a form", datum.value(), self.abbreviated());
+                let problem = format!("{} in {} is not a form", datum.value(), self.abbreviated());
                 faults.add(
                     place(*datum),
-                    what,
+                    problem,
                     "only forms are allowed there",
                     "write it as (word value)",
                 );
@@ -190,10 +190,10 @@
         match &self.arguments[..] {
             [one] => Some((one.value(), place(*one))),
             others => {
-                let what = format!("{} has {} values", self.abbreviated(), others.len());
+                let problem = format!("{} has {} values", self.abbreviated(), others.len());
                 faults.add(
                     self.place,
-                    what,
+                    problem,
                     "it takes exactly one",
                     format!("write ({} value)", self.word),
                 );
@@ -202,18 +202,16 @@
         }
     }
 
-    /// Returns the number that the form sets; anything but a number from `least` to `most`, both included, is a fault.
-    pub fn number(&self, least: f64, most: f64, faults: &mut Faults) -> Option<f64> {
+    /// Returns the number that the form sets; anything but a number from `min` to `max`, both included, is a fault.
+    pub fn number(&self, min: f64, max: f64, faults: &mut Faults) -> Option<f64> {
         let (value, at) = self.value(faults)?;
-        let number = value
-            .as_f64()
-            .filter(|number| (least..=most).contains(number));
+        let number = value.as_f64().filter(|number| (min..=max).contains(number));
         if number.is_none() {
-            let what = format!("{} is {value}", self.word);
+            let problem = format!("{} is {value}", self.word);
             faults.add(
                 at,
-                what,
-                format!("it must be a number from {least} to {most}"),
+                problem,
+                format!("it must be a number from {min} to {max}"),
                 "choose a number in that range",
             );
         }
@@ -226,8 +224,13 @@
         match value.as_str() {
             Some(text) => Some((text.to_owned(), at)),
             None => {
-                let what = format!("{} is {value}", self.word);
-                faults.add(at, what, "it must be a string", "put it in double quotes");
+                let problem = format!("{} is {value}", self.word);
+                faults.add(
+                    at,
+                    problem,
+                    "it must be a string",
+                    "put it in double quotes",
+                );
                 None
             }
         }
@@ -242,8 +245,8 @@
             _ => None,
         });
         if flag.is_none() {
-            let what = format!("{} is {value}", self.word);
-            faults.add(at, what, "it must be yes or no", "write yes or no");
+            let problem = format!("{} is {value}", self.word);
+            faults.add(at, problem, "it must be yes or no", "write yes or no");
         }
         flag
     }
@@ -255,11 +258,11 @@
             .as_symbol()
             .and_then(|word| known.iter().find(|known| **known == word).copied());
         if chosen.is_none() {
-            let what = format!("{} is {value}", self.word);
+            let problem = format!("{} is {value}", self.word);
             let word = value.as_symbol().unwrap_or_default();
             faults.add(
                 at,
-                what,
+                problem,
                 format!("it must be one of: {}", known.join(" ")),
                 suggestion(word, known),
             );
@@ -279,9 +282,9 @@
     let first = forms.remove(at);
     while let Some(at) = forms.iter().position(|form| form.word == word) {
         let duplicate = forms.remove(at);
-        let what = format!("{word} is set a second time");
-        let why = format!("line {} sets it already", first.place.line);
-        faults.add(duplicate.place, what, why, "remove one of them");
+        let problem = format!("{word} is set a second time");
+        let reason = format!("line {} sets it already", first.place.line);
+        faults.add(duplicate.place, problem, reason, "remove one of them");
     }
     Some(first)
 }
@@ -322,25 +325,25 @@
     let roots = read_datums(text, faults)?;
     let remedy = format!("put everything into one ({word} ...)");
     let [root] = &roots[..] else {
-        let what = format!("{} forms at the top level", roots.len());
+        let problem = format!("{} forms at the top level", roots.len());
         faults.add(
             Place { line: 1, column: 1 },
-            what,
+            problem,
             "a file consists of one",
             remedy,
         );
         return None;
     };
     let Some(form) = Form::of(root.as_ref(), faults) else {
-        let what = format!("the file consists of {}", root.value());
-        faults.add(place(root.as_ref()), what, "that is not a form", remedy);
+        let problem = format!("the file consists of {}", root.value());
+        faults.add(place(root.as_ref()), problem, "that is not a form", remedy);
         return None;
     };
     if form.word != word {
-        let what = format!("the file consists of {}", form.abbreviated());
+        let problem = format!("the file consists of {}", form.abbreviated());
         faults.add(
             form.place,
-            what,
+            problem,
             format!("a ({word} ...) is expected"),
             format!("write ({word} ...)"),
         );
--- a/crates/flaxdeck-plan/src/reader.rs
+++ b/crates/flaxdeck-plan/src/reader.rs
@@ -44,11 +44,11 @@
     match take_single(&mut forms, "key-file", faults) {
         Some(form) => plan.key_file = form.text(faults).map(|(text, _)| text).unwrap_or_default(),
         None => {
-            let why = "without a shared key, instances can't authenticate each other";
+            let reason = "without a shared key, instances can't authenticate each other";
             faults.add(
                 root.place,
                 "key-file is missing".into(),
-                why,
+                reason,
                 "add (key-file \"name.key\")",
             );
         }
@@ -93,11 +93,11 @@
         .and_then(|form| form.flag(faults))
         .unwrap_or(true);
     if !plan.has_slot && plan.reserve == 0.0 {
-        let why = "a forwarder without a slot has only the quota that others lend";
+        let reason = "a forwarder without a slot has only the quota that others lend";
         faults.add(
             form.place,
             "seated no with reserve 0".into(),
-            why,
+            reason,
             "set (reserve 0.1) or more in the plan of every instance",
         );
     }
@@ -111,15 +111,15 @@
     let every = every.and_then(|form| form.number(20.0, 5_000.0, faults));
     plan.report_every_ms = every.map_or(plan.report_every_ms, |ms| ms as u32);
     if plan.report_every_ms * REPORTS_PER_GRANT > plan.grant_ms {
-        let what = format!(
+        let problem = format!(
             "reports every {} ms with grants of {} ms",
             plan.report_every_ms, plan.grant_ms
         );
-        let why = "a grant must outlast three reports, so that a lost one does not end it";
+        let reason = "a grant must outlast three reports, so that a lost one does not end it";
         faults.add(
             place.unwrap_or(form.place),
-            what,
-            why,
+            problem,
+            reason,
             "lower every-ms or raise granted-ms",
         );
     }
@@ -135,11 +135,11 @@
     let batch = take_single(&mut inner, "batch-ms", faults);
     if by != Some("digest") {
         if let Some(batch) = batch {
-            let why = "only digests are sent in batches";
+            let reason = "only digests are sent in batches";
             faults.add(
                 batch.place,
                 "batch-ms without (by digest)".into(),
-                why,
+                reason,
                 "remove batch-ms",
             );
         }
@@ -150,11 +150,11 @@
         batch_ms: batch.map_or(DEFAULT_BATCH_MS, |ms| ms as u32),
     };
     if plan.planners.is_empty() {
-        let why = "digests are sent by planners";
+        let reason = "digests are sent by planners";
         faults.add(
             form.place,
             "(by digest) without planners".into(),
-            why,
+            reason,
             "list planners, or remove events",
         );
     }
@@ -167,11 +167,11 @@
         .and_then(|form| form.choice(&["bounce", "go-on"], faults));
     if then == Some("go-on") {
         if let Some(after) = after {
-            let why = "(then go-on) has no time limit";
+            let reason = "(then go-on) has no time limit";
             faults.add(
                 after.place,
                 "after-ms together with (then go-on)".into(),
-                why,
+                reason,
                 "remove after-ms",
             );
         }
@@ -189,11 +189,11 @@
     match take_single(&mut form.forms(&["folder"], faults), "folder", faults) {
         Some(folder) => plan.state_folder = folder.text(faults).map(|(text, _)| text),
         None => {
-            let why = "the state needs a folder that outlives the process";
+            let reason = "the state needs a folder that outlives the process";
             faults.add(
                 form.place,
                 "folder is missing".into(),
-                why,
+                reason,
                 "add (folder \"state\"), or remove state",
             );
         }
--- a/crates/flaxdeck-plan/src/reader/planners.rs
+++ b/crates/flaxdeck-plan/src/reader/planners.rs
@@ -16,13 +16,13 @@
     let mut planners: Vec<Planner> = Vec::new();
     let forms = form.forms(&["planner"], faults);
     if forms.len() > MAX_PLANNERS {
-        let what = format!("{} planners are listed", forms.len());
-        let why =
+        let problem = format!("{} planners are listed", forms.len());
+        let reason =
             format!("at most {MAX_PLANNERS} are allowed, as each forwarder reports to all of them");
         faults.add(
             form.place,
-            what,
-            why,
+            problem,
+            reason,
             "list fewer, each as (planner (name p1) (listen \"address:port\"))",
         );
     }
@@ -45,11 +45,11 @@
     let listen = take_single(&mut inner, "listen", faults);
     for (found, word) in [(name.is_some(), "name"), (listen.is_some(), "listen")] {
         if !found {
-            let why = "a planner needs both name and listen";
+            let reason = "a planner needs both name and listen";
             faults.add(
                 form.place,
                 format!("{word} is missing"),
-                why,
+                reason,
                 format!("add ({word} ...)"),
             );
         }
@@ -79,11 +79,11 @@
 fn read_address(form: &Form, faults: &mut Faults) -> Option<Placed<SocketAddr>> {
     let (text, place) = form.text(faults)?;
     let Ok(value) = text.parse() else {
-        let why = "it must be an IP address and a port; host names are not resolved";
+        let reason = "it must be an IP address and a port; host names are not resolved";
         faults.add(
             place,
             format!("listen is {text:?}"),
-            why,
+            reason,
             "write (listen \"127.0.0.1:7501\")",
         );
         return None;
@@ -98,11 +98,11 @@
     faults: &mut Faults,
 ) {
     if planners.iter().any(|planner| planner.name == name.value) {
-        let why = "two planners with the same name can't be distinguished";
+        let reason = "two planners with the same name can't be distinguished";
         faults.add(
             name.place,
             format!("name {} is used twice", name.value),
-            why,
+            reason,
             "choose another name",
         );
     }
@@ -110,11 +110,11 @@
         .iter()
         .any(|planner| planner.listen == listen.value);
     if listen.value.port() != 0 && is_duplicate {
-        let why = "two planners can't listen on the same address";
+        let reason = "two planners can't listen on the same address";
         faults.add(
             listen.place,
             format!("listen {} is used twice", listen.value),
-            why,
+            reason,
             "choose another port",
         );
     }
