--- a/crates/flaxdeck-dispatcher/src/protocol/attempt.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt: a request written to a host, and its answer.
+//! One attempt: writes a request to a host and reads the response.
 //!
-//! While it is out it owns its connection. However it ends, [`PendingAttempt::drop`](PendingAttempt) says what becomes of
-//! that: it is kept idle, or cleared by a cancellation first, or closed.
+//! While it is in flight it owns its connection. However it ends, [`PendingAttempt::drop`](PendingAttempt) decides what
+//! happens to the connection: it is kept idle, kept idle once the host has confirmed a cancellation, or closed.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,14 +19,14 @@
 pub(crate) use super::host_connection::ReceivedReply;
 use super::host_connections::HostConnections;
 
-/// How long a host may take to show that it has read a cancellation; one that takes longer is silent.
+/// How long a host may take to confirm that it has read a cancellation; after that the connection is closed.
 const MAX_CANCEL_TIME: Duration = Duration::from_secs(1);
 
-/// What an attempt may ask for by now.
+/// The terms of an attempt that may be sent now.
 pub(crate) struct ClearedAttempt<'a> {
-    /// What it asks of the host.
+    /// The options that are sent to the host with the request.
     pub options: AttemptOptions<'a>,
-    /// By when its last byte has to be written.
+    /// The time by which the last byte of the request must be written.
     pub sent_by: Instant,
 }
 
@@ -40,10 +40,10 @@
 }
 
 impl HostConnections {
-    /// Sends a request to a host and waits for its answer until that time. `clear` tells whether the attempt still
-    /// stands; it is asked before a connection is looked for and again right before the first byte, as what the attempt
-    /// may ask for, and by when its last byte has to be written, can change meanwhile. Until `started` is set nothing has
-    /// been written. Dropping the future cancels the attempt.
+    /// Sends a request to a host and waits for the response until `until`. `clear` returns the terms of the attempt, or
+    /// none if it may not be sent any more. It is called before a connection is chosen and again right before the first
+    /// byte is written, as the terms can change in between. Until `started` is set nothing has been written. Dropping
+    /// the future cancels the attempt.
     pub(crate) async fn attempt<'a>(
         self: &Rc<HostConnections>,
         host: &HostId,
@@ -62,7 +62,10 @@
         let Some(cleared) = clear() else {
             count(Counter::superseded);
             let id = String::from_utf8_lossy(&request.id);
-            log::debug!("{id} no longer to be sent to {}", host.0);
+            log::debug!(
+                "request {id} is not sent to host {}: no longer wanted when its connection was ready",
+                host.0
+            );
             self.keep_idle(host, connection);
             return ReceivedReply::without_body(AttemptOutcome::Superseded);
         };
@@ -94,8 +97,8 @@
         self.connect(host, cleared.sent_by).await
     }
 
-    /// Cancels a request. Its late answer may be on its way, so the connection is kept only once the host has shown that
-    /// none will follow.
+    /// Cancels a request. Its response may already be on the way, so the connection is kept only once the host has
+    /// confirmed that none will follow.
     async fn cancel(
         self: Rc<HostConnections>,
         host: HostId,
@@ -104,7 +107,7 @@
     ) {
         let cancel = lines::encode_cancel(&id);
         connection.outbound.send([cancel], [None, None]);
-        let cleared = async {
+        let confirmed = async {
             connection.outbound.flush().await.ok()?;
             let reader = self.response_reader();
             while connection
@@ -116,37 +119,38 @@
             {}
             Some(())
         };
-        if timeout(MAX_CANCEL_TIME, cleared).await == Ok(Some(())) {
+        if timeout(MAX_CANCEL_TIME, confirmed).await == Ok(Some(())) {
             self.keep_idle(&host, connection);
         }
     }
 }
 
-/// An attempt that is out. Dropped before its answer has come, it is cancelled.
+/// An attempt that is in flight. Dropping it before the response is received cancels it.
 struct PendingAttempt<'a> {
     connections: &'a Rc<HostConnections>,
     host: &'a HostId,
     id: &'a Bytes,
-    /// Its connection serves no other, as few that could use it come by: it ends with it.
+    /// Whether the connection is closed with the attempt. True for an attempt that required a new connection: few later
+    /// attempts would reuse it.
     single_use: bool,
-    /// None once it is of no more use.
+    /// None once it can't be used any more.
     connection: Option<HostConnection>,
-    /// The request is written and its answer has not come.
+    /// Whether the request is written to its last byte and its response is not received.
     written: bool,
 }
 
 impl PendingAttempt<'_> {
     #[allow(
         clippy::expect_used,
-        reason = "the connection is given up only where the attempt ends"
+        reason = "the connection is taken only where the attempt ends"
     )]
     fn connection(&mut self) -> &mut HostConnection {
         self.connection
             .as_mut()
-            .expect("an attempt that is out has a connection")
+            .expect("an attempt in flight has a connection")
     }
 
-    /// Writes the request, in the time in which its last byte has to be written.
+    /// Writes the request; its last byte must be written by `cleared.sent_by`.
     async fn write(
         &mut self,
         request: &ClientRequest,
@@ -161,7 +165,8 @@
             self.written = true;
             return Ok(());
         }
-        // The last byte was never written, so nothing ran; half a request ends with its connection.
+        // The last byte was never written, so the request has not run. Its connection is closed, as part of the request
+        // may be on it.
         let was_idle = self.connection.take().is_some_and(|lost| lost.was_idle);
         if was_idle {
             self.connections.close_idle(self.host);
@@ -175,7 +180,7 @@
         Err(AttemptOutcome::NotConnected)
     }
 
-    /// Waits for the answer.
+    /// Waits for the response.
     async fn receive(&mut self, until: Instant) -> ReceivedReply {
         let (id, reader) = (self.id, self.connections.response_reader());
         match timeout_at(until, self.connection().reply_to(id, &reader)).await {
@@ -183,7 +188,7 @@
                 self.written = false;
                 reply
             }
-            Ok(None) => ReceivedReply::without_body(self.broken()),
+            Ok(None) => ReceivedReply::without_body(self.end_broken()),
             Err(_) => {
                 count(Counter::hosts_timed_out);
                 ReceivedReply::without_body(AttemptOutcome::TimedOut)
@@ -191,8 +196,9 @@
         }
     }
 
-    /// How an attempt ends whose connection broke after the request was written.
-    fn broken(&mut self) -> AttemptOutcome {
+    /// Drops the connection that broke after the request was written, and returns the attempt's outcome: stale if the
+    /// connection had been idle before and no byte of a response was received.
+    fn end_broken(&mut self) -> AttemptOutcome {
         let is_stale = self
             .connection
             .take()
@@ -211,7 +217,7 @@
         let Some(connection) = self.connection.take() else {
             return;
         };
-        // Closing a connection cancels what is open on it.
+        // Dropping the connection closes it, which cancels the request.
         if self.single_use {
             return;
         }
--- a/crates/flaxdeck-dispatcher/src/protocol/client_answers.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/client_answers.rs
@@ -1,4 +1,4 @@
-//! Answers to a client: one for each request, and those that no host has a part in.
+//! Answers to a client: the single answer to each request, and direct answers that involve no host.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -9,22 +9,26 @@
 use flaxdeck_net::link::Outbound;
 use flaxdeck_wire::{Answer, InvalidRequest, rpc};
 
-/// Answers queued for a client past which it is owed further ones by their numbers alone: twice what it may have open.
+/// While this many answers are queued for a client, further direct answers are deferred and not encoded yet. Twice the
+/// number of requests that a client may have open.
 const MAX_QUEUED: usize = 64;
-/// Answers owed to a client that takes none at which its connection is ended: far past what it may have open.
+/// The most direct answers that are deferred before the client's connection is closed. Far more than the number of
+/// requests that a client may have open.
 const MAX_DEFERRED: usize = 1024;
 
-/// The one answer that a request gets; it can be sent once only. Dropped, it sends none.
+/// Sends the answer to one request. Sending consumes it, so that a request is answered at most once; dropping it sends
+/// nothing.
 pub(crate) struct Responder {
     outbound: Outbound,
     call: u32,
     slot: Option<Permit>,
-    /// Counts with the connection's open requests.
+    /// A clone of the connection's counter of open requests.
     _open: Rc<()>,
 }
 
 impl Responder {
-    /// What answers the request of that number, with the permit that it holds until the answer is written.
+    /// Creates the responder to the request with that call number. `slot` is the request's permit, held until the
+    /// answer is written.
     pub(super) fn new(
         outbound: Outbound,
         call: u32,
@@ -39,22 +43,22 @@
         }
     }
 
-    /// Sends the answer, with the permit for its bytes, held until it is written.
+    /// Sends the answer. `permit` is the permit for its bytes, held until they are written.
     pub(crate) fn send(self, answer: Answer, permit: Option<Permit>) {
         let pieces = rpc::encode_answer(self.call, answer);
         self.outbound.send(pieces, [self.slot, permit]);
     }
 }
 
-/// An answer that no host has a part in.
+/// An answer that involves no host.
 pub(crate) enum DirectAnswer {
-    /// This dispatcher is up.
+    /// This dispatcher is alive.
     Alive,
-    /// Rejected, with the time after which to try again.
+    /// The request is rejected, with the time after which the client may retry, if one is named.
     Rejected(Option<Span>),
-    /// Failed: the request can't be told from another.
+    /// The request has failed, because its id is that of another open request.
     Failed,
-    /// The request can't be acted upon.
+    /// The request is invalid.
     Invalid(InvalidRequest),
 }
 
@@ -69,8 +73,9 @@
     }
 }
 
-/// Direct answers owed to a client that takes none, beside what is queued for it.
-// Guards against a flood whose answers lie unread: what a client sends is read on all the same, for it may leave.
+/// Direct answers that wait until the client has read some of what is queued for it.
+// Bounds the memory for a client that floods the connection and reads no answers. Its input is read all the same, as it
+// may contain a cancellation or the end of the connection.
 #[derive(Default)]
 pub(super) struct DeferredAnswers(VecDeque<DeferredAnswer>);
 
@@ -84,7 +89,7 @@
         self.0.push_back(DeferredAnswer { call, answer });
     }
 
-    /// Queues what the client's connection may hold.
+    /// Queues deferred answers while fewer than [`MAX_QUEUED`] messages are queued.
     pub(super) fn send(&mut self, outbound: &Outbound) {
         while outbound.pending_messages() < MAX_QUEUED {
             let Some(DeferredAnswer { call, answer }) = self.0.pop_front() else {
@@ -94,7 +99,7 @@
         }
     }
 
-    /// Whether more is owed than a client could ever await.
+    /// Whether more answers are deferred than any client within the protocol's limits can wait for.
     pub(super) fn is_flood(&self) -> bool {
         self.0.len() > MAX_DEFERRED
     }
--- a/crates/flaxdeck-dispatcher/src/protocol/client_connection.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/client_connection.rs
@@ -1,8 +1,8 @@
-//! One client's connection: messages in, answers out, and the times within which both have to go on.
+//! One client's connection: reads messages, writes answers, and enforces the time limits on both.
 //!
-//! The task that calls [`ClientConnection::next_event`] owns the connection. Whoever has to answer a request holds a
-//! [`Responder`], whoever may end the connection or asks about it a [`ConnectionHandle`]; neither keeps it open. At its
-//! end [`ClientConnection::close`] writes what is queued before the connection closes.
+//! The task that calls [`ClientConnection::next_event`] owns the connection. Code that answers a request holds a
+//! [`Responder`], and code that observes or closes the connection a [`ConnectionHandle`]; neither keeps it open. At the
+//! end [`ClientConnection::close`] writes the queued answers before the connection is closed.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -22,40 +22,41 @@
 pub(crate) use super::client_answers::{DirectAnswer, Responder};
 use super::message_read::{MessageRead, WaitOutcome};
 
-/// How long a client may take nothing of what waits for it, which holds memory that others could use.
+/// How long a client may read nothing while answers wait for it, as they hold memory that others could use.
 const MAX_STALL: Duration = Duration::from_secs(3);
-/// How long a message may wait for memory before it is read past and rejected. An end of the connection is noticed
-/// meanwhile, and nothing else of its client is open that could be cancelled behind it.
+/// How long a message may wait for memory before it is discarded and rejected. That delays no
+/// cancellation: the end of the connection is noticed meanwhile, and the client has no other request open that a later
+/// message could cancel.
 const MAX_MEMORY_WAIT: Duration = Duration::from_millis(100);
-/// The same while other requests of its client are open: no attempt may begin for these 0.1 s after a cancellation,
-/// which may lie behind the message; what is left of that is for the reading and for a busy machine.
-const MAX_MEMORY_WAIT_BESIDE_OPEN: Duration = Duration::from_millis(40);
-/// How long a complete message may take from its first byte, and the first one from the connection's start. Rejections
-/// are owed within 3 s of connecting, and a connection may have waited a while to be accepted.
+/// The same while other requests of the client are open. The message may be followed by a cancellation of one of
+/// them, 0.1 s after which no attempt may start any more. The rest of the 0.1 s is for reading and for a busy machine.
+const MAX_MEMORY_WAIT_WITH_OPEN_REQUESTS: Duration = Duration::from_millis(40);
+/// How long a message may take from its first byte to its last, and the first message from the start of the connection.
+/// Rejections are due within 3 s of connecting, and a connection may have waited a while to be accepted.
 const MAX_MESSAGE_TIME: Duration = Duration::from_millis(2000);
 
-/// What has happened on a client's connection.
+/// An event on a client's connection.
 pub(crate) enum ClientEvent {
-    /// A request has come.
+    /// A request was received.
     Request {
-        /// Its number on this connection.
+        /// Its call number on this connection.
         call: u32,
-        /// What is requested.
+        /// The request.
         request: Box<ClientRequest>,
     },
-    /// No answer is awaited any more.
+    /// The client has cancelled a request.
     Cancel {
-        /// The number of the request.
+        /// The call number of the request.
         call: u32,
     },
-    /// A request has come for which there was no memory; it was read past.
+    /// A request was received for which there was no memory; its bytes were discarded.
     NoMemory {
-        /// Its number on this connection.
+        /// Its call number on this connection.
         call: u32,
     },
-    /// A message has come that needs no further answer.
+    /// A message was received that is answered already, or that needs no answer.
     Answered,
-    /// The connection is of no more use.
+    /// The connection can't be used any more.
     Closed,
 }
 
@@ -64,52 +65,52 @@
     inbound: Inbound,
     outbound: Outbound,
     names: Rc<Names>,
-    /// Bytes that clients' messages may hold together.
+    /// The memory budget of all clients' messages, in bytes.
     request_bytes: Rc<Budget>,
-    /// What a message holds of it that is not complete yet.
+    /// The permit that an incomplete message holds from that budget.
     permit: Option<Permit>,
-    /// Since when a message is awaited that has to come: one that has started, or the first of all.
+    /// Since when a message is due: an incomplete one since its first byte, the first one since the connection started.
     awaited_since: Option<Instant>,
     has_partial: Rc<Cell<bool>>,
-    /// Since when messages have found no memory; until all that has come behind the first of them is processed.
+    /// When a message first found no memory; cleared once everything received behind that message is processed.
     memory_wait_since: Option<Instant>,
-    /// Cloned into each responder, so that its count tells whether requests are open.
+    /// Cloned into each responder, so that its reference count shows whether requests are open.
     open: Rc<()>,
-    /// A request that is read past, with what is still to come of it.
+    /// The request that is being discarded, with the number of bytes that are still to be received.
     discarded: Option<PartialRequest>,
     deferred: DeferredAnswers,
 }
 
-/// What others than its owner see of a client's connection, and end it by.
+/// Observes and closes a client's connection without owning it.
 pub(crate) struct ConnectionHandle {
     outbound: Outbound,
     has_partial: Rc<Cell<bool>>,
 }
 
 impl ConnectionHandle {
-    /// Has the owner end the connection at its next turn; nothing more is queued for the client.
+    /// Has the owner close the connection when its task runs next; nothing more is queued for the client.
     pub(crate) fn close(&self) {
         self.outbound.close();
     }
 
-    /// A message of the client has come in part.
+    /// Whether a message of the client was received in part.
     pub(crate) fn has_partial_message(&self) -> bool {
         self.has_partial.get()
     }
 
-    /// The client has sent something that was not read yet. Costs a system call.
+    /// Whether bytes have been received that were not read yet. Costs a system call.
     pub(crate) fn has_unread(&self) -> bool {
         self.outbound.has_unread()
     }
 
-    /// Answers that the client has not taken yet.
+    /// Returns the number of answers that are not fully written yet.
     pub(crate) fn pending_answers(&self) -> usize {
         self.outbound.pending_messages()
     }
 }
 
 impl ClientConnection {
-    /// A connection that was accepted just now; messages hold their bytes of that budget while they are read.
+    /// Takes over a connection that was just accepted. Messages hold permits of `request_bytes` while they are read.
     pub(crate) fn new(
         stream: TcpStream,
         names: Rc<Names>,
@@ -131,18 +132,19 @@
         }
     }
 
-    /// Answers what no host has to be asked for, or keeps it owed while the client takes nothing.
+    /// Sends an answer that involves no host, or defers it while the client does not read what is queued for it.
     pub(crate) fn answer_directly(&mut self, call: u32, answer: DirectAnswer) {
         self.deferred.push(call, answer);
         self.deferred.send(&self.outbound);
     }
 
-    /// What answers the request of that number, with the permit that it holds until the answer is written.
+    /// Returns the responder to the request with that call number. `slot` is the request's permit, held until the
+    /// answer is written.
     pub(crate) fn responder(&self, call: u32, slot: Option<Permit>) -> Responder {
         Responder::new(self.outbound.clone(), call, slot, self.open.clone())
     }
 
-    /// What others see of this connection, and end it by.
+    /// Returns a handle that observes and closes this connection.
     pub(crate) fn handle(&self) -> ConnectionHandle {
         ConnectionHandle {
             outbound: self.outbound.clone(),
@@ -150,15 +152,15 @@
         }
     }
 
-    /// Ends the connection; see [`link::close_gracefully`].
+    /// Closes the connection gracefully; see [`link::close_gracefully`].
     pub(crate) async fn close(mut self, within: Duration) {
         self.outbound.close();
         link::close_gracefully(&mut self.inbound, &self.outbound, within).await;
     }
 
-    /// Something has come that is not processed yet: bytes that are read, or the end of the connection; behind a message
-    /// that waited for memory also bytes that are not. The end is looked for at the system, which need not have told of
-    /// it yet where this process could not run for a while.
+    /// Whether something was received that is not processed yet: bytes that were read, or the end of the connection,
+    /// or, behind a message that waited for memory, bytes that were not read. This asks the system, as the runtime may
+    /// not have reported the end yet where this process could not run for a while.
     pub(crate) fn has_unprocessed(&self) -> bool {
         self.has_unparsed()
             || match self.outbound.unread() {
@@ -172,12 +174,12 @@
         !self.inbound.bytes.is_empty()
     }
 
-    /// The client has ended its connection, though not all that it sent before may be processed.
+    /// Whether the client has closed its side of the connection; what it sent before may not be processed yet.
     pub(crate) fn is_peer_closed(&self) -> bool {
         self.outbound.is_peer_closed()
     }
 
-    /// Waits for what the client sends next; meanwhile answers are written.
+    /// Waits for the client's next message, and writes answers meanwhile.
     pub(crate) async fn next_event(&mut self) -> ClientEvent {
         loop {
             self.deferred.send(&self.outbound);
@@ -203,7 +205,7 @@
         }
     }
 
-    /// What the bytes that were read amount to.
+    /// Processes the next message in the buffer, or returns how many bytes it lacks.
     fn process_buffer(&mut self) -> Parsed<ClientEvent> {
         if let Some(request) = self.discarded {
             return self.discard(request);
@@ -217,7 +219,7 @@
             Ok(Parsed::Incomplete(missing)) => Parsed::Incomplete(missing),
             Err(malformed) => {
                 count(Counter::clients_malformed);
-                log::debug!("a client's connection is closed: {malformed}");
+                log::debug!("closing a client connection: {malformed}");
                 Parsed::Complete(ClientEvent::Closed)
             }
         }
@@ -232,7 +234,7 @@
             ClientMessage::Alive { call } => self.answer_directly(call, DirectAnswer::Alive),
             ClientMessage::Invalid { call, reason } => {
                 count(Counter::requests_invalid);
-                log::debug!("a client's request is invalid: {reason}");
+                log::debug!("client request with call number {call} is invalid: {reason}");
                 self.answer_directly(call, DirectAnswer::Invalid(reason));
             }
             ClientMessage::Ignored => {}
@@ -240,12 +242,12 @@
         ClientEvent::Answered
     }
 
-    /// Drops what has come of a request that found no memory.
+    /// Drops the bytes received so far of a request for which there was no memory.
     fn discard(&mut self, request: PartialRequest) -> Parsed<ClientEvent> {
         let PartialRequest { call, missing } = request;
-        let here = missing.min(self.inbound.bytes.len());
-        self.inbound.bytes.advance(here);
-        let missing = missing - here;
+        let received = missing.min(self.inbound.bytes.len());
+        self.inbound.bytes.advance(received);
+        let missing = missing - received;
         if missing == 0 {
             self.discarded = None;
             self.awaited_since = None;
@@ -255,19 +257,22 @@
         Parsed::Incomplete(missing.min(MAX_SMALL_MESSAGE))
     }
 
-    /// Has the request that found no memory read past; false if what found none is no request.
+    /// Starts to discard the message for which there was no memory. Returns false if it is not a request of which only
+    /// a part of the body is missing.
     fn begin_discarding(&mut self) -> bool {
         self.discarded = rpc::partial_request(&self.inbound.bytes);
         if self.discarded.is_none() {
             count(Counter::clients_malformed);
-            log::debug!("a client's connection is closed: no memory for what is no request");
+            log::debug!(
+                "closing a client connection: no memory for a message that is not a request"
+            );
             return false;
         }
         self.inbound.bytes.clear();
         true
     }
 
-    /// Notes whether a message has come in part, from which on the rest of it has to come in time.
+    /// Notes whether a message was received in part; from then on [`MAX_MESSAGE_TIME`] runs for the rest of it.
     fn note_partial(&mut self) {
         let has_partial = self.has_unparsed() || self.discarded.is_some();
         self.has_partial.set(has_partial);
@@ -278,7 +283,7 @@
         }
     }
 
-    /// Waits until something is read or written, at most as long as the client may take.
+    /// Waits until something is read or written, or until the client exceeds one of its time limits.
     async fn wait(&mut self, missing: usize) -> WaitOutcome {
         let has_pending = self.outbound.has_pending();
         let message_bytes = if self.discarded.is_some() {
@@ -288,7 +293,7 @@
         };
         let memory_by = self.memory_deadline(message_bytes);
         let message_by = self.awaited_since.map(|since| since + MAX_MESSAGE_TIME);
-        // Counts from when something began to wait: a connection may have been up for long by then.
+        // Measured from when bytes began to wait to be written, not from the start of the connection.
         let stalled_at = self.outbound.stalled_since().map(|since| since + MAX_STALL);
         let read = MessageRead {
             inbound: &mut self.inbound,
@@ -316,7 +321,7 @@
         }
     }
 
-    /// Acquires the memory of a message if it is free at once; else by when it has to be.
+    /// Acquires the memory of a message if it is free now; otherwise returns until when the message may wait for it.
     fn memory_deadline(&mut self, message_bytes: usize) -> Option<Instant> {
         if message_bytes <= MAX_SMALL_MESSAGE || self.permit.is_some() {
             return None;
@@ -326,17 +331,17 @@
             return None;
         }
         let has_open = Rc::strong_count(&self.open) > 1;
-        let patience = if has_open {
-            MAX_MEMORY_WAIT_BESIDE_OPEN
+        let max_wait = if has_open {
+            MAX_MEMORY_WAIT_WITH_OPEN_REQUESTS
         } else {
             MAX_MEMORY_WAIT
         };
         let wait_since = *self.memory_wait_since.get_or_insert_with(Instant::now);
-        Some(wait_since + patience)
+        Some(wait_since + max_wait)
     }
 }
 
-/// Waits until that time; for a branch that is off without one.
+/// Waits until that time. Without one it returns at once, so the caller has to disable its branch.
 async fn sleep_until_some(time: Option<Instant>) {
     sleep_until(time.unwrap_or_else(Instant::now)).await;
 }
--- a/crates/flaxdeck-dispatcher/src/protocol/host_connection.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/host_connection.rs
@@ -11,43 +11,43 @@
 use flaxdeck_wire::{HostReply, Parsed};
 use tokio::time::Instant;
 
-/// A connection to a host. An attempt owns it while it is out, [`super::host_connections::HostConnections`] while it is
-/// idle. Dropped, it closes at once: hosts are owed nothing.
+/// A connection to a host. An attempt owns it while in flight, [`super::host_connections::HostConnections`] while it is
+/// idle. Dropping it closes it at once, as nothing has to be written to a host before.
 pub(super) struct HostConnection {
     pub(super) address: SocketAddr,
     pub(super) inbound: Inbound,
     pub(super) outbound: Outbound,
-    /// When it last came up or became idle.
+    /// When it was opened, or last became idle.
     pub(super) idle_since: Instant,
-    /// It has been idle before.
+    /// Whether it has been idle before.
     pub(super) was_idle: bool,
     pub(super) _permit: Permit,
 }
 
-/// What a connection needs to read answers.
+/// The shared state that a connection needs to read responses.
 pub(super) struct ResponseReader<'a> {
     pub(super) names: &'a Names,
-    /// Bytes that responses may hold together.
+    /// The memory budget of all responses, in bytes.
     pub(super) response_bytes: &'a Budget,
 }
 
-/// An answer, with the permit that its bytes hold.
+/// A response, with the permit that its bytes hold.
 pub(super) struct ReceivedResponse {
     pub(super) response: Response,
     pub(super) permit: Option<Permit>,
 }
 
-/// How an attempt ended, with the permit that the answer's bytes hold.
+/// The result of an attempt, with the permit that the response's bytes hold.
 pub(crate) struct ReceivedReply {
-    /// How the attempt ended.
+    /// The outcome of the attempt, and what the host has sent.
     pub host_reply: HostReply,
-    /// To be held until those bytes are written to the client.
+    /// To be held until the response's bytes are written to the client.
     pub permit: Option<Permit>,
 }
 
 impl HostConnection {
-    /// The answer to that id; none if the connection broke or what came is not of the protocol. Answers that nobody
-    /// asked for here are passed over: the own one may stand behind them.
+    /// Reads the response to the request with that id; none if the connection broke or a response is malformed.
+    /// Responses with other ids are skipped, as the awaited one may follow them.
     pub(super) async fn reply_to(
         &mut self,
         id: &Bytes,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The next answer; none if the connection broke or what came is not of the protocol.
+    /// Reads the next response; none if the connection broke or the response is malformed.
     pub(super) async fn next_response(
         &mut self,
         reader: &ResponseReader<'_>,
@@ -78,21 +78,24 @@
                 }
                 Ok(Parsed::Incomplete(missing)) => {
                     let needed = self.inbound.bytes.len() + missing;
-                    // Until memory is free the rest stays with the host.
+                    // Nothing more is read until memory is free; meanwhile the rest stays at the host.
                     let budget = reader.response_bytes;
                     budget.reserve_for_message(needed, &mut permit).await;
                     self.read_up_to(needed).await?;
                 }
                 Err(malformed) => {
                     count(Counter::hosts_malformed);
-                    log::warn!("a host's connection is closed: {malformed}");
+                    log::warn!(
+                        "closing the connection to the host at {}: {malformed}",
+                        self.address
+                    );
                     return None;
                 }
             }
         }
     }
 
-    /// Reads until so many bytes are there; none if the connection broke.
+    /// Reads until the buffer holds at least `needed` bytes; none if the connection broke.
     async fn read_up_to(&mut self, needed: usize) -> Option<()> {
         while self.inbound.bytes.len() < needed {
             let missing = needed - self.inbound.bytes.len();
--- a/crates/flaxdeck-dispatcher/src/protocol/host_connections.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/host_connections.rs
@@ -1,5 +1,5 @@
-//! Connections to hosts. Each attempt has a connection of its own while it is out, so that no large answer holds up a
-//! small one and cancelling one disturbs no other; afterwards the connection is kept idle for the next.
+//! Connections to hosts. Each attempt uses a connection of its own while in flight, so that a large response delays no
+//! small one and a cancellation affects no other attempt; afterwards the connection is kept idle for a later one.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,25 +18,27 @@
 
 use super::host_connection::{HostConnection, ResponseReader};
 
-/// The fraction of the hosts' idle timeout after which a connection is closed here, so that both ends never race.
+/// The fraction of the hosts' idle timeout after which this side closes an idle connection, so that no request is
+/// written while the host closes it.
 const IDLE_FRACTION: f64 = 0.7;
 
-/// The connections to all hosts of the list, by the hosts' ids: an address may come to belong to another host.
+/// The connections to all hosts of the endpoint list. They are kept by host id, as an address may be given to another
+/// host.
 pub(crate) struct HostConnections {
     names: Rc<Names>,
     connect_timeout: Duration,
     idle_timeout: Duration,
-    /// How many connections there may be, idle ones and those that are out.
+    /// One permit for each connection, idle or in use.
     budget: Budget,
-    /// Bytes that responses may hold together.
+    /// The memory budget of all responses, in bytes.
     response_bytes: Rc<Budget>,
     hosts: RefCell<BTreeMap<HostId, HostEntry>>,
 }
 
-/// A host of the list.
+/// A host of the endpoint list.
 struct HostEntry {
     address: SocketAddr,
-    /// The longest idle first.
+    /// The idle connections, the longest idle first.
     idle: Vec<HostConnection>,
 }
 
@@ -50,7 +52,7 @@
 }
 
 impl HostConnections {
-    /// No connection as yet, and so many at most.
+    /// Creates the set without hosts, for at most `max_connections` connections.
     pub(crate) fn new(
         names: Rc<Names>,
         terms: ConnectionTerms,
@@ -67,8 +69,8 @@
         })
     }
 
-    /// Takes in lines of the list; hosts that a full list leaves out are gone. Idle connections of hosts that are gone or
-    /// have moved are closed.
+    /// Applies an endpoint list; a full list also removes the hosts that are not in it. Closes the idle connections of
+    /// hosts that are removed or have another address.
     pub(crate) fn update_hosts(&self, kind: ListKind, endpoints: &[AddressedEndpoint]) {
         let mut hosts = self.hosts.borrow_mut();
         let is_listed = |host: &HostId| {
@@ -91,17 +93,18 @@
         }
     }
 
-    /// Sets how many connections there may be.
+    /// Changes the maximum number of connections.
     pub(crate) fn resize(&self, max_connections: usize) {
         self.budget.resize(max_connections);
     }
 
-    /// Connections that are up or coming up, idle ones too.
+    /// Returns the number of connections that are open or being opened, idle ones included.
     pub(crate) fn connections(&self) -> usize {
         self.budget.in_use()
     }
 
-    /// Closes connections that have been idle for long, or that the other side has closed.
+    /// Closes idle connections that have been idle for too long, that the host has closed, or on which it has sent
+    /// bytes that nobody expects.
     pub(crate) fn close_expired(&self) {
         for entry in self.hosts.borrow_mut().values_mut() {
             entry
@@ -121,7 +124,7 @@
         }
     }
 
-    /// The connection that became idle last, if any is of use.
+    /// Takes the connection that became idle last and can still be used.
     pub(super) fn take_idle(&self, host: &HostId) -> Option<HostConnection> {
         let mut hosts = self.hosts.borrow_mut();
         let idle = &mut hosts.get_mut(host)?.idle;
@@ -133,7 +136,7 @@
         None
     }
 
-    /// Keeps a connection for the next attempt, unless its host is gone or has moved while it was out.
+    /// Keeps a connection for a later attempt, unless its host was removed or got another address meanwhile.
     pub(super) fn keep_idle(&self, host: &HostId, mut connection: HostConnection) {
         connection.idle_since = Instant::now();
         connection.was_idle = true;
@@ -146,7 +149,8 @@
         }
     }
 
-    /// One connection had died while it was idle, so the others of the host may have: the next is a new one.
+    /// Closes all idle connections of a host after one was found dead: the others may be dead too, so the next attempt
+    /// opens a new one.
     pub(super) fn close_idle(&self, host: &HostId) {
         count(Counter::hosts_stale);
         if let Some(entry) = self.hosts.borrow_mut().get_mut(host) {
@@ -154,7 +158,7 @@
         }
     }
 
-    /// Opens a connection, in the time that one may take and by the time by which a request has to be written.
+    /// Opens a connection within the connect timeout, and by `sent_by`.
     pub(super) async fn connect(
         &self,
         host: &HostId,
@@ -180,17 +184,17 @@
             }
             Ok(Err(error)) => {
                 count(Counter::hosts_refused);
-                log::debug!("{} at {address}: {error}", host.0);
+                log::debug!("connecting to host {} at {address} failed: {error}", host.0);
                 Err(AttemptOutcome::NotConnected)
             }
             Err(_) if sent_by < by => {
-                // The host is no worse for it: it had less time than a connection may take.
+                // This does not count against the host, which had less time than the connect timeout.
                 count(Counter::superseded);
                 Err(AttemptOutcome::Superseded)
             }
             Err(_) => {
                 count(Counter::hosts_unreached);
-                log::debug!("{} at {address}: no connection in time", host.0);
+                log::debug!("connecting to host {} at {address} timed out", host.0);
                 Err(AttemptOutcome::NotConnected)
             }
         }
@@ -200,7 +204,7 @@
         self.hosts.borrow().get(host).map(|entry| entry.address)
     }
 
-    /// A permit for one more connection; the longest idle one of all hosts makes room.
+    /// Acquires a permit for one more connection. If none is free, closes the longest idle connection of all hosts.
     fn acquire_permit(&self) -> Option<Permit> {
         if let Some(permit) = self.budget.try_acquire() {
             return Some(permit);
--- a/crates/flaxdeck-dispatcher/src/protocol/message_read.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/message_read.rs
@@ -1,4 +1,4 @@
-//! The read of the rest of a client's message, within the memory that messages may hold.
+//! Reads the rest of a client's message, within the memory budget for messages.
 
 use flaxdeck_net::budget::{Budget, Permit};
 use flaxdeck_net::link::{Inbound, Outbound};
@@ -6,30 +6,30 @@
 
 /// How a wait for a client ended.
 pub(super) enum WaitOutcome {
-    /// Something was read or written, or is to be.
+    /// Something was read or written, or there is something new to write.
     Progress,
-    /// The message found no memory in time.
+    /// No memory became free for the message in time.
     NoMemory,
-    /// The connection is of no more use.
+    /// The connection can't be used any more.
     Closed,
 }
 
-/// A read of the rest of a message, once there is memory for all of it.
+/// A read of the rest of a message, which starts once there is memory for the whole message.
 pub(super) struct MessageRead<'a> {
     pub(super) inbound: &'a mut Inbound,
     pub(super) outbound: &'a Outbound,
     pub(super) request_bytes: &'a Budget,
     pub(super) permit: &'a mut Option<Permit>,
-    /// Bytes of the message, as far as they are known to come.
+    /// The size of the message in bytes, as far as it is known.
     pub(super) message_bytes: usize,
-    /// Bytes of it that have not come.
+    /// The number of its bytes that are still to be received.
     pub(super) missing: usize,
-    /// Until when the message may wait for memory; none if it has it.
+    /// Until when the message may wait for memory; none if it has its memory or needs none.
     pub(super) memory_by: Option<Instant>,
 }
 
 impl MessageRead<'_> {
-    /// Waits for memory and reads.
+    /// Waits for memory, unless the message needs none, and reads once.
     pub(super) async fn run(self) -> WaitOutcome {
         if let Some(by) = self.memory_by {
             tokio::select! {
--- a/crates/flaxdeck-dispatcher/src/protocol/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/protocol/mod.rs
@@ -1,11 +1,11 @@
-//! Clients and hosts spoken to over connections: the parsers and writers of `flaxdeck-wire` joined to the connections of
+//! The protocols of clients and hosts: applies the parsers and encoders of `flaxdeck-wire` to the connections of
 //! `flaxdeck-net`. `flaxdeck-channel` does the same for the coordinator and the planners.
 //!
-//! | module | owns | owes at its end |
+//! | module | owns | at its end |
 //! | --- | --- | --- |
-//! | [`client_connection`] | one client's connection | what is queued for the client, then a half-close |
-//! | [`host_connections`] | all connections to hosts | nothing: what is open on one is its attempt's |
-//! | [`attempt`] | a connection while an attempt is out | a cancellation, if the request was written |
+//! | [`client_connection`] | one client's connection | writes the queued answers, then half-closes |
+//! | [`host_connections`] | the idle connections to hosts | closes them, as no request is open on an idle one |
+//! | [`attempt`] | a host connection while its attempt is in flight | sends a cancellation if the request was written |
 
 pub(crate) mod attempt;
 pub(crate) mod client_answers;
