--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -11,7 +11,7 @@
 use flaxdeck_recovery::EventPosition;
 use serde_json::Value;
 
-use crate::program::start::Start;
+use crate::program::start::Configuration;
 use crate::program::{ConfigurationError, start};
 pub use crate::routing::{AppliedEvents, EventListener};
 use crate::routing::{ControlClientOptions, Router, StateDirectory, restore};
@@ -36,10 +36,16 @@
         instance: u32,
         listener: EventListener,
     ) -> Result<HollowForwarder, ConfigurationError> {
-        let start = start::parse(configuration, None, false)?;
+        let configuration = start::parse(configuration, None, false)?;
         let clock = Clock::start();
         Ok(HollowForwarder {
-            router: start_control_side(start, clock, Some(options), instance, Some(listener)),
+            router: start_control_side(
+                configuration,
+                clock,
+                Some(options),
+                instance,
+                Some(listener),
+            ),
         })
     }
 
@@ -58,13 +64,13 @@
 /// Starts the control side, with planners if `options` are given. `instance` makes the epoch of this run differ from
 /// those of others that start in the same millisecond. The caller has to call [`Router::shut_down`] at the end.
 pub(crate) fn start_control_side(
-    start: Start,
+    configuration: Configuration,
     clock: Clock,
     options: Option<ControlClientOptions>,
     instance: u32,
     listener: Option<EventListener>,
 ) -> Rc<Router> {
-    let Start {
+    let Configuration {
         mut watch,
         known: mut configured_events,
         terms,
@@ -73,7 +79,7 @@
         bounds,
         seed,
         ..
-    } = start;
+    } = configuration;
     let router = Router::new(clock, seed, terms, names, connection_terms, bounds);
     // Before the first endpoint list is applied, so that from then on a guided forwarder uses no more than its own
     // quotas.
--- a/crates/flaxdeck-dispatcher/src/program/error.rs
+++ b/crates/flaxdeck-dispatcher/src/program/error.rs
@@ -1,4 +1,4 @@
-//! Why a dispatcher does not start. The texts are what operators see, before exit code 1.
+//! Errors that keep a dispatcher from starting. Operators see their texts on standard error, before exit code 1.
 
 use std::io;
 use std::net::{AddrParseError, SocketAddr};
@@ -8,24 +8,24 @@
 use flaxdeck_terms::SettingsError;
 use thiserror::Error;
 
-/// Why a dispatcher did not start, or could not go on.
+/// Why a dispatcher did not start, or could not accept clients.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// The runtime could not be set up.
-    #[error("no runtime: {0}")]
+    /// The async runtime could not be created.
+    #[error("cannot create the async runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// Signals could not be caught.
-    #[error("no signals: {0}")]
+    /// The handlers of SIGTERM and SIGHUP could not be installed.
+    #[error("cannot install the signal handlers: {0}")]
     Signals(#[source] io::Error),
     /// The configuration can't be used.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// The address to listen at could not be had.
+    /// The listening socket could not be opened.
     #[error("cannot listen at {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address of the configuration.
         address: SocketAddr,
-        /// Why not.
+        /// The system's error.
         source: io::Error,
     },
 }
@@ -33,31 +33,31 @@
 /// Why a configuration file can't be used.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// No file is named.
+    /// No configuration file is named.
     #[error("GW_CONFIG is not set")]
     NotSet,
     /// The file can't be read.
     #[error("cannot read {path}: {source}")]
     Read {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why not.
+        /// The system's error.
         source: io::Error,
     },
-    /// The file holds no JSON.
+    /// The file does not contain JSON.
     #[error("{path} is not JSON: {source}")]
     Json {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Where not.
+        /// The syntax error, with its position.
         source: serde_json::Error,
     },
-    /// The file holds no configuration.
+    /// The file does not contain a valid configuration.
     #[error("{path}: {source}")]
     Configuration {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why not.
+        /// What is wrong with the configuration.
         source: ConfigurationError,
     },
 }
@@ -68,38 +68,38 @@
     /// A field is missing or of another type.
     #[error(transparent)]
     Field(#[from] SettingsError),
-    /// A field holds no address with a port.
-    #[error("{field}: {value} is no address")]
+    /// The value of a field is not an IP address with a port.
+    #[error("field {field} is {value:?}, expected an IP address with a port")]
     Address {
         /// The field's name.
         field: &'static str,
         /// The field's value.
         value: String,
-        /// Why not.
+        /// The error of the parser.
         source: AddrParseError,
     },
-    /// The seed is no number in hex.
-    #[error("seed: {value} is not in hex")]
+    /// The seed is not a hexadecimal number of 64 bits.
+    #[error("field seed is {value:?}, expected a 64-bit hexadecimal number")]
     Seed {
         /// The field's value.
         value: String,
-        /// Why not.
+        /// The error of the parser.
         source: ParseIntError,
     },
-    /// The settings object can't be used.
+    /// The settings object is invalid.
     #[error("settings: {0}")]
     Settings(#[source] SettingsError),
-    /// The events that the configuration holds can't be used.
+    /// The events in the configuration's field `known` are invalid.
     #[error(transparent)]
     Known(Box<dyn std::error::Error + Send + Sync>),
-    /// The memory limit leaves room for nothing.
-    #[error("limits: field memory_mb is {memory_mb}, nothing fits in that")]
+    /// The memory limit is not positive.
+    #[error("limits: field memory_mb is {memory_mb}, expected more than 0")]
     Memory {
         /// The field's value, in MiB.
         memory_mb: f64,
     },
-    /// There are too few descriptors for a client and a host.
-    #[error("limits: field sockets is {sockets}, {MIN_SOCKETS} are needed at least")]
+    /// There are too few descriptors for one client and one host.
+    #[error("limits: field sockets is {sockets}, expected at least {MIN_SOCKETS}")]
     Sockets {
         /// The field's value.
         sockets: u64,
--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! The process: start, signals, log, counters, and the end of all that at SIGTERM.
+//! The process: its start, signals, log and counters, and its graceful shutdown at SIGTERM.
 
 mod error;
 mod logger;
@@ -24,44 +24,44 @@
 
 pub use error::{ConfigurationError, RunError, StartError};
 
-/// Between lines of counters in the log.
+/// The interval at which the counters are logged.
 const COUNTERS_INTERVAL: Duration = Duration::from_secs(10);
-/// How long the process stays at least after SIGTERM: new clients go on coming for 0.4 s and requests for 0.2 s more; the
-/// rest is for late ones.
+/// The shortest time from SIGTERM to the end of the process: new clients go on connecting for 0.4 s and sending
+/// requests for 0.2 s more; the rest is for late ones.
 const MIN_SHUTDOWN: Duration = Duration::from_millis(700);
-/// SIGKILL comes no sooner after SIGTERM than the longest wait of a client and this together.
+/// SIGKILL follows SIGTERM no sooner than after the longest wait of a client plus this.
 const KILL_DELAY: Span = Span::from_ms(700);
-/// A longest wait over this counts as this.
+/// The most that a client's longest wait counts for in that sum.
 const MAX_LONGEST_WAIT: Span = Span::from_ms(3000);
-/// Before the earliest SIGKILL: for answers to be written and the process to end.
+/// The time reserved before the earliest SIGKILL, to write the last answers and to end the process.
 const KILL_MARGIN: Span = Span::from_ms(200);
-/// The part of the margin in which the last answers are given, before connections are closed.
-const ANSWERS_PART: f64 = 0.5;
-/// The part of the margin by whose end all connections are closed.
-const CLOSING_PART: f64 = 0.75;
-/// Between looks whether all is answered.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
-/// Looks in a row that have to find nothing left: a request may be read between two.
-const MIN_IDLE_LOOKS: u32 = 3;
-
-/// One dispatcher by itself, as the platform starts it.
+/// The fraction of the margin for writing the last answers, before connections are closed.
+const ANSWERS_FRACTION: f64 = 0.5;
+/// The fraction of the margin by whose end all connections have to be closed.
+const CLOSING_FRACTION: f64 = 0.75;
+/// The interval at which a shutdown checks what is still open.
+const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// The number of consecutive checks that must find nothing open, as a request may be read between two checks.
+const MIN_IDLE_CHECKS: u32 = 3;
+
+/// Runs a dispatcher without planners, as the platform starts it, until SIGTERM.
 ///
 /// # Errors
 ///
-/// A configuration that can't be used, or an address that can't be had.
+/// If the configuration is invalid, or the process can't listen at its address; [`RunError`] has all reasons.
 pub fn run() -> Result<(), RunError> {
     logger::start();
-    let ended = run_guided(None, None);
+    let result = run_guided(None, None);
     log::logger().flush();
-    ended
+    result
 }
 
-/// A dispatcher that planners guide, if control_client say so; the caller has set up the log. Without a path the configuration
-/// is the one that `GW_CONFIG` names.
+/// Runs a dispatcher until SIGTERM, with planners if `control_client` is given. The caller has set up the log. Without
+/// a path the configuration is the file that `GW_CONFIG` names.
 ///
 /// # Errors
 ///
-/// As [`run`].
+/// Those of [`run`].
 pub fn run_guided(
     path: Option<&str>,
     control_client: Option<ControlClientOptions>,
@@ -73,7 +73,7 @@
     LocalSet::new().block_on(&runtime, serve(path, control_client))
 }
 
-/// The signals that the platform sends.
+/// The signals that the platform sends: SIGTERM and SIGHUP.
 struct Signals {
     terminate: Signal,
     reload: Signal,
@@ -88,7 +88,7 @@
     }
 }
 
-/// What a later configuration is compared with.
+/// The running router, and what a reloaded configuration is compared with.
 struct Running<'a> {
     path: Option<&'a str>,
     router: Rc<Router>,
@@ -103,23 +103,30 @@
 ) -> Result<(), RunError> {
     let clock = Clock::start();
     let mut signals = Signals::catch()?;
-    let start = start::read(path, control_client.is_none())?;
-    let address = start.address;
-    let bounds = start.bounds;
-    let longest_wait = start.connection_terms.longest_wait;
-    let settings = start.settings.clone();
+    let configuration = start::read(path, control_client.is_none())?;
+    let address = configuration.address;
+    let bounds = configuration.bounds;
+    let longest_wait = configuration.connection_terms.longest_wait;
+    let settings = configuration.settings.clone();
     let cannot_listen = |source: io::Error| RunError::Listen { address, source };
-    // Bound before anything is said in its name: while an earlier run still listens there, this one is none.
+    // Bound before the control side starts: while an earlier process still listens at the address, this one must not
+    // speak to planners in its name.
     let bound = BoundAddress::bind(address).map_err(cannot_listen)?;
     let counters = control_client
         .as_ref()
         .and_then(|control_client| control_client.counters.clone());
-    let router =
-        control::start_control_side(start, clock, control_client, std::process::id(), None);
+    let router = control::start_control_side(
+        configuration,
+        clock,
+        control_client,
+        std::process::id(),
+        None,
+    );
     if let Some(path) = counters {
         counters_file::spawn(path);
     }
-    // A client that finds nobody listening turns to another dispatcher; a guess or a rejection would keep it here.
+    // A client that can't connect turns to another dispatcher. One that is accepted too early would stay here, for
+    // rejections or for answers that rest on an unconfirmed endpoint list.
     tokio::select! {
         () = router.wait_until_ready() => {}
         _ = signals.terminate.recv() => return Ok(()),
@@ -135,12 +142,13 @@
         is_guided: router.is_guided(),
         router,
     };
-    running.until_terminated(&mut signals).await;
+    running.handle_signals(&mut signals).await;
     shut_down(&running.router, clock, longest_wait).await;
     Ok(())
 }
 
-/// Starts what serves clients. The tasks end with the set, which the caller keeps until the router has shut down.
+/// Starts the tasks that serve clients. They are aborted when the set is dropped, so the caller keeps it until the
+/// router has shut down.
 fn start_tasks(router: &Rc<Router>, listener: Listener) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
     tasks.spawn_local(router.clone().close_idle_host_connections());
@@ -149,34 +157,36 @@
     tasks
 }
 
-/// Answers what is open and whoever still comes, then closes all connections, all before the earliest SIGKILL.
+/// Answers open requests and those that still arrive, then closes all connections, all before the earliest SIGKILL.
 async fn shut_down(router: &Router, clock: Clock, longest_wait: Span) {
     log::info!("asked to end");
     let kill_after = longest_wait.min(MAX_LONGEST_WAIT) + KILL_DELAY;
     let answers_by = clock.now() + kill_after.less(KILL_MARGIN);
     router.set_shutdown_deadline(answers_by);
-    wait_until_idle(router, clock, answers_by + KILL_MARGIN * ANSWERS_PART).await;
+    wait_until_idle(router, clock, answers_by + KILL_MARGIN * ANSWERS_FRACTION).await;
     router.close_clients();
-    let closed_by = answers_by + KILL_MARGIN * CLOSING_PART;
+    let closed_by = answers_by + KILL_MARGIN * CLOSING_FRACTION;
     while !router.has_no_clients() && clock.now() < closed_by {
-        sleep(LOOK_INTERVAL).await;
+        sleep(SHUTDOWN_CHECK_INTERVAL).await;
     }
     log_load(router);
     router.shut_down();
 }
 
-/// Waits for [`MIN_SHUTDOWN`] and until nothing is left to be answered, or until that time.
+/// Waits for [`MIN_SHUTDOWN`] at least, and on until nothing is left to be answered or that time has come.
 async fn wait_until_idle(router: &Router, clock: Clock, until: Time) {
     let started = Instant::now();
-    let mut idle_looks = 0;
-    while started.elapsed() < MIN_SHUTDOWN || (idle_looks < MIN_IDLE_LOOKS && clock.now() < until) {
-        sleep(LOOK_INTERVAL).await;
-        idle_looks = if router.is_idle() { idle_looks + 1 } else { 0 };
+    let mut idle_checks = 0;
+    while started.elapsed() < MIN_SHUTDOWN || (idle_checks < MIN_IDLE_CHECKS && clock.now() < until)
+    {
+        sleep(SHUTDOWN_CHECK_INTERVAL).await;
+        idle_checks = if router.is_idle() { idle_checks + 1 } else { 0 };
     }
 }
 
 impl Running<'_> {
-    async fn until_terminated(&self, signals: &mut Signals) {
+    /// Reloads the configuration at each SIGHUP, until SIGTERM.
+    async fn handle_signals(&self, signals: &mut Signals) {
         loop {
             tokio::select! {
                 _ = signals.terminate.recv() => return,
@@ -185,21 +195,24 @@
         }
     }
 
-    /// Reads the configuration again. The coordinator, its events and the limits change in place; what can't is said, and
-    /// one that can't be used changes nothing.
+    /// Reads the configuration again. The coordinator, its events and the limits take effect at once. Other changes
+    /// need a restart and are logged; an invalid configuration changes nothing.
     fn reload(&self) {
         let later = match start::read(self.path, !self.is_guided) {
             Ok(later) => later,
             Err(error) => {
                 count(Counter::reloads_refused);
-                log::warn!("asked to read the configuration again, the old one stays: {error}");
+                log::warn!(
+                    "reloading the configuration failed, the previous one stays in use: {error}"
+                );
                 return;
             }
         };
         if later.address != self.address {
             log::warn!("another address to listen at takes effect at the next start");
         }
-        // Places in lists of names may have moved, so the events count as told by the coordinator only.
+        // The events of a configuration refer to names of its settings by index. With other settings the indices may
+        // differ from the running ones, so only events that the coordinator sends are applied then.
         let has_same_settings = later.settings == self.settings;
         if !has_same_settings {
             log::warn!("other settings take effect at the next start");
@@ -215,6 +228,7 @@
     }
 }
 
+/// Logs the numbers of open requests and connections, the counters, and the state of the sessions with planners.
 fn log_load(router: &Router) {
     let [requests, clients, hosts] = router.load();
     log::info!(
--- a/crates/flaxdeck-dispatcher/src/program/start.rs
+++ b/crates/flaxdeck-dispatcher/src/program/start.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher is handed at its start: three variables and the JSON that one of them names.
+//! Reads the configuration of a dispatcher: two environment variables, and the JSON file that one of them names.
 
 use std::env;
 use std::net::SocketAddr;
@@ -13,46 +13,47 @@
 
 use super::error::{ConfigurationError, StartError};
 
-/// Names the configuration's file.
+/// The variable that holds the path of the configuration file.
 const CONFIG_VARIABLE: &str = "GW_CONFIG";
-/// Holds the address to listen at, in place of the configuration's.
+/// The variable that overrides the configuration's address to listen at.
 const LISTEN_VARIABLE: &str = "GW_LISTEN";
 
-/// What a configuration says.
-pub(crate) struct Start {
-    /// Where to listen.
+/// A configuration.
+pub(crate) struct Configuration {
+    /// The address to listen at.
     pub address: SocketAddr,
-    /// The coordinator's watch, from the last event that the configuration holds.
+    /// The watch of the coordinator's events, which starts after the last event that the configuration holds.
     pub watch: Watch,
     /// The events that the configuration holds.
     pub known: NumberedEvents,
-    /// The figures that decisions use.
+    /// The parameters of the decision engine.
     pub terms: DeploymentTerms,
-    /// The names of the settings.
+    /// The names that the settings define.
     pub names: Rc<Names>,
-    /// What the settings say of connections to hosts.
+    /// The time limits of connections, from the settings.
     pub connection_terms: ConnectionTerms,
-    /// How much this process may hold.
+    /// The limits on this process's memory and connections.
     pub bounds: Bounds,
-    /// What chance is drawn from.
+    /// The seed of all random decisions.
     pub seed: u64,
-    /// As they stand in the file, to see whether a later one has others.
+    /// The settings as they are in the file, to notice whether a reloaded configuration changes them.
     pub settings: Value,
 }
 
-/// Reads the file of that path, or else the one that the variable names. A lone dispatcher trusts the coordinator's
-/// numbers, as the platform's page has it.
+/// Reads the configuration file at `path`, or else the one that `GW_CONFIG` names. With `trusts_numbers` a number of
+/// the coordinator always means the same event, as the platform specifies it; this holds for a dispatcher without
+/// planners.
 ///
 /// # Errors
 ///
-/// A file that is not named, can't be read or can't be used.
-pub(crate) fn read(path: Option<&str>, trusts: bool) -> Result<Start, StartError> {
+/// If no file is named, or it can't be read or is invalid.
+pub(crate) fn read(path: Option<&str>, trusts_numbers: bool) -> Result<Configuration, StartError> {
     let path = match path {
         Some(path) => path.to_owned(),
         None => env::var(CONFIG_VARIABLE).map_err(|_| StartError::NotSet)?,
     };
     let value = read_json(&path)?;
-    parse(&value, env::var(LISTEN_VARIABLE).ok(), trusts)
+    parse(&value, env::var(LISTEN_VARIABLE).ok(), trusts_numbers)
         .map_err(|source| StartError::Configuration { path, source })
 }
 
@@ -67,17 +68,17 @@
     })
 }
 
-/// What a configuration says; the address to listen at may be given apart.
+/// Parses a configuration. `listen` overrides its address to listen at; [`read`] describes `trusts_numbers`.
 ///
 /// # Errors
 ///
-/// The first field that is missing or can't be used.
+/// For the first field that is missing or invalid.
 pub(crate) fn parse(
     value: &Value,
     listen: Option<String>,
-    trusts: bool,
-) -> Result<Start, ConfigurationError> {
-    let fields = Fields::of(value, "the whole")?;
+    trusts_numbers: bool,
+) -> Result<Configuration, ConfigurationError> {
+    let fields = Fields::of(value, "the configuration")?;
     let listen = match &listen {
         Some(listen) => listen,
         None => fields.text("listen")?,
@@ -89,12 +90,12 @@
     let (terms, names) = flaxdeck_terms::read(&settings).map_err(ConfigurationError::Settings)?;
     let names = Rc::new(names);
     let known = fields.inner("known")?;
-    let (watch, known) = Watch::start(coordinator, &known, names.clone(), trusts, seed)
+    let (watch, known) = Watch::start(coordinator, &known, names.clone(), trusts_numbers, seed)
         .map_err(|error| ConfigurationError::Known(error.into()))?;
     let bounds = parse_limits(&fields.inner("limits")?)?;
     let connection_terms =
         ConnectionTerms::read(&settings).map_err(ConfigurationError::Settings)?;
-    Ok(Start {
+    Ok(Configuration {
         address,
         watch,
         known,
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -438,7 +438,7 @@
             ["key_scope", "None"],
         ),
         refused("/limits/sockets", 12, ["sockets", "12"]),
-        refused("/limits/memory_mb", 0, ["memory_mb", "nothing fits"]),
+        refused("/limits/memory_mb", 0, ["memory_mb is 0,", "more than 0"]),
     ]
 }
 
