--- a/crates/flaxdeck-dispatcher/tests/client_connections.rs
+++ b/crates/flaxdeck-dispatcher/tests/client_connections.rs
@@ -84,7 +84,7 @@
 
 #[test]
 fn silent_connections_are_evicted_before_any_that_sent_a_request() {
-    let world = World::with(1, |config| config["limits"]["sockets"] = 60.into()); // 20 for clients
+    let world = World::with_config(1, |config| config["limits"]["sockets"] = 60.into()); // 20 for clients
     let mut usual = world.client();
     usual.request("page", KEY, 2400, b"").unwrap();
     assert!(served(&usual.answer().unwrap(), KEY));
@@ -105,7 +105,7 @@
 // A machine that stands still for a while leaves what its clients said unread, and them looking silent.
 #[test]
 fn clients_that_sent_while_the_process_was_stopped_are_not_evicted_as_silent() {
-    let world = World::with(1, |config| config["limits"]["sockets"] = 60.into()); // 20 for clients
+    let world = World::with_config(1, |config| config["limits"]["sockets"] = 60.into()); // 20 for clients
     let mut clients: Vec<Client> = (0..20).map(|_| world.client()).collect();
     thread::sleep(Duration::from_millis(100));
     let waiting: Vec<Client> = (0..5).map(|_| world.client()).collect();
@@ -125,7 +125,7 @@
 // Room for one connection in 6 ms would take over two seconds for these.
 #[test]
 fn an_evicted_connection_makes_room_at_once() {
-    let world = World::with(1, |config| config["limits"]["sockets"] = 60.into()); // 20 for clients
+    let world = World::with_config(1, |config| config["limits"]["sockets"] = 60.into()); // 20 for clients
     let start = Instant::now();
     let mut clients: Vec<Client> = Vec::new();
     for _ in 0..400 {
@@ -143,7 +143,7 @@
 
 #[test]
 fn clients_past_a_third_of_the_descriptors_evict_the_longest_idle() {
-    let world = World::with(1, |config| config["limits"]["sockets"] = 60.into());
+    let world = World::with_config(1, |config| config["limits"]["sockets"] = 60.into());
     let mut clients: Vec<Client> = Vec::new();
     for n in 0..50 {
         let mut client = world.client();
@@ -195,7 +195,7 @@
 // A write comes in pieces; one whose first piece has been read is no idle connection's.
 #[test]
 fn a_client_midway_through_a_write_is_not_evicted() {
-    let world = World::with(1, |config| config["limits"]["sockets"] = 60.into());
+    let world = World::with_config(1, |config| config["limits"]["sockets"] = 60.into());
     let mut writes = world.client();
     writes.request("page", KEY, 2400, b"").unwrap();
     assert!(served(&writes.answer().unwrap(), KEY));
@@ -223,7 +223,7 @@
 
 #[test]
 fn a_client_that_reads_no_answers_uses_up_only_its_own_requests() {
-    let world = World::with(1, |config| config["limits"]["memory_mb"] = 30.into());
+    let world = World::with_config(1, |config| config["limits"]["memory_mb"] = 30.into());
     let (mut deaf, mut well) = (world.client(), world.client());
     let big = vec![7; 40_000];
     // The origin gives a write back, so what the deaf client has not taken soon fills its connection.
--- a/crates/flaxdeck-dispatcher/tests/connects.rs
+++ b/crates/flaxdeck-dispatcher/tests/connects.rs
@@ -1,5 +1,5 @@
-//! What comes to be known while a connection to a host is on its way up: whoever is asked after it must be asked by what
-//! holds then. A host whose queue is full takes no connection until it is opened.
+//! Changes that arrive while a connection to a host is being established: a request must be sent by the state that
+//! holds when it is written. A host with a full backlog delays the connections.
 
 #![allow(
     clippy::unwrap_used,
@@ -16,7 +16,8 @@
     read_request, served,
 };
 
-// Rule 3: nothing new to a host that drains or is gone, or with it as fill source, whatever was decided before.
+// Rule 3: nothing new is sent to a host that drains or is removed, nor with it as fill source, whatever was decided
+// before.
 #[test]
 fn a_host_that_drains_while_its_connection_comes_up_gets_nothing() {
     for state in [1, 2] {
@@ -24,9 +25,13 @@
         let (mut client, n) = attempt_in_flight(&world, 0);
         world.coordinator.change(&host, state, 0, 0);
         world.wait_for_log(&["told: s-0000ca00"]);
-        cache_host.open();
+        cache_host.serve_all();
         assert!(served(&client.answer().unwrap(), &key(n)));
-        assert_eq!(cache_host.heard(), Vec::<String>::new(), "state {state}");
+        assert_eq!(
+            cache_host.requests(),
+            Vec::<String>::new(),
+            "requests at a cache that changed to state {state}"
+        );
     }
 }
 
@@ -37,16 +42,18 @@
     let parent = world.parent.clone();
     world.coordinator.change(&parent, 1, 1, 1);
     world.wait_for_log(&["told: s-00009a01"]);
-    cache_host.open();
+    cache_host.serve_all();
     assert!(served(&client.answer().unwrap(), &key(n)));
-    let heard = cache_host.heard();
+    let received = cache_host.requests();
     assert!(
-        heard.iter().all(|line| !line.contains("fetch=s-00009a01")),
-        "{heard:?}"
+        received
+            .iter()
+            .all(|line| !line.contains("fetch=s-00009a01")),
+        "received by the first cache: {received:?}"
     );
 }
 
-// Rule 5: the age limit is the one that holds when the request is written.
+// Rule 5: a request carries the age limit that holds when it is written.
 #[test]
 fn a_purge_that_comes_while_a_connection_comes_up_binds_the_request() {
     let (mut world, cache_host, _) = cache_with_full_backlog(|_| {});
@@ -59,23 +66,23 @@
         .coordinator
         .purge_object(u64::from_str_radix(&key(n), 16).unwrap(), now);
     world.wait_for_log(&["told: a purge"]);
-    cache_host.open();
+    cache_host.serve_all();
     assert!(served(&client.answer().unwrap(), &key(n)));
-    let heard = cache_host.heard();
+    let received = cache_host.requests();
     assert!(
-        !heard.is_empty() && heard.iter().all(|line| line.contains(",newer=")),
-        "{heard:?}"
+        !received.is_empty() && received.iter().all(|line| line.contains(",newer=")),
+        "received by the first cache: {received:?}"
     );
 }
 
-// How long the host is told that the dispatcher waits is what is left by then.
+// The timeout that is sent to the host is what is left of it when the request is written.
 #[test]
 fn the_time_that_a_connection_took_is_taken_off_the_timeout() {
     let (world, cache_host, _) = cache_with_full_backlog(|_| {});
     let (mut client, n) = attempt_in_flight(&world, 0);
-    cache_host.open();
+    cache_host.serve_all();
     assert!(served(&client.answer().unwrap(), &key(n)));
-    let heard = cache_host.heard();
+    let received = cache_host.requests();
     let wait = |line: &String| {
         line.split(",wait=")
             .nth(1)?
@@ -85,15 +92,15 @@
             .ok()
     };
     assert!(
-        heard
+        received
             .iter()
             .all(|line| wait(line).is_some_and(|ms| ms < 6500)),
-        "of 7000: {heard:?}"
+        "the timeouts are not below 6500 of 7000 ms: {received:?}"
     );
 }
 
-// A client that has left while its request waited for a connection: nothing is sent on for it, whether or not attempts
-// may be taken back.
+// Nothing is sent for a client that has left while its request waited for a connection, whether or not the settings
+// allow cancelling attempts.
 #[test]
 fn a_request_left_while_a_connection_came_up_is_not_forwarded() {
     for (may_cancel, closes) in [(true, false), (true, true), (false, false), (false, true)] {
@@ -106,25 +113,25 @@
         }
         let client = Some(client).filter(|_| !closes);
         world.wait_for_log(&["left: "]);
-        // Its connection is tried again later than the other's was.
+        // The system retries the connection of this request later than that of the first one.
         let (mut next, after) = attempt_in_flight(&world, n + 1);
-        cache_host.open();
+        cache_host.serve_all();
         assert!(served(&next.answer().unwrap(), &key(after)));
-        let heard = cache_host.heard();
+        let received = cache_host.requests();
         assert!(
-            !heard.is_empty() && !heard.iter().any(|line| line.contains(&key(n))),
-            "{may_cancel}, {heard:?}"
+            !received.is_empty() && !received.iter().any(|line| line.contains(&key(n))),
+            "with cancellation allowed: {may_cancel}, received {received:?}"
         );
         drop(client);
     }
 }
 
-// Rule 2: past the window in which repeats are dropped a deduplicated request is not sent again, however long its
+// Rule 2: a deduplicated request is not sent again after the window in which hosts drop repeats, however long its
 // connection took.
 #[test]
 fn a_connection_that_outlasts_the_deduplication_window_carries_no_retry() {
     let mut cache_host = FullBacklogHost::start();
-    let world = World::with(1, |config| {
+    let world = World::with_config(1, |config| {
         config["known"]["updates"][0]["endpoints"]["hosts"][2]["dial"] =
             cache_host.address.to_string().into();
         config["settings"]["allowed"]["connect_timeout_ms"] = 5000.into();
@@ -137,18 +144,18 @@
     let mut first = cache_host.accept();
     assert!(
         read_request(&mut first).is_some(),
-        "the first attempt arrives"
+        "the first attempt does not arrive"
     );
-    let ran = std::time::Instant::now();
+    let sent = std::time::Instant::now();
     cache_host.fill_backlog();
     drop(first);
     assert_eq!(error_text(client.answer().unwrap()), "Backoff");
     assert!(
-        ran.elapsed() < Duration::from_millis(1000),
-        "answered once nothing may follow: {:?}",
-        ran.elapsed()
+        sent.elapsed() < Duration::from_millis(1000),
+        "rejected only {:?} after the first attempt, though no retry was possible after 700 ms",
+        sent.elapsed()
     );
-    cache_host.open();
+    cache_host.serve_all();
     assert!(client.quiet_for(Duration::from_millis(1500)));
-    assert_eq!(cache_host.heard(), Vec::<String>::new());
+    assert_eq!(cache_host.requests(), Vec::<String>::new());
 }
--- a/crates/flaxdeck-dispatcher/tests/control_side.rs
+++ b/crates/flaxdeck-dispatcher/tests/control_side.rs
@@ -1,4 +1,4 @@
-//! The control side of a forwarder by itself: it tries for its planners again and again, and ends with its owner.
+//! The control side of a forwarder without clients: it reconnects to its planners, and ends when it is dropped.
 
 #![allow(
     clippy::unwrap_used,
@@ -22,10 +22,10 @@
 use tokio::time::timeout;
 
 const CONFIG: &str = include_str!("../../../examples/toy/config.json");
-/// Longer than anything here takes.
-const SOON: Duration = Duration::from_secs(20);
-/// Longer than the longest pause between two connections.
-const RECONNECTED: Duration = Duration::from_millis(2_000);
+/// How long the test waits for a connection that has to come.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Longer than the longest reconnect backoff.
+const RECONNECT_TIME: Duration = Duration::from_millis(2_000);
 
 fn options(planner: SocketAddr) -> ControlClientOptions {
     let second = Span::from_ms(1_000);
@@ -55,20 +55,23 @@
     LocalSet::new().block_on(&runtime, async {
         let planner = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut configuration: Value = serde_json::from_str(CONFIG).unwrap();
-        // Nobody listens at the coordinator's address, and no host is asked for anything.
+        // Nobody listens at the coordinator's address, and no host gets a request.
         configuration["coordinator"] = "127.0.0.1:1".into();
         let address = planner.local_addr().unwrap();
         let listener = Box::new(|_| ());
         let forwarder =
             HollowForwarder::start(&configuration, options(address), 1, listener).unwrap();
-        for attempt in ["the first", "another"] {
-            let accepted = timeout(SOON, planner.accept()).await;
-            accepted.expect(attempt).unwrap();
+        for connection in ["the first connection", "the second connection"] {
+            let accepted = timeout(WAIT_TIMEOUT, planner.accept()).await;
+            accepted.expect(connection).unwrap();
         }
         drop(forwarder);
-        // A connection that was under way may still come in; none begins after it.
-        let _ = timeout(RECONNECTED, planner.accept()).await;
-        let later = timeout(RECONNECTED, planner.accept()).await;
-        assert!(later.is_err(), "its task goes on: {later:?}");
+        // A connection that was being established may still arrive, but no further one.
+        let _ = timeout(RECONNECT_TIME, planner.accept()).await;
+        let later = timeout(RECONNECT_TIME, planner.accept()).await;
+        assert!(
+            later.is_err(),
+            "the forwarder connects after it was dropped: {later:?}"
+        );
     });
 }
--- a/crates/flaxdeck-dispatcher/tests/coordinator_events.rs
+++ b/crates/flaxdeck-dispatcher/tests/coordinator_events.rs
@@ -1,4 +1,4 @@
-//! Drains, purges and reloads: what the coordinator says is heeded in time.
+//! Drains, purges and reloads: the events of the coordinator take effect in time.
 
 #![allow(
     clippy::unwrap_used,
@@ -21,7 +21,9 @@
     let draining = world.caches[0].clone();
     assert!(!world.receives_nothing(&draining));
     world.coordinator.change(&draining, 1, 0, 0);
-    wait_for("the drain is heeded", || world.receives_nothing(&draining));
+    wait_for("the drain takes effect", || {
+        world.receives_nothing(&draining)
+    });
     let before = draining.heard("want").len();
     for n in 0..32 {
         assert!(served(&world.request("page", &key(n), 2000, b""), &key(n)));
@@ -36,33 +38,35 @@
     assert!(!world.receives_nothing(&draining));
     world.coordinator.hang_up();
     world.coordinator.change(&draining, 1, 0, 0);
-    wait_for("a drain told while nobody was connected", || {
-        world.receives_nothing(&draining)
-    });
+    wait_for(
+        "a drain published without a connection takes effect",
+        || world.receives_nothing(&draining),
+    );
     world.coordinator.lose_one();
     world.coordinator.change(&draining, 0, 0, 0);
-    wait_for("its end, told after a gap", || {
-        !world.receives_nothing(&draining)
-    });
+    wait_for(
+        "the end of the drain, published after a gap, takes effect",
+        || !world.receives_nothing(&draining),
+    );
 }
 
-// Its events count as told 4 s after its last word.
+// An event that is published after the coordinator went silent must take effect within 4 s of its last message.
 #[test]
 fn a_coordinator_that_goes_silent_is_reconnected_in_time() {
     let mut world = World::start(2);
     let draining = world.caches[0].clone();
-    world.coordinator.change(&draining, 0, 0, 0); // its last word
+    world.coordinator.change(&draining, 0, 0, 0); // the last message
     thread::sleep(Duration::from_millis(100));
     world.coordinator.stop();
     let stopped = Instant::now();
     world.coordinator.change(&draining, 1, 0, 0);
     assert!(!world.receives_nothing(&draining));
-    wait_for("a drain told after the stop", || {
+    wait_for("a drain published after the stop takes effect", || {
         world.receives_nothing(&draining)
     });
     assert!(
         stopped.elapsed() < Duration::from_millis(3200),
-        "{:?}",
+        "the drain took effect {:?} after the coordinator went silent",
         stopped.elapsed()
     );
 }
@@ -73,7 +77,7 @@
     let draining = world.caches[0].clone();
     assert!(!world.receives_nothing(&draining));
     world.coordinator.change(&draining, 1, 0, 0);
-    wait_for("event 2 is heeded", || world.receives_nothing(&draining));
+    wait_for("event 2 takes effect", || world.receives_nothing(&draining));
     world.caches[1].set(Manner::Late(600));
     let mut client = world.client();
     client.request("page", KEY, 2400, b"").unwrap();
@@ -83,20 +87,22 @@
         world.signal("HUP");
         thread::sleep(Duration::from_millis(50));
     }
-    let mut later = Coordinator::start("127.0.0.1:0", 2).unwrap();
-    config["coordinator"] = later.address.to_string().into();
+    let mut new_coordinator = Coordinator::start("127.0.0.1:0", 2).unwrap();
+    config["coordinator"] = new_coordinator.address.to_string().into();
     std::fs::write(&world.path, config.to_string()).unwrap();
     world.signal("HUP");
-    later.change(&draining, 0, 0, 0);
+    new_coordinator.change(&draining, 0, 0, 0);
     assert!(
         served(&client.answer().unwrap(), KEY),
-        "an open request notices nothing"
+        "an open request is served across the reload"
     );
-    wait_for("event 3 comes from the later coordinator", || {
+    wait_for("event 3 of the new coordinator takes effect", || {
         !world.receives_nothing(&draining)
     });
-    later.change(&draining, 1, 0, 0);
-    wait_for("and event 4", || world.receives_nothing(&draining));
+    new_coordinator.change(&draining, 1, 0, 0);
+    wait_for("event 4 of the new coordinator takes effect", || {
+        world.receives_nothing(&draining)
+    });
     assert!(world.process.try_wait().unwrap().is_none());
 }
 
@@ -126,7 +132,7 @@
             })
             .max()
     };
-    wait_for("the purge is heeded", || {
+    wait_for("the purge takes effect", || {
         drop(world.request("page", KEY, 2000, b""));
         newer(&world).is_some()
     });
@@ -138,7 +144,7 @@
     let newer = newer(&world).unwrap();
     assert!(
         (1..=since).contains(&newer),
-        "{newer} ms is from before the purge, {since} ms ago"
+        "the maximum age of copies is {newer} ms, but the purge was {since} ms ago"
     );
     drop(world.request("page", &key(9), 2000, b""));
     assert!(
@@ -148,7 +154,7 @@
             .unwrap()
             .0
             .contains("newer="),
-        "other objects are left alone"
+        "the purge of one object limits the age of another"
     );
 }
 
@@ -164,22 +170,24 @@
     world.wait_for_log(&["told: s-0000ca00 Draining"]);
     assert!(
         began.elapsed() < Duration::from_millis(4000),
-        "{:?}",
+        "the drain took effect {:?} after the frame began",
         began.elapsed()
     );
 }
 
 #[test]
 fn a_coordinator_moved_by_a_reload_is_followed_while_the_old_one_is_down() {
-    let (_held, gone) = unused_address();
-    let world = World::with(2, |config| config["coordinator"] = gone.to_string().into());
+    let (_reserved, unused) = unused_address();
+    let world = World::with_config(2, |config| {
+        config["coordinator"] = unused.to_string().into()
+    });
     world.wait_for_log(&["no connection to the coordinator"]);
-    let mut later = Coordinator::start("127.0.0.1:0", 1).unwrap();
+    let mut new_coordinator = Coordinator::start("127.0.0.1:0", 1).unwrap();
     let mut config: serde_json::Value = serde_json::from_str(&world.config).unwrap();
-    config["coordinator"] = later.address.to_string().into();
+    config["coordinator"] = new_coordinator.address.to_string().into();
     std::fs::write(&world.path, config.to_string()).unwrap();
     world.signal("HUP");
-    later.change(&world.caches[0], 1, 0, 0);
+    new_coordinator.change(&world.caches[0], 1, 0, 0);
     world.wait_for_log(&["told: s-0000ca00 Draining"]);
     assert!(world.receives_nothing(&world.caches[0].clone()));
 }
--- a/crates/flaxdeck-dispatcher/tests/departures.rs
+++ b/crates/flaxdeck-dispatcher/tests/departures.rs
@@ -1,5 +1,6 @@
-//! A client that closed, reset or cancelled has gone: no attempt, first or further, begins for it more than 0.1 s later.
-//! Each test brings several clients into one situation, has them leave in every way at once, and looks at the hosts.
+//! No attempt, neither a first nor a further one, starts for a request more than 0.1 s after its client has closed or
+//! reset the connection or has cancelled the request. Each test brings several clients into one situation, has them
+//! depart in every way at once, and checks which attempts reach the hosts.
 
 #![allow(
     clippy::unwrap_used,
@@ -17,104 +18,110 @@
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
 use world::{
-    KEY, MAX_CANCEL_DELAY, Stalls, World, attempt_in_flight_over, cache_with_full_backlog, key,
+    KEY, MAX_CANCEL_DELAY, Stalls, World, attempt_in_flight_with, cache_with_full_backlog, key,
     served, unix_now, wait_for,
 };
 
-/// By then a leaving has to be noticed, so that what is on its way meanwhile has not begun when the client has gone.
-const NOTICED: Duration = Duration::from_millis(60);
+/// How long the process may take to notice a departure, so that attempts that start meanwhile do so within the 0.1 s.
+const MAX_DETECTION_DELAY: Duration = Duration::from_millis(60);
 
-/// How a client leaves. A half-close can't be told from a close, and counts as one.
+/// How a client departs. A half-close can't be told from a close, and counts as one.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Leaving {
+enum Departure {
     Close,
     HalfClose,
     Reset,
     Cancel,
 }
 
-const EVERY_WAY: [Leaving; 4] = [
-    Leaving::Close,
-    Leaving::HalfClose,
-    Leaving::Reset,
-    Leaving::Cancel,
+const ALL_DEPARTURES: [Departure; 4] = [
+    Departure::Close,
+    Departure::HalfClose,
+    Departure::Reset,
+    Departure::Cancel,
 ];
 
-/// One client with the request that it is going to leave.
-struct Leaver {
-    way: Leaving,
+/// A client with an open request, and the way in which it is going to depart.
+struct Requester {
+    departure: Departure,
     client: Client,
     key: String,
     call: u32,
 }
 
-impl Leaver {
-    /// Asks for an object of that number, and has not left yet.
-    fn asks(way: Leaving, mut client: Client, class: &str, number: u32) -> Leaver {
+impl Requester {
+    /// Sends a request for the object of that number.
+    fn request(departure: Departure, mut client: Client, class: &str, number: u32) -> Requester {
         let (key, body): (_, &[u8]) =
             (key(number), if class == "submit" { b"a form" } else { b"" });
         let call = client.request(class, &key, 2400, body).unwrap();
-        Leaver {
-            way,
+        Requester {
+            departure,
             client,
             key,
             call,
         }
     }
 
-    /// Leaves; gives what keeps the connection open where it stays so.
-    fn leaves(self) -> Option<Client> {
-        let Leaver {
-            way,
+    /// Departs. Returns the client if its connection stays open.
+    fn depart(self) -> Option<Client> {
+        let Requester {
+            departure,
             mut client,
             call,
             ..
         } = self;
-        match way {
-            Leaving::Close | Leaving::Reset => return None,
-            Leaving::HalfClose => client.shut().unwrap(),
-            Leaving::Cancel => client.cancel(call).unwrap(),
+        match departure {
+            Departure::Close | Departure::Reset => return None,
+            Departure::HalfClose => client.shut().unwrap(),
+            Departure::Cancel => client.cancel(call).unwrap(),
         }
         Some(client)
     }
 }
 
-/// A client that can leave in that way; a narrow one's connection takes few bytes that it has not read.
-fn connect(address: SocketAddr, way: Leaving, narrow: bool) -> Client {
+/// Connects a client that can depart in that way. With a small receive buffer its connection takes few bytes that the
+/// client has not read.
+fn connect(address: SocketAddr, departure: Departure, has_small_buffer: bool) -> Client {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    if way == Leaving::Reset {
+    if departure == Departure::Reset {
         socket.set_linger(Some(Duration::ZERO)).unwrap();
     }
-    if narrow {
+    if has_small_buffer {
         socket.set_recv_buffer_size(4096).unwrap();
     }
     socket.connect(&address.into()).unwrap();
     Client::over(TcpStream::from(socket)).unwrap()
 }
 
-/// Within this after a first attempt the second copy is due at a host that says nothing, by [`silence_is_long`].
-const SECOND_COPY: Duration = Duration::from_millis(1300);
+/// With [`set_slow_transfers`], a hedged request is due within this time after the first attempt if the host is silent.
+const HEDGE_DUE_WITHIN: Duration = Duration::from_millis(1300);
 
-/// A request takes half a second to send by these settings, so that a busy machine makes no attempt overdue by itself.
-fn silence_is_long(config: &mut Value) {
+/// Sets a client bandwidth by which a request takes half a second to send, so that a busy machine alone makes no
+/// attempt overdue.
+fn set_slow_transfers(config: &mut Value) {
     config["settings"]["family_info"]["client_kb_per_s"] = 100.into();
 }
 
-/// One leaver for every way, each asking for an object of its own.
-fn leavers(world: &World, class: &str) -> Vec<Leaver> {
-    let ask = |(at, way)| {
-        Leaver::asks(
-            way,
-            connect(world.address, way, false),
+/// Connects one client for each kind of departure; each requests another object.
+fn departing_clients(world: &World, class: &str) -> Vec<Requester> {
+    let request = |(at, departure)| {
+        Requester::request(
+            departure,
+            connect(world.address, departure, false),
             class,
             100 + at as u32,
         )
     };
-    EVERY_WAY.into_iter().enumerate().map(ask).collect()
+    ALL_DEPARTURES
+        .into_iter()
+        .enumerate()
+        .map(request)
+        .collect()
 }
 
-/// Attempts that have come to any host for an object.
-fn attempts(world: &World, key: &str) -> usize {
+/// Returns the number of attempts for an object that have reached any host.
+fn attempt_count(world: &World, key: &str) -> usize {
     let wants = |host: &flaxdeck_toy::Host| host.heard("want");
     world
         .hosts()
@@ -123,48 +130,48 @@
         .count()
 }
 
-/// Has all of them leave at once: each is noticed in time, and no attempt begins for it after a tenth of a second, for so
-/// long. Gives what keeps connections open.
-fn leave_and_are_gone(world: &World, leavers: Vec<Leaver>, watched_for: Duration) {
-    let (before, count) = (world.left_times().len(), leavers.len());
-    let keys: Vec<String> = leavers.iter().map(|leaver| leaver.key.clone()).collect();
-    let mut stalls = Stalls::witnessed(world);
-    let mut kept = Vec::new();
-    for leaver in leavers {
-        kept.push(leaver.leaves());
-        stalls.sent();
+/// Has all clients depart at once, and checks that the process notices each departure in time. Then checks that no
+/// attempt starts for them later than 0.1 s after their departure, for the time `watched_for`.
+fn depart_and_check_no_attempts(world: &World, departing: Vec<Requester>, watched_for: Duration) {
+    let (before, count) = (world.departure_times().len(), departing.len());
+    let keys: Vec<String> = departing.iter().map(|client| client.key.clone()).collect();
+    let mut stalls = Stalls::start_with_prober(world);
+    let mut still_connected = Vec::new();
+    for client in departing {
+        still_connected.push(client.depart());
+        stalls.probe();
     }
-    let went = unix_now();
-    stalls.await_witness();
-    wait_for("all who left are noticed", || {
-        world.left_times().len() == before + count
+    let departed = unix_now();
+    stalls.await_probes();
+    wait_for("all departures are noticed", || {
+        world.departure_times().len() == before + count
     });
-    let noticed = world.left_times().split_off(before);
-    let late = noticed
+    let noticed = world.departure_times().split_off(before);
+    let delay = noticed
         .into_iter()
         .max()
         .unwrap_or_default()
-        .saturating_sub(went);
-    let stalled = stalls.so_far();
+        .saturating_sub(departed);
+    let stalled = stalls.total();
     assert!(
-        late < NOTICED + stalled,
-        "noticed after {late:?}, the machine {stalled:?} late"
+        delay < MAX_DETECTION_DELAY + stalled,
+        "the last departure is noticed after {delay:?}, of which the machine may have caused {stalled:?}"
     );
-    thread::sleep((went + MAX_CANCEL_DELAY + stalled).saturating_sub(unix_now()));
-    let begun: Vec<usize> = keys.iter().map(|key| attempts(world, key)).collect();
+    thread::sleep((departed + MAX_CANCEL_DELAY + stalled).saturating_sub(unix_now()));
+    let begun: Vec<usize> = keys.iter().map(|key| attempt_count(world, key)).collect();
     thread::sleep(watched_for);
-    let later: Vec<usize> = keys.iter().map(|key| attempts(world, key)).collect();
+    let later: Vec<usize> = keys.iter().map(|key| attempt_count(world, key)).collect();
     assert_eq!(
         begun, later,
-        "attempts for those who left, in the order of {EVERY_WAY:?}"
+        "numbers of attempts for the departed clients, in the order of {ALL_DEPARTURES:?}"
     );
-    drop(kept);
+    drop(still_connected);
 }
 
-/// One who stays shows that attempts go on in this situation.
-fn go_on_for(world: &World, stays: &Leaver, attempts_before: usize) {
-    wait_for("a further attempt for who stays", || {
-        attempts(world, &stays.key) > attempts_before
+/// Waits for a further attempt for the client that remains, which shows that attempts do start in this situation.
+fn wait_for_further_attempt(world: &World, remaining: &Requester, attempts_before: usize) {
+    wait_for("a further attempt for the client that remains", || {
+        attempt_count(world, &remaining.key) > attempts_before
     });
 }
 
@@ -172,205 +179,221 @@
 fn no_attempt_follows_a_rejected_one_whose_client_has_left() {
     let world = World::start(1);
     world.origin.set(Manner::Say("full"));
-    let (leavers, stays) = (
-        leavers(&world, "submit"),
-        Leaver::asks(Leaving::Close, world.client(), "submit", 1),
+    let (departing, remaining) = (
+        departing_clients(&world, "submit"),
+        Requester::request(Departure::Close, world.client(), "submit", 1),
     );
-    wait_for("retries are due", || {
-        leavers
+    wait_for("each request was retried", || {
+        departing
             .iter()
-            .chain([&stays])
-            .all(|one| attempts(&world, &one.key) > 1)
+            .chain([&remaining])
+            .all(|one| attempt_count(&world, &one.key) > 1)
     });
-    let before = attempts(&world, &stays.key);
-    leave_and_are_gone(&world, leavers, Duration::from_millis(800));
-    go_on_for(&world, &stays, before);
+    let before = attempt_count(&world, &remaining.key);
+    depart_and_check_no_attempts(&world, departing, Duration::from_millis(800));
+    wait_for_further_attempt(&world, &remaining, before);
 }
 
 #[test]
 fn no_hedged_request_is_sent_for_a_client_that_has_left() {
-    let world = World::with(2, silence_is_long);
+    let world = World::with_config(2, set_slow_transfers);
     for cache in &world.caches {
         cache.set(Manner::Silent);
     }
-    let (leavers, stays) = (
-        leavers(&world, "page"),
-        Leaver::asks(Leaving::Close, world.client(), "page", 1),
+    let (departing, remaining) = (
+        departing_clients(&world, "page"),
+        Requester::request(Departure::Close, world.client(), "page", 1),
     );
-    wait_for("first attempts", || {
-        leavers
+    wait_for("the first attempts have reached a host", || {
+        departing
             .iter()
-            .chain([&stays])
-            .all(|one| attempts(&world, &one.key) > 0)
+            .chain([&remaining])
+            .all(|one| attempt_count(&world, &one.key) > 0)
     });
-    leave_and_are_gone(&world, leavers, SECOND_COPY);
-    go_on_for(&world, &stays, 1);
+    depart_and_check_no_attempts(&world, departing, HEDGE_DUE_WITHIN);
+    wait_for_further_attempt(&world, &remaining, 1);
 }
 
 #[test]
 fn no_connection_that_comes_up_carries_the_request_of_a_client_that_has_left() {
     let (world, cache_host, _) = cache_with_full_backlog(|_| {});
     let mut number = 0;
-    let mut attempt_in_flight = |way| {
+    let mut attempt_in_flight = |departure| {
         let (client, n) =
-            attempt_in_flight_over(&world, number, || connect(world.address, way, false));
+            attempt_in_flight_with(&world, number, || connect(world.address, departure, false));
         number = n + 1;
-        Leaver {
-            way,
+        Requester {
+            departure,
             client,
             key: key(n),
             call: 1,
         }
     };
-    let leavers: Vec<Leaver> = EVERY_WAY.into_iter().map(&mut attempt_in_flight).collect();
-    let mut stays = attempt_in_flight(Leaving::Close);
-    let keys: Vec<String> = leavers.iter().map(|leaver| leaver.key.clone()).collect();
-    leave_and_are_gone(&world, leavers, Duration::ZERO);
-    cache_host.open();
-    assert!(served(&stays.client.answer().unwrap(), &stays.key));
-    // The system tries each connection that is still wanted again within this time.
+    let departing: Vec<Requester> = ALL_DEPARTURES
+        .into_iter()
+        .map(&mut attempt_in_flight)
+        .collect();
+    let mut remaining = attempt_in_flight(Departure::Close);
+    let keys: Vec<String> = departing.iter().map(|client| client.key.clone()).collect();
+    depart_and_check_no_attempts(&world, departing, Duration::ZERO);
+    cache_host.serve_all();
+    assert!(served(&remaining.client.answer().unwrap(), &remaining.key));
+    // Within this time the system retries each connection that is still wanted.
     thread::sleep(Duration::from_millis(1200));
-    let heard = cache_host.heard();
+    let received = cache_host.requests();
     assert!(
         keys.iter()
-            .all(|key| !heard.iter().any(|line| line.contains(key))),
-        "{heard:?}"
+            .all(|key| !received.iter().any(|line| line.contains(key))),
+        "the first cache has received a request of a departed client: {received:?}"
+    );
+    assert_eq!(
+        cache_host.accepted(),
+        1,
+        "connections at the first cache, of which only the remaining client needs one"
     );
-    assert_eq!(cache_host.taken(), 1, "connections");
 }
 
 #[test]
 fn a_client_that_leaves_its_answers_unread_has_left() {
     const UNREAD: usize = 20;
-    let world = World::with(2, silence_is_long);
+    let world = World::with_config(2, set_slow_transfers);
     for cache in &world.caches {
         cache.set(Manner::Silent);
     }
-    let crowd = EVERY_WAY.into_iter().enumerate().map(|(at, way)| {
-        let mut client = connect(world.address, way, true);
-        for _ in 0..UNREAD {
-            client.request("submit", KEY, 2400, &[7; 40_000]).unwrap();
-        }
-        (at as u32, way, client)
-    });
-    let crowd: Vec<(u32, Leaving, Client)> = crowd.collect();
-    wait_for("all are answered", || {
-        world.origin.heard("want").len() == UNREAD * EVERY_WAY.len()
+    let writers = ALL_DEPARTURES
+        .into_iter()
+        .enumerate()
+        .map(|(at, departure)| {
+            let mut client = connect(world.address, departure, true);
+            for _ in 0..UNREAD {
+                client.request("submit", KEY, 2400, &[7; 40_000]).unwrap();
+            }
+            (at as u32, departure, client)
+        });
+    let writers: Vec<(u32, Departure, Client)> = writers.collect();
+    wait_for("all writes are at the origin", || {
+        world.origin.heard("want").len() == UNREAD * ALL_DEPARTURES.len()
     });
-    let leavers: Vec<Leaver> = crowd
+    let departing: Vec<Requester> = writers
         .into_iter()
-        .map(|(at, way, client)| Leaver::asks(way, client, "page", 100 + at))
+        .map(|(at, departure, client)| Requester::request(departure, client, "page", 100 + at))
         .collect();
-    let stays = Leaver::asks(Leaving::Close, world.client(), "page", 1);
-    wait_for("first attempts", || {
-        leavers
+    let remaining = Requester::request(Departure::Close, world.client(), "page", 1);
+    wait_for("the first attempts have reached a host", || {
+        departing
             .iter()
-            .chain([&stays])
-            .all(|one| attempts(&world, &one.key) > 0)
+            .chain([&remaining])
+            .all(|one| attempt_count(&world, &one.key) > 0)
     });
-    leave_and_are_gone(&world, leavers, SECOND_COPY);
-    go_on_for(&world, &stays, 1);
+    depart_and_check_no_attempts(&world, departing, HEDGE_DUE_WITHIN);
+    wait_for_further_attempt(&world, &remaining, 1);
 }
 
-// What a client says behind a write that there is no memory for is heard in time, its end too.
+// A cancellation, or the end of the connection, is noticed in time behind a write for which there is no memory.
 #[test]
 fn a_client_that_leaves_behind_writes_without_memory_has_left() {
     const WRITES: usize = 8;
-    let world = World::with(2, |config| {
-        silence_is_long(config);
+    let world = World::with_config(2, |config| {
+        set_slow_transfers(config);
         config["limits"]["memory_mb"] = 0.7.into();
     });
     for host in world.hosts() {
         host.set(Manner::Silent);
     }
-    let mut fills = world.client();
-    fills.request("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of 48,000 that there are
-    wait_for("memory is full", || !world.origin.heard("want").is_empty());
-    let mut leavers = leavers(&world, "page");
-    let stays = Leaver::asks(Leaving::Close, world.client(), "page", 1);
-    wait_for("first attempts", || {
-        leavers
+    let mut filler = world.client();
+    filler.request("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of a memory of 48,000 bytes
+    wait_for("a write holds most of the memory", || {
+        !world.origin.heard("want").is_empty()
+    });
+    let mut departing = departing_clients(&world, "page");
+    let remaining = Requester::request(Departure::Close, world.client(), "page", 1);
+    wait_for("the first attempts have reached a host", || {
+        departing
             .iter()
-            .chain([&stays])
-            .all(|one| attempts(&world, &one.key) > 0)
+            .chain([&remaining])
+            .all(|one| attempt_count(&world, &one.key) > 0)
     });
-    for leaver in &mut leavers {
+    for client in &mut departing {
         for _ in 0..WRITES {
-            leaver
+            client
                 .client
                 .request("submit", KEY, 2400, &[7; 10_000])
                 .unwrap();
         }
     }
-    leave_and_are_gone(&world, leavers, SECOND_COPY);
-    go_on_for(&world, &stays, 1);
+    depart_and_check_no_attempts(&world, departing, HEDGE_DUE_WITHIN);
+    wait_for_further_attempt(&world, &remaining, 1);
 }
 
-// A process that could not run for a while reads the request and its client's end in one breath.
+// A process that could not run for a while reads a request together with the departure of its client.
 #[test]
 fn a_request_sent_and_left_while_the_process_was_stopped_reaches_no_host() {
     let world = World::start(1);
-    let mut ready: Vec<Client> = EVERY_WAY
+    let mut ready: Vec<Client> = ALL_DEPARTURES
         .into_iter()
-        .map(|way| connect(world.address, way, false))
+        .map(|departure| connect(world.address, departure, false))
         .collect();
     for client in &mut ready {
         client.alive().unwrap();
         assert!(matches!(client.answer().unwrap(), Answer::Alive { .. }));
     }
     world.pause();
-    // Those have spoken before, the others wait to be taken in.
-    let late = EVERY_WAY
+    // The clients above were accepted and have sent a message before; these wait in the backlog.
+    let late = ALL_DEPARTURES
         .into_iter()
-        .map(|way| connect(world.address, way, false));
-    let clients = EVERY_WAY
+        .map(|departure| connect(world.address, departure, false));
+    let clients = ALL_DEPARTURES
         .into_iter()
         .cycle()
         .zip(ready.into_iter().chain(late));
-    let asks = |(at, (way, client))| Leaver::asks(way, client, "page", 100 + at as u32);
-    let leavers: Vec<Leaver> = clients.enumerate().map(asks).collect();
-    let keys: Vec<String> = leavers.iter().map(|leaver| leaver.key.clone()).collect();
-    let kept: Vec<Option<Client>> = leavers.into_iter().map(Leaver::leaves).collect();
-    let mut stays = Leaver::asks(Leaving::Close, world.client(), "page", 2);
+    let request =
+        |(at, (departure, client))| Requester::request(departure, client, "page", 100 + at as u32);
+    let departing: Vec<Requester> = clients.enumerate().map(request).collect();
+    let keys: Vec<String> = departing.iter().map(|client| client.key.clone()).collect();
+    let still_connected: Vec<Option<Client>> =
+        departing.into_iter().map(Requester::depart).collect();
+    let mut remaining = Requester::request(Departure::Close, world.client(), "page", 2);
     thread::sleep(MAX_CANCEL_DELAY * 2);
     world.signal("CONT");
-    assert!(served(&stays.client.answer().unwrap(), &stays.key));
+    assert!(served(&remaining.client.answer().unwrap(), &remaining.key));
     thread::sleep(MAX_CANCEL_DELAY * 2);
-    let begun: Vec<usize> = keys.iter().map(|key| attempts(&world, key)).collect();
+    let begun: Vec<usize> = keys.iter().map(|key| attempt_count(&world, key)).collect();
     assert_eq!(
         begun,
         vec![0; keys.len()],
-        "attempts, in the order of {EVERY_WAY:?}, twice"
+        "numbers of attempts, in the order of {ALL_DEPARTURES:?}, for the accepted clients and then for the others"
     );
-    drop(kept);
+    drop(still_connected);
 }
 
-// The wait for memory has its purpose: a write whose client has nothing else open gets what comes free in time. A try in
-// which the machine itself was late shows nothing.
+// Guards the wait for memory: a write whose client has no other request open gets the memory that is released within
+// the wait. A try that fails while the machine was late shows nothing and is repeated.
 #[test]
 fn a_write_without_memory_waits_for_what_is_released() {
     const TRIES: usize = 20;
-    let world = World::with(1, |config| config["limits"]["memory_mb"] = 0.7.into());
+    let world = World::with_config(1, |config| config["limits"]["memory_mb"] = 0.7.into());
     for n in 1..=TRIES {
         world.origin.set(Manner::Silent);
-        let mut fills = world.client();
-        let call = fills
+        let mut filler = world.client();
+        let call = filler
             .request("submit", &key(n as u32), 2400, &[7; 40_000])
             .unwrap();
-        wait_for("memory is full", || attempts(&world, &key(n as u32)) > 0);
+        wait_for("a write holds most of the memory", || {
+            attempt_count(&world, &key(n as u32)) > 0
+        });
         world.origin.set(Manner::Serve);
-        let stalls = Stalls::watch(&world);
-        let mut waits = world.client();
-        waits.request("submit", KEY, 2400, &[7; 40_000]).unwrap();
+        let stalls = Stalls::start(&world);
+        let mut writer = world.client();
+        writer.request("submit", KEY, 2400, &[7; 40_000]).unwrap();
         thread::sleep(Duration::from_millis(60));
-        fills.cancel(call).unwrap();
-        let answer = waits.answer().unwrap();
+        filler.cancel(call).unwrap();
+        let answer = writer.answer().unwrap();
         if matches!(&answer, Answer::Served { body, .. } if body.len() == 40_000) {
             return;
         }
         assert!(
-            n < TRIES && stalls.so_far() > Duration::from_millis(5),
-            "try {n}: {answer:?}"
+            n < TRIES && stalls.total() > Duration::from_millis(5),
+            "the write is not served in try {n}, though the machine was not late: {answer:?}"
         );
     }
 }
--- a/crates/flaxdeck-dispatcher/tests/descriptors.rs
+++ b/crates/flaxdeck-dispatcher/tests/descriptors.rs
@@ -41,11 +41,11 @@
 }
 
 /// Idle clients: they connect, half of them say one word, and rest until they are closed, then come again.
-fn crowd(address: SocketAddr, over: &Arc<AtomicBool>) -> JoinHandle<()> {
-    let over = over.clone();
+fn crowd(address: SocketAddr, stop: &Arc<AtomicBool>) -> JoinHandle<()> {
+    let stop = stop.clone();
     thread::spawn(move || {
         let mut clients: Vec<TcpStream> = Vec::new();
-        while !over.load(Ordering::Relaxed) {
+        while !stop.load(Ordering::Relaxed) {
             clients.retain(|client| {
                 client.set_nonblocking(true).unwrap();
                 let resting = client
@@ -69,17 +69,17 @@
     })
 }
 
-/// A client that has so many requests out at once, over and over; gives how many of them were served. Between two rounds
-/// it rests and may be closed to make room.
-fn busy(world: &World, over: &Arc<AtomicBool>) -> JoinHandle<usize> {
+/// A client that has so many requests out at once, over and over; gives how many of them were served. Between two
+/// rounds it rests and may be closed to make room.
+fn busy(world: &World, stop: &Arc<AtomicBool>) -> JoinHandle<usize> {
     for cache in &world.caches {
         cache.set(Manner::Late(200));
     }
-    let (address, over) = (world.address, over.clone());
+    let (address, stop) = (world.address, stop.clone());
     thread::spawn(move || {
         let mut served = 0;
         for round in 1.. {
-            if over.load(Ordering::Relaxed) {
+            if stop.load(Ordering::Relaxed) {
                 break;
             }
             let mut client = Client::connect(address).unwrap();
@@ -103,12 +103,12 @@
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let first = taken(any);
     let coordinator = first.local_addr().unwrap().as_socket().unwrap();
-    let world = World::with_descriptors(2, DESCRIPTORS, |config| {
+    let world = World::with_descriptor_limit(2, DESCRIPTORS, |config| {
         config["coordinator"] = coordinator.to_string().into();
         config["limits"]["sockets"] = DESCRIPTORS.into();
     });
-    let over: Arc<AtomicBool> = Arc::default();
-    let (crowd, busy) = (crowd(world.address, &over), busy(&world, &over));
+    let stop: Arc<AtomicBool> = Arc::default();
+    let (crowd, busy) = (crowd(world.address, &stop), busy(&world, &stop));
     let mut away = first;
     for n in 0..RETURNS {
         let host = world.caches[n % 2].clone();
@@ -124,17 +124,17 @@
         );
 
         away.listen(64).unwrap();
-        let (returned, stalls) = (Instant::now(), Stalls::watch(&world));
+        let (returned, stalls) = (Instant::now(), Stalls::start(&world));
         let mut back = Coordinator::on(TcpListener::from(away), 1 + n as u64).unwrap();
         back.change(&host, 1 - state as u8, 0, 0);
         let health = if state == 0 { "Draining" } else { "InService" };
         world.wait_for_log(&["told: ", &host.id, health]);
         let took = returned.elapsed();
-        assert!(took < BACK_WITHIN + stalls.so_far(), "back after {took:?}");
+        assert!(took < BACK_WITHIN + stalls.total(), "back after {took:?}");
         back.end();
         away = taken(coordinator);
     }
-    over.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     crowd.join().unwrap();
     let served = busy.join().unwrap();
     assert!(served > 4 * AT_ONCE as usize, "{served} served");
--- a/crates/flaxdeck-dispatcher/tests/endings.rs
+++ b/crates/flaxdeck-dispatcher/tests/endings.rs
@@ -81,7 +81,7 @@
 // The same at the end of the process, while a client goes on sending until the last moment.
 #[test]
 fn answers_arrive_complete_when_the_process_ends_while_a_client_sends() {
-    let mut world = World::with(1, |config| {
+    let mut world = World::with_config(1, |config| {
         for class in config["settings"]["request_classes"]
             .as_array_mut()
             .unwrap()
@@ -158,7 +158,7 @@
 #[test]
 fn a_shutdown_without_the_coordinator_answers_open_requests() {
     let (_held, gone) = unused_address();
-    let mut world = World::with(1, |config| config["coordinator"] = gone.to_string().into());
+    let mut world = World::with_config(1, |config| config["coordinator"] = gone.to_string().into());
     world.caches[0].set(Manner::Late(500));
     let mut client = world.client();
     client.request("page", KEY, 2400, b"").unwrap();
@@ -182,19 +182,19 @@
         }
     });
     written.join().unwrap();
-    let mut stalls = Stalls::witnessed(&world);
+    let mut stalls = Stalls::start_with_prober(&world);
     client.cancel(1).unwrap();
-    stalls.sent();
+    stalls.probe();
     let cancelled = unix_now();
-    stalls.await_witness();
+    stalls.await_probes();
     world.wait_for_log(&["left: "]);
-    let late = world.left_times()[0].saturating_sub(cancelled);
-    assert!(late < MAX_CANCEL_DELAY + stalls.so_far(), "{late:?}");
-    cache_host.open();
+    let late = world.departure_times()[0].saturating_sub(cancelled);
+    assert!(late < MAX_CANCEL_DELAY + stalls.total(), "{late:?}");
+    cache_host.serve_all();
     thread::sleep(Duration::from_millis(1500)); // the system's next try of the connection
     assert!(
         cache_host
-            .heard()
+            .requests()
             .iter()
             .all(|line| !line.contains(&key(n)))
     );
@@ -212,16 +212,16 @@
     wait_for("it is at the origin", || {
         !world.origin.heard("want").is_empty()
     });
-    let mut stalls = Stalls::witnessed(&world);
+    let mut stalls = Stalls::start_with_prober(&world);
     let asked = Instant::now();
     let refused = client.request("submit", KEY, 2400, &[7; 40_000]).unwrap();
     client.cancel(1).unwrap();
-    stalls.sent();
+    stalls.probe();
     let cancelled = unix_now();
-    stalls.await_witness();
+    stalls.await_probes();
     world.wait_for_log(&["left: "]);
-    let late = world.left_times()[0].saturating_sub(cancelled);
-    assert!(late < MAX_CANCEL_DELAY + stalls.so_far(), "{late:?}");
+    let late = world.departure_times()[0].saturating_sub(cancelled);
+    assert!(late < MAX_CANCEL_DELAY + stalls.total(), "{late:?}");
     let answer = client.answer().unwrap();
     assert!(
         matches!(&answer, Answer::Error { call, word, .. } if *call == refused && word == "Backoff")
@@ -232,14 +232,14 @@
         asked.elapsed()
     );
     client.request("page", &key(n + 100), 2000, b"").unwrap();
-    cache_host.open();
+    cache_host.serve_all();
     assert!(
         served(&client.answer().unwrap(), &key(n + 100)),
         "its connection goes on"
     );
     assert!(
         cache_host
-            .heard()
+            .requests()
             .iter()
             .all(|line| !line.contains(&key(n)))
     );
@@ -255,9 +255,9 @@
         let (client, _) = attempt_in_flight(&world, 0);
         drop(client);
         world.wait_for_log(&["left: "]);
-        cache_host.open();
+        cache_host.serve_all();
         thread::sleep(Duration::from_millis(2500)); // two more tries of the system
-        assert_eq!(cache_host.taken(), 0, "{may_cancel}");
+        assert_eq!(cache_host.accepted(), 0, "{may_cancel}");
     }
 }
 
@@ -296,8 +296,8 @@
 fn a_flooding_client_that_reads_nothing_loses_only_its_own_connection() {
     let world = World::start(1);
     let mut flood = narrow(world.address);
-    let over = Arc::new(AtomicBool::new(false));
-    let tells = over.clone();
+    let stop = Arc::new(AtomicBool::new(false));
+    let tells = stop.clone();
     let flooding = thread::spawn(move || {
         let batch = ALIVE.repeat(2000);
         while !tells.load(Ordering::Relaxed) && flood.send(&batch).is_ok() {}
@@ -310,7 +310,7 @@
     }
     assert!(slowest < Duration::from_millis(1500), "{slowest:?}");
     wait_for("the flood is ended", || flooding.is_finished());
-    over.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     flooding.join().unwrap();
 }
 
@@ -354,7 +354,7 @@
             });
         }
     });
-    let world = World::with(1, |config| {
+    let world = World::with_config(1, |config| {
         config["known"]["updates"][0]["endpoints"]["hosts"][0]["dial"] = address.to_string().into();
     });
     let mut client = world.client();
--- a/crates/flaxdeck-dispatcher/tests/fleet/mod.rs
+++ b/crates/flaxdeck-dispatcher/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Many built dispatchers at once, each a process with a configuration of its own.
+//! Many dispatchers at once, each a process with a configuration of its own.
 #![allow(dead_code)] // each test file uses a part
 
 use std::io::{BufRead, BufReader};
@@ -14,26 +14,26 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::Value;
 
-use crate::world::{command, key, listening};
+use crate::world::{command, key, listening_address};
 
 /// How long a process may take until it listens: far more than any does.
-const STARTED_WITHIN: Duration = Duration::from_secs(20);
-/// Between looks at what processes have logged.
-const LOOK: Duration = Duration::from_millis(2);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// The interval at which the logs of processes are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A line of a process's log, with when it was read here.
-pub(crate) type Logged = (Instant, String);
+/// A line of a process's log, with the time at which the test has read it.
+pub(crate) type LogLine = (Instant, String);
 
-/// One dispatcher, which comes back at the address of its first start.
+/// One dispatcher, which restarts at the address of its first start.
 pub(crate) struct Dispatcher {
     config: Value,
     process: Child,
     address: Option<SocketAddr>,
-    log: Arc<Mutex<Vec<Logged>>>,
+    log: Arc<Mutex<Vec<LogLine>>>,
 }
 
 impl Dispatcher {
-    /// Starts one that listens at any port; does not wait for it.
+    /// Starts a dispatcher at any free port; does not wait until it listens.
     pub(crate) fn spawn(mut config: Value) -> Dispatcher {
         config["listen"] = "127.0.0.1:0".into();
         let (process, log) = start(&config);
@@ -45,45 +45,45 @@
         }
     }
 
-    /// Where it listens, once it does.
+    /// Returns the address at which it listens, once it does.
     pub(crate) fn address(&mut self) -> SocketAddr {
         let begun = Instant::now();
         while self.address.is_none() {
             assert!(
-                begun.elapsed() < STARTED_WITHIN,
-                "a dispatcher does not listen"
+                begun.elapsed() < START_TIMEOUT,
+                "a dispatcher does not listen after {START_TIMEOUT:?}"
             );
             self.address = self
                 .log
                 .lock()
                 .unwrap()
                 .iter()
-                .find_map(|(_, line)| listening(line));
-            thread::sleep(LOOK);
+                .find_map(|(_, line)| listening_address(line));
+            thread::sleep(POLL_INTERVAL);
         }
-        self.address.expect("just found")
+        self.address.expect("the loop ends with an address")
     }
 
-    /// Kills it without a word (SIGKILL).
+    /// Kills it with SIGKILL, once it listens.
     pub(crate) fn kill(&mut self) {
         self.address();
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
 
-    /// Starts it again after a kill; does not wait for it.
+    /// Starts it again after a kill; does not wait until it listens.
     pub(crate) fn restart(&mut self) {
         self.config["listen"] = self.address().to_string().into();
         (self.process, self.log) = start(&self.config);
     }
 
-    /// When this run of it logged a line with these words.
-    pub(crate) fn logged(&self, words: &str) -> Option<Instant> {
+    /// Returns when the current process first logged a line that contains `text`.
+    pub(crate) fn logged_at(&self, text: &str) -> Option<Instant> {
         self.log
             .lock()
             .unwrap()
             .iter()
-            .find(|(_, line)| line.contains(words))
+            .find(|(_, line)| line.contains(text))
             .map(|(at, _)| *at)
     }
 }
@@ -95,48 +95,49 @@
     }
 }
 
-fn start(config: &Value) -> (Child, Arc<Mutex<Vec<Logged>>>) {
+fn start(config: &Value) -> (Child, Arc<Mutex<Vec<LogLine>>>) {
     let mut process = command(&config.to_string()).spawn().unwrap();
     let lines = BufReader::new(process.stderr.take().unwrap())
         .lines()
         .map_while(Result::ok);
-    let log: Arc<Mutex<Vec<Logged>>> = Arc::default();
-    let keeps = log.clone();
+    let log: Arc<Mutex<Vec<LogLine>>> = Arc::default();
+    let recorded = log.clone();
     thread::spawn(move || {
         for line in lines {
-            keeps.lock().unwrap().push((Instant::now(), line));
+            recorded.lock().unwrap().push((Instant::now(), line));
         }
     });
     (process, log)
 }
 
-/// Asks one dispatcher for a new object each time, at that rate and of that size in KB, until it is over; looks for it again where it went.
-pub(crate) fn ask(
+/// Requests a new object of `kb` KB from one dispatcher `rate` times a second on average, until `stop` is set.
+/// Reconnects whenever the dispatcher ends the connection. `served` counts the requests that are served.
+pub(crate) fn generate_load(
     address: SocketAddr,
     (rate, kb): (f64, f64),
     seed: u64,
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     served: Arc<AtomicU32>,
 ) -> JoinHandle<()> {
     thread::spawn(move || {
         let kb = kb.to_string();
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (mut due, mut number) = (Instant::now(), 0);
-        while !over.load(Ordering::Relaxed) {
+        while !stop.load(Ordering::Relaxed) {
             let Ok(mut client) = Client::connect(address) else {
                 thread::sleep(Duration::from_millis(20));
                 due = Instant::now();
                 continue;
             };
-            let (mut hears, served) = (client.again().unwrap(), served.clone());
-            let hears = thread::spawn(move || {
-                while let Ok(answer) = hears.answer() {
+            let (mut reader, served) = (client.again().unwrap(), served.clone());
+            let reader = thread::spawn(move || {
+                while let Ok(answer) = reader.answer() {
                     let is_served = matches!(answer, Answer::Served { .. });
                     served.fetch_add(u32::from(is_served), Ordering::Relaxed);
                 }
             });
-            while !over.load(Ordering::Relaxed) && !hears.is_finished() {
-                due += Duration::from_secs_f64(-(1.0 - chance.random::<f64>()).ln() / rate);
+            while !stop.load(Ordering::Relaxed) && !reader.is_finished() {
+                due += Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / rate);
                 thread::sleep(due.saturating_duration_since(Instant::now()));
                 number += 1;
                 let (id, key) = (client.id(number), key(seed as u32 * 10_000 + number));
@@ -155,8 +156,8 @@
                     break;
                 }
             }
-            let _ = client.shut(); // it may have ended already
-            let _ = hears.join();
+            let _ = client.shut(); // the dispatcher may have closed the connection already
+            let _ = reader.join();
         }
     })
 }
--- a/crates/flaxdeck-dispatcher/tests/hosts.rs
+++ b/crates/flaxdeck-dispatcher/tests/hosts.rs
@@ -61,7 +61,7 @@
 
 #[test]
 fn without_hedging_a_request_is_cancelled_at_a_silent_host_and_served_elsewhere() {
-    let world = World::with(2, |config| {
+    let world = World::with_config(2, |config| {
         config["settings"]["allowed"]["may_duplicate"] = false.into()
     });
     world.caches[0].set(Manner::Silent);
@@ -119,7 +119,7 @@
 
 #[test]
 fn with_few_descriptors_for_hosts_every_request_still_gets_its_answer() {
-    let world = World::with(1, |config| config["limits"]["sockets"] = 42.into()); // 4 for hosts
+    let world = World::with_config(1, |config| config["limits"]["sockets"] = 42.into()); // 4 for hosts
     for host in world.hosts() {
         host.set(Manner::Late(50));
     }
--- a/crates/flaxdeck-dispatcher/tests/limits_and_log.rs
+++ b/crates/flaxdeck-dispatcher/tests/limits_and_log.rs
@@ -18,12 +18,14 @@
 
 use flaxdeck_toy::{Answer, Client, Manner};
 use serde_json::Value;
-use world::{CONFIG, KEY, World, command, key, listening, read_request, request_all, served};
+use world::{
+    CONFIG, KEY, World, command, key, listening_address, read_request, request_all, served,
+};
 
 // Counted at their largest, ten requests would fill this memory; at what they hold it takes all of these.
 #[test]
 fn requests_of_small_objects_fit_where_large_ones_would_not() {
-    let world = World::with(1, |config| config["limits"]["memory_mb"] = 5.into());
+    let world = World::with_config(1, |config| config["limits"]["memory_mb"] = 5.into());
     for host in world.hosts() {
         host.set(Manner::Late(300));
     }
@@ -34,7 +36,7 @@
 
 #[test]
 fn requests_beyond_the_memory_limit_are_rejected() {
-    let world = World::with(1, |config| config["limits"]["memory_mb"] = 0.5.into());
+    let world = World::with_config(1, |config| config["limits"]["memory_mb"] = 0.5.into());
     for host in world.hosts() {
         host.set(Manner::Late(300));
     }
@@ -56,7 +58,7 @@
     std::mem::swap(&mut world.process, &mut unread);
     unread.kill().unwrap();
     unread.wait().unwrap();
-    world.address = listening(&first).unwrap();
+    world.address = listening_address(&first).unwrap();
     let mut client = world.client();
     for _ in 0..1000 {
         client.request("page", KEY, 2400, b"").unwrap();
@@ -124,7 +126,7 @@
 fn a_large_response_gets_its_memory_among_many_small_ones() {
     let large = key(99);
     let address = halting_cache(large.clone());
-    let world = World::with(1, |config| {
+    let world = World::with_config(1, |config| {
         config["limits"]["memory_mb"] = 0.7.into(); // 240,000 bytes for answers
         config["known"]["updates"][0]["endpoints"]["hosts"][0]["dial"] = address.to_string().into();
         config["settings"]["family_info"]["client_kb_per_s"] = 50.into(); // none is overdue
@@ -136,14 +138,14 @@
             class["deadline_ms"] = 8000.into();
         }
     });
-    let over = Arc::new(AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
     let small: Vec<_> = (0..6)
         .map(|n| {
-            let (mut client, over) = (world.client(), over.clone());
+            let (mut client, stop) = (world.client(), stop.clone());
             thread::sleep(Duration::from_millis(35)); // so that some of them hold memory at any time
             thread::spawn(move || {
                 let mut served = 0;
-                while !over.load(Ordering::Relaxed) {
+                while !stop.load(Ordering::Relaxed) {
                     client.request("page", &key(n), 7000, b"").unwrap();
                     served += u32::from(matches!(client.answer().unwrap(), Answer::Served { .. }));
                 }
@@ -161,7 +163,7 @@
         "{:?}",
         asked.elapsed()
     );
-    over.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     let served: Vec<u32> = small
         .into_iter()
         .map(|small| small.join().unwrap())
@@ -172,7 +174,7 @@
 // Requests that hold memory while their answers wait for some can't hold all of it.
 #[test]
 fn writes_that_fill_memory_leave_some_for_their_answers() {
-    let world = World::with(1, |config| config["limits"]["memory_mb"] = 0.8.into());
+    let world = World::with_config(1, |config| config["limits"]["memory_mb"] = 0.8.into());
     let mut clients: Vec<Client> = (0..7).map(|_| world.client()).collect();
     let asked = Instant::now();
     for client in &mut clients {
--- a/crates/flaxdeck-dispatcher/tests/mass_restart.rs
+++ b/crates/flaxdeck-dispatcher/tests/mass_restart.rs
@@ -1,5 +1,5 @@
-//! Many dispatchers killed and started again together, under load, before a coordinator that answers few calls at once:
-//! nine in ten are ready in time.
+//! Many dispatchers are killed and restarted together, under load, with a coordinator that answers few connections at
+//! once: nine in ten have to be ready in time.
 
 #![allow(
     clippy::unwrap_used,
@@ -17,22 +17,23 @@
 use std::time::{Duration, Instant};
 
 use flaxdeck_toy::{Answer, Client, Coordinator, Host};
-use fleet::{Dispatcher, ask};
+use fleet::{Dispatcher, generate_load};
 use serde_json::{Value, json};
 use world::{CONFIG, key};
 
 const DISPATCHERS: usize = 30;
-/// After their start this many have to be ready within that time.
-const READY: usize = DISPATCHERS * 9 / 10;
+/// The number of dispatchers that have to be ready within that time after their start.
+const MIN_READY: usize = DISPATCHERS * 9 / 10;
 const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Calls that the coordinator answers at once, and how long each takes: two seconds and a half for all, one by one in step.
-const CALLS_AT_ONCE: u32 = 2;
-const CALL_TAKES: Duration = Duration::from_millis(150);
-/// Requests a second that come to each dispatcher, and their size.
+/// The connections that the coordinator answers at once, and how long each answer takes: at least 2.25 s for all
+/// dispatchers.
+const MAX_CONCURRENT_CALLS: u32 = 2;
+const CALL_DURATION: Duration = Duration::from_millis(150);
+/// The requests a second to each dispatcher, and their size.
 const RATE: f64 = 10.0;
 const KB: f64 = 50.0;
-/// Between tries to have a request served.
-const AGAIN: Duration = Duration::from_millis(20);
+/// The interval at which the test retries a request, and checks the logs.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 fn config(hosts: &[(&Host, &str, &str)], coordinator: SocketAddr, seed: u64) -> Value {
     let row = |(host, class, site): &(&Host, &str, &str)| {
@@ -48,8 +49,8 @@
     config
 }
 
-/// Asks until a request is served; gives when.
-fn served_first(address: SocketAddr, number: u32) -> JoinHandle<Option<Instant>> {
+/// Retries a request until it is served, and returns when it was; none if it was not in time.
+fn first_served(address: SocketAddr, number: u32) -> JoinHandle<Option<Instant>> {
     thread::spawn(move || {
         let begun = Instant::now();
         while begun.elapsed() < READY_WITHIN {
@@ -60,31 +61,31 @@
             if matches!(answer, Ok(Answer::Served { .. })) {
                 return Some(Instant::now());
             }
-            thread::sleep(AGAIN);
+            thread::sleep(RETRY_INTERVAL);
         }
         None
     })
 }
 
-/// Load on all dispatchers until it is over, with how many requests were served.
-fn load(
+/// Generates load on all dispatchers until `stop` is set. `served` counts the requests that are served.
+fn start_load(
     addresses: &[SocketAddr],
-    over: &Arc<AtomicBool>,
+    stop: &Arc<AtomicBool>,
     served: &Arc<AtomicU32>,
 ) -> Vec<JoinHandle<()>> {
     let load = |(at, address): (usize, &SocketAddr)| {
         let seed = at as u64 + 1;
-        ask(*address, (RATE, KB), seed, over.clone(), served.clone())
+        generate_load(*address, (RATE, KB), seed, stop.clone(), served.clone())
     };
     addresses.iter().enumerate().map(load).collect()
 }
 
-/// When each dispatcher has served a request for the first time; none if it does not in time.
-fn first_served(addresses: &[SocketAddr]) -> Vec<Option<Instant>> {
+/// Returns when each dispatcher has served its first request; none for those that did not in time.
+fn all_first_served(addresses: &[SocketAddr]) -> Vec<Option<Instant>> {
     let first: Vec<JoinHandle<Option<Instant>>> = addresses
         .iter()
         .enumerate()
-        .map(|(at, address)| served_first(*address, 900_000 + at as u32))
+        .map(|(at, address)| first_served(*address, 900_000 + at as u32))
         .collect();
     first
         .into_iter()
@@ -92,13 +93,13 @@
         .collect()
 }
 
-/// When a dispatcher heard of the drain that it had missed.
-fn drain_heard(dispatcher: &Dispatcher) -> Option<Instant> {
-    dispatcher.logged("told: s-0000ca00 Draining")
+/// Returns when a dispatcher has received the drain that was published while it was down.
+fn drain_received_at(dispatcher: &Dispatcher) -> Option<Instant> {
+    dispatcher.logged_at("told: s-0000ca00 Draining")
 }
 
-/// After what time each dispatcher was ready: it has served a request and heard of the drain. In order; without those that
-/// were not ready in time.
+/// Returns the times from the start until each dispatcher was ready, in ascending order, without those that were not
+/// ready in time. A dispatcher is ready when it has served a request and received the drain.
 fn ready_times(
     started: Instant,
     served_at: &[Option<Instant>],
@@ -108,7 +109,7 @@
         .iter()
         .zip(dispatchers)
         .filter_map(|(served, dispatcher)| {
-            let ready = (*served)?.max(drain_heard(dispatcher)?);
+            let ready = (*served)?.max(drain_received_at(dispatcher)?);
             Some(ready.duration_since(started)).filter(|took| *took < READY_WITHIN)
         });
     let mut ready: Vec<Duration> = ready.collect();
@@ -134,43 +135,44 @@
     let start = |at| Dispatcher::spawn(config(&hosts, coordinator.address, 8100 + at as u64));
     let mut dispatchers: Vec<Dispatcher> = (0..DISPATCHERS).map(start).collect();
     let addresses: Vec<SocketAddr> = dispatchers.iter_mut().map(Dispatcher::address).collect();
-    let (over, served): (Arc<AtomicBool>, Arc<AtomicU32>) = Default::default();
-    let load = load(&addresses, &over, &served);
+    let (stop, served): (Arc<AtomicBool>, Arc<AtomicU32>) = Default::default();
+    let load = start_load(&addresses, &stop, &served);
     thread::sleep(Duration::from_millis(500));
 
     for dispatcher in &mut dispatchers {
         dispatcher.kill();
     }
-    // What they miss meanwhile they only hear from the coordinator.
-    coordinator.answers_few(CALLS_AT_ONCE, CALL_TAKES);
+    // The dispatchers miss this event, and can get it from the coordinator only.
+    coordinator.answers_few(MAX_CONCURRENT_CALLS, CALL_DURATION);
     coordinator.change(&caches[0], 1, 0, 0);
     let started = Instant::now();
     for dispatcher in &mut dispatchers {
         dispatcher.restart();
     }
-    let served_at = first_served(&addresses);
-    let all_told = || {
+    let served_at = all_first_served(&addresses);
+    let all_received_drain = || {
         dispatchers
             .iter()
-            .all(|dispatcher| drain_heard(dispatcher).is_some())
+            .all(|dispatcher| drain_received_at(dispatcher).is_some())
     };
-    while started.elapsed() < READY_WITHIN && !all_told() {
-        thread::sleep(AGAIN);
+    while started.elapsed() < READY_WITHIN && !all_received_drain() {
+        thread::sleep(RETRY_INTERVAL);
     }
     let ready = ready_times(started, &served_at, &dispatchers);
-    over.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     for load in load {
         load.join().unwrap();
     }
     let served_in_time = served_at.iter().flatten().count();
     println!(
-        "{} ready, {served_in_time} served; the last after {:?}, {served:?} of the load",
+        "{} ready, {served_in_time} have served a request; the last was ready after {:?}; {served:?} requests of the \
+         load were served",
         ready.len(),
         ready.last()
     );
     assert!(
-        ready.len() >= READY,
-        "{} of {DISPATCHERS} ready, {served_in_time} of them served",
+        ready.len() >= MIN_READY,
+        "only {} of {DISPATCHERS} dispatchers ready within {READY_WITHIN:?}; {served_in_time} have served a request",
         ready.len()
     );
 }
--- a/crates/flaxdeck-dispatcher/tests/recorded_state.rs
+++ b/crates/flaxdeck-dispatcher/tests/recorded_state.rs
@@ -1,5 +1,5 @@
-//! A forwarder's state folder as revision 45b174f wrote it: a snapshot, and a log with every kind of record. Today's
-//! code has to read it, also where the log ends in the middle of a record, and to write the same bytes.
+//! The state folder of a forwarder as revision 45b174f wrote it: a snapshot, and a log with every kind of record. The
+//! current code has to read it, also if the log ends in the middle of a record, and has to write the same bytes.
 
 #![allow(
     clippy::unwrap_used,
@@ -24,17 +24,17 @@
         .join(folder)
 }
 
-fn mark(number: u64) -> EventPosition {
+fn position(number: u64) -> EventPosition {
     EventPosition {
         number,
         hash: 0x7f3a_9c21_e0b4_d655 ^ number,
     }
 }
 
-fn line(host: &str, role: u8) -> StoredEndpoint {
+fn endpoint(host: &str, role: u8) -> StoredEndpoint {
     StoredEndpoint {
         host: host.into(),
-        address: "127.1.0.9:5050".parse().expect("an address"),
+        address: "127.1.0.9:5050".parse().expect("the address is valid"),
         weight: 1.5,
         zone: Some(2),
         cell: 7,
@@ -58,8 +58,8 @@
             boot: 0xb007,
             ms: 123_456,
         },
-        last_event: mark(40),
-        endpoints: vec![line("s-00000001", 0), line("s-00000002", 1)],
+        last_event: position(40),
+        endpoints: vec![endpoint("s-00000001", 0), endpoint("s-00000002", 1)],
         purges: vec![purge(Some(0x7f3a_9c21_e0b4_d655))],
         ratings: vec![StoredRating {
             host: "s-00000002".into(),
@@ -81,17 +81,17 @@
 
 fn records() -> Vec<StateChange> {
     vec![
-        StateChange::Endpoints(mark(41), vec![line("s-00000003", 2)]),
-        StateChange::Purged(mark(42), purge(None)),
+        StateChange::Endpoints(position(41), vec![endpoint("s-00000003", 2)]),
+        StateChange::Purged(position(42), purge(None)),
         StateChange::LendingPermit(Uptime {
             boot: 0xb007,
             ms: 140_000,
         }),
-        StateChange::FullList(mark(43), vec![line("s-00000004", 0)]),
+        StateChange::FullList(position(43), vec![endpoint("s-00000004", 0)]),
     ]
 }
 
-/// What a reader makes of the snapshot and the first records after it.
+/// Returns the state after the snapshot and the first `count` records.
 fn state_after(count: usize) -> StoredState {
     let mut state = snapshot();
     for record in records().into_iter().take(count) {
@@ -101,47 +101,57 @@
 }
 
 fn read(folder: &str) -> (flaxdeck_store::StoreContents, StoredState) {
-    let mut disk = Folder::open(&recorded(folder)).expect("a recorded folder");
-    let found = inspect(&mut disk);
-    let body = found.snapshot.as_ref().expect("a snapshot");
-    let kept = StoredState::read(body, &found.records).expect("records of this version");
-    (found, kept)
+    let mut disk = Folder::open(&recorded(folder)).expect("the recorded folder can be opened");
+    let contents = inspect(&mut disk);
+    let snapshot = contents
+        .snapshot
+        .as_ref()
+        .expect("the folder has a valid snapshot");
+    let state = StoredState::read(snapshot, &contents.records)
+        .expect("the snapshot and the records can be decoded");
+    (contents, state)
 }
 
 #[test]
 fn a_recorded_state_folder_is_read_completely() {
-    let (found, kept) = read("state");
-    assert_eq!(found.damage, None);
-    assert_eq!((found.generation, &found.instance[..]), (1, INSTANCE));
-    assert_eq!(found.records.len(), 4);
-    assert_eq!(kept, state_after(4));
-    assert_eq!(kept.last_event, mark(43));
-    assert_eq!(kept.endpoints, [line("s-00000004", 0)]);
+    let (contents, state) = read("state");
+    assert_eq!(contents.damage, None);
+    assert_eq!((contents.generation, &contents.instance[..]), (1, INSTANCE));
+    assert_eq!(contents.records.len(), 4);
+    assert_eq!(state, state_after(4));
+    assert_eq!(state.last_event, position(43));
+    assert_eq!(state.endpoints, [endpoint("s-00000004", 0)]);
 }
 
 #[test]
 fn a_log_that_ends_in_the_middle_of_a_record_is_read_up_to_it() {
-    let (found, kept) = read("state-cut");
-    let damage = found.damage.expect("the log is cut");
+    let (contents, state) = read("state-cut");
+    let damage = contents.damage.expect("the cut is reported as damage");
     assert_eq!(
         (damage.file, damage.reason),
         ("log", "a record ends too soon")
     );
-    assert_eq!(found.records.len(), 3);
-    assert_eq!(kept, state_after(3));
+    assert_eq!(contents.records.len(), 3);
+    assert_eq!(state, state_after(3));
 }
 
 #[test]
 fn the_same_state_is_written_with_the_same_bytes() {
     let folder = std::env::temp_dir().join(format!("flaxdeck-recorded-{}", std::process::id()));
-    let disk = Folder::open(&folder).expect("a folder");
-    let mut store = Store::begin(disk, INSTANCE, &encode(&snapshot())).expect("a new store");
+    let disk = Folder::open(&folder).expect("a new folder can be opened");
+    let mut store =
+        Store::begin(disk, INSTANCE, &encode(&snapshot())).expect("a new store can be created");
     for record in records() {
-        store.record(&encode(&record)).expect("it is written");
+        store
+            .record(&encode(&record))
+            .expect("the record can be written");
     }
     let written = ["snapshot", "log"].map(|file| std::fs::read(folder.join(file)).expect(file));
-    std::fs::remove_dir_all(&folder).expect("the folder goes");
-    let wanted =
+    std::fs::remove_dir_all(&folder).expect("the folder can be removed");
+    let expected =
         ["snapshot", "log"].map(|file| std::fs::read(recorded("state").join(file)).expect(file));
-    assert!(written == wanted, "the state is written otherwise");
+    assert!(
+        written == expected,
+        "the state is written with other bytes than those recorded"
+    );
 }
--- a/crates/flaxdeck-dispatcher/tests/requests.rs
+++ b/crates/flaxdeck-dispatcher/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: each gets one answer, with the bytes of a host that may run it.
+//! Requests: each gets one answer, from a host that may run it.
 
 #![allow(
     clippy::unwrap_used,
@@ -93,7 +93,8 @@
     );
 }
 
-// A host that names another copy, none, or what no tag looks like: the client gets the whole object, not its old copy.
+// A host that answers "unchanged" but names another tag than the client's copy has, no tag, or a malformed one: the
+// client gets the complete object and does not keep its old copy.
 #[test]
 fn a_client_whose_tag_the_host_does_not_name_gets_the_object() {
     for named in ["4be0c1927d55a6f4", "", "%%", "4be0c1927d55a6f3x"] {
@@ -111,21 +112,29 @@
         client
             .send(&request_message(1, "page", &fields, b""))
             .unwrap();
-        assert!(served(&client.answer().unwrap(), KEY), "{named}");
-        let heard: Vec<String> = world
+        assert!(
+            served(&client.answer().unwrap(), KEY),
+            "not served when the host names the tag {named:?}"
+        );
+        let received: Vec<String> = world
             .caches
             .iter()
             .flat_map(|cache| cache.heard("want"))
             .map(|(line, _)| line)
             .collect();
         assert!(
-            heard.len() == 2 && heard.iter().filter(|line| line.contains("holds=")).count() == 1,
-            "{heard:?}"
+            received.len() == 2
+                && received
+                    .iter()
+                    .filter(|line| line.contains("holds="))
+                    .count()
+                    == 1,
+            "received by the caches: {received:?}"
         );
     }
 }
 
-// What is known of how an attempt ended decides whether an at-most-once request may be sent again or rejected.
+// An at-most-once request may be sent again or rejected only after an outcome that proves that it has not run.
 #[test]
 fn an_at_most_once_request_is_retried_or_rejected_only_if_nothing_ran() {
     let rows = [
@@ -138,18 +147,22 @@
         (Manner::Garble, false),
         (Manner::Silent, false),
     ];
-    for (manner, again) in rows {
+    for (manner, may_retry) in rows {
         let world = World::start(1);
         world.origin.set(manner);
         let answer = world.request("submit", KEY, 900, b"a form");
         assert_eq!(
             error_text(answer),
-            if again { "Backoff" } else { "Lost" },
-            "{manner:?}"
+            if may_retry { "Backoff" } else { "Lost" },
+            "the answer when the origin's manner is {manner:?}"
+        );
+        let received = world.origin.heard("want");
+        assert_eq!(
+            received.len() > 1,
+            may_retry,
+            "retries when the origin's manner is {manner:?}: {received:?}"
         );
-        let heard = world.origin.heard("want");
-        assert_eq!(heard.len() > 1, again, "{manner:?}: {heard:?}");
-        assert!(heard.iter().all(|(_, body)| body == b"a form"));
+        assert!(received.iter().all(|(_, body)| body == b"a form"));
     }
     let world = World::start(1);
     assert_eq!(
@@ -162,7 +175,7 @@
     assert_eq!(
         error_text(world.request("submit", KEY, 900, b"a form")),
         "Backoff",
-        "nothing reaches a dead host"
+        "a request whose only host is dead is rejected, as it has not run"
     );
     assert_eq!(world.origin.heard("want").len(), 1);
 }
@@ -183,7 +196,9 @@
     first
         .send(&request_message(1, "submit", &fields(KEY), b"a form"))
         .unwrap();
-    wait_for("handed off", || !world.origin.heard("want").is_empty());
+    wait_for("the first request is at the origin", || {
+        !world.origin.heard("want").is_empty()
+    });
     second
         .send(&request_message(
             1,
@@ -200,11 +215,11 @@
         .unwrap();
     assert!(
         matches!(second.answer().unwrap(), Answer::Served { .. }),
-        "it is free again"
+        "the id may be used again after the first request is answered"
     );
 }
 
-/// Sends seven reads and a write, of the objects from that number on, and takes one answer to each.
+/// Sends seven reads and a write, of the objects from the number `first` on, and checks that each gets one answer.
 fn answer_all(client: &mut Client, first: u32) {
     let mut calls: Vec<u32> = Vec::new();
     for n in 0..8 {
@@ -224,7 +239,7 @@
         let at = calls
             .iter()
             .position(|open| *open == call)
-            .expect("an answer to what is open");
+            .expect("each answer belongs to an open request");
         calls.remove(at);
     }
 }
@@ -254,7 +269,7 @@
         answer_all(&mut client, round as u32 * 8);
         assert!(
             start.elapsed() < Duration::from_millis(1400),
-            "round {round}: {:?}",
+            "round {round}: the answers took {:?}",
             start.elapsed()
         );
         assert!(client.quiet_for(Duration::from_millis(20)));
@@ -265,45 +280,47 @@
             .iter()
             .filter(|(line, _)| line.contains(&write))
             .count();
-        let proof = matches!(manner(3), Manner::Say("full" | "absent" | "moot"));
+        let never_ran = matches!(manner(3), Manner::Say("full" | "absent" | "moot"));
         assert!(
-            proof || runs <= 1,
-            "round {round}: sent {runs} times to an origin that may have run it"
+            never_ran || runs <= 1,
+            "round {round}: the write was sent {runs} times to an origin that may have run it"
         );
     }
 }
 
-// Without its mark a deduplicated write is another one to its host, and its repeat would run again.
+// Without its idempotency key a repeated write is a new one to the host, which would run it again.
 #[test]
 fn the_idempotency_key_is_forwarded_with_each_attempt() {
-    let world = World::with(1, |config| {
+    let world = World::with_config(1, |config| {
         let class = &mut config["settings"]["request_classes"][2];
         class["effect"] = "deduplicated".into();
         class["key_scope"] = "all".into();
         class["memory_span_ms"] = 2500.into();
     });
     world.origin.set(Manner::Say("full"));
-    let mark = "6ba245bd25e372d4b65f22998597a9da";
+    let idempotency_key = "6ba245bd25e372d4b65f22998597a9da";
     let fields = [
         ("id", "9b1f03aa5c7e2d41"),
         ("wait", "1500"),
         ("key", KEY),
         ("slice", "0"),
-        ("once", mark),
+        ("once", idempotency_key),
     ];
     let mut client = world.client();
     client
         .send(&request_message(1, "submit", &fields, b"a form"))
         .unwrap();
-    wait_for("attempts", || world.origin.heard("want").len() > 1);
+    wait_for("the write is retried", || {
+        world.origin.heard("want").len() > 1
+    });
     world.origin.set(Manner::Serve);
     assert!(matches!(client.answer().unwrap(), Answer::Served { body, .. } if body == b"a form"));
-    let heard = world.origin.heard("want");
+    let received = world.origin.heard("want");
     assert!(
-        heard
+        received
             .iter()
-            .all(|(line, _)| line.contains(&format!(",once={mark} "))),
-        "{heard:?}"
+            .all(|(line, _)| line.contains(&format!(",once={idempotency_key} "))),
+        "received by the origin: {received:?}"
     );
     client
         .send(&request_message(
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -23,7 +23,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Value, json};
-use world::{CONFIG, KEY, SOON, World, command};
+use world::{CONFIG, KEY, WAIT_TIMEOUT, World, command};
 
 const NAMES: [&str; 8] = [
     "clip",
@@ -346,7 +346,7 @@
 fn the_process_serves_under_settings_of_any_kind() {
     for seed in [1, 4, 7, 12, 18, 29] {
         let settings = draw(seed);
-        let mut world = World::with(2, |config| {
+        let mut world = World::with_config(2, |config| {
             let parents = seed % 3 > 0;
             let hosts = config["known"]["updates"][0]["endpoints"]["hosts"]
                 .as_array_mut()
@@ -456,7 +456,7 @@
         *config.pointer_mut(place).unwrap() = value;
         let mut process = command(&config.to_string()).spawn().unwrap();
         let started = Instant::now();
-        while process.try_wait().unwrap().is_none() && started.elapsed() < SOON {
+        while process.try_wait().unwrap().is_none() && started.elapsed() < WAIT_TIMEOUT {
             thread::sleep(Duration::from_millis(5));
         }
         let _ = process.kill(); // one that serves all the same
--- a/crates/flaxdeck-dispatcher/tests/shutdown.rs
+++ b/crates/flaxdeck-dispatcher/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the process at SIGTERM.
+//! The graceful shutdown of the process at SIGTERM.
 
 #![allow(
     clippy::unwrap_used,
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_shutdown_accepts_clients_that_wait_in_the_backlog() {
-    let mut world = World::with(1, |config| config["limits"]["sockets"] = 60.into()); // 20 for clients
+    let mut world = World::with_config(1, |config| config["limits"]["sockets"] = 60.into()); // 20 for clients
     world.terminate();
     thread::sleep(Duration::from_millis(560));
     let silent: Vec<Client> = (0..20).map(|_| world.client()).collect();
@@ -37,7 +37,9 @@
     world.caches[0].set(Manner::Late(600));
     let mut early = world.client();
     early.request("page", KEY, 2400, b"").unwrap();
-    wait_for("handed off", || !world.caches[0].heard("want").is_empty());
+    wait_for("the request is at the cache", || {
+        !world.caches[0].heard("want").is_empty()
+    });
     world.terminate();
     let mut late = world.client();
     late.request("page", &key(1), 2400, b"").unwrap();
@@ -46,7 +48,7 @@
     assert!(world.process.wait().unwrap().success());
 }
 
-// A request may wait for longer than a planned restart leaves.
+// The timeout of a request may be longer than the time that a planned restart leaves.
 #[test]
 fn sigterm_shortens_deadlines_that_would_outlast_the_process() {
     let mut world = World::start(1);
@@ -55,18 +57,24 @@
     }
     let mut client = world.client();
     client.request("clip", KEY, 30_000, b"").unwrap();
-    wait_for("handed off", || !world.caches[0].heard("want").is_empty());
-    let told = Instant::now();
+    wait_for("the request is at the cache", || {
+        !world.caches[0].heard("want").is_empty()
+    });
+    let terminated = Instant::now();
     world.terminate();
     assert_eq!(error_text(client.answer().unwrap()), "Backoff");
     assert!(world.process.wait().unwrap().success());
-    assert!(told.elapsed() < Duration::from_millis(3700));
+    assert!(
+        terminated.elapsed() < Duration::from_millis(3700),
+        "the process ended {:?} after SIGTERM",
+        terminated.elapsed()
+    );
 }
 
-// SIGKILL comes the sooner, the shorter the longest deadline of the settings is.
+// The shorter the longest deadline of the settings, the sooner SIGKILL follows.
 #[test]
 fn short_deadlines_shorten_the_shutdown() {
-    let mut world = World::with(1, |config| {
+    let mut world = World::with_config(1, |config| {
         for class in config["settings"]["request_classes"]
             .as_array_mut()
             .unwrap()
@@ -79,27 +87,31 @@
     }
     let mut client = world.client();
     client.request("clip", KEY, 30_000, b"").unwrap();
-    wait_for("handed off", || !world.caches[0].heard("want").is_empty());
-    let told = Instant::now();
+    wait_for("the request is at the cache", || {
+        !world.caches[0].heard("want").is_empty()
+    });
+    let terminated = Instant::now();
     world.terminate();
     assert_eq!(error_text(client.answer().unwrap()), "Backoff");
     assert!(world.process.wait().unwrap().success());
     assert!(
-        told.elapsed() < Duration::from_millis(1600),
-        "{:?}",
-        told.elapsed()
+        terminated.elapsed() < Duration::from_millis(1600),
+        "the process ended {:?} after SIGTERM",
+        terminated.elapsed()
     );
 }
 
 #[test]
 fn a_shutdown_with_an_attempt_in_flight_exits_cleanly() {
-    let mut world = World::with(1, |config| {
+    let mut world = World::with_config(1, |config| {
         config["settings"]["allowed"]["cancel"] = false.into()
     });
     world.caches[0].set(Manner::Silent);
     let mut client = world.client();
     let call = client.request("clip", KEY, 30_000, b"").unwrap();
-    wait_for("handed off", || !world.caches[0].heard("want").is_empty());
+    wait_for("the request is at the cache", || {
+        !world.caches[0].heard("want").is_empty()
+    });
     client.cancel(call).unwrap();
     assert!(client.quiet_for(Duration::from_millis(100)));
     world.terminate();
--- a/crates/flaxdeck-dispatcher/tests/world/full_backlog.rs
+++ b/crates/flaxdeck-dispatcher/tests/world/full_backlog.rs
@@ -1,4 +1,4 @@
-//! A host at which connections come up late.
+//! A host that accepts connections late.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,20 +12,21 @@
 
 use super::{World, key, wait_for};
 
-/// A host at which connections come up late: nobody accepts and its queue is full, until it is opened.
+/// A host whose accept queue (backlog) can be filled: then no connection is established until [`Self::serve_all`] is
+/// called.
 pub(crate) struct FullBacklogHost {
     pub(crate) address: SocketAddr,
     listener: TcpListener,
-    /// What fills the queue.
+    /// The connections that fill the backlog.
     fillers: Vec<TcpStream>,
-    /// The requests that have come, by their first lines.
-    heard: Arc<Mutex<Vec<String>>>,
-    /// Connections taken since it was opened, but for the fillers.
-    taken: Arc<AtomicU32>,
+    /// The first lines of the requests received.
+    requests: Arc<Mutex<Vec<String>>>,
+    /// The number of connections accepted by [`Self::serve_all`], without the fillers.
+    accepted: Arc<AtomicU32>,
 }
 
 impl FullBacklogHost {
-    /// One whose queue has room as yet.
+    /// Starts a host whose backlog is not full yet.
     pub(crate) fn start() -> FullBacklogHost {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -33,56 +34,59 @@
             address,
             listener,
             fillers: Vec::new(),
-            heard: Arc::default(),
-            taken: Arc::default(),
+            requests: Arc::default(),
+            accepted: Arc::default(),
         }
     }
 
-    /// Fills the queue, so that the next connection comes up only once this is opened: the system tries again about a
-    /// second after the first try.
+    /// Fills the backlog, so that the next connection is established only after [`Self::serve_all`]: the system sends
+    /// its next SYN about a second after the first.
     pub(crate) fn fill_backlog(&mut self) {
         while let Ok(stream) = TcpStream::connect_timeout(&self.address, Duration::from_millis(100))
         {
             self.fillers.push(stream);
-            assert!(self.fillers.len() < 5000, "the queue has a bound");
+            assert!(
+                self.fillers.len() < 5000,
+                "the backlog is still not full after 5000 connections"
+            );
         }
     }
 
-    fn own(&self) -> Vec<SocketAddr> {
+    fn filler_addresses(&self) -> Vec<SocketAddr> {
         self.fillers
             .iter()
             .map(|stream| stream.local_addr().unwrap())
             .collect()
     }
 
-    /// Takes the next connection that is not fillers; the queue must not be full.
+    /// Accepts the next connection that is not a filler; the backlog must not be full.
     pub(crate) fn accept(&self) -> TcpStream {
-        let own = self.own();
+        let fillers = self.filler_addresses();
         loop {
             let (stream, from) = self.listener.accept().unwrap();
-            if !own.contains(&from) {
+            if !fillers.contains(&from) {
                 return stream;
             }
         }
     }
 
-    /// Takes whoever waits and comes, and serves each request.
-    pub(crate) fn open(&self) {
-        let (listener, heard) = (self.listener.try_clone().unwrap(), self.heard.clone());
-        let (fillers, taken) = (self.own(), self.taken.clone());
+    /// Accepts all connections from now on, and serves every request.
+    pub(crate) fn serve_all(&self) {
+        let (listener, requests) = (self.listener.try_clone().unwrap(), self.requests.clone());
+        let (fillers, accepted) = (self.filler_addresses(), self.accepted.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let heard = heard.clone();
+                let requests = requests.clone();
                 if stream
                     .peer_addr()
                     .is_ok_and(|from| !fillers.contains(&from))
                 {
-                    taken.fetch_add(1, Ordering::Relaxed);
+                    accepted.fetch_add(1, Ordering::Relaxed);
                 }
                 thread::spawn(move || {
                     let mut stream = stream;
                     while let Some((line, body)) = read_request(&mut stream) {
-                        heard.lock().unwrap().push(line.clone());
+                        requests.lock().unwrap().push(line.clone());
                         serve(&mut stream, &line, &body);
                     }
                 });
@@ -90,16 +94,17 @@
         });
     }
 
-    pub(crate) fn taken(&self) -> u32 {
-        self.taken.load(Ordering::Relaxed)
+    pub(crate) fn accepted(&self) -> u32 {
+        self.accepted.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn heard(&self) -> Vec<String> {
-        self.heard.lock().unwrap().clone()
+    pub(crate) fn requests(&self) -> Vec<String> {
+        self.requests.lock().unwrap().clone()
     }
 }
 
-/// The next request of a connection with its body; none once it has ended. Other commands are passed over.
+/// Reads the next request of a connection, with its body; none once the connection has ended. Confirms cancellations,
+/// and skips all other commands.
 pub(crate) fn read_request(stream: &mut TcpStream) -> Option<(String, Vec<u8>)> {
     loop {
         let mut line = Vec::new();
@@ -124,7 +129,7 @@
     }
 }
 
-/// Answers a request as the toy's hosts do.
+/// Answers a request as the emulated hosts do.
 pub(crate) fn serve(stream: &mut TcpStream, line: &str, sent: &[u8]) {
     let field = |name: &str| {
         line.split([' ', ','])
@@ -138,20 +143,22 @@
         sent.to_vec()
     };
     let head = format!("{id} data version=v1,how=hit {}\r\n", body.len());
-    let _ = stream.write_all(&[head.as_bytes(), &body, b"\r\n"].concat()); // whoever asked may have gone
+    let _ = stream.write_all(&[head.as_bytes(), &body, b"\r\n"].concat()); // the peer may have closed it
 }
 
-/// A world whose first cache takes no connection yet, and that waits longer for one than the system's first two tries.
+/// Starts a world whose first cache accepts no connection yet, with a connect timeout that is longer than the system
+/// needs for its first two tries.
 pub(crate) fn cache_with_full_backlog(
     change: impl FnOnce(&mut Value),
 ) -> (World, FullBacklogHost, Host) {
     let mut cache_host = FullBacklogHost::start();
     cache_host.fill_backlog();
-    let world = World::with(2, |config| {
+    let world = World::with_config(2, |config| {
         config["known"]["updates"][0]["endpoints"]["hosts"][0]["dial"] =
             cache_host.address.to_string().into();
         config["settings"]["allowed"]["connect_timeout_ms"] = 5000.into();
-        // A request takes a second to send by these settings, so none is overdue before its connection is up.
+        // By these settings a request takes a second to send, so that none is overdue before its connection is
+        // established.
         config["settings"]["family_info"]["client_kb_per_s"] = 50.into();
         for class in config["settings"]["request_classes"]
             .as_array_mut()
@@ -167,35 +174,36 @@
     (world, cache_host, host)
 }
 
-/// Asks for objects, the first of that number, until one is on its way to the first cache; gives its client and number.
+/// Requests objects, from the number `first` on, until the dispatcher starts an attempt at the first cache. Returns the
+/// client and the number of that object.
 pub(crate) fn attempt_in_flight(world: &World, first: u32) -> (Client, u32) {
-    attempt_in_flight_over(world, first, || world.client())
+    attempt_in_flight_with(world, first, || world.client())
 }
 
-/// The same, by clients of that make.
-pub(crate) fn attempt_in_flight_over(
+/// The same, with clients that `connect` creates.
+pub(crate) fn attempt_in_flight_with(
     world: &World,
     first: u32,
-    make: impl Fn() -> Client,
+    connect: impl Fn() -> Client,
 ) -> (Client, u32) {
     for n in first..first + 64 {
-        let mut client = make();
+        let mut client = connect();
         client.request("page", &key(n), 7000, b"").unwrap();
-        let decided = |cache: &str| {
-            let words = [&*format!("request {n} attempt 0 to"), cache];
+        let is_sent = |cache: &str| {
+            let texts = [&*format!("request {n} attempt 0 to"), cache];
             world
                 .log
                 .lock()
                 .unwrap()
                 .iter()
-                .any(|line| words.iter().all(|word| line.contains(word)))
+                .any(|line| texts.iter().all(|text| line.contains(text)))
         };
-        wait_for("decided", || {
-            decided("to s-0000ca00") || decided("to s-0000ca01")
+        wait_for("the first attempt at a cache is logged", || {
+            is_sent("to s-0000ca00") || is_sent("to s-0000ca01")
         });
-        if decided("to s-0000ca00") {
+        if is_sent("to s-0000ca00") {
             return (client, n);
         }
     }
-    panic!("no object of 64 belongs to the first cache");
+    panic!("none of 64 objects is requested from the first cache");
 }
--- a/crates/flaxdeck-dispatcher/tests/world/mod.rs
+++ b/crates/flaxdeck-dispatcher/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! A toy world round the built dispatcher, shared by the test files.
+//! A dispatcher process among emulated hosts, a coordinator and clients on loopback, shared by the test files.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -20,35 +20,35 @@
 
 #[allow(unused_imports, reason = "each test file uses a part")]
 pub(crate) use full_backlog::{
-    FullBacklogHost, attempt_in_flight, attempt_in_flight_over, cache_with_full_backlog,
+    FullBacklogHost, attempt_in_flight, attempt_in_flight_with, cache_with_full_backlog,
     read_request, serve,
 };
 #[allow(unused_imports, reason = "each test file uses a part")]
 pub(crate) use stalls::{MAX_CANCEL_DELAY, Stalls};
 
-/// The configuration of the toy world.
+/// The configuration of the example deployment.
 pub(crate) const CONFIG: &str = include_str!("../../../../examples/toy/config.json");
-/// The key of an object.
+/// The key of some object.
 pub(crate) const KEY: &str = "7f3a9c21e0b4d655";
-/// Long enough for anything that happens at all.
-pub(crate) const SOON: Duration = Duration::from_secs(10);
+/// How long a test waits for something that has to happen.
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A dispatcher among caches, a parent, the origin and a coordinator.
+/// A dispatcher process with caches, a parent, the origin and a coordinator.
 pub(crate) struct World {
     pub(crate) process: Child,
     pub(crate) config: String,
-    /// The file that the configuration was read from.
+    /// The path of the configuration file.
     pub(crate) path: PathBuf,
     pub(crate) address: SocketAddr,
     pub(crate) caches: Vec<Host>,
     pub(crate) parent: Host,
     pub(crate) origin: Host,
     pub(crate) coordinator: Coordinator,
-    /// What the process has logged.
+    /// The lines that the process has logged.
     pub(crate) log: Arc<Mutex<Vec<String>>>,
 }
 
-/// The command that starts a dispatcher with that configuration.
+/// Returns the command that starts a dispatcher with that configuration.
 pub(crate) fn command(config: &str) -> Command {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let name = format!(
@@ -66,11 +66,11 @@
     command
 }
 
-/// The same command with a bound of the system on the process's descriptors.
-fn limited(command: Command, most: usize) -> Command {
+/// Returns the same command with a system limit on the descriptors of the process.
+fn with_descriptor_limit(command: Command, max: usize) -> Command {
     let mut shell = Command::new("sh");
     shell
-        .args(["-c", &format!("ulimit -n {most} && exec \"$0\"")])
+        .args(["-c", &format!("ulimit -n {max} && exec \"$0\"")])
         .arg(command.get_program());
     for (name, value) in command.get_envs() {
         match value {
@@ -82,8 +82,8 @@
     shell
 }
 
-/// The address that a line of the log tells.
-pub(crate) fn listening(line: &str) -> Option<SocketAddr> {
+/// Returns the address in the log line that reports where the process listens; none for other lines.
+pub(crate) fn listening_address(line: &str) -> Option<SocketAddr> {
     line.split("listening at ")
         .nth(1)?
         .split(',')
@@ -92,7 +92,7 @@
         .ok()
 }
 
-/// The toy's configuration with these hosts in its list.
+/// Returns the example configuration with these hosts in its endpoint list.
 fn configuration(
     caches: &[Host],
     parent: &Host,
@@ -115,7 +115,7 @@
     config
 }
 
-/// The file that a command reads its configuration from.
+/// Returns the path of the file that a command reads its configuration from.
 fn configuration_path(command: &Command) -> PathBuf {
     let path = command
         .get_envs()
@@ -123,7 +123,7 @@
     PathBuf::from(path.unwrap())
 }
 
-/// What a process logs from now on, which is shown as well.
+/// Collects the lines that a process logs, and prints them as well.
 fn record_log(lines: impl Iterator<Item = String> + Send + 'static) -> Arc<Mutex<Vec<String>>> {
     let log: Arc<Mutex<Vec<String>>> = Arc::default();
     let recorded = log.clone();
@@ -138,23 +138,28 @@
 
 impl World {
     pub(crate) fn start(caches: u32) -> World {
-        World::with(caches, |_| {})
+        World::with_config(caches, |_| {})
     }
 
-    pub(crate) fn with(caches: u32, change: impl FnOnce(&mut Value)) -> World {
-        World::within(caches, None, change)
+    /// Starts a world whose configuration is edited by `change`.
+    pub(crate) fn with_config(caches: u32, change: impl FnOnce(&mut Value)) -> World {
+        World::start_process(caches, None, change)
     }
 
-    /// One whose process gets no more descriptors from the system than so many.
-    pub(crate) fn with_descriptors(
+    /// The same with a system limit on the descriptors of the process.
+    pub(crate) fn with_descriptor_limit(
         caches: u32,
-        most: usize,
+        max: usize,
         change: impl FnOnce(&mut Value),
     ) -> World {
-        World::within(caches, Some(most), change)
+        World::start_process(caches, Some(max), change)
     }
 
-    fn within(caches: u32, descriptors: Option<usize>, change: impl FnOnce(&mut Value)) -> World {
+    fn start_process(
+        caches: u32,
+        max_descriptors: Option<usize>,
+        change: impl FnOnce(&mut Value),
+    ) -> World {
         let host = |id: String| Host::start(&id, "127.0.0.1:0").unwrap();
         let caches: Vec<Host> = (0..caches).map(|n| host(format!("s-0000ca0{n}"))).collect();
         let (parent, origin) = (host("s-00009a01".into()), host("s-00000001".into()));
@@ -163,15 +168,15 @@
         change(&mut config);
         let config = config.to_string();
         let mut command = command(&config);
-        if let Some(most) = descriptors {
-            command = limited(command, most);
+        if let Some(max) = max_descriptors {
+            command = with_descriptor_limit(command, max);
         }
         let path = configuration_path(&command);
         let mut process = command.spawn().unwrap();
         let mut lines = BufReader::new(process.stderr.take().unwrap())
             .lines()
             .map_while(Result::ok);
-        let address = lines.find_map(|line| listening(&line)).unwrap();
+        let address = lines.find_map(|line| listening_address(&line)).unwrap();
         World {
             process,
             config,
@@ -189,10 +194,10 @@
         Client::connect(self.address).unwrap()
     }
 
-    /// Requests one object on a connection of its own.
-    pub(crate) fn request(&self, class: &str, key: &str, wait: u64, body: &[u8]) -> Answer {
+    /// Requests one object on a new connection, and returns the answer.
+    pub(crate) fn request(&self, class: &str, key: &str, timeout_ms: u64, body: &[u8]) -> Answer {
         let mut client = self.client();
-        client.request(class, key, wait, body).unwrap();
+        client.request(class, key, timeout_ms, body).unwrap();
         client.answer().unwrap()
     }
 
@@ -211,31 +216,32 @@
         self.signal("TERM");
     }
 
-    /// Has the process stand still until it is told to go on (`CONT`); a signal may take its time on a busy machine.
+    /// Stops the process until it gets the signal `CONT`. Waits for the stop, as a signal may be late on a busy
+    /// machine.
     pub(crate) fn pause(&self) {
         self.signal("STOP");
         let stat = format!("/proc/{}/stat", self.process.id());
-        // The state follows the name, which stands in parentheses.
-        let stands = |text: String| {
+        // The state follows the name, which is in parentheses.
+        let is_stopped = |text: String| {
             text.rsplit(") ")
                 .next()
                 .is_some_and(|rest| rest.starts_with('T'))
         };
-        wait_for("the process stands still", || {
-            std::fs::read_to_string(&stat).is_ok_and(stands)
+        wait_for("the process is stopped", || {
+            std::fs::read_to_string(&stat).is_ok_and(is_stopped)
         });
     }
 
-    /// Waits until the log has a line with all these words.
-    pub(crate) fn wait_for_log(&self, words: &[&str]) {
-        let has = |line: &String| words.iter().all(|word| line.contains(word));
-        wait_for(&format!("a log line with {words:?}"), || {
-            self.log.lock().unwrap().iter().any(has)
+    /// Waits until the log has a line that contains all these texts.
+    pub(crate) fn wait_for_log(&self, texts: &[&str]) {
+        let matches = |line: &String| texts.iter().all(|text| line.contains(text));
+        wait_for(&format!("the log has a line with {texts:?}"), || {
+            self.log.lock().unwrap().iter().any(matches)
         });
     }
 
-    /// When each client that has left so far was noticed, by the process's own clock, since 1970.
-    pub(crate) fn left_times(&self) -> Vec<Duration> {
+    /// Returns the Unix times, by the process's own clock, at which the process has noticed that a client had left.
+    pub(crate) fn departure_times(&self) -> Vec<Duration> {
         let log = self.log.lock().unwrap();
         let lines = log.iter().filter(|line| line.contains("left: request"));
         let time = |line: &String| {
@@ -246,11 +252,11 @@
                 .map(Duration::from_secs_f64)
         };
         lines
-            .map(|line| time(line).expect("a line begins with its time"))
+            .map(|line| time(line).expect("a log line begins with its Unix time"))
             .collect()
     }
 
-    /// Whether a cache gets nothing of some new requests that it would have its share of.
+    /// Whether a cache receives none of eight new requests, some of which it would normally get.
     pub(crate) fn receives_nothing(&self, cache: &Host) -> bool {
         let before = cache.heard("want").len();
         for n in 0..8 {
@@ -260,7 +266,7 @@
     }
 }
 
-/// The time since 1970.
+/// Returns the Unix time.
 pub(crate) fn unix_now() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap()
 }
@@ -272,20 +278,20 @@
     }
 }
 
-/// Opens so many requests at once, of an object each, and takes their answers.
-pub(crate) fn request_all(client: &mut Client, count: u32, wait: u64) -> Vec<Answer> {
+/// Sends `count` requests at once, each for another object, and returns their answers.
+pub(crate) fn request_all(client: &mut Client, count: u32, timeout_ms: u64) -> Vec<Answer> {
     for n in 0..count {
-        client.request("page", &key(n), wait, b"").unwrap();
+        client.request("page", &key(n), timeout_ms, b"").unwrap();
     }
     (0..count).map(|_| client.answer().unwrap()).collect()
 }
 
-/// Whether an answer holds the bytes of that object's first part.
+/// Whether an answer contains the bytes of that object's first part.
 pub(crate) fn served(answer: &Answer, key: &str) -> bool {
     matches!(answer, Answer::Served { body, .. } if *body == body_of(&format!("{key}.0")))
 }
 
-/// The error that an answer is; what else it is, for a message.
+/// Returns the text of an answer that is an error, or the debug form of any other answer.
 pub(crate) fn error_text(answer: Answer) -> String {
     match answer {
         Answer::Error { word, .. } => word,
@@ -293,21 +299,24 @@
     }
 }
 
-/// Waits until something has happened; `what` says what, if it never does.
-pub(crate) fn wait_for(what: &str, mut come: impl FnMut() -> bool) {
+/// Waits until a condition holds; `description` is the condition in words, for the message if it never does.
+pub(crate) fn wait_for(description: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !come() {
-        assert!(start.elapsed() < SOON, "{what}");
+    while !condition() {
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "not within {WAIT_TIMEOUT:?}: {description}"
+        );
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// The key of a numbered object.
+/// Returns the key of a numbered object.
 pub(crate) fn key(number: u32) -> String {
     format!("{number:016x}")
 }
 
-/// An address at which nobody listens, and what keeps it from being given to others.
+/// Returns an address at which nobody listens, and the socket that reserves it.
 pub(crate) fn unused_address() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket
--- a/crates/flaxdeck-dispatcher/tests/world/stalls.rs
+++ b/crates/flaxdeck-dispatcher/tests/world/stalls.rs
@@ -1,4 +1,4 @@
-//! How late the machine itself runs the process and the threads of a test.
+//! Measures how late the machine schedules the process and the threads of a test.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -9,46 +9,50 @@
 
 use super::World;
 
-/// How long after its end a client has gone: nothing begins for it any more.
+/// How long after a client has cancelled or left an attempt may still start for it.
 pub(crate) const MAX_CANCEL_DELAY: Duration = Duration::from_millis(100);
 
-/// Watches how late the machine itself runs the process and the threads here, so that a bound on a delay in the process
-/// can leave out what the process could not have helped.
+/// Measures how late the machine schedules the process and the threads of the test, so that a bound on a delay in the
+/// process can leave out what the machine has caused.
 pub(crate) struct Stalls {
-    /// Asks the process whether it is up, behind what the same thread has just sent: on a busy machine the system may
-    /// hold up bytes between two processes for hundreds of milliseconds, and tells nobody.
-    witness: Option<Client>,
-    asked: Vec<Instant>,
-    slowest: Duration,
+    /// The client that sends probes: it asks whether the process is alive, right after the same thread has sent
+    /// something else. On a busy machine the system may delay bytes between two processes by hundreds of milliseconds,
+    /// which shows nowhere else.
+    prober: Option<Client>,
+    /// When the probes were sent that have no answer yet.
+    probed: Vec<Instant>,
+    slowest_probe: Duration,
     process: u32,
     waited_before: Duration,
     late_us: Arc<AtomicU64>,
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
 }
 
 impl Stalls {
-    const STEP: Duration = Duration::from_millis(1);
-    /// A thread that wakes up this much late is as punctual as any.
-    const USUAL: Duration = Duration::from_millis(4);
+    /// How long the measuring thread sleeps each time.
+    const SLEEP: Duration = Duration::from_millis(1);
+    /// The lateness of a wake-up that is normal and not counted.
+    const NORMAL_LATENESS: Duration = Duration::from_millis(4);
 
-    pub(crate) fn watch(world: &World) -> Stalls {
+    /// Starts to measure.
+    pub(crate) fn start(world: &World) -> Stalls {
         let process = world.process.id();
         let stalls = Stalls {
-            witness: None,
-            asked: Vec::new(),
-            slowest: Duration::ZERO,
+            prober: None,
+            probed: Vec::new(),
+            slowest_probe: Duration::ZERO,
             process,
-            waited_before: waited_to_run(process),
+            waited_before: scheduling_wait(process),
             late_us: Arc::default(),
-            over: Arc::default(),
+            stop: Arc::default(),
         };
-        let (late_us, over) = (stalls.late_us.clone(), stalls.over.clone());
+        let (late_us, stop) = (stalls.late_us.clone(), stalls.stop.clone());
         thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) {
+            while !stop.load(Ordering::Relaxed) {
                 let begun = Instant::now();
-                thread::sleep(Stalls::STEP);
-                let late = begun.elapsed() - Stalls::STEP;
-                if late > Stalls::USUAL {
+                thread::sleep(Stalls::SLEEP);
+                let late = begun.elapsed() - Stalls::SLEEP;
+                if late > Stalls::NORMAL_LATENESS {
                     late_us.fetch_add(late.as_micros() as u64, Ordering::Relaxed);
                 }
             }
@@ -56,46 +60,47 @@
         stalls
     }
 
-    /// The same with a witness on a connection of its own.
-    pub(crate) fn witnessed(world: &World) -> Stalls {
-        let mut stalls = Stalls::watch(world);
-        stalls.witness = Some(world.client());
+    /// The same with a prober on a connection of its own.
+    pub(crate) fn start_with_prober(world: &World) -> Stalls {
+        let mut stalls = Stalls::start(world);
+        stalls.prober = Some(world.client());
         stalls
     }
 
-    /// To be called right after what is sent to the process.
-    pub(crate) fn sent(&mut self) {
-        if let Some(witness) = &mut self.witness {
-            witness.alive().unwrap();
-            self.asked.push(Instant::now());
+    /// Sends a probe. To be called right after something was sent to the process.
+    pub(crate) fn probe(&mut self) {
+        if let Some(prober) = &mut self.prober {
+            prober.alive().unwrap();
+            self.probed.push(Instant::now());
         }
     }
 
-    /// Takes the answers to the witness; to be called as soon as all is sent.
-    pub(crate) fn await_witness(&mut self) {
-        for asked in self.asked.drain(..) {
+    /// Waits for the answers to all probes. To be called as soon as everything is sent.
+    pub(crate) fn await_probes(&mut self) {
+        for probed in self.probed.drain(..) {
             let answer = self
-                .witness
+                .prober
                 .as_mut()
-                .expect("it has asked")
+                .expect("probes were sent, so there is a prober")
                 .answer()
                 .unwrap();
             assert!(matches!(answer, Answer::Alive { .. }), "{answer:?}");
-            self.slowest = self.slowest.max(asked.elapsed());
+            self.slowest_probe = self.slowest_probe.max(probed.elapsed());
         }
     }
 
-    /// By how much the machine was late, all in all; twice what was seen, since the system's own threads that carry bytes
-    /// between the two wait as well and tell nobody.
-    pub(crate) fn so_far(&self) -> Duration {
+    /// Returns the delay that the machine may have caused so far. What was measured of threads counts twice, since the
+    /// system's own threads that carry bytes between processes are delayed as well, which can't be measured.
+    pub(crate) fn total(&self) -> Duration {
         let here = Duration::from_micros(self.late_us.load(Ordering::Relaxed));
-        (here + waited_to_run(self.process).saturating_sub(self.waited_before)) * 2 + self.slowest
+        (here + scheduling_wait(self.process).saturating_sub(self.waited_before)) * 2
+            + self.slowest_probe
     }
 }
 
-/// How long a process's first thread has been ready to run and was not let, since its start; none where the system does
-/// not tell.
-fn waited_to_run(process: u32) -> Duration {
+/// Returns how long the first thread of a process was ready to run and did not run, since its start; zero where the
+/// system does not report it.
+fn scheduling_wait(process: u32) -> Duration {
     let text = std::fs::read_to_string(format!("/proc/{process}/schedstat")).unwrap_or_default();
     let waited = text
         .split_whitespace()
@@ -106,6 +111,6 @@
 
 impl Drop for Stalls {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
     }
 }
