--- a/crates/flaxdeck-dispatcher/tests/departures.rs
+++ b/crates/flaxdeck-dispatcher/tests/departures.rs
@@ -393,7 +393,7 @@
         }
         assert!(
             n < TRIES && stalls.total() > Duration::from_millis(5),
-            "the write is not served in try {n}, though the machine was not late: {answer:?}"
+            "in try {n} of {TRIES} the write is not served, or the machine was not late: {answer:?}"
         );
     }
 }
--- a/crates/flaxdeck-dispatcher/tests/descriptors.rs
+++ b/crates/flaxdeck-dispatcher/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! Idle clients fill all descriptors while the coordinator is away: its watch comes back within a second of it, and
-//! attempts go on.
+//! Idle clients use up all descriptors while the coordinator is down: the watch reconnects within a second of its
+//! return, and requests are served all the time.
 
 #![allow(
     clippy::unwrap_used,
@@ -19,19 +19,19 @@
 use socket2::{Domain, Socket, Type};
 use world::{Stalls, World, key, served, wait_for};
 
-/// Descriptors that the process may have, by its settings and by the system.
+/// The limit on the descriptors of the process, in its configuration and by the system.
 const DESCRIPTORS: usize = 72;
-/// Connections that idle clients hold or try for: several times what there is.
-const CROWD: usize = 240;
-/// From when the coordinator is there again until its watch has to be.
-const BACK_WITHIN: Duration = Duration::from_secs(1);
-/// Requests that are out at once beside the crowd, each on a connection to a host of its own.
-const AT_ONCE: u32 = 22;
-/// Times that the coordinator goes away and returns: the pauses between tries are drawn.
+/// The connections that idle clients hold or try to open: several times the descriptors.
+const IDLE_CLIENTS: usize = 240;
+/// How long the watch may take to reconnect after the coordinator has returned.
+const MAX_RECONNECT_TIME: Duration = Duration::from_secs(1);
+/// The requests that are open at once beside the idle clients, each on its own connection to a host.
+const CONCURRENT_REQUESTS: u32 = 22;
+/// How often the coordinator goes down and returns; several times, since the reconnect backoff is random.
 const RETURNS: usize = 3;
 
-/// An address at which nobody listens yet, taken so that no other gets it.
-fn taken(address: SocketAddr) -> Socket {
+/// Reserves an address at which nobody listens yet.
+fn reserve(address: SocketAddr) -> Socket {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_reuse_address(true).unwrap();
     wait_for("the address is free", || {
@@ -40,20 +40,21 @@
     socket
 }
 
-/// Idle clients: they connect, half of them say one word, and rest until they are closed, then come again.
-fn crowd(address: SocketAddr, stop: &Arc<AtomicBool>) -> JoinHandle<()> {
+/// Starts idle clients, which connect, half of them send one message, and wait until they are closed. They are replaced
+/// by new ones then.
+fn start_idle_clients(address: SocketAddr, stop: &Arc<AtomicBool>) -> JoinHandle<()> {
     let stop = stop.clone();
     thread::spawn(move || {
         let mut clients: Vec<TcpStream> = Vec::new();
         while !stop.load(Ordering::Relaxed) {
             clients.retain(|client| {
                 client.set_nonblocking(true).unwrap();
-                let resting = client
+                let peeked = client
                     .peek(&mut [0])
                     .map_or_else(|error| error.kind(), |_| std::io::ErrorKind::Other);
-                resting == std::io::ErrorKind::WouldBlock
+                peeked == std::io::ErrorKind::WouldBlock
             });
-            for n in clients.len()..CROWD {
+            for n in clients.len()..IDLE_CLIENTS {
                 let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(50))
                 else {
                     break;
@@ -69,9 +70,9 @@
     })
 }
 
-/// A client that has so many requests out at once, over and over; gives how many of them were served. Between two
-/// rounds it rests and may be closed to make room.
-fn busy(world: &World, stop: &Arc<AtomicBool>) -> JoinHandle<usize> {
+/// Starts a client that connects and sends [`CONCURRENT_REQUESTS`] at once, round after round; returns how many were
+/// served. Its connection may be closed to make room while no request is open on it.
+fn start_busy_client(world: &World, stop: &Arc<AtomicBool>) -> JoinHandle<usize> {
     for cache in &world.caches {
         cache.set(Manner::Late(200));
     }
@@ -83,13 +84,13 @@
                 break;
             }
             let mut client = Client::connect(address).unwrap();
-            let mut ask = |n| {
+            let mut request = |n| {
                 client
-                    .request("page", &key(round * AT_ONCE + n), 2400, b"")
+                    .request("page", &key(round * CONCURRENT_REQUESTS + n), 2400, b"")
                     .is_ok()
             };
-            let asked = (0..AT_ONCE).filter(|n| ask(*n)).count();
-            let answers = (0..asked).map_while(|_| client.answer().ok());
+            let sent = (0..CONCURRENT_REQUESTS).filter(|n| request(*n)).count();
+            let answers = (0..sent).map_while(|_| client.answer().ok());
             served += answers
                 .filter(|answer| matches!(answer, Answer::Served { .. }))
                 .count();
@@ -101,53 +102,65 @@
 #[test]
 fn the_watch_reconnects_in_time_and_attempts_go_on_while_idle_clients_fill_all_descriptors() {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let first = taken(any);
-    let coordinator = first.local_addr().unwrap().as_socket().unwrap();
+    let first = reserve(any);
+    let coordinator_address = first.local_addr().unwrap().as_socket().unwrap();
     let world = World::with_descriptor_limit(2, DESCRIPTORS, |config| {
-        config["coordinator"] = coordinator.to_string().into();
+        config["coordinator"] = coordinator_address.to_string().into();
         config["limits"]["sockets"] = DESCRIPTORS.into();
     });
     let stop: Arc<AtomicBool> = Arc::default();
-    let (crowd, busy) = (crowd(world.address, &stop), busy(&world, &stop));
-    let mut away = first;
+    let (idle, busy) = (
+        start_idle_clients(world.address, &stop),
+        start_busy_client(&world, &stop),
+    );
+    let mut reserved = first;
     for n in 0..RETURNS {
         let host = world.caches[n % 2].clone();
         let state = n / 2 % 2;
-        // Long enough for the pauses between tries to have grown to their longest.
+        // Long enough for the reconnect backoff to grow to its maximum.
         thread::sleep(Duration::from_millis(1600));
-        let asked = Instant::now();
+        let sent = Instant::now();
         let answer = world.request("page", &key(n as u32), 2000, b"");
         assert!(
             served(&answer, &key(n as u32)),
-            "{answer:?} after {:?}",
-            asked.elapsed()
+            "not served without the coordinator: {answer:?} after {:?}",
+            sent.elapsed()
         );
 
-        away.listen(64).unwrap();
+        reserved.listen(64).unwrap();
         let (returned, stalls) = (Instant::now(), Stalls::start(&world));
-        let mut back = Coordinator::on(TcpListener::from(away), 1 + n as u64).unwrap();
-        back.change(&host, 1 - state as u8, 0, 0);
+        let mut coordinator = Coordinator::on(TcpListener::from(reserved), 1 + n as u64).unwrap();
+        coordinator.change(&host, 1 - state as u8, 0, 0);
         let health = if state == 0 { "Draining" } else { "InService" };
         world.wait_for_log(&["told: ", &host.id, health]);
         let took = returned.elapsed();
-        assert!(took < BACK_WITHIN + stalls.total(), "back after {took:?}");
-        back.end();
-        away = taken(coordinator);
+        assert!(
+            took < MAX_RECONNECT_TIME + stalls.total(),
+            "the event arrived {took:?} after the coordinator returned"
+        );
+        coordinator.end();
+        reserved = reserve(coordinator_address);
     }
     stop.store(true, Ordering::Relaxed);
-    crowd.join().unwrap();
+    idle.join().unwrap();
     let served = busy.join().unwrap();
-    assert!(served > 4 * AT_ONCE as usize, "{served} served");
+    assert!(
+        served > 4 * CONCURRENT_REQUESTS as usize,
+        "only {served} requests of the busy client were served"
+    );
     world.terminate();
     world.wait_for_log(&["counted: "]);
     let log = world.log.lock().unwrap();
     let counters = log.iter().rfind(|line| line.contains("counted: ")).unwrap();
-    let none_lacked = ["accept_errors", "must_not_happen"]
+    let has_no_errors = ["accept_errors", "must_not_happen"]
         .iter()
-        .all(|word| !counters.contains(word));
-    assert!(none_lacked, "{counters}");
+        .all(|counter| !counters.contains(counter));
+    assert!(
+        has_no_errors,
+        "accept errors or broken invariants were counted: {counters}"
+    );
     assert!(
         counters.contains("clients_closed_silent") && counters.contains("clients_closed_idle"),
-        "{counters}"
+        "no silent or no idle client was closed: {counters}"
     );
 }
--- a/crates/flaxdeck-dispatcher/tests/limits_and_log.rs
+++ b/crates/flaxdeck-dispatcher/tests/limits_and_log.rs
@@ -1,4 +1,4 @@
-//! What the limits let in, the start of the process, and its log.
+//! The limits on requests and memory, failed starts of the process, and its log.
 
 #![allow(
     clippy::unwrap_used,
@@ -22,7 +22,8 @@
     CONFIG, KEY, World, command, key, listening_address, read_request, request_all, served,
 };
 
-// Counted at their largest, ten requests would fill this memory; at what they hold it takes all of these.
+// If each request counted with the largest size of an object, ten would fill this memory. Counted with what they hold,
+// 30 fit.
 #[test]
 fn requests_of_small_objects_fit_where_large_ones_would_not() {
     let world = World::with_config(1, |config| config["limits"]["memory_mb"] = 5.into());
@@ -64,19 +65,19 @@
         client.request("page", KEY, 2400, b"").unwrap();
         assert!(
             served(&client.answer().unwrap(), KEY),
-            "each writes two lines to a pipe that holds few"
+            "a request is not served while nobody reads the log; each request logs two lines to a pipe of limited size"
         );
     }
 }
 
 #[test]
 fn a_failed_start_says_why_in_one_line() {
-    let fails = |mut command: Command, why: &str| {
+    let fails = |mut command: Command, expected: &str| {
         let output = command.output().unwrap();
         let text = String::from_utf8(output.stderr).unwrap();
         assert!(
-            !output.status.success() && text.contains(why) && text.lines().count() == 1,
-            "{text}"
+            !output.status.success() && text.contains(expected) && text.lines().count() == 1,
+            "expected one line with {expected:?}: {text}"
         );
     };
     let mut bare = command("{}");
@@ -90,8 +91,9 @@
     fails(command(&config.to_string()), "cannot listen");
 }
 
-/// A cache that keeps half of each answer back for a while; the answer to `large` is large, all others are not.
-fn halting_cache(large: String) -> SocketAddr {
+/// Starts a cache that pauses for 200 ms in the middle of each response. The response for the object `large` has
+/// 230,000 bytes, all others 30,000.
+fn pausing_cache(large: String) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -121,15 +123,15 @@
     address
 }
 
-// Memory is given in the order in which it was asked for, so small answers that come and go don't starve a large one.
+// Memory is granted in the order of the requests for it, so that small responses don't starve a large one.
 #[test]
 fn a_large_response_gets_its_memory_among_many_small_ones() {
     let large = key(99);
-    let address = halting_cache(large.clone());
+    let address = pausing_cache(large.clone());
     let world = World::with_config(1, |config| {
-        config["limits"]["memory_mb"] = 0.7.into(); // 240,000 bytes for answers
+        config["limits"]["memory_mb"] = 0.7.into(); // 240,000 bytes for responses
         config["known"]["updates"][0]["endpoints"]["hosts"][0]["dial"] = address.to_string().into();
-        config["settings"]["family_info"]["client_kb_per_s"] = 50.into(); // none is overdue
+        config["settings"]["family_info"]["client_kb_per_s"] = 50.into(); // so that no attempt is overdue
         for class in config["settings"]["request_classes"]
             .as_array_mut()
             .unwrap()
@@ -155,28 +157,31 @@
         .collect();
     thread::sleep(Duration::from_millis(500));
     let mut client = world.client();
-    let asked = Instant::now();
+    let sent = Instant::now();
     client.request("clip", &large, 4000, b"").unwrap();
     let answer = client.answer().unwrap();
     assert!(
         matches!(&answer, Answer::Served { body, .. } if body.len() == 230_000),
-        "{:?}",
-        asked.elapsed()
+        "the large object is not served; its answer came after {:?}",
+        sent.elapsed()
     );
     stop.store(true, Ordering::Relaxed);
     let served: Vec<u32> = small
         .into_iter()
         .map(|small| small.join().unwrap())
         .collect();
-    assert!(served.iter().all(|served| *served > 0), "{served:?}");
+    assert!(
+        served.iter().all(|served| *served > 0),
+        "small objects served to each client: {served:?}"
+    );
 }
 
-// Requests that hold memory while their answers wait for some can't hold all of it.
+// Requests hold memory while their responses wait for memory; they must not hold all of it.
 #[test]
 fn writes_that_fill_memory_leave_some_for_their_answers() {
     let world = World::with_config(1, |config| config["limits"]["memory_mb"] = 0.8.into());
     let mut clients: Vec<Client> = (0..7).map(|_| world.client()).collect();
-    let asked = Instant::now();
+    let sent = Instant::now();
     for client in &mut clients {
         assert!(client.request("submit", KEY, 2400, &[7; 40_000]).is_ok());
     }
@@ -188,11 +193,11 @@
         answers
             .iter()
             .any(|answer| matches!(answer, Answer::Served { .. })),
-        "{answers:?}"
+        "no write is served: {answers:?}"
     );
     assert!(
-        asked.elapsed() < Duration::from_millis(1500),
-        "{:?}",
-        asked.elapsed()
+        sent.elapsed() < Duration::from_millis(1500),
+        "the answers took {:?}",
+        sent.elapsed()
     );
 }
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings of others: whatever they say within the platform's form, the module answers each request once and in time,
-//! and the process serves or says in one line what it can't.
+//! Settings of other deployments: with any settings within the platform's format, the decision engine answers each
+//! request once and in time, and the process serves, or reports in one line what it does not support.
 
 #![allow(
     clippy::unwrap_used,
@@ -36,7 +36,7 @@
     "x",
 ];
 
-/// A request class of that name, drawn as [`draw`] draws.
+/// Returns a request class of that name with random fields; `one_of` draws one of several values.
 fn draw_class(name: &str, one_of: &mut impl FnMut(&[f64]) -> f64) -> Value {
     let mut class = json!({
         "name": name,
@@ -57,17 +57,17 @@
     class
 }
 
-/// Settings within the platform's form, drawn from a seed.
-fn draw(seed: u64) -> Value {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let mut one_of = |of: &[f64]| of[chance.random_range(0..of.len())];
+/// Returns random settings within the platform's format, drawn from a seed.
+fn draw_settings(seed: u64) -> Value {
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
+    let mut one_of = |of: &[f64]| of[rng.random_range(0..of.len())];
     let count = one_of(&[1.0, 2.0, 3.0, 5.0]) as usize;
     let classes: Vec<Value> = (0..count)
         .map(|at| draw_class(NAMES[(at * 3 + seed as usize) % NAMES.len()], &mut one_of))
         .collect();
     let mut flag = |of: f64| one_of(&[0.0, 1.0]) < of;
-    let through: Vec<bool> = (0..count).map(|_| flag(0.5)).collect();
-    let parted: Vec<bool> = (0..count).map(|_| flag(0.5)).collect();
+    let goes_through: Vec<bool> = (0..count).map(|_| flag(0.5)).collect();
+    let has_parts: Vec<bool> = (0..count).map(|_| flag(0.5)).collect();
     let allowed =
         json!({"cancel": flag(0.5), "may_duplicate": flag(0.5), "retry_after": flag(0.5)});
     let (direct, collapses, one_zone) = (flag(0.5), flag(0.5), flag(0.5));
@@ -81,7 +81,7 @@
         "kinds": ["cache", "parent", "origin"], "zone": "here", "zones": zones, "tick_ms": one_of(&[1.0, 2.0, 10.0]),
         "request_classes": classes, "unknown": "word",
         "family_info": {
-            "class_parts": parted, "goes_through": through, "client_kb_per_s": one_of(&[0.0, 50.0, 11_000.0]),
+            "class_parts": has_parts, "goes_through": goes_through, "client_kb_per_s": one_of(&[0.0, 50.0, 11_000.0]),
             "collapses": collapses, "direct": direct, "count_by_zone": [one_of(&[0.0, 1.0, 40.0]), 0],
             "max_age_ms": [one_of(&[0.0, 8000.0])], "purge_settles_ms": one_of(&[0.0, 6000.0]),
             "shield_kind": 1, "source_kind": 2, "upper_cold_from": one_of(&[0.0, 0.1, 1.0]),
@@ -105,7 +105,7 @@
     settings
 }
 
-fn listed(name: &str, role: Role, zone: usize, started: Option<Time>) -> Endpoint {
+fn endpoint(name: &str, role: Role, zone: usize, started: Option<Time>) -> Endpoint {
     let (host, zone) = (HostId(name.into()), Some(ZoneId(zone)));
     Endpoint {
         host,
@@ -118,10 +118,10 @@
     }
 }
 
-/// Requests that come one after the other.
+/// The number of requests, which arrive one after the other.
 const REQUESTS: u64 = 40;
 
-/// An attempt, with when it ends.
+/// An attempt in flight, with the time at which it ends.
 struct InFlight {
     ends: Time,
     request: RequestId,
@@ -129,30 +129,30 @@
     host: HostId,
 }
 
-/// One decision engine under settings of a seed, among hosts that answer none, some, or everything with an error.
+/// One decision engine with random settings, and hosts whose attempts end with random outcomes.
 struct Trial {
     seed: u64,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     engine: PolledEngine,
     now: Time,
     tick: Span,
     may_cancel: bool,
-    /// How long each class's requests wait, in milliseconds.
-    waits_ms: Vec<f64>,
-    /// The deadlines of requests that have no answer yet.
+    /// The timeout of the requests of each class, in milliseconds.
+    timeouts_ms: Vec<f64>,
+    /// The deadlines of the requests that have no answer yet.
     open: BTreeMap<RequestId, Time>,
     in_flight: Vec<InFlight>,
 }
 
 impl Trial {
     fn start(seed: u64) -> Trial {
-        let settings = draw(seed);
+        let settings = draw_settings(seed);
         let fields = Fields::of(&settings, "settings").unwrap();
         let (terms, names) = flaxdeck_terms::read(&fields).unwrap();
         let (tick, may_cancel) = (terms.tick, terms.may_cancel);
         let now = Time::at_ms(1e9);
         let mut engine = PolledEngine::start(now, seed, terms);
-        let hosts = hosts(seed % 3, now); // no parent at every third
+        let hosts = hosts(seed % 3, now); // every third seed has no parent
         engine.report(now, Input::EndpointList(ListKind::Full, hosts));
         let deadline_ms = |at: usize| settings["request_classes"][at]["deadline_ms"].as_f64();
         let deadlines: Vec<f64> = (0..names.classes.len())
@@ -161,28 +161,28 @@
         let longest = deadlines.iter().copied().fold(0.0, f64::max).min(3000.0);
         Trial {
             seed,
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             engine,
             now,
             tick,
             may_cancel,
-            waits_ms: deadlines.iter().map(|ms| ms.min(longest)).collect(),
+            timeouts_ms: deadlines.iter().map(|ms| ms.min(longest)).collect(),
             open: BTreeMap::new(),
             in_flight: Vec::new(),
         }
     }
 
-    fn longest_wait_ms(&self) -> f64 {
-        self.waits_ms.iter().copied().fold(0.0, f64::max)
+    fn longest_timeout_ms(&self) -> f64 {
+        self.timeouts_ms.iter().copied().fold(0.0, f64::max)
     }
 
-    /// A new request comes.
+    /// Reports a new request.
     fn request(&mut self, number: u64) {
-        let class = number as usize % self.waits_ms.len();
-        let deadline = self.now + Span::of_ms(self.waits_ms[class]);
+        let class = number as usize % self.timeouts_ms.len();
+        let deadline = self.now + Span::of_ms(self.timeouts_ms[class]);
         let id = RequestId(number);
-        let object = ObjectId(self.chance.random_range(0..10));
-        let size_kb = self.chance.random_range(1.0..3000.0);
+        let object = ObjectId(self.rng.random_range(0..10));
+        let size_kb = self.rng.random_range(1.0..3000.0);
         self.open.insert(id, deadline);
         let request = Request {
             id,
@@ -197,7 +197,7 @@
         self.engine.report(self.now, Input::RequestArrived(request));
     }
 
-    /// Takes all steps of a request that are due.
+    /// Executes all steps that the decision engine has for a request.
     fn take_steps(&mut self, id: RequestId) {
         let seed = self.seed;
         loop {
@@ -206,11 +206,11 @@
                 Step::Attempt(index, attempt) => {
                     assert!(
                         self.open.contains_key(&id),
-                        "seed {seed}: sent on after its end"
+                        "seed {seed}: an attempt starts for {id:?}, which is answered"
                     );
-                    let lasts = Span::of_ms(self.chance.random_range(1.0..400.0));
+                    let duration = Span::of_ms(self.rng.random_range(1.0..400.0));
                     self.in_flight.push(InFlight {
-                        ends: self.now + lasts,
+                        ends: self.now + duration,
                         request: id,
                         index,
                         host: attempt.host,
@@ -219,11 +219,12 @@
                 Step::Cancel(index) => self.cancel(id, index),
                 Step::Reject(_) | Step::Fail => {
                     let Some(deadline) = self.open.remove(&id) else {
-                        panic!("seed {seed}: two ends")
+                        panic!("seed {seed}: {id:?} is answered twice")
                     };
                     assert!(
                         self.now <= deadline + self.tick * 2.0,
-                        "seed {seed}: {id:?} too late"
+                        "seed {seed}: {id:?} is answered at {:?}, over two ticks after its deadline {deadline:?}",
+                        self.now
                     );
                 }
             }
@@ -234,18 +235,18 @@
         let seed = self.seed;
         assert!(
             self.may_cancel,
-            "seed {seed}: cancelled where that is not allowed"
+            "seed {seed}: an attempt of {id:?} is cancelled, which the settings don't allow"
         );
         self.in_flight
             .retain(|attempt| (attempt.request, attempt.index) != (id, index));
         if self.open.contains_key(&id) {
             let host = HostId("s-0000ca00".into());
-            let ended = end(id, index, host, AttemptOutcome::Cancelled);
+            let ended = attempt_ended(id, index, host, AttemptOutcome::Cancelled);
             self.engine.report(self.now, Input::AttemptEnded(ended));
         }
     }
 
-    /// Ends the attempts whose time has come, each in some way.
+    /// Ends the attempts that are due, each with a random outcome.
     fn end_attempts(&mut self) {
         let now = self.now;
         let ended: Vec<InFlight> = self
@@ -253,20 +254,20 @@
             .extract_if(.., |attempt| attempt.ends <= now)
             .collect();
         for attempt in ended {
-            let outcome = OUTCOMES[self.chance.random_range(0..OUTCOMES.len())];
+            let outcome = OUTCOMES[self.rng.random_range(0..OUTCOMES.len())];
             if !self.open.contains_key(&attempt.request) {
                 continue;
             }
             if outcome == AttemptOutcome::Answered {
                 self.open.remove(&attempt.request);
             }
-            let ended = end(attempt.request, attempt.index, attempt.host, outcome);
+            let ended = attempt_ended(attempt.request, attempt.index, attempt.host, outcome);
             self.engine.report(now, Input::AttemptEnded(ended));
         }
     }
 }
 
-/// How an attempt may end.
+/// The outcomes that an attempt may have.
 const OUTCOMES: [AttemptOutcome; 9] = [
     AttemptOutcome::Answered,
     AttemptOutcome::Errored,
@@ -279,26 +280,26 @@
     AttemptOutcome::NoCopy,
 ];
 
-/// Two caches, the origin and so many parents.
+/// Returns two caches, the origin and so many parents.
 fn hosts(parents: u64, start: Time) -> Vec<Endpoint> {
     let mut hosts = vec![
-        listed("s-0000ca00", Role::Cache, 0, None),
-        listed("s-0000ca01", Role::Cache, 0, Some(start)),
-        listed("s-00000001", Role::Origin, 0, None),
+        endpoint("s-0000ca00", Role::Cache, 0, None),
+        endpoint("s-0000ca01", Role::Cache, 0, Some(start)),
+        endpoint("s-00000001", Role::Origin, 0, None),
     ];
     hosts.extend(
-        (0..parents).map(|n| listed(&format!("s-00009a0{n}"), Role::Parent, 0, Some(start))),
+        (0..parents).map(|n| endpoint(&format!("s-00009a0{n}"), Role::Parent, 0, Some(start))),
     );
     hosts
 }
 
-// Hosts that answer none, some, or everything with an error: each request has its one end by its deadline.
+// Attempts end with random outcomes, and still each request is answered exactly once, by its deadline.
 #[test]
 fn whatever_the_settings_each_request_is_answered_once_and_by_its_deadline() {
     for seed in 0..400 {
         let mut trial = Trial::start(seed);
         let start = trial.now;
-        let last = trial.longest_wait_ms() + 500.0;
+        let last = trial.longest_timeout_ms() + 500.0;
         let mut requests = 0;
         while trial.now.since(start).ms() < last {
             if requests < REQUESTS {
@@ -313,11 +314,14 @@
             trial.now = trial.now + Span::of_ms(1.0);
         }
         let open = &trial.open;
-        assert!(open.is_empty(), "seed {seed}: {open:?} never ended");
+        assert!(
+            open.is_empty(),
+            "seed {seed}: these requests have no answer: {open:?}"
+        );
     }
 }
 
-fn end(
+fn attempt_ended(
     request: RequestId,
     index: AttemptIndex,
     host: HostId,
@@ -341,11 +345,11 @@
     }
 }
 
-// The real process under some of them: each class gets its answers in time, and a planned end is one.
+// The real process with some of these settings: each class gets one answer in time, and a shutdown exits cleanly.
 #[test]
 fn the_process_serves_under_settings_of_any_kind() {
     for seed in [1, 4, 7, 12, 18, 29] {
-        let settings = draw(seed);
+        let settings = draw_settings(seed);
         let mut world = World::with_config(2, |config| {
             let parents = seed % 3 > 0;
             let hosts = config["known"]["updates"][0]["endpoints"]["hosts"]
@@ -360,43 +364,52 @@
             config["settings"] = settings.clone();
         });
         for class in settings["request_classes"].as_array().unwrap() {
-            let wait = class["deadline_ms"].as_f64().unwrap().min(2500.0) as u64;
+            let timeout_ms = class["deadline_ms"].as_f64().unwrap().min(2500.0) as u64;
             let mut client = world.client();
-            let asked = Instant::now();
+            let sent = Instant::now();
             client
-                .request(class["name"].as_str().unwrap(), KEY, wait, b"")
+                .request(class["name"].as_str().unwrap(), KEY, timeout_ms, b"")
                 .unwrap();
             let answer = client.answer().unwrap();
             assert!(
                 !matches!(answer, Answer::Alive { .. }),
-                "seed {seed}: {answer:?}"
+                "seed {seed}: not an answer to a request: {answer:?}"
             );
             assert!(
-                asked.elapsed() < Duration::from_millis(wait + 150),
-                "seed {seed}, {class}"
+                sent.elapsed() < Duration::from_millis(timeout_ms + 150),
+                "seed {seed}: the answer took {:?} for the class {class}",
+                sent.elapsed()
             );
             assert!(
                 client.quiet_for(Duration::from_millis(20)),
-                "seed {seed}: one answer"
+                "seed {seed}: something follows the answer"
             );
         }
         world.terminate();
-        assert!(world.process.wait().unwrap().success(), "seed {seed}");
+        assert!(
+            world.process.wait().unwrap().success(),
+            "seed {seed}: the shutdown failed"
+        );
     }
 }
 
-/// A place in the configuration, what is put there, and two words of the line that says what is wrong with it.
-struct Refused {
-    place: &'static str,
+/// An invalid value in the configuration, with two texts that the error message has to contain.
+struct InvalidValue {
+    /// The JSON pointer to the field.
+    pointer: &'static str,
     value: Value,
-    words: [&'static str; 2],
+    expected: [&'static str; 2],
 }
 
-fn refused(place: &'static str, value: impl Into<Value>, words: [&'static str; 2]) -> Refused {
-    Refused {
-        place,
+fn invalid(
+    pointer: &'static str,
+    value: impl Into<Value>,
+    expected: [&'static str; 2],
+) -> InvalidValue {
+    InvalidValue {
+        pointer,
         value: value.into(),
-        words,
+        expected,
     }
 }
 
@@ -404,68 +417,72 @@
 const FIRST_CLASS_EFFECT: &str = "/settings/request_classes/0/effect";
 const FIRST_CLASS_DEADLINE: &str = "/settings/request_classes/0/deadline_ms";
 
-fn refused_settings() -> Vec<Refused> {
-    let class = "/settings/request_classes/0/objective_ms";
+fn invalid_values() -> Vec<InvalidValue> {
+    let objective = "/settings/request_classes/0/objective_ms";
     let timeout = "/settings/allowed/connect_timeout_ms";
     let range = "0 to 1e12";
     vec![
-        refused(FIRST_CLASS_EFFECT, "twice", ["effect", "twice"]),
-        refused(FIRST_CLASS_EFFECT, Value::Null, ["effect", "missing"]),
-        refused(FIRST_CLASS_DEADLINE, -1, ["deadline_ms", range]),
-        refused(FIRST_CLASS_DEADLINE, 1e300, ["deadline_ms", range]),
-        refused(class, "soon", ["objective_ms", range]),
-        refused(FIRST_CLASS_NAME, "a page", ["name", "space"]),
-        refused(FIRST_CLASS_NAME, "a,b=c", ["name", "comma"]),
-        refused(FIRST_CLASS_NAME, "", ["name", "0 bytes"]),
-        refused(FIRST_CLASS_NAME, "n".repeat(300), ["name", "300 bytes"]),
-        refused(FIRST_CLASS_NAME, "page", ["name", "two classes"]),
-        refused(
+        invalid(FIRST_CLASS_EFFECT, "twice", ["effect", "twice"]),
+        invalid(FIRST_CLASS_EFFECT, Value::Null, ["effect", "missing"]),
+        invalid(FIRST_CLASS_DEADLINE, -1, ["deadline_ms", range]),
+        invalid(FIRST_CLASS_DEADLINE, 1e300, ["deadline_ms", range]),
+        invalid(objective, "soon", ["objective_ms", range]),
+        invalid(FIRST_CLASS_NAME, "a page", ["name", "space"]),
+        invalid(FIRST_CLASS_NAME, "a,b=c", ["name", "comma"]),
+        invalid(FIRST_CLASS_NAME, "", ["name", "0 bytes"]),
+        invalid(FIRST_CLASS_NAME, "n".repeat(300), ["name", "300 bytes"]),
+        invalid(FIRST_CLASS_NAME, "page", ["name", "two classes"]),
+        invalid(
             FIRST_CLASS_NAME,
             "alive",
             ["name", "whether a dispatcher is up"],
         ),
-        refused(
+        invalid(
             "/settings/request_classes",
             json!([]),
             ["request_classes", "no class"],
         ),
-        refused("/settings/zone", "nowhere", ["zone", "nowhere"]),
-        refused("/settings/tick_ms", Value::Null, ["tick_ms", "missing"]),
-        refused(timeout, 1e200, ["connect_timeout_ms", range]),
-        refused(
+        invalid("/settings/zone", "nowhere", ["zone", "nowhere"]),
+        invalid("/settings/tick_ms", Value::Null, ["tick_ms", "missing"]),
+        invalid(timeout, 1e200, ["connect_timeout_ms", range]),
+        invalid(
             "/settings/request_classes/2/effect",
             "deduplicated",
             ["key_scope", "None"],
         ),
-        refused("/limits/sockets", 12, ["sockets", "12"]),
-        refused("/limits/memory_mb", 0, ["memory_mb is 0,", "more than 0"]),
+        invalid("/limits/sockets", 12, ["sockets", "12"]),
+        invalid("/limits/memory_mb", 0, ["memory_mb is 0,", "more than 0"]),
     ]
 }
 
-// One line that names the field and what is wrong, and exit code 1.
+// The process reports in one line which field is wrong and why, and exits with code 1.
 #[test]
 fn settings_that_cannot_be_served_are_refused_by_name() {
-    for Refused {
-        place,
+    for InvalidValue {
+        pointer,
         value,
-        words,
-    } in refused_settings()
+        expected,
+    } in invalid_values()
     {
         let mut config: Value = serde_json::from_str(CONFIG).unwrap();
         config["listen"] = "127.0.0.1:0".into();
-        *config.pointer_mut(place).unwrap() = value;
+        *config.pointer_mut(pointer).unwrap() = value;
         let mut process = command(&config.to_string()).spawn().unwrap();
         let started = Instant::now();
         while process.try_wait().unwrap().is_none() && started.elapsed() < WAIT_TIMEOUT {
             thread::sleep(Duration::from_millis(5));
         }
-        let _ = process.kill(); // one that serves all the same
+        let _ = process.kill(); // a process that serves in spite of the invalid value
         let output = process.wait_with_output().unwrap();
         let text = String::from_utf8(output.stderr).unwrap();
-        assert_eq!(output.status.code(), Some(1), "{words:?}: {text}");
+        assert_eq!(
+            output.status.code(),
+            Some(1),
+            "exit code with an invalid {pointer}: {text}"
+        );
         assert!(
-            text.lines().count() == 1 && words.iter().all(|word| text.contains(word)),
-            "{words:?}: {text}"
+            text.lines().count() == 1 && expected.iter().all(|part| text.contains(part)),
+            "expected one line with {expected:?}: {text}"
         );
     }
 }
