--- a/crates/flaxdeck-dispatcher/tests/client_connections.rs
+++ b/crates/flaxdeck-dispatcher/tests/client_connections.rs
@@ -1,4 +1,4 @@
-//! Client connections: which are closed, for what they send, for what they do not read, and to make room.
+//! Client connections: which are closed for what they send, for not reading their answers, or to make room.
 
 #![allow(
     clippy::unwrap_used,
@@ -27,28 +27,28 @@
         bad.send(bytes).unwrap();
         assert!(bad.ended());
     }
-    let whole = [
+    let complete = [
         ("id", "9b1f03aa5c7e2d41"),
         ("wait", "2500"),
         ("key", KEY),
         ("slice", "0"),
     ];
-    let with = |at: usize, value: &'static str| {
-        let mut fields = whole;
+    let with_value = |at: usize, value: &'static str| {
+        let mut fields = complete;
         fields[at].1 = value;
         request_message(9, "page", &fields, b"")
     };
     let bad = [
-        request_message(9, "nothing-known", &whole, b""),
-        request_message(9, "page", &whole[1..], b""),
-        with(0, "9b1f, wait=1 0\r\n"),
-        with(1, "soon"),
-        with(2, "7f3a9c21e0b4d65g"),
-        with(3, "-1"),
+        request_message(9, "nothing-known", &complete, b""),
+        request_message(9, "page", &complete[1..], b""),
+        with_value(0, "9b1f, wait=1 0\r\n"),
+        with_value(1, "soon"),
+        with_value(2, "7f3a9c21e0b4d65g"),
+        with_value(3, "-1"),
         request_message(
             9,
             "page",
-            &[whole[0], whole[1], whole[2], ("seen", "a,b=c d")],
+            &[complete[0], complete[1], complete[2], ("seen", "a,b=c d")],
             b"",
         ),
     ];
@@ -75,11 +75,14 @@
     assert!(silent.ended() && half.ended());
     assert!(
         start.elapsed() < Duration::from_millis(2900),
-        "{:?}",
+        "the connections are closed after {:?}",
         start.elapsed()
     );
     idle.request("page", KEY, 2000, b"").unwrap();
-    assert!(served(&idle.answer().unwrap(), KEY), "an idle one may stay");
+    assert!(
+        served(&idle.answer().unwrap(), KEY),
+        "an idle client that has sent a request is not served any more"
+    );
 }
 
 #[test]
@@ -102,7 +105,7 @@
     drop((silent, later));
 }
 
-// A machine that stands still for a while leaves what its clients said unread, and them looking silent.
+// While the process is stopped, messages of its clients stay unread; afterwards these clients must not count as silent.
 #[test]
 fn clients_that_sent_while_the_process_was_stopped_are_not_evicted_as_silent() {
     let world = World::with_config(1, |config| config["limits"]["sockets"] = 60.into()); // 20 for clients
@@ -122,7 +125,7 @@
     drop(waiting);
 }
 
-// Room for one connection in 6 ms would take over two seconds for these.
+// If each eviction took 6 ms to make room, these connections would take over two seconds.
 #[test]
 fn an_evicted_connection_makes_room_at_once() {
     let world = World::with_config(1, |config| config["limits"]["sockets"] = 60.into()); // 20 for clients
@@ -136,7 +139,7 @@
     }
     assert!(
         start.elapsed() < Duration::from_millis(1800),
-        "{:?}",
+        "400 connections took {:?}",
         start.elapsed()
     );
 }
@@ -154,8 +157,8 @@
     assert!(clients[0].ended());
 }
 
-// How long a client has taken nothing counts from when something began to wait for it, however long its connection has
-// been up by then, and whatever it says meanwhile.
+// The time for which a client reads nothing counts from when an answer began to wait, however long the connection has
+// been open by then, and whatever the client sends meanwhile.
 #[test]
 fn a_client_that_reads_late_while_it_sends_is_not_closed_as_stalled() {
     let world = World::start(1);
@@ -167,38 +170,38 @@
         assert!(served(&client.answer().unwrap(), KEY));
     }
     thread::sleep(Duration::from_millis(3200));
-    // The origin gives a write back: in all more than the system takes for a client that does not read. As more writes
-    // come all the time, there is something to be read at the moment when something begins to wait.
-    let tell = |mut client: Client| {
+    // The origin answers a write with its body: in all more than the system buffers for a client that does not read. As
+    // more writes arrive all the time, there are unread messages at the moment when an answer begins to wait.
+    let write_and_read_late = |mut client: Client| {
         thread::spawn(move || {
-            let mut reads = client.again().unwrap();
-            let writes = thread::spawn(move || {
+            let mut reader = client.again().unwrap();
+            let writer = thread::spawn(move || {
                 (0..250)
                     .filter(|_| client.request("submit", KEY, 2900, &[7; 40_000]).is_ok())
                     .count()
             });
             thread::sleep(Duration::from_millis(700));
-            let answers = (0..250).take_while(|_| reads.answer().is_ok()).count();
-            (writes.join().unwrap(), answers)
+            let answers = (0..250).take_while(|_| reader.answer().is_ok()).count();
+            (writer.join().unwrap(), answers)
         })
     };
-    let told: Vec<_> = clients.into_iter().map(tell).collect();
-    for (n, client) in told.into_iter().enumerate() {
+    let clients: Vec<_> = clients.into_iter().map(write_and_read_late).collect();
+    for (n, client) in clients.into_iter().enumerate() {
         assert_eq!(
             client.join().unwrap(),
             (250, 250),
-            "client {n} lost its connection"
+            "writes sent and answers read by client {n}, whose connection may have been closed"
         );
     }
 }
 
-// A write comes in pieces; one whose first piece has been read is no idle connection's.
+// A write may arrive in pieces; a connection on which the first piece was read is not idle.
 #[test]
 fn a_client_midway_through_a_write_is_not_evicted() {
     let world = World::with_config(1, |config| config["limits"]["sockets"] = 60.into());
-    let mut writes = world.client();
-    writes.request("page", KEY, 2400, b"").unwrap();
-    assert!(served(&writes.answer().unwrap(), KEY));
+    let mut writer = world.client();
+    writer.request("page", KEY, 2400, b"").unwrap();
+    assert!(served(&writer.answer().unwrap(), KEY));
     let fields = [
         ("id", "9b1f03aa5c7e2d41"),
         ("wait", "2500"),
@@ -206,7 +209,7 @@
         ("slice", "0"),
     ];
     let message = request_message(9, "submit", &fields, &[7; 4000]);
-    writes.send(&message[..1000]).unwrap();
+    writer.send(&message[..1000]).unwrap();
     thread::sleep(Duration::from_millis(50));
     let later: Vec<Client> = (0..40)
         .map(|n| {
@@ -216,27 +219,27 @@
             client
         })
         .collect();
-    writes.send(&message[1000..]).unwrap();
-    assert!(matches!(writes.answer().unwrap(), Answer::Served { body, .. } if body == [7; 4000]));
+    writer.send(&message[1000..]).unwrap();
+    assert!(matches!(writer.answer().unwrap(), Answer::Served { body, .. } if body == [7; 4000]));
     drop(later);
 }
 
 #[test]
 fn a_client_that_reads_no_answers_uses_up_only_its_own_requests() {
     let world = World::with_config(1, |config| config["limits"]["memory_mb"] = 30.into());
-    let (mut deaf, mut well) = (world.client(), world.client());
+    let (mut non_reading, mut other) = (world.client(), world.client());
     let big = vec![7; 40_000];
-    // The origin gives a write back, so what the deaf client has not taken soon fills its connection.
-    thread::spawn(move || while deaf.request("submit", KEY, 2400, &big).is_ok() {});
+    // The origin answers a write with its body, so the unread answers soon fill the connection of the client.
+    thread::spawn(move || while non_reading.request("submit", KEY, 2400, &big).is_ok() {});
     let mut before = 0;
-    wait_for("nothing more gets through", || {
+    wait_for("no further write reaches the origin", || {
         thread::sleep(Duration::from_millis(500));
         let (last, now) = (before, world.origin.heard("want").len());
         before = now;
         last == now && now > 0
     });
     for n in 0..4 {
-        well.request("page", &key(n), 2400, b"").unwrap();
-        assert!(served(&well.answer().unwrap(), &key(n)));
+        other.request("page", &key(n), 2400, b"").unwrap();
+        assert!(served(&other.answer().unwrap(), &key(n)));
     }
 }
--- a/crates/flaxdeck-dispatcher/tests/descriptors.rs
+++ b/crates/flaxdeck-dispatcher/tests/descriptors.rs
@@ -40,8 +40,8 @@
     socket
 }
 
-/// Starts idle clients, which connect, half of them send one message, and wait until they are closed. They are replaced
-/// by new ones then.
+/// Starts idle clients: they connect, half of them send one message, and all wait until they are closed. New ones
+/// replace those that were closed.
 fn start_idle_clients(address: SocketAddr, stop: &Arc<AtomicBool>) -> JoinHandle<()> {
     let stop = stop.clone();
     thread::spawn(move || {
--- a/crates/flaxdeck-dispatcher/tests/endings.rs
+++ b/crates/flaxdeck-dispatcher/tests/endings.rs
@@ -1,5 +1,5 @@
-//! What is still owed when something ends: each test makes the instant happen and looks at both ends. docs/endings.md
-//! names the row of each.
+//! What happens to open work when a request, a connection or the process ends. Each test brings about one such moment
+//! and checks both sides. docs/endings.md lists the cases with their tests.
 
 #![allow(
     clippy::unwrap_used,
@@ -22,8 +22,8 @@
     read_request, served, unix_now, unused_address, wait_for,
 };
 
-/// A client whose connection takes few bytes that it has not read.
-fn narrow(address: SocketAddr) -> Client {
+/// Connects a client with a small receive buffer, so that its connection takes few bytes that the client has not read.
+fn connect_with_small_buffer(address: SocketAddr) -> Client {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
     socket.connect(&address.into()).unwrap();
@@ -34,16 +34,17 @@
     [("id", id), ("wait", "2500"), ("key", key), ("slice", "0")]
 }
 
-/// A message of the protocol that nothing follows from.
-const NOTHING: &[u8] = &[
+/// A valid message of the protocol that the dispatcher ignores.
+const IGNORED_MESSAGE: &[u8] = &[
     0x93, 2, 0xa7, b'n', b'o', b't', b'h', b'i', b'n', b'g', 0x90,
 ];
 
-/// A question whether the dispatcher is up, which is answered at once.
-const ALIVE: &[u8] = &[0x94, 0, 7, 0xa5, b'a', b'l', b'i', b'v', b'e', 0x91, 0x80];
+/// A request whether the dispatcher is alive, which is answered at once.
+const ALIVE_REQUEST: &[u8] = &[0x94, 0, 7, 0xa5, b'a', b'l', b'i', b'v', b'e', 0x91, 0x80];
 
-/// Has so many writes answered of which the client reads nothing, and nothing waits in the process any more.
-fn unread_answers(world: &World, client: &mut Client, writes: usize) {
+/// Sends writes whose answers the client does not read, waits until all are at the origin, and leaves time for the
+/// answers.
+fn write_without_reading(world: &World, client: &mut Client, writes: usize) {
     for _ in 0..writes {
         client.request("submit", KEY, 2400, &[7; 40_000]).unwrap();
     }
@@ -53,32 +54,34 @@
     thread::sleep(Duration::from_millis(100));
 }
 
-fn takes_them_all(client: &mut Client, writes: usize) {
+/// Reads the answers to all writes, and then the end of the connection.
+fn read_all_answers(client: &mut Client, writes: usize) {
     for n in 0..writes {
         let answer = client.answer();
         assert!(
             matches!(&answer, Ok(Answer::Served { body, .. }) if body.len() == 40_000),
-            "{n}: {answer:?}"
+            "answer {n} is not a complete write: {answer:?}"
         );
     }
     assert!(client.ended());
 }
 
-// A close over unread bytes resets the connection, and what the client has not read yet goes with it.
+// Closing a connection with unread bytes would reset it, and the client would lose the answers that it has not read
+// yet.
 #[test]
 fn answers_arrive_complete_when_their_client_is_closed_as_malformed() {
     let world = World::start(1);
-    let mut client = narrow(world.address);
-    unread_answers(&world, &mut client, 20);
+    let mut client = connect_with_small_buffer(world.address);
+    write_without_reading(&world, &mut client, 20);
     client.send(&[0xc1; 400_000]).unwrap();
-    takes_them_all(&mut client, 20);
+    read_all_answers(&mut client, 20);
     assert!(
         served(&world.request("page", KEY, 2000, b""), KEY),
-        "others notice nothing"
+        "another client is not served"
     );
 }
 
-// The same at the end of the process, while a client goes on sending until the last moment.
+// The same at a shutdown, while the client sends until the connection ends.
 #[test]
 fn answers_arrive_complete_when_the_process_ends_while_a_client_sends() {
     let mut world = World::with_config(1, |config| {
@@ -89,18 +92,18 @@
             class["deadline_ms"] = 2900.into();
         }
     });
-    let mut client = narrow(world.address);
-    unread_answers(&world, &mut client, 20);
-    let mut says = client.again().unwrap();
-    let says = thread::spawn(move || while says.send(&NOTHING.repeat(500)).is_ok() {});
+    let mut client = connect_with_small_buffer(world.address);
+    write_without_reading(&world, &mut client, 20);
+    let mut sender = client.again().unwrap();
+    let sender = thread::spawn(move || while sender.send(&IGNORED_MESSAGE.repeat(500)).is_ok() {});
     world.terminate();
-    takes_them_all(&mut client, 20);
+    read_all_answers(&mut client, 20);
     assert!(world.process.wait().unwrap().success());
     drop(client);
-    says.join().unwrap();
+    sender.join().unwrap();
 }
 
-// A client that rests until the dispatcher ends it gets an end that it can tell from a failure.
+// An idle client whose connection the dispatcher closes sees the end of the stream, which it can tell from a failure.
 #[test]
 fn an_idle_client_is_closed_and_not_reset_at_shutdown() {
     let mut world = World::start(1);
@@ -113,7 +116,8 @@
     for mut client in clients {
         let end = client.answer().unwrap_err();
         assert_eq!(end.kind(), std::io::ErrorKind::UnexpectedEof);
-        // What crosses the end is not sent on; its client sees no answer and asks elsewhere.
+        // A request that is sent after the close is not forwarded. Its client gets no answer and turns to another
+        // dispatcher.
         let _ = client.request("page", &key(1), 2000, b"");
     }
     assert!(world.process.wait().unwrap().success());
@@ -133,7 +137,7 @@
     world.terminate();
     world.wait_for_log(&["asked to end"]);
     client.send(&message[..40]).unwrap();
-    thread::sleep(Duration::from_millis(1200)); // well past the time for which every planned end stays
+    thread::sleep(Duration::from_millis(1200)); // longer than the minimum duration of a shutdown
     client.send(&message[40..]).unwrap();
     assert!(served(&client.answer().unwrap(), KEY));
     assert!(client.ended());
@@ -146,7 +150,9 @@
     world.caches[0].set(Manner::Late(500));
     let mut client = world.client();
     client.request("page", KEY, 2400, b"").unwrap();
-    wait_for("sent on", || !world.caches[0].heard("want").is_empty());
+    wait_for("the request is at the cache", || {
+        !world.caches[0].heard("want").is_empty()
+    });
     for name in ["HUP", "TERM", "HUP", "TERM"] {
         world.signal(name);
     }
@@ -157,28 +163,32 @@
 
 #[test]
 fn a_shutdown_without_the_coordinator_answers_open_requests() {
-    let (_held, gone) = unused_address();
-    let mut world = World::with_config(1, |config| config["coordinator"] = gone.to_string().into());
+    let (_reserved, unused) = unused_address();
+    let mut world = World::with_config(1, |config| {
+        config["coordinator"] = unused.to_string().into()
+    });
     world.caches[0].set(Manner::Late(500));
     let mut client = world.client();
     client.request("page", KEY, 2400, b"").unwrap();
-    wait_for("sent on", || !world.caches[0].heard("want").is_empty());
+    wait_for("the request is at the cache", || {
+        !world.caches[0].heard("want").is_empty()
+    });
     world.terminate();
     assert!(served(&client.answer().unwrap(), KEY));
     assert!(world.process.wait().unwrap().success());
 }
 
-// A client that has left is not waited for: not behind answers that lie unread, ...
+// A cancellation takes effect in time, also if the client does not read its answers.
 #[test]
 fn a_cancellation_is_noticed_behind_unread_answers() {
     let (world, cache_host, _) = cache_with_full_backlog(|_| {});
     let (mut client, n) = attempt_in_flight(&world, 0);
-    // More than its connection takes, so that answers wait in the process, and refusals behind them.
+    // More answers than the connection takes, so that some wait in the process, with rejections behind them.
     let writes = 700;
     let mut writer = client.again().unwrap();
     let written = thread::spawn(move || {
         for _ in 0..writes {
-            let _ = writer.request("submit", KEY, 2400, &[7; 40_000]); // it may be refused meanwhile
+            let _ = writer.request("submit", KEY, 2400, &[7; 40_000]); // the connection may be closed meanwhile
         }
     });
     written.join().unwrap();
@@ -188,10 +198,13 @@
     let cancelled = unix_now();
     stalls.await_probes();
     world.wait_for_log(&["left: "]);
-    let late = world.departure_times()[0].saturating_sub(cancelled);
-    assert!(late < MAX_CANCEL_DELAY + stalls.total(), "{late:?}");
+    let delay = world.departure_times()[0].saturating_sub(cancelled);
+    assert!(
+        delay < MAX_CANCEL_DELAY + stalls.total(),
+        "the cancellation is noticed after {delay:?}"
+    );
     cache_host.serve_all();
-    thread::sleep(Duration::from_millis(1500)); // the system's next try of the connection
+    thread::sleep(Duration::from_millis(1500)); // until the system has retried the connection
     assert!(
         cache_host
             .requests()
@@ -200,42 +213,45 @@
     );
 }
 
-// ... not behind a write that there is no memory for, which is refused at once instead, ...
+// A cancellation takes effect in time, also behind a write for which there is no memory; the write is rejected soon.
 #[test]
 fn a_cancellation_is_noticed_while_memory_is_full_and_what_finds_none_is_rejected_at_once() {
     let (world, cache_host, _) =
         cache_with_full_backlog(|config| config["limits"]["memory_mb"] = 0.7.into());
     let (mut client, n) = attempt_in_flight(&world, 0);
     world.origin.set(Manner::Silent);
-    let mut fills = world.client();
-    fills.request("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of 48,000 that there are
-    wait_for("it is at the origin", || {
+    let mut filler = world.client();
+    filler.request("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of a memory of 48,000 bytes
+    wait_for("the write that fills the memory is at the origin", || {
         !world.origin.heard("want").is_empty()
     });
     let mut stalls = Stalls::start_with_prober(&world);
-    let asked = Instant::now();
-    let refused = client.request("submit", KEY, 2400, &[7; 40_000]).unwrap();
+    let sent = Instant::now();
+    let rejected = client.request("submit", KEY, 2400, &[7; 40_000]).unwrap();
     client.cancel(1).unwrap();
     stalls.probe();
     let cancelled = unix_now();
     stalls.await_probes();
     world.wait_for_log(&["left: "]);
-    let late = world.departure_times()[0].saturating_sub(cancelled);
-    assert!(late < MAX_CANCEL_DELAY + stalls.total(), "{late:?}");
+    let delay = world.departure_times()[0].saturating_sub(cancelled);
+    assert!(
+        delay < MAX_CANCEL_DELAY + stalls.total(),
+        "the cancellation is noticed after {delay:?}"
+    );
     let answer = client.answer().unwrap();
     assert!(
-        matches!(&answer, Answer::Error { call, word, .. } if *call == refused && word == "Backoff")
+        matches!(&answer, Answer::Error { call, word, .. } if *call == rejected && word == "Backoff")
     );
     assert!(
-        asked.elapsed() < Duration::from_millis(500),
-        "{:?}",
-        asked.elapsed()
+        sent.elapsed() < Duration::from_millis(500),
+        "the rejection took {:?}",
+        sent.elapsed()
     );
     client.request("page", &key(n + 100), 2000, b"").unwrap();
     cache_host.serve_all();
     assert!(
         served(&client.answer().unwrap(), &key(n + 100)),
-        "its connection goes on"
+        "the connection is not usable after the rejection"
     );
     assert!(
         cache_host
@@ -245,7 +261,8 @@
     );
 }
 
-// ... and a connection that comes up for it alone is dropped, also where no attempt may be taken back.
+// A connection to a host that only a departed client needs is given up, also where the settings don't allow cancelling
+// attempts.
 #[test]
 fn a_connection_that_no_client_waits_for_is_dropped() {
     for may_cancel in [true, false] {
@@ -256,12 +273,17 @@
         drop(client);
         world.wait_for_log(&["left: "]);
         cache_host.serve_all();
-        thread::sleep(Duration::from_millis(2500)); // two more tries of the system
-        assert_eq!(cache_host.accepted(), 0, "{may_cancel}");
+        thread::sleep(Duration::from_millis(2500)); // until the system would have retried the connection twice
+        assert_eq!(
+            cache_host.accepted(),
+            0,
+            "connections, with cancellation allowed: {may_cancel}"
+        );
     }
 }
 
-// A half-close can't be told from a close, and a reset says the same: nothing is owed, and nothing goes on for it.
+// A half-close can't be told from a close. After either, and after a reset, open requests are cancelled and get no
+// answer.
 #[test]
 fn a_client_that_half_closes_or_resets_has_its_requests_cancelled() {
     for resets in [false, true] {
@@ -274,20 +296,22 @@
         socket.connect(&world.address.into()).unwrap();
         let mut client = Client::over(TcpStream::from(socket)).unwrap();
         client.request("page", KEY, 2400, b"").unwrap();
-        wait_for("sent on", || !world.caches[0].heard("want").is_empty());
+        wait_for("the request is at the cache", || {
+            !world.caches[0].heard("want").is_empty()
+        });
         if !resets {
             client.shut().unwrap();
             assert!(client.ended());
         }
         drop(client);
         world.wait_for_log(&["left: "]);
-        wait_for("given up", || {
+        wait_for("the attempt is cancelled at the cache", || {
             !world.caches[0].heard("never_mind").is_empty()
         });
         world.caches[0].set(Manner::Serve);
         assert!(
             served(&world.request("page", &key(1), 2000, b""), &key(1)),
-            "others notice nothing"
+            "another client is not served"
         );
     }
 }
@@ -295,36 +319,45 @@
 #[test]
 fn a_flooding_client_that_reads_nothing_loses_only_its_own_connection() {
     let world = World::start(1);
-    let mut flood = narrow(world.address);
+    let mut flood = connect_with_small_buffer(world.address);
     let stop = Arc::new(AtomicBool::new(false));
-    let tells = stop.clone();
+    let stop_flood = stop.clone();
     let flooding = thread::spawn(move || {
-        let batch = ALIVE.repeat(2000);
-        while !tells.load(Ordering::Relaxed) && flood.send(&batch).is_ok() {}
+        let batch = ALIVE_REQUEST.repeat(2000);
+        while !stop_flood.load(Ordering::Relaxed) && flood.send(&batch).is_ok() {}
     });
     let mut slowest = Duration::ZERO;
     for n in 0..40 {
-        let asked = Instant::now();
+        let sent = Instant::now();
         assert!(served(&world.request("page", &key(n), 2000, b""), &key(n)));
-        slowest = slowest.max(asked.elapsed());
+        slowest = slowest.max(sent.elapsed());
     }
-    assert!(slowest < Duration::from_millis(1500), "{slowest:?}");
-    wait_for("the flood is ended", || flooding.is_finished());
+    assert!(
+        slowest < Duration::from_millis(1500),
+        "the slowest request of another client took {slowest:?}"
+    );
+    wait_for("the flooding connection is closed", || {
+        flooding.is_finished()
+    });
     stop.store(true, Ordering::Relaxed);
     flooding.join().unwrap();
 }
 
-// Past a bound on what it is owed, and sooner than one that only takes nothing.
+// A client that is owed more direct answers than the bound is closed, before the limit for clients that read nothing
+// applies.
 #[test]
 fn a_client_owed_more_answers_than_the_bound_is_closed_as_flooding() {
     let mut world = World::start(1);
-    let mut flood = narrow(world.address);
-    // More than its connection takes, so that answers wait in the process and the rest is owed.
-    let asked = (0..700)
+    let mut flood = connect_with_small_buffer(world.address);
+    // More answers than the connection takes, so that some wait in the process and the rest is deferred.
+    let sent = (0..700)
         .take_while(|_| flood.request("submit", KEY, 2400, &[7; 40_000]).is_ok())
         .count();
-    let _ = flood.send(&ALIVE.repeat(4000)); // it may be ended in the middle of this
-    assert_eq!(asked, 700, "what is owed until then is within the bound");
+    let _ = flood.send(&ALIVE_REQUEST.repeat(4000)); // the connection may be closed before all is sent
+    assert_eq!(
+        sent, 700,
+        "the connection is closed though the writes alone stay within the bound"
+    );
     assert!(served(&world.request("page", KEY, 2000, b""), KEY));
     world.terminate();
     world.wait_for_log(&["counted: ", "clients_flooding=1"]);
@@ -346,10 +379,10 @@
                     "{} data version=v1,how=hit 200000\r\n",
                     line.split(' ').nth(1).unwrap()
                 );
-                let mut sent = std::io::Write::write_all(&mut stream, head.as_bytes());
-                while sent.is_ok() {
+                let mut written = std::io::Write::write_all(&mut stream, head.as_bytes());
+                while written.is_ok() {
                     thread::sleep(Duration::from_millis(20));
-                    sent = std::io::Write::write_all(&mut stream, b"x");
+                    written = std::io::Write::write_all(&mut stream, b"x");
                 }
             });
         }
@@ -358,7 +391,7 @@
         config["known"]["updates"][0]["endpoints"]["hosts"][0]["dial"] = address.to_string().into();
     });
     let mut client = world.client();
-    let asked = Instant::now();
+    let sent = Instant::now();
     client.request("page", KEY, 900, b"").unwrap();
     let first = client.answer().unwrap();
     assert!(matches!(
@@ -366,11 +399,14 @@
         Answer::Error { .. } | Answer::Served { .. }
     ));
     assert!(
-        asked.elapsed() < Duration::from_millis(950),
-        "{:?}",
-        asked.elapsed()
+        sent.elapsed() < Duration::from_millis(950),
+        "the answer took {:?} of a timeout of 900 ms",
+        sent.elapsed()
+    );
+    assert!(
+        client.quiet_for(Duration::from_millis(200)),
+        "something follows the answer"
     );
-    assert!(client.quiet_for(Duration::from_millis(200)), "one answer");
     client.request("submit", KEY, 900, b"a form").unwrap();
     assert!(matches!(client.answer().unwrap(), Answer::Served { .. }));
 }
--- a/crates/flaxdeck-dispatcher/tests/hosts.rs
+++ b/crates/flaxdeck-dispatcher/tests/hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts that die, fail or keep silent, the connections to them, and requests cancelled there.
+//! Hosts that die, fail or are silent, the connections to them, and the cancellation of requests at hosts.
 
 #![allow(
     clippy::unwrap_used,
@@ -31,7 +31,10 @@
         }
         for n in 0..8 {
             let answer = world.request("page", &key(n), 2000, b"");
-            assert!(served(&answer, &key(n)), "{manner:?}");
+            assert!(
+                served(&answer, &key(n)),
+                "object {n} is not served when a cache has died (None) or has the manner {manner:?}"
+            );
         }
     }
 }
@@ -47,14 +50,17 @@
         .into_iter()
         .map(|(line, _)| line)
         .collect();
-    assert!(!silent.is_empty(), "some belong to the silent host");
+    assert!(
+        !silent.is_empty(),
+        "none of the requests is sent to the silent host"
+    );
     for n in (0..16).filter(|n| !silent.iter().any(|line| line.contains(&key(*n)))) {
         assert!(
             answers.iter().any(|answer| served(answer, &key(n))),
-            "{n} does not belong to it"
+            "object {n}, which is not requested from the silent host, is not served"
         );
     }
-    wait_for("given up at the silent host", || {
+    wait_for("an attempt is cancelled at the silent host", || {
         !world.caches[0].heard("never_mind").is_empty()
     });
 }
@@ -68,13 +74,16 @@
     let mut client = world.client();
     let answers = request_all(&mut client, 16, 2400);
     for n in 0..16 {
-        assert!(answers.iter().any(|answer| served(answer, &key(n))), "{n}");
+        assert!(
+            answers.iter().any(|answer| served(answer, &key(n))),
+            "object {n} is not served"
+        );
     }
     assert!(
         !world.caches[0].heard("want").is_empty(),
-        "some belong to the silent host"
+        "none of the requests is sent to the silent host"
     );
-    wait_for("given up there", || {
+    wait_for("an attempt is cancelled at the silent host", || {
         !world.caches[0].heard("never_mind").is_empty()
     });
 }
@@ -108,13 +117,17 @@
         assert!(served(&world.request("page", KEY, 2000, b""), KEY));
     }
     assert_eq!(world.origin.heard("want").len(), 8);
-    let mut at: Vec<usize> = world
+    let mut requests_at_caches: Vec<usize> = world
         .caches
         .iter()
         .map(|cache| cache.heard("want").len())
         .collect();
-    at.sort();
-    assert_eq!(at, [0, 8], "the object stays where it belongs");
+    requests_at_caches.sort();
+    assert_eq!(
+        requests_at_caches,
+        [0, 8],
+        "not all requests for the object are sent to the same cache"
+    );
 }
 
 #[test]
@@ -128,7 +141,7 @@
     let served = |n: &u32| answers.iter().any(|answer| served(answer, &key(*n)));
     assert!(
         (0..24).filter(served).count() >= 4,
-        "what had a descriptor is served"
+        "fewer requests are served than there are connections to hosts"
     );
 }
 
@@ -138,9 +151,11 @@
     world.caches[0].set(Manner::Late(400));
     let mut client = world.client();
     let call = client.request("page", KEY, 2400, b"").unwrap();
-    wait_for("handed off", || !world.caches[0].heard("want").is_empty());
+    wait_for("the request is at the cache", || {
+        !world.caches[0].heard("want").is_empty()
+    });
     client.cancel(call).unwrap();
-    wait_for("given up", || {
+    wait_for("the request is cancelled at the cache", || {
         !world.caches[0].heard("never_mind").is_empty()
     });
     assert!(client.quiet_for(Duration::from_millis(600)));
@@ -155,14 +170,14 @@
 fn requests_cancelled_in_the_same_write_reach_no_host() {
     let world = World::start(1);
     let mut client = world.client();
-    let breath = |call: u8| {
+    let request_and_cancel = |call: u8| {
         let id = format!("{call:016x}");
         let fields = [("id", &*id), ("wait", "2500"), ("key", KEY), ("slice", "0")];
         let request = request_message(call.into(), "page", &fields, b"");
         [&request[..], b"\x93\x02\xadcancelRequest\x91", &[call]].concat()
     };
     client
-        .send(&(1..30).flat_map(breath).collect::<Vec<u8>>())
+        .send(&(1..30).flat_map(request_and_cancel).collect::<Vec<u8>>())
         .unwrap();
     assert!(client.quiet_for(Duration::from_millis(200)));
     assert!(world.caches[0].heard("want").is_empty());
@@ -176,9 +191,11 @@
     world.caches[0].set(Manner::Silent);
     let mut client = world.client();
     client.request("page", KEY, 2400, b"").unwrap();
-    wait_for("handed off", || !world.caches[0].heard("want").is_empty());
+    wait_for("the request is at the cache", || {
+        !world.caches[0].heard("want").is_empty()
+    });
     drop(client);
-    wait_for("given up", || {
+    wait_for("the request is cancelled at the cache", || {
         !world.caches[0].heard("never_mind").is_empty()
     });
 }
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -280,7 +280,7 @@
     AttemptOutcome::NoCopy,
 ];
 
-/// Returns two caches, the origin and so many parents.
+/// Returns two caches, the origin and `parents` parents.
 fn hosts(parents: u64, start: Time) -> Vec<Endpoint> {
     let mut hosts = vec![
         endpoint("s-0000ca00", Role::Cache, 0, None),
