--- a/crates/flaxdeck-dispatcher/tests/limits_and_log.rs
+++ b/crates/flaxdeck-dispatcher/tests/limits_and_log.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_failed_start_says_why_in_one_line() {
+fn a_failed_start_reports_the_reason_in_one_line() {
     let fails = |mut command: Command, expected: &str| {
         let output = command.output().unwrap();
         let text = String::from_utf8(output.stderr).unwrap();
--- a/crates/flaxdeck-dispatcher/tests/settings.rs
+++ b/crates/flaxdeck-dispatcher/tests/settings.rs
@@ -457,7 +457,7 @@
 
 // The process reports in one line which field is wrong and why, and exits with code 1.
 #[test]
-fn settings_that_cannot_be_served_are_refused_by_name() {
+fn invalid_settings_are_reported_with_the_name_of_the_field() {
     for InvalidValue {
         pointer,
         value,
