--- a/crates/flaxdeck-cli/src/recovery.rs
+++ b/crates/flaxdeck-cli/src/recovery.rs
@@ -1,5 +1,5 @@
-//! `flaxdeck recovery`: forwarders and planners killed and started again among stand-ins on loopback, beside a twin in
-//! which nothing of ours is killed.
+//! `flaxdeck recovery`: kills and restarts forwarders and planners among stand-ins on loopback, and compares each run
+//! with a twin in which no forwarder or planner is killed.
 
 mod arguments;
 mod play;
@@ -11,7 +11,7 @@
 use crate::exit::{ExitError, usage_error};
 pub(crate) use arguments::Arguments;
 use arguments::Trial;
-use play::{KILLED_MS, UP_MS};
+use play::{KILL_MS, RESTART_MS};
 use raw_results::{RawResults, RunResult, RunSlices};
 use table::Row;
 
@@ -19,7 +19,10 @@
 pub(crate) fn run(arguments: &Arguments) -> Result<(), ExitError> {
     let is_fraction = |killed: &f64| (0.0..=1.0).contains(killed);
     if !arguments.killed.iter().all(is_fraction) {
-        return Err(usage_error("--killed takes parts from 0 to 1"));
+        return Err(usage_error(format!(
+            "--killed: fractions from 0 to 1 expected, got {:?}",
+            arguments.killed
+        )));
     }
     table::print_head();
     let mut violations = 0;
@@ -36,12 +39,12 @@
         Ok(())
     } else {
         Err(ExitError::failed(format!(
-            "{violations} times a rule was broken"
+            "{violations} violations of the rules in all runs"
         )))
     }
 }
 
-/// Plays the runs of one row, each beside its twin.
+/// Plays the runs of one row, each after its twin.
 fn play_row(
     arguments: &Arguments,
     trial: Trial,
@@ -51,10 +54,10 @@
     for seed in arguments.seed..arguments.seed + arguments.runs {
         let trial = Trial { seed, ..trial };
         let twin = play::play(arguments, trial.twin())?;
-        let played = if arguments.noise { trial.twin() } else { trial };
-        let run = play::play(arguments, played)?;
-        let full_ms = time_to_full_service(&run.slices, &twin.slices, UP_MS);
-        let losses = excess_losses(&run.slices, &twin.slices, KILLED_MS, UP_MS);
+        let played_trial = if arguments.noise { trial.twin() } else { trial };
+        let run = play::play(arguments, played_trial)?;
+        let full_ms = time_to_full_service(&run.slices, &twin.slices, RESTART_MS);
+        let losses = excess_losses(&run.slices, &twin.slices, KILL_MS, RESTART_MS);
         if arguments.slices {
             table::print_slices(&run.slices, &twin.slices);
         }
--- a/crates/flaxdeck-cli/src/recovery/arguments.rs
+++ b/crates/flaxdeck-cli/src/recovery/arguments.rs
@@ -1,4 +1,4 @@
-//! What `flaxdeck recovery` takes on the command line.
+//! The command line of `flaxdeck recovery`, and the trials that it asks for.
 
 use std::path::PathBuf;
 
@@ -82,7 +82,7 @@
     pub keep: Option<PathBuf>,
 }
 
-/// One run's conditions.
+/// The conditions of one run.
 #[derive(Clone, Copy)]
 pub(crate) struct Trial {
     pub environment: Environment,
@@ -95,17 +95,17 @@
 }
 
 impl Trial {
-    /// The environment's name in tables.
+    /// Returns the environment's name in tables.
     pub(crate) fn environment_name(&self) -> String {
         format!("{:?}", self.environment).to_lowercase()
     }
 
-    /// The saved state's name in tables.
+    /// Returns the saved state's name in tables.
     pub(crate) fn state_name(&self) -> String {
         format!("{:?}", self.state).to_lowercase()
     }
 
-    /// The same run with nothing of ours killed.
+    /// Returns the same trial with no forwarder or planner killed.
     pub(crate) fn twin(self) -> Trial {
         Trial {
             killed: 0.0,
@@ -113,19 +113,19 @@
         }
     }
 
-    /// How many forwarders are killed: those of the lowest numbers.
+    /// Returns how many forwarders are killed: those with the lowest indices.
     pub(crate) fn killed_forwarders(&self) -> usize {
         (self.killed * self.forwarders as f64).round() as usize
     }
 
-    /// How many planners are killed: all of them, if anything is.
+    /// Returns how many planners are killed: all of them if `killed` is above 0, otherwise none.
     pub(crate) fn killed_planners(&self) -> usize {
         if self.killed > 0.0 { self.planners } else { 0 }
     }
 }
 
 impl Arguments {
-    /// Every combination of the conditions, of the first seed.
+    /// Returns every combination of the conditions, each with the first seed.
     pub(crate) fn trials(&self) -> Vec<Trial> {
         let mut trials = Vec::new();
         for environment in &self.worlds {
--- a/crates/flaxdeck-cli/src/recovery/play.rs
+++ b/crates/flaxdeck-cli/src/recovery/play.rs
@@ -1,4 +1,4 @@
-//! Plays one run: a world of stand-ins, a fleet of real programs, clients, and what is killed.
+//! Plays one run: a world of stand-ins, a fleet of real processes, clients, and faults.
 
 use std::path::PathBuf;
 use std::thread::sleep;
@@ -14,29 +14,30 @@
 use super::arguments::{Arguments, Environment, SavedState, Trial};
 use crate::exit::{self, ExitError};
 
-/// The day's course, in milliseconds from when it begins: processes are killed, ...
-pub(crate) const KILLED_MS: f64 = 4_000.0;
-/// ... run again, ...
-pub(crate) const UP_MS: f64 = 5_000.0;
-/// ... and it ends.
+/// When processes are killed, in milliseconds from the day's start.
+pub(crate) const KILL_MS: f64 = 4_000.0;
+/// When the killed processes are started again, in milliseconds from the day's start.
+pub(crate) const RESTART_MS: f64 = 5_000.0;
+/// The length of the day.
 pub(crate) const END_MS: f64 = 16_000.0;
-/// Clients come from so long before the day on.
+/// How long before the day the clients start.
 const WARMUP_MS: f64 = 1_000.0;
-/// The clients' last requests have ended by then.
-const DRAIN_MS: f64 = 6_000.0;
-/// The latency objective of the stand-ins' pages, with its stretch at the mean size, in milliseconds.
+/// Longest wait after the day's end for the answers to the clients' last requests.
+const MAX_CLIENT_WAIT_MS: f64 = 6_000.0;
+/// The latency objective of the request class `page` of the stand-ins, with its allowance for an object of mean size.
 const OBJECTIVE_MS: f64 = 440.0;
-/// What a slot takes on average for a request of the stand-ins, in milliseconds.
+/// The mean time for which a request occupies a slot of a stand-in.
 const MEAN_SERVICE_MS: f64 = 21.0;
-/// Forwarders that have just started leave cold hosts alone; they are through with it after that.
-const SETTLED_MS: f64 = 5_500.0;
+/// Time between the start of the fleet and the day. For some seconds after its start a forwarder does not use its
+/// quotas of cold hosts; that time is over when the day starts.
+const STARTUP_WAIT_MS: f64 = 5_500.0;
 
-/// What one run came to.
+/// The results of one run.
 pub(crate) struct Run {
     pub slices: Vec<Slice>,
-    /// The stand-ins' counters, from the day's beginning on.
+    /// The stand-ins' counters from the day's start on.
     pub intervals: Vec<IntervalCounters>,
-    /// Violations of the rules, and what else went wrong, in words.
+    /// Violations of the rules and other failures of the run, as text.
     pub violations: Vec<String>,
     pub peak_cold_load: f64,
     pub all_accounted_for: bool,
@@ -86,7 +87,7 @@
     };
     let mut fleet = Fleet::start(world, setup).map_err(ExitError::failed)?;
     if keeps_state {
-        // State is kept from the second start on.
+        // Forwarders store state only from their second start on, so each is restarted once before the run.
         for forwarder in 0..trial.forwarders {
             fleet
                 .inject(&Fault::KillForwarder(forwarder))
@@ -99,7 +100,7 @@
     Ok(fleet)
 }
 
-fn load(arguments: &Arguments, trial: Trial, begins: f64) -> Load {
+fn load(arguments: &Arguments, trial: Trial, start_ms: f64) -> Load {
     let slots = arguments.caches as f64 * arguments.places;
     let rate = arguments.load * slots / MEAN_SERVICE_MS * 1000.0;
     Load {
@@ -108,52 +109,56 @@
         objects: 3_000,
         popularity_exponent: 0.8,
         write_fraction: 0.01,
-        from_ms: begins - WARMUP_MS,
-        to_ms: begins + END_MS,
+        from_ms: start_ms - WARMUP_MS,
+        to_ms: start_ms + END_MS,
         timeout_ms: 2_500,
         first_connection: 0,
     }
 }
 
-/// The faults of a day that begins at that time, in order.
-fn script(fleet: &Fleet, trial: Trial, begins: f64) -> Vec<(f64, Fault)> {
-    let killed = begins + KILLED_MS;
-    let up = begins + UP_MS;
+/// Returns the faults of a day that starts at `start_ms`, in order.
+fn script(fleet: &Fleet, trial: Trial, start_ms: f64) -> Vec<(f64, Fault)> {
+    let kill = start_ms + KILL_MS;
+    let restart = start_ms + RESTART_MS;
     let caches = fleet.world.hosts(HostKind::Cache);
     let mut script = Vec::new();
     if trial.environment == Environment::Cold {
         let parents = fleet.world.hosts(HostKind::Parent);
         let cold = [&caches[0], &caches[1], &parents[0]];
-        script.extend(cold.map(|host| (killed, Fault::RestartHost(host.clone()))));
+        script.extend(cold.map(|host| (kill, Fault::RestartHost(host.clone()))));
     }
     if trial.environment == Environment::Lists {
-        script.push((killed + 300.0, Fault::Drain(caches[0].clone())));
+        script.push((kill + 300.0, Fault::Drain(caches[0].clone())));
     }
     let forwarders = 0..trial.killed_forwarders();
     let planners = 0..trial.killed_planners();
     script.extend(
         forwarders
             .clone()
-            .map(|at| (killed, Fault::KillForwarder(at))),
+            .map(|index| (kill, Fault::KillForwarder(index))),
     );
     if trial.state == SavedState::Lost {
         script.extend(
             forwarders
                 .clone()
-                .map(|at| (killed + 1.0, Fault::LoseState(at))),
+                .map(|index| (kill + 1.0, Fault::LoseState(index))),
         );
     }
-    script.extend(planners.clone().map(|at| (killed, Fault::KillPlanner(at))));
-    script.extend(planners.map(|at| (up, Fault::StartPlanner(at))));
-    script.extend(forwarders.map(|at| (up, Fault::StartForwarder(at))));
+    script.extend(
+        planners
+            .clone()
+            .map(|index| (kill, Fault::KillPlanner(index))),
+    );
+    script.extend(planners.map(|index| (restart, Fault::StartPlanner(index))));
+    script.extend(forwarders.map(|index| (restart, Fault::StartForwarder(index))));
     script.sort_by(|a, b| a.0.total_cmp(&b.0));
     script
 }
 
-/// Plays a run to its end.
+/// Plays one run and returns its results.
 pub(crate) fn play(arguments: &Arguments, trial: Trial) -> Result<Run, ExitError> {
     let mut fleet = start_fleet(arguments, trial)?;
-    let begins = fleet.world.now() + SETTLED_MS;
+    let start_ms = fleet.world.now() + STARTUP_WAIT_MS;
     let policies: &[RetryPolicy] = match trial.environment {
         Environment::Connections => &[RetryPolicy::Immediate],
         _ => &[
@@ -162,21 +167,21 @@
             RetryPolicy::Never,
         ],
     };
-    let load = load(arguments, trial, begins);
+    let load = load(arguments, trial, start_ms);
     let clients = fleet
         .world
         .retrying_clients(&fleet.addresses(), &load, policies);
-    let script = script(&fleet, trial, begins);
+    let script = script(&fleet, trial, start_ms);
     fleet.play(&script).map_err(ExitError::failed)?;
-    let limit = begins + END_MS + DRAIN_MS;
+    let limit = start_ms + END_MS + MAX_CLIENT_WAIT_MS;
     while !clients.is_done() && fleet.world.now() < limit {
         sleep(Duration::from_millis(20));
     }
-    Ok(collect(&fleet, &clients, begins))
+    Ok(collect(&fleet, &clients, start_ms))
 }
 
-fn collect(fleet: &Fleet, clients: &RetryingClients, begins: f64) -> Run {
-    let first = (begins / INTERVAL_MS) as usize;
+fn collect(fleet: &Fleet, clients: &RetryingClients, start_ms: f64) -> Run {
+    let first = (start_ms / INTERVAL_MS) as usize;
     let intervals: Vec<IntervalCounters> =
         fleet.world.intervals().into_iter().skip(first).collect();
     let verdict = fleet.world.verdict();
@@ -190,7 +195,7 @@
         violations.push(format!("{wrong_bytes} answers held wrong bytes"));
     }
     Run {
-        slices: slices(clients, &intervals, begins),
+        slices: slices(clients, &intervals, start_ms),
         intervals,
         violations,
         peak_cold_load: verdict.peak_cold_load,
@@ -198,11 +203,11 @@
     }
 }
 
-/// What became of the clients' operations and of the hosts' answers, by slices of the day.
-fn slices(clients: &RetryingClients, intervals: &[IntervalCounters], begins: f64) -> Vec<Slice> {
+/// Counts the outcomes of the clients' operations, and the hosts' answers and refusals, by slices of the day.
+fn slices(clients: &RetryingClients, intervals: &[IntervalCounters], start_ms: f64) -> Vec<Slice> {
     let mut slices = vec![Slice::default(); (END_MS / SLICE_MS) as usize];
     for outcome in clients.outcomes() {
-        let index = (outcome.started_ms - begins) / SLICE_MS;
+        let index = (outcome.started_ms - start_ms) / SLICE_MS;
         if index < 0.0 {
             continue;
         }
--- a/crates/flaxdeck-cli/src/recovery/raw_results.rs
+++ b/crates/flaxdeck-cli/src/recovery/raw_results.rs
@@ -8,7 +8,7 @@
 use super::arguments::Trial;
 use crate::exit::ExitError;
 
-/// What stands for a run whose service was never full again.
+/// Written as `full_ms` for a run that did not return to full service.
 const NEVER_FULL_MS: f64 = -1.0;
 
 /// The slices of one run.
@@ -18,15 +18,15 @@
     pub slices: Vec<Slice>,
 }
 
-/// How service came back in one run beside its twin.
+/// How one run recovered in comparison with its twin.
 pub(crate) struct RunResult {
     pub trial: Trial,
-    /// Milliseconds until service was full; none if it never was.
+    /// Milliseconds until full service; `None` if the run did not return to it.
     pub full_ms: Option<f64>,
     pub losses: ExcessLosses,
 }
 
-/// What all runs came to.
+/// The slices and results of all runs.
 #[derive(Default)]
 pub(crate) struct RawResults {
     pub slices: Vec<RunSlices>,
@@ -41,10 +41,11 @@
 }
 
 impl RawResults {
-    /// Writes `slices.parquet` and `runs.parquet` into a folder, which is made if it isn't there.
+    /// Writes `slices.parquet` and `runs.parquet` into a folder, which is created if it does not exist.
     pub(crate) fn write(&self, folder: &Path) -> Result<(), ExitError> {
-        std::fs::create_dir_all(folder)
-            .map_err(|error| ExitError::failed(format!("{}: {error}", folder.display())))?;
+        std::fs::create_dir_all(folder).map_err(|error| {
+            ExitError::failed(format!("{}: cannot be created: {error}", folder.display()))
+        })?;
         write_table(&folder.join("slices.parquet"), &self.slice_columns())
             .map_err(ExitError::failed)?;
         write_table(&folder.join("runs.parquet"), &self.result_columns())
--- a/crates/flaxdeck-cli/src/recovery/table.rs
+++ b/crates/flaxdeck-cli/src/recovery/table.rs
@@ -1,10 +1,10 @@
-//! The printed table: a row for each kind of trial, and slices where they are asked for.
+//! The printed table: a row for each trial, and the slices of its runs if `--slices` is given.
 
 use flaxdeck_emulator::{INTERVAL_MS, IntervalCounters};
 use flaxdeck_experiments::recovery::{ExcessLosses, SLICE_MS, Slice, median_and_worst};
 
 use super::arguments::Trial;
-use super::play::{END_MS, KILLED_MS, Run};
+use super::play::{END_MS, KILL_MS, Run};
 
 const HEAD: [&str; 16] = [
     "world",
@@ -24,12 +24,12 @@
     "of bound",
     "broken",
 ];
-/// The narrowest column.
+/// Minimum width of a column, in characters.
 const MIN_WIDTH: usize = 9;
-/// Violations of a row that are printed in full.
+/// Maximum number of violations that are printed for a row.
 const PRINTED_VIOLATIONS: usize = 3;
 
-/// Cells under their names.
+/// Formats cells to align with the column names.
 fn aligned(cells: &[String]) -> String {
     let cell = |(cell, name): (&String, &&str)| {
         let width = name.len().max(MIN_WIDTH);
@@ -39,12 +39,12 @@
     cells.join("  ")
 }
 
-/// Prints the names of the columns.
+/// Prints the column names.
 pub(crate) fn print_head() {
     println!("{}", aligned(&HEAD.map(String::from)));
 }
 
-/// What the runs of one row came to.
+/// The collected results of the runs of one row.
 #[derive(Default)]
 pub(crate) struct Row {
     full_ms: Vec<Option<f64>>,
@@ -53,11 +53,11 @@
     peak_cold_load: f64,
     peak_connections: u32,
     refused_connections: u32,
-    lists_per_s: u32,
+    peak_coordinator_calls_per_s: u32,
     refused_origin_fills: u32,
 }
 
-/// The sum of a counter between two times of the day, in milliseconds.
+/// Returns the sum of a counter between two times of the day, in milliseconds.
 fn sum(run: &Run, counter: fn(&IntervalCounters) -> u32, from_ms: f64, to_ms: f64) -> u32 {
     let from = (from_ms / INTERVAL_MS) as usize;
     let to = (to_ms / INTERVAL_MS) as usize;
@@ -66,25 +66,25 @@
 }
 
 impl Row {
-    /// Adds a run with how its service came back beside its twin.
+    /// Adds a run, with its time to full service and its losses in comparison with its twin.
     pub(crate) fn add(&mut self, run: &Run, full_ms: Option<f64>, losses: ExcessLosses) {
         self.full_ms.push(full_ms);
         self.losses.push(losses);
         self.peak_cold_load = self.peak_cold_load.max(run.peak_cold_load);
-        let held = run
+        let connections = run
             .intervals
             .iter()
             .map(|interval| interval.peak_connections);
-        self.peak_connections = self.peak_connections.max(held.max().unwrap_or(0));
+        self.peak_connections = self.peak_connections.max(connections.max().unwrap_or(0));
         let refused = sum(
             run,
             |interval| interval.connections_refused,
-            KILLED_MS,
+            KILL_MS,
             END_MS,
         );
         self.refused_connections = self.refused_connections.max(refused);
-        let seconds = KILLED_MS as u32 / 1000..END_MS as u32 / 1000;
-        let lists = seconds.map(|second| {
+        let seconds = KILL_MS as u32 / 1000..END_MS as u32 / 1000;
+        let calls = seconds.map(|second| {
             let from_ms = f64::from(second) * 1000.0;
             sum(
                 run,
@@ -93,16 +93,18 @@
                 from_ms + 1000.0,
             )
         });
-        self.lists_per_s = self.lists_per_s.max(lists.max().unwrap_or(0));
+        self.peak_coordinator_calls_per_s = self
+            .peak_coordinator_calls_per_s
+            .max(calls.max().unwrap_or(0));
         self.refused_origin_fills += sum(
             run,
             |interval| interval.origin_fills_refused,
-            KILLED_MS,
+            KILL_MS,
             END_MS,
         );
     }
 
-    /// Adds what a run, or a twin, broke.
+    /// Adds the violations of a run or a twin.
     pub(crate) fn add_violations(&mut self, run: &Run) {
         self.violations.extend(run.violations.iter().cloned());
         if !run.all_accounted_for {
@@ -111,7 +113,7 @@
         }
     }
 
-    /// How often a rule was broken.
+    /// Returns the number of violations.
     pub(crate) fn violations(&self) -> usize {
         self.violations.len()
     }
@@ -123,7 +125,7 @@
 
     /// Prints the row, and the first violations below it.
     pub(crate) fn print(&self, trial: &Trial, runs: u64) {
-        let times = median_and_worst(&self.full_ms);
+        let recovery_times = median_and_worst(&self.full_ms);
         let seconds = |ms: Option<f64>| match ms {
             Some(ms) => format!("{:.1}", ms / 1000.0),
             None => "never".to_owned(),
@@ -134,14 +136,14 @@
             trial.planners.to_string(),
             trial.killed.to_string(),
             trial.state_name(),
-            seconds(times.median),
-            seconds(times.worst),
+            seconds(recovery_times.median),
+            seconds(recovery_times.worst),
             self.mean_loss(|losses| losses.in_flight),
             self.mean_loss(|losses| losses.while_down),
             self.mean_loss(|losses| losses.after_restart),
             self.peak_connections.to_string(),
             self.refused_connections.to_string(),
-            self.lists_per_s.to_string(),
+            self.peak_coordinator_calls_per_s.to_string(),
             (self.refused_origin_fills / runs.max(1) as u32).to_string(),
             format!("{:.2}", self.peak_cold_load),
             self.violations.len().to_string(),
@@ -153,7 +155,7 @@
     }
 }
 
-/// Prints each slice of a run, and its twin's in brackets.
+/// Prints each slice of a run, with the twin's figures in brackets.
 pub(crate) fn print_slices(run: &[Slice], twin: &[Slice]) {
     for (index, (run, twin)) in run.iter().zip(twin).enumerate() {
         println!(
