--- a/crates/flaxdeck-cli/src/demo.rs
+++ b/crates/flaxdeck-cli/src/demo.rs
@@ -1,4 +1,5 @@
-//! `flaxdeck demo`: a whole small world on loopback, shown at work and at a loss.
+//! `flaxdeck demo`: runs a small world of stand-ins and real processes on loopback, injects faults, and reports what
+//! became of every request.
 
 use std::thread::sleep;
 use std::time::Duration;
@@ -9,32 +10,33 @@
 
 use crate::exit::{self, ExitError};
 
-/// The demo's course, in milliseconds from when clients begin: a cache restarts, ...
-const COLD_CACHE_MS: f64 = 1_000.0;
-/// ... a planner is killed, ...
+/// When a cache restarts cold, in milliseconds from the start of the clients.
+const CACHE_RESTART_MS: f64 = 1_000.0;
+/// When a planner is killed, in milliseconds from the start of the clients.
 const PLANNER_KILL_MS: f64 = 4_000.0;
-/// ... another cache drains, ...
+/// When another cache starts to drain, in milliseconds from the start of the clients.
 const DRAIN_MS: f64 = 6_500.0;
-/// ... and clients end.
+/// When the clients stop sending requests, in milliseconds from their start.
 const END_MS: f64 = 10_000.0;
-/// Forwarders that have just started leave cold hosts alone for some seconds: they might have lent their quotas.
-const SETTLED_MS: f64 = 4_500.0;
-/// The clients' last requests have ended by then.
-const LAST_ANSWERS_MS: f64 = 4_000.0;
+/// Wait before the clients start. A forwarder does not use its quotas of cold hosts for some seconds after its start,
+/// since an earlier run of it may have lent them.
+const STARTUP_WAIT_MS: f64 = 4_500.0;
+/// Longest wait for the answers to the clients' last requests.
+const MAX_CLIENT_WAIT_MS: f64 = 4_000.0;
 const FORWARDERS: usize = 3;
 const PLANNERS: usize = 2;
-/// Violations that are printed in full.
+/// Maximum number of violations that are printed.
 const PRINTED_VIOLATIONS: usize = 10;
 
-/// A fault of the demo.
+/// A scheduled fault and the line that announces it.
 struct Step {
-    /// Milliseconds from when clients begin.
+    /// Milliseconds from the start of the clients.
     at_ms: f64,
     description: &'static str,
     fault: Fault,
 }
 
-/// Plays the demo and prints a line for each second, then a table.
+/// Runs the demo and prints a line for each second, then a table of the results.
 pub(crate) fn run(rate: f64, alone: bool, show_logs: bool) -> Result<(), ExitError> {
     let world = World::start(Layout {
         forwarders: FORWARDERS,
@@ -52,36 +54,38 @@
         "a world of {} caches, 2 parents, an origin and a coordinator, on loopback",
         caches.len()
     );
-    let planners = if alone { "no planner" } else { "2 planners" };
-    println!("{FORWARDERS} forwarders, {planners}");
-    let begins = fleet.world.now() + SETTLED_MS;
-    let clients = fleet.world.clients(&fleet.addresses(), &load(rate, begins));
-    play(&mut fleet, steps(&caches, alone), begins)?;
-    let limit = fleet.world.now() + LAST_ANSWERS_MS;
+    let planners_text = if alone { "no planner" } else { "2 planners" };
+    println!("{FORWARDERS} forwarders, {planners_text}");
+    let start_ms = fleet.world.now() + STARTUP_WAIT_MS;
+    let clients = fleet
+        .world
+        .clients(&fleet.addresses(), &load(rate, start_ms));
+    play(&mut fleet, steps(&caches, alone), start_ms)?;
+    let limit = fleet.world.now() + MAX_CLIENT_WAIT_MS;
     while !clients.is_done() && fleet.world.now() < limit {
         sleep(Duration::from_millis(20));
     }
     print_results(&fleet, &clients)
 }
 
-fn load(rate: f64, begins: f64) -> Load {
+fn load(rate: f64, start_ms: f64) -> Load {
     Load {
         seed: 7,
         requests_per_s: vec![rate, rate / 3.0, rate / 10.0],
         objects: 2_000,
         popularity_exponent: 0.8,
         write_fraction: 0.02,
-        from_ms: begins,
-        to_ms: begins + END_MS,
+        from_ms: start_ms,
+        to_ms: start_ms + END_MS,
         timeout_ms: 2_500,
         first_connection: 0,
     }
 }
 
-/// The demo's faults, in order.
+/// Returns the demo's faults in the order of their times.
 fn steps(caches: &[String], alone: bool) -> Vec<Step> {
     let mut steps = vec![Step {
-        at_ms: COLD_CACHE_MS,
+        at_ms: CACHE_RESTART_MS,
         description: "a cache starts anew, cold and empty",
         fault: Fault::RestartHost(caches[0].clone()),
     }];
@@ -100,23 +104,23 @@
     steps
 }
 
-/// Causes the faults and prints a line for each second.
-fn play(fleet: &mut Fleet, steps: Vec<Step>, begins: f64) -> Result<(), ExitError> {
+/// Injects the faults at their times and prints the request counts of each second.
+fn play(fleet: &mut Fleet, steps: Vec<Step>, start_ms: f64) -> Result<(), ExitError> {
     println!("\n     s    sent    served  rejected     failed  open");
     let mut steps = steps.into_iter().peekable();
     for second in 0..=(END_MS / 1000.0) as u64 {
-        let at = begins + second as f64 * 1000.0;
-        while let Some(step) = steps.next_if(|step| begins + step.at_ms <= at) {
-            fleet.world.wait_until(begins + step.at_ms);
+        let at = start_ms + second as f64 * 1000.0;
+        while let Some(step) = steps.next_if(|step| start_ms + step.at_ms <= at) {
+            fleet.world.wait_until(start_ms + step.at_ms);
             fleet.inject(&step.fault).map_err(ExitError::failed)?;
             println!("        {}", step.description);
         }
         fleet.world.wait_until(at);
-        let so_far = fleet.world.verdict();
-        let sent = so_far.requests;
-        let (served, rejected, failed) = (so_far.served, so_far.rejected, so_far.failed);
-        let open = sent - (served + rejected + failed + so_far.left);
-        println!("{second:>6}  {sent:>6}  {served:>8}  {rejected:>8}  {failed:>9}  {open:>4}");
+        let verdict = fleet.world.verdict();
+        let sent = verdict.requests;
+        let (served, rejected, failed) = (verdict.served, verdict.rejected, verdict.failed);
+        let in_flight = sent - (served + rejected + failed + verdict.left);
+        println!("{second:>6}  {sent:>6}  {served:>8}  {rejected:>8}  {failed:>9}  {in_flight:>4}");
     }
     Ok(())
 }
@@ -150,7 +154,9 @@
     if verdict.violations.is_empty() && verdict.all_accounted_for() && statistics.wrong_bytes == 0 {
         Ok(())
     } else {
-        Err(ExitError::failed("the demo found something broken"))
+        Err(ExitError::failed(
+            "the demo failed: a rule was broken, a request is unaccounted for, or an answer held wrong bytes",
+        ))
     }
 }
 
--- a/crates/flaxdeck-cli/src/levels.rs
+++ b/crates/flaxdeck-cli/src/levels.rs
@@ -1,4 +1,4 @@
-//! `flaxdeck levels`: the same day with planners and without, side by side, on loopback.
+//! `flaxdeck levels`: plays the same day without and with planners on loopback, and prints the results row by row.
 
 use std::ops::Range;
 use std::thread::sleep;
@@ -10,32 +10,33 @@
 
 use crate::exit::{self, ExitError};
 
-/// The day's course, in milliseconds from when clients begin: a cache restarts, ...
-const COLD_CACHE_MS: f64 = 1_000.0;
-/// ... a parent begins to fail, ...
-const PARENT_FAILS_MS: f64 = 9_000.0;
-/// ... is mended, ...
-const PARENT_MENDED_MS: f64 = 13_000.0;
-/// ... and clients end.
+/// When a cache restarts cold, in milliseconds from the start of the clients.
+const CACHE_RESTART_MS: f64 = 1_000.0;
+/// When a parent starts to fail, in milliseconds from the start of the clients.
+const PARENT_FAILURE_MS: f64 = 9_000.0;
+/// When the parent recovers, in milliseconds from the start of the clients.
+const PARENT_RECOVERY_MS: f64 = 13_000.0;
+/// When the clients stop sending requests, in milliseconds from their start.
 const END_MS: f64 = 15_000.0;
-/// Rare objects are asked for from so long before the parent's fault on.
+/// How long before the parent's failure the load of rare objects starts.
 const RARE_LOAD_LEAD_MS: f64 = 500.0;
-/// Forwarders that have just started leave cold hosts alone for some seconds: they might have lent their quotas.
-const SETTLED_MS: f64 = 4_800.0;
-/// The clients' last requests have ended by then.
-const LAST_ANSWERS_MS: f64 = 10_000.0;
-/// The latency objective of the stand-ins' pages, in milliseconds.
+/// Wait before the clients start. A forwarder does not use its quotas of cold hosts for some seconds after its start,
+/// since an earlier run of it may have lent them.
+const STARTUP_WAIT_MS: f64 = 4_800.0;
+/// Longest wait for the answers to the clients' last requests.
+const MAX_CLIENT_WAIT_MS: f64 = 10_000.0;
+/// The latency objective of the request class `page` of the stand-ins.
 const OBJECTIVE_MS: f64 = 400.0;
-/// How many times its capacity a cold cache bears.
+/// A cold cache crashes when it is asked for more than this multiple of its capacity.
 const OVERLOAD_FACTOR: f64 = 2.0;
-/// Attempts at the failed parent that come later than this, in milliseconds, are further probes of it.
-const LAST_ATTEMPT_BEFORE_MS: f64 = 3_500.0;
-/// When the use of the cold cache is sampled: from so long after its start on, ...
-const SAMPLES_AFTER_MS: f64 = 3_000.0;
-/// ... in such steps.
+/// Attempts at the failed parent from this time after its failure on are further trials of the ejected host.
+const FURTHER_TRIALS_MS: f64 = 3_500.0;
+/// How long after its start the load on the cold cache is first sampled.
+const FIRST_SAMPLE_MS: f64 = 3_000.0;
+/// The interval between samples of the load on the cold cache.
 const SAMPLE_STEP_MS: f64 = 50.0;
 
-/// The figures of one run.
+/// The results of one run.
 struct Row {
     in_time: f64,
     rejected: u64,
@@ -43,7 +44,7 @@
     mean_cold_load: f64,
     peak_cold_load: f64,
     attempts_at_failed: usize,
-    /// Milliseconds from the parent's fault.
+    /// The last attempt at the failed parent before further trials, in milliseconds from the start of its failure.
     last_attempt_ms: f64,
     report_bytes_per_s: f64,
     guidance_bytes_per_s: f64,
@@ -52,7 +53,7 @@
     p99_ms: f64,
 }
 
-/// Plays each number of forwarders with planners and without, and prints a row for each run.
+/// Plays each number of forwarders without and with planners, and prints a row for each run.
 pub(crate) fn run(forwarders: &[usize], rate: f64, runs: u64, seed: u64) -> Result<(), ExitError> {
     println!(
         "forwarders  planners  seed  in time  rejected  origin  cold use  cold most  at failed parent  last, ms  \
@@ -72,7 +73,7 @@
         Ok(())
     } else {
         Err(ExitError::failed(format!(
-            "{violations} times a rule was broken"
+            "{violations} violations of the rules in all runs"
         )))
     }
 }
@@ -108,8 +109,8 @@
     }
 }
 
-/// Nine tenths of the load come to one forwarder.
-fn uneven_load(forwarders: usize, rate: f64, seed: u64, begins: f64) -> Load {
+/// Returns a load of which the first forwarder gets nine tenths and the others share the rest evenly.
+fn uneven_load(forwarders: usize, rate: f64, seed: u64, start_ms: f64) -> Load {
     let others = rate * 0.1 / (forwarders.max(2) - 1) as f64;
     let mut rates = vec![others; forwarders];
     if let Some(first) = rates.first_mut() {
@@ -121,23 +122,24 @@
         objects: 600,
         popularity_exponent: 0.9,
         write_fraction: 0.0,
-        from_ms: begins,
-        to_ms: begins + END_MS,
+        from_ms: start_ms,
+        to_ms: start_ms + END_MS,
         timeout_ms: 2_500,
         first_connection: 0,
     }
 }
 
-/// Objects asked for once, evenly at all forwarders, so that each needs its parents.
-fn rare_load(forwarders: usize, rate: f64, seed: u64, begins: f64) -> Load {
+/// Returns a load of objects that are hardly ever requested twice, spread evenly over all forwarders: caches miss, so
+/// that each forwarder needs the parents.
+fn rare_load(forwarders: usize, rate: f64, seed: u64, start_ms: f64) -> Load {
     Load {
         seed: seed + 1,
         requests_per_s: vec![rate * 0.15 / forwarders as f64],
         objects: 1_000_000,
         popularity_exponent: 0.0,
-        from_ms: begins + PARENT_FAILS_MS - RARE_LOAD_LEAD_MS,
+        from_ms: start_ms + PARENT_FAILURE_MS - RARE_LOAD_LEAD_MS,
         first_connection: 100_000,
-        ..uneven_load(forwarders, rate, seed, begins)
+        ..uneven_load(forwarders, rate, seed, start_ms)
     }
 }
 
@@ -147,21 +149,21 @@
     let parent = world.hosts(HostKind::Parent)[0].clone();
     let setup = Setup::new(exit::own_binary()?, planners, forwarders);
     let mut fleet = Fleet::start(world, setup).map_err(ExitError::failed)?;
-    let begins = fleet.world.now() + SETTLED_MS;
+    let start_ms = fleet.world.now() + STARTUP_WAIT_MS;
     let addresses = fleet.addresses();
     let clients = [
-        uneven_load(forwarders, rate, seed, begins),
-        rare_load(forwarders, rate, seed, begins),
+        uneven_load(forwarders, rate, seed, start_ms),
+        rare_load(forwarders, rate, seed, start_ms),
     ]
     .map(|load| fleet.world.clients(&addresses, &load));
-    fleet.world.wait_until(begins);
+    fleet.world.wait_until(start_ms);
     let before = fleet.control_bytes();
-    let failing = begins + PARENT_FAILS_MS..begins + PARENT_MENDED_MS;
+    let failing = start_ms + PARENT_FAILURE_MS..start_ms + PARENT_RECOVERY_MS;
     fleet
-        .play(&script(&cache, &parent, begins))
+        .play(&script(&cache, &parent, start_ms))
         .map_err(ExitError::failed)?;
     wait_for_clients(&fleet, &clients);
-    let forwarder_seconds = (fleet.world.now() - begins) / 1000.0 * forwarders as f64;
+    let forwarder_seconds = (fleet.world.now() - start_ms) / 1000.0 * forwarders as f64;
     let after = fleet.control_bytes();
     let attempts = attempts_at(&parent, &failing, &fleet.world.record());
     Ok(Row {
@@ -174,24 +176,33 @@
     })
 }
 
-/// A cache starts cold, and a parent fails for a while.
-fn script(cache: &str, parent: &str, begins: f64) -> [(f64, Fault); 3] {
+/// Returns the day's faults: a cache restarts cold, and a parent fails and recovers.
+fn script(cache: &str, parent: &str, start_ms: f64) -> [(f64, Fault); 3] {
     let parent_mode = |mode| Fault::HostFailureMode(parent.to_owned(), mode);
     [
-        (begins + COLD_CACHE_MS, Fault::RestartHost(cache.to_owned())),
-        (begins + PARENT_FAILS_MS, parent_mode(FailureMode::Failing)),
-        (begins + PARENT_MENDED_MS, parent_mode(FailureMode::Healthy)),
+        (
+            start_ms + CACHE_RESTART_MS,
+            Fault::RestartHost(cache.to_owned()),
+        ),
+        (
+            start_ms + PARENT_FAILURE_MS,
+            parent_mode(FailureMode::Failing),
+        ),
+        (
+            start_ms + PARENT_RECOVERY_MS,
+            parent_mode(FailureMode::Healthy),
+        ),
     ]
 }
 
 fn wait_for_clients(fleet: &Fleet, clients: &[Clients]) {
-    let limit = fleet.world.now() + LAST_ANSWERS_MS;
+    let limit = fleet.world.now() + MAX_CLIENT_WAIT_MS;
     while !clients.iter().all(Clients::is_done) && fleet.world.now() < limit {
         sleep(Duration::from_millis(20));
     }
 }
 
-/// Milliseconds from the beginning of a fault at which work arrived at its host while it lasted.
+/// Returns the times at which work arrived at a host while it failed, in milliseconds from the start of the failure.
 fn attempts_at(host: &str, failing: &Range<f64>, record: &[RecordEntry]) -> Vec<f64> {
     let arrived = |entry: &&RecordEntry| {
         failing.contains(&entry.at_ms)
@@ -201,28 +212,30 @@
     attempts.map(|entry| entry.at_ms - failing.start).collect()
 }
 
-/// The last attempt before further probes, in milliseconds.
+/// Returns the time of the last attempt before further trials, in milliseconds from the start of the failure, or 0.
 fn last_attempt(attempts: &[f64]) -> f64 {
-    let early = attempts.iter().filter(|at| **at < LAST_ATTEMPT_BEFORE_MS);
+    let early = attempts.iter().filter(|at| **at < FURTHER_TRIALS_MS);
     early.copied().fold(0.0, f64::max)
 }
 
-/// The mean use of the cold cache, as a multiple of its capacity.
+/// Returns the mean load on the cold cache, as a multiple of its capacity.
 fn cold_load(world: &World, cache: &str, until_ms: f64) -> f64 {
     let period = SamplingPeriod {
-        after_start_ms: SAMPLES_AFTER_MS,
+        after_start_ms: FIRST_SAMPLE_MS,
         until_ms,
         step_ms: SAMPLE_STEP_MS,
     };
     mean_cold_load(&world.invariant_terms(), &world.record(), cache, period) * OVERLOAD_FACTOR
 }
 
-/// The figures that follow from what clients saw; the others are nought.
+/// Returns a row with the figures that the verdict and the clients' statistics give; the other figures are 0.
 fn client_figures(world: &World, clients: &[Clients]) -> Row {
     let verdict = world.verdict();
     let statistics = ClientStatistics::merged(clients.iter().map(Clients::statistics));
     let latencies = statistics.latencies_ms.iter();
-    let in_time = latencies.filter(|took| **took <= OBJECTIVE_MS).count();
+    let in_time = latencies
+        .filter(|latency| **latency <= OBJECTIVE_MS)
+        .count();
     Row {
         in_time: in_time as f64 / verdict.requests.max(1) as f64,
         rejected: verdict.rejected,
