--- a/crates/flaxdeck-cli/src/arguments.rs
+++ b/crates/flaxdeck-cli/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line. Doc comments here are the text of `--help`.
+//! The command line, parsed by clap. The doc comments of its types and fields are the texts of `--help`.
 
 use std::path::PathBuf;
 
--- a/crates/flaxdeck-cli/src/capacity.rs
+++ b/crates/flaxdeck-cli/src/capacity.rs
@@ -1,4 +1,4 @@
-//! `flaxdeck capacity`: slopes from runs, charts, and the capacity page.
+//! `flaxdeck capacity`: fits slopes to the measurements of runs, draws charts, and prints the capacity page.
 
 use std::path::{Path, PathBuf};
 
@@ -47,13 +47,15 @@
     }
 }
 
-/// Fits slopes, draws charts, or prints the capacity page.
+/// Fits slopes, draws charts or prints the capacity page, as the arguments ask for.
 pub(crate) fn run(arguments: &Arguments) -> Result<(), ExitError> {
     match (&arguments.task, &arguments.slopes, &arguments.target) {
         (Some(Task::Fit { runs, slopes }), ..) => fit_runs(runs, slopes),
         (Some(Task::Charts { runs, folder }), ..) => draw(runs, folder),
         (None, Some(slopes), Some(target)) => print_page(slopes, target),
-        (None, ..) => Err(usage_error("name the slopes and the target")),
+        (None, ..) => Err(usage_error(
+            "the file of slopes and the target file are both required",
+        )),
     }
 }
 
--- a/crates/flaxdeck-cli/src/check.rs
+++ b/crates/flaxdeck-cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `flaxdeck check`: the faults of a plan, or what follows from it.
+//! `flaxdeck check`: prints the faults of a plan or, on request, the lease times that follow from it.
 
 use clap::Args;
 use flaxdeck::Span;
@@ -25,7 +25,7 @@
     window_ms: u64,
 }
 
-/// Reads a plan and prints what is wrong with it.
+/// Reads a plan and prints its faults.
 pub(crate) fn run(arguments: &Arguments) -> Result<(), ExitError> {
     let file = &arguments.file;
     let text = files::read_text(file)?;
@@ -35,7 +35,7 @@
     }
     let plan = match read {
         Ok(plan) => plan,
-        // The faults are printed already.
+        // The JSON on standard output already holds the faults.
         Err(_) if arguments.json => return Err(usage_error("")),
         Err(faults) => return Err(file_faults(&faults)),
     };
@@ -63,7 +63,7 @@
     println!("{}", json!({"good": faults.is_empty(), "faults": rows}));
 }
 
-/// Prints the lease times that follow from a plan.
+/// Prints the lease times that follow from a plan, and how a cold host's capacity is divided.
 fn explain(plan: &Plan, window_ms: u64) {
     let lease_terms: LeaseTerms = files::lease_terms(plan, Span::from_ms(window_ms));
     let lines = [
@@ -90,8 +90,8 @@
         ),
     ];
     println!("with a window of {window_ms} ms:");
-    for (what, span) in lines {
-        println!("  {what:<46} {:.0} ms", span.ms());
+    for (label, duration) in lines {
+        println!("  {label:<46} {:.0} ms", duration.ms());
     }
     println!(
         "  of a cold host the seats divide {:.2}, planners grant {:.2}",
--- a/crates/flaxdeck-cli/src/compare.rs
+++ b/crates/flaxdeck-cli/src/compare.rs
@@ -1,4 +1,4 @@
-//! `flaxdeck compare A B`: two scenarios of the fleet, played in pairs in virtual time.
+//! `flaxdeck compare A B`: plays two scenarios of the fleet in pairs in virtual time and compares their results.
 
 use std::io::IsTerminal;
 use std::time::Duration;
@@ -50,7 +50,7 @@
             if !KINDS.contains(&kind.as_str()) {
                 let known = KINDS.join(" ");
                 return Err(usage_error(format!(
-                    "--kinds: {kind} is no kind of fault, it is one of: {known}"
+                    "--kinds: unknown kind of fault {kind:?}, expected one of: {known}"
                 )));
             }
         }
@@ -81,7 +81,7 @@
     }
 }
 
-/// Plays pairs until the answer is clear, and prints it.
+/// Plays pairs until the verdict is clear or a limit is reached, and prints the comparison.
 pub(crate) fn run(arguments: &Arguments) -> Result<(), ExitError> {
     let limits = arguments.limits()?;
     let mut a = scenario_files::read(&arguments.a)?;
@@ -105,7 +105,10 @@
     if comparison.violations.a == 0 && comparison.violations.b == 0 {
         Ok(())
     } else {
-        Err(ExitError::failed("a rule was broken"))
+        Err(ExitError::failed(format!(
+            "violations of the rules: {} in A, {} in B",
+            comparison.violations.a, comparison.violations.b
+        )))
     }
 }
 
--- a/crates/flaxdeck-cli/src/exit.rs
+++ b/crates/flaxdeck-cli/src/exit.rs
@@ -1,24 +1,24 @@
-//! What ends the program: a message for the operator, and an exit code that scripts can use.
+//! The error that ends the program: a message for the operator and an exit code for scripts.
 
 use std::fmt::Display;
 use std::path::PathBuf;
 
-/// Something failed while running.
+/// Exit code of a failure at run time.
 const FAILED: u8 = 1;
-/// A file or the command line has faults.
+/// Exit code for faults in a file or on the command line.
 const USAGE: u8 = 2;
 
-/// What ends the program: the exit code, and what is printed on standard error.
+/// An error that ends the program, with its exit code and the message for standard error.
 #[derive(Debug)]
 pub(crate) struct ExitError {
     /// 1 if something failed while running, 2 if a file or the command line has faults.
     pub code: u8,
-    /// What went wrong, in one or more lines.
+    /// The error message, of one or more lines.
     pub message: String,
 }
 
 impl ExitError {
-    /// Something failed while running.
+    /// Returns the error of a failure at run time.
     pub(crate) fn failed(message: impl Display) -> ExitError {
         ExitError {
             code: FAILED,
@@ -27,7 +27,7 @@
     }
 }
 
-/// A file or the command line has faults.
+/// Returns the error for faults in a file or on the command line.
 pub(crate) fn usage_error(message: impl Display) -> ExitError {
     ExitError {
         code: USAGE,
@@ -35,14 +35,18 @@
     }
 }
 
-/// The faults of a file, one a line.
+/// Returns the error for the faults of a file, with one line for each.
 pub(crate) fn file_faults(faults: &[flaxdeck_plan::Fault]) -> ExitError {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     usage_error(lines.join("\n"))
 }
 
-/// The path of this program, to start further processes of it.
+/// Returns the path of the running program, from which further processes are started.
 pub(crate) fn own_binary() -> Result<PathBuf, ExitError> {
     let path = std::env::current_exe();
-    path.map_err(|error| ExitError::failed(format!("no path of this program: {error}")))
+    path.map_err(|error| {
+        ExitError::failed(format!(
+            "cannot determine the path of the running program: {error}"
+        ))
+    })
 }
--- a/crates/flaxdeck-cli/src/files.rs
+++ b/crates/flaxdeck-cli/src/files.rs
@@ -1,4 +1,4 @@
-//! The files that the sub-commands read: the platform's JSON and the operator's plan with its key.
+//! Reads the files of the sub-commands: the platform's JSON, and the operator's plan with its key.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -16,39 +16,39 @@
 
 use crate::exit::{ExitError, file_faults, usage_error};
 
-/// The text of a file that the operator named.
+/// Reads a file as text.
 pub(crate) fn read_text(file: &str) -> Result<String, ExitError> {
     std::fs::read_to_string(file)
         .map_err(|error| usage_error(format!("{file}: cannot be read: {error}")))
 }
 
-/// A path that stands in a file, relative to that file's own place.
-pub(crate) fn beside(file: &str, path: &str) -> PathBuf {
+/// Resolves a path that is written in a file, relative to the folder of that file.
+pub(crate) fn resolve_beside(file: &str, path: &str) -> PathBuf {
     Path::new(file).parent().unwrap_or(Path::new("")).join(path)
 }
 
-/// A plan with the key that its instances share.
+/// A plan, and the key that all of its instances share.
 pub(crate) struct KeyedPlan {
     pub plan: Plan,
     pub key: Key,
 }
 
-/// Reads a plan and its key, whose file is looked for beside the plan.
+/// Reads a plan and its key file, whose path is relative to the plan's folder.
 pub(crate) fn read_plan(file: &str) -> Result<KeyedPlan, ExitError> {
     let text = read_text(file)?;
     let plan = flaxdeck_plan::read(file, &text).map_err(|faults| file_faults(&faults))?;
-    let path = beside(file, &plan.key_file);
+    let path = resolve_beside(file, &plan.key_file);
     let path = path.to_string_lossy();
     let key = Key::from_hex(&read_text(&path)?)
         .map_err(|error| usage_error(format!("{path}: {error}")))?;
     Ok(KeyedPlan { plan, key })
 }
 
-/// What the platform's JSON says to all instances.
+/// The platform's JSON, which is the same for all instances.
 pub(crate) struct Platform {
     file: String,
     value: Value,
-    /// The time within which a cold host's load counts together.
+    /// The window over which the load on a cold host is added up.
     pub window: Span,
 }
 
@@ -56,10 +56,10 @@
 pub(crate) fn read_platform(file: &str) -> Result<Platform, ExitError> {
     let value: Value = serde_json::from_str(&read_text(file)?).map_err(|error| {
         let (line, column) = (error.line(), error.column());
-        usage_error(format!("{file}:{line}:{column}: not JSON: {error}"))
+        usage_error(format!("{file}:{line}:{column}: not valid JSON: {error}"))
     })?;
     let window = || {
-        let settings = Fields::of(&value, "the whole")?.inner("settings")?;
+        let settings = Fields::of(&value, "the configuration")?.inner("settings")?;
         flaxdeck_terms::read(&settings).map(|(terms, _)| terms.fall_window)
     };
     let window = window().map_err(|fault| usage_error(format!("{file}: settings: {fault}")))?;
@@ -71,34 +71,36 @@
 }
 
 impl Platform {
-    /// Where the instance listens: the name that its state bears.
+    /// Returns the address on which the instance listens, which also names its stored state.
     pub(crate) fn listen(&self) -> Result<String, ExitError> {
         let listen = || {
-            let fields = Fields::of(&self.value, "the whole")?;
+            let fields = Fields::of(&self.value, "the configuration")?;
             fields.text("listen").map(str::to_owned)
         };
         listen().map_err(|fault: SettingsError| usage_error(format!("{}: {fault}", self.file)))
     }
 
-    /// The watch from the coordinator, and what it has said already, for an instance of that name.
+    /// Returns the watch of the coordinator's events for the instance of that name, and the events that the
+    /// configuration already holds. The name goes into the seed, so that each instance spreads its
+    /// connections differently.
     pub(crate) fn watch(&self, name: &str) -> Result<(Watch, NumberedEvents), String> {
         let watch = || {
-            let text = |fault: SettingsError| fault.to_string();
-            let fields = Fields::of(&self.value, "the whole").map_err(text)?;
-            let settings = fields.inner("settings").map_err(text)?;
-            let (_, names) = flaxdeck_terms::read(&settings).map_err(text)?;
-            let address = fields.text("coordinator").map_err(text)?;
+            let message = |fault: SettingsError| fault.to_string();
+            let fields = Fields::of(&self.value, "the configuration").map_err(message)?;
+            let settings = fields.inner("settings").map_err(message)?;
+            let (_, names) = flaxdeck_terms::read(&settings).map_err(message)?;
+            let address = fields.text("coordinator").map_err(message)?;
             let address: SocketAddr = address
                 .parse()
-                .map_err(|_| format!("coordinator: {address} is no address"))?;
-            let seed = u64::from_str_radix(fields.text("seed").map_err(text)?, 16)
-                .map_err(|_| "seed is not in hex")?;
+                .map_err(|_| format!("coordinator: {address:?} is not a socket address"))?;
+            let seed = u64::from_str_radix(fields.text("seed").map_err(message)?, 16)
+                .map_err(|_| "seed: not a hexadecimal number of at most 64 bits")?;
             let seed = name
                 .bytes()
                 .fold(seed, |seed, byte| seed.rotate_left(8) ^ u64::from(byte));
             Watch::start(
                 address,
-                &fields.inner("known").map_err(text)?,
+                &fields.inner("known").map_err(message)?,
                 Rc::new(names),
                 false,
                 seed,
@@ -109,7 +111,7 @@
     }
 }
 
-/// Between two batches of events, where the plan has events come in batches.
+/// Returns the interval between batches of events, or `None` if the plan has each event sent by itself.
 pub(crate) fn batch_interval(plan: &Plan) -> Option<Span> {
     match plan.events {
         EventDelivery::EachEvent => None,
@@ -117,13 +119,13 @@
     }
 }
 
-/// How often a planner sends events to its subscribers.
+/// Returns how often a planner sends events to its subscribers.
 pub(crate) fn cadence(plan: &Plan) -> Cadence {
     batch_interval(plan).map_or_else(Cadence::default, Cadence::with_batch_interval)
 }
 
-/// The times of leases that follow from a plan and the platform's window.
+/// Returns the lease times that follow from a plan and the platform's window.
 pub(crate) fn lease_terms(plan: &Plan, window: Span) -> LeaseTerms {
-    let granted = Span::from_ms(u64::from(plan.grant_ms));
-    LeaseTerms::new(window, granted, (plan.drift * 1000.0).ceil() as u32)
+    let grant_duration = Span::from_ms(u64::from(plan.grant_ms));
+    LeaseTerms::new(window, grant_duration, (plan.drift * 1000.0).ceil() as u32)
 }
--- a/crates/flaxdeck-cli/src/forward.rs
+++ b/crates/flaxdeck-cli/src/forward.rs
@@ -1,4 +1,4 @@
-//! `flaxdeck forward`: a forwarder, alone or guided by the planners of the plan.
+//! `flaxdeck forward`: runs a forwarder, guided by the planners of a plan or without planners.
 
 use std::time::Duration;
 
@@ -15,22 +15,23 @@
 use crate::instance::InstanceFiles;
 use crate::log;
 
-/// The offset basis and the prime of the 64-bit FNV-1a hash.
+/// The offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+/// The prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
-/// Carries requests until SIGTERM.
+/// Runs a forwarder until SIGTERM.
 pub(crate) fn run(options: &InstanceFiles) -> Result<(), ExitError> {
     options.prepare_process();
     let Some(file) = &options.plan else {
-        return run_alone(options);
+        return run_without_planners(options);
     };
     let KeyedPlan { plan, key } = files::read_plan(file)?;
     let platform = files::read_platform(&options.config)?;
     let _log = log::start(&plan.log_levels, plan.log_format)?;
     let listen = platform.listen()?;
     let state_directory = plan.state_folder.as_ref().map(|folder| StateDirectory {
-        folder: files::beside(file, folder),
+        folder: files::resolve_beside(file, folder),
         name: listen.clone(),
     });
     let control_client = ControlClientOptions {
@@ -42,13 +43,13 @@
         .map_err(ExitError::failed)
 }
 
-/// Without a plan a forwarder goes by its own picture alone.
-fn run_alone(options: &InstanceFiles) -> Result<(), ExitError> {
+/// Runs a forwarder without a plan: no planner guides it, and it decides by its own observations.
+fn run_without_planners(options: &InstanceFiles) -> Result<(), ExitError> {
     let _log = log::start("info", LogFormat::Text)?;
     flaxdeck_dispatcher::run_guided(Some(&options.config), None).map_err(ExitError::failed)
 }
 
-/// What a plan tells a forwarder that listens there.
+/// Returns the options that a plan gives to a forwarder that listens on the address `listen`.
 pub(crate) fn control_client_options(
     plan: &Plan,
     key: Key,
@@ -84,7 +85,8 @@
     }
 }
 
-/// The slot of the instance that listens there; 0 where the system chooses the port, which is another at each start.
+/// Returns the slot of the forwarder that listens on an address: the address's hash, which is the same after a restart.
+/// Returns slot 0 where the system chooses the port, as the port differs at each start.
 fn slot_of_address(listen: &str) -> SlotId {
     if listen.ends_with(":0") {
         return SlotId(0);
--- a/crates/flaxdeck-cli/src/instance.rs
+++ b/crates/flaxdeck-cli/src/instance.rs
@@ -1,4 +1,4 @@
-//! What the long-running sub-commands `forward` and `plan` take on the command line.
+//! The command-line options of the long-running sub-commands `forward` and `plan`.
 
 use std::path::PathBuf;
 
@@ -25,7 +25,7 @@
 }
 
 impl InstanceFiles {
-    /// What has to be in effect before anything else of the process.
+    /// Applies the options that must take effect before the process does anything else.
     pub(crate) fn prepare_process(&self) {
         clock::set_offset_ms(self.clock_apart_ms);
         if self.ends_with_parent {
--- a/crates/flaxdeck-cli/src/main.rs
+++ b/crates/flaxdeck-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `flaxdeck`: one binary for people, over the libraries. Each sub-command has a module of its own.
+//! The binary `flaxdeck`: a command line over the workspace's libraries, with one module for each sub-command.
 
 mod arguments;
 mod capacity;
--- a/crates/flaxdeck-cli/src/model.rs
+++ b/crates/flaxdeck-cli/src/model.rs
@@ -1,4 +1,4 @@
-//! `flaxdeck model FILE`: one day of a model of the fleet, played in virtual time and judged by the rules.
+//! `flaxdeck model FILE`: plays one day of a model of the fleet in virtual time and checks it against the rules.
 
 use std::time::Instant;
 
@@ -7,17 +7,17 @@
 use crate::exit::ExitError;
 use crate::scenario_files;
 
-/// Violations that are printed in full.
+/// Maximum number of violations that are printed.
 const PRINTED_VIOLATIONS: usize = 10;
 
-/// Plays one day and prints what came of it.
+/// Plays one day and prints its results.
 pub(crate) fn run(file: &str, seed: u64) -> Result<(), ExitError> {
     let mut scenario = scenario_files::read(file)?;
     scenario.check_invariants = true;
     let started = Instant::now();
     let outcome = flaxdeck_fleet::run(&scenario, seed);
-    let took_s = started.elapsed().as_secs_f64();
-    print_outcome(&outcome, took_s);
+    let elapsed_s = started.elapsed().as_secs_f64();
+    print_outcome(&outcome, elapsed_s);
     let violations = outcome
         .verdict
         .map_or(Vec::new(), |verdict| verdict.violations);
@@ -31,11 +31,14 @@
     if violations.is_empty() {
         Ok(())
     } else {
-        Err(ExitError::failed("a rule was broken"))
+        Err(ExitError::failed(format!(
+            "{file}: {} violations of the rules",
+            violations.len()
+        )))
     }
 }
 
-fn print_outcome(outcome: &Outcome, took_s: f64) {
+fn print_outcome(outcome: &Outcome, elapsed_s: f64) {
     println!(
         "wants {}, in time {}, late {}, lost {}, gain {:.4}",
         outcome.operations,
@@ -57,9 +60,9 @@
         outcome.overloaded_hosts
     );
     println!(
-        "{} events in {took_s:.2} s, {:.0} requests a second; digest {:016x}",
+        "{} events in {elapsed_s:.2} s, {:.0} requests a second; digest {:016x}",
         outcome.events,
-        outcome.requests as f64 / took_s,
+        outcome.requests as f64 / elapsed_s,
         outcome.digest
     );
 }
--- a/crates/flaxdeck-cli/src/plan.rs
+++ b/crates/flaxdeck-cli/src/plan.rs
@@ -1,4 +1,4 @@
-//! `flaxdeck plan`: a planner.
+//! `flaxdeck plan`: runs a planner.
 
 use flaxdeck_control::QuotaFraction;
 
@@ -7,7 +7,7 @@
 use crate::instance::InstanceFiles;
 use crate::log;
 
-/// Guides forwarders until SIGTERM or ctrl-c.
+/// Runs a planner until SIGTERM or ctrl-c.
 pub(crate) fn run(options: &InstanceFiles, name: &str) -> Result<(), ExitError> {
     options.prepare_process();
     let Some(file) = &options.plan else {
--- a/crates/flaxdeck-cli/src/scale.rs
+++ b/crates/flaxdeck-cli/src/scale.rs
@@ -1,4 +1,4 @@
-//! `flaxdeck scale`: runs of a scale file, and the processes that they start.
+//! `flaxdeck scale`: plays the runs of a scale file. Also holds the hidden sub-commands that these runs start.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -58,7 +58,7 @@
     }
 }
 
-/// One run to be played.
+/// One run of a point of the scale file.
 struct PlannedRun {
     distribution: Distribution,
     point: Point,
@@ -66,7 +66,7 @@
     fault: Option<Fault>,
 }
 
-/// Plays the runs of a scale file, and prints a line for each.
+/// Plays the runs of a scale file and prints a row for each.
 pub(crate) fn run(arguments: &Arguments) -> Result<(), ExitError> {
     let file = &arguments.file;
     let text = files::read_text(file)?;
@@ -83,32 +83,36 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|error| ExitError::failed(format!("no runtime: {error}")))?;
-    runtime.block_on(until_ended(play_all(arguments, &scenario, &planned)))
+    let runtime = runtime
+        .map_err(|error| ExitError::failed(format!("cannot start the async runtime: {error}")))?;
+    runtime.block_on(run_until_signal(play_all(arguments, &scenario, &planned)))
 }
 
-/// Plays on unless somebody ends the program; what was started is ended either way.
-async fn until_ended(
-    playing: impl Future<Output = Result<(), ExitError>>,
+/// Plays the runs until they are done or the program gets SIGINT or SIGTERM. The started processes end in either case.
+async fn run_until_signal(
+    play: impl Future<Output = Result<(), ExitError>>,
 ) -> Result<(), ExitError> {
-    let listen =
-        |kind| signal(kind).map_err(|error| ExitError::failed(format!("no signals: {error}")));
+    let listen = |kind| {
+        signal(kind)
+            .map_err(|error| ExitError::failed(format!("cannot listen for signals: {error}")))
+    };
     let mut interrupt = listen(SignalKind::interrupt())?;
     let mut terminate = listen(SignalKind::terminate())?;
     tokio::select! {
-        played = playing => played,
-        _ = interrupt.recv() => Err(ended_by("ctrl-c")),
-        _ = terminate.recv() => Err(ended_by("SIGTERM")),
+        result = play => result,
+        _ = interrupt.recv() => Err(stopped_by("ctrl-c")),
+        _ = terminate.recv() => Err(stopped_by("SIGTERM")),
     }
 }
 
-fn ended_by(signal: &str) -> ExitError {
+fn stopped_by(signal: &str) -> ExitError {
     ExitError::failed(format!(
-        "ended by {signal}, and all that was started with it"
+        "stopped by {signal}; all started processes were ended"
     ))
 }
 
-/// All runs of a file: each with a fault beside a twin that has none, and the ways of distribution beside each other.
+/// Returns all runs of a file in order: for each point, seed and distribution the run without a fault, followed by the
+/// run with the file's fault if it has one.
 fn plan_runs(scenario: &Scenario, arguments: &Arguments) -> Result<Vec<PlannedRun>, ExitError> {
     let mut distributions: Vec<Distribution> = arguments
         .distribution
@@ -120,10 +124,14 @@
     }
     let points: Vec<Point> = match arguments.point {
         None => scenario.points.clone(),
-        Some(at) => {
-            let point = at.checked_sub(1).and_then(|at| scenario.points.get(at));
+        Some(number) => {
+            let index = number.checked_sub(1);
+            let point = index.and_then(|index| scenario.points.get(index));
             vec![*point.ok_or_else(|| {
-                usage_error(format!("there are {} points", scenario.points.len()))
+                usage_error(format!(
+                    "--point {number}: the scale file has {} points",
+                    scenario.points.len()
+                ))
             })?]
         }
     };
@@ -132,14 +140,14 @@
         for run in 0..scenario.runs {
             let seed = scenario.seed + u64::from(run);
             for distribution in &distributions {
-                let planned_with = |fault| PlannedRun {
+                let planned_run = |fault| PlannedRun {
                     distribution: *distribution,
                     point,
                     seed,
                     fault,
                 };
-                planned.push(planned_with(None));
-                planned.extend(scenario.fault.map(|fault| planned_with(Some(fault))));
+                planned.push(planned_run(None));
+                planned.extend(scenario.fault.map(|fault| planned_run(Some(fault))));
             }
         }
     }
@@ -154,7 +162,7 @@
     bar
 }
 
-/// Plays all runs one after another; prints a line for each and writes their rows.
+/// Plays all runs one after another. After each it prints a row and writes the measurements of all runs so far.
 async fn play_all(
     arguments: &Arguments,
     scenario: &Scenario,
@@ -176,11 +184,11 @@
             keeps_files: arguments.keep_files,
             binary: &binary,
         };
-        let progress = |what: &str| bar.set_message(what.to_owned());
+        let progress = |step: &str| bar.set_message(step.to_owned());
         let played = run::play(&options, &progress)
             .await
             .map_err(ExitError::failed)?;
-        bar.suspend(|| println!("{}", line(&options, &played.rows)));
+        bar.suspend(|| println!("{}", format_row(&options, &played.rows)));
         bar.inc(1);
         rows.extend(played.rows.rows);
         if let Some(out) = &arguments.out {
@@ -193,15 +201,16 @@
 
 const HEAD: &str = "distribution  hollow  hosts  purges/s  planners  fault                bytes/s  messages/s  headers/s  cores  planner  coordinator  delay ms: median      99th     worst  expected      lost  replaced  doubled  disordered  machine idle";
 
-/// A run in a line: bytes, messages and cores of one hollow forwarder, cores of a planner and the coordinator.
-fn line(options: &RunOptions, rows: &RunRows) -> String {
-    let hollow = |metrics: &[Metric]| -> f64 {
+/// Formats the results of a run as a row: bytes, messages and cores of one hollow forwarder, cores of a planner and of
+/// the coordinator, delays of events, and counts of expected and faulty deliveries.
+fn format_row(options: &RunOptions, rows: &RunRows) -> String {
+    let hollow_sum = |metrics: &[Metric]| -> f64 {
         metrics
             .iter()
             .filter_map(|metric| rows.sum(Role::HollowForwarder, *metric))
             .sum()
     };
-    let one = |metric: Metric| hollow(&[metric]);
+    let hollow = |metric: Metric| hollow_sum(&[metric]);
     let cores = |role: Role| rows.sum(role, Metric::Cores).unwrap_or(f64::NAN);
     let distribution = match options.scenario.distribution {
         Distribution::EachEvent => "each-event",
@@ -214,20 +223,20 @@
         options.point.hosts,
         options.point.purges_per_s,
         options.point.planners,
-        hollow(&[Metric::BytesInPerS, Metric::BytesOutPerS]),
-        hollow(&[Metric::MessagesInPerS, Metric::MessagesOutPerS]),
-        one(Metric::HeaderBytesPerS),
-        one(Metric::Cores),
+        hollow_sum(&[Metric::BytesInPerS, Metric::BytesOutPerS]),
+        hollow_sum(&[Metric::MessagesInPerS, Metric::MessagesOutPerS]),
+        hollow(Metric::HeaderBytesPerS),
+        hollow(Metric::Cores),
         cores(Role::Planner),
         cores(Role::Coordinator),
-        one(Metric::DelayMedianMs),
-        one(Metric::DelayP99Ms),
-        one(Metric::DelayWorstMs),
-        one(Metric::EventsExpected),
-        one(Metric::EventsLost),
-        one(Metric::EventsReplaced),
-        one(Metric::EventsDoubled),
-        one(Metric::EventsOutOfOrder),
+        hollow(Metric::DelayMedianMs),
+        hollow(Metric::DelayP99Ms),
+        hollow(Metric::DelayWorstMs),
+        hollow(Metric::EventsExpected),
+        hollow(Metric::EventsLost),
+        hollow(Metric::EventsReplaced),
+        hollow(Metric::EventsDoubled),
+        hollow(Metric::EventsOutOfOrder),
         rows.sum(Role::Coordinator, Metric::MachineIdleShare)
             .unwrap_or(f64::NAN),
     )
@@ -235,10 +244,11 @@
 
 fn read_orders<T: DeserializeOwned>(path: &Path) -> Result<T, ExitError> {
     let text = files::read_text(&path.to_string_lossy())?;
-    serde_json::from_str(&text).map_err(|error| usage_error(format!("{}: {error}", path.display())))
+    serde_json::from_str(&text)
+        .map_err(|error| usage_error(format!("{}: not valid orders: {error}", path.display())))
 }
 
-/// A process of hollow forwarders.
+/// Runs a process of hollow forwarders with the orders in a file.
 pub(crate) fn run_hollow_forwarders(path: &Path) -> Result<(), ExitError> {
     let orders: HollowOrders = read_orders(path)?;
     let KeyedPlan { plan, key } = files::read_plan(&orders.plan.to_string_lossy())?;
@@ -248,7 +258,7 @@
     flaxdeck_scale::hollow::run(&orders, options).map_err(ExitError::failed)
 }
 
-/// The stand-in coordinator.
+/// Runs the stand-in coordinator with the orders in a file.
 pub(crate) fn run_coordinator(path: &Path) -> Result<(), ExitError> {
     let orders: CoordinatorOrders = read_orders(path)?;
     let _log = log::start("warn", LogFormat::Text)?;
--- a/crates/flaxdeck-cli/src/scenario_files.rs
+++ b/crates/flaxdeck-cli/src/scenario_files.rs
@@ -1,5 +1,6 @@
-//! Files that describe a model: `(model (zones 2) ... (faults (fault (kind die) (at-ms 8000) (lasts-ms 6000))))`.
-//! What a file leaves out has its default.
+//! Reads files that describe a model of the fleet:
+//! `(model (zones 2) ... (faults (fault (kind die) (at-ms 8000) (lasts-ms 6000))))`.
+//! Forms that a file leaves out have default values.
 
 use flaxdeck_fleet::faults::KINDS;
 use flaxdeck_fleet::{Fault, FaultKind, Scenario};
@@ -8,17 +9,22 @@
 use crate::exit::{ExitError, file_faults};
 use crate::files;
 
-/// A form with one number: its word, its bounds, and where the number goes.
+/// A form that holds one number: its keyword, the bounds of the number, and the setter of the scenario's field.
 struct NumberForm {
-    word: &'static str,
+    keyword: &'static str,
     min: f64,
     max: f64,
     set: fn(&mut Scenario, f64),
 }
 
-const fn number(word: &'static str, min: f64, max: f64, set: fn(&mut Scenario, f64)) -> NumberForm {
+const fn number(
+    keyword: &'static str,
+    min: f64,
+    max: f64,
+    set: fn(&mut Scenario, f64),
+) -> NumberForm {
     NumberForm {
-        word,
+        keyword,
         min,
         max,
         set,
@@ -65,12 +71,12 @@
     number("wait-ms", 100.0, 1e6, |it, n| it.client_timeout_ms = n),
 ];
 
-/// The forms of one fault.
+/// Keywords of the forms that a `fault` form may hold.
 const FAULT_FORMS: [&str; 9] = [
     "kind", "at-ms", "lasts-ms", "part", "times", "zone", "at-once", "rate", "ms",
 ];
 
-/// Reads a model's file.
+/// Reads the scenario from a model file.
 pub(crate) fn read(file: &str) -> Result<Scenario, ExitError> {
     let text = files::read_text(file)?;
     let mut faults = Faults::of(file);
@@ -80,11 +86,11 @@
 
 fn read_scenario(form: &Form, faults: &mut Faults) -> Scenario {
     let mut scenario = Scenario::default();
-    let mut known: Vec<&str> = NUMBERS.iter().map(|number| number.word).collect();
+    let mut known: Vec<&str> = NUMBERS.iter().map(|number| number.keyword).collect();
     known.push("faults");
     let mut forms = form.forms(&known, faults);
     for number in NUMBERS {
-        let form = only(&mut forms, number.word, faults);
+        let form = only(&mut forms, number.keyword, faults);
         let value = form.and_then(|form| form.number(number.min, number.max, faults));
         if let Some(value) = value {
             (number.set)(&mut scenario, value);
@@ -103,8 +109,8 @@
 fn read_fault(form: &Form, faults: &mut Faults) -> Option<Fault> {
     let mut forms = form.forms(&FAULT_FORMS, faults);
     let kind = only(&mut forms, "kind", faults).and_then(|form| form.choice(KINDS, faults));
-    let mut number = |word: &str, min: f64, max: f64, default: f64| {
-        only(&mut forms, word, faults)
+    let mut number = |keyword: &str, min: f64, max: f64, default: f64| {
+        only(&mut forms, keyword, faults)
             .and_then(|form| form.number(min, max, faults))
             .unwrap_or(default)
     };
@@ -119,13 +125,13 @@
     let Some(kind) = kind else {
         faults.add(
             form.place,
-            "kind is missing or unknown".into(),
-            "a fault needs its kind",
-            "write (kind die) or the like",
+            "the fault's kind is missing or unknown".into(),
+            "the kind determines what the fault does",
+            "write a known kind, such as (kind die)",
         );
         return None;
     };
-    let kind = FaultKind::from_name(kind, |word| match word {
+    let kind = FaultKind::from_name(kind, |parameter| match parameter {
         "part" => part,
         "times" => times,
         "at-once" => at_once,
--- a/crates/flaxdeck-cli/src/state.rs
+++ b/crates/flaxdeck-cli/src/state.rs
@@ -1,4 +1,5 @@
-//! `flaxdeck state`: what a forwarder's state folder holds, and what of it would be believed.
+//! `flaxdeck state`: prints what a forwarder's state folder holds, and which parts of it would be trusted by a
+//! forwarder that starts now.
 
 use std::path::Path;
 
@@ -12,25 +13,25 @@
 
 use crate::exit::{ExitError, usage_error};
 
-/// What a state folder holds.
+/// The content of a state folder, and how valid it is.
 struct Inspection {
     instance: String,
     generation: u64,
-    /// Records after the snapshot.
+    /// Number of records after the snapshot.
     records: usize,
     damage: Option<String>,
     stored: Stored,
-    /// What would be believed of it now.
+    /// For each part of the stored state, whether it is valid now and why.
     verdicts: Vec<Verdict>,
 }
 
 enum Stored {
-    Nothing,
+    Empty,
     OtherVersion,
     State(StoredState),
 }
 
-/// Reads a state folder, judges it and prints the verdicts.
+/// Reads a state folder, validates the stored state and prints the verdicts.
 pub(crate) fn run(folder: &str, as_json: bool) -> Result<(), ExitError> {
     let inspection = inspect_folder(folder)?;
     if as_json {
@@ -39,12 +40,14 @@
         print_text(&inspection);
     }
     match (inspection.damage, inspection.stored) {
-        (Some(damage), _) => Err(ExitError::failed(format!("{folder}: damaged: {damage}"))),
-        (None, Stored::Nothing) => Err(ExitError::failed(format!(
-            "{folder}: no state is kept here"
+        (Some(damage), _) => Err(ExitError::failed(format!(
+            "{folder}: the stored state is damaged: {damage}"
+        ))),
+        (None, Stored::Empty) => Err(ExitError::failed(format!(
+            "{folder}: the folder holds no snapshot of a forwarder's state"
         ))),
         (None, Stored::OtherVersion) => Err(ExitError::failed(format!(
-            "{folder}: the state is of another version"
+            "{folder}: the stored state has a format that this version of flaxdeck does not read"
         ))),
         (None, Stored::State(_)) => Ok(()),
     }
@@ -52,39 +55,41 @@
 
 fn inspect_folder(folder: &str) -> Result<Inspection, ExitError> {
     if !Path::new(folder).is_dir() {
-        return Err(usage_error(format!("{folder}: there is no such folder")));
+        return Err(usage_error(format!(
+            "{folder}: no folder exists at this path"
+        )));
     }
     let mut disk = Folder::open(Path::new(folder))
         .map_err(|error| usage_error(format!("{folder}: {error}")))?;
-    let found = inspect(&mut disk);
-    let stored = match &found.snapshot {
-        None => Stored::Nothing,
-        Some(snapshot) => match StoredState::read(snapshot, &found.records) {
+    let contents = inspect(&mut disk);
+    let stored = match &contents.snapshot {
+        None => Stored::Empty,
+        Some(snapshot) => match StoredState::read(snapshot, &contents.records) {
             Ok(state) => Stored::State(state),
             Err(_) => Stored::OtherVersion,
         },
     };
     let verdicts = match &stored {
-        Stored::State(state) => restored_state::validate(state.clone(), now()).verdicts,
-        Stored::Nothing | Stored::OtherVersion => Vec::new(),
+        Stored::State(state) => restored_state::validate(state.clone(), current_facts()).verdicts,
+        Stored::Empty | Stored::OtherVersion => Vec::new(),
     };
     Ok(Inspection {
-        instance: found.instance.to_string(),
-        generation: found.generation,
-        records: found.records.len(),
-        damage: found.damage.as_ref().map(ToString::to_string),
+        instance: contents.instance.to_string(),
+        generation: contents.generation,
+        records: contents.records.len(),
+        damage: contents.damage.as_ref().map(ToString::to_string),
         stored,
         verdicts,
     })
 }
 
-/// The facts that the state is judged by: this machine's, without a configuration.
-fn now() -> CurrentFacts {
-    let since = since_boot();
+/// Returns the facts that stored state is validated against: this machine's uptime, and no configuration.
+fn current_facts() -> CurrentFacts {
+    let uptime = since_boot();
     CurrentFacts {
         uptime: Uptime {
-            boot: since.boot_id,
-            ms: since.ms,
+            boot: uptime.boot_id,
+            ms: uptime.ms,
         },
         configured_event: EventPosition::NONE,
         startup_wait: Span::ZERO,
@@ -96,7 +101,7 @@
     let judged: Vec<Value> = inspection.verdicts.iter().map(row).collect();
     let (event, hosts) = match &inspection.stored {
         Stored::State(state) => (state.last_event.number, state.endpoints.len()),
-        Stored::Nothing | Stored::OtherVersion => (0, 0),
+        Stored::Empty | Stored::OtherVersion => (0, 0),
     };
     println!(
         "{}",
