--- a/crates/flaxdeck-cli/tests/commands.rs
+++ b/crates/flaxdeck-cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The program's sub-commands as people and scripts meet them.
+//! Output and exit codes of the sub-commands `check`, `forward` and `plan`, run as processes.
 
 #![allow(
     clippy::unwrap_used,
@@ -9,10 +9,10 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-fn flaxdeck(words: &[&str]) -> Output {
+fn flaxdeck(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_flaxdeck"))
         .env_remove("GW_CONFIG")
-        .args(words)
+        .args(arguments)
         .output()
         .unwrap()
 }
@@ -21,14 +21,14 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-fn file(name: &str, content: &str) -> String {
+fn temporary_file(name: &str, content: &str) -> String {
     let path =
         std::env::temp_dir().join(format!("flaxdeck-commands-{}-{name}", std::process::id()));
     std::fs::write(&path, content).unwrap();
     path.to_string_lossy().into_owned()
 }
 
-fn own(path: &str) -> String {
+fn repository_file(path: &str) -> String {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("../..")
         .join(path)
@@ -37,34 +37,38 @@
 }
 
 #[test]
-fn a_good_plan_is_good_and_is_explained() {
-    let done = flaxdeck(&["check", &own("deploy/two-levels.plan"), "--explain"]);
-    assert!(done.status.success(), "{done:?}");
-    let said = text(&done.stdout);
+fn check_accepts_a_valid_plan_and_explains_its_lease_times() {
+    let output = flaxdeck(&[
+        "check",
+        &repository_file("deploy/two-levels.plan"),
+        "--explain",
+    ]);
+    assert!(output.status.success(), "{output:?}");
+    let printed = text(&output.stdout);
     assert!(
-        said.contains("good")
-            && said.contains("a grant may be used for                        1200 ms"),
-        "{said}"
+        printed.contains("good")
+            && printed.contains("a grant may be used for                        1200 ms"),
+        "{printed}"
     );
 }
 
 #[test]
-fn a_faulty_plan_ends_with_2_and_names_file_line_column_and_how_to_mend() {
-    let plan = file(
+fn check_prints_position_and_remedy_of_each_fault_and_exits_with_2() {
+    let plan = temporary_file(
         "faulty.plan",
         "(plan\n  (key-file \"k\")\n  (planers (planner (name a) (listen \"127.0.0.1:1\"))))\n",
     );
-    let done = flaxdeck(&["check", &plan]);
-    assert_eq!(done.status.code(), Some(2));
-    let said = text(&done.stderr);
+    let output = flaxdeck(&["check", &plan]);
+    assert_eq!(output.status.code(), Some(2));
+    let printed = text(&output.stderr);
     assert!(
-        said.contains(&format!("{plan}:3:3: planers is not known in (plan ...)")),
-        "{said}"
+        printed.contains(&format!("{plan}:3:3: planers is not known in (plan ...)")),
+        "{printed}"
     );
-    assert!(said.contains("write planners"), "{said}");
-    let done = flaxdeck(&["check", &plan, "--json"]);
-    assert_eq!(done.status.code(), Some(2));
-    let json: serde_json::Value = serde_json::from_slice(&done.stdout).unwrap();
+    assert!(printed.contains("write planners"), "{printed}");
+    let output = flaxdeck(&["check", &plan, "--json"]);
+    assert_eq!(output.status.code(), Some(2));
+    let json: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(
         (&json["good"], &json["faults"][1]["line"]),
         (&false.into(), &3.into()),
@@ -73,57 +77,60 @@
 }
 
 #[test]
-fn what_cannot_start_says_why_in_a_line_and_ends_with_2() {
-    let plan = file(
+fn forward_and_plan_name_the_faulty_file_and_exit_with_2() {
+    let plan = temporary_file(
         "keyless.plan",
         "(plan (key-file \"none.key\") (planners (planner (name a) (listen \"127.0.0.1:0\"))))",
     );
-    let config = own("examples/toy/config.json");
-    let words = ["forward", "--config", &config, "--plan", &plan];
-    let done = flaxdeck(&words);
-    assert_eq!(done.status.code(), Some(2));
+    let config = repository_file("examples/toy/config.json");
+    let arguments = ["forward", "--config", &config, "--plan", &plan];
+    let output = flaxdeck(&arguments);
+    assert_eq!(output.status.code(), Some(2));
     assert!(
-        text(&done.stderr).contains("none.key: cannot be read"),
-        "{done:?}"
+        text(&output.stderr).contains("none.key: cannot be read"),
+        "{output:?}"
     );
-    let key = file("short.key", "abc");
+    let key = temporary_file("short.key", "abc");
     let name = PathBuf::from(&key)
         .file_name()
         .unwrap()
         .to_string_lossy()
         .into_owned();
-    let plan = file(
+    let plan = temporary_file(
         "short.plan",
         &format!(
             "(plan (key-file \"{name}\") (planners (planner (name a) (listen \"127.0.0.1:0\"))))"
         ),
     );
-    let done = flaxdeck(&["plan", "--config", &config, "--plan", &plan, "--name", "a"]);
-    assert_eq!(done.status.code(), Some(2));
+    let output = flaxdeck(&["plan", "--config", &config, "--plan", &plan, "--name", "a"]);
+    assert_eq!(output.status.code(), Some(2));
     assert!(
-        text(&done.stderr).contains("a key has 64 hex digits"),
-        "{done:?}"
+        text(&output.stderr).contains("a key has 64 hex digits"),
+        "{output:?}"
     );
-    let good = file("good.key", &"0f".repeat(32));
+    let good = temporary_file("good.key", &"0f".repeat(32));
     let name = PathBuf::from(&good)
         .file_name()
         .unwrap()
         .to_string_lossy()
         .into_owned();
-    let plan = file(
+    let plan = temporary_file(
         "good.plan",
         &format!(
             "(plan (key-file \"{name}\") (planners (planner (name a) (listen \"127.0.0.1:0\"))))"
         ),
     );
-    let done = flaxdeck(&["plan", "--config", &config, "--plan", &plan, "--name", "b"]);
-    assert_eq!(done.status.code(), Some(2));
+    let output = flaxdeck(&["plan", "--config", &config, "--plan", &plan, "--name", "b"]);
+    assert_eq!(output.status.code(), Some(2));
     assert!(
-        text(&done.stderr).contains("there is no planner b, there are: a"),
-        "{done:?}"
+        text(&output.stderr).contains("there is no planner b, there are: a"),
+        "{output:?}"
+    );
+    let broken = temporary_file("broken.json", "{\n  \"listen\": }");
+    let output = flaxdeck(&["plan", "--config", &broken, "--plan", &plan, "--name", "a"]);
+    assert_eq!(output.status.code(), Some(2));
+    assert!(
+        text(&output.stderr).contains("broken.json:2:"),
+        "{output:?}"
     );
-    let broken = file("broken.json", "{\n  \"listen\": }");
-    let done = flaxdeck(&["plan", "--config", &broken, "--plan", &plan, "--name", "a"]);
-    assert_eq!(done.status.code(), Some(2));
-    assert!(text(&done.stderr).contains("broken.json:2:"), "{done:?}");
 }
