--- a/crates/flaxdeck-cli/tests/capacity.rs
+++ b/crates/flaxdeck-cli/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! `flaxdeck capacity` as a program: files in, tables out, exit codes.
+//! Files, output and exit codes of `flaxdeck capacity`, run as a process.
 
 #![allow(
     clippy::unwrap_used,
@@ -20,17 +20,17 @@
         .arg("capacity")
         .args(arguments)
         .output()
-        .expect("it can be started")
+        .expect("flaxdeck can be started")
 }
 
-/// A folder that goes with the test.
+/// A temporary folder that is removed when the test ends.
 struct Folder(PathBuf);
 
 impl Folder {
     fn create(name: &str) -> Folder {
         let path =
             std::env::temp_dir().join(format!("flaxdeck-capacity-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(path.join("runs")).expect("a folder can be made");
+        std::fs::create_dir_all(path.join("runs")).expect("the temporary folder can be created");
         Folder(path)
     }
     fn path(&self, name: &str) -> PathBuf {
@@ -44,7 +44,7 @@
     }
 }
 
-/// Rows of a forwarder that hears 80 bytes a purge.
+/// Measurements of a hollow forwarder that receives 80 bytes for each purge.
 fn rows() -> String {
     let head = "run,seed,distribution,hollow_forwarders,hosts,purges_per_s,planners,fault,role,metric,kind,value";
     let row = |(seed, purges): (u32, f64)| {
@@ -63,10 +63,10 @@
 }
 
 #[test]
-fn rows_of_runs_become_slopes_charts_and_the_page() {
-    let folder = Folder::create("whole");
+fn measurements_give_slopes_charts_and_the_page() {
+    let folder = Folder::create("valid");
     let (runs, slopes) = (folder.path("runs"), folder.path("slopes.csv"));
-    std::fs::write(runs.join("made.csv"), rows()).expect("it can be written");
+    std::fs::write(runs.join("made.csv"), rows()).expect("the file can be written");
     let fitted = flaxdeck(&[Path::new("fit"), &runs, &slopes]);
     assert!(
         fitted.status.success(),
@@ -99,20 +99,23 @@
 }
 
 #[test]
-fn faults_of_files_end_it_with_two() {
+fn faulty_or_missing_files_exit_with_2() {
     let folder = Folder::create("faults");
     let (slopes, target) = (folder.path("slopes.csv"), folder.path("bad.plan"));
-    std::fs::write(&slopes, "").expect("it can be written");
-    std::fs::write(&target, "(target (fleet))").expect("it can be written");
+    std::fs::write(&slopes, "").expect("the file can be written");
+    std::fs::write(&target, "(target (fleet))").expect("the file can be written");
     let printed = flaxdeck(&[&slopes, &target]);
     assert_eq!(printed.status.code(), Some(2));
-    let told = String::from_utf8_lossy(&printed.stderr).into_owned();
+    let message = String::from_utf8_lossy(&printed.stderr).into_owned();
     assert!(
-        told.contains("bad.plan:1:9: dispatchers is missing in (fleet ...)"),
-        "{told}"
+        message.contains("bad.plan:1:9: dispatchers is missing in (fleet ...)"),
+        "{message}"
     );
-    assert!(printed.stdout.is_empty(), "no half of a page");
-    std::fs::write(&slopes, "a,b\n1,2\n").expect("it can be written");
+    assert!(
+        printed.stdout.is_empty(),
+        "a faulty target must not give part of a page"
+    );
+    std::fs::write(&slopes, "a,b\n1,2\n").expect("the file can be written");
     let printed = flaxdeck(&[&slopes, Path::new(TARGET)]);
     assert_eq!(printed.status.code(), Some(2));
     assert!(
@@ -127,6 +130,6 @@
     assert_eq!(
         flaxdeck(&[&slopes]).status.code(),
         Some(2),
-        "the target is not named"
+        "the target argument is missing"
     );
 }
