--- a/crates/flaxdeck-cli/tests/scale.rs
+++ b/crates/flaxdeck-cli/tests/scale.rs
@@ -1,4 +1,4 @@
-//! A small scale run with the real programs: fifty hollow forwarders, two planners, a stand-in coordinator.
+//! Small scale runs with real processes: up to fifty hollow forwarders, two planners and a stand-in coordinator.
 
 #![allow(
     clippy::unwrap_used,
@@ -19,15 +19,15 @@
 const SMALL: &str =
     "(scale (name \"small\") (seed 3) (sizes (hollow 50) (processes 2) (hosts 100) (planners 2))
     (rates (purges 33) (host-changes 2)) (times (settle-s 1) (window-s 5) (drain-s 3)))";
-/// Messages that may be on their way, or counted in a file on one side only, when both sides are read: some looks'
-/// worth of reports and their answers, and of the coordinator's words.
-const ON_THEIR_WAY: f64 = 0.7;
+/// Seconds' worth of messages by which the counts of both sides may differ when they are read. Reports, their answers
+/// and messages of the coordinator may be in flight, or only one side may have written them to its counters file.
+const MAX_COUNT_LAG_S: f64 = 0.7;
 
 fn binary() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_flaxdeck"))
 }
 
-fn played(text: &str) -> RunResult {
+fn play_scenario(text: &str) -> RunResult {
     let scenario = scenario::read("small.scale", text).unwrap();
     let (point, seed, fault) = (scenario.points[0], scenario.seed, scenario.fault);
     let options = RunOptions {
@@ -50,25 +50,25 @@
 }
 
 #[test]
-fn fifty_hollow_forwarders_miss_nothing_and_both_sides_count_the_same() {
-    let begun = Instant::now();
+fn fifty_hollow_forwarders_receive_every_event_and_message_counts_match() {
+    let start = Instant::now();
     let RunResult {
         rows,
         message_totals,
         processes,
-    } = played(SMALL);
-    let of = |role, metric| rows.sum(role, metric).unwrap();
-    let hollow = |metric| of(Role::HollowForwarder, metric);
+    } = play_scenario(SMALL);
+    let sum = |role, metric| rows.sum(role, metric).unwrap();
+    let hollow = |metric| sum(Role::HollowForwarder, metric);
     let expected = hollow(Metric::EventsExpected);
     assert!(expected > 50.0 * 35.0 * 4.0, "{expected} events expected");
-    let bad = [
+    let faulty_deliveries = [
         Metric::EventsLost,
         Metric::EventsReplaced,
         Metric::EventsDoubled,
         Metric::EventsOutOfOrder,
     ];
     assert_eq!(
-        bad.map(hollow),
+        faulty_deliveries.map(hollow),
         [0.0; 4],
         "lost, replaced, doubled, out of order"
     );
@@ -81,12 +81,15 @@
             "reports" | "guidance" => 50.0 * 2.0 * 5.0,
             _ => 0.0,
         };
-        assert!((sent - received).abs() <= per_s * ON_THEIR_WAY, "{side:?}");
+        assert!(
+            (sent - received).abs() <= per_s * MAX_COUNT_LAG_S,
+            "message counts differ between the sides: {side:?}"
+        );
         let [sent, received] = [side.sent, side.received]
             .map(|count: MessageCount| count.bytes as f64 / count.messages as f64);
         assert!(
             sent.is_nan() || (sent - received).abs() < 0.02 * sent,
-            "bytes a message: {side:?}"
+            "mean bytes per message differ between the sides: {side:?}"
         );
     }
     let feed = message_totals
@@ -99,14 +102,14 @@
         "{processes:?}"
     );
     assert!(
-        begun.elapsed() < Duration::from_secs(20),
+        start.elapsed() < Duration::from_secs(20),
         "{:?}",
-        begun.elapsed()
+        start.elapsed()
     );
 }
 
 #[test]
-fn forwarders_restarted_together_follow_on_from_their_file_while_planners_are_faster_than_the_coordinator()
+fn forwarders_restarted_from_a_current_configuration_lose_no_event_if_planners_lead_the_coordinator()
  {
     let text =
         "(scale (name \"small\") (seed 4) (sizes (hollow 40) (processes 2) (hosts 50) (planners 2))
@@ -114,21 +117,21 @@
         (fault (kind region-restarted) (at-s 2) (lasts-s 0)))";
     let RunResult {
         rows, processes, ..
-    } = played(text);
+    } = play_scenario(text);
     let hollow = |metric| rows.sum(Role::HollowForwarder, metric).unwrap();
     assert!(
         hollow(Metric::EventsExpected) > 30.0 * 60.0 * 4.0,
         "{}",
         hollow(Metric::EventsExpected)
     );
-    let bad = [
+    let faulty_deliveries = [
         Metric::EventsLost,
         Metric::EventsReplaced,
         Metric::EventsDoubled,
         Metric::EventsOutOfOrder,
     ];
     assert_eq!(
-        bad.map(hollow),
+        faulty_deliveries.map(hollow),
         [0.0; 4],
         "lost, replaced, doubled, out of order"
     );
@@ -138,20 +141,21 @@
     );
 }
 
-/// Ids of processes that have this one as their parent.
-fn children(of: u32) -> Vec<u32> {
-    let children =
-        std::fs::read_to_string(format!("/proc/{of}/task/{of}/children")).unwrap_or_default();
+/// Returns the ids of a process's child processes.
+fn children(process: u32) -> Vec<u32> {
+    let children = std::fs::read_to_string(format!("/proc/{process}/task/{process}/children"))
+        .unwrap_or_default();
     children
         .split_whitespace()
         .map(|id| id.parse().unwrap())
         .collect()
 }
 
-fn ended_within(limit: Duration, mut ended: impl FnMut() -> bool) -> bool {
-    let begun = Instant::now();
-    while begun.elapsed() < limit {
-        if ended() {
+/// Waits until a condition holds. Returns whether it did within the limit.
+fn holds_within(limit: Duration, mut condition: impl FnMut() -> bool) -> bool {
+    let start = Instant::now();
+    while start.elapsed() < limit {
+        if condition() {
             return true;
         }
         sleep(Duration::from_millis(20));
@@ -160,7 +164,7 @@
 }
 
 #[test]
-fn what_a_run_started_is_gone_after_an_interrupt_and_after_a_kill() {
+fn started_processes_end_when_the_run_is_interrupted_or_killed() {
     let file =
         std::env::temp_dir().join(format!("flaxdeck-scale-test-{}.scale", std::process::id()));
     std::fs::write(&file, SMALL).unwrap();
@@ -174,8 +178,8 @@
             .spawn()
             .unwrap();
         assert!(
-            ended_within(Duration::from_secs(15), || children(run.id()).len() == 5),
-            "all five are started"
+            holds_within(Duration::from_secs(15), || children(run.id()).len() == 5),
+            "the run starts five processes"
         );
         let started = children(run.id());
         let sent = Command::new("kill")
@@ -187,7 +191,7 @@
         run.wait().unwrap();
         let gone = || !started.iter().any(|process| is_alive(*process));
         assert!(
-            ended_within(Duration::from_secs(5), gone),
+            holds_within(Duration::from_secs(5), gone),
             "{signal}: {started:?}"
         );
     }
@@ -195,7 +199,7 @@
 }
 
 #[test]
-fn a_size_over_a_bound_is_refused_before_anything_starts() {
+fn size_over_a_bound_is_rejected_before_any_process_starts() {
     let file =
         std::env::temp_dir().join(format!("flaxdeck-scale-bound-{}.scale", std::process::id()));
     std::fs::write(
@@ -203,16 +207,16 @@
         "(scale (name \"huge\") (sizes (hollow 5000) (hosts 3500)))",
     )
     .unwrap();
-    let told = Command::new(binary())
+    let output = Command::new(binary())
         .arg("scale")
         .arg(&file)
         .output()
         .unwrap();
     std::fs::remove_file(file).unwrap();
-    let said = String::from_utf8_lossy(&told.stderr).into_owned();
-    assert_eq!(told.status.code(), Some(2), "{said}");
+    let message = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(2), "{message}");
     assert!(
-        said.contains("the bound is 10000000000 over all processes"),
-        "{said}"
+        message.contains("the bound is 10000000000 over all processes"),
+        "{message}"
     );
 }
