--- a/crates/flaxdeck-cli/tests/levels.rs
+++ b/crates/flaxdeck-cli/tests/levels.rs
@@ -1,5 +1,5 @@
-//! Forwarders and planners as processes on loopback, among stand-ins, with the faults that the two levels are for.
-//! Each world's record goes to the checker of the rules; each story's own point is asserted beside that.
+//! Forwarders and planners as processes on loopback, among stand-ins, with faults of either level and of the links
+//! between them. The record of each test is checked against the rules; each test also asserts its own outcome.
 
 #![allow(
     clippy::unwrap_used,
@@ -15,8 +15,8 @@
 use flaxdeck_emulator::{Clients, FailureMode, HostKind, Layout, LinkState, Load, World};
 use flaxdeck_invariants::Verdict;
 
-/// Forwarders that have just started leave cold hosts alone for this long.
-const WAITS: f64 = 4_600.0;
+/// For this long after its start a forwarder does not use its quotas of cold hosts.
+const STARTUP_WAIT_MS: f64 = 4_600.0;
 
 fn setup(planners: usize, forwarders: usize) -> Setup {
     Setup::new(
@@ -35,27 +35,33 @@
     Fleet::start(world, setup).unwrap()
 }
 
-fn load(fleet: &Fleet, rates: &[f64], from: f64, lasts: f64) -> (Clients, f64) {
-    let begins = fleet.world.now() + from;
+/// Starts clients with a rate of requests per second for each forwarder; forwarders past the list get the last rate.
+/// Returns the clients and their start time.
+fn start_clients(fleet: &Fleet, rates: &[f64], delay_ms: f64, duration_ms: f64) -> (Clients, f64) {
+    let start_ms = fleet.world.now() + delay_ms;
     let load = Load {
         seed: 11,
         requests_per_s: rates.to_vec(),
         objects: 500,
         popularity_exponent: 0.8,
         write_fraction: 0.03,
-        from_ms: begins,
-        to_ms: begins + lasts,
+        from_ms: start_ms,
+        to_ms: start_ms + duration_ms,
         timeout_ms: 2_500,
         first_connection: 0,
     };
-    (fleet.world.clients(&fleet.addresses(), &load), begins)
+    (fleet.world.clients(&fleet.addresses(), &load), start_ms)
 }
 
-/// Waits for the clients and judges; every request must be accounted for and no byte wrong.
-fn judged(fleet: &Fleet, clients: &Clients) -> Verdict {
+/// Waits for the clients and returns the verdict. Every request must be accounted for, and no answer may hold wrong
+/// bytes.
+fn final_verdict(fleet: &Fleet, clients: &Clients) -> Verdict {
     let limit = fleet.world.now() + 20_000.0;
     while !clients.is_done() {
-        assert!(fleet.world.now() < limit, "the clients do not end");
+        assert!(
+            fleet.world.now() < limit,
+            "the clients did not finish within 20 s of the last fault"
+        );
         sleep(Duration::from_millis(10));
     }
     let verdict = fleet.world.verdict();
@@ -64,23 +70,24 @@
     verdict
 }
 
-fn kept(fleet: &Fleet, clients: &Clients) -> Verdict {
-    let verdict = judged(fleet, clients);
+/// Returns the [`final_verdict`], in which no rule may be broken.
+fn verdict_without_violations(fleet: &Fleet, clients: &Clients) -> Verdict {
+    let verdict = final_verdict(fleet, clients);
     assert_eq!(verdict.violations, [], "{:?}", &fleet.lines());
     verdict
 }
 
-fn logged(fleet: &Fleet, words: &str) -> bool {
-    fleet.lines().iter().any(|line| line.contains(words))
+fn logged(fleet: &Fleet, text: &str) -> bool {
+    fleet.lines().iter().any(|line| line.contains(text))
 }
 
-/// Until a line with those words comes.
-fn wait_for(fleet: &Fleet, words: &str) {
+/// Waits until a log line contains the text.
+fn wait_for_line(fleet: &Fleet, text: &str) {
     let limit = fleet.world.now() + 15_000.0;
-    while !logged(fleet, words) {
+    while !logged(fleet, text) {
         assert!(
             fleet.world.now() < limit,
-            "no line with {words:?}: {:?}",
+            "no log line with {text:?} within 15 s: {:?}",
             fleet.lines()
         );
         sleep(Duration::from_millis(20));
@@ -88,29 +95,29 @@
 }
 
 #[test]
-fn a_planner_killed_frozen_and_slow_midway_costs_no_request_its_answer() {
+fn no_request_goes_unanswered_while_planners_are_killed_frozen_or_slow() {
     let mut fleet = fleet(setup(2, 3), Layout::default());
-    let (clients, begins) = load(&fleet, &[60.0], 200.0, 7_000.0);
+    let (clients, start_ms) = start_clients(&fleet, &[60.0], 200.0, 7_000.0);
     let script = [
-        (begins + 1_000.0, Fault::KillPlanner(0)),
-        (begins + 2_000.0, Fault::StartPlanner(0)),
-        (begins + 3_000.0, Fault::FreezePlanner(1)),
-        (begins + 4_500.0, Fault::ThawPlanner(1)),
+        (start_ms + 1_000.0, Fault::KillPlanner(0)),
+        (start_ms + 2_000.0, Fault::StartPlanner(0)),
+        (start_ms + 3_000.0, Fault::FreezePlanner(1)),
+        (start_ms + 4_500.0, Fault::ThawPlanner(1)),
         (
-            begins + 4_600.0,
+            start_ms + 4_600.0,
             Fault::PlannerLink(0, 0, LinkState::Delayed(300)),
         ),
         (
-            begins + 5_200.0,
+            start_ms + 5_200.0,
             Fault::PlannerLink(0, 0, LinkState::Delayed(900)),
         ),
         (
-            begins + 5_800.0,
+            start_ms + 5_800.0,
             Fault::PlannerLink(1, 0, LinkState::Stalled),
         ),
     ];
     fleet.play(&script).unwrap();
-    let verdict = kept(&fleet, &clients);
+    let verdict = verdict_without_violations(&fleet, &clients);
     assert_eq!(verdict.left, 0);
     assert!(
         verdict.requests > 900 && verdict.served * 100 >= verdict.requests * 98,
@@ -119,53 +126,53 @@
 }
 
 #[test]
-fn with_all_planners_gone_a_forwarder_is_a_lone_dispatcher() {
+fn forwarders_keep_serving_after_all_planners_are_killed() {
     let mut fleet = fleet(setup(2, 2), Layout::default());
-    let (clients, begins) = load(&fleet, &[60.0], 200.0, 5_000.0);
-    let planners = [
-        (begins + 1_000.0, Fault::KillPlanner(0)),
-        (begins + 1_000.0, Fault::KillPlanner(1)),
+    let (clients, start_ms) = start_clients(&fleet, &[60.0], 200.0, 5_000.0);
+    let kills = [
+        (start_ms + 1_000.0, Fault::KillPlanner(0)),
+        (start_ms + 1_000.0, Fault::KillPlanner(1)),
     ];
-    fleet.play(&planners).unwrap();
-    wait_for(&fleet, "guidance is now Ageing");
-    let verdict = kept(&fleet, &clients);
+    fleet.play(&kills).unwrap();
+    wait_for_line(&fleet, "guidance is now Ageing");
+    let verdict = verdict_without_violations(&fleet, &clients);
     assert!(verdict.served * 100 >= verdict.requests * 98, "{verdict:?}");
 }
 
 #[test]
-fn a_drain_reaches_a_forwarder_by_the_planners_when_its_coordinator_is_out_of_reach() {
+fn drain_reaches_a_forwarder_through_planners_when_its_coordinator_link_stalls() {
     let mut fleet = fleet(setup(2, 2), Layout::default());
     let caches = fleet.world.hosts(HostKind::Cache);
-    let (clients, begins) = load(&fleet, &[80.0], 200.0, 4_000.0);
+    let (clients, start_ms) = start_clients(&fleet, &[80.0], 200.0, 4_000.0);
     let script = [
         (
-            begins + 800.0,
+            start_ms + 800.0,
             Fault::CoordinatorLink(0, LinkState::Stalled),
         ),
-        (begins + 1_000.0, Fault::Drain(caches[0].clone())),
-        (begins + 1_800.0, Fault::Drain(caches[1].clone())),
+        (start_ms + 1_000.0, Fault::Drain(caches[0].clone())),
+        (start_ms + 1_800.0, Fault::Drain(caches[1].clone())),
     ];
     fleet.play(&script).unwrap();
-    let verdict = kept(&fleet, &clients);
+    let verdict = verdict_without_violations(&fleet, &clients);
     assert!(verdict.latest_arrival < 1_000.0, "{verdict:?}");
 }
 
 #[test]
-fn a_drain_reaches_a_forwarder_by_the_coordinator_when_its_planners_stand_still() {
+fn drain_reaches_a_forwarder_through_the_coordinator_when_planners_are_frozen() {
     let mut fleet = fleet(setup(2, 2), Layout::default());
     let caches = fleet.world.hosts(HostKind::Cache);
-    let (clients, begins) = load(&fleet, &[80.0], 200.0, 3_000.0);
+    let (clients, start_ms) = start_clients(&fleet, &[80.0], 200.0, 3_000.0);
     let script = [
-        (begins + 500.0, Fault::FreezePlanner(0)),
-        (begins + 500.0, Fault::FreezePlanner(1)),
-        (begins + 1_000.0, Fault::Drain(caches[0].clone())),
+        (start_ms + 500.0, Fault::FreezePlanner(0)),
+        (start_ms + 500.0, Fault::FreezePlanner(1)),
+        (start_ms + 1_000.0, Fault::Drain(caches[0].clone())),
     ];
     fleet.play(&script).unwrap();
-    kept(&fleet, &clients);
+    verdict_without_violations(&fleet, &clients);
 }
 
 #[test]
-fn a_forwarder_that_hears_nobody_rejects_before_a_drain_is_a_second_old() {
+fn forwarder_without_any_contact_rejects_within_a_second_of_a_drain() {
     let mut fleet = fleet(
         Setup {
             plan_forms: "(blind (after-ms 900))",
@@ -174,16 +181,22 @@
         Layout::default(),
     );
     let caches = fleet.world.hosts(HostKind::Cache);
-    let (clients, begins) = load(&fleet, &[80.0], 200.0, 6_000.0);
-    let cut = begins + 1_500.0;
-    let mut script = vec![(cut, Fault::CoordinatorLink(0, LinkState::Stalled))];
-    script.extend((0..2).map(|planner| (cut, Fault::PlannerLink(0, planner, LinkState::Stalled))));
-    script.push((cut, Fault::Drain(caches[0].clone())));
-    let heals = begins + 4_000.0;
-    script.push((heals, Fault::CoordinatorLink(0, LinkState::Up)));
-    script.extend((0..2).map(|planner| (heals, Fault::PlannerLink(0, planner, LinkState::Up))));
+    let (clients, start_ms) = start_clients(&fleet, &[80.0], 200.0, 6_000.0);
+    let stalled_ms = start_ms + 1_500.0;
+    let mut script = vec![(stalled_ms, Fault::CoordinatorLink(0, LinkState::Stalled))];
+    script.extend((0..2).map(|planner| {
+        (
+            stalled_ms,
+            Fault::PlannerLink(0, planner, LinkState::Stalled),
+        )
+    }));
+    script.push((stalled_ms, Fault::Drain(caches[0].clone())));
+    let restored_ms = start_ms + 4_000.0;
+    script.push((restored_ms, Fault::CoordinatorLink(0, LinkState::Up)));
+    script
+        .extend((0..2).map(|planner| (restored_ms, Fault::PlannerLink(0, planner, LinkState::Up))));
     fleet.play(&script).unwrap();
-    let verdict = kept(&fleet, &clients);
+    let verdict = verdict_without_violations(&fleet, &clients);
     assert!(verdict.rejected > 50, "{verdict:?}");
     assert!(
         logged(&fleet, "guidance is now Blind") && logged(&fleet, "was Blind"),
@@ -193,7 +206,7 @@
 }
 
 #[test]
-fn two_planners_that_both_believe_to_be_in_charge_never_push_a_cold_cache_over() {
+fn planners_that_each_consider_themselves_in_charge_never_overload_a_cold_cache() {
     let layout = Layout {
         caches: 1,
         cache_slots: 32.0,
@@ -208,30 +221,30 @@
         layout,
     );
     let cache = fleet.world.hosts(HostKind::Cache)[0].clone();
-    let (clients, begins) = load(&fleet, &[200.0, 120.0, 5.0], WAITS, 9_000.0);
-    let mut script = vec![(begins + 500.0, Fault::RestartHost(cache))];
-    let apart = |at: f64, wire| {
+    let (clients, start_ms) = start_clients(&fleet, &[200.0, 120.0, 5.0], STARTUP_WAIT_MS, 9_000.0);
+    let mut script = vec![(start_ms + 500.0, Fault::RestartHost(cache))];
+    let set_links = |at: f64, link_state| {
         [
-            Fault::PlannerLink(0, 0, wire),
-            Fault::PlannerLink(1, 1, wire),
+            Fault::PlannerLink(0, 0, link_state),
+            Fault::PlannerLink(1, 1, link_state),
         ]
-        .map(|f| (at, f))
+        .map(|fault| (at, fault))
     };
-    script.extend(apart(begins + 1_500.0, LinkState::Stalled));
-    script.extend(apart(begins + 4_500.0, LinkState::Up));
-    script.push((begins + 5_500.0, Fault::KillPlanner(0)));
-    script.push((begins + 6_000.0, Fault::StartPlanner(0)));
+    script.extend(set_links(start_ms + 1_500.0, LinkState::Stalled));
+    script.extend(set_links(start_ms + 4_500.0, LinkState::Up));
+    script.push((start_ms + 5_500.0, Fault::KillPlanner(0)));
+    script.push((start_ms + 6_000.0, Fault::StartPlanner(0)));
     fleet.play(&script).unwrap();
-    let verdict = kept(&fleet, &clients);
+    let verdict = verdict_without_violations(&fleet, &clients);
     assert_eq!(fleet.world.overloaded_hosts(), 0);
     assert!(
         verdict.peak_cold_load > 0.15,
-        "the cold cache is asked for something: {verdict:?}"
+        "the cold cache gets load: {verdict:?}"
     );
 }
 
 #[test]
-fn a_forwarder_killed_and_started_again_does_not_use_what_it_lent() {
+fn restarted_forwarder_does_not_use_quotas_that_it_lent() {
     let layout = Layout {
         caches: 1,
         cache_slots: 32.0,
@@ -240,47 +253,47 @@
     };
     let mut fleet = fleet(setup(1, 2), layout);
     let cache = fleet.world.hosts(HostKind::Cache)[0].clone();
-    let (clients, begins) = load(&fleet, &[200.0, 60.0], WAITS, 7_000.0);
+    let (clients, start_ms) = start_clients(&fleet, &[200.0, 60.0], STARTUP_WAIT_MS, 7_000.0);
     let script = [
-        (begins + 300.0, Fault::RestartHost(cache)),
-        (begins + 2_000.0, Fault::KillForwarder(1)),
-        (begins + 2_200.0, Fault::StartForwarder(1)),
+        (start_ms + 300.0, Fault::RestartHost(cache)),
+        (start_ms + 2_000.0, Fault::KillForwarder(1)),
+        (start_ms + 2_200.0, Fault::StartForwarder(1)),
     ];
     fleet.play(&script).unwrap();
-    let verdict = kept(&fleet, &clients);
+    let verdict = verdict_without_violations(&fleet, &clients);
     assert!(
         verdict.left > 0,
-        "its clients lost their connections: {verdict:?}"
+        "clients lose their connections to the killed forwarder: {verdict:?}"
     );
     assert_eq!(fleet.world.overloaded_hosts(), 0);
 }
 
 #[test]
-fn a_purge_heard_by_both_ways_in_either_order_is_never_applied_later() {
+fn purge_received_by_both_routes_in_either_order_is_applied_in_time() {
     let mut fleet = fleet(setup(2, 2), Layout::default());
-    let (clients, begins) = load(&fleet, &[120.0], 200.0, 5_000.0);
+    let (clients, start_ms) = start_clients(&fleet, &[120.0], 200.0, 5_000.0);
     let object = |rank: u64| format!("{:016x}", rank.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let mut script = vec![(
-        begins + 900.0,
+        start_ms + 900.0,
         Fault::CoordinatorLink(0, LinkState::Stalled),
     )];
-    script.extend((1..=3).map(|rank| (begins + 1_000.0, Fault::Purge(object(rank)))));
-    script.push((begins + 1_800.0, Fault::CoordinatorLink(0, LinkState::Up)));
+    script.extend((1..=3).map(|rank| (start_ms + 1_000.0, Fault::Purge(object(rank)))));
+    script.push((start_ms + 1_800.0, Fault::CoordinatorLink(0, LinkState::Up)));
     script.push((
-        begins + 2_000.0,
+        start_ms + 2_000.0,
         Fault::PlannerLink(1, 0, LinkState::Delayed(400)),
     ));
     script.push((
-        begins + 2_000.0,
+        start_ms + 2_000.0,
         Fault::PlannerLink(1, 1, LinkState::Delayed(400)),
     ));
-    script.extend((1..=3).map(|rank| (begins + 2_200.0, Fault::Purge(object(rank)))));
+    script.extend((1..=3).map(|rank| (start_ms + 2_200.0, Fault::Purge(object(rank)))));
     fleet.play(&script).unwrap();
-    kept(&fleet, &clients);
+    verdict_without_violations(&fleet, &clients);
 }
 
 #[test]
-fn a_parent_that_fails_is_left_by_all_once_some_have_found_out() {
+fn forwarders_avoid_a_failing_parent_and_keep_serving() {
     let mut fleet = fleet(
         setup(1, 3),
         Layout {
@@ -289,13 +302,13 @@
         },
     );
     let parent = fleet.world.hosts(HostKind::Parent)[0].clone();
-    let (clients, begins) = load(&fleet, &[100.0], 200.0, 4_000.0);
+    let (clients, start_ms) = start_clients(&fleet, &[100.0], 200.0, 4_000.0);
     fleet
         .play(&[(
-            begins + 1_000.0,
+            start_ms + 1_000.0,
             Fault::HostFailureMode(parent, FailureMode::Failing),
         )])
         .unwrap();
-    let verdict = kept(&fleet, &clients);
+    let verdict = verdict_without_violations(&fleet, &clients);
     assert!(verdict.served * 100 >= verdict.requests * 98, "{verdict:?}");
 }
