--- a/crates/flaxdeck-cli/src/scale.rs
+++ b/crates/flaxdeck-cli/src/scale.rs
@@ -125,8 +125,9 @@
     let points: Vec<Point> = match arguments.point {
         None => scenario.points.clone(),
         Some(number) => {
-            let index = number.checked_sub(1);
-            let point = index.and_then(|index| scenario.points.get(index));
+            let point = number
+                .checked_sub(1)
+                .and_then(|index| scenario.points.get(index));
             vec![*point.ok_or_else(|| {
                 usage_error(format!(
                     "--point {number}: the scale file has {} points",
