--- a/crates/flaxdeck-fleet/src/cache.rs
+++ b/crates/flaxdeck-fleet/src/cache.rs
@@ -1,12 +1,12 @@
-//! What a host caches, by rank and age.
+//! The cache of a host: copies of objects, evicted by rank and last use.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// The order in which copies are evicted: the lowest rank first, within it the longest unused.
+/// The order in which copies are evicted: the lowest rank first, and within a rank the least recently used first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionOrder {
     rank: u8,
-    /// The count of the cache's uses at this copy's last one.
+    /// The value of `Cache::uses` when this copy was last used.
     last_use: u64,
 }
 
@@ -17,20 +17,20 @@
     kb: f64,
 }
 
-/// Copies of objects up to so many KB.
+/// A cache of bounded size in KB.
 #[derive(Clone, Debug, Default)]
 pub struct Cache {
     capacity_kb: f64,
     used_kb: f64,
     copies: HashMap<u64, CachedCopy>,
-    /// Objects in the order of their eviction.
+    /// The cached objects in eviction order.
     eviction: BTreeMap<EvictionOrder, u64>,
-    /// Counts lookups that hit and inserts.
+    /// The number of hits and inserts so far.
     uses: u64,
 }
 
 impl Cache {
-    /// An empty cache of so many KB.
+    /// Creates an empty cache that holds up to `capacity_kb`.
     pub fn new(capacity_kb: f64) -> Cache {
         Cache {
             capacity_kb,
@@ -38,17 +38,18 @@
         }
     }
 
-    /// KB of all copies.
+    /// Returns the size of all copies in KB.
     pub fn used_kb(&self) -> f64 {
         self.used_kb
     }
 
-    /// Drops all copies.
+    /// Removes all copies.
     pub fn clear(&mut self) {
         *self = Cache::new(self.capacity_kb);
     }
 
-    /// When the object's copy was made, if there is one made at `oldest_ms` or later; the lookup counts as a use.
+    /// Returns the time at which the object's copy was made, or `None` if there is no copy made at `oldest_ms` or
+    /// later. A hit counts as a use of the copy.
     pub fn lookup(&mut self, object: u64, oldest_ms: f64) -> Option<f64> {
         let copy = self.copies.get_mut(&object)?;
         if copy.made_ms < oldest_ms {
@@ -61,7 +62,7 @@
         Some(copy.made_ms)
     }
 
-    /// Drops what was made before that time.
+    /// Removes copies made before `before_ms`.
     pub fn purge(&mut self, before_ms: f64) {
         let is_old = |(_, copy): &(&u64, &CachedCopy)| copy.made_ms < before_ms;
         let old = self.copies.iter().filter(is_old);
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Caches a copy in place of an earlier one, and evicts others to make room. One of rank 0 or larger than the whole
-    /// cache is not cached.
+    /// Inserts a copy, replacing an earlier one of the same object and evicting other copies until it fits. A copy of
+    /// rank 0 or larger than the whole cache is not inserted.
     pub fn insert(&mut self, object: u64, rank: u8, made_ms: f64, kb: f64) {
         self.remove(object);
         if kb > self.capacity_kb || rank == 0 {
--- a/crates/flaxdeck-fleet/src/faults.rs
+++ b/crates/flaxdeck-fleet/src/faults.rs
@@ -1,41 +1,42 @@
-//! Faults as data: what goes wrong, when and for how long; written down by hand, or drawn from ranges by a seed.
+//! Faults of a scenario: what goes wrong, when and for how long; read from a scenario file, or drawn at random.
 //!
-//! Hosts, forwarders, planners and zones are named by their places in the model's lists.
+//! Zones are identified by their index, starting at 0.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-/// What goes wrong.
+/// The kind of a fault, with its parameters.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// A fraction of all caches and parents crashes at once; each restarts, cold, at the fault's end.
+    /// A fraction of all caches and parents crashes at the same time; they restart with empty caches when the fault
+    /// ends.
     HostCrash {
         /// From 0 to 1.
         fraction: f64,
     },
-    /// Caches are drained and restarted, one batch after another.
+    /// All caches are drained and restarted, one batch after another.
     RollingRestart {
-        /// Caches that are drained together.
+        /// The number of caches that are drained at the same time.
         batch: usize,
     },
-    /// The coordinator's events come later.
+    /// The coordinator's events arrive later than usual.
     CoordinatorDelay {
-        /// Milliseconds that are added.
+        /// Milliseconds added to the delay of each event.
         added_ms: f64,
     },
-    /// All caches of a zone are lost.
+    /// All caches of a zone crash; they restart when the fault ends.
     ZoneLoss {
-        /// The zone.
+        /// The index of the zone.
         zone: usize,
     },
-    /// All parents but the last are lost.
+    /// All parents but one crash; they restart when the fault ends.
     ParentLoss,
-    /// A fraction of the caches takes requests and answers none.
+    /// A fraction of the caches accepts requests but answers none.
     SilentCaches {
         /// From 0 to 1.
         fraction: f64,
     },
-    /// A fraction of the caches answers that it failed.
+    /// A fraction of the caches answers every request with an error.
     FailingCaches {
         /// From 0 to 1.
         fraction: f64,
@@ -44,56 +45,57 @@
     SlowCaches {
         /// From 0 to 1.
         fraction: f64,
-        /// How many times as long they take.
+        /// The factor by which their service times grow.
         factor: f64,
     },
     /// The origin is slow.
     SlowOrigin {
-        /// How many times as long it takes.
+        /// The factor by which its latency and service times grow.
         factor: f64,
     },
-    /// The origin answers that it failed.
+    /// The origin answers every request with an error.
     FailingOrigin,
     /// Every object is purged.
     PurgeAll,
-    /// Objects are asked for that nobody asks for again.
+    /// Additional requests for objects that are each requested only once.
     Scan {
-        /// Objects a second.
+        /// Additional requests per second.
         requests_per_s: f64,
     },
-    /// A fraction of all requests goes to one object.
+    /// A fraction of all operations is for the most popular object.
     HotObject {
         /// From 0 to 1.
         fraction: f64,
     },
-    /// All load rises.
+    /// The request rate of all zones rises.
     Overload {
-        /// How many times as high it is.
+        /// The factor by which the request rate grows.
         factor: f64,
     },
-    /// A fraction of the forwarders is killed; they restart at once.
+    /// A fraction of the forwarders crashes; they restart immediately.
     ForwarderCrash {
         /// From 0 to 1.
         fraction: f64,
     },
-    /// No planner sends anything.
+    /// No planner processes or answers reports.
     SilentPlanners,
-    /// Each forwarder hears only one planner, every other one another.
+    /// Forwarders with an even index reach only planners with an even index, those with an odd index only planners with
+    /// an odd index.
     PartitionedPlanners,
 }
 
-/// One fault of a day.
+/// A fault with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// When it begins, in milliseconds of the run.
+    /// When the fault begins, in milliseconds from the start of the run.
     pub at_ms: f64,
-    /// Milliseconds until it ends.
+    /// How long the fault lasts, in milliseconds.
     pub duration_ms: f64,
-    /// What goes wrong.
+    /// The kind of the fault.
     pub kind: FaultKind,
 }
 
-/// The names of the kinds, as operators write them.
+/// The names of the kinds in scenario files and on the command line.
 pub const KINDS: &[&str] = &[
     "die",
     "deploy",
@@ -115,8 +117,8 @@
 ];
 
 impl FaultKind {
-    /// The kind of a name out of [`KINDS`], whose parameters are asked for by their words in files: part, times, at-once,
-    /// zone, ms, rate. None for an unknown name.
+    /// Returns the fault kind that a name in [`KINDS`] stands for, or `None` for an unknown name. `parameter` returns
+    /// the value of a parameter by its key in scenario files: part, times, at-once, zone, ms, rate.
     pub fn from_name(
         name: &str,
         mut parameter: impl FnMut(&'static str) -> f64,
@@ -170,13 +172,13 @@
 }
 
 impl Fault {
-    /// A fault of a kind out of [`KINDS`] with its parameters and time drawn, within a run of that length; none for an
-    /// unknown kind.
+    /// Draws the parameters and times of a fault whose kind is named in [`KINDS`], for a run of `run_ms`. Returns
+    /// `None` for an unknown kind.
     pub fn draw(kind: &str, zones: usize, run_ms: f64, rng: &mut Pcg64Mcg) -> Option<Fault> {
-        // Drawn for every kind, so that the same seed gives the same times whatever the kind.
+        // Drawn for every kind, so that all kinds without further parameters get the same times from the same seed.
         let fraction = rng.random_range(0.15..0.35);
         let factor = rng.random_range(2.0..6.0);
-        let kind = FaultKind::from_name(kind, |word| match (word, kind) {
+        let kind = FaultKind::from_name(kind, |key| match (key, kind) {
             ("part", "die") => 0.2,
             ("part", "kill-forwarders") => 0.5,
             ("part", _) => fraction,
--- a/crates/flaxdeck-fleet/src/host.rs
+++ b/crates/flaxdeck-fleet/src/host.rs
@@ -1,46 +1,46 @@
-//! Cache hosts, parents and the origin: slots, a queue, slow start, overload.
+//! The state of a cache host, a parent or the origin: slots, job queue, slow start and recent load.
 
 use std::collections::VecDeque;
 
 use crate::cache::Cache;
 
-/// How a host answers.
+/// How a host responds to requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FailureMode {
-    /// As it should.
+    /// It serves requests normally.
     Healthy,
-    /// Not at all.
+    /// It accepts requests but never answers.
     Silent,
-    /// That it failed.
+    /// It answers every request with an error.
     Failing,
-    /// After so many times the usual time.
+    /// It takes longer than usual, by this factor.
     Slow(f64),
 }
 
 /// The tier that a host belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostKind {
-    /// Of the first tier, near forwarders.
+    /// A cache host of the first tier, in the same zone as its forwarders.
     Cache,
-    /// Of the second tier, asked by caches.
+    /// A host of the second tier, from which caches fill their misses.
     Parent,
-    /// Where all objects come from.
+    /// The origin, which has every object.
     Origin,
 }
 
-/// What a host does for an attempt.
+/// Work that a host does for an attempt, given by its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Job {
-    /// Answers the attempt.
+    /// Answer the attempt, at the host that it was sent to.
     Answer(u64),
-    /// Fills the cache that answers it.
+    /// Send a fill to the cache that answers the attempt, at that cache's source.
     FillCache(u64),
-    /// Fills the parent that fills that cache, or that answers.
+    /// Send a fill from the origin to the parent that fills that cache or answers the attempt itself.
     FillParent(u64),
 }
 
 impl Job {
-    /// The attempt that it is for.
+    /// Returns the id of the attempt that the job is for.
     pub fn attempt(self) -> u64 {
         match self {
             Job::Answer(attempt) | Job::FillCache(attempt) | Job::FillParent(attempt) => attempt,
@@ -48,48 +48,48 @@
     }
 }
 
-/// Work that a host was asked for at one moment.
+/// Work requested from a host: its time of arrival and its cost in milliseconds of one slot.
 struct WorkItem {
     at_ms: f64,
     cost_ms: f64,
 }
 
-/// One host, up or down.
+/// The state of a host.
 pub struct Host {
-    /// Its id in the endpoint list.
+    /// The host's id in the endpoint list.
     pub id: String,
-    /// Its tier.
+    /// The host's tier.
     pub kind: HostKind,
-    /// The zone of a cache.
+    /// The index of a cache's zone; has no meaning for parents and the origin, which serve all zones.
     pub zone: usize,
-    /// Jobs that it works on at once when it is warm.
+    /// The number of jobs that the host serves at the same time when it is warm.
     pub slots: f64,
-    /// Whether it is up.
+    /// Whether the host is running.
     pub up: bool,
-    /// Counts its crashes: what was planned before one no longer counts.
+    /// The number of crashes so far; events scheduled under an earlier incarnation are ignored.
     pub incarnation: u32,
-    /// How it answers.
+    /// How the host responds to requests.
     pub failure_mode: FailureMode,
-    /// When it started, in milliseconds; none for long past.
+    /// When the host last started, in milliseconds of the run; `None` if it has run since before the run and is warm.
     pub started_ms: Option<f64>,
-    /// What it has cached.
+    /// The host's cached copies.
     pub cache: Cache,
-    /// Slots that are taken.
+    /// The number of slots in use.
     pub busy: usize,
-    /// Jobs that wait for a slot.
+    /// Jobs waiting for a slot, in order of arrival.
     pub queue: VecDeque<Job>,
-    /// Jobs that have a slot.
+    /// Jobs that occupy a slot.
     pub running: Vec<Job>,
-    /// Work that was asked for within the last window.
+    /// Work requested within the last load window.
     recent_work: VecDeque<WorkItem>,
-    /// The sum of that work, in milliseconds of a slot.
+    /// The total cost of `recent_work`, in milliseconds of one slot.
     recent_work_ms: f64,
-    /// Jobs in hand as last reported.
+    /// The number of queued and running jobs as last sampled, with the sampling error.
     pub reported_load: f64,
 }
 
 impl Host {
-    /// A warm host with an empty cache.
+    /// Creates a running, warm host with an empty cache.
     pub fn new(id: String, kind: HostKind, zone: usize, slots: f64, cache_kb: f64) -> Host {
         Host {
             id,
@@ -110,7 +110,8 @@
         }
     }
 
-    /// The fraction of its capacity that it has: it grows evenly from `initial` during a slow start of so long.
+    /// Returns the fraction of its full capacity that the host has. During slow start it grows linearly from `initial`
+    /// to 1 over `slow_start_ms`.
     pub fn capacity_fraction(&self, now_ms: f64, initial: f64, slow_start_ms: f64) -> f64 {
         self.started_ms.map_or(1.0, |started_ms| {
             let age_ms = now_ms - started_ms;
@@ -118,7 +119,8 @@
         })
     }
 
-    /// Adds work that it is asked for; gives the sum within the window, that included.
+    /// Adds requested work of `cost_ms`, and returns the total cost of the work requested within the last `window_ms`,
+    /// including this.
     pub fn add_work(&mut self, now_ms: f64, cost_ms: f64, window_ms: f64) -> f64 {
         self.recent_work.push_back(WorkItem {
             at_ms: now_ms,
@@ -135,7 +137,7 @@
         self.recent_work_ms
     }
 
-    /// Goes down and loses its cache; gives the jobs that it had in hand.
+    /// Stops the host and clears its cache. Returns the jobs that were queued or running.
     pub fn crash(&mut self) -> Vec<Job> {
         self.up = false;
         self.incarnation += 1;
--- a/crates/flaxdeck-fleet/src/lib.rs
+++ b/crates/flaxdeck-fleet/src/lib.rs
@@ -1,8 +1,9 @@
-//! A model of the whole fleet in virtual time: clients, forwarders with the real decision engine, planners with the real
-//! guidance, hosts, links, a late coordinator, faults. One event queue, one thread, one seeded source of randomness: the
-//! same scenario and seed give the same run. Assumptions and limits are in `docs/comparing.md`.
+//! A discrete-event model of the whole fleet in virtual time: clients, forwarders with the real decision engine,
+//! planners with the real guidance, hosts, links, a coordinator whose events arrive with a delay, and faults. A run
+//! uses one event queue, one thread and one seeded random number generator, so the same scenario and seed give the same
+//! run. Assumptions and limits are in `docs/comparing.md`.
 //!
-//! [`run`] plays a [`Scenario`] and gives its [`Outcome`]:
+//! [`run`] plays a [`Scenario`] and returns its [`Outcome`]:
 //!
 //! ```
 //! use flaxdeck_fleet::{Scenario, run};
--- a/crates/flaxdeck-fleet/src/link.rs
+++ b/crates/flaxdeck-fleet/src/link.rs
@@ -2,15 +2,15 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Virtual ends are kept in millionths of a KB, so that they can be ordered.
+/// Virtual end times are stored as whole millionths of a KB, because `f64` does not implement `Ord`.
 const GRAINS_PER_KB: f64 = 1e6;
-/// KB of rounding that must not leave a transfer open for a further step: half a byte and some.
+/// A transfer with at most this many KB left counts as ended, so that rounding errors do not keep it open: 1 byte.
 const ROUNDING_KB: f64 = 1e-3;
 
-/// A number that names a transfer of one link, given in the order of their starts.
+/// The id of a transfer on a link; numbered in the order in which transfers start.
 pub type TransferId = u64;
 
-/// When a transfer is done, in virtual time, then its id.
+/// The virtual time at which a transfer ends, with its id. Ordered by time, then by id.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TransferEnd {
     virtual_grains: u64,
@@ -23,13 +23,16 @@
     }
 }
 
-/// Transfers by the point in virtual time at which each is done: virtual time runs the slower the more transfers
-/// there are, so a transfer that comes or goes changes nothing of the others' points (Parekh and Gallager's
-/// generalised processor sharing, 1993). Logarithmic in the transfers, where plain recomputation is linear.
+/// A link that divides its bandwidth evenly among its transfers.
+///
+/// Implements generalised processor sharing (Parekh and Gallager 1993): transfers are ordered by the virtual time at
+/// which they end. Virtual time advances more slowly the more transfers there are, so a transfer that starts or ends
+/// leaves the virtual end times of the others unchanged. Operations are logarithmic in the number of transfers, where
+/// recomputing every transfer would be linear.
 #[derive(Default)]
 pub struct Link {
     kb_per_ms: f64,
-    /// KB that each transfer has had since the beginning.
+    /// Virtual time: the KB that a transfer open since the beginning would have received.
     virtual_kb: f64,
     updated_ms: f64,
     ends: BTreeSet<TransferEnd>,
@@ -38,7 +41,7 @@
 }
 
 impl Link {
-    /// A link that carries so many KB a millisecond.
+    /// Creates an idle link that carries `kb_per_ms` KB per millisecond.
     pub fn new(kb_per_ms: f64) -> Link {
         Link {
             kb_per_ms,
@@ -46,11 +49,12 @@
         }
     }
 
-    /// Transfers under way.
+    /// Returns the number of transfers in progress.
     pub fn transfers(&self) -> usize {
         self.ends.len()
     }
 
+    /// Advances virtual time to `now_ms`.
     fn advance(&mut self, now_ms: f64) {
         let passed_ms = (now_ms - self.updated_ms).max(0.0);
         self.updated_ms = self.updated_ms.max(now_ms);
@@ -59,7 +63,7 @@
         }
     }
 
-    /// Starts a transfer of so many KB.
+    /// Starts a transfer of `kb` KB.
     pub fn start(&mut self, now_ms: f64, kb: f64) -> TransferId {
         self.advance(now_ms);
         let transfer = self.next_transfer;
@@ -73,7 +77,7 @@
         transfer
     }
 
-    /// Breaks a transfer off; one that has ended is left alone.
+    /// Cancels a transfer; has no effect if it has already ended.
     pub fn cancel(&mut self, now_ms: f64, transfer: TransferId) {
         self.advance(now_ms);
         if let Some(end) = self.ends_by_transfer.remove(&transfer) {
@@ -81,14 +85,15 @@
         }
     }
 
-    /// When the next transfer ends if none starts or is cancelled before, in milliseconds.
+    /// Returns the time in milliseconds at which the next transfer ends, provided that no transfer starts or is
+    /// cancelled before then.
     pub fn next_end(&self) -> Option<f64> {
         let end = self.ends.first()?;
         let left_kb = (end.virtual_kb() - self.virtual_kb).max(0.0);
         Some(self.updated_ms + left_kb * self.ends.len() as f64 / self.kb_per_ms)
     }
 
-    /// Takes out the transfers that have ended by now.
+    /// Removes and returns the transfers that have ended by `now_ms`.
     pub fn take_ended(&mut self, now_ms: f64) -> Vec<TransferId> {
         self.advance(now_ms);
         let mut ended = Vec::new();
--- a/crates/flaxdeck-fleet/src/model.rs
+++ b/crates/flaxdeck-fleet/src/model.rs
@@ -2,8 +2,8 @@
 //!
 //! Each module below does one job on that state: `build` makes it, `events` says what can happen and who handles it,
 //! `clients` and `attempts` follow a request, `service`, `fills` and `links` are the hosts and links, `deployment`,
-//! `forwarders`, `decisions`, `planners` and `coordinator` the control side, `fault_effects` the faults and `record` the
-//! results.
+//! `forwarders`, `decisions`, `planners` and `coordinator` the control side, `fault_effects` the faults and `record`
+//! the results.
 
 use std::collections::HashMap;
 
--- a/crates/flaxdeck-fleet/src/queue.rs
+++ b/crates/flaxdeck-fleet/src/queue.rs
@@ -1,18 +1,18 @@
-//! The event queue: a timing wheel for what is near, a heap for what is far. Events of one time come out in the order in
-//! which they were pushed, so that a run is the same each time.
+//! The event queue: a timing wheel for events in the near future and a heap for later ones. Events with the same time
+//! are popped in the order in which they were pushed, so that runs are deterministic.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Microseconds of one slot, as a power of two: about half a millisecond, so that a busy fleet has some events a slot.
+/// The length of a slot is 2^9 = 512 microseconds, so that each slot holds only a few events even in a busy fleet.
 const SLOT_BITS: u32 = 9;
-/// Slots of the wheel, a power of two: together about two seconds, past which little is planned.
+/// The number of slots of the wheel, a power of two. They cover about 2 s; few events are scheduled further ahead.
 const SLOTS: usize = 4096;
 
-/// An event with its place in the order. Only the time and the sequence number order entries.
+/// An event in the queue. Entries are ordered by time, then by sequence number.
 struct Entry<T> {
     time_us: u64,
-    /// Counts the pushes of the queue.
+    /// The number of events pushed before this one.
     sequence: u64,
     event: T,
 }
@@ -47,20 +47,20 @@
     }
 }
 
-/// Events by their times in microseconds. Pushing takes constant time where the event is near, logarithmic where it is
-/// far; popping takes constant time and a sort of its slot, amortised.
+/// A priority queue of events by their times in microseconds. Pushing takes constant time for events within the wheel's
+/// range and logarithmic time for later ones; popping takes constant time plus the amortised cost of sorting its slot.
 ///
-/// Source: the timing wheels of Varghese and Lauck (1987), with an overflow heap in place of further wheels, as in
-/// Brown's calendar queues (1988) days far ahead are rare.
+/// Based on the timing wheels of Varghese and Lauck (1987), with an overflow heap in place of further wheels because
+/// few events lie far ahead, as Brown (1988) assumes for calendar queues.
 pub struct EventQueue<T> {
     slots: Vec<Vec<Entry<T>>>,
-    /// The slot that is being emptied, counted from the beginning of time.
+    /// The number of the slot whose events are being popped; slot 0 begins at time 0.
     current_slot: u64,
-    /// That slot's events, the next one last.
+    /// The remaining events of the current slot, in reverse order: the next event is the last element.
     current: Vec<Entry<T>>,
-    /// Events in the wheel, without the current slot's.
+    /// The number of events in the wheel, without those of the current slot.
     in_wheel: usize,
-    /// Events past the wheel's reach.
+    /// Events after the wheel's range.
     overflow: BinaryHeap<Reverse<Entry<T>>>,
     next_sequence: u64,
 }
@@ -79,7 +79,7 @@
 }
 
 impl<T> EventQueue<T> {
-    /// Adds an event at that time; one in the past comes next.
+    /// Adds an event at `time_us`. An event before the current slot is popped before all later ones.
     pub fn push(&mut self, time_us: u64, event: T) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -89,8 +89,8 @@
             event,
         };
         if entry.slot() <= self.current_slot {
-            let place = self.current.partition_point(|other| *other > entry);
-            self.current.insert(place, entry);
+            let index = self.current.partition_point(|other| *other > entry);
+            self.current.insert(index, entry);
         } else if entry.slot() < self.wheel_end() {
             self.push_into_wheel(entry);
         } else {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The next event with its time in microseconds.
+    /// Removes the next event and returns it with its time in microseconds.
     pub fn pop(&mut self) -> Option<(u64, T)> {
         while self.current.is_empty() {
             self.advance()?;
@@ -107,10 +107,10 @@
         Some((entry.time_us, entry.event))
     }
 
-    /// Goes on to the next slot that may hold events; none if there are no events.
+    /// Moves to the next slot that may hold events. Returns `None` if the queue is empty.
     fn advance(&mut self) -> Option<()> {
         if self.in_wheel == 0 {
-            // Nothing within the wheel: it jumps to what is far.
+            // The wheel is empty: continue at the first event of the overflow heap.
             let Reverse(first) = self.overflow.peek()?;
             self.current_slot = first.slot();
         } else {
@@ -124,7 +124,7 @@
         Some(())
     }
 
-    /// Moves into the wheel what has come within its reach.
+    /// Moves events that now lie within the wheel's range from the overflow heap into the wheel.
     fn refill_from_overflow(&mut self) {
         let end = self.wheel_end();
         while let Some(Reverse(first)) = self.overflow.peek() {
@@ -147,23 +147,23 @@
         self.in_wheel += 1;
     }
 
-    /// The first slot past the wheel's reach.
+    /// Returns the number of the first slot after the wheel's range.
     fn wheel_end(&self) -> u64 {
         self.current_slot + SLOTS as u64
     }
 
-    /// Events that are left.
+    /// Returns the number of events in the queue.
     pub fn len(&self) -> usize {
         self.current.len() + self.in_wheel + self.overflow.len()
     }
 
-    /// Whether none is left.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// The plain heap that the wheel is tested against.
+/// A queue with the same order made of a single binary heap: the reference that tests compare [`EventQueue`] with.
 pub struct HeapQueue<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
     next_sequence: u64,
@@ -179,7 +179,7 @@
 }
 
 impl<T> HeapQueue<T> {
-    /// Adds an event at that time.
+    /// Adds an event at `time_us`.
     pub fn push(&mut self, time_us: u64, event: T) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -190,7 +190,7 @@
         }));
     }
 
-    /// The next event with its time in microseconds.
+    /// Removes the next event and returns it with its time in microseconds.
     pub fn pop(&mut self) -> Option<(u64, T)> {
         let Reverse(entry) = self.heap.pop()?;
         Some((entry.time_us, entry.event))
--- a/crates/flaxdeck-fleet/src/scenario.rs
+++ b/crates/flaxdeck-fleet/src/scenario.rs
@@ -1,9 +1,9 @@
-//! What a run is of: one fleet, its traffic, and the faults of a day.
+//! Scenarios: the fleet, the traffic and the faults of a run.
 
 use crate::faults::Fault;
 use crate::traffic::TrafficLaw;
 
-/// Jobs that a warm host of each tier works on at once.
+/// The number of jobs that a warm host serves at the same time, by tier.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlotsByTier {
     /// Slots of each cache.
@@ -14,61 +14,61 @@
     pub origin: f64,
 }
 
-/// One fleet, its traffic, and the faults of a day.
+/// The fleet, the traffic and the faults of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Zones, each with its own forwarders and caches.
+    /// The number of zones; each has its own forwarders and caches.
     pub zones: usize,
-    /// Forwarders of each zone.
+    /// The number of forwarders in each zone.
     pub forwarders_per_zone: usize,
-    /// Planners of the whole fleet; none leaves forwarders without guidance.
+    /// The number of planners in the whole fleet; with 0, forwarders run without guidance.
     pub planners: usize,
-    /// Caches of each zone.
+    /// The number of caches in each zone.
     pub caches_per_zone: usize,
-    /// Parents of the whole fleet.
+    /// The number of parents in the whole fleet.
     pub parents: usize,
-    /// Slots of each host.
+    /// The number of slots of each host, by tier.
     pub slots: SlotsByTier,
-    /// KB that each cache can hold.
+    /// The size of each cache in KB.
     pub cache_kb: f64,
-    /// KB that each parent can hold.
+    /// The size of each parent's cache in KB.
     pub parent_kb: f64,
-    /// KB a millisecond that a slot sends.
+    /// The rate at which a slot sends, in KB per millisecond.
     pub slot_kb_per_ms: f64,
-    /// KB a millisecond that a zone's link carries.
+    /// The bandwidth of a zone's link, in KB per millisecond.
     pub link_kb_per_ms: f64,
-    /// Milliseconds from a forwarder to a cache of its zone.
+    /// The one-way latency between a forwarder and a cache of its zone, in milliseconds.
     pub near_latency_ms: f64,
-    /// Milliseconds from a zone to parents, the origin and planners.
+    /// The one-way latency between a zone and parents, the origin or planners, in milliseconds.
     pub far_latency_ms: f64,
-    /// The origin's own milliseconds before its first byte.
+    /// The time that the origin takes to its first byte, in milliseconds.
     pub origin_latency_ms: f64,
-    /// The fraction of its capacity that a host has when its slow start begins.
+    /// The fraction of its full capacity that a host has at the beginning of its slow start.
     pub slow_start_initial: f64,
-    /// Milliseconds that slow start lasts.
+    /// The duration of slow start in milliseconds.
     pub slow_start_ms: f64,
-    /// Milliseconds over which a host's work is added up during slow start.
+    /// The window over which the work requested from a host is added up during slow start, in milliseconds.
     pub load_window_ms: f64,
-    /// During slow start a host crashes when it is asked for more than so many times its capacity within the window.
+    /// A host in slow start crashes when the work requested within the load window exceeds its capacity by this factor.
     pub overload_factor: f64,
-    /// Milliseconds until the coordinator's events reach anybody.
+    /// The delay until the coordinator's events reach forwarders and planners, in milliseconds.
     pub coordinator_delay_ms: f64,
-    /// The law of the traffic.
+    /// The distribution of the traffic.
     pub traffic: TrafficLaw,
-    /// Milliseconds during which clients come.
+    /// The time during which clients arrive, in milliseconds.
     pub duration_ms: f64,
-    /// Requests that a client sends for one operation, at most.
+    /// The maximum number of requests that a client sends for one operation.
     pub max_tries: u32,
-    /// Milliseconds that a client waits for the answer to each request.
+    /// The time that a client waits for the answer to each request, in milliseconds.
     pub client_timeout_ms: f64,
-    /// What goes wrong, and when.
+    /// The faults of the run.
     pub faults: Vec<Fault>,
-    /// Whether the five rules are judged from a record of all that was seen, at a cost in memory and time.
+    /// Whether to record the run's events and check the five rules of the fleet; this costs memory and time.
     pub check_invariants: bool,
 }
 
 impl Default for Scenario {
-    /// A small fleet on a quiet day.
+    /// Returns a small fleet without planners and without faults.
     fn default() -> Scenario {
         Scenario {
             zones: 2,
