--- a/crates/flaxdeck-fleet/src/model.rs
+++ b/crates/flaxdeck-fleet/src/model.rs
@@ -1,9 +1,9 @@
-//! The run itself: the state of the whole fleet, and the loop that takes its events one by one.
+//! The state of a run, and the loop that processes its events.
 //!
-//! Each module below does one job on that state: `build` makes it, `events` says what can happen and who handles it,
-//! `clients` and `attempts` follow a request, `service`, `fills` and `links` are the hosts and links, `deployment`,
-//! `forwarders`, `decisions`, `planners` and `coordinator` the control side, `fault_effects` the faults and `record`
-//! the results.
+//! The submodules operate on that state: `build` creates it, `events` defines the events and dispatches them, `clients`
+//! and `attempts` follow a request, `service`, `fills` and `links` model hosts and links, `deployment`, `forwarders`,
+//! `decisions`, `planners` and `coordinator` model the control plane, `fault_effects` applies faults, and `record`
+//! collects the results.
 
 use std::collections::HashMap;
 
@@ -40,22 +40,22 @@
 mod record;
 mod service;
 
-/// The fleet's clock begins here, so that what is "long past" has room before it.
-const EPOCH_MS: f64 = 1_000_000.0;
-/// Groups that objects are purged by.
+/// The start of the run on the clock of the decision engines. It is large so that times before the run are positive.
+const CLOCK_START_MS: f64 = 1_000_000.0;
+/// The number of purge groups; an object belongs to the group of its number modulo this.
 const GROUPS: u64 = 16;
 
-/// The state of one run. Hosts, forwarders, planners and zones are named by their indices in its lists, operations by
-/// the order in which they began, attempts and requests by their ids.
+/// The state of a run. Hosts, forwarders, planners, zones and operations are identified by their index, attempts and
+/// requests by an id from `next_id`.
 struct Model<'a> {
     scenario: &'a Scenario,
-    /// Milliseconds since the beginning.
+    /// The current virtual time, in milliseconds from the start of the run.
     now: f64,
     queue: EventQueue<Event>,
     rng: Pcg64Mcg,
     traffic: Traffic,
     hosts: Vec<Host>,
-    /// The index of each host by its id.
+    /// The index of each host, by its id in the endpoint list.
     host_indices: HashMap<String, usize>,
     forwarders: Vec<Forwarder>,
     planners: Vec<Planner>,
@@ -64,27 +64,27 @@
     attempts: HashMap<u64, OpenAttempt>,
     /// The operation of each request, by the request's id.
     requests: HashMap<u64, u64>,
-    /// The next id of a request or an attempt.
+    /// The id of the next request or attempt.
     next_id: u64,
-    /// What the coordinator has published, in order.
+    /// The events that the coordinator has published; event number n is at index n - 1.
     coordinator_events: Vec<CoordinatorEvent>,
     conditions: Conditions,
     outcome: Outcome,
-    /// What was seen, if the run is judged.
+    /// The events by which the rules are checked; empty unless `Scenario::check_invariants` is set.
     record: Vec<RecordEntry>,
 }
 
-/// A time of the run as the decisions know it.
+/// Converts a time of the run, in milliseconds, to the clock of the decision engines.
 fn time(ms: f64) -> Time {
-    Time::at_ms(EPOCH_MS + ms)
+    Time::at_ms(CLOCK_START_MS + ms)
 }
 
-/// A time of the decisions as the run knows it.
-fn ms(time: Time) -> f64 {
-    time.ms() - EPOCH_MS
+/// Converts a time on the clock of the decision engines to milliseconds from the start of the run.
+fn run_ms(time: Time) -> f64 {
+    time.ms() - CLOCK_START_MS
 }
 
-/// Plays a scenario; the same seed gives the same outcome.
+/// Plays a scenario and returns its outcome. The same scenario and seed give the same outcome.
 pub fn run(scenario: &Scenario, seed: u64) -> Outcome {
     let mut model = Model::new(scenario, seed);
     model.play();
@@ -92,11 +92,12 @@
 }
 
 impl Model<'_> {
-    /// Takes events until none is left, or until long after the last client has given up.
+    /// Processes events until none is left, or until twice the time in which a client may try has passed after the last
+    /// arrival.
     fn play(&mut self) {
         let scenario = self.scenario;
-        let patience_ms = scenario.client_timeout_ms * f64::from(scenario.max_tries);
-        let end = scenario.duration_ms + patience_ms * 2.0;
+        let all_tries_ms = scenario.client_timeout_ms * f64::from(scenario.max_tries);
+        let end = scenario.duration_ms + all_tries_ms * 2.0;
         while let Some((at_us, event)) = self.queue.pop() {
             self.now = at_us as f64 / 1000.0;
             if self.now > end {
@@ -107,13 +108,13 @@
         }
     }
 
-    /// Schedules an event for so many milliseconds from now.
+    /// Schedules an event `after_ms` from now, or now if that is negative.
     fn schedule(&mut self, after_ms: f64, event: Event) {
         let at_us = (self.now + after_ms.max(0.0)) * 1000.0;
         self.queue.push(at_us.round() as u64, event);
     }
 
-    /// The next id of a request or an attempt.
+    /// Allocates the id of a request or an attempt.
     fn next_id(&mut self) -> u64 {
         let id = self.next_id;
         self.next_id += 1;
--- a/crates/flaxdeck-fleet/src/model/attempts.rs
+++ b/crates/flaxdeck-fleet/src/model/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: a request sent to one host, from its arrival there to the report of its end.
+//! Attempts: from the arrival of a request at a host until its forwarder learns the outcome.
 
 use flaxdeck::{
     AttemptEnded, AttemptIndex, AttemptOutcome, FillOutcome, HostId, LoadReport, RequestId, Span,
@@ -9,40 +9,40 @@
 use super::{Model, time};
 use crate::host::{HostKind, Job};
 
-/// One request sent to one host.
+/// An attempt: a request that a forwarder has sent to a host.
 #[derive(Clone)]
 pub(super) struct OpenAttempt {
     pub(super) forwarder: usize,
-    /// The forwarder's incarnation that sent it.
+    /// The incarnation of the forwarder that sent the attempt.
     pub(super) incarnation: u32,
     pub(super) request: RequestId,
-    /// Which of the request's attempts it is.
+    /// The index of the attempt within its request.
     pub(super) index: u32,
     pub(super) operation: u64,
     pub(super) host: usize,
-    /// Where the host fills from if it holds no copy.
+    /// The host that a miss is filled from; the host itself for no fill.
     pub(super) source: usize,
-    /// When the oldest copy was made that may be handed out, in milliseconds.
+    /// Copies made before this time, in milliseconds of the run, may not be served.
     pub(super) oldest_ms: f64,
-    /// The rank that a fill is cached with.
+    /// The rank under which the cache stores the filled copy.
     pub(super) cache_rank: u8,
-    /// No fill: only a copy that is cached.
+    /// The source serves only a copy that it has cached; it does not fetch the object from the origin.
     pub(super) only_cached: bool,
-    /// Milliseconds of the run.
+    /// When the forwarder sent the attempt, in milliseconds of the run.
     pub(super) sent_ms: f64,
     pub(super) fill_started_ms: f64,
-    /// Milliseconds that its fill took.
+    /// The time from the start of the fill to the source's first byte or to its failure, in milliseconds.
     pub(super) fill_took_ms: Option<f64>,
     pub(super) fill: FillOutcome,
     pub(super) outcome: Option<AttemptOutcome>,
-    /// When the copy that it answers with was made, in milliseconds.
+    /// When the copy that the host serves was made, in milliseconds of the run.
     pub(super) made_ms: f64,
-    /// The parent that asks the origin for it.
+    /// The parent that fetches the object from the origin.
     pub(super) filling_parent: Option<usize>,
 }
 
 impl Model<'_> {
-    /// Milliseconds between an attempt's forwarder and its host.
+    /// Returns the one-way latency between a forwarder and a host, in milliseconds.
     pub(super) fn latency_ms(&self, host: usize) -> f64 {
         if self.hosts[host].kind == HostKind::Cache {
             self.scenario.near_latency_ms
@@ -51,7 +51,7 @@
         }
     }
 
-    /// An attempt reaches its host.
+    /// Handles the arrival of an attempt at its host.
     pub(super) fn attempt_reaches_host(&mut self, id: u64) {
         let Some(attempt) = self.attempts.get(&id) else {
             return;
@@ -67,7 +67,8 @@
         }
     }
 
-    /// An attempt has ended at its host; its forwarder learns of it after the way back.
+    /// Ends an attempt at its host. The forwarder learns the outcome after the latency of the way back, or immediately
+    /// in the case of a time-out, which it detects itself.
     pub(super) fn end_attempt(&mut self, id: u64, outcome: AttemptOutcome, fill: FillOutcome) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -88,12 +89,12 @@
         self.schedule(way_back_ms, Event::AttemptEnded { attempt: id });
     }
 
-    /// Nobody waits for it any more, unless a slot still works on it.
+    /// Removes an attempt. Later events for it have no effect on its request.
     pub(super) fn drop_attempt(&mut self, id: u64) {
         self.attempts.remove(&id);
     }
 
-    /// The end of an attempt reaches its forwarder.
+    /// Handles the outcome of an attempt at its forwarder.
     pub(super) fn attempt_ended(&mut self, id: u64) {
         let Some(attempt) = self.attempts.get(&id).cloned() else {
             return;
@@ -101,7 +102,8 @@
         let Some(outcome) = attempt.outcome else {
             return;
         };
-        // A cancelled or timed out one may still be worked on where it is.
+        // The host may still be working on an attempt that has timed out, so its entry stays until the host has
+        // finished.
         if outcome != AttemptOutcome::TimedOut {
             self.drop_attempt(id);
         }
@@ -111,14 +113,14 @@
         if outcome == AttemptOutcome::Answered {
             self.deliver_answer(&attempt);
         }
-        let ended = self.attempt_report(&attempt, outcome);
+        let ended = self.describe_ended_attempt(&attempt, outcome);
         let decisions = self.forwarders[attempt.forwarder]
             .engine
             .attempt_ended(time(self.now), ended);
-        self.decide(attempt.forwarder, decisions);
+        self.apply_decisions(attempt.forwarder, decisions);
     }
 
-    /// A forwarder hands an attempt's answer to the client.
+    /// Forwards the answer of an attempt to the client, and records the copy that was served.
     fn deliver_answer(&mut self, attempt: &OpenAttempt) {
         self.outcome.hits += u64::from(attempt.fill == FillOutcome::Hit);
         let operation = &self.operations[attempt.operation as usize];
@@ -130,7 +132,7 @@
                 made_ms: attempt.made_ms,
             });
         }
-        self.answer(
+        self.send_final_answer(
             attempt.forwarder,
             attempt.request,
             FinalAnswer::Served,
@@ -138,8 +140,12 @@
         );
     }
 
-    /// An attempt's end as its forwarder's decision engine learns of it.
-    fn attempt_report(&self, attempt: &OpenAttempt, outcome: AttemptOutcome) -> AttemptEnded {
+    /// Returns the end of an attempt in the form in which the forwarder's decision engine receives it.
+    fn describe_ended_attempt(
+        &self,
+        attempt: &OpenAttempt,
+        outcome: AttemptOutcome,
+    ) -> AttemptEnded {
         let host = &self.hosts[attempt.host];
         let answered = outcome == AttemptOutcome::Answered;
         let over_link = answered && host.kind == HostKind::Cache;
--- a/crates/flaxdeck-fleet/src/model/build.rs
+++ b/crates/flaxdeck-fleet/src/model/build.rs
@@ -1,4 +1,4 @@
-//! The state of a run before its first event.
+//! Creates the initial state of a run.
 
 use std::collections::HashMap;
 
@@ -10,7 +10,7 @@
 
 use super::events::Event;
 use super::fault_effects::Conditions;
-use super::links::{SAMPLE_MS, ZoneLink};
+use super::links::{SAMPLE_INTERVAL_MS, ZoneLink};
 use super::planners::lease_terms;
 use super::{Model, time};
 use crate::host::{Host, HostKind};
@@ -19,20 +19,22 @@
 use crate::scenario::Scenario;
 use crate::traffic::Traffic;
 
-/// The zone of hosts that serve all zones.
+/// The zone of parents and the origin, which serve all zones.
 const NO_ZONE: usize = usize::MAX;
-/// Ids of caches are numbered from here, ...
+/// The number in the id of the first zone's first cache.
 const FIRST_CACHE_ID: usize = 0xca00;
-/// ... each zone's so far from the next one's; ids of parents from here.
+/// The numbers in cache ids that are set aside for each zone.
 const CACHE_IDS_PER_ZONE: usize = 256;
+/// The number in the id of the first parent.
 const FIRST_PARENT_ID: usize = 0x9a_0000;
+/// The number in the id of the origin.
 const ORIGIN_ID: usize = 1;
 
 fn host_id(number: usize) -> String {
     format!("s-{number:08x}")
 }
 
-/// The hosts of a scenario: caches by zone, then parents, the origin last.
+/// Creates the hosts of a scenario: first the caches, zone by zone, then the parents, and the origin as the last host.
 fn hosts(scenario: &Scenario) -> Vec<Host> {
     let slots = scenario.slots;
     let mut hosts = Vec::new();
@@ -52,7 +54,7 @@
     hosts
 }
 
-/// The planners of a scenario, which know all its hosts.
+/// Creates the planners of a scenario, with all its hosts listed.
 fn planners(scenario: &Scenario, hosts: &[Host]) -> Vec<Planner> {
     let start = |n: usize| {
         Planner::start(
@@ -72,7 +74,7 @@
 }
 
 impl Model<'_> {
-    /// The fleet of a scenario, with its forwarders started and its first events scheduled.
+    /// Creates the fleet of a scenario, starts its forwarders and schedules its first events.
     pub(super) fn new(scenario: &Scenario, seed: u64) -> Model<'_> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let traffic = Traffic::new(scenario.traffic.clone(), &mut rng);
@@ -97,7 +99,7 @@
             requests: HashMap::new(),
             next_id: 0,
             coordinator_events: Vec::new(),
-            conditions: Conditions::usual(scenario),
+            conditions: Conditions::without_faults(scenario),
             outcome: Outcome::default(),
             record: Vec::new(),
         };
@@ -118,7 +120,7 @@
         for zone in 0..self.scenario.zones {
             self.schedule(0.0, Event::Arrival { zone });
         }
-        self.schedule(SAMPLE_MS, Event::LoadSample);
+        self.schedule(SAMPLE_INTERVAL_MS, Event::LoadSample);
         for (index, fault) in self.scenario.faults.iter().enumerate() {
             let end_ms = fault.at_ms + fault.duration_ms;
             self.schedule(fault.at_ms, Event::FaultStarts { fault: index });
--- a/crates/flaxdeck-fleet/src/model/clients.rs
+++ b/crates/flaxdeck-fleet/src/model/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: the operations that they want done, the requests that they send for each, and how each request ends.
+//! Clients: their operations, the requests that they send for each, and how each request ends.
 
 use flaxdeck::{ClassId, GroupId, ObjectId, Request, RequestId, Span};
 use flaxdeck_invariants::{FinalAnswer, RecordedEvent};
@@ -9,39 +9,39 @@
 use super::forwarders::OpenRequest;
 use super::{GROUPS, Model, time};
 
-/// KB that a write sends.
+/// The size of a write in KB.
 const WRITE_KB: f64 = 5.0;
-/// The object that a fault makes hot_fraction: the most popular one.
+/// The object that a `HotObject` fault directs requests to: the most popular one.
 const HOT_OBJECT: u64 = 0;
-/// Objects of scans are numbered from here, past all that the traffic's law knows.
+/// Scanned objects are numbered from here, past all objects of the usual traffic.
 const FIRST_SCANNED_OBJECT: u64 = 1_000_000_000;
-/// Milliseconds until a client retries: after a request without an answer, ...
+/// The time until a client retries after a request timed out without an answer.
 const RETRY_AFTER_TIMEOUT_MS: f64 = 100.0;
-/// ... after one that failed, or was rejected without a time, ...
+/// The time until a client retries after a request failed, or was rejected without a retry-after.
 const RETRY_AFTER_FAILURE_MS: f64 = 200.0;
-/// ... and after its forwarder died.
+/// The time until a client retries after its forwarder crashed.
 const RETRY_AFTER_LOST_FORWARDER_MS: f64 = 300.0;
 
-/// What a client wants done, and how far it has got.
+/// An operation of a client, with its progress.
 pub(super) struct Operation {
     pub(super) zone: usize,
     pub(super) object: u64,
     pub(super) kb: f64,
     pub(super) write: bool,
-    /// When the latency objective of its first request is past.
+    /// The time by which the operation must be served to be in time: the latency objective of its first request.
     pub(super) objective_ms: f64,
-    /// Requests sent so far.
+    /// The number of requests sent so far.
     pub(super) tries: u32,
-    /// The attempts of all its requests.
+    /// The ids of the attempts of all its requests.
     pub(super) attempts: Vec<u64>,
-    /// The request that waits for its answer.
+    /// The request that the client is waiting for.
     pub(super) pending: Option<PendingRequest>,
-    /// Served or given up.
+    /// Whether the operation was served or given up.
     pub(super) ended: bool,
     pub(super) served: bool,
 }
 
-/// A request without an answer: the forwarder that has it, and in which incarnation.
+/// A request without an answer, with the forwarder that it was sent to and the incarnation of that forwarder.
 #[derive(Clone, Copy)]
 pub(super) struct PendingRequest {
     forwarder: usize,
@@ -50,7 +50,7 @@
 }
 
 impl Model<'_> {
-    /// The next client of a zone comes; schedules the one after it.
+    /// Handles the arrival of a client in a zone, and schedules the next arrival.
     pub(super) fn client_arrives(&mut self, zone: usize) {
         if self.now >= self.scenario.duration_ms {
             return;
@@ -70,7 +70,7 @@
         self.start_operation(zone, object, write);
     }
 
-    /// The next client of a scan comes, while it lasts.
+    /// Starts the next operation of a scan, and schedules the one after it while the scan lasts.
     pub(super) fn scan_request(&mut self) {
         if self.conditions.scan_per_s <= 0.0 {
             return;
@@ -106,7 +106,7 @@
         self.send_request(self.operations.len() as u64 - 1);
     }
 
-    /// A client sends a request for an operation to one of its zone's forwarders.
+    /// Sends a request for an operation to a forwarder of the client's zone, drawn at random.
     pub(super) fn send_request(&mut self, id: u64) {
         let in_zone = self.rng.random_range(0..self.scenario.forwarders_per_zone);
         let operation = &mut self.operations[id as usize];
@@ -135,10 +135,10 @@
         let decisions = self.forwarders[forwarder]
             .engine
             .request(time(self.now), described);
-        self.decide(forwarder, decisions);
+        self.apply_decisions(forwarder, decisions);
     }
 
-    /// Records a request, and schedules the end of its client's patience.
+    /// Records a request, and schedules the time-out of its client.
     fn await_answer(&mut self, request: RequestId, operation: u64, tries: u32) {
         let timeout_ms = self.scenario.client_timeout_ms;
         let deadline_ms = self.now + timeout_ms;
@@ -149,7 +149,7 @@
         self.schedule(timeout_ms, Event::ClientTimeout { operation, tries });
     }
 
-    /// A request as its forwarder learns of it.
+    /// Returns a request in the form in which the forwarder's decision engine receives it.
     fn describe_request(&self, id: RequestId, operation: u64) -> Request {
         let operation = &self.operations[operation as usize];
         Request {
@@ -164,13 +164,13 @@
         }
     }
 
-    /// A client waits no longer: it hangs up if its request has no answer yet, and retries.
+    /// Handles a client's time-out: if its request has no answer yet, the client disconnects and retries.
     pub(super) fn client_times_out(&mut self, id: u64, tries: u32) {
         let operation = &mut self.operations[id as usize];
         if operation.ended || operation.tries != tries {
             return;
         }
-        // This request had its answer, and the next one waits for its time.
+        // This request has been answered, and the next one has not been sent yet.
         let Some(PendingRequest {
             forwarder,
             incarnation,
@@ -179,19 +179,21 @@
         else {
             return;
         };
-        // Unanswered on a connection that stands: the record shows it.
+        // The forwarder has not answered in time on an open connection. No `ClientLeft` is recorded, so the check of
+        // the rules counts the missing answer as a violation.
         if self.forwarders[forwarder].incarnation == incarnation
             && self.forwarders[forwarder].open.remove(&request).is_some()
         {
             let decisions = self.forwarders[forwarder]
                 .engine
                 .client_left(time(self.now), request);
-            self.decide(forwarder, decisions);
+            self.apply_decisions(forwarder, decisions);
         }
         self.retry(id, RETRY_AFTER_TIMEOUT_MS);
     }
 
-    /// The client retries after a while, or gives up once it has tried often enough.
+    /// Schedules a retry `after_ms` from now with a jitter of up to 20 % either way, or gives the operation up after
+    /// `max_tries` requests.
     fn retry(&mut self, id: u64, after_ms: f64) {
         let operation = &mut self.operations[id as usize];
         operation.pending = None;
@@ -202,12 +204,12 @@
         self.schedule(after_ms * jitter, Event::Retry { operation: id });
     }
 
-    /// The client of a forwarder that crashed has lost its connection.
+    /// Handles the loss of a client's connection when its forwarder crashes.
     pub(super) fn retry_after_lost_forwarder(&mut self, id: u64) {
         self.retry_unless_write(id, RETRY_AFTER_LOST_FORWARDER_MS);
     }
 
-    /// Retries a read; a write that may have run is not retried.
+    /// Retries a read. A write may have run already, so it is given up instead.
     fn retry_unless_write(&mut self, id: u64, after_ms: f64) {
         if self.operations[id as usize].write {
             self.give_up(id);
@@ -221,8 +223,8 @@
         self.outcome.lost += 1;
     }
 
-    /// A forwarder answers a request, unless it had its answer before.
-    pub(super) fn answer(
+    /// Sends a forwarder's final answer to the client, unless the request is no longer open.
+    pub(super) fn send_final_answer(
         &mut self,
         forwarder: usize,
         request: RequestId,
--- a/crates/flaxdeck-fleet/src/model/coordinator.rs
+++ b/crates/flaxdeck-fleet/src/model/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator, whose events reach everybody late, and what changes about hosts.
+//! The coordinator, whose events arrive with a delay, and the host changes that it publishes.
 
 use flaxdeck::{
     AttemptOutcome, CellId, Endpoint, FillOutcome, GroupId, Health, HostId, ListKind, Role, Time,
@@ -11,22 +11,22 @@
 use super::{GROUPS, Model, time};
 use crate::host::{FailureMode, HostKind, Job};
 
-/// Milliseconds by which an event reaches forwarders at different times.
-const JITTER_MS: f64 = 20.0;
-/// Milliseconds from a host's withdrawal to its restart.
+/// The maximum additional delay of an event on its way to a forwarder, drawn for each forwarder.
+const MAX_JITTER_MS: f64 = 20.0;
+/// The time from a host's withdrawal to its restart.
 const DRAIN_MS: f64 = 1_500.0;
 
-/// An event of the coordinator; events are numbered from 1.
+/// An event of the coordinator. Events are numbered from 1.
 #[derive(Clone)]
 pub(super) enum CoordinatorEvent {
-    /// A host's endpoint has changed.
+    /// The endpoint of a host has changed.
     Endpoint(Endpoint),
-    /// All that was made before that time, in milliseconds, is purged.
+    /// All copies made before this time, in milliseconds of the run, are purged.
     PurgeAll { made_before_ms: f64 },
 }
 
 impl Model<'_> {
-    /// A host's endpoint as the coordinator lists it.
+    /// Returns the endpoint of a host as the coordinator lists it.
     pub(super) fn endpoint(&self, host: usize) -> Endpoint {
         let host = &self.hosts[host];
         let role = match host.kind {
@@ -46,20 +46,20 @@
             cell: CellId(0),
             role,
             health,
-            // Lists hold whole milliseconds.
+            // Endpoint lists carry start times in whole milliseconds.
             started: host
                 .started_ms
                 .map(|at_ms| Time::at_ms(time(at_ms).ms().floor())),
         }
     }
 
-    /// The coordinator publishes an event, which reaches everybody after its delay.
+    /// Publishes an event, which reaches forwarders and planners after the coordinator's delay.
     pub(super) fn publish(&mut self, event: CoordinatorEvent) {
         self.coordinator_events.push(event);
         let number = self.coordinator_events.len() as u64;
         let delay_ms = self.conditions.coordinator_delay_ms;
         for forwarder in 0..self.forwarders.len() {
-            let jitter_ms = self.rng.random_range(0.0..JITTER_MS);
+            let jitter_ms = self.rng.random_range(0.0..MAX_JITTER_MS);
             let arrival = Event::CoordinatorToForwarder { forwarder, number };
             self.schedule(delay_ms + jitter_ms, arrival);
         }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Publishes a host's endpoint with that health.
+    /// Publishes the endpoint of a host with the given health.
     fn publish_health(&mut self, host: usize, health: Health) {
         let endpoint = Endpoint {
             health,
@@ -77,7 +77,7 @@
         self.publish(CoordinatorEvent::Endpoint(endpoint));
     }
 
-    /// A host is withdrawn, and restarts a while later.
+    /// Withdraws a host, and schedules its restart.
     pub(super) fn drain_host(&mut self, host: usize) {
         self.record_event(RecordedEvent::HostWithdrawn {
             host: self.hosts[host].id.clone(),
@@ -86,7 +86,7 @@
         self.schedule(DRAIN_MS, Event::Restart { host });
     }
 
-    /// A host crashes with all that it has in hand.
+    /// Crashes a host, which breaks the attempts and fills that it was working on.
     pub(super) fn crash_host(&mut self, host: usize) {
         for job in self.hosts[host].crash() {
             match job {
@@ -101,7 +101,7 @@
         self.publish_health(host, Health::Removed);
     }
 
-    /// A host starts, cold.
+    /// Restarts a host with an empty cache, crashing it first if it is running.
     pub(super) fn restart_host(&mut self, host: usize) {
         if self.hosts[host].up {
             self.crash_host(host);
@@ -116,7 +116,8 @@
         self.publish_health(host, Health::InService);
     }
 
-    /// The event of that number reaches a forwarder; if it is new, so are those before it that it lacks.
+    /// Handles the arrival of a coordinator event at a forwarder. Events may overtake each other: a forwarder that
+    /// receives a newer event applies those that it lacks before it as well, and ignores older ones.
     pub(super) fn forwarder_receives_event(&mut self, forwarder: usize, number: u64) {
         let last = self.forwarders[forwarder].last_event;
         if number <= last {
@@ -131,7 +132,7 @@
         }
     }
 
-    /// A forwarder applies the event of that number.
+    /// Applies a coordinator event at a forwarder.
     pub(super) fn apply_event(&mut self, forwarder: usize, number: u64) {
         let now = time(self.now);
         self.forwarders[forwarder].last_event = number;
@@ -139,7 +140,7 @@
             CoordinatorEvent::Endpoint(endpoint) => {
                 let engine = &mut self.forwarders[forwarder].engine;
                 let decisions = engine.list(now, ListKind::Delta, vec![endpoint]);
-                self.decide(forwarder, decisions);
+                self.apply_decisions(forwarder, decisions);
             }
             CoordinatorEvent::PurgeAll { made_before_ms } => {
                 self.purge_groups(forwarder, time(made_before_ms));
@@ -152,7 +153,7 @@
         for group in 0..GROUPS {
             let engine = &mut self.forwarders[forwarder].engine;
             let decisions = engine.purge(now, None, GroupId(group), made_before);
-            self.decide(forwarder, decisions);
+            self.apply_decisions(forwarder, decisions);
         }
     }
 }
--- a/crates/flaxdeck-fleet/src/model/decisions.rs
+++ b/crates/flaxdeck-fleet/src/model/decisions.rs
@@ -1,18 +1,18 @@
-//! What a forwarder's decisions ask for is carried out.
+//! Applies the decisions of a forwarder's decision engine.
 
 use flaxdeck::{Attempt, AttemptOutcome, Cancel, Decisions, FillOutcome, Final};
 use flaxdeck_invariants::FinalAnswer;
 
 use super::attempts::OpenAttempt;
 use super::events::Event;
-use super::{Model, ms};
+use super::{Model, run_ms};
 
-/// Milliseconds until a decision engine wakes at the earliest: the event queue's grain.
+/// The minimum time until a wake-up: the resolution of the event queue.
 const MIN_WAKE_MS: f64 = 0.001;
 
 impl Model<'_> {
-    /// Carries out decisions: cancellations first, then attempts, answers, and the next waking.
-    pub(super) fn decide(&mut self, forwarder: usize, decisions: Decisions) {
+    /// Applies decisions: first cancellations, then attempts, final answers, and the next wake-up.
+    pub(super) fn apply_decisions(&mut self, forwarder: usize, decisions: Decisions) {
         for cancel in decisions.cancels {
             self.cancel(&cancel);
         }
@@ -24,19 +24,19 @@
                 Final::Rejected {
                     request,
                     retry_after,
-                } => self.answer(forwarder, request, FinalAnswer::Rejected, retry_after),
+                } => self.send_final_answer(forwarder, request, FinalAnswer::Rejected, retry_after),
                 Final::Failed { request } => {
-                    self.answer(forwarder, request, FinalAnswer::Failed, None);
+                    self.send_final_answer(forwarder, request, FinalAnswer::Failed, None);
                 }
             }
         }
-        // Each wake-up stands beside the earlier ones.
+        // Wake-ups that were scheduled earlier stay scheduled.
         if let Some(wake) = decisions.wake {
             let wake_up = Event::Wake {
                 forwarder,
                 incarnation: self.forwarders[forwarder].incarnation,
             };
-            self.schedule((ms(wake) - self.now).max(MIN_WAKE_MS), wake_up);
+            self.schedule((run_ms(wake) - self.now).max(MIN_WAKE_MS), wake_up);
         }
     }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A forwarder sends a request to a host.
+    /// Sends an attempt from a forwarder to a host.
     fn start_attempt(&mut self, forwarder: usize, decided: &Attempt) {
         let incarnation = self.forwarders[forwarder].incarnation;
         let Some(open) = self.forwarders[forwarder].open.get_mut(&decided.request) else {
--- a/crates/flaxdeck-fleet/src/model/deployment.rs
+++ b/crates/flaxdeck-fleet/src/model/deployment.rs
@@ -1,12 +1,13 @@
-//! What the platform's settings tell forwarders: request classes, zones, slow start.
+//! The deployment terms of forwarders, which real ones get from the platform's settings: request classes, zones, slow
+//! start.
 
 use flaxdeck::{DeploymentTerms, Repeats, RequestClass, Span, ZoneId};
 
 use crate::scenario::Scenario;
 
-/// The latency objective of any request, in milliseconds, ...
+/// The fixed part of the latency objective, in milliseconds.
 pub(super) const OBJECTIVE_MS: u64 = 400;
-/// ... to which so many times the time is added that a slot takes to send it.
+/// The latency objective grows with the size of the object: by this multiple of the time that a slot takes to send it.
 pub(super) const OBJECTIVE_STRETCH: f64 = 2.0;
 
 fn request_class(repeats: Repeats, goes_through: bool) -> RequestClass {
@@ -21,7 +22,7 @@
     }
 }
 
-/// The terms of a zone's forwarders: reads are the first class, writes the second.
+/// Returns the terms of a zone's forwarders. Class 0 is for reads, class 1 for writes.
 pub(super) fn deployment_terms(scenario: &Scenario, zone: usize) -> DeploymentTerms {
     let forwarders = scenario.forwarders_per_zone;
     DeploymentTerms {
--- a/crates/flaxdeck-fleet/src/model/events.rs
+++ b/crates/flaxdeck-fleet/src/model/events.rs
@@ -1,4 +1,4 @@
-//! What can happen in a run, and who handles it.
+//! The events of a run, and their dispatch to handlers.
 
 use flaxdeck::{AttemptOutcome, FillOutcome};
 use flaxdeck_control::messages::{Guidance, Report};
@@ -6,59 +6,59 @@
 use super::{Model, time};
 use crate::host::Job;
 
-/// What happens at one instant of a run. `incarnation` counts the starts of a forwarder or the crashes of a host: what was
-/// planned before one no longer counts.
+/// An event of a run. `incarnation` counts the restarts of a forwarder or the crashes of a host; an event scheduled
+/// under an earlier incarnation is ignored.
 pub(super) enum Event {
-    /// The next client of a zone comes.
+    /// The next client arrives in a zone.
     Arrival { zone: usize },
-    /// The next client of a scan comes.
+    /// The next operation of a scan begins.
     Scan,
-    /// A client retries.
+    /// A client retries an operation.
     Retry { operation: u64 },
-    /// A client waits no longer for the answer to that request of its operation.
+    /// A client stops waiting for the answer to a request; `tries` says which request of the operation it is.
     ClientTimeout { operation: u64, tries: u32 },
-    /// A forwarder's decision engine asked to be woken.
+    /// The time has come at which a forwarder's decision engine asked to be woken.
     Wake { forwarder: usize, incarnation: u32 },
-    /// An attempt reaches its host.
+    /// An attempt arrives at its host.
     AttemptReachesHost { attempt: u64 },
-    /// An attempt's allowed time is up.
+    /// The time allowed for an attempt is over.
     AttemptTimeout { attempt: u64 },
-    /// A fill reaches its source.
+    /// A fill request arrives at its source.
     FillReachesSource { source: usize, job: Job },
-    /// A fill's source has said nothing for too long.
+    /// A fill's source has not answered within the time-out.
     SourceTimeout { attempt: u64 },
-    /// A host is done with a job.
+    /// A host finishes a job.
     JobDone {
         host: usize,
         incarnation: u32,
         job: Job,
     },
-    /// The next transfer of a zone's link ends, unless another came or went since that version.
+    /// The next transfer on a zone's link ends; ignored if transfers have started or ended since `version`.
     TransferEnds { zone: usize, version: u64 },
-    /// The end of an attempt reaches its forwarder.
+    /// The outcome of an attempt reaches its forwarder.
     AttemptEnded { attempt: u64 },
-    /// The coordinator's event of that number reaches a forwarder.
+    /// The coordinator's event number `number` arrives at a forwarder.
     CoordinatorToForwarder { forwarder: usize, number: u64 },
-    /// The coordinator's event of that number reaches a planner.
+    /// The coordinator's event number `number` arrives at a planner.
     CoordinatorToPlanner { planner: usize, number: u64 },
-    /// A forwarder reports to all planners.
+    /// A forwarder sends reports to all planners that it can reach.
     Report { forwarder: usize, incarnation: u32 },
-    /// A report reaches a planner.
+    /// A report arrives at a planner.
     ReportReachesPlanner {
         planner: usize,
         forwarder: usize,
         report: Box<Report>,
     },
-    /// Guidance reaches a forwarder.
+    /// Guidance arrives at a forwarder.
     GuidanceReachesForwarder {
         planner: usize,
         forwarder: usize,
         incarnation: u32,
         guidance: Box<Guidance>,
     },
-    /// Hosts and links are sampled for load reports.
+    /// The load of hosts and links is sampled for load reports.
     LoadSample,
-    /// Hosts have dropped by themselves what was made before that time.
+    /// A purge takes effect at the hosts, which drop all copies made before this time.
     PurgeSettles { made_before_ms: f64 },
     /// A fault of the scenario begins.
     FaultStarts { fault: usize },
@@ -66,12 +66,12 @@
     FaultEnds { fault: usize },
     /// A host restarts.
     Restart { host: usize },
-    /// A host is withdrawn, to be restarted.
+    /// A host is withdrawn and restarts later.
     Drain { host: usize },
 }
 
 impl Model<'_> {
-    /// Handles one event.
+    /// Handles an event.
     pub(super) fn dispatch(&mut self, event: Event) {
         match event {
             Event::Arrival { zone } => self.client_arrives(zone),
@@ -81,7 +81,7 @@
             Event::Wake {
                 forwarder,
                 incarnation,
-            } => self.wake(forwarder, incarnation),
+            } => self.wake_engine(forwarder, incarnation),
             Event::AttemptReachesHost { attempt } => self.attempt_reaches_host(attempt),
             Event::AttemptTimeout { attempt } => self.attempt_times_out(attempt),
             Event::FillReachesSource { source, job } => self.fill_reaches_source(source, job),
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Handles an event between coordinator, forwarders and planners.
+    /// Handles an event of the control plane: between the coordinator, forwarders and planners.
     fn dispatch_control(&mut self, event: Event) {
         match event {
             Event::CoordinatorToForwarder { forwarder, number } => {
@@ -129,7 +129,7 @@
             Event::Report {
                 forwarder,
                 incarnation,
-            } => self.report(forwarder, incarnation),
+            } => self.send_reports(forwarder, incarnation),
             Event::ReportReachesPlanner {
                 planner,
                 forwarder,
@@ -145,10 +145,10 @@
         }
     }
 
-    fn wake(&mut self, forwarder: usize, incarnation: u32) {
+    fn wake_engine(&mut self, forwarder: usize, incarnation: u32) {
         if self.forwarders[forwarder].incarnation == incarnation {
             let decisions = self.forwarders[forwarder].engine.wake(time(self.now));
-            self.decide(forwarder, decisions);
+            self.apply_decisions(forwarder, decisions);
         }
     }
 
--- a/crates/flaxdeck-fleet/src/model/fault_effects.rs
+++ b/crates/flaxdeck-fleet/src/model/fault_effects.rs
@@ -1,4 +1,4 @@
-//! Faults of the scenario: what changes when one begins, and what is put back when it ends.
+//! The effects of faults: what changes when one begins, and what is restored when it ends.
 
 use std::collections::BTreeSet;
 
@@ -12,36 +12,37 @@
 use crate::host::{FailureMode, Host, HostKind};
 use crate::scenario::Scenario;
 
-/// Milliseconds until hosts have dropped by themselves what was purged; forwarders ask by age until then.
+/// The time until hosts have dropped purged copies by themselves. Until then forwarders bound the age of copies in
+/// their attempts.
 const PURGE_SETTLES_MS: f64 = 5_000.0;
-/// Milliseconds between the batches of a rolling restart.
+/// The time between the batches of a rolling restart.
 const BATCH_INTERVAL_MS: f64 = 2_500.0;
 
-/// What faults have changed for now.
+/// The conditions of the run that faults change, other than the state of hosts.
 pub(super) struct Conditions {
-    /// Objects a second that a scan asks for.
+    /// The rate of a scan, in requests per second; 0 without a scan.
     pub(super) scan_per_s: f64,
-    /// How many it has asked for.
+    /// The number of objects scanned so far.
     pub(super) scanned: u64,
-    /// The fraction of all requests that goes to one object.
+    /// The fraction of operations that is directed to the hot object.
     pub(super) hot_fraction: f64,
-    /// How many times the usual load there is.
+    /// The factor by which the request rate of all zones is multiplied.
     pub(super) load_factor: f64,
-    /// Milliseconds until the coordinator's events reach anybody.
+    /// The delay until the coordinator's events reach forwarders and planners, in milliseconds.
     pub(super) coordinator_delay_ms: f64,
-    /// How many times the usual time the origin takes.
+    /// The factor by which the origin's times are multiplied.
     pub(super) origin_factor: f64,
-    /// Planners answer no report.
+    /// Planners ignore reports.
     pub(super) planners_silent: bool,
-    /// Each forwarder and planner reach only every other one of each other.
+    /// Forwarders and planners reach each other only if their indices are both even or both odd.
     pub(super) planners_partitioned: bool,
-    /// The hosts that each fault of the scenario affects.
+    /// The hosts that each fault of the scenario affects, by the index of the fault; empty before the fault begins.
     affected: Vec<Vec<usize>>,
 }
 
 impl Conditions {
-    /// Those before any fault has begun.
-    pub(super) fn usual(scenario: &Scenario) -> Conditions {
+    /// Returns the conditions before any fault has begun.
+    pub(super) fn without_faults(scenario: &Scenario) -> Conditions {
         Conditions {
             scan_per_s: 0.0,
             scanned: 0,
@@ -61,12 +62,12 @@
 }
 
 impl Model<'_> {
-    /// The origin's index: it is the last host.
+    /// Returns the index of the origin, which is the last host.
     pub(super) fn origin(&self) -> usize {
         self.hosts.len() - 1
     }
 
-    /// A fault of the scenario begins.
+    /// Applies the effects of a fault that begins.
     pub(super) fn start_fault(&mut self, fault: usize) {
         let kind = self.scenario.faults[fault].kind.clone();
         let affected = self.draw_affected_hosts(&kind);
@@ -105,7 +106,7 @@
         self.conditions.affected[fault] = affected;
     }
 
-    /// A fault of the scenario ends.
+    /// Restores what a fault changed when it ends.
     pub(super) fn end_fault(&mut self, fault: usize) {
         let affected = std::mem::take(&mut self.conditions.affected[fault]);
         match self.scenario.faults[fault].kind {
@@ -123,9 +124,9 @@
                 self.set_failure_mode(&[self.origin()], FailureMode::Healthy);
             }
             FaultKind::CoordinatorDelay { added_ms } => {
-                let before_ms = self.conditions.coordinator_delay_ms - added_ms;
-                let usual_ms = self.scenario.coordinator_delay_ms;
-                self.conditions.coordinator_delay_ms = before_ms.max(usual_ms);
+                let delay_ms = self.conditions.coordinator_delay_ms - added_ms;
+                let min_delay_ms = self.scenario.coordinator_delay_ms;
+                self.conditions.coordinator_delay_ms = delay_ms.max(min_delay_ms);
             }
             FaultKind::SlowOrigin { .. } => self.conditions.origin_factor = 1.0,
             FaultKind::Scan { .. } => self.conditions.scan_per_s = 0.0,
@@ -139,7 +140,7 @@
         }
     }
 
-    /// The hosts that a fault affects.
+    /// Draws the hosts that a fault affects; empty for kinds that affect no particular hosts.
     fn draw_affected_hosts(&mut self, kind: &FaultKind) -> Vec<usize> {
         match *kind {
             FaultKind::HostCrash { fraction } => {
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Draws a fraction of the hosts that are eligible, rounded up.
+    /// Draws a fraction of the eligible hosts; the number is rounded up.
     fn draw_hosts(&mut self, fraction: f64, is_eligible: impl Fn(&Host) -> bool) -> Vec<usize> {
         let mut hosts: Vec<usize> = (0..self.hosts.len())
             .filter(|host| is_eligible(&self.hosts[*host]))
@@ -180,7 +181,7 @@
         }
     }
 
-    /// All caches are drained and restarted, so many at a time.
+    /// Schedules the drain of all caches in batches; each cache restarts after its drain.
     fn rolling_restart(&mut self, batch: usize) {
         let caches = self.draw_hosts(1.0, is_cache);
         for (index, batch) in caches.chunks(batch.max(1)).enumerate() {
@@ -191,10 +192,14 @@
         }
     }
 
-    /// Every object that was asked for is purged.
+    /// Purges all objects, and records a purge of each object requested so far.
     fn purge_all(&mut self) {
         if self.scenario.check_invariants {
-            let objects: BTreeSet<u64> = self.operations.iter().map(|done| done.object).collect();
+            let objects: BTreeSet<u64> = self
+                .operations
+                .iter()
+                .map(|operation| operation.object)
+                .collect();
             for object in objects {
                 self.record_event(RecordedEvent::ObjectPurged {
                     object: object.to_string(),
--- a/crates/flaxdeck-fleet/src/model/fills.rs
+++ b/crates/flaxdeck-fleet/src/model/fills.rs
@@ -1,4 +1,4 @@
-//! Fills: what a host that lacks a copy does about it, until the copy has come or the fill has failed.
+//! Fills: how a host that lacks a copy gets it from its source, until the copy has arrived or the fill has failed.
 
 use flaxdeck::{AttemptOutcome, FillOutcome};
 
@@ -6,13 +6,13 @@
 use super::events::Event;
 use crate::host::{HostKind, Job};
 
-/// Milliseconds that a filling host waits for a source that says nothing.
+/// The time until a fill fails because its source does not answer.
 const SOURCE_TIMEOUT_MS: f64 = 1_500.0;
-/// The rank that parents cache copies with.
+/// The rank under which parents cache copies.
 const PARENT_RANK: u8 = 1;
 
 impl Model<'_> {
-    /// A host lacks what it was asked for: it fills, or says so.
+    /// Handles a miss at a host: starts a fill, or ends the job without a copy.
     pub(super) fn cache_miss(&mut self, host: usize, job: Job) {
         let id = job.attempt();
         let Some(attempt) = self.attempts.get(&id) else {
@@ -20,11 +20,11 @@
         };
         let kind = self.hosts[host].kind;
         match job {
-            // The slot of a cache that lacks it waits for the fill.
+            // The attempt keeps its slot at the cache during the fill.
             Job::Answer(_) if attempt.source != host && kind == HostKind::Cache => {
                 self.fill_cache(id);
             }
-            // A parent that was asked directly, past the caches, fetches it from the origin.
+            // The attempt bypassed the caches: the parent fetches the object from the origin.
             Job::Answer(_) if kind == HostKind::Parent && !attempt.only_cached => {
                 self.fill_parent(id, host);
             }
@@ -40,7 +40,7 @@
         }
     }
 
-    /// A cache asks the attempt's source.
+    /// Starts a fill of a cache from the attempt's source.
     fn fill_cache(&mut self, id: u64) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -55,7 +55,7 @@
         self.send_fill_request(source, Job::FillCache(id));
     }
 
-    /// A parent asks the origin.
+    /// Starts a fill of a parent from the origin.
     fn fill_parent(&mut self, id: u64, parent: usize) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -70,7 +70,7 @@
         self.schedule(self.scenario.far_latency_ms, arrival);
     }
 
-    /// A fill reaches its source.
+    /// Handles the arrival of a fill request at its source.
     pub(super) fn fill_reaches_source(&mut self, source: usize, job: Job) {
         let id = job.attempt();
         let Some(attempt) = self.attempts.get(&id) else {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The origin has answered a parent, which caches the copy and goes on with its own job.
+    /// Handles the origin's answer to a parent, which caches the copy and continues with its own job.
     pub(super) fn parent_filled(&mut self, id: u64) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -122,7 +122,7 @@
         self.schedule(wait_ms, done);
     }
 
-    /// A source has sent its first byte, and the rest goes over the link of the cache's zone.
+    /// Handles a source's first byte: the fill is transferred to the cache over the link of the cache's zone.
     pub(super) fn send_fill(&mut self, id: u64) {
         let now = self.now;
         let Some(attempt) = self.attempts.get_mut(&id) else {
@@ -135,7 +135,7 @@
         self.schedule_transfer_end(zone);
     }
 
-    /// The whole object has come to the cache, which keeps it and answers.
+    /// Handles the end of a transfer to a cache, which caches the object and answers the attempt.
     pub(super) fn cache_filled(&mut self, id: u64) {
         let Some(attempt) = self.attempts.get(&id) else {
             return;
@@ -157,7 +157,7 @@
         self.schedule(self.service_ms(index, kb), done);
     }
 
-    /// A fill came to nothing: its slots are free, and its attempt has ended.
+    /// Handles a failed fill: frees its slots and ends its attempt.
     pub(super) fn fill_failed(&mut self, id: u64, fill: FillOutcome) {
         let now = self.now;
         let Some(attempt) = self.attempts.get_mut(&id) else {
@@ -166,7 +166,7 @@
         let host = attempt.host;
         let filling_parent = attempt.filling_parent.take();
         attempt.fill_took_ms = Some(now - attempt.fill_started_ms);
-        // A parent that the origin failed frees its own slot, and the origin is to blame.
+        // A parent that was filling from the origin frees its slot, and the failure is attributed to the origin.
         if let Some(parent) = filling_parent.filter(|parent| *parent != host) {
             self.free_slot(parent, Job::FillCache(id));
             self.start_queued_jobs(parent);
--- a/crates/flaxdeck-fleet/src/model/forwarders.rs
+++ b/crates/flaxdeck-fleet/src/model/forwarders.rs
@@ -1,4 +1,4 @@
-//! Forwarders: the real decision engine, the real control session, and what a forwarder starts with.
+//! Forwarders: the real decision engine with the real control session, and their start.
 
 use std::collections::BTreeMap;
 
@@ -14,31 +14,31 @@
 use super::planners::{REPORT_INTERVAL_MS, lease_terms};
 use super::{Model, time};
 
-/// A forwarder's epoch is the count of its starts above this bit, its index below.
+/// The number of low bits of a forwarder's epoch that hold its index; the bits above hold the count of its starts.
 const EPOCH_INDEX_BITS: u32 = 20;
 
-/// A request that a forwarder has not answered yet.
+/// A request that its forwarder has not answered yet.
 pub(super) struct OpenRequest {
-    /// What its client wants done.
+    /// The operation that the request is for.
     pub(super) operation: u64,
-    /// Its attempts so far.
+    /// The number of attempts so far.
     pub(super) attempts: u32,
 }
 
-/// One forwarder.
+/// The state of a forwarder.
 pub(super) struct Forwarder {
     pub(super) engine: DecisionEngine,
-    /// None without planners.
+    /// The session with the planners; `None` in a fleet without planners.
     pub(super) session: Option<ForwarderSession>,
-    /// Counts its restarts.
+    /// The number of restarts so far.
     pub(super) incarnation: u32,
-    /// The number of the coordinator's last event that it knows.
+    /// The number of the last coordinator event that the forwarder has applied.
     pub(super) last_event: u64,
     pub(super) open: BTreeMap<RequestId, OpenRequest>,
 }
 
 impl Model<'_> {
-    /// A forwarder as it starts, in that incarnation.
+    /// Creates a forwarder that has just started.
     pub(super) fn new_forwarder(&mut self, index: usize, incarnation: u32) -> Forwarder {
         let zone = index / self.scenario.forwarders_per_zone;
         let seed = self.rng.random();
@@ -67,7 +67,8 @@
         ForwarderSession::start(time(self.now), epoch, options, planners)
     }
 
-    /// A forwarder that has just started receives the whole endpoint list.
+    /// Sends the full endpoint list to a forwarder that has just started. If the fleet has planners, also schedules the
+    /// forwarder's first reports, at a random time within the report interval.
     pub(super) fn receive_full_list(&mut self, forwarder: usize) {
         let endpoints = (0..self.hosts.len())
             .map(|host| self.endpoint(host))
@@ -83,10 +84,10 @@
         }
         let engine = &mut self.forwarders[forwarder].engine;
         let decisions = engine.list(time(self.now), ListKind::Full, endpoints);
-        self.decide(forwarder, decisions);
+        self.apply_decisions(forwarder, decisions);
     }
 
-    /// A forwarder's decision engine learns what its control session knows by now.
+    /// Passes the current guidance of a forwarder's session to its decision engine.
     pub(super) fn apply_guidance(&mut self, forwarder: usize) {
         let now = time(self.now);
         let Forwarder {
@@ -98,10 +99,10 @@
             return;
         };
         let decisions = engine.guided(now, session.hints(now));
-        self.decide(forwarder, decisions);
+        self.apply_decisions(forwarder, decisions);
     }
 
-    /// A fraction of the forwarders crashes and restarts at once; their clients retry.
+    /// Crashes a fraction of the forwarders, which restart immediately; their clients retry.
     pub(super) fn crash_forwarders(&mut self, fraction: f64) {
         let count = (self.forwarders.len() as f64 * fraction).floor() as usize;
         for index in 0..count {
--- a/crates/flaxdeck-fleet/src/model/links.rs
+++ b/crates/flaxdeck-fleet/src/model/links.rs
@@ -1,4 +1,4 @@
-//! The link that fills of a zone's caches share, and the samples that load reports are made of.
+//! The link of a zone, which carries the fills of its caches, and the sampling of load for load reports.
 
 use std::collections::HashMap;
 use std::ops::Range;
@@ -9,28 +9,29 @@
 use super::events::Event;
 use crate::link::{Link, TransferId};
 
-/// Milliseconds between samples of load.
-pub(super) const SAMPLE_MS: f64 = 200.0;
-/// The part of its true load that a host reports, drawn for each sample.
-const SAMPLE_ERROR: Range<f64> = 0.9..1.1;
-/// Samples are taken for so many milliseconds past the last arrival, for clients that still wait.
+/// The time between samples of load.
+pub(super) const SAMPLE_INTERVAL_MS: f64 = 200.0;
+/// The reported load of a host is its true load times a factor from this range, drawn for each sample.
+const SAMPLE_ERROR_FACTOR: Range<f64> = 0.9..1.1;
+/// Sampling continues for this long after the last arrival, because some clients are still waiting.
 const SAMPLES_AFTER_END_MS: f64 = 10_000.0;
-/// Added to a transfer's end: the event queue's microsecond and some, so that it has ended then.
+/// Added to the scheduled end of a transfer: more than the event queue's resolution of 1 microsecond, so that rounding
+/// never schedules the event before the end.
 const QUEUE_ROUNDING_MS: f64 = 0.002;
 
-/// A zone's link with its transfers.
+/// The link of a zone with its transfers.
 pub(super) struct ZoneLink {
     link: Link,
-    /// How full the link was when last sampled; one is as many transfers as it carries at the pace of a slot.
+    /// The load of the link as last sampled: its transfers over the number that it carries at the full rate of a slot.
     pub(super) load: f64,
-    /// Counts the changes of the next transfer's end: an event of an earlier version is out of date.
+    /// Incremented whenever a transfer has started or ended; a `TransferEnds` event of an earlier version is ignored.
     version: u64,
     /// The attempt of each transfer.
     attempts: HashMap<TransferId, u64>,
 }
 
 impl ZoneLink {
-    /// A link that carries so many KB a millisecond.
+    /// Creates an idle link that carries `kb_per_ms` KB per millisecond.
     pub(super) fn new(kb_per_ms: f64) -> ZoneLink {
         ZoneLink {
             link: Link::new(kb_per_ms),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Starts a transfer of so many KB for an attempt.
+    /// Starts a transfer of `kb` KB for an attempt.
     pub(super) fn start_transfer(&mut self, now: f64, kb: f64, attempt: u64) {
         let transfer = self.link.start(now, kb);
         self.attempts.insert(transfer, attempt);
@@ -48,7 +49,7 @@
 }
 
 impl Model<'_> {
-    /// Schedules the end of the next transfer of a link anew, after a transfer came or went.
+    /// Schedules the end of the next transfer on a link again after a transfer has started or ended.
     pub(super) fn schedule_transfer_end(&mut self, zone: usize) {
         let zone_link = &mut self.zone_links[zone];
         zone_link.version += 1;
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Transfers of a link have ended.
+    /// Handles the end of transfers on a link.
     pub(super) fn transfer_ends(&mut self, zone: usize, version: u64) {
         if self.zone_links[zone].version != version {
             return;
@@ -74,18 +75,19 @@
         self.schedule_transfer_end(zone);
     }
 
-    /// Hosts and links are sampled.
+    /// Samples the load of hosts and links.
     pub(super) fn sample_load(&mut self) {
         for host in &mut self.hosts {
             let jobs = (host.busy + host.queue.len()) as f64;
-            host.reported_load = jobs * self.rng.random_range(SAMPLE_ERROR);
+            host.reported_load = jobs * self.rng.random_range(SAMPLE_ERROR_FACTOR);
         }
-        let full_link = (self.scenario.link_kb_per_ms / self.scenario.slot_kb_per_ms).max(1.0);
+        let full_link_transfers =
+            (self.scenario.link_kb_per_ms / self.scenario.slot_kb_per_ms).max(1.0);
         for zone_link in &mut self.zone_links {
-            zone_link.load = zone_link.link.transfers() as f64 / full_link;
+            zone_link.load = zone_link.link.transfers() as f64 / full_link_transfers;
         }
         if self.now < self.scenario.duration_ms + SAMPLES_AFTER_END_MS {
-            self.schedule(SAMPLE_MS, Event::LoadSample);
+            self.schedule(SAMPLE_INTERVAL_MS, Event::LoadSample);
         }
     }
 }
--- a/crates/flaxdeck-fleet/src/model/planners.rs
+++ b/crates/flaxdeck-fleet/src/model/planners.rs
@@ -1,4 +1,4 @@
-//! Planners: the coordinator's events and the reports that reach them, and the guidance that they send.
+//! Planners: the coordinator events and reports that they receive, and the guidance that they send.
 
 use flaxdeck::{Health, Span, ZoneId};
 use flaxdeck_control::LeaseTerms;
@@ -10,27 +10,32 @@
 use super::events::Event;
 use super::{Model, time};
 
-/// Milliseconds between a forwarder's reports.
+/// The time between the reports of a forwarder.
 pub(super) const REPORT_INTERVAL_MS: f64 = 200.0;
-/// Reports go on for so many milliseconds past the last arrival, for clients that still wait.
+/// Reports continue for this long after the last arrival, because some clients are still waiting.
 const REPORTS_AFTER_END_MS: f64 = 5_000.0;
-/// Milliseconds that a lease lasts.
-const LEASE_MS: u64 = 1_200;
-/// Parts that a host's capacity is leased in.
-const LEASE_PARTS: u32 = 10;
+/// How long a grant lasts.
+const GRANT_DURATION_MS: u64 = 1_200;
+/// The clock drift that leases allow for, in thousandths.
+const CLOCK_DRIFT_PER_MILLE: u32 = 10;
 
-/// A report on its way to a planner.
+/// A report with the planner that it is for.
 struct AddressedReport {
     planner: usize,
     report: Report,
 }
 
-/// What planners and forwarders promise each other, over a cold host's window.
+/// Returns the lease terms of all planners and forwarders, for a load window of `window_ms`.
 pub(super) fn lease_terms(window_ms: f64) -> LeaseTerms {
-    LeaseTerms::new(Span::of_ms(window_ms), Span::from_ms(LEASE_MS), LEASE_PARTS)
+    LeaseTerms::new(
+        Span::of_ms(window_ms),
+        Span::from_ms(GRANT_DURATION_MS),
+        CLOCK_DRIFT_PER_MILLE,
+    )
 }
 
-/// The model's coordinator never loses its numbering, so an event's number identifies it.
+/// Returns the position of an event. The model's coordinator never loses its numbering, so the number alone identifies
+/// an event, and serves as its hash too.
 fn position(number: u64) -> EventPosition {
     EventPosition {
         number,
@@ -39,7 +44,7 @@
 }
 
 impl Model<'_> {
-    /// The coordinator's event of that number reaches a planner.
+    /// Handles the arrival of a coordinator event at a planner.
     pub(super) fn planner_receives_event(&mut self, planner: usize, number: u64) {
         let now = time(self.now);
         let event = &self.coordinator_events[number as usize - 1];
@@ -55,8 +60,8 @@
         self.planners[planner].coordinator_heard(now, Some(relayed), true);
     }
 
-    /// A forwarder reports to the planners that it reaches, and schedules its next report.
-    pub(super) fn report(&mut self, forwarder: usize, incarnation: u32) {
+    /// Sends a forwarder's reports to the planners that it can reach, and schedules its next reports.
+    pub(super) fn send_reports(&mut self, forwarder: usize, incarnation: u32) {
         let last_ms = self.scenario.duration_ms + REPORTS_AFTER_END_MS;
         if self.forwarders[forwarder].incarnation != incarnation || self.now > last_ms {
             return;
@@ -78,11 +83,11 @@
         }
     }
 
-    /// A forwarder's reports to each planner that it reaches.
+    /// Returns a forwarder's reports, one for each planner that it can reach.
     fn make_reports(&mut self, forwarder: usize) -> Vec<AddressedReport> {
         let now = time(self.now);
         let planners = 0..self.planners.len();
-        let reached: Vec<usize> = planners
+        let reachable: Vec<usize> = planners
             .filter(|planner| self.can_reach(forwarder, *planner))
             .collect();
         let zone = ZoneId(forwarder / self.scenario.forwarders_per_zone);
@@ -98,15 +103,16 @@
             planner,
             report: session.report(now, PlannerId(planner as u32), &observations, last_event),
         };
-        reached.into_iter().map(report_to).collect()
+        reachable.into_iter().map(report_to).collect()
     }
 
-    /// Whether a forwarder and a planner hear each other: each only every other one during a partition.
+    /// Returns whether a forwarder and a planner can reach each other: during a partition, only if both indices are
+    /// even or both are odd.
     fn can_reach(&self, forwarder: usize, planner: usize) -> bool {
         !self.conditions.planners_partitioned || planner % 2 == forwarder % 2
     }
 
-    /// A report reaches a planner, which sends guidance unless it is silent.
+    /// Handles the arrival of a report at a planner, which answers with guidance unless planners are silent.
     pub(super) fn planner_receives_report(
         &mut self,
         planner: usize,
@@ -128,7 +134,8 @@
         self.schedule(self.scenario.far_latency_ms, arrival);
     }
 
-    /// Guidance reaches a forwarder, unless it has restarted since its report.
+    /// Handles the arrival of guidance at a forwarder; ignored if the forwarder has restarted in the meantime or cannot
+    /// reach the planner.
     pub(super) fn forwarder_receives_guidance(
         &mut self,
         forwarder: usize,
@@ -144,8 +151,9 @@
         let Some(session) = &mut self.forwarders[forwarder].session else {
             return;
         };
-        let from = PlannerId(planner as u32);
-        let Ok(events) = session.apply_guidance(time(self.now), from, guidance, last_event) else {
+        let sender = PlannerId(planner as u32);
+        let Ok(events) = session.apply_guidance(time(self.now), sender, guidance, last_event)
+        else {
             return;
         };
         for event in events {
--- a/crates/flaxdeck-fleet/src/model/record.rs
+++ b/crates/flaxdeck-fleet/src/model/record.rs
@@ -1,4 +1,4 @@
-//! The results of a run: the record that the rules are judged from, the digest, and what was served by size.
+//! The results of a run: the record by which the rules are checked, the digest, and the fractions served by size.
 
 use std::collections::BTreeMap;
 
@@ -11,19 +11,20 @@
 use crate::host::{Host, HostKind};
 use crate::outcome::{Outcome, ServedBySize};
 
-/// Milliseconds of grace that the rules allow, past the coordinator's own delay: after a withdrawal, ...
+/// The time after a withdrawal within which the rules still allow work at the host, in addition to the coordinator's
+/// delay.
 const WITHDRAWAL_GRACE_MS: f64 = 1_000.0;
-/// ... after a purge, ...
+/// The time after a purge within which the rules still allow older copies, in addition to the coordinator's delay.
 const PURGE_GRACE_MS: f64 = 500.0;
-/// ... and after a client's deadline.
+/// The time after a client's deadline within which the rules still allow an answer.
 const DEADLINE_SLACK_MS: f64 = 5.0;
-/// The prime of the digest's products.
+/// The prime that the digest is multiplied by (the 64-bit FNV prime).
 const DIGEST_PRIME: u64 = 0x100_0000_01b3;
-/// Bits by which the digest is rotated after each word.
+/// The number of bits by which the digest is rotated after each word.
 const DIGEST_ROTATION: u32 = 17;
 
 impl Model<'_> {
-    /// Puts what was seen into the record, if the rules are judged.
+    /// Adds an event to the record, if the rules are to be checked.
     pub(super) fn record_event(&mut self, event: RecordedEvent) {
         if self.scenario.check_invariants {
             let at_ms = self.now;
@@ -39,7 +40,7 @@
         }
     }
 
-    /// What came of the run.
+    /// Ends the run and returns its outcome.
     pub(super) fn finish(mut self) -> Outcome {
         self.outcome.served_by_size = self.served_by_size();
         self.outcome.verdict = self.scenario.check_invariants.then(|| self.verdict());
--- a/crates/flaxdeck-fleet/src/model/service.rs
+++ b/crates/flaxdeck-fleet/src/model/service.rs
@@ -1,4 +1,4 @@
-//! What hosts do with jobs: admit or reject them, give them slots, and finish them.
+//! The handling of jobs at hosts: they are admitted or rejected, get a slot, and finish.
 
 use flaxdeck::{AttemptOutcome, FillOutcome};
 use flaxdeck_invariants::RecordedEvent;
@@ -7,20 +7,20 @@
 use super::events::Event;
 use crate::host::{FailureMode, HostKind, Job};
 
-/// Milliseconds of a slot for any job, besides those by size.
-const JOB_MS: f64 = 0.5;
-/// So many jobs wait for each slot.
-const QUEUE_PER_SLOT: usize = 4;
-/// Milliseconds until a host that crashed under its load restarts.
+/// The part of a job's cost that does not depend on its size, in milliseconds of one slot.
+const FIXED_COST_MS: f64 = 0.5;
+/// The number of jobs that may be queued for each slot; further jobs are rejected.
+const QUEUED_JOBS_PER_SLOT: usize = 4;
+/// The time until a host that crashed by overload restarts.
 const RESTART_AFTER_OVERLOAD_MS: f64 = 5_000.0;
 
 impl Model<'_> {
-    /// Milliseconds of a slot at full pace for so many KB.
+    /// Returns the cost of a job of `kb` KB, in milliseconds of one slot at full speed.
     fn cost_ms(&self, kb: f64) -> f64 {
-        kb / self.scenario.slot_kb_per_ms + JOB_MS
+        kb / self.scenario.slot_kb_per_ms + FIXED_COST_MS
     }
 
-    /// Milliseconds that a slot of this host takes for so many KB.
+    /// Returns the time in milliseconds that a slot of this host takes for a job of `kb` KB.
     pub(super) fn service_ms(&self, host: usize, kb: f64) -> f64 {
         let factor = match self.hosts[host].failure_mode {
             FailureMode::Slow(factor) => factor,
@@ -30,7 +30,7 @@
         self.cost_ms(kb) * factor
     }
 
-    /// The fraction of its capacity that a host has: less during slow start.
+    /// Returns the fraction of its full capacity that a host has; less than 1 during slow start.
     fn capacity_fraction(&self, host: usize) -> f64 {
         let scenario = self.scenario;
         self.hosts[host].capacity_fraction(
@@ -40,13 +40,13 @@
         )
     }
 
-    /// Slots that a host has: fewer during slow start.
+    /// Returns the number of slots that a host has now; fewer during slow start, but at least one.
     fn available_slots(&self, host: usize) -> usize {
         let slots = self.hosts[host].slots * self.capacity_fraction(host);
         (slots.round() as usize).max(1)
     }
 
-    /// A job arrives at a host; gives the outcome if the host doesn't take it.
+    /// Handles the arrival of a job at a host. Returns the outcome of the attempt if the host does not admit the job.
     pub(super) fn admit(&mut self, host: usize, job: Job, kb: f64) -> Option<AttemptOutcome> {
         if !self.hosts[host].up {
             return Some(AttemptOutcome::NotConnected);
@@ -59,10 +59,10 @@
             FailureMode::Failing => return Some(AttemptOutcome::Errored),
             FailureMode::Healthy | FailureMode::Slow(_) => {}
         }
-        if self.hosts[host].queue.len() >= self.available_slots(host) * QUEUE_PER_SLOT {
+        if self.hosts[host].queue.len() >= self.available_slots(host) * QUEUED_JOBS_PER_SLOT {
             return Some(AttemptOutcome::Rejected);
         }
-        if self.is_overloaded_by(host, self.cost_ms(kb)) {
+        if self.add_work_and_check_overload(host, self.cost_ms(kb)) {
             self.outcome.overloaded_hosts += 1;
             self.crash_host(host);
             self.schedule(RESTART_AFTER_OVERLOAD_MS, Event::Restart { host });
@@ -73,8 +73,9 @@
         None
     }
 
-    /// Adds work to a host's window; whether that is more than it bears during slow start.
-    fn is_overloaded_by(&mut self, host: usize, cost_ms: f64) -> bool {
+    /// Adds work to a host's load window. Returns whether the host is in slow start and the work within the window
+    /// exceeds its overload limit.
+    fn add_work_and_check_overload(&mut self, host: usize, cost_ms: f64) -> bool {
         let scenario = self.scenario;
         let requested_ms = self.hosts[host].add_work(self.now, cost_ms, scenario.load_window_ms);
         self.record_event(RecordedEvent::WorkRequested {
@@ -83,12 +84,11 @@
         });
         let fraction = self.capacity_fraction(host);
         let state = &self.hosts[host];
-        let bearable_ms =
-            scenario.overload_factor * fraction * state.slots * scenario.load_window_ms;
-        fraction < 1.0 && state.kind != HostKind::Origin && requested_ms > bearable_ms
+        let limit_ms = scenario.overload_factor * fraction * state.slots * scenario.load_window_ms;
+        fraction < 1.0 && state.kind != HostKind::Origin && requested_ms > limit_ms
     }
 
-    /// Gives free slots to queued jobs.
+    /// Starts queued jobs while slots are free.
     pub(super) fn start_queued_jobs(&mut self, host: usize) {
         while self.hosts[host].up && self.hosts[host].busy < self.available_slots(host) {
             let Some(job) = self.hosts[host].queue.pop_front() else {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// A host has what was asked for, made then, and works on it.
+    /// Serves a job from a copy made at `made_ms`, and schedules its end.
     fn serve(&mut self, host: usize, job: Job, made_ms: f64) {
         let Some(attempt) = self.attempts.get_mut(&job.attempt()) else {
             return;
@@ -154,7 +154,7 @@
         self.schedule(wait_ms, done);
     }
 
-    /// A job gives its slot free.
+    /// Frees the slot of a job, if it has one.
     pub(super) fn free_slot(&mut self, host: usize, job: Job) {
         let state = &mut self.hosts[host];
         if let Some(index) = state.running.iter().position(|other| *other == job) {
@@ -163,7 +163,7 @@
         }
     }
 
-    /// A host is done with a job.
+    /// Handles the end of a job at a host: frees its slot and continues with what the job was for.
     pub(super) fn job_done(&mut self, host: usize, job: Job) {
         self.free_slot(host, job);
         match job {
