--- a/crates/flaxdeck-fleet/tests/hosts.rs
+++ b/crates/flaxdeck-fleet/tests/hosts.rs
@@ -1,4 +1,4 @@
-//! What a cache holds, by rank and age.
+//! The cache of a host: eviction by rank, and lookups bounded by the age of the copy.
 
 use flaxdeck_fleet::cache::Cache;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_copy_older_than_asked_for_is_a_miss_until_a_newer_one_is_inserted() {
+fn a_copy_older_than_allowed_is_a_miss_until_a_newer_copy_is_inserted() {
     let mut cache = Cache::new(100.0);
     cache.insert(1, 1, 5.0, 10.0);
     assert_eq!(
