--- a/crates/flaxdeck-experiments/src/comparison.rs
+++ b/crates/flaxdeck-experiments/src/comparison.rs
@@ -1,4 +1,5 @@
-//! Pairs of runs: A and B on the same seed and the same drawn faults, so that what both share cancels out.
+//! Paired comparison: scenarios A and B run with the same seed and the same drawn faults, so that the variance that
+//! both runs have in common cancels out of their difference.
 
 use std::iter;
 use std::time::{Duration, Instant};
@@ -10,51 +11,54 @@
 
 use crate::confidence::{ConfidenceSequence, Verdict};
 
-/// Pairs that are played at once, at least; the verdict is looked at after each such batch.
-const MIN_PAIRS_AT_ONCE: u64 = 4;
-/// Spreads the pairs' seeds: 2 to the 64th over the golden ratio.
+/// The minimum number of pairs in a batch. Pairs of a batch run in parallel, and the verdict is checked after each
+/// batch.
+const MIN_BATCH_PAIRS: u64 = 4;
+/// Spreads the seeds of consecutive pairs over all 64 bits: 2^64 divided by the golden ratio.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Sets the seeds of a pair's faults apart from those of its runs, ...
+/// XORed into a run's seed for drawing its fault, so that the fault and the run use different random numbers.
 const FAULT_SEED_MASK: u64 = 0xfa;
-/// ... and independent seeds of B from A's.
+/// XORed into A's seed for B's if the runs of a pair have independent seeds.
 const B_SEED_MASK: u64 = 0x5555_5555;
 
-/// When a comparison stops, and what it plays.
+/// What a comparison plays, and when it stops.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// The time that pairs may take together.
+    /// The time that all pairs together may take; no batch starts after it.
     pub budget: Duration,
-    /// Pairs at most.
+    /// The maximum number of pairs.
     pub max_pairs: u64,
-    /// The chance that any of all intervals is ever wrong: divided among the metrics (Bonferroni).
+    /// The probability that any interval of any metric ever misses the true mean. Each metric gets an equal part of it
+    /// (Bonferroni correction).
     pub error_level: f64,
-    /// Differences of the gain up to this don't matter.
+    /// Differences of the gain up to this size count as no difference.
     pub min_effect: f64,
-    /// Kinds of faults, one drawn for each pair in turn, beside the scenarios' own.
+    /// Kinds of faults that pairs take in turn: each pair gets one drawn fault of its kind, in addition to the faults
+    /// of the scenarios.
     pub fault_kinds: Vec<String>,
-    /// What the pairs' seeds are drawn from.
+    /// The seed from which the seeds of the pairs are derived.
     pub seed: u64,
-    /// A and B get seeds of their own: what two scenarios that are the same must survive.
+    /// Gives the two runs of a pair independent seeds. Used to check that equal scenarios do not compare as different.
     pub independent_seeds: bool,
 }
 
-/// What there is of A and of B.
+/// A value for scenario A and one for scenario B.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Pair<T> {
-    /// Of A.
+    /// The value for A.
     pub a: T,
-    /// Of B.
+    /// The value for B.
     pub b: T,
 }
 
-/// One metric's answer so far; more of it is better.
+/// The result for one metric so far; larger values are better.
 #[derive(Clone, Debug)]
 pub struct Metric {
-    /// What is measured.
+    /// The name of the metric.
     pub name: String,
-    /// The differences of B from A.
+    /// The differences between the runs of each pair, B minus A.
     pub differences: ConfidenceSequence,
-    /// The means of A and B.
+    /// The means over all runs of A and of B.
     pub means: Pair<f64>,
 }
 
@@ -67,7 +71,7 @@
         }
     }
 
-    /// Adds what A and B had in one pair of runs.
+    /// Adds the values of one pair of runs.
     fn add(&mut self, values: Pair<f64>) {
         self.differences.add(values.b - values.a);
         let count = self.differences.count() as f64;
@@ -76,22 +80,23 @@
     }
 }
 
-/// The answers of a comparison so far.
+/// The results of a comparison so far.
 #[derive(Clone, Debug)]
 pub struct Comparison {
-    /// The gain over all pairs, then by kind of fault, then other metrics over all; larger is better in each.
+    /// The gain over all pairs, then the gain for each kind of fault, then the other metrics over all pairs. Larger is
+    /// better for each of them.
     pub metrics: Vec<Metric>,
-    /// Pairs played.
+    /// The number of pairs played.
     pub pairs: u64,
-    /// The time that they took.
+    /// The time that the pairs took.
     pub took: Duration,
-    /// Violations of the rules in A's and B's runs.
+    /// The number of rule violations in the runs of A and of B.
     pub violations: Pair<u64>,
-    /// The first of them, with its pair and kind of fault.
+    /// A description of the first violation, with its pair and kind of fault.
     pub first_violation: Option<String>,
 }
 
-/// A figure of an outcome beside the gain.
+/// A metric of an outcome other than the gain.
 struct OutcomeMetric {
     name: &'static str,
     value: fn(&Outcome) -> f64,
@@ -121,8 +126,8 @@
 }
 
 impl Comparison {
-    /// Before any pair: the gain over all, the gain with each kind of fault, and the other metrics. All of them together
-    /// hold at the error level, so each has its part of it.
+    /// Creates a comparison without pairs. The error level holds for all metrics together, so each metric gets an equal
+    /// part of it.
     fn new(limits: &Limits) -> Comparison {
         let by_kind = limits
             .fault_kinds
@@ -142,7 +147,7 @@
         }
     }
 
-    /// The verdict over all pairs by the gain, where differences up to `min_effect` don't matter.
+    /// Returns the verdict by the gain over all pairs; differences up to `min_effect` count as no difference.
     pub fn verdict(&self, min_effect: f64) -> Verdict {
         self.metrics[0].differences.verdict(min_effect)
     }
@@ -166,7 +171,7 @@
         self.pairs += 1;
     }
 
-    /// Keeps the first violation of all runs.
+    /// Stores the description of a run's first violation, unless an earlier run had one.
     fn note_violation(&mut self, outcome: &Outcome, run: &str) {
         let verdict = outcome.verdict.as_ref();
         let first = verdict.and_then(|verdict| verdict.violations.first());
@@ -192,13 +197,14 @@
     }
 }
 
-/// The kind of fault of a pair, by its index; none if no faults are drawn.
+/// Returns the index of the fault kind that a pair gets, or `None` if no faults are drawn.
 fn fault_kind(pair: u64, limits: &Limits) -> Option<usize> {
     let kinds = limits.fault_kinds.len();
     (kinds > 0).then(|| pair as usize % kinds)
 }
 
-/// Plays pairs until the gain's answer is clear, or the budget is out. `progress` sees the answers after each batch.
+/// Plays batches of pairs until there is a verdict on the gain, or the time budget or the number of pairs is exhausted.
+/// Calls `progress` with the results so far after each batch.
 pub fn compare(
     a: &Scenario,
     b: &Scenario,
@@ -207,7 +213,7 @@
 ) -> Comparison {
     let started = Instant::now();
     let mut comparison = Comparison::new(limits);
-    let batch = (rayon::current_num_threads() as u64).max(MIN_PAIRS_AT_ONCE);
+    let batch = (rayon::current_num_threads() as u64).max(MIN_BATCH_PAIRS);
     while comparison.pairs < limits.max_pairs && started.elapsed() < limits.budget {
         let first = comparison.pairs;
         let end = (first + batch).min(limits.max_pairs);
@@ -227,7 +233,7 @@
     comparison
 }
 
-/// The runs of that pair under A and under B.
+/// Plays the runs of a pair, under A and under B.
 fn play(a: &Scenario, b: &Scenario, limits: &Limits, pair: u64) -> Pair<Outcome> {
     let seed = limits.seed.wrapping_add(pair).wrapping_mul(SEED_MULTIPLIER);
     let b_seed = if limits.independent_seeds {
--- a/crates/flaxdeck-experiments/src/confidence.rs
+++ b/crates/flaxdeck-experiments/src/confidence.rs
@@ -1,40 +1,43 @@
-//! An interval for a mean that holds at all times at once, so that one may look after every pair and stop when the
-//! answer is clear. A fixed-size t-test looked at after each pair calls false alarms far above its level.
+//! A confidence sequence for a mean: an interval that is valid at all sample sizes simultaneously, so that it may be
+//! checked after every pair and sampling may stop as soon as the verdict is clear. A t-test for a fixed sample size
+//! that is checked after every pair has far more false positives than its level allows.
 //!
-//! The normal mixture of Robbins (1970) with the estimated variance: the asymptotic confidence sequence of Waudby-Smith,
-//! Arbour, Sinha, Kennedy and Ramdas, "Time-uniform central limit theory and asymptotic confidence sequences" (2024).
+//! Uses the normal mixture of Robbins (1970) with the estimated variance: the asymptotic confidence sequence of
+//! Waudby-Smith, Arbour, Sinha, Kennedy and Ramdas, "Time-uniform central limit theory and asymptotic confidence
+//! sequences" (2024).
 
-/// Pairs before which no interval is given: the variance is not known before, and days that tip are rare.
+/// The number of pairs below which there is no interval: with fewer, the estimate of the variance is unreliable,
+/// because pairs with a large difference are rare.
 pub const MIN_PAIRS: u64 = 40;
-/// Pairs at which the interval is tightest for its level.
+/// The number of pairs at which the interval is tightest for its error level.
 const TIGHTEST_AT_PAIRS: f64 = 100.0;
 
-/// What an interval says of B against A, larger being better.
+/// The verdict of an interval on B compared with A, where larger values are better.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The whole interval lies above zero.
+    /// B is better: the whole interval lies above zero.
     Better,
-    /// The whole interval lies below zero.
+    /// B is worse: the whole interval lies below zero.
     Worse,
-    /// No difference larger than the one that matters.
+    /// No difference that matters: the whole interval lies within the smallest effect that matters.
     Same,
-    /// The interval is too wide, or there is none yet.
+    /// Not known yet: the interval is too wide, or there are too few pairs for one.
     Undecided,
 }
 
-/// The mean lies between these, but for the chance that the sequence was given.
+/// An interval that contains the true mean, except with the error level of its sequence.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Interval {
-    /// The lower end.
+    /// The lower bound.
     pub low: f64,
-    /// The upper end.
+    /// The upper bound.
     pub high: f64,
 }
 
-/// Differences so far, with the interval of their mean.
+/// Accumulates differences, and computes the confidence interval of their mean.
 #[derive(Clone, Debug)]
 pub struct ConfidenceSequence {
-    /// The chance that the interval ever misses the true mean.
+    /// The probability that the interval ever misses the true mean.
     error_level: f64,
     count: u64,
     mean: f64,
@@ -43,7 +46,8 @@
 }
 
 impl ConfidenceSequence {
-    /// No differences yet; the interval may ever miss the true mean with this chance, between 0 and 1.
+    /// Creates an empty sequence. `error_level`, between 0 and 1, is the probability that the interval ever misses the
+    /// true mean.
     pub fn new(error_level: f64) -> ConfidenceSequence {
         ConfidenceSequence {
             error_level,
@@ -53,7 +57,7 @@
         }
     }
 
-    /// Adds a difference, B's figure less A's.
+    /// Adds the difference of a pair, B's value minus A's.
     pub fn add(&mut self, difference: f64) {
         self.count += 1;
         let deviation = difference - self.mean;
@@ -61,23 +65,23 @@
         self.squared_deviations += deviation * (difference - self.mean);
     }
 
-    /// Differences so far.
+    /// Returns the number of differences.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// Their mean.
+    /// Returns the mean of the differences.
     pub fn mean(&self) -> f64 {
         self.mean
     }
 
-    /// The standard error of the mean; not a number before there are two.
+    /// Returns the standard error of the mean; NaN for fewer than two differences.
     pub fn standard_error(&self) -> f64 {
         let count = self.count as f64;
         (self.squared_deviations / (count - 1.0) / count).sqrt()
     }
 
-    /// The interval; none before there are enough pairs for one.
+    /// Returns the interval, or `None` for fewer than [`MIN_PAIRS`] differences.
     pub fn interval(&self) -> Option<Interval> {
         if self.count < MIN_PAIRS {
             return None;
@@ -91,16 +95,16 @@
         })
     }
 
-    /// Half the interval's width for a standard deviation of one.
+    /// Returns half the width of the interval for a standard deviation of 1.
     fn unit_radius(&self, count: f64) -> f64 {
         let level = self.error_level;
-        // The squared width of the mixture that makes the interval tightest at that count.
+        // The variance of the mixture that makes the interval tightest at `TIGHTEST_AT_PAIRS`.
         let rho2 = (-2.0 * level.ln() + (-2.0 * level.ln()).ln() + 1.0) / TIGHTEST_AT_PAIRS;
         let inner = count * rho2 + 1.0;
         (2.0 * inner / (count * count * rho2) * (inner.sqrt() / level).ln()).sqrt()
     }
 
-    /// What the interval says, where differences up to `min_effect` either way don't matter.
+    /// Returns the verdict of the interval, where differences between -`min_effect` and `min_effect` do not matter.
     pub fn verdict(&self, min_effect: f64) -> Verdict {
         match self.interval() {
             None => Verdict::Undecided,
--- a/crates/flaxdeck-experiments/src/lib.rs
+++ b/crates/flaxdeck-experiments/src/lib.rs
@@ -1,9 +1,9 @@
-//! Experiments: whether one scenario of the fleet does better than another, by pairs of runs of the model, and how
-//! service comes back after a restart of real processes; and raw results as files.
+//! Experiments: compares two scenarios of the fleet model by pairs of runs, measures how service recovers after real
+//! processes restart, and writes raw results to files.
 //!
-//! - [`compare`] plays pairs of runs until the answer is clear or the time is up; [`confidence`] has the interval that
-//!   may be looked at after every pair.
-//! - [`recovery`] judges a run with a fault against its twin without one.
+//! - [`compare`] plays pairs of runs until the verdict is clear or the time is up; [`confidence`] has the confidence
+//!   sequence, whose interval may be checked after every pair.
+//! - [`recovery`] compares a run with a fault to its twin without one.
 //! - [`parquet_table`] writes tables of results.
 //!
 //! ```
@@ -23,7 +23,7 @@
 //!     independent_seeds: false,
 //! };
 //! let comparison = compare(&a, &b, &limits, |_| {});
-//! assert_eq!(comparison.verdict(limits.min_effect), Verdict::Undecided, "four pairs are too few");
+//! assert_eq!(comparison.verdict(limits.min_effect), Verdict::Undecided, "a verdict needs more than four pairs");
 //! ```
 
 mod comparison;
--- a/crates/flaxdeck-experiments/src/parquet_table.rs
+++ b/crates/flaxdeck-experiments/src/parquet_table.rs
@@ -1,4 +1,4 @@
-//! Raw results as Parquet files, compressed with zstd: a table of named columns, one row a result.
+//! Writes raw results to Parquet files compressed with zstd: a table of named columns with one row per result.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -11,28 +11,28 @@
 use parquet::file::writer::{SerializedColumnWriter, SerializedFileWriter};
 use parquet::schema::parser::parse_message_type;
 
-/// Why a table was not written.
+/// An error of [`write_table`].
 #[derive(Debug, thiserror::Error)]
 pub enum TableError {
     /// The columns have different numbers of rows.
-    #[error("{}: column {column} is not as long as the first", path.display())]
+    #[error("cannot write {}: column {column} and the first column differ in their number of rows", path.display())]
     UnevenColumns {
         /// The file that was to be written.
         path: PathBuf,
-        /// The first column that differs.
+        /// The first column with another number of rows than the table's first column.
         column: String,
     },
-    /// The file can't be written, or a column's name is not a word of letters and underscores.
-    #[error("{}: {source}", path.display())]
+    /// The file cannot be written, or a column name contains other characters than letters and underscores.
+    #[error("cannot write {}: {source}", path.display())]
     Write {
         /// The file that was to be written.
         path: PathBuf,
-        /// What the writer said.
+        /// The error of the Parquet writer.
         source: ParquetError,
     },
 }
 
-/// The rows of a column.
+/// The values of a column, one for each row.
 #[derive(Clone, Debug, PartialEq)]
 enum Values {
     Integers(Vec<i64>),
@@ -40,7 +40,7 @@
     Texts(Vec<String>),
 }
 
-/// One named column; all of a table are of one length.
+/// A named column. All columns of a table have the same number of rows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Column {
     name: &'static str,
@@ -48,19 +48,19 @@
 }
 
 impl Column {
-    /// Whole numbers.
+    /// Creates a column of 64-bit integers.
     pub fn integers(name: &'static str, rows: Vec<i64>) -> Column {
         let values = Values::Integers(rows);
         Column { name, values }
     }
 
-    /// Numbers with fractions.
+    /// Creates a column of floating-point numbers.
     pub fn floats(name: &'static str, rows: Vec<f64>) -> Column {
         let values = Values::Floats(rows);
         Column { name, values }
     }
 
-    /// Texts.
+    /// Creates a column of strings.
     pub fn texts(name: &'static str, rows: Vec<String>) -> Column {
         let values = Values::Texts(rows);
         Column { name, values }
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The column as the schema declares it.
+    /// Returns the declaration of the column in the Parquet schema.
     fn declaration(&self) -> String {
         let name = self.name;
         match self.values {
@@ -84,24 +84,27 @@
         }
     }
 
-    fn write(&self, to: &mut SerializedColumnWriter<'_>) -> Result<(), ParquetError> {
+    fn write(&self, writer: &mut SerializedColumnWriter<'_>) -> Result<(), ParquetError> {
         match &self.values {
-            Values::Integers(rows) => to.typed::<Int64Type>().write_batch(rows, None, None)?,
-            Values::Floats(rows) => to.typed::<DoubleType>().write_batch(rows, None, None)?,
+            Values::Integers(rows) => writer.typed::<Int64Type>().write_batch(rows, None, None)?,
+            Values::Floats(rows) => writer.typed::<DoubleType>().write_batch(rows, None, None)?,
             Values::Texts(rows) => {
                 let rows: Vec<ByteArray> = rows.iter().map(|text| text.as_str().into()).collect();
-                to.typed::<ByteArrayType>().write_batch(&rows, None, None)?
+                writer
+                    .typed::<ByteArrayType>()
+                    .write_batch(&rows, None, None)?
             }
         };
         Ok(())
     }
 }
 
-/// Writes a table. The columns' names are words of letters and underscores.
+/// Writes a table to a new file at `path`, replacing an existing one. Column names consist of letters and underscores.
 ///
 /// # Errors
 ///
-/// [`TableError::UnevenColumns`] if the columns differ in length, [`TableError::Write`] if the file can't be written.
+/// [`TableError::UnevenColumns`] if the columns differ in their number of rows, [`TableError::Write`] if the file
+/// cannot be written or a column name is invalid.
 pub fn write_table(path: &Path, columns: &[Column]) -> Result<(), TableError> {
     let rows = columns.first().map_or(0, Column::len);
     if let Some(uneven) = columns.iter().find(|column| column.len() != rows) {
@@ -125,11 +128,11 @@
     let mut writer = SerializedFileWriter::new(File::create(path)?, schema, properties)?;
     let mut group = writer.next_row_group()?;
     for column in columns {
-        let Some(mut to) = group.next_column()? else {
+        let Some(mut column_writer) = group.next_column()? else {
             break;
         };
-        column.write(&mut to)?;
-        to.close()?;
+        column.write(&mut column_writer)?;
+        column_writer.close()?;
     }
     group.close()?;
     writer.close()?;
--- a/crates/flaxdeck-experiments/src/recovery.rs
+++ b/crates/flaxdeck-experiments/src/recovery.rs
@@ -1,39 +1,39 @@
-//! How service comes back after a restart, judged against a twin: the same world, seed, load and faults at hosts with
-//! no process of ours killed. Pure: counts go in, times and losses come out.
+//! How service recovers after a restart, compared with a twin: a run with the same world, seed, load and faults at
+//! hosts in which none of the fleet's own processes is killed. Pure functions from counts to times and losses.
 
-/// Milliseconds of a slice.
+/// The length of a slice in milliseconds.
 pub const SLICE_MS: f64 = 500.0;
-/// Service counts as full once this many slices in a row are like the twin's: 5 s.
-const FULL_SLICES: usize = 10;
-/// By how much the fractions that were in time, and those that were rejected, may be worse than the twin's.
+/// Service counts as full from the first of this many consecutive slices (5 s) that are as good as the twin's.
+const MIN_GOOD_SLICES: usize = 10;
+/// How much worse than the twin's the in-time fraction and the rejected fraction of a good slice may be.
 const FRACTION_TOLERANCE: f64 = 0.005;
-/// The hit ratio that counts as full, as a fraction of the twin's.
+/// The minimum hit ratio of a good slice, as a fraction of the twin's hit ratio.
 const MIN_HIT_RATIO: f64 = 0.97;
 
-/// One slice of time. Operations belong to the slice in which their first request was due.
+/// The counts of one slice of time. An operation belongs to the slice in which its first request was due.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Slice {
-    /// Operations that began within the slice.
+    /// Operations that began in the slice.
     pub operations: u64,
-    /// Those of them that were served within the latency objective of their first request.
+    /// Operations of the slice that were served within the latency objective of their first request.
     pub in_time: u64,
-    /// Those of them that were rejected in the end.
+    /// Operations of the slice whose final result was a rejection.
     pub rejected: u64,
-    /// Answers of caches.
+    /// Answers that caches sent.
     pub cache_answers: u64,
-    /// Answers from what caches held.
+    /// Answers that caches served from a cached copy.
     pub cache_hits: u64,
-    /// Connections that hosts closed as too many.
+    /// Connections that hosts closed because they had too many.
     pub refused_connections: u64,
 }
 
 impl Slice {
-    /// The fraction of the operations that were in time.
+    /// Returns the fraction of the operations that were in time.
     pub fn in_time_fraction(&self) -> f64 {
         self.in_time as f64 / self.operations.max(1) as f64
     }
 
-    /// The fraction of the caches' answers that were hits.
+    /// Returns the fraction of the caches' answers that were hits.
     pub fn hit_ratio(&self) -> f64 {
         self.cache_hits as f64 / self.cache_answers.max(1) as f64
     }
@@ -42,7 +42,7 @@
         self.rejected as f64 / self.operations.max(1) as f64
     }
 
-    fn missed(&self) -> f64 {
+    fn not_in_time(&self) -> f64 {
         self.operations as f64 - self.in_time as f64
     }
 
@@ -54,41 +54,45 @@
     }
 }
 
-/// Milliseconds after `up_ms` (the moment from which all processes run again) until service was full; none if it never
-/// was for long enough. The first slice begins at the moment that `up_ms` is counted from.
+/// Returns the time from `up_ms`, when all processes were running again, until service was full, in milliseconds;
+/// `None` if it never was for long enough. `up_ms` is counted from the beginning of the first slice.
 pub fn time_to_full_service(run: &[Slice], twin: &[Slice], up_ms: f64) -> Option<f64> {
     let first = (up_ms / SLICE_MS).ceil() as usize;
     let pairs = run.iter().zip(twin);
     let good: Vec<bool> = pairs.map(|(run, twin)| run.is_as_good_as(twin)).collect();
-    let mut starts = first..good.len().saturating_sub(FULL_SLICES - 1);
-    let full = starts.find(|start| good[*start..start + FULL_SLICES].iter().all(|good| *good))?;
-    if full == first {
-        // One that is as good as the twin from the first slice on counts from the moment itself.
+    let mut starts = first..good.len().saturating_sub(MIN_GOOD_SLICES - 1);
+    let full_from = starts.find(|start| {
+        good[*start..start + MIN_GOOD_SLICES]
+            .iter()
+            .all(|good| *good)
+    })?;
+    if full_from == first {
+        // Slices have been as good as the twin's since the first one after `up_ms`: no time was lost.
         Some(0.0)
     } else {
-        Some(full as f64 * SLICE_MS - up_ms)
+        Some(full_from as f64 * SLICE_MS - up_ms)
     }
 }
 
-/// Operations that were not in time beyond the twin's, by when they began.
+/// The number of operations that were not in time, in excess of the twin's, by when they began.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ExcessLosses {
-    /// Before the kill: in flight when it came.
+    /// Operations that began before the processes were killed, and were in flight then.
     pub in_flight: f64,
-    /// Between the kill and the moment from which all processes ran again.
+    /// Operations that began between the kill and the time at which all processes were running again.
     pub while_down: f64,
-    /// From that moment on.
+    /// Operations that began after that.
     pub after_restart: f64,
 }
 
-/// What was lost beyond the twin, for processes that were killed and ran again at these milliseconds of the first slice's
-/// beginning.
+/// Returns the losses in excess of the twin's. `killed_ms` and `up_ms` are the times at which processes were killed and
+/// at which all were running again, in milliseconds from the beginning of the first slice.
 pub fn excess_losses(run: &[Slice], twin: &[Slice], killed_ms: f64, up_ms: f64) -> ExcessLosses {
     let mut losses = ExcessLosses::default();
     for (index, (run, twin)) in run.iter().zip(twin).enumerate() {
         let begins_ms = index as f64 * SLICE_MS;
-        let excess = run.missed() - twin.missed();
-        // The slice that ends with the kill holds what was in flight then, as far as it was lost.
+        let excess = run.not_in_time() - twin.not_in_time();
+        // Excess losses in slices that end by the kill are operations that were in flight when it came.
         if begins_ms + SLICE_MS <= killed_ms {
             losses.in_flight += excess;
         } else if begins_ms < up_ms {
@@ -100,16 +104,17 @@
     losses
 }
 
-/// The median and the worst of some times; none stands for a time that never came, which is worse than any.
+/// The median and the worst of several times. `None` stands for an event that never happened, which is worse than any
+/// time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MedianAndWorst {
-    /// The median, in the times' unit.
+    /// The median, in the unit of the times.
     pub median: Option<f64>,
-    /// The worst.
+    /// The largest time, in the unit of the times.
     pub worst: Option<f64>,
 }
 
-/// The median and the worst of some times.
+/// Returns the median and the worst of several times.
 pub fn median_and_worst(times: &[Option<f64>]) -> MedianAndWorst {
     let times = times.iter().map(|time| time.unwrap_or(f64::INFINITY));
     let mut sorted: Vec<f64> = times.collect();
--- a/crates/flaxdeck-experiments/tests/comparison.rs
+++ b/crates/flaxdeck-experiments/tests/comparison.rs
@@ -1,4 +1,4 @@
-//! Comparisons whose true answer is known.
+//! Comparisons whose true result is known: of equal scenarios, and of one with a harmful change.
 
 #![allow(
     clippy::unwrap_used,
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn two_settings_that_are_the_same_are_not_told_apart_even_on_seeds_of_their_own() {
+fn equal_scenarios_have_no_verdict_even_with_independent_seeds() {
     for seed in [1, 1_000, 2_000] {
         let limits = Limits {
             independent_seeds: true,
@@ -42,19 +42,20 @@
             ..limits(60)
         };
         let comparison = compare(&scenario(), &scenario(), &limits, |_| {});
-        let wrong = comparison
+        let decided = comparison
             .metrics
             .iter()
             .filter(|metric| metric.differences.verdict(0.0) != Verdict::Undecided);
         assert_eq!(
-            wrong.map(|metric| &metric.name).collect::<Vec<_>>(),
-            Vec::<&String>::new()
+            decided.map(|metric| &metric.name).collect::<Vec<_>>(),
+            Vec::<&String>::new(),
+            "metrics by which equal scenarios differ, seed {seed}"
         );
     }
 }
 
 #[test]
-fn a_harmful_change_comes_out_worse_and_by_kind() {
+fn a_harmful_change_has_the_verdict_worse() {
     let harmful = Scenario {
         link_kb_per_ms: 12.0,
         ..scenario()
@@ -63,21 +64,24 @@
     assert_eq!(
         comparison.verdict(0.01),
         Verdict::Worse,
-        "{:?}",
+        "gain after the harmful change: {:?}",
         comparison.metrics[0]
     );
     let Pair { a, b } = comparison.metrics[0].means;
-    assert!(a > b + 0.01, "{a} {b}");
+    assert!(
+        a > b + 0.01,
+        "mean gain of A is {a}, of B {b}: expected B lower by more than 0.01"
+    );
 }
 
 #[test]
-fn the_same_comparison_gives_the_same_metrics_whatever_the_cores() {
+fn metrics_do_not_depend_on_the_number_of_threads() {
     let means = |threads: usize| {
         let pool = rayon::ThreadPoolBuilder::new()
             .num_threads(threads)
             .build()
             .unwrap();
-        let better = Scenario {
+        let other = Scenario {
             forwarders_per_zone: 1,
             ..scenario()
         };
@@ -85,15 +89,15 @@
             min_effect: 0.0,
             ..limits(8)
         };
-        pool.install(|| compare(&scenario(), &better, &limits, |_| {}).metrics[0].means)
+        pool.install(|| compare(&scenario(), &other, &limits, |_| {}).metrics[0].means)
     };
     assert_eq!(means(1), means(8));
 }
 
-/// A minute: `cargo test --release -p flaxdeck-experiments --test comparison -- --ignored --nocapture`.
+/// Takes about a minute: `cargo test --release -p flaxdeck-experiments --test comparison -- --ignored --nocapture`.
 #[test]
-#[ignore = "long"]
-fn of_two_hundred_comparisons_of_the_same_with_the_same_few_call_a_false_alarm() {
+#[ignore = "takes about a minute in release mode"]
+fn comparisons_of_equal_scenarios_have_few_false_positives() {
     let (mut alarms, mut covered) = (0, 0);
     for n in 0..200 {
         let limits = Limits {
@@ -104,20 +108,23 @@
         };
         let comparison = compare(&scenario(), &scenario(), &limits, |_| {});
         let gain = &comparison.metrics[0].differences;
-        let wrong = comparison.metrics.iter().any(|metric| {
+        let is_alarm = comparison.metrics.iter().any(|metric| {
             !matches!(
                 metric.differences.verdict(0.0),
                 Verdict::Undecided | Verdict::Same
             )
         });
-        alarms += u32::from(wrong);
+        alarms += u32::from(is_alarm);
         covered += u32::from(
             gain.interval()
                 .is_some_and(|interval| interval.low <= 0.0 && interval.high >= 0.0),
         );
     }
     println!(
-        "false alarms {alarms} of 200, the gain's interval covers the true zero {covered} of 200 times"
+        "false positives: {alarms} of 200; intervals of the gain that cover the true 0: {covered} of 200"
+    );
+    assert!(
+        alarms <= 10 && covered >= 190,
+        "{alarms} of 200 false positives (at most 10 allowed), {covered} of 200 intervals cover 0 (at least 190 needed)"
     );
-    assert!(alarms <= 10 && covered >= 190, "{alarms} {covered}");
 }
--- a/crates/flaxdeck-experiments/tests/confidence.rs
+++ b/crates/flaxdeck-experiments/tests/confidence.rs
@@ -1,4 +1,4 @@
-//! Intervals that hold however often one looks: how often they miss, and what they say.
+//! Confidence sequences: how often the interval misses the true mean when it is checked after every pair, and verdicts.
 
 #![allow(
     clippy::unwrap_used,
@@ -12,8 +12,8 @@
 use rand_distr::{Distribution, Normal};
 use rand_pcg::Pcg64Mcg;
 
-/// How often of 400 runs the interval ever misses the true mean within 200 looks.
-fn missed(draw: impl Fn(&mut Pcg64Mcg) -> f64, truth: f64) -> f64 {
+/// Returns the fraction of 400 sequences whose interval misses the true mean in any of 200 checks.
+fn miss_rate(draw: impl Fn(&mut Pcg64Mcg) -> f64, true_mean: f64) -> f64 {
     let miss = |seed| {
         let (mut rng, mut sequence) =
             (Pcg64Mcg::seed_from_u64(seed), ConfidenceSequence::new(0.05));
@@ -21,35 +21,35 @@
             sequence.add(draw(&mut rng));
             sequence
                 .interval()
-                .is_some_and(|interval| truth < interval.low || truth > interval.high)
+                .is_some_and(|interval| true_mean < interval.low || true_mean > interval.high)
         })
     };
     (0..400).filter(|seed| miss(*seed)).count() as f64 / 400.0
 }
 
 #[test]
-fn it_misses_no_more_often_than_its_level_though_looked_at_after_each_pair() {
+fn the_interval_keeps_its_error_level_when_checked_after_every_pair() {
     let normal = Normal::new(0.3, 2.0).unwrap();
-    let rate = missed(|rng| normal.sample(rng), 0.3);
-    assert!(rate <= 0.05, "{rate}");
+    let rate = miss_rate(|rng| normal.sample(rng), 0.3);
+    assert!(rate <= 0.05, "miss rate is {rate}, expected at most 0.05");
 }
 
 #[test]
-fn days_that_tip_now_and_then_leave_it_honest() {
-    // One day in five is worse by a lot.
-    let tips = |rng: &mut Pcg64Mcg| {
+fn the_interval_nearly_keeps_its_error_level_when_one_difference_in_five_is_large() {
+    // One difference in five is large.
+    let draw = |rng: &mut Pcg64Mcg| {
         if rng.random_bool(0.2) {
             -0.4
         } else {
             rng.random_range(-0.02..0.02)
         }
     };
-    let rate = missed(tips, -0.08);
-    assert!(rate <= 0.06, "{rate}");
+    let rate = miss_rate(draw, -0.08);
+    assert!(rate <= 0.06, "miss rate is {rate}, expected at most 0.06");
 }
 
 #[test]
-fn a_t_interval_looked_at_after_each_pair_would_not_do() {
+fn a_normal_interval_checked_after_every_pair_exceeds_its_error_level() {
     let normal = Normal::new(0.0, 1.0).unwrap();
     let miss = |seed| {
         let (mut rng, mut sequence) =
@@ -61,11 +61,11 @@
         })
     };
     let rate = (0..400).filter(|seed| miss(*seed)).count() as f64 / 400.0;
-    assert!(rate > 0.12, "{rate}");
+    assert!(rate > 0.12, "miss rate is {rate}, expected more than 0.12");
 }
 
 #[test]
-fn a_clear_effect_is_found_and_a_small_one_counts_as_none() {
+fn a_clear_effect_has_a_verdict_and_a_small_one_counts_as_no_difference() {
     let verdict = |mean: f64, min_effect: f64| {
         let (mut rng, mut sequence) = (Pcg64Mcg::seed_from_u64(1), ConfidenceSequence::new(0.05));
         let normal = Normal::new(mean, 0.02).unwrap();
--- a/crates/flaxdeck-experiments/tests/parquet_table.rs
+++ b/crates/flaxdeck-experiments/tests/parquet_table.rs
@@ -1,4 +1,4 @@
-//! Tables are read as they were written.
+//! Writes tables to Parquet files and reads them back.
 
 #![allow(
     clippy::unwrap_used,
@@ -13,7 +13,7 @@
 use parquet::file::reader::{FileReader, SerializedFileReader};
 
 #[test]
-fn a_table_is_read_as_it_was_written() {
+fn a_written_table_reads_back_equal() {
     let path = std::env::temp_dir().join(format!(
         "flaxdeck-experiments-{}.parquet",
         std::process::id()
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_table_with_columns_of_different_lengths_is_refused() {
+fn columns_with_different_numbers_of_rows_are_an_error() {
     let path = std::env::temp_dir().join("flaxdeck-experiments-uneven.parquet");
     let uneven = [
         Column::integers("a", vec![1]),
--- a/crates/flaxdeck-experiments/tests/recovery.rs
+++ b/crates/flaxdeck-experiments/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! When service is full again after a fault, and what was lost until then.
+//! The time to full service after a restart, and the losses in excess of the twin's.
 
 use flaxdeck_experiments::recovery::{
     ExcessLosses, MedianAndWorst, SLICE_MS, Slice, excess_losses, median_and_worst,
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn service_is_full_once_it_stays_like_the_twins_and_not_at_a_lucky_slice() {
+fn service_is_full_from_the_first_of_ten_consecutive_slices_as_good_as_the_twins() {
     let twin = slices(&[999; 20]);
     let mut played = vec![999; 20];
     played[4] = 500;
@@ -32,9 +32,9 @@
     assert_eq!(
         time_to_full_service(&slices(&played), &twin, 2_000.0),
         None,
-        "too short a time to tell"
+        "at most 7 consecutive slices are good, and full service needs 10"
     );
-    // A dip that the twin has as well is not ours.
+    // A dip that the twin has as well does not delay full service.
     let mut low = vec![999; 20];
     low[5] = 700;
     low[6] = 800;
@@ -45,20 +45,20 @@
 }
 
 #[test]
-fn fewer_hits_or_refused_connections_are_not_full_service() {
+fn slices_with_fewer_hits_or_more_refused_connections_are_not_full_service() {
     let twin = slices(&[999; 12]);
-    for spoil in [
+    for worsen in [
         |slice: &mut Slice| slice.cache_hits = 860,
         |slice: &mut Slice| slice.refused_connections = 1,
     ] {
         let mut played = twin.clone();
-        spoil(&mut played[0]);
+        worsen(&mut played[0]);
         assert_eq!(time_to_full_service(&played, &twin, 0.0), Some(SLICE_MS));
     }
 }
 
 #[test]
-fn losses_are_counted_by_when_their_operations_began() {
+fn losses_are_counted_by_the_slice_in_which_operations_began() {
     let (twin, mut played) = (slices(&[1000; 8]), slices(&[1000; 8]));
     for (at, in_time) in [(1, 990), (2, 900), (3, 950), (4, 999)] {
         played[at].in_time = in_time;
