--- a/crates/flaxdeck-emulator/src/clients.rs
+++ b/crates/flaxdeck-emulator/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: an open loop of requests over some connections to each dispatcher. When a request is sent was settled before
-//! the first one; no answer is waited for. Every answer's bytes are checked, and a second answer is recorded.
+//! Open-loop clients over several connections to each dispatcher: requests are sent at times that are fixed in advance,
+//! whether or not earlier ones were answered. The bytes of every answer are checked, and repeated answers are recorded.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -22,30 +22,30 @@
 use crate::state::SharedState;
 use crate::sync::lock;
 
-/// Connections to one dispatcher.
+/// Connections that the clients open to each dispatcher.
 const CONNECTIONS: usize = 8;
-/// Until a client that found no dispatcher tries again.
+/// The pause after a failed connect before the next try.
 const RECONNECT: Duration = Duration::from_millis(50);
-/// Milliseconds past the last request's deadline in which a late answer is still seen.
+/// How long after the last request's deadline a connection still waits for late answers, in milliseconds.
 const LATE_ANSWERS_MS: f64 = 500.0;
-/// Between looks whether the last answers have come.
-const POLL: Duration = Duration::from_millis(5);
-/// Bytes that are read at once.
+/// The interval at which a connection checks whether its last answers have arrived.
+const LAST_ANSWERS_POLL: Duration = Duration::from_millis(5);
+/// The size of the read buffer.
 const BUFFER_BYTES: usize = 64 * 1024;
 
-/// What clients saw beside the record.
+/// What clients measure in addition to the record.
 #[derive(Clone, Debug, Default)]
 pub struct ClientStatistics {
-    /// The milliseconds that each served answer took.
+    /// The latency of each served answer in milliseconds.
     pub latencies_ms: Vec<f64>,
-    /// Answers whose bytes were not the object's own.
+    /// Served answers whose body was not that of the requested object.
     pub wrong_bytes: u64,
-    /// Connections that broke.
+    /// Connections that ended before the client closed them.
     pub broken_connections: u64,
 }
 
 impl ClientStatistics {
-    /// What several groups of clients saw together.
+    /// Merges the statistics of several groups of clients.
     pub fn merged(parts: impl IntoIterator<Item = ClientStatistics>) -> ClientStatistics {
         let mut all = ClientStatistics::default();
         for part in parts {
@@ -56,7 +56,7 @@
         all
     }
 
-    /// Milliseconds within which that fraction of the answers came, from 0 to 1; 0 without answers.
+    /// Returns the latency in milliseconds at a quantile from 0 to 1; 0 if there are no answers.
     pub fn latency_quantile(&self, fraction: f64) -> f64 {
         let mut sorted = self.latencies_ms.clone();
         sorted.sort_by(f64::total_cmp);
@@ -65,15 +65,15 @@
     }
 }
 
-/// Clients of some dispatchers.
+/// Open-loop clients of a set of dispatchers.
 pub struct Clients {
     statistics: Arc<Mutex<ClientStatistics>>,
-    /// Connections that still have requests.
+    /// Connections that have not finished their requests.
     running: Arc<AtomicU64>,
 }
 
 impl Clients {
-    /// Starts clients of these dispatchers; to be called within the world's runtime.
+    /// Starts clients of these dispatchers. Must be called within the world's runtime.
     pub(crate) fn start(
         world: &Arc<SharedState>,
         dispatchers: &[SocketAddr],
@@ -84,8 +84,8 @@
             running: Arc::default(),
         };
         for (dispatcher, address) in dispatchers.iter().enumerate() {
-            let dealt = load.by_connection(dispatcher, CONNECTIONS);
-            for (index, requests) in dealt.into_iter().enumerate() {
+            let by_connection = load.by_connection(dispatcher, CONNECTIONS);
+            for (index, requests) in by_connection.into_iter().enumerate() {
                 let connection = Connection {
                     world: world.clone(),
                     number: load.first_connection + dispatcher * CONNECTIONS + index,
@@ -111,20 +111,21 @@
         self.running.load(Ordering::SeqCst) == 0
     }
 
-    /// What the clients saw so far.
+    /// Returns the statistics so far.
     pub fn statistics(&self) -> ClientStatistics {
         lock(&self.statistics).clone()
     }
 }
 
-/// A request without an answer.
+/// A request that has not been answered yet.
 struct PendingRequest {
     object: String,
     sent_ms: f64,
     write: bool,
 }
 
-/// One connection's requests; a connection that breaks is opened again, and what was pending on it has left.
+/// Sends one connection's requests. A connection that breaks is reopened, and the requests pending on it are recorded
+/// as [`RecordedEvent::ClientLeft`].
 struct Connection {
     world: Arc<SharedState>,
     number: usize,
@@ -141,47 +142,47 @@
         let mut requests = requests.into_iter().peekable();
         while requests.peek().is_some() {
             let Ok(stream) = TcpStream::connect(address).await else {
-                // Who finds no dispatcher has not sent: what was due meanwhile is lost to this one.
+                // Requests that fall due while the dispatcher is unreachable are skipped: they were never sent.
                 sleep(RECONNECT).await;
                 let now_ms = self.world.now();
                 while requests.next_if(|request| request.at_ms < now_ms).is_some() {}
                 continue;
             };
-            // A delay matters only to measurements.
+            // An error is ignored: without TCP_NODELAY only latencies are higher.
             let _ = stream.set_nodelay(true);
             let (read, mut write) = stream.into_split();
-            let (ended_sender, mut ended) = mpsc::channel::<()>(1);
-            let reader = self.start_reader(read, ended_sender);
-            self.send_requests(&mut requests, &mut write, &mut ended)
+            let (end_sender, mut end_receiver) = mpsc::channel::<()>(1);
+            let reader = self.start_reader(read, end_sender);
+            self.send_requests(&mut requests, &mut write, &mut end_receiver)
                 .await;
             self.wait_for_last_answers(&reader).await;
             self.close(&reader);
         }
     }
 
-    /// Reads answers in a task of its own, which drops the sender when the connection ends.
-    fn start_reader(&self, read: OwnedReadHalf, ended: mpsc::Sender<()>) -> JoinHandle<()> {
+    /// Spawns a task that reads answers and drops the sender when the connection ends.
+    fn start_reader(&self, read: OwnedReadHalf, end_sender: mpsc::Sender<()>) -> JoinHandle<()> {
         let reader = Reader {
             world: self.world.clone(),
             connection: self.number,
             pending: self.pending.clone(),
             statistics: self.statistics.clone(),
-            _ended: ended,
+            _end_sender: end_sender,
         };
         tokio::spawn(reader.run(read))
     }
 
-    /// Sends each request at its time, until none is left or the connection ends.
+    /// Sends each request at its time, until all are sent or the connection ends.
     async fn send_requests(
         &mut self,
         requests: &mut Requests,
         write: &mut OwnedWriteHalf,
-        ended: &mut mpsc::Receiver<()>,
+        end_receiver: &mut mpsc::Receiver<()>,
     ) {
         while let Some(next) = requests.peek() {
             tokio::select! {
                 () = sleep_until(self.world.instant(next.at_ms)) => {}
-                _ = ended.recv() => return,
+                _ = end_receiver.recv() => return,
             }
             let Some(request) = requests.next() else {
                 return;
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Records a request and gives its bytes.
+    /// Records a request as sent and pending, and returns its encoded message.
     fn register(&mut self, request: PlannedRequest) -> Vec<u8> {
         self.last_call += 1;
         let call = self.last_call;
@@ -221,23 +222,23 @@
         bytes
     }
 
-    /// Waits for the last answers, or the end of a connection that broke.
+    /// Waits until every request is answered, the connection breaks, or the last deadline is exceeded.
     async fn wait_for_last_answers(&self, reader: &JoinHandle<()>) {
         let limit = self.world.now() + self.timeout_ms as f64 + LATE_ANSWERS_MS;
         while !lock(&self.pending).is_empty() && self.world.now() < limit && !reader.is_finished() {
-            sleep(POLL).await;
+            sleep(LAST_ANSWERS_POLL).await;
         }
     }
 
-    /// Ends the connection. Only who lost his connection has left; one that waits in vain on a connection that stands is a
-    /// violation.
+    /// Closes the connection. Pending requests are recorded as left only if the connection broke: a request that is not
+    /// answered on an intact connection has to count as a violation.
     fn close(&self, reader: &JoinHandle<()>) {
         let broke = reader.is_finished();
         reader.abort();
-        let left: BTreeMap<u32, PendingRequest> = lock(&self.pending).drain().collect();
+        let unanswered: BTreeMap<u32, PendingRequest> = lock(&self.pending).drain().collect();
         if broke {
             lock(&self.statistics).broken_connections += 1;
-            for call in left.into_keys() {
+            for call in unanswered.into_keys() {
                 let request = request_id(self.number, call);
                 self.world.record(RecordedEvent::ClientLeft { request });
             }
@@ -245,30 +246,30 @@
     }
 }
 
-/// Reads a connection's answers.
+/// Reads and records the answers on one connection.
 struct Reader {
     world: Arc<SharedState>,
     connection: usize,
     pending: Arc<Mutex<HashMap<u32, PendingRequest>>>,
     statistics: Arc<Mutex<ClientStatistics>>,
-    /// Dropped with the reader, which tells the writer that the connection has ended.
-    _ended: mpsc::Sender<()>,
+    /// Dropped with the reader, by which the sending side notices that the connection has ended.
+    _end_sender: mpsc::Sender<()>,
 }
 
 impl Reader {
     async fn run(self, mut from: OwnedReadHalf) {
         let mut bytes = Vec::new();
-        let mut piece = vec![0; BUFFER_BYTES];
-        while let Ok(count @ 1..) = from.read(&mut piece).await {
-            bytes.extend_from_slice(&piece[..count]);
+        let mut chunk = vec![0; BUFFER_BYTES];
+        while let Ok(count @ 1..) = from.read(&mut chunk).await {
+            bytes.extend_from_slice(&chunk[..count]);
             while let Some(answer) = take_answer(&mut bytes) {
                 let Ok(answer) = answer else { return };
-                self.answered(&answer);
+                self.handle_answer(&answer);
             }
         }
     }
 
-    fn answered(&self, message: &AnswerMessage) {
+    fn handle_answer(&self, message: &AnswerMessage) {
         let now_ms = self.world.now();
         let pending = lock(&self.pending).remove(&message.call);
         if let Some(pending) = pending.filter(|_| message.answer == FinalAnswer::Served) {
--- a/crates/flaxdeck-emulator/src/coordinator.rs
+++ b/crates/flaxdeck-emulator/src/coordinator.rs
@@ -1,4 +1,5 @@
-//! The coordinator: numbered frames to whoever asks from a number on, and a frame without an event each second.
+//! The coordinator: sends each connection the numbered frames after the number that it asks from, and a heartbeat after
+//! each second without events.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,12 +12,12 @@
 
 use crate::state::{HostKind, HostState, Numbered, SharedState, State};
 
-/// Without events for so long, a frame without one says that the coordinator is there.
+/// The time without events after which a connection gets a heartbeat frame.
 const HEARTBEAT: Duration = Duration::from_secs(1);
-/// The places in a frame's header beside its length: the number and the kind.
+/// The size of a frame's header after its length field: the number and the kind.
 const HEADER_BYTES: usize = 9;
 
-/// The kinds of frames, by their numbers on the wire.
+/// The kinds of frames; the discriminants are the values on the wire.
 #[derive(Clone, Copy)]
 pub(crate) enum FrameKind {
     Heartbeat = 0,
@@ -25,7 +26,7 @@
     Purge = 3,
 }
 
-/// Serves the coordinator's listener.
+/// Accepts connections to the coordinator and serves each in a task.
 pub(crate) async fn serve(world: Arc<SharedState>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -71,7 +72,7 @@
     }
 }
 
-/// Whether a call is answered; one over what the coordinator serves finds its connection closed.
+/// Counts a call and returns whether it is within the coordinator's call rate; the connections of others are closed.
 fn admit_call(world: &SharedState) -> bool {
     let now_ms = world.now();
     let interval_ms = 1000.0 / world.layout.coordinator_calls_per_s;
@@ -86,7 +87,7 @@
     admitted
 }
 
-/// What follows that number; to who names one that was never given out, the whole list as it stands.
+/// Returns the frames after the number `last`, or the current full list if `last` is higher than any number given out.
 fn frames_after(state: &State, last: u64) -> Vec<Numbered<Vec<u8>>> {
     let number = state.last_event;
     let list = state.lists.last().filter(|list| list.number <= number);
@@ -105,7 +106,7 @@
     }
 }
 
-/// A frame: its length, its number, its kind, and what it holds.
+/// Encodes a frame: length, number, kind and payload.
 pub(crate) fn frame(number: u64, kind: FrameKind, payload: &[u8]) -> Vec<u8> {
     let length = (HEADER_BYTES + payload.len()) as u32;
     let mut frame = length.to_be_bytes().to_vec();
@@ -115,7 +116,7 @@
     frame
 }
 
-/// A line of the list as the frames hold it.
+/// Encodes a host's entry of the list as frames contain it.
 pub(crate) fn list_entry(world: &SharedState, id: &str, host: &HostState) -> Vec<u8> {
     let number = u32::from_str_radix(id.trim_start_matches("s-"), 16).unwrap_or(0);
     let mut entry = number.to_be_bytes().to_vec();
@@ -128,14 +129,14 @@
         HostKind::Parent => (1, 1),
         HostKind::Origin => (1, 2),
     };
-    let started_ms = host.started_ms.map_or(0, |at_ms| world.unix_ms(at_ms));
+    let started_unix_ms = host.started_ms.map_or(0, |at_ms| world.unix_ms(at_ms));
     entry.extend([host.health as u8, zone, kind, 0, 0]);
     entry.extend(((host.slots * 1000.0) as u32).to_be_bytes());
-    entry.extend(started_ms.to_be_bytes());
+    entry.extend(started_unix_ms.to_be_bytes());
     entry
 }
 
-/// All hosts as the frames hold them.
+/// Encodes the list of all hosts as frames contain it.
 pub(crate) fn full_list(world: &SharedState, state: &State) -> Vec<u8> {
     let entry = |(id, host): (&String, &HostState)| list_entry(world, id, host);
     state.hosts.iter().flat_map(entry).collect()
--- a/crates/flaxdeck-emulator/src/error.rs
+++ b/crates/flaxdeck-emulator/src/error.rs
@@ -1,63 +1,63 @@
-//! Why a world or a fleet did not start, or a fault could not be injected.
+//! Errors of starting a world or a fleet, and of injecting faults.
 
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a world or a fleet did not start, or a fault could not be injected.
+/// An error of starting a world or a fleet, or of injecting a fault.
 #[derive(Debug, thiserror::Error)]
 pub enum EmulatorError {
-    /// The stand-ins' threads did not start.
-    #[error("no runtime: {0}")]
+    /// The async runtime of the stand-ins can't be started.
+    #[error("failed to start the async runtime of the stand-ins: {0}")]
     Runtime(#[source] io::Error),
     /// A stand-in can't listen on loopback.
-    #[error("no listener: {0}")]
+    #[error("a stand-in failed to listen on loopback: {0}")]
     Listen(#[source] io::Error),
     /// A proxy can't listen on loopback.
-    #[error("no wire: {0}")]
+    #[error("a proxy failed to listen on loopback: {0}")]
     Proxy(#[source] io::Error),
-    /// A host can't listen again where it listened before.
-    #[error("{address}: {source}")]
+    /// A restarted host can't listen at its earlier address.
+    #[error("a restarted host failed to listen at {address}: {source}")]
     ListenAgain {
-        /// Where it listened.
+        /// The host's address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// No host has that id.
-    #[error("there is no host {0}")]
+    /// No host of the world has this id.
+    #[error("unknown host id {0:?}")]
     UnknownHost(String),
     /// A file of the fleet can't be read or written.
-    #[error("{}: {source}", path.display())]
+    #[error("failed to access {}: {source}", path.display())]
     File {
         /// The file or folder.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A configuration of an earlier start is not JSON.
-    #[error("{}: {source}", path.display())]
+    /// The configuration file of an earlier start is not valid JSON.
+    #[error("invalid JSON in the configuration file {}: {source}", path.display())]
     Configuration {
-        /// The file.
+        /// The configuration file.
         path: PathBuf,
-        /// What the parser said.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
     /// A program can't be started.
-    #[error("{}: {source}", binary.display())]
+    #[error("failed to start {}: {source}", binary.display())]
     Spawn {
-        /// The program.
+        /// The path of the program.
         binary: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A program has no standard error to read its address from.
-    #[error("no standard error")]
+    /// A started program has no standard error pipe, from which its address would be read.
+    #[error("a started program has no standard error to read its listening address from")]
     NoStandardError,
-    /// A program did not say in time where it listens.
-    #[error("a program has not begun: {}", lines.join("\n"))]
+    /// A program did not log its listening address in time.
+    #[error("a program did not log its listening address; its log:\n{}", lines.join("\n"))]
     NotListening {
-        /// What it logged.
+        /// The lines that it logged.
         lines: Vec<String>,
     },
 }
--- a/crates/flaxdeck-emulator/src/fleet.rs
+++ b/crates/flaxdeck-emulator/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The real programs among the stand-ins: forwarders and planners as processes, each forwarder with links of its own
-//! to every planner and to the coordinator, and faults as data.
+//! A fleet of real processes: forwarders and planners that run against the stand-ins. Each forwarder has its own
+//! proxied link to every planner and to the coordinator. Faults are injected from data.
 
 mod faults;
 mod files;
@@ -22,10 +22,10 @@
 use files::{read_json, write_file};
 use process::{LogLines, Process};
 
-/// The key that the fleet's instances share.
+/// The key that all instances of the fleet share, in the form of the key file.
 const KEY: &str = "6b1f0c5e9a7d42388e4c1b2a3f5d6e7c8b9a0f1e2d3c4b5a69788796a5b4c3d2";
 
-/// Bytes between forwarders and planners.
+/// Bytes transferred between forwarders and planners.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ControlBytes {
     /// From forwarders to planners.
@@ -34,20 +34,20 @@
     pub guidance: u64,
 }
 
-/// Forwarders and planners as processes in a world; they end when this is dropped.
+/// The forwarder and planner processes of a world; dropping it kills them.
 pub struct Fleet {
-    /// The stand-ins.
+    /// The world with the stand-ins.
     pub world: World,
     setup: Setup,
     folder: PathBuf,
     planners: Vec<Option<Process>>,
     planner_addresses: Vec<SocketAddr>,
     forwarders: Vec<Option<Process>>,
-    /// Of each forwarder to each planner.
+    /// The links by forwarder and then by planner.
     planner_links: Vec<Vec<Proxy>>,
-    /// Of each forwarder.
+    /// The link of each forwarder.
     coordinator_links: Vec<Proxy>,
-    /// Milliseconds that the wall clocks of processes are ahead which start from now on.
+    /// How far the wall clocks of processes started from now on are set ahead, in milliseconds.
     clock_skew_ms: i64,
     lines: LogLines,
 }
@@ -60,11 +60,11 @@
 }
 
 impl Fleet {
-    /// Starts planners, links and forwarders.
+    /// Starts the planners, the links and the forwarders.
     ///
     /// # Errors
     ///
-    /// If a file can't be written, a link can't listen, or a program doesn't start.
+    /// If a file can't be written, a link can't listen, or a program can't be started.
     pub fn start(world: World, setup: Setup) -> Result<Fleet, EmulatorError> {
         let folder = fresh_folder();
         std::fs::create_dir_all(&folder).map_err(|source| EmulatorError::File {
@@ -98,7 +98,7 @@
         Ok(fleet)
     }
 
-    /// Starts the links of the next forwarder.
+    /// Starts the links of the next forwarder to all planners and to the coordinator.
     fn start_links(&mut self) -> Result<(), EmulatorError> {
         let planners = self.planner_addresses.iter();
         let links = planners.map(|address| self.world.proxy(*address));
@@ -109,12 +109,13 @@
         Ok(())
     }
 
-    /// Where a forwarder keeps its state, for tests that spoil it.
+    /// Returns the folder of a forwarder's stored state, for tests that corrupt it.
     pub fn state_folder(&self, forwarder: usize) -> PathBuf {
         self.folder.join(format!("state{forwarder}"))
     }
 
-    /// The configuration of an instance: what the world says now, or what its file has said since its first start.
+    /// Returns an instance's configuration: that of the world now, or with `keeps_first_config` that of its first
+    /// start.
     fn config(&self, path: &Path, coordinator: SocketAddr) -> Result<Value, EmulatorError> {
         if self.setup.keeps_first_config && path.exists() {
             return read_json(path);
@@ -123,7 +124,8 @@
     }
 
     fn start_planner(&mut self, planner: usize) -> Result<(), EmulatorError> {
-        // Its own port is chosen at the first start and kept; the others' do not matter to it.
+        // A planner's port is chosen at its first start and then kept. It never connects to other planners, so their
+        // ports are left out.
         let address = self.planner_addresses[planner];
         let mut addresses = self.planner_addresses.clone();
         for other in &mut addresses {
@@ -139,8 +141,8 @@
         command.args(["plan", "--name", &format!("p{planner}")]);
         command.arg("--config").arg(config_path);
         command.arg("--plan").arg(plan_path);
-        let known = (address.port() != 0).then_some(address);
-        let process = self.spawn(command, known)?;
+        let known_address = (address.port() != 0).then_some(address);
+        let process = self.spawn(command, known_address)?;
         self.planner_addresses[planner] = process.address;
         self.planners[planner] = Some(process);
         Ok(())
@@ -148,9 +150,9 @@
 
     fn start_forwarder(&mut self, forwarder: usize) -> Result<(), EmulatorError> {
         let earlier = self.forwarders[forwarder].as_ref();
-        let known = earlier.map(|process| process.address);
+        let known_address = earlier.map(|process| process.address);
         let state = format!("state{forwarder}");
-        let state = (self.setup.keeps_state && known.is_some()).then_some(&*state);
+        let state = (self.setup.keeps_state && known_address.is_some()).then_some(&*state);
         let links = self.planner_links[forwarder].iter();
         let planners: Vec<SocketAddr> = links.map(|link| link.address).collect();
         let plan_path = self.folder.join(format!("forwarder{forwarder}.plan"));
@@ -159,8 +161,8 @@
         let coordinator = self.coordinator_links[forwarder].address;
         let mut config = self.config(&config_path, coordinator)?;
         config["seed"] = format!("{:016x}", 0xaa00 + forwarder).into();
-        // A restarted forwarder comes back where its clients look for it.
-        if let Some(address) = known {
+        // A restarted forwarder listens at its earlier address, to which its clients connect.
+        if let Some(address) = known_address {
             config["listen"] = address.to_string().into();
         }
         write_file(&config_path, &config.to_string())?;
@@ -169,44 +171,44 @@
         if self.setup.guided {
             command.arg("--plan").arg(plan_path);
         }
-        self.forwarders[forwarder] = Some(self.spawn(command, known)?);
+        self.forwarders[forwarder] = Some(self.spawn(command, known_address)?);
         Ok(())
     }
 
     fn spawn(
         &self,
         mut command: Command,
-        known: Option<SocketAddr>,
+        known_address: Option<SocketAddr>,
     ) -> Result<Process, EmulatorError> {
         if self.clock_skew_ms != 0 {
             let skew = self.clock_skew_ms.to_string();
             command.arg("--clock-apart-ms").arg(skew);
         }
-        Process::start(command, known, &self.lines, self.setup.shows_logs)
+        Process::start(command, known_address, &self.lines, self.setup.shows_logs)
     }
 
-    /// Where clients reach the forwarders.
+    /// Returns the addresses at which the forwarders accept clients.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         let forwarders = self.forwarders.iter().flatten();
         forwarders.map(|forwarder| forwarder.address).collect()
     }
 
-    /// All lines that the programs have logged so far.
+    /// Returns all lines that the programs have logged so far.
     pub fn lines(&self) -> Vec<String> {
         self.lines.all()
     }
 
-    /// Bytes of reports and of guidance so far, over all forwarders and planners.
+    /// Returns the bytes of reports and guidance so far, summed over all forwarders and planners.
     pub fn control_bytes(&self) -> ControlBytes {
         let mut bytes = ControlBytes::default();
         for link in self.planner_links.iter().flatten() {
-            bytes.reports += link.bytes_to_far();
-            bytes.guidance += link.bytes_to_near();
+            bytes.reports += link.bytes_to_upstream();
+            bytes.guidance += link.bytes_to_downstream();
         }
         bytes
     }
 
-    /// The most memory that a forwarder has held, in KB; none where the system does not tell.
+    /// Returns the peak resident memory of a forwarder in KB; `None` where the system doesn't report it.
     pub fn peak_memory_kb(&self, forwarder: usize) -> Option<u64> {
         self.forwarders[forwarder].as_ref()?.peak_memory_kb()
     }
@@ -218,7 +220,7 @@
         for process in processes.flatten() {
             process.kill();
         }
-        // A folder that stays behind does no harm.
+        // A temporary folder that can't be removed does no harm.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
--- a/crates/flaxdeck-emulator/src/fleet/faults.rs
+++ b/crates/flaxdeck-emulator/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Faults as data, and their injection.
+//! Fault injection: faults as data, and what carries them out.
 
 use super::Fleet;
 use super::process::Signal;
@@ -6,61 +6,61 @@
 use crate::proxy::LinkState;
 use crate::state::FailureMode;
 
-/// One fault. Forwarders and planners are named by their indices from 0, hosts and objects by their ids.
+/// One fault or recovery. Forwarders and planners are given by index from 0, hosts and objects by id.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// A planner is killed.
+    /// Kills a planner.
     KillPlanner(usize),
-    /// A planner restarts.
+    /// Restarts a planner.
     StartPlanner(usize),
-    /// A planner stands still with its sockets open, until it is thawed.
+    /// Suspends a planner's process, with its sockets open, until `ThawPlanner`.
     FreezePlanner(usize),
-    /// A frozen planner goes on.
+    /// Resumes a suspended planner.
     ThawPlanner(usize),
-    /// A forwarder is killed.
+    /// Kills a forwarder.
     KillForwarder(usize),
-    /// A forwarder restarts.
+    /// Restarts a forwarder.
     StartForwarder(usize),
-    /// A forwarder stands still with its sockets open, until it is thawed.
+    /// Suspends a forwarder's process, with its sockets open, until `ThawForwarder`.
     FreezeForwarder(usize),
-    /// A frozen forwarder goes on.
+    /// Resumes a suspended forwarder.
     ThawForwarder(usize),
-    /// What a forwarder keeps is gone.
+    /// Deletes a forwarder's stored state.
     LoseState(usize),
-    /// All processes that start from now on have a wall clock so many milliseconds ahead.
+    /// Sets the wall clock of all processes started from now on ahead by this many milliseconds.
     SkewClocks(i64),
-    /// The link between a forwarder and a planner, in that order.
+    /// Sets the state of the link between a forwarder (first index) and a planner (second index).
     PlannerLink(usize, usize, LinkState),
-    /// The link between a forwarder and the coordinator.
+    /// Sets the state of the link between a forwarder and the coordinator.
     CoordinatorLink(usize, LinkState),
-    /// The coordinator announces that a host drains.
+    /// The coordinator publishes that a host drains.
     Drain(String),
-    /// The coordinator announces that a host is in service, as it is.
+    /// The coordinator publishes that a host is in service; the host itself does not restart.
     Announce(String),
-    /// A host crashes, and is listed as gone after a while by whoever plays the coordinator.
+    /// Crashes a host. The coordinator does not publish it.
     KillHost(String),
-    /// A host starts anew, empty and cold, and is listed so.
+    /// Restarts a host, cold and with an empty cache, and the coordinator publishes it.
     RestartHost(String),
-    /// A host answers differently.
+    /// Sets how a host answers.
     HostFailureMode(String, FailureMode),
-    /// An object is purged.
+    /// The coordinator publishes a purge of an object.
     Purge(String),
-    /// The coordinator says nothing more, or speaks again.
+    /// Makes the coordinator send nothing (`true`) or resume sending (`false`).
     SilenceCoordinator(bool),
-    /// The coordinator restarts and numbers from 1 again.
+    /// Restarts the coordinator with a numbering that begins at 1 again.
     LoseNumbering,
-    /// The coordinator restarts from what it knew so many events ago.
+    /// Restarts the coordinator in its state of this many events ago.
     RollBackCoordinator(u64),
-    /// The coordinator restarts and numbers so much further on.
+    /// Restarts the coordinator with its numbering advanced by this much.
     JumpAhead(u64),
 }
 
-/// A fault with its time.
+/// A fault and the time at which it is injected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
-    /// Milliseconds of the world.
+    /// Milliseconds since the start of the world.
     pub at_ms: f64,
-    /// What happens then.
+    /// The fault.
     pub fault: Fault,
 }
 
@@ -71,11 +71,11 @@
 }
 
 impl Fleet {
-    /// Has one fault happen now.
+    /// Injects one fault now.
     ///
     /// # Errors
     ///
-    /// If a program or a host doesn't restart.
+    /// If a program or a host can't be restarted.
     pub fn inject(&mut self, fault: &Fault) -> Result<(), EmulatorError> {
         match fault {
             Fault::StartPlanner(planner) => return self.start_planner(*planner),
@@ -90,7 +90,7 @@
                 self.signal_forwarder(*forwarder, Signal::Continue);
             }
             Fault::LoseState(forwarder) => {
-                // There may be none.
+                // There may be no stored state.
                 let _ = std::fs::remove_dir_all(self.state_folder(*forwarder));
             }
             Fault::SkewClocks(ms) => self.clock_skew_ms = *ms,
@@ -113,11 +113,11 @@
         Ok(())
     }
 
-    /// Has the faults of a script happen at their times, in order.
+    /// Injects the faults of a script in order, each at its time.
     ///
     /// # Errors
     ///
-    /// If a program or a host doesn't restart; what comes after it in the script doesn't happen.
+    /// If a program or a host can't be restarted; the rest of the script is not played.
     pub fn play<S>(&mut self, script: &[S]) -> Result<(), EmulatorError>
     where
         S: Clone + Into<ScheduledFault>,
@@ -130,14 +130,14 @@
         Ok(())
     }
 
-    /// A planner's address outlives it in the fleet's own list.
+    /// Kills a planner. Its address stays in `planner_addresses`, for its restart.
     fn kill_planner(&mut self, planner: usize) {
         if let Some(mut process) = self.planners[planner].take() {
             process.kill();
         }
     }
 
-    /// A killed forwarder stays in its place, so that it restarts at its address.
+    /// Kills a forwarder. Its entry stays in `forwarders`, so that it restarts at the same address.
     fn kill_forwarder(&mut self, forwarder: usize) {
         if let Some(process) = &mut self.forwarders[forwarder] {
             process.kill();
--- a/crates/flaxdeck-emulator/src/fleet/files.rs
+++ b/crates/flaxdeck-emulator/src/fleet/files.rs
@@ -1,4 +1,4 @@
-//! The files of a fleet's programs.
+//! Reading and writing the files of a fleet's programs.
 
 use std::path::Path;
 
--- a/crates/flaxdeck-emulator/src/fleet/process.rs
+++ b/crates/flaxdeck-emulator/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One started program.
+//! A program of the fleet as a child process.
 
 use std::io::{BufRead, BufReader, Lines};
 use std::net::SocketAddr;
@@ -10,12 +10,12 @@
 use crate::error::EmulatorError;
 use crate::sync::lock;
 
-/// A program that has not said its address by then has failed.
+/// The time within which a started program must log its listening address.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// What stands before the address in a program's log.
+/// The text that precedes the address in a program's log.
 const LISTENING: &str = "listening at ";
 
-/// The lines that all programs have logged.
+/// The log lines of all programs, in order of arrival.
 #[derive(Clone, Default)]
 pub(super) struct LogLines(Arc<Mutex<Vec<String>>>);
 
@@ -29,26 +29,26 @@
     }
 }
 
-/// A signal that stops a process or lets it go on.
+/// A signal that suspends or resumes a process.
 #[derive(Clone, Copy)]
 pub(super) enum Signal {
     Stop,
     Continue,
 }
 
-/// A started program.
+/// A running program.
 pub(super) struct Process {
     child: Child,
-    /// Where it listens.
+    /// The address at which it listens.
     pub(super) address: SocketAddr,
 }
 
 impl Process {
-    /// Starts a program. One whose address is not known yet is waited for until it says it; one that restarts may take
-    /// its time.
+    /// Starts a program. If its address is not known yet, waits until the program logs it; for a restart at a known
+    /// address it returns at once.
     pub(super) fn start(
         mut command: Command,
-        known: Option<SocketAddr>,
+        known_address: Option<SocketAddr>,
         lines: &LogLines,
         shows_logs: bool,
     ) -> Result<Process, EmulatorError> {
@@ -61,18 +61,18 @@
         })?;
         let stderr = child.stderr.take().ok_or(EmulatorError::NoStandardError)?;
         let mut log = BufReader::new(stderr).lines();
-        let address = match known {
+        let address = match known_address {
             Some(address) => address,
             None => wait_for_address(&mut child, &mut log, lines)?,
         };
         let lines = lines.clone();
-        thread::spawn(move || collect(log, &lines, shows_logs));
+        thread::spawn(move || collect_lines(log, &lines, shows_logs));
         Ok(Process { child, address })
     }
 
     /// Kills the program and waits for its end.
     pub(super) fn kill(&mut self) {
-        // It may have ended by itself.
+        // It may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -83,11 +83,11 @@
             Signal::Continue => "-CONT",
         };
         let id = self.child.id().to_string();
-        // A process that has ended can't be stopped.
+        // The signal fails for a process that has exited, which needs none.
         let _ = Command::new("kill").arg(name).arg(id).status();
     }
 
-    /// The most memory that it has held, in KB; none where the system does not tell.
+    /// Returns its peak resident memory in KB; `None` where the system doesn't report it.
     pub(super) fn peak_memory_kb(&self) -> Option<u64> {
         let path = format!("/proc/{}/status", self.child.id());
         let text = std::fs::read_to_string(path).ok()?;
@@ -96,7 +96,7 @@
     }
 }
 
-/// Reads the log until it says where the program listens.
+/// Reads the log until the line with the program's listening address.
 fn wait_for_address(
     child: &mut Child,
     log: &mut Lines<BufReader<ChildStderr>>,
@@ -115,14 +115,14 @@
             return Ok(address);
         }
     }
-    // It may have ended by itself.
+    // It may have exited already.
     let _ = child.kill();
     let _ = child.wait();
     Err(EmulatorError::NotListening { lines: read })
 }
 
-/// Collects the rest of a program's log.
-fn collect(log: Lines<BufReader<ChildStderr>>, lines: &LogLines, shows_logs: bool) {
+/// Collects the rest of a program's log, and prints it if `shows_logs` is set.
+fn collect_lines(log: Lines<BufReader<ChildStderr>>, lines: &LogLines, shows_logs: bool) {
     for line in log.map_while(Result::ok) {
         if shows_logs {
             eprintln!("{line}");
@@ -131,7 +131,7 @@
     }
 }
 
-/// The address that a line of the log tells.
+/// Returns the listening address in a log line, if it has one.
 fn listening_address(line: &str) -> Option<SocketAddr> {
     let (_, rest) = line.split_once(LISTENING)?;
     rest.split(',').next()?.parse().ok()
--- a/crates/flaxdeck-emulator/src/fleet/setup.rs
+++ b/crates/flaxdeck-emulator/src/fleet/setup.rs
@@ -1,34 +1,36 @@
-//! How a fleet is set up, and the plan file that follows from it.
+//! The setup of a fleet, and the plan file derived from it.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// How a fleet is set up.
+/// The setup of a fleet.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The program `flaxdeck`.
+    /// The path of the program `flaxdeck`.
     pub binary: PathBuf,
-    /// Planners to start.
+    /// The number of planners to start.
     pub planners: usize,
-    /// Forwarders to start.
+    /// The number of forwarders to start.
     pub forwarders: usize,
     /// The fraction of a cold host's capacity that planners grant.
     pub reserve: f64,
-    /// Without planners every forwarder is a lone dispatcher: the program `flaxdeck-dispatcher` does the same.
+    /// Whether forwarders get a plan file and so guidance from planners. Without it every forwarder is a stand-alone
+    /// dispatcher, like the program `flaxdeck-dispatcher`.
     pub guided: bool,
-    /// Further forms of the plan: what to do when nobody is heard, how events are sent.
+    /// Additional forms of the plan file, such as what to do when no planner is reachable, or how events are sent.
     pub plan_forms: &'static str,
-    /// Lines of the log are printed.
+    /// Whether the programs' log lines are printed.
     pub shows_logs: bool,
-    /// A program that restarts finds the configuration of its first start, not one that tells what came since.
+    /// Whether a restarted program gets the configuration of its first start, instead of one with the current endpoint
+    /// list and events.
     pub keeps_first_config: bool,
-    /// Forwarders keep state, each in a folder of its own, from their second start on: then their addresses are known,
-    /// which the state bears as its name.
+    /// Whether forwarders store state, each in its own folder. They do so from their second start on, because stored
+    /// state is named after the address, which is known only then.
     pub keeps_state: bool,
 }
 
 impl Setup {
-    /// Guided forwarders and planners, with the defaults of the plan file.
+    /// Creates a setup with the defaults of the plan file, guided if there are planners.
     pub fn new(binary: PathBuf, planners: usize, forwarders: usize) -> Setup {
         Setup {
             binary,
@@ -43,7 +45,8 @@
         }
     }
 
-    /// The plan of an instance that reaches the planners at those addresses and keeps its state in that folder.
+    /// Returns the plan file of an instance that connects to the planners at these addresses and stores its state in
+    /// this folder.
     pub(super) fn plan(&self, planners: &[SocketAddr], state_folder: Option<&str>) -> String {
         let planner = |(index, address): (usize, &SocketAddr)| {
             format!("(planner (name p{index}) (listen \"{address}\"))")
--- a/crates/flaxdeck-emulator/src/hosts.rs
+++ b/crates/flaxdeck-emulator/src/hosts.rs
@@ -1,4 +1,5 @@
-//! Cache hosts, parents and the origin: the line protocol on sockets. Fills go from host to host within the process.
+//! Cache hosts, parents and the origin. Dispatchers use the line protocol on sockets; fills between hosts stay within
+//! the process.
 
 mod admission;
 mod answers;
@@ -16,12 +17,12 @@
 use crate::state::SharedState;
 use answers::{Answer, answer};
 
-/// The longest body of a request.
+/// The largest accepted body of a request.
 const MAX_BODY_BYTES: usize = 100_000;
 /// The line end after a body.
 const LINE_END: &[u8] = b"\r\n";
 
-/// Opens a listener at an address, or at a port that the system chooses; to be called within a runtime.
+/// Opens a listener at an address, where port 0 lets the system choose. Must be called within a runtime.
 pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
@@ -55,7 +56,7 @@
     }
 }
 
-/// Whether a host takes one more connection; counts it.
+/// Counts a new connection and returns whether it is within the host's connection limit.
 fn admit_connection(world: &SharedState, id: &str) -> bool {
     let now_ms = world.now();
     let mut state = world.lock();
@@ -100,7 +101,7 @@
     stream.set_nodelay(true)?;
     let (read, mut write) = stream.into_split();
     let mut lines = BufReader::new(read);
-    // A line that came while a request was answered: the request was cancelled.
+    // A line received while a request was being answered. The dispatcher sends one at that time only to cancel.
     let mut next: Option<String> = None;
     loop {
         let line = match next.take() {
@@ -122,7 +123,7 @@
                     }
                     line = read_line(&mut lines) => {
                         next = Some(line?);
-                        request_left(world, id);
+                        request_cancelled(world, id);
                     }
                 }
             }
@@ -147,24 +148,28 @@
     request: &str,
     answer: &Answer,
 ) -> io::Result<()> {
-    let Answer { word, fields, body } = answer;
-    let head = format!("{request} {word} {fields} {}\r\n", body.len());
+    let Answer {
+        status,
+        fields,
+        body,
+    } = answer;
+    let head = format!("{request} {status} {fields} {}\r\n", body.len());
     let message = [head.as_bytes(), body, LINE_END].concat();
     write.write_all(&message).await
 }
 
 async fn read_line(lines: &mut BufReader<OwnedReadHalf>) -> io::Result<String> {
     let mut line = Vec::new();
-    // Not cancel-safe alone, but a half line is only lost with the connection's own end or a request's.
+    // Not cancel-safe, but a partial line is lost only when the connection ends or a request is answered meanwhile.
     if lines.read_until(b'\n', &mut line).await? == 0 {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
     Ok(String::from_utf8_lossy(&line).trim_end().to_owned())
 }
 
-/// A request was cancelled before its answer.
-fn request_left(world: &SharedState, id: &str) {
+/// Counts down the host's requests in flight for a request that was cancelled before its answer.
+fn request_cancelled(world: &SharedState, id: &str) {
     if let Some(host) = world.lock().hosts.get_mut(id) {
-        host.requests_in_hand = host.requests_in_hand.saturating_sub(1);
+        host.requests_in_flight = host.requests_in_flight.saturating_sub(1);
     }
 }
--- a/crates/flaxdeck-emulator/src/hosts/answers.rs
+++ b/crates/flaxdeck-emulator/src/hosts/answers.rs
@@ -1,4 +1,4 @@
-//! What a host answers to a request.
+//! How a host answers a request.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,17 +11,17 @@
 use crate::objects::{body, size_kb};
 use crate::state::{HostKind, SharedState};
 
-/// The class of requests whose effect must not happen twice.
+/// The request class of at-most-once writes, whose effect must not happen twice.
 const WRITE_CLASS: &str = "submit";
 
-/// An answer in the words of the line protocol.
+/// An answer of the line protocol.
 pub(super) struct Answer {
-    pub(super) word: &'static str,
+    pub(super) status: &'static str,
     pub(super) fields: String,
     pub(super) body: Vec<u8>,
 }
 
-/// Answers a request; none if the host says nothing.
+/// Answers a request; `None` if the host doesn't answer.
 pub(super) async fn answer(
     world: &Arc<SharedState>,
     id: &str,
@@ -31,7 +31,7 @@
     let field = |name: &str| fields.get(name).map_or("", String::as_str);
     let object = field("key");
     let is_write = field("class") == WRITE_CLASS;
-    world.lock().hosts.get_mut(id)?.requests_in_hand += 1;
+    world.lock().hosts.get_mut(id)?.requests_in_flight += 1;
     let copy = match admit(world, id, size_kb(object) as f64) {
         Admission::Until(until_ms) => {
             let copy = if is_write {
@@ -48,7 +48,7 @@
         Admission::Rejected => Err(CopyError::new("full")),
         Admission::Failed => Err(CopyError::new("failed")),
         Admission::Down | Admission::Silent => {
-            // The connection ends with the host, or the client gives up.
+            // Never completes: the connection ends with the host, or the dispatcher gives up.
             std::future::pending::<()>().await;
             return None;
         }
@@ -60,20 +60,20 @@
     Some(encode(world, object, copy, &load))
 }
 
-/// The answer in the words of the line protocol, with the host's load report.
+/// Encodes the answer for the line protocol, with the host's load report.
 fn encode(world: &SharedState, object: &str, copy: Result<Copy, CopyError>, load: &str) -> Answer {
     match copy {
         Ok(copy) => {
             let stamp = world.unix_ms(world.now());
             let source = copy.source;
             Answer {
-                word: "data",
+                status: "data",
                 fields: format!("version=v{object},stamp={stamp},{source},{load}"),
                 body: body(object, copy.made_ms),
             }
         }
-        Err(CopyError { word, fill }) => Answer {
-            word,
+        Err(CopyError { status, fill }) => Answer {
+            status,
             fields: match fill {
                 Some(fill) => format!("{fill},{load}"),
                 None => load.to_owned(),
@@ -83,12 +83,12 @@
     }
 }
 
-/// A request has its answer; gives the host's load report.
+/// Counts down the host's requests in flight and returns the load report for the answer; `None` for an unknown host.
 fn end_request(world: &SharedState, id: &str) -> Option<String> {
     let mut state = world.lock();
     let host = state.hosts.get_mut(id)?;
-    host.requests_in_hand = host.requests_in_hand.saturating_sub(1);
-    let outstanding = host.requests_in_hand;
+    host.requests_in_flight = host.requests_in_flight.saturating_sub(1);
+    let outstanding = host.requests_in_flight;
     Some(format!("stats=outstanding:{outstanding};x0:0.5;x1:0.1"))
 }
 
--- a/crates/flaxdeck-emulator/src/hosts/fills.rs
+++ b/crates/flaxdeck-emulator/src/hosts/fills.rs
@@ -1,4 +1,4 @@
-//! Copies: from what a host has cached, or filled from its source.
+//! Copies that hosts answer with: from their cache, or filled from a source.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,22 +9,22 @@
 use crate::objects::size_kb;
 use crate::state::{HostKind, SharedState};
 
-/// Milliseconds until hosts have dropped by themselves what was purged.
+/// The time after a purge from which hosts no longer use older copies on their own, in milliseconds.
 const PURGE_SETTLES_MS: f64 = 5_000.0;
-/// Milliseconds that a filling host waits for a source that says nothing.
+/// How long a host waits for a fill from a source that doesn't answer, in milliseconds.
 const SOURCE_TIMEOUT_MS: f64 = 1_500.0;
-/// What an answer says of a copy that was cached.
+/// The field of an answer with a copy from the cache.
 const HIT: &str = "how=hit";
 
-/// A copy that a host can hand out.
+/// A copy that a host can answer with.
 pub(super) struct Copy {
     pub(super) made_ms: f64,
-    /// Where it is from, as answers say it.
+    /// The field of the answer that says where the copy is from.
     pub(super) source: String,
 }
 
 impl Copy {
-    /// A copy that the host has.
+    /// Creates a copy from the host's cache.
     pub(super) fn cached(made_ms: f64) -> Copy {
         Copy {
             made_ms,
@@ -32,38 +32,39 @@
         }
     }
 
-    /// Whether it was cached.
+    /// Returns whether it is from the cache.
     pub(super) fn is_hit(&self) -> bool {
         self.source == HIT
     }
 }
 
-/// Why a host has no copy to hand out.
+/// Why a host has no copy to answer with.
 pub(super) struct CopyError {
-    /// The answer's word.
-    pub(super) word: &'static str,
-    /// What the answer says of a fill that failed.
+    /// The status of the answer.
+    pub(super) status: &'static str,
+    /// The field of the answer for a failed fill.
     pub(super) fill: Option<String>,
 }
 
 impl CopyError {
-    /// Without a fill.
-    pub(super) fn new(word: &'static str) -> CopyError {
-        CopyError { word, fill: None }
+    /// Creates an error without a failed fill.
+    pub(super) fn new(status: &'static str) -> CopyError {
+        CopyError { status, fill: None }
     }
 }
 
-/// A copy that a source sent.
+/// A copy that a source has sent.
 struct Fill {
     made_ms: f64,
-    /// A parent had to ask the origin.
+    /// Whether a parent filled it from the origin first.
     through_origin: bool,
 }
 
-/// Why a fill failed, as answers say it.
+/// Why a fill failed, by its name in answers.
 type FillError = &'static str;
 
-/// A copy young enough, cached or filled. `max_age` is in milliseconds; empty, any copy will do.
+/// Returns a cached or filled copy that is recent enough. `max_age` is in milliseconds; if empty, age is not limited.
+/// An empty `source` allows no fill.
 pub(super) async fn find_copy(
     world: &Arc<SharedState>,
     id: &str,
@@ -86,9 +87,9 @@
     let started_ms = world.now();
     let filled = fill_from(world, source, object, oldest_ms).await;
     let took_ms = world.now() - started_ms;
-    let fill = filled.map_err(|why| CopyError {
-        word: "full",
-        fill: Some(format!("how={why},took={took_ms:.1}")),
+    let fill = filled.map_err(|cause| CopyError {
+        status: "full",
+        fill: Some(format!("how={cause},took={took_ms:.1}")),
     })?;
     if let Some(host) = world.lock().hosts.get_mut(id) {
         host.cached_ms.insert(object.to_owned(), fill.made_ms);
@@ -104,19 +105,19 @@
     })
 }
 
-/// When the oldest copy was made that may be handed out.
+/// Returns the earliest time at which a copy must have been made to be served.
 fn oldest_allowed(world: &SharedState, object: &str, max_age: &str) -> f64 {
     let now_ms = world.now();
     let by_age = max_age.parse::<f64>();
     let by_age = by_age.map_or(f64::NEG_INFINITY, |age_ms| now_ms - age_ms);
-    // Some time after a purge hosts have heard of it themselves.
+    // Hosts apply a purge on their own some time after it was published.
     match world.lock().purged_ms.get(object) {
         Some(purged_ms) if now_ms - purged_ms > PURGE_SETTLES_MS => by_age.max(*purged_ms),
         _ => by_age,
     }
 }
 
-/// A fill from a parent or the origin.
+/// Fills from a parent or the origin.
 async fn fill_from(
     world: &Arc<SharedState>,
     source: &str,
@@ -153,7 +154,7 @@
     Ok(fill)
 }
 
-/// When the source is through with a fill.
+/// Returns when the source will have finished the fill, or fails as the source does.
 async fn admitted_until(admission: Admission) -> Result<f64, FillError> {
     match admission {
         Admission::Until(until_ms) => Ok(until_ms),
@@ -166,7 +167,7 @@
     }
 }
 
-/// A parent fills from the origin, and caches the copy.
+/// Fills a parent from the origin and caches the copy there.
 async fn fill_parent(
     world: &Arc<SharedState>,
     parent: &str,
--- a/crates/flaxdeck-emulator/src/layout.rs
+++ b/crates/flaxdeck-emulator/src/layout.rs
@@ -1,50 +1,50 @@
-//! One world's size and terms, and the platform's settings that follow from them.
+//! The size and parameters of a world, and the platform's settings derived from them.
 
 use serde_json::{Value, json};
 
 use crate::objects::KB_PER_MS;
 
-/// One world's size and terms.
+/// The size and parameters of a world.
 #[derive(Clone, Debug)]
 pub struct Layout {
-    /// Cache hosts.
+    /// The number of cache hosts.
     pub caches: usize,
-    /// Parents.
+    /// The number of parents.
     pub parents: usize,
-    /// Requests that a warm cache works on at once.
+    /// The number of requests that a warm cache host processes concurrently.
     pub cache_slots: f64,
-    /// Requests that a warm parent works on at once.
+    /// The number of requests that a warm parent processes concurrently.
     pub parent_slots: f64,
-    /// Requests that the origin works on at once.
+    /// The number of requests that the origin processes concurrently.
     pub origin_slots: f64,
-    /// Forwarders that the settings name.
+    /// The number of forwarders that the settings state.
     pub forwarders: usize,
-    /// The fraction of its capacity that a host has when it starts.
+    /// The fraction of its full capacity that a host has when it starts.
     pub slow_start_initial: f64,
-    /// Milliseconds in which its capacity rises to all of it.
+    /// The time until a started host has its full capacity, in milliseconds.
     pub slow_start_ms: f64,
-    /// Milliseconds over which a cold host's work is added up.
+    /// The window over which a cold host's work is summed, in milliseconds.
     pub load_window_ms: f64,
-    /// A cold host crashes when asked for more than so many times its capacity within the window.
+    /// A cold host crashes when the work requested within the window exceeds this many times its capacity.
     pub overload_factor: f64,
-    /// Milliseconds to a parent's first byte.
+    /// A parent's time to first byte, in milliseconds.
     pub parent_latency_ms: f64,
-    /// Milliseconds to the origin's first byte.
+    /// The origin's time to first byte, in milliseconds.
     pub origin_latency_ms: f64,
-    /// MB of memory that a dispatcher may use.
+    /// The memory limit of a dispatcher, in MB.
     pub memory_mb: u32,
-    /// Sockets that a dispatcher may use.
+    /// The socket limit of a dispatcher.
     pub sockets: u32,
-    /// Connections that a host holds at once; further ones are closed as they come.
+    /// The number of connections that a host holds at once; it closes further ones at once.
     pub max_host_connections: u32,
-    /// Calls a second that the coordinator answers; it closes the others.
+    /// The calls per second that the coordinator answers; it closes the connections of others.
     pub coordinator_calls_per_s: f64,
-    /// Milliseconds after a purge's announcement within which older copies may still be handed out.
+    /// How long after the publication of a purge older copies may still be served, in milliseconds.
     pub purge_grace_ms: f64,
 }
 
 impl Default for Layout {
-    /// A small world whose hosts and coordinator take all connections.
+    /// A small world whose hosts and coordinator accept all connections.
     fn default() -> Layout {
         Layout {
             caches: 4,
@@ -68,7 +68,7 @@
     }
 }
 
-/// The platform's settings of a world of that layout, in the platform's words.
+/// Returns the platform's settings for a world of this layout, in the form of the configuration file.
 pub fn settings(layout: &Layout) -> Value {
     json!({
         "allowed": {"cancel": true, "conn_idle_ms": 15000.0, "connect_timeout_ms": 400.0, "max_attempts": 6,
--- a/crates/flaxdeck-emulator/src/lib.rs
+++ b/crates/flaxdeck-emulator/src/lib.rs
@@ -1,10 +1,10 @@
-//! Stand-ins for all that forwarders and planners talk to, on loopback and in one process: cache hosts, parents, an origin,
-//! a coordinator, clients, links that can be cut; and a fleet of real programs among them, with faults as data. What
-//! happens is recorded for `flaxdeck-invariants` to judge.
+//! Stand-ins for the peers of forwarders and planners, on loopback and in one process: cache hosts, parents, an origin,
+//! a coordinator, clients, and links that can be cut. A fleet of real processes runs against them, with faults injected
+//! from a schedule. All events are recorded and checked by `flaxdeck-invariants`.
 //!
-//! - [`World`] starts the stand-ins from a [`Layout`] and gives the record and the verdict.
-//! - [`Clients`] send an open-loop [`Load`]; [`RetryingClients`] also change the dispatcher and retry.
-//! - [`Proxy`] stands between two programs.
+//! - [`World`] starts the stand-ins of a [`Layout`], records their events, and checks the record.
+//! - [`Clients`] send an open-loop [`Load`]; [`RetryingClients`] also retry, and switch to another dispatcher.
+//! - [`Proxy`] is a TCP proxy on the link between two programs, which can delay, stall or cut it.
 //! - [`fleet::Fleet`] starts forwarders and planners as processes, and injects [`fleet::Fault`]s.
 //!
 //! ```no_run
@@ -20,7 +20,7 @@
 //! # }
 //! ```
 //!
-//! Times are milliseconds since the world began, unless a name says otherwise.
+//! Times are milliseconds since the start of the world, unless a name says otherwise.
 
 mod clients;
 mod coordinator;
--- a/crates/flaxdeck-emulator/src/load.rs
+++ b/crates/flaxdeck-emulator/src/load.rs
@@ -1,48 +1,49 @@
-//! What clients ask for: an open loop of requests, all settled before the first is sent.
+//! The load of clients: an open loop of requests, all drawn before the first is sent.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Spreads ranks over object ids: 2 to the 64th over the golden ratio.
+/// Multiplier that spreads ranks over object ids: 2^64 divided by the golden ratio.
 const ID_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What is asked for, and how often.
+/// Which objects clients request, and at which rate.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// What the requests are drawn from.
+    /// The seed from which the requests are drawn.
     pub seed: u64,
-    /// Requests a second at each dispatcher, in order; dispatchers past the list get the last.
+    /// Requests per second at each dispatcher, in order; the last rate applies to all further dispatchers.
     pub requests_per_s: Vec<f64>,
-    /// Objects that are asked for.
+    /// The number of objects that are requested.
     pub objects: u64,
-    /// The power of the rank by which their popularity falls.
+    /// The Zipf exponent of their popularity by rank.
     pub popularity_exponent: f64,
     /// The fraction of requests that are at-most-once writes.
     pub write_fraction: f64,
-    /// The first request comes after that time of the world, in milliseconds, ...
+    /// The time of the world from which requests are sent, in milliseconds.
     pub from_ms: f64,
-    /// ... the last before that.
+    /// The time of the world before which the last request is sent, in milliseconds.
     pub to_ms: f64,
-    /// Milliseconds that a client waits for an answer.
+    /// How long a client waits for an answer, in milliseconds.
     pub timeout_ms: u64,
-    /// The number of the first connection, where several loads run at once: requests are named after it.
+    /// The number of the first connection. Request ids contain the connection's number, so loads that run at the same
+    /// time need separate ranges.
     pub first_connection: usize,
 }
 
-/// One request with its time.
+/// A request and the time at which it is to be sent.
 pub(crate) struct PlannedRequest {
     pub(crate) at_ms: f64,
     pub(crate) object: String,
     pub(crate) write: bool,
 }
 
-/// The id of the object of that popularity, counted from 0.
+/// Returns the id of the object at a rank of popularity, counted from 0.
 pub fn object_of_rank(rank: u64) -> u64 {
     (rank + 1).wrapping_mul(ID_MULTIPLIER)
 }
 
 impl Load {
-    /// The requests at one dispatcher, in the order of their times.
+    /// Draws the requests for one dispatcher, ordered by time.
     fn requests(&self, dispatcher: usize) -> Vec<PlannedRequest> {
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed ^ (dispatcher as u64) << 32);
         let rates = &self.requests_per_s;
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Sums of the ranks' weights up to each rank.
+    /// Returns the cumulative weights of the ranks.
     fn cumulative_weights(&self) -> Vec<f64> {
         let mut sum = 0.0;
         let weight = |rank: u64| {
@@ -80,16 +81,17 @@
         (1..=self.objects).map(weight).collect()
     }
 
-    /// The requests at one dispatcher, dealt in turn to so many connections.
+    /// Draws the requests for one dispatcher and assigns them to its connections in turn.
     pub(crate) fn by_connection(
         &self,
         dispatcher: usize,
         connections: usize,
     ) -> Vec<Vec<PlannedRequest>> {
-        let mut dealt: Vec<Vec<PlannedRequest>> = (0..connections).map(|_| Vec::new()).collect();
+        let mut by_connection: Vec<Vec<PlannedRequest>> =
+            (0..connections).map(|_| Vec::new()).collect();
         for (index, request) in self.requests(dispatcher).into_iter().enumerate() {
-            dealt[index % connections].push(request);
+            by_connection[index % connections].push(request);
         }
-        dealt
+        by_connection
     }
 }
--- a/crates/flaxdeck-emulator/src/proxy.rs
+++ b/crates/flaxdeck-emulator/src/proxy.rs
@@ -1,4 +1,5 @@
-//! A link between two programs that can be cut, stalled, or made slow: passes bytes both ways.
+//! A TCP proxy on the link between two programs, which can delay, stall or cut it. The program that connects to the
+//! proxy is the downstream side, the one that the proxy connects to the upstream side.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,72 +13,73 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Bytes that are passed on at once.
+/// The size of the buffer of each direction.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// How the link treats what goes over it.
+/// How the link treats the traffic over it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LinkState {
-    /// Passes everything on at once.
+    /// Forwards bytes without delay.
     Up,
-    /// Each piece comes so many milliseconds later.
+    /// Forwards each chunk after a delay in milliseconds.
     Delayed(u64),
-    /// Open, but nothing comes through; what was written comes once the link is up again.
+    /// Keeps connections open but forwards nothing; data received meanwhile is forwarded once the link is no longer
+    /// stalled.
     Stalled,
-    /// Connections end, new ones are refused.
+    /// Closes all connections, and new ones as they arrive.
     Cut,
 }
 
-/// Bytes that a link has passed on.
+/// Bytes that a link has forwarded.
 #[derive(Default)]
-struct PassedBytes {
-    to_far: AtomicU64,
-    to_near: AtomicU64,
+struct ForwardedBytes {
+    to_upstream: AtomicU64,
+    to_downstream: AtomicU64,
 }
 
-/// A link to one address.
+/// A proxied link to one address.
 #[derive(Clone)]
 pub struct Proxy {
-    /// Where the near side connects.
+    /// The address to which the downstream side connects.
     pub address: SocketAddr,
-    passed: Arc<PassedBytes>,
+    forwarded: Arc<ForwardedBytes>,
     state: Arc<watch::Sender<LinkState>>,
 }
 
 impl Proxy {
-    /// Starts a link to an address; to be called within a runtime.
+    /// Starts a link to an address. Must be called within a runtime.
     ///
     /// # Errors
     ///
-    /// If it can't listen.
+    /// If it can't listen on loopback.
     pub fn start(to: SocketAddr) -> io::Result<Proxy> {
         let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let listener = TcpListener::from_std(listener)?;
-        let (state, watched) = watch::channel(LinkState::Up);
-        let passed: Arc<PassedBytes> = Arc::default();
-        tokio::spawn(accept(listener, to, watched, passed.clone()));
+        let (state, state_receiver) = watch::channel(LinkState::Up);
+        let forwarded: Arc<ForwardedBytes> = Arc::default();
+        tokio::spawn(accept(listener, to, state_receiver, forwarded.clone()));
         Ok(Proxy {
             address,
-            passed,
+            forwarded,
             state: Arc::new(state),
         })
     }
 
-    /// Changes how the link treats what goes over it.
+    /// Sets how the link treats the traffic over it.
     pub fn set(&self, state: LinkState) {
         self.state.send_replace(state);
     }
 
-    /// Bytes that went to the far side.
-    pub fn bytes_to_far(&self) -> u64 {
-        self.passed.to_far.load(Ordering::Relaxed)
+    /// Returns the bytes forwarded to the upstream side.
+    pub fn bytes_to_upstream(&self) -> u64 {
+        self.forwarded.to_upstream.load(Ordering::Relaxed)
     }
 
-    /// Bytes that came from the far side.
-    pub fn bytes_to_near(&self) -> u64 {
-        self.passed.to_near.load(Ordering::Relaxed)
+    /// Returns the bytes forwarded to the downstream side.
+    pub fn bytes_to_downstream(&self) -> u64 {
+        self.forwarded.to_downstream.load(Ordering::Relaxed)
     }
 }
 
@@ -85,59 +87,59 @@
     listener: TcpListener,
     to: SocketAddr,
     state: watch::Receiver<LinkState>,
-    passed: Arc<PassedBytes>,
+    forwarded: Arc<ForwardedBytes>,
 ) {
     loop {
-        let Ok((near, _)) = listener.accept().await else {
+        let Ok((downstream, _)) = listener.accept().await else {
             continue;
         };
         if *state.borrow() == LinkState::Cut {
             continue;
         }
-        tokio::spawn(connect(near, to, state.clone(), passed.clone()));
+        tokio::spawn(connect(downstream, to, state.clone(), forwarded.clone()));
     }
 }
 
-/// Carries one connection until either side ends it or the link is cut.
+/// Forwards the bytes of one connection in both directions until either side ends it or the link is cut.
 async fn connect(
-    near: TcpStream,
+    downstream: TcpStream,
     to: SocketAddr,
     state: watch::Receiver<LinkState>,
-    passed: Arc<PassedBytes>,
+    forwarded: Arc<ForwardedBytes>,
 ) {
-    let Ok(far) = TcpStream::connect(to).await else {
+    let Ok(upstream) = TcpStream::connect(to).await else {
         return;
     };
-    // Delays matter only to measurements.
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
+    // Errors are ignored: without TCP_NODELAY only latencies are higher.
+    let _ = downstream.set_nodelay(true);
+    let _ = upstream.set_nodelay(true);
+    let (downstream_read, downstream_write) = downstream.into_split();
+    let (upstream_read, upstream_write) = upstream.into_split();
     tokio::select! {
-        () = pass(near_read, far_write, state.clone(), &passed.to_far) => {}
-        () = pass(far_read, near_write, state.clone(), &passed.to_near) => {}
+        () = forward(downstream_read, upstream_write, state.clone(), &forwarded.to_upstream) => {}
+        () = forward(upstream_read, downstream_write, state.clone(), &forwarded.to_downstream) => {}
         () = until_cut(state) => {}
     }
 }
 
 async fn until_cut(mut state: watch::Receiver<LinkState>) {
-    // An error means that the proxy is gone, which cuts the link as well.
+    // An error means that the proxy was dropped, which cuts the link as well.
     let _ = state.wait_for(|state| *state == LinkState::Cut).await;
 }
 
-async fn pass(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut state: watch::Receiver<LinkState>,
-    passed: &AtomicU64,
+    forwarded: &AtomicU64,
 ) {
     let mut bytes = vec![0; BUFFER_BYTES];
     loop {
         let Ok(count @ 1..) = from.read(&mut bytes).await else {
             return;
         };
-        let now = *state.borrow();
-        match now {
+        let current = *state.borrow();
+        match current {
             LinkState::Delayed(ms) => sleep(Duration::from_millis(ms)).await,
             LinkState::Stalled => {
                 let resumed = state.wait_for(|state| *state != LinkState::Stalled).await;
@@ -147,7 +149,7 @@
             }
             LinkState::Up | LinkState::Cut => {}
         }
-        passed.fetch_add(count as u64, Ordering::Relaxed);
+        forwarded.fetch_add(count as u64, Ordering::Relaxed);
         if to.write_all(&bytes[..count]).await.is_err() {
             return;
         }
--- a/crates/flaxdeck-emulator/src/requests.rs
+++ b/crates/flaxdeck-emulator/src/requests.rs
@@ -1,4 +1,4 @@
-//! The clients' protocol: requests as they are sent, answers as they come.
+//! The clients' protocol: encodes requests and decodes answers.
 
 use std::io;
 
@@ -10,21 +10,21 @@
 /// The body of every write.
 const WRITE_BODY: &[u8] = b"a form";
 
-/// A request as it is sent.
+/// The content of a request message.
 pub(crate) struct RequestMessage<'a> {
-    /// The number of the call on its connection.
+    /// The number of the call, unique on its connection.
     pub(crate) call: u32,
-    /// The request's id.
+    /// The id of the request.
     pub(crate) id: &'a str,
     pub(crate) object: &'a str,
     pub(crate) write: bool,
     pub(crate) timeout_ms: u64,
-    /// It repeats an earlier request.
+    /// Whether it repeats an earlier request.
     pub(crate) is_retry: bool,
 }
 
 impl RequestMessage<'_> {
-    /// The request's bytes.
+    /// Encodes the message as MessagePack-RPC.
     pub(crate) fn encode(&self) -> Vec<u8> {
         let timeout = self.timeout_ms.to_string();
         let kb = size_kb(self.object).to_string();
@@ -61,21 +61,21 @@
     }
 }
 
-/// The id of a call on a connection.
+/// Returns the id of the request that is sent as this call on this connection.
 pub(crate) fn request_id(connection: usize, call: u32) -> String {
     format!("{connection:08x}{call:08x}")
 }
 
-/// What a dispatcher has answered.
+/// A dispatcher's answer to a request.
 pub(crate) struct AnswerMessage {
     pub(crate) call: u32,
     pub(crate) answer: FinalAnswer,
-    /// Milliseconds to stay away, if it said any.
+    /// The retry-after in milliseconds, if the answer has one.
     pub(crate) retry_after_ms: Option<f64>,
     pub(crate) body: Vec<u8>,
 }
 
-/// Takes one whole answer out of the head of the buffer; none while there is none.
+/// Removes and decodes one complete answer at the start of the buffer; `None` until one is complete.
 pub(crate) fn take_answer(bytes: &mut Vec<u8>) -> Option<io::Result<AnswerMessage>> {
     let mut rest = &bytes[..];
     let value = rmpv::decode::read_value(&mut rest).ok()?;
--- a/crates/flaxdeck-emulator/src/retrying_clients.rs
+++ b/crates/flaxdeck-emulator/src/retrying_clients.rs
@@ -1,5 +1,6 @@
-//! Clients that look for a dispatcher: one that finds its own gone turns to another, retries by its policy, and keeps the
-//! latency objective of its first request. The outcome of each operation is kept with the time of that first request.
+//! Clients that retry and fail over: a client whose primary dispatcher is unreachable connects to another one and
+//! retries by its policy. The latency of an operation counts from its first request, and its outcome is stored with the
+//! time of that request.
 
 mod connection;
 mod operation;
@@ -14,15 +15,15 @@
 use crate::sync::lock;
 use connection::ClientConnection;
 
-/// Connections that a dispatcher's clients hold.
+/// Connections of clients for each primary dispatcher.
 const CONNECTIONS: usize = 8;
 
 /// What a client does after a rejection or a broken connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// Retries when the dispatcher's retry-after is over, or after a pause where none was given.
+    /// Retries after the dispatcher's retry-after, or after a default pause if none was given.
     HonorRetryAfter,
-    /// Retries at once.
+    /// Retries after one round trip, whatever the retry-after.
     Immediate,
     /// Does not retry.
     Never,
@@ -31,49 +32,49 @@
 /// How an operation ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum OperationEnd {
-    /// With what it asked for.
+    /// A request was served.
     Served {
-        /// Milliseconds after its first request was due.
+        /// Milliseconds since the first request was about to be sent.
         after_ms: f64,
     },
     /// The last request was rejected.
     Rejected,
     /// The last request failed.
     Failed,
-    /// Its connection broke with it, or nobody took it.
+    /// The connection broke before an answer, no dispatcher was reachable, or no answer came in time.
     Lost,
 }
 
-/// One operation from its first request to its end.
+/// The outcome of one operation: its first request and the retries of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OperationOutcome {
-    /// When its first request was due, in milliseconds of the world.
+    /// When its first request was about to be sent, in milliseconds of the world.
     pub started_ms: f64,
-    /// Requests that were sent for it.
+    /// The number of requests that were sent for it.
     pub tries: u32,
     /// How it ended.
     pub end: OperationEnd,
-    /// A connection broke with one of its requests open.
+    /// Whether a connection broke with one of its requests pending.
     pub connection_broke: bool,
 }
 
-/// What all clients saw.
+/// The results of all connections.
 #[derive(Default)]
 struct Results {
     outcomes: Vec<OperationOutcome>,
     wrong_bytes: u64,
 }
 
-/// The clients of a fleet.
+/// Retrying clients of a set of dispatchers.
 pub struct RetryingClients {
     results: Arc<Mutex<Results>>,
-    /// Connections that still have operations.
+    /// Connections that have not finished their operations.
     running: Arc<AtomicU64>,
 }
 
 impl RetryingClients {
-    /// Starts clients with these dispatchers as their own ones; to be called within the world's runtime. The connections
-    /// to each dispatcher get the policies in turn.
+    /// Starts clients, several connections for each of these dispatchers as the primary one. Must be called within the
+    /// world's runtime. The policies are assigned to each dispatcher's connections in turn.
     pub(crate) fn start(
         world: &Arc<SharedState>,
         dispatchers: &[SocketAddr],
@@ -85,15 +86,15 @@
             running: Arc::default(),
         };
         let dispatchers: Arc<[SocketAddr]> = dispatchers.into();
-        for own in 0..dispatchers.len() {
-            let dealt = load.by_connection(own, CONNECTIONS);
-            for (index, requests) in dealt.into_iter().enumerate() {
-                let number = load.first_connection + own * CONNECTIONS + index;
+        for primary in 0..dispatchers.len() {
+            let by_connection = load.by_connection(primary, CONNECTIONS);
+            for (index, requests) in by_connection.into_iter().enumerate() {
+                let number = load.first_connection + primary * CONNECTIONS + index;
                 let policy = policies[index % policies.len()];
                 let connection = ClientConnection::new(
                     world.clone(),
                     dispatchers.clone(),
-                    own,
+                    primary,
                     number,
                     policy,
                     load,
@@ -115,12 +116,12 @@
         self.running.load(Ordering::SeqCst) == 0
     }
 
-    /// The outcomes of all operations that have ended.
+    /// Returns the outcomes of all operations that have ended.
     pub fn outcomes(&self) -> Vec<OperationOutcome> {
         lock(&self.results).outcomes.clone()
     }
 
-    /// Answers whose bytes were not the object's own.
+    /// Returns the number of served answers whose body was not that of the requested object.
     pub fn wrong_bytes(&self) -> u64 {
         lock(&self.results).wrong_bytes
     }
--- a/crates/flaxdeck-emulator/src/retrying_clients/connection.rs
+++ b/crates/flaxdeck-emulator/src/retrying_clients/connection.rs
@@ -1,5 +1,5 @@
-//! One connection of retrying clients: its operations, the dispatcher that it is connected to, and what it does when
-//! that one is gone.
+//! One connection of retrying clients: its operations, the stream to its current dispatcher, and failover when that
+//! dispatcher is unreachable.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -23,39 +23,43 @@
 use crate::state::SharedState;
 use crate::sync::lock;
 
-/// Requests of one operation.
+/// The number of requests after which an operation is not retried.
 const MAX_TRIES: u32 = 4;
-/// Milliseconds until a client retries that was given no retry-after, ...
+/// The mean pause before a retry without a retry-after, in milliseconds.
 const DEFAULT_RETRY_MS: f64 = 300.0;
-/// ... and until one that retries at once does so: a round trip.
+/// The pause before a retry by [`RetryPolicy::Immediate`], in milliseconds: one round trip.
 const IMMEDIATE_RETRY_MS: f64 = 2.0;
-/// A client that has turned away looks for its own dispatcher again after so many milliseconds.
-const RETURN_MS: f64 = 1_000.0;
+/// How long a client avoids its primary dispatcher after a failure, in milliseconds.
+const PRIMARY_AVOIDANCE_MS: f64 = 1_000.0;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Dispatchers that are tried one after another.
+/// The number of connects that are tried in a row for one request.
 const CONNECT_TRIES: u32 = 3;
-/// Milliseconds past its deadline after which an operation is given up, ...
-const LATE_MS: f64 = 499.0;
-/// ... and after which a client looks for such operations.
-const LATE_CHECK_MS: f64 = 500.0;
+/// How far past its deadline a pending request is given up, in milliseconds.
+const OVERDUE_MS: f64 = 499.0;
+/// How far past a deadline the check for overdue requests runs, in milliseconds; over [`OVERDUE_MS`] so that it finds
+/// one.
+const OVERDUE_CHECK_MS: f64 = 500.0;
+
 /// One connection of retrying clients.
 pub(super) struct ClientConnection {
     world: Arc<SharedState>,
     dispatchers: Arc<[SocketAddr]>,
-    /// The index of its own dispatcher.
-    own: usize,
+    /// The index of the primary dispatcher.
+    primary: usize,
     number: usize,
     policy: RetryPolicy,
     timeout_ms: u64,
     rng: Pcg64Mcg,
+    /// Operations whose next request is not sent yet, by the time at which it is due.
     due: BTreeMap<DueTime, Operation>,
-    /// Operations whose request has no answer yet, by their calls.
+    /// Operations whose request has not been answered yet, by call number.
     pending: HashMap<u32, Operation>,
     last_call: u32,
     stream: Option<Stream>,
+    /// The number of streams opened so far.
     streams: u64,
-    /// Since when its own dispatcher has been gone.
-    away_since_ms: Option<f64>,
+    /// When a connect or a stream last failed; `None` since the client last connected to its primary dispatcher.
+    last_failure_ms: Option<f64>,
     sender: mpsc::UnboundedSender<StreamEvent>,
     events: mpsc::UnboundedReceiver<StreamEvent>,
     results: Arc<Mutex<Results>>,
@@ -65,7 +69,7 @@
     pub(super) fn new(
         world: Arc<SharedState>,
         dispatchers: Arc<[SocketAddr]>,
-        own: usize,
+        primary: usize,
         number: usize,
         policy: RetryPolicy,
         load: &Load,
@@ -75,7 +79,7 @@
         ClientConnection {
             world,
             dispatchers,
-            own,
+            primary,
             number,
             policy,
             timeout_ms: load.timeout_ms,
@@ -85,14 +89,14 @@
             last_call: 0,
             stream: None,
             streams: 0,
-            away_since_ms: None,
+            last_failure_ms: None,
             sender,
             events,
             results,
         }
     }
 
-    /// Sends the requests at their times, and goes on until every operation has ended.
+    /// Sends the requests at their times and their retries, until every operation has ended.
     pub(super) async fn run(mut self, requests: Vec<PlannedRequest>) {
         for (number, request) in (0..).zip(requests) {
             let operation = Operation {
@@ -108,19 +112,19 @@
         }
         while !(self.due.is_empty() && self.pending.is_empty()) {
             let next = self.next_due();
-            let late = self.next_late();
+            let overdue = self.next_overdue_check();
             tokio::select! {
                 Some(event) = self.events.recv() => self.handle(event),
                 () = sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => {
                     self.send_next().await;
                 }
-                // Past that nobody answers: the record's check says so.
-                () = sleep_until(late.unwrap_or_else(Instant::now)), if late.is_some() => {
-                    self.give_up_late();
+                // Ends the operations of overdue requests; the record's check reports the missing answers.
+                () = sleep_until(overdue.unwrap_or_else(Instant::now)), if overdue.is_some() => {
+                    self.end_overdue();
                 }
             }
         }
-        self.hang_up();
+        self.close_stream();
     }
 
     fn next_due(&self) -> Option<Instant> {
@@ -128,20 +132,20 @@
         Some(self.world.instant(due.at_ms()))
     }
 
-    fn next_late(&self) -> Option<Instant> {
+    fn next_overdue_check(&self) -> Option<Instant> {
         let pending = self.pending.values();
-        let late = pending.map(|operation| operation.sent_ms + self.timeout_ms as f64);
-        let first_ms = late.min_by(f64::total_cmp)?;
-        Some(self.world.instant(first_ms + LATE_CHECK_MS))
+        let deadlines = pending.map(|operation| operation.sent_ms + self.timeout_ms as f64);
+        let first_ms = deadlines.min_by(f64::total_cmp)?;
+        Some(self.world.instant(first_ms + OVERDUE_CHECK_MS))
     }
 
     fn handle(&mut self, event: StreamEvent) {
         match event {
             StreamEvent::Answered { stream, answer } if self.is_current(stream) => {
-                self.answered(&answer);
+                self.handle_answer(&answer);
             }
-            StreamEvent::Ended { stream } if self.is_current(stream) => self.stream_ended(),
-            // Of a stream that was given up before.
+            StreamEvent::Ended { stream } if self.is_current(stream) => self.handle_stream_end(),
+            // From a stream that was closed earlier.
             StreamEvent::Answered { .. } | StreamEvent::Ended { .. } => {}
         }
     }
@@ -151,9 +155,9 @@
         current.is_some_and(|current| current.number == stream)
     }
 
-    fn is_away(&self, now_ms: f64) -> bool {
-        let since = self.away_since_ms;
-        since.is_some_and(|since_ms| now_ms - since_ms <= RETURN_MS)
+    fn avoids_primary(&self, now_ms: f64) -> bool {
+        let last_failure_ms = self.last_failure_ms;
+        last_failure_ms.is_some_and(|at_ms| now_ms - at_ms <= PRIMARY_AVOIDANCE_MS)
     }
 
     /// Sends the request of the operation that is due first.
@@ -163,9 +167,9 @@
         };
         let now_ms = self.world.now();
         let started_ms = *operation.started_ms.get_or_insert(now_ms);
-        let turned_away = self.away_since_ms.is_some();
-        if turned_away && !self.is_away(now_ms) && self.pending.is_empty() {
-            self.hang_up();
+        let failed_over = self.last_failure_ms.is_some();
+        if failed_over && !self.avoids_primary(now_ms) && self.pending.is_empty() {
+            self.close_stream();
         }
         if self.stream.is_none() && !self.connect().await {
             return self.retry(operation, &RetryCause::Disconnected);
@@ -193,36 +197,36 @@
             return;
         };
         if stream.write.write_all(&bytes).await.is_err() {
-            self.stream_ended();
+            self.handle_stream_end();
         }
     }
 
-    fn hang_up(&mut self) {
+    fn close_stream(&mut self) {
         if let Some(stream) = self.stream.take() {
             stream.reader.abort();
         }
     }
 
-    /// Its own dispatcher first, unless it has just turned away from it; else any other.
+    /// Connects to the primary dispatcher, or to a random one while the primary is avoided; `false` if every try fails.
     async fn connect(&mut self) -> bool {
         let now_ms = self.world.now();
-        let own_first = !self.is_away(now_ms);
+        let primary_first = !self.avoids_primary(now_ms);
         for _ in 0..CONNECT_TRIES {
-            let dispatcher = if own_first && !self.is_away(self.world.now()) {
-                self.own
+            let dispatcher = if primary_first && !self.avoids_primary(self.world.now()) {
+                self.primary
             } else {
                 self.rng.random_range(0..self.dispatchers.len())
             };
             let connecting = TcpStream::connect(self.dispatchers[dispatcher]);
             let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, connecting).await else {
-                self.away_since_ms = Some(self.world.now());
+                self.last_failure_ms = Some(self.world.now());
                 continue;
             };
             self.open(stream);
-            if dispatcher == self.own {
-                self.away_since_ms = None;
+            if dispatcher == self.primary {
+                self.last_failure_ms = None;
             } else {
-                self.away_since_ms.get_or_insert(now_ms);
+                self.last_failure_ms.get_or_insert(now_ms);
             }
             return true;
         }
@@ -230,7 +234,7 @@
     }
 
     fn open(&mut self, stream: TcpStream) {
-        // A delay matters only to measurements.
+        // An error is ignored: without TCP_NODELAY only latencies are higher.
         let _ = stream.set_nodelay(true);
         let (read, write) = stream.into_split();
         self.streams += 1;
@@ -242,11 +246,12 @@
         });
     }
 
-    fn give_up_late(&mut self) {
-        let late_before_ms = self.world.now() - self.timeout_ms as f64 - LATE_MS;
+    /// Ends the operations whose pending request is overdue.
+    fn end_overdue(&mut self) {
+        let sent_before_ms = self.world.now() - self.timeout_ms as f64 - OVERDUE_MS;
         let pending = self.pending.iter();
-        let late = pending.filter(|(_, operation)| operation.sent_ms < late_before_ms);
-        let calls: Vec<u32> = late.map(|(call, _)| *call).collect();
+        let overdue = pending.filter(|(_, operation)| operation.sent_ms < sent_before_ms);
+        let calls: Vec<u32> = overdue.map(|(call, _)| *call).collect();
         for call in calls {
             if let Some(operation) = self.pending.remove(&call) {
                 self.end(&operation, OperationEnd::Lost);
@@ -254,15 +259,15 @@
         }
     }
 
-    /// The stream has ended, and with it every request that was pending.
-    fn stream_ended(&mut self) {
-        self.hang_up();
-        self.away_since_ms = Some(self.world.now());
+    /// Handles the end of the stream: every pending request is recorded as left, and retried if it is not a write.
+    fn handle_stream_end(&mut self) {
+        self.close_stream();
+        self.last_failure_ms = Some(self.world.now());
         for (call, mut operation) in std::mem::take(&mut self.pending) {
             let request = request_id(self.number, call);
             self.world.record(RecordedEvent::ClientLeft { request });
             operation.connection_broke = true;
-            // A write that may have run is not retried.
+            // A write is at most once, and may have taken effect before the connection broke.
             if operation.write {
                 self.end(&operation, OperationEnd::Lost);
             } else {
@@ -271,9 +276,9 @@
         }
     }
 
-    fn answered(&mut self, message: &AnswerMessage) {
+    fn handle_answer(&mut self, message: &AnswerMessage) {
         let operation = self.pending.remove(&message.call);
-        // A second answer is recorded as well.
+        // A repeated answer is recorded too, so that the check finds it.
         self.world.record(RecordedEvent::Answered {
             request: request_id(self.number, message.call),
             answer: message.answer,
@@ -282,7 +287,7 @@
             return;
         };
         match message.answer {
-            FinalAnswer::Served => self.served(&operation, &message.body),
+            FinalAnswer::Served => self.handle_served(&operation, &message.body),
             FinalAnswer::Rejected => {
                 let retry_after_ms = message.retry_after_ms;
                 self.retry(operation, &RetryCause::Rejected { retry_after_ms });
@@ -291,7 +296,7 @@
         }
     }
 
-    fn served(&self, operation: &Operation, body: &[u8]) {
+    fn handle_served(&self, operation: &Operation, body: &[u8]) {
         match made_ms(&operation.object, body) {
             Some(_) if operation.write => {}
             Some(made_ms) => self.world.record(RecordedEvent::CopyServed {
@@ -305,7 +310,7 @@
         self.end(operation, OperationEnd::Served { after_ms });
     }
 
-    /// Retries by the policy, unless the operation has had all its tries or its time.
+    /// Schedules a retry by the policy, or ends the operation if its tries or its time are used up.
     fn retry(&mut self, operation: Operation, cause: &RetryCause) {
         let now_ms = self.world.now();
         let retry_after_ms = match cause {
@@ -317,10 +322,10 @@
             (_, Some(retry_after_ms)) => retry_after_ms,
             (_, None) => DEFAULT_RETRY_MS * self.rng.random_range(0.8..1.2),
         };
-        let last_ms = operation.started_ms.unwrap_or(now_ms) + self.timeout_ms as f64;
+        let deadline_ms = operation.started_ms.unwrap_or(now_ms) + self.timeout_ms as f64;
         let may_retry = self.policy != RetryPolicy::Never
             && operation.tries < MAX_TRIES
-            && now_ms + pause_ms <= last_ms;
+            && now_ms + pause_ms <= deadline_ms;
         if may_retry {
             self.last_call += 1;
             let due = DueTime::new(now_ms + pause_ms, self.last_call);
--- a/crates/flaxdeck-emulator/src/retrying_clients/operation.rs
+++ b/crates/flaxdeck-emulator/src/retrying_clients/operation.rs
@@ -1,10 +1,10 @@
-//! What a client wants done, when its next request is due, and why.
+//! Operations of retrying clients: their progress, when their next request is due, and why a retry is needed.
 
-/// What a client wants done.
+/// One operation of a client: a read of an object or a write, with all its tries.
 pub(super) struct Operation {
     pub(super) object: String,
     pub(super) write: bool,
-    /// When its first request was due; none before.
+    /// When its first request was about to be sent; `None` before that.
     pub(super) started_ms: Option<f64>,
     pub(super) tries: u32,
     pub(super) connection_broke: bool,
@@ -18,7 +18,7 @@
     }
 }
 
-/// When an operation's next request is due. The number sets apart what is due at one time.
+/// When an operation's next request is due. The number makes keys with the same time distinct.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DueTime {
     pub(super) at_us: u64,
@@ -36,10 +36,10 @@
     }
 }
 
-/// Why an operation's next request is due later.
+/// Why an operation needs a retry.
 pub(super) enum RetryCause {
-    /// The dispatcher rejected it, with a retry-after if it gave one.
+    /// The dispatcher rejected the request, with a retry-after if it gave one.
     Rejected { retry_after_ms: Option<f64> },
-    /// The connection broke, or nobody took it.
+    /// The connection broke, or no dispatcher was reachable.
     Disconnected,
 }
--- a/crates/flaxdeck-emulator/src/retrying_clients/stream.rs
+++ b/crates/flaxdeck-emulator/src/retrying_clients/stream.rs
@@ -1,4 +1,4 @@
-//! A connection to one dispatcher, and what comes from it.
+//! A stream to one dispatcher and the events read from it.
 
 use tokio::io::AsyncReadExt;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -7,32 +7,32 @@
 
 use crate::requests::{AnswerMessage, take_answer};
 
-/// Bytes that are read at once.
+/// The size of the read buffer.
 const BUFFER_BYTES: usize = 64 * 1024;
 
-/// What comes from a stream, which is named by its number.
+/// An event of the stream with this number.
 pub(super) enum StreamEvent {
     Answered { stream: u64, answer: AnswerMessage },
     Ended { stream: u64 },
 }
 
-/// A connection to a dispatcher.
+/// An open TCP connection to a dispatcher, with the task that reads its answers.
 pub(super) struct Stream {
     pub(super) number: u64,
     pub(super) write: OwnedWriteHalf,
     pub(super) reader: JoinHandle<()>,
 }
 
-/// Reads a stream's answers until it ends.
+/// Sends the answers of a stream as events until it ends, then its end.
 pub(super) async fn read_answers(
     mut from: OwnedReadHalf,
     stream: u64,
     events: mpsc::UnboundedSender<StreamEvent>,
 ) {
     let mut bytes = Vec::new();
-    let mut piece = vec![0; BUFFER_BYTES];
-    'reading: while let Ok(count @ 1..) = from.read(&mut piece).await {
-        bytes.extend_from_slice(&piece[..count]);
+    let mut chunk = vec![0; BUFFER_BYTES];
+    'reading: while let Ok(count @ 1..) = from.read(&mut chunk).await {
+        bytes.extend_from_slice(&chunk[..count]);
         while let Some(answer) = take_answer(&mut bytes) {
             let Ok(answer) = answer else { break 'reading };
             if events
@@ -43,6 +43,6 @@
             }
         }
     }
-    // Nobody listens once the connection has ended all its operations.
+    // The receiver is gone once all operations of the connection have ended.
     let _ = events.send(StreamEvent::Ended { stream });
 }
--- a/crates/flaxdeck-emulator/src/state.rs
+++ b/crates/flaxdeck-emulator/src/state.rs
@@ -1,4 +1,4 @@
-//! The state that all stand-ins share: hosts, what the coordinator has said, and the record of what was seen.
+//! The state that all stand-ins share: the hosts, the events that the coordinator has published, and the record.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -12,72 +12,72 @@
 use crate::layout::{Layout, settings};
 use crate::sync::lock;
 
-/// Milliseconds of one interval of counters.
+/// The length of one interval of [`IntervalCounters`], in milliseconds.
 pub const INTERVAL_MS: f64 = 100.0;
 
 /// The tier that a host belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostKind {
-    /// Of the first tier, near forwarders.
+    /// A cache host, to which forwarders send most requests.
     Cache,
-    /// Of the second tier, asked by caches.
+    /// A parent, from which cache hosts fill misses.
     Parent,
-    /// Where all objects come from.
+    /// The origin, which has every object.
     Origin,
 }
 
-/// How a host answers.
+/// How a host answers requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FailureMode {
-    /// As it should.
+    /// Answers normally.
     Healthy,
-    /// Takes requests and says nothing.
+    /// Accepts requests and never answers.
     Silent,
-    /// Answers that it failed.
+    /// Answers every request with a failure.
     Failing,
-    /// Takes so many times as long.
+    /// Takes this many times as long as a healthy host.
     Slow(f64),
 }
 
-/// A host's health as the coordinator lists it; the numbers are those of its frames.
+/// A host's health in the coordinator's list; the discriminants are the values in its frames.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListedHealth {
     InService = 0,
     Draining = 1,
 }
 
-/// Work that a host was asked for at one moment.
+/// One piece of work that was requested from a host.
 pub(crate) struct WorkItem {
     pub(crate) at_ms: f64,
     pub(crate) cost_ms: f64,
 }
 
-/// One host.
+/// The state of one host.
 pub(crate) struct HostState {
     pub(crate) kind: HostKind,
     pub(crate) address: SocketAddr,
     pub(crate) slots: f64,
     pub(crate) failure_mode: FailureMode,
     pub(crate) up: bool,
-    /// Counts its starts and crashes; work of an earlier incarnation is lost.
+    /// Incremented at each crash and restart; work of an earlier incarnation is lost.
     pub(crate) incarnation: u64,
-    /// None for long past.
+    /// When the host started; `None` if it has been warm since before the world started.
     pub(crate) started_ms: Option<f64>,
-    /// When the copy of each cached object was made at the origin.
+    /// The cached objects, with the time at which each copy was made at the origin.
     pub(crate) cached_ms: HashMap<String, f64>,
-    pub(crate) requests_in_hand: u32,
-    /// When each slot is free again.
+    pub(crate) requests_in_flight: u32,
+    /// The time at which each slot becomes free.
     pub(crate) slots_free_ms: Vec<f64>,
-    /// Work of the last window, ...
+    /// Work requested within the last load window.
     pub(crate) recent_work: VecDeque<WorkItem>,
-    /// ... and its sum.
+    /// The total cost of `recent_work`.
     pub(crate) recent_work_ms: f64,
     pub(crate) health: ListedHealth,
     pub(crate) connections: u32,
 }
 
 impl HostState {
-    /// A warm host with an empty cache.
+    /// Creates a warm host in service with an empty cache.
     pub(crate) fn new(kind: HostKind, address: SocketAddr, slots: f64) -> HostState {
         HostState {
             kind,
@@ -88,7 +88,7 @@
             incarnation: 0,
             started_ms: None,
             cached_ms: HashMap::new(),
-            requests_in_hand: 0,
+            requests_in_flight: 0,
             slots_free_ms: vec![0.0; (slots as usize).max(1)],
             recent_work: VecDeque::new(),
             recent_work_ms: 0.0,
@@ -97,13 +97,13 @@
         }
     }
 
-    /// Goes down; what it has in hand is lost.
+    /// Takes the host down; its requests in flight are lost.
     pub(crate) fn crash(&mut self) {
         self.up = false;
         self.incarnation += 1;
     }
 
-    /// Starts anew, empty and cold, in service.
+    /// Restarts the host in service, cold and with an empty cache.
     pub(crate) fn restart(&mut self, now_ms: f64) {
         *self = HostState {
             incarnation: self.incarnation + 1,
@@ -112,89 +112,89 @@
         };
     }
 
-    /// When the host's copy of an object was made, if it has one made at that time or later.
+    /// Returns when the host's cached copy of `object` was made, if it was made at `oldest_ms` or later.
     pub(crate) fn cached(&self, object: &str, oldest_ms: f64) -> Option<f64> {
         let made_ms = self.cached_ms.get(object).copied();
         made_ms.filter(|made_ms| *made_ms >= oldest_ms)
     }
 }
 
-/// What came to all stand-ins of a kind within one interval.
+/// Counters of the stand-ins over one interval of [`INTERVAL_MS`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct IntervalCounters {
-    /// Connections opened at caches, parents and the origin.
+    /// Connections opened to caches, parents and the origin.
     pub connections_opened: u32,
-    /// Connections that they closed as too many.
+    /// Connections that they closed at once because they were at their connection limit.
     pub connections_refused: u32,
-    /// The most connections that any host held.
+    /// The largest number of connections that a single host held.
     pub peak_connections: u32,
-    /// Calls at the coordinator.
+    /// Calls to the coordinator.
     pub coordinator_calls: u32,
-    /// Calls that the coordinator closed as too many.
+    /// Calls that the coordinator closed because they exceeded its call rate.
     pub coordinator_calls_refused: u32,
-    /// Fills at the origin.
+    /// Fills that the origin accepted.
     pub origin_fills: u32,
-    /// Fills that the origin refused.
+    /// Fills that the origin rejected.
     pub origin_fills_refused: u32,
-    /// Answers of caches.
+    /// Copies that cache hosts answered with, from cache or after a fill; writes and errors are not counted.
     pub cache_answers: u32,
-    /// Answers of caches from what they had cached.
+    /// Those of `cache_answers` that were served from cache.
     pub cache_hits: u32,
 }
 
-/// Something that the coordinator numbered.
+/// An item with the number that the coordinator gave it.
 #[derive(Clone)]
 pub(crate) struct Numbered<T> {
     pub(crate) number: u64,
     pub(crate) content: T,
 }
 
-/// What changes in one world.
+/// The mutable state of one world.
 #[derive(Default)]
 pub(crate) struct State {
     pub(crate) hosts: BTreeMap<String, HostState>,
     pub(crate) record: Vec<RecordEntry>,
-    /// The coordinator's events as frames, ...
+    /// The coordinator's events, encoded as frames.
     pub(crate) frames: Vec<Numbered<Vec<u8>>>,
-    /// ... and as configurations hold them.
+    /// The same events in the form of the configuration file.
     pub(crate) events: Vec<Numbered<Value>>,
-    /// The whole list as it stood after each event, for a coordinator that is rolled back.
+    /// The full list after each event, needed when the coordinator is rolled back.
     pub(crate) lists: Vec<Numbered<Vec<u8>>>,
     /// The number of the coordinator's last event.
     pub(crate) last_event: u64,
-    /// The coordinator says nothing more, with its connections open.
+    /// Whether the coordinator sends nothing on its open connections.
     pub(crate) coordinator_silent: bool,
-    /// Counts the coordinator's restarts: connections of an earlier one end.
+    /// Incremented at each restart of the coordinator; connections of an earlier incarnation are closed.
     pub(crate) coordinator_incarnation: u64,
-    /// When the coordinator can answer the next call.
+    /// The earliest time at which the coordinator accepts the next call.
     pub(crate) next_coordinator_call_ms: f64,
     pub(crate) fills_at_origin: u64,
     pub(crate) overloaded_hosts: u64,
-    /// When each object was last purged.
+    /// The time of the last purge of each object.
     pub(crate) purged_ms: HashMap<String, f64>,
     pub(crate) intervals: Vec<IntervalCounters>,
 }
 
 impl State {
-    /// The counters of the interval of that time.
+    /// Returns the counters of the interval that contains `now_ms`.
     pub(crate) fn interval(&mut self, now_ms: f64) -> &mut IntervalCounters {
         let index = (now_ms / INTERVAL_MS) as usize;
         if self.intervals.len() <= index {
-            let none = IntervalCounters::default();
-            self.intervals.resize(index + 1, none);
+            let zero = IntervalCounters::default();
+            self.intervals.resize(index + 1, zero);
         }
         &mut self.intervals[index]
     }
 }
 
-/// One world as its stand-ins see it.
+/// The part of a world that its stand-ins share.
 pub(crate) struct SharedState {
     pub(crate) layout: Layout,
     started: Instant,
-    /// The wall clock when the world began.
+    /// The wall clock at the start of the world, in milliseconds since the Unix epoch.
     unix_ms: f64,
     state: Mutex<State>,
-    /// Something changed that connections must see.
+    /// Notified when connections have to look at the state again.
     pub(crate) changed: Notify,
 }
 
@@ -214,17 +214,17 @@
         })
     }
 
-    /// Milliseconds since the world began.
+    /// Returns the milliseconds since the start of the world.
     pub(crate) fn now(&self) -> f64 {
         self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The wall clock at a time of the world.
+    /// Converts a time of the world to milliseconds since the Unix epoch.
     pub(crate) fn unix_ms(&self, at_ms: f64) -> u64 {
         (self.unix_ms + at_ms) as u64
     }
 
-    /// A time of the world as timers know it.
+    /// Converts a time of the world to an instant for timers.
     pub(crate) fn instant(&self, at_ms: f64) -> tokio::time::Instant {
         (self.started + Duration::from_secs_f64(at_ms.max(0.0) / 1000.0)).into()
     }
@@ -233,13 +233,13 @@
         lock(&self.state)
     }
 
-    /// Puts what was seen into the record, with the present time.
+    /// Adds an event to the record with the current time.
     pub(crate) fn record(&self, event: RecordedEvent) {
         let at_ms = self.now();
         self.lock().record.push(RecordEntry { at_ms, event });
     }
 
-    /// What a host of so many slots bears during its slow start.
+    /// Returns the slow-start terms of a host with `slots` slots.
     pub(crate) fn slow_start(&self, slots: f64) -> SlowStartTerms {
         SlowStartTerms {
             slots,
@@ -249,7 +249,7 @@
         }
     }
 
-    /// The fraction of its capacity that a host has.
+    /// Returns the fraction of its full capacity that a host has at `at_ms`.
     pub(crate) fn capacity_fraction(&self, host: &HostState, at_ms: f64) -> f64 {
         host.started_ms.map_or(1.0, |started_ms| {
             let slow_start = self.slow_start(host.slots);
@@ -257,7 +257,7 @@
         })
     }
 
-    /// A host's line as configurations hold it.
+    /// Returns a host's row of the endpoint list in the form of the configuration file.
     pub(crate) fn list_row(&self, id: &str, host: &HostState) -> Value {
         let (class, site) = match host.kind {
             HostKind::Cache => ("cache", "here"),
@@ -273,7 +273,7 @@
             "health": health, "share": host.slots, "born_ms": born_ms})
     }
 
-    /// The configuration of one dispatcher, whose coordinator is reached at that address.
+    /// Returns the configuration of a dispatcher that connects to the coordinator at this address.
     pub(crate) fn config(&self, coordinator: SocketAddr) -> Value {
         let state = self.lock();
         let layout = &self.layout;
--- a/crates/flaxdeck-emulator/src/world.rs
+++ b/crates/flaxdeck-emulator/src/world.rs
@@ -1,4 +1,4 @@
-//! One world on loopback, from the outside: what starts it, and what came of it.
+//! One world on loopback, as its users see it: starts the stand-ins, and returns their counters, record and verdict.
 
 mod announcements;
 mod faults;
@@ -22,35 +22,35 @@
 use crate::retrying_clients::{RetryPolicy, RetryingClients};
 use crate::state::{HostKind, HostState, IntervalCounters, SharedState};
 
-/// Threads of the stand-ins.
+/// Worker threads of the runtime that runs the stand-ins.
 const THREADS: usize = 3;
-/// Milliseconds of grace that the rules allow after a withdrawal, ...
+/// The grace that the rules allow after a withdrawal, in milliseconds.
 const WITHDRAWAL_GRACE_MS: f64 = 1000.0;
-/// ... and after a client's deadline.
+/// The grace that the rules allow after a client's deadline, in milliseconds.
 const DEADLINE_SLACK_MS: f64 = 50.0;
-/// The numbers in the ids of the first host of each kind.
+/// The numbers in the ids of the first cache host, the first parent and the origin.
 const FIRST_CACHE_ID: usize = 0xca00;
 const FIRST_PARENT_ID: usize = 0x9a00;
 const ORIGIN_ID: usize = 1;
 
-/// A host of a world as a list names it.
+/// A host of a world, with what an endpoint list says of it.
 #[derive(Clone, Debug)]
 pub struct ListedHost {
-    /// `s-` and eight hex digits.
+    /// The host's id: `s-` and eight hexadecimal digits.
     pub id: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// Its tier.
+    /// The tier that it belongs to.
     pub kind: HostKind,
-    /// Requests that it works on at once when it is warm.
+    /// The number of requests that it processes concurrently when it is warm.
     pub slots: f64,
 }
 
-/// One world on loopback; it ends when this is dropped.
+/// One world on loopback; dropping it stops the stand-ins.
 pub struct World {
     shared: Arc<SharedState>,
     runtime: Runtime,
-    /// Where the coordinator listens.
+    /// The address at which the coordinator listens.
     pub coordinator: SocketAddr,
 }
 
@@ -59,11 +59,11 @@
 }
 
 impl World {
-    /// Starts hosts and a coordinator, at ports that the system chooses.
+    /// Starts the hosts and the coordinator, at ports that the system chooses.
     ///
     /// # Errors
     ///
-    /// If the threads don't start or a stand-in can't listen.
+    /// If the runtime can't be started or a stand-in can't listen.
     pub fn start(layout: Layout) -> Result<World, EmulatorError> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(THREADS)
@@ -116,14 +116,14 @@
         Ok(())
     }
 
-    /// The ids of all hosts of a kind.
+    /// Returns the ids of all hosts of a kind.
     pub fn hosts(&self, kind: HostKind) -> Vec<String> {
         let state = self.shared.lock();
         let of_kind = state.hosts.iter().filter(|(_, host)| host.kind == kind);
         of_kind.map(|(id, _)| id.clone()).collect()
     }
 
-    /// All hosts, for a coordinator that is not this world's own.
+    /// Returns all hosts, for a coordinator from outside this world.
     pub fn listed_hosts(&self) -> Vec<ListedHost> {
         let state = self.shared.lock();
         let listed = |(id, host): (&String, &HostState)| ListedHost {
@@ -135,41 +135,42 @@
         state.hosts.iter().map(listed).collect()
     }
 
-    /// What a dispatcher is started with, whose coordinator is reached at that address.
+    /// Returns the configuration of a dispatcher that connects to the coordinator at this address.
     pub fn config(&self, coordinator: SocketAddr) -> Value {
         self.shared.config(coordinator)
     }
 
-    /// Milliseconds since the world began.
+    /// Returns the milliseconds since the start of the world.
     pub fn now(&self) -> f64 {
         self.shared.now()
     }
 
-    /// Waits until that time of the world.
+    /// Blocks the thread until a time of the world.
     pub fn wait_until(&self, at_ms: f64) {
-        let left_ms = at_ms - self.now();
-        if left_ms > 0.0 {
-            thread::sleep(Duration::from_secs_f64(left_ms / 1000.0));
+        let remaining_ms = at_ms - self.now();
+        if remaining_ms > 0.0 {
+            thread::sleep(Duration::from_secs_f64(remaining_ms / 1000.0));
         }
     }
 
-    /// Starts a link to that address.
+    /// Starts a proxy to an address.
     ///
     /// # Errors
     ///
-    /// [`EmulatorError::Proxy`] if it can't listen.
+    /// [`EmulatorError::Proxy`] if the proxy can't listen.
     pub fn proxy(&self, to: SocketAddr) -> Result<Proxy, EmulatorError> {
         let _entered = self.runtime.enter();
         Proxy::start(to).map_err(EmulatorError::Proxy)
     }
 
-    /// Starts clients of these dispatchers.
+    /// Starts clients that send a load to these dispatchers.
     pub fn clients(&self, dispatchers: &[SocketAddr], load: &Load) -> Clients {
         let _entered = self.runtime.enter();
         Clients::start(&self.shared, dispatchers, load)
     }
 
-    /// Starts clients that change the dispatcher and retry; the connections to each dispatcher get the policies in turn.
+    /// Starts clients that retry and switch to another dispatcher. The policies are assigned to each dispatcher's
+    /// connections in turn.
     pub fn retrying_clients(
         &self,
         dispatchers: &[SocketAddr],
@@ -180,22 +181,22 @@
         RetryingClients::start(&self.shared, dispatchers, load, policies)
     }
 
-    /// Counters of all stand-ins, by intervals since the world began.
+    /// Returns the counters of all stand-ins for each interval since the start of the world.
     pub fn intervals(&self) -> Vec<IntervalCounters> {
         self.shared.lock().intervals.clone()
     }
 
-    /// Fills at the origin since the start.
+    /// Returns the number of fills that the origin has started.
     pub fn fills_at_origin(&self) -> u64 {
         self.shared.lock().fills_at_origin
     }
 
-    /// Hosts that crashed under their load during slow start.
+    /// Returns how often a host crashed from overload during its slow start.
     pub fn overloaded_hosts(&self) -> u64 {
         self.shared.lock().overloaded_hosts
     }
 
-    /// What the record is judged by.
+    /// Returns the terms by which the record is checked.
     pub fn invariant_terms(&self) -> InvariantTerms {
         let layout = &self.shared.layout;
         let state = self.shared.lock();
@@ -212,12 +213,12 @@
         }
     }
 
-    /// What was seen so far.
+    /// Returns the events recorded so far.
     pub fn record(&self) -> Vec<RecordEntry> {
         self.shared.lock().record.clone()
     }
 
-    /// The rules' verdict on the record so far.
+    /// Checks the record so far against the rules.
     pub fn verdict(&self) -> Verdict {
         flaxdeck_invariants::check(&self.invariant_terms(), &self.record())
     }
--- a/crates/flaxdeck-emulator/src/world/announcements.rs
+++ b/crates/flaxdeck-emulator/src/world/announcements.rs
@@ -1,4 +1,4 @@
-//! What the coordinator announces.
+//! The events that the coordinator publishes.
 
 use flaxdeck_invariants::{RecordEntry, RecordedEvent};
 use serde_json::{Value, json};
@@ -8,7 +8,7 @@
 use crate::state::{ListedHealth, Numbered, State};
 
 impl World {
-    /// The coordinator's one event is the list as it stands, under that number.
+    /// Replaces the coordinator's events by a single one with this number: the current full list.
     pub(super) fn publish_full_list(&self, number: u64) {
         let mut state = self.shared.lock();
         let list = coordinator::full_list(&self.shared, &state);
@@ -35,7 +35,7 @@
         }];
     }
 
-    /// Adds an event after the last one, and remembers the list as it stands then.
+    /// Appends an event and stores the full list as it is after it.
     fn publish(&self, state: &mut State, kind: FrameKind, payload: &[u8], mut event: Value) {
         state.last_event += 1;
         let number = state.last_event;
@@ -56,7 +56,7 @@
         });
     }
 
-    /// The coordinator publishes how a host stands now, and the record knows of it from then on.
+    /// Publishes a host's current state and adds `recorded` to the record.
     pub(super) fn publish_host(&self, id: &str, recorded: RecordedEvent) {
         let at_ms = self.now();
         {
@@ -83,21 +83,21 @@
         }
     }
 
-    /// Announces that a host drains.
+    /// Publishes that a host drains.
     pub fn drain_host(&self, id: &str) {
         self.set_health(id, ListedHealth::Draining);
         let host = id.to_owned();
         self.publish_host(id, RecordedEvent::HostWithdrawn { host });
     }
 
-    /// Announces that a host is in service.
+    /// Publishes that a host is in service.
     pub fn announce_host(&self, id: &str) {
         self.set_health(id, ListedHealth::InService);
         let host = id.to_owned();
         self.publish_host(id, RecordedEvent::HostAnnounced { host });
     }
 
-    /// Announces that no copy of an object made before now is good.
+    /// Publishes a purge of an object: copies made before now may no longer be served.
     pub fn purge(&self, object: &str) {
         let now_ms = self.now();
         let unix_ms = self.shared.unix_ms(now_ms);
@@ -112,7 +112,7 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// A coordinator that is not this world's own has announced that no copy of an object made before now is good.
+    /// Records a purge of an object that a coordinator from outside this world has published.
     pub fn record_purge(&self, object: &str) {
         let now_ms = self.now();
         record_purge(&mut self.shared.lock(), object, now_ms);
--- a/crates/flaxdeck-emulator/src/world/faults.rs
+++ b/crates/flaxdeck-emulator/src/world/faults.rs
@@ -13,13 +13,13 @@
 use crate::hosts;
 use crate::state::FailureMode;
 
-/// Between looks whether a killed host's listener has closed, ...
+/// The pause before each attempt to listen at the address of a killed host.
 const CLOSING_POLL: Duration = Duration::from_millis(20);
-/// ... and how many there are at most.
+/// The number of such attempts after which one last attempt is made without a pause.
 const MAX_CLOSING_POLLS: u32 = 50;
 
-/// Listens where a host listened that was just killed: its listener closes at its next look, which may be late on a busy
-/// machine.
+/// Listens at the address of a host that was just killed. Its listener is closed asynchronously by the task that serves
+/// it, which may take a while on a busy machine.
 fn listen_again(address: SocketAddr) -> io::Result<TcpListener> {
     for _ in 0..MAX_CLOSING_POLLS {
         thread::sleep(CLOSING_POLL);
@@ -31,7 +31,7 @@
 }
 
 impl World {
-    /// A host crashes without a word.
+    /// Crashes a host without announcing it.
     pub fn kill_host(&self, id: &str) {
         if let Some(host) = self.shared.lock().hosts.get_mut(id) {
             host.crash();
@@ -39,11 +39,11 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// A host starts anew, empty and cold, and the coordinator says so.
+    /// Restarts a host, cold and with an empty cache, and publishes it.
     ///
     /// # Errors
     ///
-    /// [`EmulatorError::UnknownHost`], or [`EmulatorError::ListenAgain`] if it can't listen where it did.
+    /// [`EmulatorError::UnknownHost`], or [`EmulatorError::ListenAgain`] if it can't listen at its earlier address.
     pub fn restart_host(&self, id: &str) -> Result<(), EmulatorError> {
         self.kill_host(id);
         let _entered = self.runtime.enter();
@@ -71,26 +71,27 @@
         Ok(())
     }
 
-    /// Changes how a host answers.
+    /// Sets how a host answers requests.
     pub fn set_failure_mode(&self, id: &str, failure_mode: FailureMode) {
         if let Some(host) = self.shared.lock().hosts.get_mut(id) {
             host.failure_mode = failure_mode;
         }
     }
 
-    /// The coordinator says nothing more, or speaks again.
+    /// Makes the coordinator send nothing on its connections, or resume sending.
     pub fn silence_coordinator(&self, silent: bool) {
         self.shared.lock().coordinator_silent = silent;
         self.shared.changed.notify_waiters();
     }
 
-    /// The coordinator restarts: what it announced is announced by it as event 1, and its connections end.
+    /// Restarts the coordinator with a new numbering: the current full list becomes event 1, and its connections are
+    /// closed.
     pub fn lose_numbering(&self) {
         self.publish_full_list(1);
         self.end_coordinator_connections();
     }
 
-    /// The coordinator restarts from what it knew so many events ago, and goes on numbering from there.
+    /// Restarts the coordinator in its state of `events` events ago, from which it continues its numbering.
     pub fn roll_back_coordinator(&self, events: u64) {
         {
             let mut state = self.shared.lock();
@@ -103,7 +104,7 @@
         self.end_coordinator_connections();
     }
 
-    /// The coordinator restarts and numbers so much further on.
+    /// Restarts the coordinator with its numbering advanced by `events`.
     pub fn jump_ahead(&self, events: u64) {
         let last = self.shared.lock().last_event;
         self.publish_full_list(last + events);
