--- a/crates/flaxdeck-invariants/src/check.rs
+++ b/crates/flaxdeck-invariants/src/check.rs
@@ -1,11 +1,11 @@
-//! Goes through a record and hands each entry to the checker of its rule.
+//! Passes each entry of a record to the checker of the rule that it concerns.
 
 use crate::rules::{
     AnswerChecker, EffectChecker, PurgeChecker, SlowStartChecker, WithdrawalChecker,
 };
 use crate::{InvariantTerms, RecordEntry, RecordedEvent, Verdict};
 
-/// Judges a record, whatever the order in which it was written down.
+/// Checks a record against the rules. Entries are sorted by time first, so their order doesn't matter.
 pub fn check(terms: &InvariantTerms, record: &[RecordEntry]) -> Verdict {
     let mut in_order: Vec<&RecordEntry> = record.iter().collect();
     in_order.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
@@ -18,7 +18,7 @@
     verdict
 }
 
-/// One checker for each rule.
+/// The checkers of the five rules.
 struct Checkers<'a> {
     answers: AnswerChecker<'a>,
     effects: EffectChecker<'a>,
--- a/crates/flaxdeck-invariants/src/cold_load.rs
+++ b/crates/flaxdeck-invariants/src/cold_load.rs
@@ -1,20 +1,20 @@
-//! How far a host's capacity was used while it was cold.
+//! How much of a cold host's overload limit was used on average.
 
 use crate::{InvariantTerms, RecordEntry, RecordedEvent};
 
-/// When a host's load is sampled.
+/// The times at which a host's load is sampled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SamplingPeriod {
-    /// The first sample, in milliseconds after the host's start.
+    /// The time of the first sample, in milliseconds after the host's start.
     pub after_start_ms: f64,
-    /// No sample is taken past this time of the record, in milliseconds.
+    /// The time of the record after which no sample is taken, in milliseconds.
     pub until_ms: f64,
-    /// Milliseconds between samples.
+    /// The interval between samples, in milliseconds.
     pub step_ms: f64,
 }
 
-/// The mean part of what a cold host could be asked for that was asked of it, after the last start within the period;
-/// 0 if it never started or has no slow start.
+/// Returns the mean, over the period, of the work requested from a host within a window relative to its overload limit,
+/// after its last start up to the end of the period; 0 if the host never started in that time or has no slow start.
 pub fn mean_cold_load(
     terms: &InvariantTerms,
     record: &[RecordEntry],
@@ -32,10 +32,11 @@
     let mut samples = 0u32;
     let mut at_ms = started_ms + period.after_start_ms;
     while at_ms <= period.until_ms {
-        // The capacity at the window's start: less than at any later moment of it.
+        // The capacity at the start of the window, which is the lowest within it.
         let fraction = slow_start.capacity_fraction(at_ms - started_ms - window_ms);
-        let bearable_ms = slow_start.overload_factor * fraction * slow_start.slots * window_ms;
-        sum += requested_ms(record, host, at_ms - window_ms, at_ms) / bearable_ms;
+        let overload_limit_ms =
+            slow_start.overload_factor * fraction * slow_start.slots * window_ms;
+        sum += requested_ms(record, host, at_ms - window_ms, at_ms) / overload_limit_ms;
         samples += 1;
         at_ms += period.step_ms;
     }
@@ -48,13 +49,13 @@
     starts.rfind(|at_ms| *at_ms <= until_ms)
 }
 
-/// Milliseconds of work that a host was asked for after `from_ms`, up to and with `to_ms`.
+/// Returns the work requested from a host after `from_ms` up to and including `to_ms`, in milliseconds of a slot.
 fn requested_ms(record: &[RecordEntry], host: &str, from_ms: f64, to_ms: f64) -> f64 {
     let cost = |entry: &RecordEntry| match &entry.event {
         RecordedEvent::WorkRequested {
-            host: asked,
+            host: requested_from,
             cost_ms,
-        } if asked == host => Some(*cost_ms),
+        } if requested_from == host => Some(*cost_ms),
         _ => None,
     };
     let within = |entry: &&RecordEntry| entry.at_ms > from_ms && entry.at_ms <= to_ms;
--- a/crates/flaxdeck-invariants/src/lib.rs
+++ b/crates/flaxdeck-invariants/src/lib.rs
@@ -1,7 +1,7 @@
-//! The five rules of routing, judged from outside by a record of what clients, hosts and the coordinator saw.
+//! Checks the five rules of routing over a record of the events that clients, hosts and the coordinator observed.
 //!
-//! The checker knows nothing of how anything was decided, so that it can't share a mistake with the decision engine.
-//! Test beds write down [`RecordEntry`] values, state their [`InvariantTerms`], and read the [`Verdict`] of [`check`]:
+//! The checker shares no code with the decision engine, so that it can't repeat a mistake of it. A test bed collects
+//! [`RecordEntry`] values, sets the [`InvariantTerms`], and reads the [`Verdict`] that [`check`] returns:
 //!
 //! ```
 //! use flaxdeck_invariants::{FinalAnswer, InvariantTerms, RecordEntry, RecordedEvent, check};
@@ -15,7 +15,7 @@
 //! assert!(verdict.all_accounted_for() && verdict.violations.is_empty());
 //! ```
 //!
-//! All times are milliseconds of one clock.
+//! All times are milliseconds on the same clock.
 
 mod check;
 mod cold_load;
--- a/crates/flaxdeck-invariants/src/record.rs
+++ b/crates/flaxdeck-invariants/src/record.rs
@@ -1,24 +1,24 @@
-//! The record: what somebody saw, and when.
+//! The record: the observed events and their times.
 
 /// How a request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FinalAnswer {
-    /// With what it asked for.
+    /// With the requested object, or with success for a write.
     Served,
-    /// Refused at once, for want of capacity or time.
+    /// Rejected for lack of capacity or time, without any effect.
     Rejected,
-    /// Tried and not achieved.
+    /// Failed after it was tried; a write may have taken effect.
     Failed,
 }
 
-/// One thing that somebody saw.
+/// An event observed by a client, a host or the coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RecordedEvent {
-    /// A client sent a request, and waits for its answer until the deadline.
+    /// A client sent a request and waits for its answer until the deadline.
     RequestSent {
-        /// The request's id, of this one try.
+        /// The request's id, unique to this try.
         request: String,
-        /// When the client stops waiting, in milliseconds.
+        /// The time at which the client stops waiting, in milliseconds.
         deadline_ms: f64,
     },
     /// A client got a final answer.
@@ -28,64 +28,64 @@
         /// How it was answered.
         answer: FinalAnswer,
     },
-    /// The client gave up or lost its connection, and says so.
+    /// A client gave up on a request or lost its connection, so that it can get no answer.
     ClientLeft {
         /// The request's id.
         request: String,
     },
-    /// New work arrived at a host, for itself or as the source of a fill.
+    /// New work arrived at a host: a request, or a fill from it.
     WorkArrived {
         /// The host's id.
         host: String,
     },
-    /// An effect that must not happen twice was carried out.
+    /// An effect that must not happen twice was applied.
     EffectApplied {
-        /// What names the effect, such as its idempotency key.
+        /// The identity of the effect, such as its idempotency key.
         effect: String,
     },
-    /// The coordinator announced that a host drains or is gone.
+    /// The coordinator published that a host drains or was removed.
     HostWithdrawn {
         /// The host's id.
         host: String,
     },
-    /// The coordinator announced that a host is in service.
+    /// The coordinator published that a host is in service.
     HostAnnounced {
         /// The host's id.
         host: String,
     },
-    /// A host started, with a cold cache.
+    /// A host started cold, with an empty cache.
     HostStarted {
         /// The host's id.
         host: String,
     },
-    /// A host was asked for work.
+    /// Work was requested from a host.
     WorkRequested {
         /// The host's id.
         host: String,
-        /// Milliseconds of one place at full pace.
+        /// The time that it takes one slot of a warm host, in milliseconds.
         cost_ms: f64,
     },
-    /// All copies of an object were declared out of date.
+    /// An object was purged: all copies made earlier are out of date.
     ObjectPurged {
         /// The object's id.
         object: String,
     },
-    /// A copy was handed to a client.
+    /// A copy was served to a client.
     CopyServed {
         /// The object's id.
         object: String,
-        /// When the client's request was sent, in milliseconds.
+        /// The time at which the client's request was sent, in milliseconds.
         sent_ms: f64,
-        /// When the copy was made, in milliseconds.
+        /// The time at which the copy was made, in milliseconds.
         made_ms: f64,
     },
 }
 
-/// One line of a record.
+/// One entry of a record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordEntry {
-    /// When it was seen, in milliseconds.
+    /// The time at which the event was observed, in milliseconds.
     pub at_ms: f64,
-    /// What was seen.
+    /// The event.
     pub event: RecordedEvent,
 }
--- a/crates/flaxdeck-invariants/src/rules.rs
+++ b/crates/flaxdeck-invariants/src/rules.rs
@@ -1,4 +1,4 @@
-//! The rules, each with a checker of its own that is told what bears on it and adds what it finds to the verdict.
+//! One checker for each rule, which is passed the events that concern its rule and adds violations to the verdict.
 
 mod answers;
 mod effects;
--- a/crates/flaxdeck-invariants/src/rules/answers.rs
+++ b/crates/flaxdeck-invariants/src/rules/answers.rs
@@ -4,12 +4,12 @@
 
 use crate::{FinalAnswer, Rule, Verdict};
 
-/// Follows each request from its sending to its end.
+/// Tracks each request from when it is sent until it ends.
 pub(crate) struct AnswerChecker<'a> {
     slack_ms: f64,
-    /// The deadlines of requests without an answer.
+    /// The deadlines of the requests that have not ended.
     open: BTreeMap<&'a str, f64>,
-    /// Requests that have ended.
+    /// Requests that were answered or whose client left.
     ended: BTreeSet<&'a str>,
 }
 
@@ -32,7 +32,7 @@
         verdict.requests += 1;
         let still_open = self.open.insert(request, deadline_ms).is_some();
         if still_open || self.ended.contains(request) {
-            let description = format!("{request} was asked twice under one name");
+            let description = format!("request id {request} was sent more than once");
             verdict.add_violation(Rule::OneAnswerInTime, at_ms, description);
         }
     }
@@ -45,13 +45,16 @@
         verdict: &mut Verdict,
     ) {
         let Some(deadline_ms) = self.open.remove(request) else {
-            let description = format!("{request} was answered again, or never asked: {answer:?}");
+            let description = format!(
+                "unexpected answer {answer:?} to request {request}: it has already ended, or was never sent"
+            );
             verdict.add_violation(Rule::OneAnswerInTime, at_ms, description);
             return;
         };
         if at_ms > deadline_ms + self.slack_ms {
             let late_ms = at_ms - deadline_ms;
-            let description = format!("{request} was answered {late_ms:.0} ms too late");
+            let description =
+                format!("request {request} was answered {late_ms:.0} ms after its deadline");
             verdict.add_violation(Rule::OneAnswerInTime, at_ms, description);
         }
         self.ended.insert(request);
@@ -62,7 +65,8 @@
         }
     }
 
-    /// A client that left owes and is owed nothing; one that had its answer leaves without a trace.
+    /// Ends a request whose client left, which then needs no answer. Has no effect on a request that was answered
+    /// before.
     pub(crate) fn client_left(&mut self, request: &'a str, verdict: &mut Verdict) {
         if self.open.remove(request).is_some() {
             self.ended.insert(request);
@@ -70,10 +74,10 @@
         }
     }
 
-    /// The record is over: what is still open was never answered.
+    /// Reports the requests that are still open at the end of the record.
     pub(crate) fn finish(self, verdict: &mut Verdict) {
         for (request, deadline_ms) in self.open {
-            let description = format!("{request} was never answered");
+            let description = format!("request {request} was never answered");
             verdict.add_violation(Rule::OneAnswerInTime, deadline_ms, description);
         }
     }
--- a/crates/flaxdeck-invariants/src/rules/effects.rs
+++ b/crates/flaxdeck-invariants/src/rules/effects.rs
@@ -4,7 +4,7 @@
 
 use crate::{Rule, Verdict};
 
-/// Counts how often each effect was carried out.
+/// Counts how often each effect was applied.
 #[derive(Default)]
 pub(crate) struct EffectChecker<'a> {
     counts: BTreeMap<&'a str, u32>,
@@ -15,7 +15,7 @@
         let count = self.counts.entry(effect).or_default();
         *count += 1;
         if *count > 1 {
-            let description = format!("{effect} happened {count} times");
+            let description = format!("effect {effect} was applied {count} times");
             verdict.add_violation(Rule::NoDoubleEffect, at_ms, description);
         }
     }
--- a/crates/flaxdeck-invariants/src/rules/purges.rs
+++ b/crates/flaxdeck-invariants/src/rules/purges.rs
@@ -1,10 +1,10 @@
-//! Rule 5: no copy older than a purge is handed out after the grace.
+//! Rule 5: no copy older than a purge is served to a request sent after the grace.
 
 use std::collections::BTreeMap;
 
 use crate::{Rule, Verdict};
 
-/// Knows when each object was purged.
+/// Tracks the purges of each object.
 pub(crate) struct PurgeChecker<'a> {
     grace_ms: f64,
     purges_ms: BTreeMap<&'a str, Vec<f64>>,
@@ -22,7 +22,7 @@
         self.purges_ms.entry(object).or_default().push(at_ms);
     }
 
-    /// A request that was sent within the grace may still get an older copy.
+    /// Checks a served copy. A request that was sent within the grace may still get an older copy.
     pub(crate) fn copy_served(
         &self,
         at_ms: f64,
@@ -32,12 +32,13 @@
         verdict: &mut Verdict,
     ) {
         let purges = self.purges_ms.get(object).into_iter().flatten().copied();
-        let broken = purges.filter(|purge| made_ms < *purge && sent_ms >= purge + self.grace_ms);
-        if let Some(purge) = broken.max_by(f64::total_cmp) {
+        let violated = purges.filter(|purge| made_ms < *purge && sent_ms >= purge + self.grace_ms);
+        if let Some(purge) = violated.max_by(f64::total_cmp) {
             let late_ms = sent_ms - purge;
             let older_ms = purge - made_ms;
             let description = format!(
-                "{object}: a copy {older_ms:.0} ms older than its purge, {late_ms:.0} ms after it"
+                "a copy of object {object} made {older_ms:.0} ms before its purge was served to a \
+                request sent {late_ms:.0} ms after the purge"
             );
             verdict.add_violation(Rule::NoCopyOlderThanPurge, at_ms, description);
         }
--- a/crates/flaxdeck-invariants/src/rules/slow_start.rs
+++ b/crates/flaxdeck-invariants/src/rules/slow_start.rs
@@ -1,22 +1,22 @@
-//! Rule 4: no host in slow start is asked for more than it bears.
+//! Rule 4: no host in slow start is overloaded.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::{InvariantTerms, Rule, Verdict};
 
-/// Adds up each host's work of the last window.
+/// Sums the work requested from each host within the last window.
 pub(crate) struct SlowStartChecker<'a> {
     terms: &'a InvariantTerms,
     hosts: BTreeMap<&'a str, HostLoad>,
 }
 
-/// Work that a host was asked for at one moment.
+/// One piece of work that was requested from a host.
 struct WorkItem {
     at_ms: f64,
     cost_ms: f64,
 }
 
-/// A host's work within the window.
+/// The work requested from a host within the window.
 #[derive(Default)]
 struct HostLoad {
     started_ms: Option<f64>,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// What was asked of the host's earlier process doesn't count against the new one.
+    /// Starts a host with an empty window: work requested before its restart doesn't count.
     pub(crate) fn started(&mut self, at_ms: f64, host: &'a str) {
         let load = HostLoad {
             started_ms: Some(at_ms),
@@ -75,12 +75,14 @@
         if fraction >= 1.0 {
             return;
         }
-        let bearable_ms = slow_start.overload_factor * fraction * slow_start.slots * window_ms;
-        let cold_load = load.sum_ms / bearable_ms;
+        let overload_limit_ms =
+            slow_start.overload_factor * fraction * slow_start.slots * window_ms;
+        let cold_load = load.sum_ms / overload_limit_ms;
         verdict.peak_cold_load = verdict.peak_cold_load.max(cold_load);
         if cold_load > 1.0 {
-            let description =
-                format!("{host} was asked for {cold_load:.2} of what it bears while cold");
+            let description = format!(
+                "work requested from cold host {host} was {cold_load:.2} times its overload limit"
+            );
             verdict.add_violation(Rule::NoOverloadedSlowStart, at_ms, description);
         }
     }
--- a/crates/flaxdeck-invariants/src/rules/withdrawals.rs
+++ b/crates/flaxdeck-invariants/src/rules/withdrawals.rs
@@ -1,10 +1,10 @@
-//! Rule 3: nothing new goes to a draining or removed host after the grace.
+//! Rule 3: no new work arrives at a draining or removed host after the grace.
 
 use std::collections::BTreeMap;
 
 use crate::{Rule, Verdict};
 
-/// Knows which hosts are withdrawn, and since when.
+/// Tracks which hosts are withdrawn, and since when.
 pub(crate) struct WithdrawalChecker<'a> {
     grace_ms: f64,
     withdrawn_since: BTreeMap<&'a str, f64>,
@@ -18,7 +18,7 @@
         }
     }
 
-    /// The first withdrawal counts, until the host is announced again.
+    /// Marks a host as withdrawn. The grace counts from the first withdrawal until the host is announced again.
     pub(crate) fn withdrawn(&mut self, at_ms: f64, host: &'a str) {
         self.withdrawn_since.entry(host).or_insert(at_ms);
     }
@@ -34,7 +34,8 @@
         let late_ms = at_ms - since_ms;
         verdict.latest_arrival = verdict.latest_arrival.max(late_ms);
         if at_ms > since_ms + self.grace_ms {
-            let description = format!("{host} got new work {late_ms:.0} ms after it was withdrawn");
+            let description =
+                format!("host {host} got new work {late_ms:.0} ms after its withdrawal");
             verdict.add_violation(Rule::NothingToWithdrawnHosts, at_ms, description);
         }
     }
--- a/crates/flaxdeck-invariants/src/verdict.rs
+++ b/crates/flaxdeck-invariants/src/verdict.rs
@@ -1,24 +1,24 @@
-//! What came of judging a record.
+//! The result of checking a record.
 
 use std::fmt;
 
 /// The five rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request gets exactly one final answer in time.
+    /// Each request gets exactly one final answer, in time.
     OneAnswerInTime = 1,
     /// No effect happens twice.
     NoDoubleEffect = 2,
-    /// Nothing new goes to a draining or removed host after the grace.
+    /// No new work arrives at a draining or removed host after the grace.
     NothingToWithdrawnHosts = 3,
-    /// No host in slow start is asked for more than it bears.
+    /// No host in slow start is overloaded.
     NoOverloadedSlowStart = 4,
-    /// No copy older than a purge is handed out after the grace.
+    /// No copy older than a purge is served to a request sent after the grace.
     NoCopyOlderThanPurge = 5,
 }
 
 impl Rule {
-    /// The rule's number, from 1 to 5.
+    /// Returns the rule's number, from 1 to 5.
     pub fn number(self) -> u8 {
         self as u8
     }
@@ -31,21 +31,21 @@
     }
 }
 
-/// One breach of a rule.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The rule that was broken.
+    /// The violated rule.
     pub rule: Rule,
-    /// When, in milliseconds.
+    /// The time of the violation, in milliseconds.
     pub at_ms: f64,
-    /// What happened, with the ids and figures.
+    /// A description with the ids and figures concerned.
     pub description: String,
 }
 
-/// The judgement of a whole record.
+/// The result of checking a whole record.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// Every breach, in the order of the record, then the requests that were never answered.
+    /// All violations in order of time, followed by the requests that were never answered.
     pub violations: Vec<Violation>,
     /// Requests that clients sent.
     pub requests: u64,
@@ -55,16 +55,17 @@
     pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Requests whose client left first.
+    /// Requests whose client left before an answer.
     pub left: u64,
-    /// Milliseconds from a withdrawal to the latest arrival at its host.
+    /// The longest time from a host's withdrawal to an arrival of new work there, in milliseconds.
     pub latest_arrival: f64,
-    /// The largest part of what a cold host bears that was asked of it within a window; over 1 it falls over.
+    /// The highest ratio of the work requested from a cold host within a window to its overload limit; above 1 it
+    /// crashes.
     pub peak_cold_load: f64,
 }
 
 impl Verdict {
-    /// Whether each request has exactly one end in the record.
+    /// Returns whether the number of ended requests is the number of requests that were sent.
     pub fn all_accounted_for(&self) -> bool {
         self.requests == self.served + self.rejected + self.failed + self.left
     }
--- a/crates/flaxdeck-invariants/tests/rules.rs
+++ b/crates/flaxdeck-invariants/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each of the five rules, found broken and found kept.
+//! Each of the five rules, with records that violate it and records that don't.
 
 use std::collections::BTreeMap;
 
@@ -22,8 +22,8 @@
     }
 }
 
-/// The rules that a record of events breaks, by their times in milliseconds.
-fn broken_rules(events: &[(f64, RecordedEvent)]) -> Vec<Rule> {
+/// Returns the rules that a record violates, given its events with their times in milliseconds.
+fn violated_rules(events: &[(f64, RecordedEvent)]) -> Vec<Rule> {
     let entry = |(at_ms, event): &(f64, RecordedEvent)| RecordEntry {
         at_ms: *at_ms,
         event: event.clone(),
@@ -51,65 +51,65 @@
 }
 
 #[test]
-fn a_request_needs_exactly_one_answer_before_its_deadline() {
-    let broken = [Rule::OneAnswerInTime];
+fn each_request_gets_exactly_one_answer_before_its_deadline() {
+    let violated = [Rule::OneAnswerInTime];
     assert_eq!(
-        broken_rules(&[(0.0, request_sent()), (50.0, answered())]),
+        violated_rules(&[(0.0, request_sent()), (50.0, answered())]),
         []
     );
     assert_eq!(
-        broken_rules(&[(0.0, request_sent()), (150.0, answered())]),
-        broken
+        violated_rules(&[(0.0, request_sent()), (150.0, answered())]),
+        violated
     );
     assert_eq!(
-        broken_rules(&[(0.0, request_sent()), (5.0, answered()), (6.0, answered())]),
-        broken
+        violated_rules(&[(0.0, request_sent()), (5.0, answered()), (6.0, answered())]),
+        violated
     );
-    assert_eq!(broken_rules(&[(0.0, request_sent())]), broken);
+    assert_eq!(violated_rules(&[(0.0, request_sent())]), violated);
 }
 
 #[test]
-fn a_request_whose_client_left_needs_no_answer() {
+fn request_whose_client_left_needs_no_answer() {
     let left = RecordedEvent::ClientLeft {
         request: "p".to_owned(),
     };
-    assert_eq!(broken_rules(&[(0.0, request_sent()), (1.0, left)]), []);
+    assert_eq!(violated_rules(&[(0.0, request_sent()), (1.0, left)]), []);
 }
 
 #[test]
-fn an_effect_may_happen_once() {
+fn effect_is_applied_at_most_once() {
     let applied = RecordedEvent::EffectApplied {
         effect: "e".to_owned(),
     };
-    assert_eq!(broken_rules(&[(0.0, applied.clone())]), []);
+    assert_eq!(violated_rules(&[(0.0, applied.clone())]), []);
     assert_eq!(
-        broken_rules(&[(0.0, applied.clone()), (9.0, applied)]),
+        violated_rules(&[(0.0, applied.clone()), (9.0, applied)]),
         [Rule::NoDoubleEffect]
     );
 }
 
 #[test]
-fn a_withdrawn_host_gets_no_work_after_the_grace_until_it_is_announced_again() {
+fn withdrawn_host_gets_no_work_after_the_grace_until_announced_again() {
     let host = || "a".to_owned();
     let withdrawn = RecordedEvent::HostWithdrawn { host: host() };
     let arrived = RecordedEvent::WorkArrived { host: host() };
     let announced = RecordedEvent::HostAnnounced { host: host() };
     assert_eq!(
-        broken_rules(&[(0.0, withdrawn.clone()), (900.0, arrived.clone())]),
+        violated_rules(&[(0.0, withdrawn.clone()), (900.0, arrived.clone())]),
         []
     );
     assert_eq!(
-        broken_rules(&[(0.0, withdrawn.clone()), (1100.0, arrived.clone())]),
+        violated_rules(&[(0.0, withdrawn.clone()), (1100.0, arrived.clone())]),
         [Rule::NothingToWithdrawnHosts]
     );
     assert_eq!(
-        broken_rules(&[(0.0, withdrawn), (500.0, announced), (1100.0, arrived)]),
+        violated_rules(&[(0.0, withdrawn), (500.0, announced), (1100.0, arrived)]),
         []
     );
 }
 
 #[test]
-fn a_cold_host_is_not_asked_for_more_than_it_bears_within_a_window() {
+fn work_requested_from_a_cold_host_within_a_window_stays_below_its_overload_limit() {
     let started = RecordedEvent::HostStarted {
         host: "a".to_owned(),
     };
@@ -118,11 +118,11 @@
         cost_ms,
     };
     assert_eq!(
-        broken_rules(&[(0.0, started.clone()), (1.0, work(390.0))]),
+        violated_rules(&[(0.0, started.clone()), (1.0, work(390.0))]),
         []
     );
     assert_eq!(
-        broken_rules(&[
+        violated_rules(&[
             (0.0, started.clone()),
             (1.0, work(250.0)),
             (900.0, work(500.0))
@@ -130,13 +130,13 @@
         [Rule::NoOverloadedSlowStart]
     );
     assert_eq!(
-        broken_rules(&[(0.0, started), (1.0, work(250.0)), (1100.0, work(500.0))]),
+        violated_rules(&[(0.0, started), (1.0, work(250.0)), (1100.0, work(500.0))]),
         []
     );
 }
 
 #[test]
-fn a_copy_older_than_its_purge_is_not_served_after_the_grace() {
+fn copy_older_than_its_purge_is_not_served_after_the_grace() {
     let purged = RecordedEvent::ObjectPurged {
         object: "o".to_owned(),
     };
@@ -146,15 +146,15 @@
         made_ms,
     };
     assert_eq!(
-        broken_rules(&[(10.0, purged.clone()), (600.0, copy(400.0, 5.0))]),
+        violated_rules(&[(10.0, purged.clone()), (600.0, copy(400.0, 5.0))]),
         []
     );
     assert_eq!(
-        broken_rules(&[(10.0, purged.clone()), (600.0, copy(520.0, 5.0))]),
+        violated_rules(&[(10.0, purged.clone()), (600.0, copy(520.0, 5.0))]),
         [Rule::NoCopyOlderThanPurge]
     );
     assert_eq!(
-        broken_rules(&[(10.0, purged), (600.0, copy(520.0, 15.0))]),
+        violated_rules(&[(10.0, purged), (600.0, copy(520.0, 15.0))]),
         []
     );
 }
