--- a/examples/toy/src/client.rs
+++ b/examples/toy/src/client.rs
@@ -1,69 +1,69 @@
-//! A client: just enough MessagePack-RPC to request objects.
+//! A client with the part of MessagePack-RPC that is needed to request objects.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Longer than any answer takes.
+/// The read timeout of a connection, longer than any answer takes.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An answer with the number of what it answers.
+/// An answer, with the number of the call that it answers.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
-    /// What was asked for.
+    /// The requested object, or the success of a write.
     Served {
         /// The number of the call.
         call: u32,
-        /// The bytes.
+        /// The body of the answer.
         body: Vec<u8>,
-        /// What the answer says of itself.
+        /// The fields of the answer.
         fields: BTreeMap<String, String>,
     },
     /// A rejection or a failure.
     Error {
         /// The number of the call.
         call: u32,
-        /// Which of the two.
+        /// `Backoff` for a rejection, `Lost` for a failure.
         word: String,
-        /// What the answer says of itself.
+        /// The fields of the answer.
         fields: BTreeMap<String, String>,
     },
-    /// The dispatcher is alive.
+    /// The answer to [`Client::alive`]: the dispatcher is alive.
     Alive {
         /// The number of the call.
         call: u32,
     },
 }
 
-/// A client on one connection.
+/// A client on one connection to a dispatcher.
 pub struct Client {
     stream: TcpStream,
     next: u32,
 }
 
-fn text(value: &str) -> Vec<u8> {
+fn encode_text(value: &str) -> Vec<u8> {
     [&[0xd9, value.len() as u8], value.as_bytes()].concat()
 }
 
-fn map(fields: &[(&str, &str)]) -> Vec<u8> {
+fn encode_map(fields: &[(&str, &str)]) -> Vec<u8> {
     let pairs = fields
         .iter()
-        .flat_map(|(name, value)| [text(name), text(value)].concat());
+        .flat_map(|(name, value)| [encode_text(name), encode_text(value)].concat());
     [0x80 | fields.len() as u8]
         .into_iter()
         .chain(pairs)
         .collect()
 }
 
-/// The bytes of a request; a test may send them in pieces of its own.
+/// Encodes a request. Public for tests that send the bytes in several writes.
 pub fn request_message(call: u32, class: &str, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let head = [
         &[0x94, 0, 0xce][..],
         &call.to_be_bytes(),
-        &text(class),
+        &encode_text(class),
         &[0x92],
-        &map(fields),
+        &encode_map(fields),
     ]
     .concat();
     [
@@ -74,48 +74,49 @@
 }
 
 impl Client {
-    /// A client on a connection of its own.
+    /// Connects to a dispatcher.
     ///
     /// # Errors
     ///
-    /// If the connection can't be set up.
+    /// If the connection fails or its options can't be set.
     pub fn connect(address: SocketAddr) -> io::Result<Client> {
         Client::over(TcpStream::connect(address)?)
     }
 
-    /// A client on a connection that is up.
+    /// Creates a client on an established connection.
     ///
     /// # Errors
     ///
-    /// If the connection can't be set up.
+    /// If the connection's options can't be set.
     pub fn over(stream: TcpStream) -> io::Result<Client> {
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(READ_TIMEOUT))?;
         Ok(Client { stream, next: 1 })
     }
 
-    /// Sends bytes as they are.
+    /// Sends raw bytes.
     ///
     /// # Errors
     ///
-    /// If the connection can't be written to.
+    /// If writing to the connection fails.
     pub fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes)
     }
 
-    /// The id of a request by its call: new with each, also beside other clients of this machine.
+    /// Returns the id of the request that is sent as this call. It contains the local port, so that ids of other
+    /// clients on this machine differ.
     pub fn id(&self, call: u32) -> String {
         format!(
             "{:08x}{call:08x}",
-            self.stream.local_addr().map_or(0, |own| own.port())
+            self.stream.local_addr().map_or(0, |local| local.port())
         )
     }
 
-    /// The same connection once more, for a thread that reads beside one that writes.
+    /// Returns a second client on the same connection, so that one thread can read while another writes.
     ///
     /// # Errors
     ///
-    /// If the system has no more descriptors.
+    /// If the system has no free file descriptors.
     pub fn again(&self) -> io::Result<Client> {
         Ok(Client {
             stream: self.stream.try_clone()?,
@@ -123,11 +124,11 @@
         })
     }
 
-    /// Asks for part 0 of an object; gives the number of the call.
+    /// Requests part 0 of an object and returns the number of the call.
     ///
     /// # Errors
     ///
-    /// If the connection can't be written to.
+    /// If writing to the connection fails.
     pub fn request(
         &mut self,
         class: &str,
@@ -150,21 +151,29 @@
         Ok(call)
     }
 
-    /// Cancels a request by the number of its call.
+    /// Sends the cancellation of a request, given by the number of its call.
     ///
     /// # Errors
     ///
-    /// If the connection can't be written to.
+    /// If writing to the connection fails.
     pub fn cancel(&mut self, call: u32) -> io::Result<()> {
         let call = call.to_be_bytes();
-        self.send(&[&[0x93, 2][..], &text("cancelRequest"), &[0x91, 0xce], &call].concat())
+        self.send(
+            &[
+                &[0x93, 2][..],
+                &encode_text("cancelRequest"),
+                &[0x91, 0xce],
+                &call,
+            ]
+            .concat(),
+        )
     }
 
-    /// Asks whether the dispatcher is alive; gives the number of the call.
+    /// Sends a liveness check and returns the number of the call.
     ///
     /// # Errors
     ///
-    /// If the connection can't be written to.
+    /// If writing to the connection fails.
     pub fn alive(&mut self) -> io::Result<u32> {
         let call = self.next;
         self.next += 1;
@@ -172,7 +181,7 @@
             &[
                 &[0x94, 0, 0xce][..],
                 &call.to_be_bytes(),
-                &text("alive"),
+                &encode_text("alive"),
                 &[0x91, 0x80],
             ]
             .concat(),
@@ -180,58 +189,65 @@
         Ok(call)
     }
 
-    /// The next answer, whichever it is.
+    /// Reads the next answer, to whichever call it is.
     ///
     /// # Errors
     ///
-    /// If the connection ends or times out, or what comes is no answer.
+    /// If the connection ends, the read times out, or the message is not a valid answer.
     pub fn answer(&mut self) -> io::Result<Answer> {
-        let bad = |what: &str| io::Error::new(ErrorKind::InvalidData, what.to_owned());
-        if self.array()? != 4 || self.number()? != 1 {
-            return Err(bad("not an answer"));
+        let invalid = |text: &str| io::Error::new(ErrorKind::InvalidData, text.to_owned());
+        if self.read_array_length()? != 4 || self.read_number()? != 1 {
+            return Err(invalid(
+                "not a response of MessagePack-RPC: expected an array of 4 elements with the type 1",
+            ));
         }
-        let call = self.number()? as u32;
-        let error = self.byte()?;
+        let call = self.read_number()? as u32;
+        let error = self.read_byte()?;
         if error == 0xc0 {
-            if self.array()? != 2 {
-                return Err(bad("not a result"));
+            if self.read_array_length()? != 2 {
+                return Err(invalid(
+                    "invalid result of a response: expected an array of 2 elements",
+                ));
             }
-            return match self.byte()? {
-                0xc3 => self.fields().map(|_| Answer::Alive { call }),
+            return match self.read_byte()? {
+                0xc3 => self.read_fields().map(|_| Answer::Alive { call }),
                 head => {
-                    let body = self.binary(head)?;
+                    let body = self.read_binary(head)?;
                     Ok(Answer::Served {
                         call,
                         body,
-                        fields: self.fields()?,
+                        fields: self.read_fields()?,
                     })
                 }
             };
         }
-        let word = self.text()?;
-        let fields = self.fields()?;
-        if self.byte()? != 0xc0 {
-            return Err(bad("an error with a result"));
+        let word = self.read_text()?;
+        let fields = self.read_fields()?;
+        if self.read_byte()? != 0xc0 {
+            return Err(invalid(
+                "a response with an error also has a result: expected nil",
+            ));
         }
         Ok(Answer::Error { call, word, fields })
     }
 
-    /// Says that nothing more will come, and goes on reading.
+    /// Closes the sending side of the connection; answers can still be read.
     ///
     /// # Errors
     ///
-    /// If the connection has ended.
+    /// If the connection is closed already.
     pub fn shut(&self) -> io::Result<()> {
         self.stream.shutdown(Shutdown::Write)
     }
 
-    /// Whether the dispatcher has ended the connection, after whatever it still had to say.
+    /// Reads and discards everything until the connection ends, and returns whether the dispatcher closed or reset it. A
+    /// connection that stays open until the reads time out counts as ended too.
     pub fn ended(&mut self) -> bool {
         let mut rest = Vec::new();
         self.stream.read_to_end(&mut rest).is_ok() || self.stream.peek(&mut [0]).is_err()
     }
 
-    /// Whether nothing comes for so long.
+    /// Waits for `time` and returns whether nothing was received and the connection stayed open.
     pub fn quiet_for(&mut self, time: Duration) -> bool {
         self.set_read_timeout(time);
         let read = self.stream.peek(&mut [0]);
@@ -239,59 +255,62 @@
         matches!(read, Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 
-    #[allow(clippy::expect_used, reason = "only a time-out of zero is refused")]
+    #[allow(
+        clippy::expect_used,
+        reason = "set_read_timeout fails only for a duration of zero"
+    )]
     fn set_read_timeout(&self, time: Duration) {
         let set = self.stream.set_read_timeout(Some(time));
-        set.expect("a time-out that is not zero");
+        set.expect("the read timeout is not zero");
     }
 
-    fn take(&mut self, count: usize) -> io::Result<Vec<u8>> {
+    fn read_bytes(&mut self, count: usize) -> io::Result<Vec<u8>> {
         let mut bytes = vec![0; count];
         self.stream.read_exact(&mut bytes).map(|()| bytes)
     }
 
-    fn byte(&mut self) -> io::Result<u8> {
-        self.take(1).map(|byte| byte[0])
+    fn read_byte(&mut self) -> io::Result<u8> {
+        self.read_bytes(1).map(|byte| byte[0])
     }
 
-    fn big_endian(&mut self, count: usize) -> io::Result<usize> {
+    fn read_big_endian(&mut self, count: usize) -> io::Result<usize> {
         Ok(self
-            .take(count)?
+            .read_bytes(count)?
             .iter()
             .fold(0, |sum, byte| sum << 8 | usize::from(*byte)))
     }
 
-    fn array(&mut self) -> io::Result<usize> {
-        self.byte().map(|head| usize::from(head & 0x0f))
+    fn read_array_length(&mut self) -> io::Result<usize> {
+        self.read_byte().map(|head| usize::from(head & 0x0f))
     }
 
-    fn number(&mut self) -> io::Result<usize> {
-        match self.byte()? {
-            0xcc => self.big_endian(1),
-            0xcd => self.big_endian(2),
-            0xce => self.big_endian(4),
+    fn read_number(&mut self) -> io::Result<usize> {
+        match self.read_byte()? {
+            0xcc => self.read_big_endian(1),
+            0xcd => self.read_big_endian(2),
+            0xce => self.read_big_endian(4),
             small => Ok(usize::from(small)),
         }
     }
 
-    fn binary(&mut self, head: u8) -> io::Result<Vec<u8>> {
-        let length = self.big_endian(1 << (head - 0xc4))?;
-        self.take(length)
+    fn read_binary(&mut self, head: u8) -> io::Result<Vec<u8>> {
+        let length = self.read_big_endian(1 << (head - 0xc4))?;
+        self.read_bytes(length)
     }
 
-    fn text(&mut self) -> io::Result<String> {
-        let length = match self.byte()? {
-            0xd9 => self.big_endian(1)?,
+    fn read_text(&mut self) -> io::Result<String> {
+        let length = match self.read_byte()? {
+            0xd9 => self.read_big_endian(1)?,
             head => usize::from(head & 0x1f),
         };
-        String::from_utf8(self.take(length)?)
+        String::from_utf8(self.read_bytes(length)?)
             .map_err(|error| io::Error::new(ErrorKind::InvalidData, error))
     }
 
-    fn fields(&mut self) -> io::Result<BTreeMap<String, String>> {
-        let count = self.array()?;
+    fn read_fields(&mut self) -> io::Result<BTreeMap<String, String>> {
+        let count = self.read_array_length()?;
         (0..count)
-            .map(|_| Ok((self.text()?, self.text()?)))
+            .map(|_| Ok((self.read_text()?, self.read_text()?)))
             .collect()
     }
 }
--- a/examples/toy/src/coordinator.rs
+++ b/examples/toy/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator: numbered events, as frames to whoever asks from a number on.
+//! The coordinator: sends each connection, as frames, the numbered events after the number that it asks from.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,12 +8,12 @@
 
 use crate::Host;
 
-/// Without events for so long, an empty frame says that the coordinator is there.
+/// The time without events after which a connection gets an empty frame as a heartbeat.
 const HEARTBEAT: Duration = Duration::from_secs(1);
-/// Between the bytes of a frame that never ends.
+/// The pause between the bytes of a frame that never ends.
 const TRICKLE: Duration = Duration::from_millis(200);
 
-/// The kinds of frames that hold one event.
+/// The kinds of frames that contain one event, by their values on the wire.
 const HOST_CHANGE: u8 = 2;
 const PURGE: u8 = 3;
 
@@ -29,28 +29,30 @@
 #[derive(Default)]
 struct State {
     events: Vec<Event>,
-    /// It listens no more.
+    /// Whether it no longer accepts connections.
     ended: bool,
-    /// Calls that are answered just now.
+    /// The number of calls that are being admitted.
     calls: u32,
-    /// Bounds the calls; none answers all at once.
+    /// The limit of concurrent calls; `None` admits all calls immediately.
     call_limit: Option<CallLimit>,
-    /// How often all connections were ended, ...
-    hung_up: u32,
-    /// ... left open without a further word, ...
-    stopped: u32,
-    /// ... or had a frame begun on them that comes byte by byte and never ends.
+    /// How often all open connections were closed.
+    closed: u32,
+    /// How often all open connections were silenced: left open without further frames.
+    silenced: u32,
+    /// How often a frame that never ends was begun on all open connections.
     trickled: u32,
 }
 
-/// So many calls are answered at once, each after so long; others are closed.
+/// A limit of concurrent calls; calls beyond it are closed.
 #[derive(Clone, Copy)]
 struct CallLimit {
-    at_once: u32,
-    each_takes: Duration,
+    /// The number of calls that are admitted concurrently.
+    concurrent: u32,
+    /// How long each call takes until it is admitted.
+    duration: Duration,
 }
 
-/// The state, and what wakes the connections.
+/// The state, and the condition variable that wakes the connections when it changes.
 #[derive(Default)]
 struct Shared {
     state: Mutex<State>,
@@ -60,23 +62,25 @@
 impl Shared {
     #[allow(
         clippy::expect_used,
-        reason = "a connection that panicked has spoiled the test"
+        reason = "a test in which a connection has panicked must fail"
     )]
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state
+            .lock()
+            .expect("a thread panicked while it held the state")
     }
 }
 
 /// A coordinator on loopback.
 pub struct Coordinator {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     next: u64,
 }
 
 impl Coordinator {
-    /// Starts after the events that a configuration holds already.
+    /// Starts at an address, with a numbering that follows `known`, the last event in the dispatcher's configuration.
     ///
     /// # Errors
     ///
@@ -85,7 +89,7 @@
         Coordinator::on(TcpListener::bind(address)?, known)
     }
 
-    /// The same at a listener that is there already.
+    /// Starts on an open listener, otherwise as [`Coordinator::start`].
     ///
     /// # Errors
     ///
@@ -101,7 +105,7 @@
                 }
                 let serving = accepting.clone();
                 spawn(move || {
-                    // Whoever ends the connection has what he wants.
+                    // An error only means that the other side has closed the connection.
                     let _ = send_events(stream, &serving);
                 });
             }
@@ -124,55 +128,57 @@
         self.shared.changed.notify_all();
     }
 
-    /// Ends all connections.
+    /// Closes all open connections.
     pub fn hang_up(&self) {
-        self.shared.lock().hung_up += 1;
+        self.shared.lock().closed += 1;
         self.shared.changed.notify_all();
     }
 
-    /// Goes away: its connections end, and nobody listens any more.
+    /// Shuts down: closes all connections and the listener.
     pub fn end(self) {
         self.hang_up();
         self.shared.lock().ended = true;
-        // A last connection lets the listener end.
+        // Each connect wakes the accepting thread, which closes the listener once it sees `ended`.
         while TcpStream::connect(self.address).is_ok() {}
     }
 
-    /// From now on answers so few calls at once, each after so long, and closes all others.
-    pub fn answers_few(&self, at_once: u32, each_takes: Duration) {
+    /// Limits the calls from now on: at most `concurrent` are admitted at once, each after `duration`; others are
+    /// closed.
+    pub fn answers_few(&self, concurrent: u32, duration: Duration) {
         self.shared.lock().call_limit = Some(CallLimit {
-            at_once,
-            each_takes,
+            concurrent,
+            duration,
         });
     }
 
-    /// Says nothing more on the connections that there are, but leaves them open.
+    /// Sends nothing more on the connections that are open now, but keeps them open.
     pub fn stop(&self) {
-        self.shared.lock().stopped += 1;
+        self.shared.lock().silenced += 1;
     }
 
-    /// Begins a frame on the connections that there are which comes byte by byte and never ends.
+    /// Begins a frame that never ends, sent byte by byte, on the connections that are open now.
     pub fn trickle(&self) {
         self.shared.lock().trickled += 1;
         self.shared.changed.notify_all();
     }
 
-    /// Leaves out a number, as if an event had been lost.
+    /// Skips an event number, as if that event had been lost.
     pub fn lose_one(&mut self) {
         self.next += 1;
     }
 
-    /// A host of the list has changed: state 0 ready, 1 draining, 2 gone; zone and kind by their indices.
+    /// Publishes the changed state of a host: 0 ready, 1 draining, 2 removed. Zone and kind are indices into the
+    /// settings.
     pub fn change(&mut self, host: &Host, state: u8, zone: u8, kind: u8) {
         self.publish_host(host, [state, zone, kind], 4.0, 0);
     }
 
-    /// A host with so many places is ready that was started, cold and empty, at that time.
-    pub fn started(&mut self, host: &Host, zone: u8, kind: u8, places: f64, unix_ms: u64) {
-        self.publish_host(host, [0, zone, kind], places, unix_ms);
+    /// Publishes a ready host with this many slots that was started at `unix_ms`, cold and with an empty cache.
+    pub fn started(&mut self, host: &Host, zone: u8, kind: u8, slots: f64, unix_ms: u64) {
+        self.publish_host(host, [0, zone, kind], slots, unix_ms);
     }
 
-    fn publish_host(&mut self, host: &Host, fields: [u8; 3], places: f64, started_unix_ms: u64) {
+    fn publish_host(&mut self, host: &Host, fields: [u8; 3], slots: f64, started_unix_ms: u64) {
         let id = u32::from_str_radix(host.id.trim_start_matches("s-"), 16).unwrap_or(0);
         let [state, zone, kind] = fields;
         let mut record = id.to_be_bytes().to_vec();
@@ -181,12 +187,12 @@
             record.extend(address.port().to_be_bytes());
         }
         record.extend([state, zone, kind, 0, 0]);
-        record.extend(((places * 1000.0) as u32).to_be_bytes());
+        record.extend(((slots * 1000.0) as u32).to_be_bytes());
         record.extend(started_unix_ms.to_be_bytes());
         self.publish(HOST_CHANGE, record);
     }
 
-    /// All copies of an object made before that time are out of date.
+    /// Publishes a purge of an object: copies made before `unix_ms` are out of date.
     pub fn purge_object(&mut self, object: u64, unix_ms: u64) {
         self.publish(
             PURGE,
@@ -195,31 +201,32 @@
     }
 }
 
-/// What a connection does next.
+/// The next action on a connection.
 enum Step {
-    /// Sends these events, or an empty frame if there are none.
+    /// Sends these events, or a heartbeat if there are none.
     Send(Vec<Event>),
-    /// Ends.
-    HangUp,
-    /// Stays open without a further word.
-    Stop,
+    /// Closes the connection.
+    Close,
+    /// Keeps the connection open without sending anything.
+    GoSilent,
     /// Begins a frame that never ends.
     Trickle,
 }
 
-/// The counts of what was done to all connections when this one began.
+/// How often each action was applied to all open connections. A connection compares the current counts with those at
+/// its start to see which actions concern it.
 #[derive(Clone, Copy, PartialEq)]
-struct Counts {
-    hung_up: u32,
-    stopped: u32,
+struct ActionCounts {
+    closed: u32,
+    silenced: u32,
     trickled: u32,
 }
 
 impl State {
-    fn counts(&self) -> Counts {
-        Counts {
-            hung_up: self.hung_up,
-            stopped: self.stopped,
+    fn action_counts(&self) -> ActionCounts {
+        ActionCounts {
+            closed: self.closed,
+            silenced: self.silenced,
             trickled: self.trickled,
         }
     }
@@ -232,13 +239,13 @@
     if !admit_call(shared) {
         return Ok(());
     }
-    let began = shared.lock().counts();
+    let at_start = shared.lock().action_counts();
     loop {
-        match next_step(shared, began, last) {
-            Step::HangUp => return Ok(()),
-            // Until the other side has had enough.
-            Step::Stop => return stream.read_exact(&mut [0]),
-            Step::Trickle => return trickle(stream),
+        match next_step(shared, at_start, last) {
+            Step::Close => return Ok(()),
+            // Returns when the other side closes the connection or sends a byte.
+            Step::GoSilent => return stream.read_exact(&mut [0]),
+            Step::Trickle => return send_endless_frame(stream),
             Step::Send(events) => {
                 if events.is_empty() {
                     stream.write_all(&frame(last, 0, &[]))?;
@@ -252,28 +259,29 @@
     }
 }
 
-/// Waits until there is something to do, or for a heartbeat.
+/// Waits for an action or an event, or until a heartbeat is due. Silencing doesn't wake the connection: it takes effect
+/// with the next event or heartbeat.
 #[allow(
     clippy::expect_used,
-    reason = "a connection that panicked has spoiled the test"
+    reason = "a test in which a connection has panicked must fail"
 )]
-fn next_step(shared: &Shared, began: Counts, last: u64) -> Step {
+fn next_step(shared: &Shared, at_start: ActionCounts, last: u64) -> Step {
     let nothing_to_do = |state: &mut State| {
-        let counts = state.counts();
-        (counts.hung_up, counts.trickled) == (began.hung_up, began.trickled)
+        let counts = state.action_counts();
+        (counts.closed, counts.trickled) == (at_start.closed, at_start.trickled)
             && state.events.last().is_none_or(|event| event.number <= last)
     };
     let waited = shared
         .changed
         .wait_timeout_while(shared.lock(), HEARTBEAT, nothing_to_do);
-    let (state, _) = waited.expect("no holder panics");
-    let counts = state.counts();
-    if counts.hung_up != began.hung_up {
-        Step::HangUp
-    } else if counts.trickled != began.trickled {
+    let (state, _) = waited.expect("a thread panicked while it held the state");
+    let counts = state.action_counts();
+    if counts.closed != at_start.closed {
+        Step::Close
+    } else if counts.trickled != at_start.trickled {
         Step::Trickle
-    } else if counts.stopped != began.stopped {
-        Step::Stop
+    } else if counts.silenced != at_start.silenced {
+        Step::GoSilent
     } else {
         let events = state.events.iter();
         let events = events.filter(|event| event.number > last);
@@ -281,7 +289,7 @@
     }
 }
 
-fn trickle(mut stream: TcpStream) -> io::Result<()> {
+fn send_endless_frame(mut stream: TcpStream) -> io::Result<()> {
     stream.write_all(&4096u32.to_be_bytes())?;
     loop {
         stream.write_all(&[0])?;
@@ -289,20 +297,20 @@
     }
 }
 
-/// Whether a call is answered, after its time.
+/// Returns whether a call is admitted, after the duration that the limit sets.
 fn admit_call(shared: &Shared) -> bool {
     let limit = {
         let mut state = shared.lock();
         let Some(limit) = state.call_limit else {
             return true;
         };
-        if state.calls >= limit.at_once {
+        if state.calls >= limit.concurrent {
             return false;
         }
         state.calls += 1;
         limit
     };
-    sleep(limit.each_takes);
+    sleep(limit.duration);
     shared.lock().calls -= 1;
     true
 }
--- a/examples/toy/src/host.rs
+++ b/examples/toy/src/host.rs
@@ -1,4 +1,4 @@
-//! A cache host, a parent or the origin.
+//! A host: a cache host, a parent or the origin.
 
 use std::collections::HashSet;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -7,39 +7,39 @@
 use std::thread::spawn;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What ends a line and a body.
+/// The end of a line, and of a body.
 const LINE_END: &[u8] = b"\r\n";
 
 /// How a host answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Manner {
-    /// As it should.
+    /// Serves normally.
     Serve,
-    /// With that word in place of `data`: `absent`, `full`, `failed` or `moot`.
+    /// Answers with this word in place of `data`: `absent`, `full`, `failed` or `moot`.
     Say(&'static str),
-    /// Says of a copy that the client holds that it is unchanged, and names that tag; an empty one names none.
+    /// Answers that the copy that the client holds is unchanged, with this version tag; without one if it is empty.
     Unchanged(&'static str),
-    /// Serves after so many milliseconds.
+    /// Serves after this delay in milliseconds.
     Late(u64),
-    /// Takes requests and says nothing.
+    /// Accepts requests and liveness checks, and never answers.
     Silent,
-    /// Ends the connection once a request has come.
+    /// Closes the connection when it has received a request.
     Break,
-    /// Ends the connection in the middle of an answer.
+    /// Closes the connection in the middle of an answer.
     BreakInAnswer,
-    /// Serves once on each connection and ends it when the next request comes, unread.
+    /// Serves one request on each connection, and closes it on the next one without recording or answering that one.
     Once,
-    /// Answers what nobody can read.
+    /// Answers with a line that doesn't follow the protocol.
     Garble,
-    /// Serves with an answer to somebody else ahead and its own once more behind.
+    /// Sends an answer to another request before its own one, which it sends twice.
     Extra,
 }
 
-/// A line that came in.
+/// A received line.
 struct ReceivedLine {
     at: Instant,
     line: String,
-    /// What followed it.
+    /// The body that followed it.
     body: Vec<u8>,
 }
 
@@ -51,7 +51,7 @@
 
 #[derive(Default)]
 struct State {
-    /// Objects that are cached.
+    /// The cached objects.
     cached: HashSet<String>,
     received: Vec<ReceivedLine>,
     connections: Vec<TcpStream>,
@@ -62,9 +62,9 @@
 /// One host on loopback.
 #[derive(Clone)]
 pub struct Host {
-    /// Its id in the list.
+    /// Its id in the endpoint list.
     pub id: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
@@ -90,7 +90,7 @@
                     return;
                 }
                 spawn(move || {
-                    // Whoever ends the connection has what he wants.
+                    // An error only means that the other side has closed the connection.
                     let _ = host.serve(stream);
                 });
             }
@@ -100,18 +100,20 @@
 
     #[allow(
         clippy::expect_used,
-        reason = "a connection that panicked has spoiled the test"
+        reason = "a test in which a connection has panicked must fail"
     )]
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state
+            .lock()
+            .expect("a thread panicked while it held the state")
     }
 
-    /// Changes how it answers.
+    /// Sets how it answers.
     pub fn set(&self, manner: Manner) {
         self.lock().manner = Some(manner);
     }
 
-    /// The lines that start with that word, in their order.
+    /// Returns the received lines that start with a word, in order, each with its body.
     pub fn heard(&self, word: &str) -> Vec<(String, Vec<u8>)> {
         let state = self.lock();
         let lines = state.received.iter().filter(|line| line.starts_with(word));
@@ -120,7 +122,7 @@
             .collect()
     }
 
-    /// The same lines with when they came.
+    /// Returns the received lines that start with a word, in order, each with its time of arrival.
     pub fn arrivals(&self, word: &str) -> Vec<(Instant, String)> {
         let state = self.lock();
         let lines = state.received.iter().filter(|line| line.starts_with(word));
@@ -129,13 +131,13 @@
             .collect()
     }
 
-    /// Dies: its connections are reset, new ones are refused.
+    /// Kills the host: closes its connections and its listener, so that new connections are refused.
     pub fn kill(&self) {
         self.lock().down = true;
-        // A last connection lets the listener end.
+        // Each connect wakes the accepting thread, which closes the listener once it sees `down`.
         while TcpStream::connect(self.address).is_ok() {}
         for stream in self.lock().connections.drain(..) {
-            // It may have ended already.
+            // The connection may be closed already.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
@@ -168,8 +170,8 @@
             });
             match words[..] {
                 ["want", id, fields, _] => {
-                    let goes_on = self.answer(&mut output, id, fields, &body)?;
-                    if !goes_on {
+                    let keep_open = self.answer(&mut output, id, fields, &body)?;
+                    if !keep_open {
                         return output.shutdown(Shutdown::Both);
                     }
                 }
@@ -181,12 +183,13 @@
         }
     }
 
+    /// Answers a request as its behavior says, and returns whether the connection stays open.
     fn answer(
         &self,
         output: &mut TcpStream,
         id: &str,
         fields: &str,
-        sent: &[u8],
+        request_body: &[u8],
     ) -> io::Result<bool> {
         let field = |name: &str| {
             fields
@@ -197,48 +200,52 @@
         let value = |name: &str| field(name).map_or("", |(_, value)| value);
         let object = format!("{}.{}", value("key"), value("part"));
         let manner = self.lock().manner.unwrap_or(Manner::Serve);
-        let body = if sent.is_empty() {
+        let body = if request_body.is_empty() {
             body_of(&object)
         } else {
-            sent.to_vec()
+            request_body.to_vec()
         };
-        let held = !self.lock().cached.insert(object.clone()) || value("fetch").is_empty();
-        let unix = SystemTime::now()
+        let is_hit = !self.lock().cached.insert(object.clone()) || value("fetch").is_empty();
+        let unix_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_millis();
-        let note = if held {
+        let source = if is_hit {
             "how=hit"
         } else {
             "how=filled,took=1.5"
         };
-        let told = format!(
-            "version=v{},stamp={unix},{note},stats=outstanding:1;x0:0.5;x1:0.1",
+        let answer_fields = format!(
+            "version=v{},stamp={unix_ms},{source},stats=outstanding:1;x0:0.5;x1:0.1",
             value("key")
         );
-        let mut say = |word: &str, told: &str, body: &[u8], id: &str| {
-            let head = format!("{id} {word} {told} {}\r\n", body.len());
+        let mut send = |word: &str, fields: &str, body: &[u8], id: &str| {
+            let head = format!("{id} {word} {fields} {}\r\n", body.len());
             output.write_all(&[head.as_bytes(), body, LINE_END].concat())
         };
         match manner {
-            Manner::Serve | Manner::Once => say("data", &told, &body, id)?,
-            Manner::Unchanged(_) if value("holds").is_empty() => say("data", &told, &body, id)?,
-            Manner::Unchanged("") => say("unchanged", note, &[], id)?,
-            Manner::Unchanged(tag) => say("unchanged", &format!("version={tag},{note}"), &[], id)?,
-            Manner::Say(word) => say(word, "-", &[], id)?,
+            Manner::Serve | Manner::Once => send("data", &answer_fields, &body, id)?,
+            Manner::Unchanged(_) if value("holds").is_empty() => {
+                send("data", &answer_fields, &body, id)?
+            }
+            Manner::Unchanged("") => send("unchanged", source, &[], id)?,
+            Manner::Unchanged(tag) => {
+                send("unchanged", &format!("version={tag},{source}"), &[], id)?
+            }
+            Manner::Say(word) => send(word, "-", &[], id)?,
             Manner::Late(ms) => {
                 std::thread::sleep(Duration::from_millis(ms));
-                say("data", &told, &body, id)?;
+                send("data", &answer_fields, &body, id)?;
             }
             Manner::Extra => {
-                say("data", &told, &body, "0123456789abcdef")?;
-                say("data", &told, &body, id)?;
-                say("data", &told, &body, id)?;
+                send("data", &answer_fields, &body, "0123456789abcdef")?;
+                send("data", &answer_fields, &body, id)?;
+                send("data", &answer_fields, &body, id)?;
             }
             Manner::Silent => {}
             Manner::Break => return Ok(false),
             Manner::BreakInAnswer => {
-                output.write_all(format!("{id} data {told} 1000\r\nhalf").as_bytes())?;
+                output.write_all(format!("{id} data {answer_fields} 1000\r\nhalf").as_bytes())?;
                 return Ok(false);
             }
             Manner::Garble => output.write_all(b"\xff\xfe what is this\r\n")?,
@@ -247,7 +254,7 @@
     }
 }
 
-/// The body that follows a request's line, whose last word is its length.
+/// Reads the body that follows a request's line; the last word of that line is the body's length.
 fn read_body(input: &mut impl Read, length: Option<&str>) -> io::Result<Vec<u8>> {
     let length = length.and_then(|length| length.parse().ok()).unwrap_or(0);
     let mut body = vec![0; length + LINE_END.len()];
@@ -256,7 +263,7 @@
     Ok(body)
 }
 
-/// What an object holds, the same at every host.
+/// Returns the body of an object, which is the same at every host.
 pub fn body_of(object: &str) -> Vec<u8> {
     format!("the bytes of {object}. ").repeat(40).into_bytes()
 }
--- a/examples/toy/src/lib.rs
+++ b/examples/toy/src/lib.rs
@@ -1,5 +1,5 @@
-//! A toy world round one dispatcher, written from the protocol's page: hosts that answer as they are told to, a
-//! coordinator and a client. The example program and the integration tests share it.
+//! Stand-ins for the peers of one dispatcher, written from the protocol's documentation: hosts whose answers
+//! can be configured, a coordinator and a client. The example program and the integration tests use them.
 
 mod client;
 mod coordinator;
