--- a/crates/flaxdeck-dispatcher/tests/coordinator_events.rs
+++ b/crates/flaxdeck-dispatcher/tests/coordinator_events.rs
@@ -39,7 +39,7 @@
     wait_for("a drain told while nobody was connected", || {
         world.receives_nothing(&draining)
     });
-    world.coordinator.lose_one();
+    world.coordinator.skip_number();
     world.coordinator.change(&draining, 0, 0, 0);
     wait_for("its end, told after a gap", || {
         !world.receives_nothing(&draining)
--- a/examples/toy/src/coordinator.rs
+++ b/examples/toy/src/coordinator.rs
@@ -163,7 +163,7 @@
     }
 
     /// Skips an event number, as if that event had been lost.
-    pub fn lose_one(&mut self) {
+    pub fn skip_number(&mut self) {
         self.next += 1;
     }
 
