--- a/crates/flaxdeck-dispatcher/tests/mass_restart.rs
+++ b/crates/flaxdeck-dispatcher/tests/mass_restart.rs
@@ -142,7 +142,7 @@
         dispatcher.kill();
     }
     // What they miss meanwhile they only hear from the coordinator.
-    coordinator.answers_few(CALLS_AT_ONCE, CALL_TAKES);
+    coordinator.limit_calls(CALLS_AT_ONCE, CALL_TAKES);
     coordinator.change(&caches[0], 1, 0, 0);
     let started = Instant::now();
     for dispatcher in &mut dispatchers {
--- a/examples/toy/src/coordinator.rs
+++ b/examples/toy/src/coordinator.rs
@@ -144,7 +144,7 @@
 
     /// Limits the calls from now on: at most `concurrent` are admitted at once, each after `duration`; others are
     /// closed.
-    pub fn answers_few(&self, concurrent: u32, duration: Duration) {
+    pub fn limit_calls(&self, concurrent: u32, duration: Duration) {
         self.shared.lock().call_limit = Some(CallLimit {
             concurrent,
             duration,
