--- a/crates/flaxdeck-dispatcher/tests/departures.rs
+++ b/crates/flaxdeck-dispatcher/tests/departures.rs
@@ -72,7 +72,7 @@
         } = self;
         match way {
             Leaving::Close | Leaving::Reset => return None,
-            Leaving::HalfClose => client.shut().unwrap(),
+            Leaving::HalfClose => client.shutdown_write().unwrap(),
             Leaving::Cancel => client.cancel(call).unwrap(),
         }
         Some(client)
--- a/crates/flaxdeck-dispatcher/tests/endings.rs
+++ b/crates/flaxdeck-dispatcher/tests/endings.rs
@@ -276,7 +276,7 @@
         client.request("page", KEY, 2400, b"").unwrap();
         wait_for("sent on", || !world.caches[0].heard("want").is_empty());
         if !resets {
-            client.shut().unwrap();
+            client.shutdown_write().unwrap();
             assert!(client.ended());
         }
         drop(client);
--- a/crates/flaxdeck-dispatcher/tests/fleet/mod.rs
+++ b/crates/flaxdeck-dispatcher/tests/fleet/mod.rs
@@ -155,7 +155,7 @@
                     break;
                 }
             }
-            let _ = client.shut(); // it may have ended already
+            let _ = client.shutdown_write(); // it may have ended already
             let _ = hears.join();
         }
     })
--- a/examples/toy/src/client.rs
+++ b/examples/toy/src/client.rs
@@ -236,7 +236,7 @@
     /// # Errors
     ///
     /// If the connection is closed already.
-    pub fn shut(&self) -> io::Result<()> {
+    pub fn shutdown_write(&self) -> io::Result<()> {
         self.stream.shutdown(Shutdown::Write)
     }
 
