--- a/crates/flaxdeck-dispatcher/tests/client_connections.rs
+++ b/crates/flaxdeck-dispatcher/tests/client_connections.rs
@@ -171,7 +171,7 @@
     // come all the time, there is something to be read at the moment when something begins to wait.
     let tell = |mut client: Client| {
         thread::spawn(move || {
-            let mut reads = client.again().unwrap();
+            let mut reads = client.try_clone().unwrap();
             let writes = thread::spawn(move || {
                 (0..250)
                     .filter(|_| client.request("submit", KEY, 2900, &[7; 40_000]).is_ok())
--- a/crates/flaxdeck-dispatcher/tests/endings.rs
+++ b/crates/flaxdeck-dispatcher/tests/endings.rs
@@ -91,7 +91,7 @@
     });
     let mut client = narrow(world.address);
     unread_answers(&world, &mut client, 20);
-    let mut says = client.again().unwrap();
+    let mut says = client.try_clone().unwrap();
     let says = thread::spawn(move || while says.send(&NOTHING.repeat(500)).is_ok() {});
     world.terminate();
     takes_them_all(&mut client, 20);
@@ -175,7 +175,7 @@
     let (mut client, n) = attempt_in_flight(&world, 0);
     // More than its connection takes, so that answers wait in the process, and refusals behind them.
     let writes = 700;
-    let mut writer = client.again().unwrap();
+    let mut writer = client.try_clone().unwrap();
     let written = thread::spawn(move || {
         for _ in 0..writes {
             let _ = writer.request("submit", KEY, 2400, &[7; 40_000]); // it may be refused meanwhile
--- a/crates/flaxdeck-dispatcher/tests/fleet/mod.rs
+++ b/crates/flaxdeck-dispatcher/tests/fleet/mod.rs
@@ -128,7 +128,7 @@
                 due = Instant::now();
                 continue;
             };
-            let (mut hears, served) = (client.again().unwrap(), served.clone());
+            let (mut hears, served) = (client.try_clone().unwrap(), served.clone());
             let hears = thread::spawn(move || {
                 while let Ok(answer) = hears.answer() {
                     let is_served = matches!(answer, Answer::Served { .. });
--- a/examples/toy/src/client.rs
+++ b/examples/toy/src/client.rs
@@ -117,7 +117,7 @@
     /// # Errors
     ///
     /// If the system has no free file descriptors.
-    pub fn again(&self) -> io::Result<Client> {
+    pub fn try_clone(&self) -> io::Result<Client> {
         Ok(Client {
             stream: self.stream.try_clone()?,
             next: self.next,
