--- a/crates/flaxdeck-dispatcher/tests/coordinator_events.rs
+++ b/crates/flaxdeck-dispatcher/tests/coordinator_events.rs
@@ -34,7 +34,7 @@
     let mut world = World::start(2);
     let draining = world.caches[0].clone();
     assert!(!world.receives_nothing(&draining));
-    world.coordinator.hang_up();
+    world.coordinator.close_connections();
     world.coordinator.change(&draining, 1, 0, 0);
     wait_for("a drain told while nobody was connected", || {
         world.receives_nothing(&draining)
--- a/examples/toy/src/coordinator.rs
+++ b/examples/toy/src/coordinator.rs
@@ -129,14 +129,14 @@
     }
 
     /// Closes all open connections.
-    pub fn hang_up(&self) {
+    pub fn close_connections(&self) {
         self.shared.lock().closed += 1;
         self.shared.changed.notify_all();
     }
 
     /// Shuts down: closes all connections and the listener.
     pub fn end(self) {
-        self.hang_up();
+        self.close_connections();
         self.shared.lock().ended = true;
         // Each connect wakes the accepting thread, which closes the listener once it sees `ended`.
         while TcpStream::connect(self.address).is_ok() {}
