--- a/crates/flaxdeck-dispatcher/tests/coordinator_events.rs
+++ b/crates/flaxdeck-dispatcher/tests/coordinator_events.rs
@@ -53,7 +53,7 @@
     let draining = world.caches[0].clone();
     world.coordinator.change(&draining, 0, 0, 0); // its last word
     thread::sleep(Duration::from_millis(100));
-    world.coordinator.stop();
+    world.coordinator.go_silent();
     let stopped = Instant::now();
     world.coordinator.change(&draining, 1, 0, 0);
     assert!(!world.receives_nothing(&draining));
--- a/examples/toy/src/coordinator.rs
+++ b/examples/toy/src/coordinator.rs
@@ -152,7 +152,7 @@
     }
 
     /// Sends nothing more on the connections that are open now, but keeps them open.
-    pub fn stop(&self) {
+    pub fn go_silent(&self) {
         self.shared.lock().silenced += 1;
     }
 
