--- a/crates/flaxdeck-dispatcher/tests/coordinator_events.rs
+++ b/crates/flaxdeck-dispatcher/tests/coordinator_events.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use flaxdeck_toy::{Coordinator, Manner};
+use flaxdeck_toy::{Coordinator, HostBehavior};
 use serde_json::Value;
 use world::{KEY, World, key, served, unused_address, wait_for};
 
@@ -74,7 +74,7 @@
     assert!(!world.receives_nothing(&draining));
     world.coordinator.change(&draining, 1, 0, 0);
     wait_for("event 2 is heeded", || world.receives_nothing(&draining));
-    world.caches[1].set(Manner::Late(600));
+    world.caches[1].set(HostBehavior::Late(600));
     let mut client = world.client();
     client.request("page", KEY, 2400, b"").unwrap();
     let mut config: Value = serde_json::from_str(&world.config).unwrap();
--- a/crates/flaxdeck-dispatcher/tests/departures.rs
+++ b/crates/flaxdeck-dispatcher/tests/departures.rs
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::Duration;
 
-use flaxdeck_toy::{Answer, Client, Manner};
+use flaxdeck_toy::{Answer, Client, HostBehavior};
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
 use world::{
@@ -171,7 +171,7 @@
 #[test]
 fn no_attempt_follows_a_rejected_one_whose_client_has_left() {
     let world = World::start(1);
-    world.origin.set(Manner::Say("full"));
+    world.origin.set(HostBehavior::Say("full"));
     let (leavers, stays) = (
         leavers(&world, "submit"),
         Leaver::asks(Leaving::Close, world.client(), "submit", 1),
@@ -191,7 +191,7 @@
 fn no_hedged_request_is_sent_for_a_client_that_has_left() {
     let world = World::with(2, silence_is_long);
     for cache in &world.caches {
-        cache.set(Manner::Silent);
+        cache.set(HostBehavior::Silent);
     }
     let (leavers, stays) = (
         leavers(&world, "page"),
@@ -244,7 +244,7 @@
     const UNREAD: usize = 20;
     let world = World::with(2, silence_is_long);
     for cache in &world.caches {
-        cache.set(Manner::Silent);
+        cache.set(HostBehavior::Silent);
     }
     let crowd = EVERY_WAY.into_iter().enumerate().map(|(at, way)| {
         let mut client = connect(world.address, way, true);
@@ -281,7 +281,7 @@
         config["limits"]["memory_mb"] = 0.7.into();
     });
     for host in world.hosts() {
-        host.set(Manner::Silent);
+        host.set(HostBehavior::Silent);
     }
     let mut fills = world.client();
     fills.request("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of 48,000 that there are
@@ -352,13 +352,13 @@
     const TRIES: usize = 20;
     let world = World::with(1, |config| config["limits"]["memory_mb"] = 0.7.into());
     for n in 1..=TRIES {
-        world.origin.set(Manner::Silent);
+        world.origin.set(HostBehavior::Silent);
         let mut fills = world.client();
         let call = fills
             .request("submit", &key(n as u32), 2400, &[7; 40_000])
             .unwrap();
         wait_for("memory is full", || attempts(&world, &key(n as u32)) > 0);
-        world.origin.set(Manner::Serve);
+        world.origin.set(HostBehavior::Serve);
         let stalls = Stalls::watch(&world);
         let mut waits = world.client();
         waits.request("submit", KEY, 2400, &[7; 40_000]).unwrap();
--- a/crates/flaxdeck-dispatcher/tests/descriptors.rs
+++ b/crates/flaxdeck-dispatcher/tests/descriptors.rs
@@ -15,7 +15,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use flaxdeck_toy::{Answer, Client, Coordinator, Manner};
+use flaxdeck_toy::{Answer, Client, Coordinator, HostBehavior};
 use socket2::{Domain, Socket, Type};
 use world::{Stalls, World, key, served, wait_for};
 
@@ -73,7 +73,7 @@
 /// it rests and may be closed to make room.
 fn busy(world: &World, over: &Arc<AtomicBool>) -> JoinHandle<usize> {
     for cache in &world.caches {
-        cache.set(Manner::Late(200));
+        cache.set(HostBehavior::Late(200));
     }
     let (address, over) = (world.address, over.clone());
     thread::spawn(move || {
--- a/crates/flaxdeck-dispatcher/tests/endings.rs
+++ b/crates/flaxdeck-dispatcher/tests/endings.rs
@@ -15,7 +15,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use flaxdeck_toy::{Answer, Client, Manner, request_message};
+use flaxdeck_toy::{Answer, Client, HostBehavior, request_message};
 use socket2::{Domain, Socket, Type};
 use world::{
     KEY, MAX_CANCEL_DELAY, Stalls, World, attempt_in_flight, cache_with_full_backlog, key,
@@ -143,7 +143,7 @@
 #[test]
 fn signals_that_come_together_shut_the_process_down_once() {
     let mut world = World::start(1);
-    world.caches[0].set(Manner::Late(500));
+    world.caches[0].set(HostBehavior::Late(500));
     let mut client = world.client();
     client.request("page", KEY, 2400, b"").unwrap();
     wait_for("sent on", || !world.caches[0].heard("want").is_empty());
@@ -159,7 +159,7 @@
 fn a_shutdown_without_the_coordinator_answers_open_requests() {
     let (_held, gone) = unused_address();
     let mut world = World::with(1, |config| config["coordinator"] = gone.to_string().into());
-    world.caches[0].set(Manner::Late(500));
+    world.caches[0].set(HostBehavior::Late(500));
     let mut client = world.client();
     client.request("page", KEY, 2400, b"").unwrap();
     wait_for("sent on", || !world.caches[0].heard("want").is_empty());
@@ -206,7 +206,7 @@
     let (world, cache_host, _) =
         cache_with_full_backlog(|config| config["limits"]["memory_mb"] = 0.7.into());
     let (mut client, n) = attempt_in_flight(&world, 0);
-    world.origin.set(Manner::Silent);
+    world.origin.set(HostBehavior::Silent);
     let mut fills = world.client();
     fills.request("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of 48,000 that there are
     wait_for("it is at the origin", || {
@@ -266,7 +266,7 @@
 fn a_client_that_half_closes_or_resets_has_its_requests_cancelled() {
     for resets in [false, true] {
         let world = World::start(1);
-        world.caches[0].set(Manner::Silent);
+        world.caches[0].set(HostBehavior::Silent);
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         if resets {
             socket.set_linger(Some(Duration::ZERO)).unwrap();
@@ -284,7 +284,7 @@
         wait_for("given up", || {
             !world.caches[0].heard("never_mind").is_empty()
         });
-        world.caches[0].set(Manner::Serve);
+        world.caches[0].set(HostBehavior::Serve);
         assert!(
             served(&world.request("page", &key(1), 2000, b""), &key(1)),
             "others notice nothing"
--- a/crates/flaxdeck-dispatcher/tests/hosts.rs
+++ b/crates/flaxdeck-dispatcher/tests/hosts.rs
@@ -10,16 +10,16 @@
 
 use std::time::Duration;
 
-use flaxdeck_toy::{Answer, Manner, request_message};
+use flaxdeck_toy::{Answer, HostBehavior, request_message};
 use world::{KEY, World, key, request_all, served, wait_for};
 
 #[test]
 fn requests_are_served_elsewhere_when_a_host_dies_or_fails() {
     for manner in [
         None,
-        Some(Manner::Say("failed")),
-        Some(Manner::Break),
-        Some(Manner::Garble),
+        Some(HostBehavior::Say("failed")),
+        Some(HostBehavior::Break),
+        Some(HostBehavior::Garble),
     ] {
         let world = World::start(2);
         for n in 0..8 {
@@ -39,7 +39,7 @@
 #[test]
 fn a_silent_host_delays_no_request_of_another_host() {
     let world = World::start(2);
-    world.caches[0].set(Manner::Silent);
+    world.caches[0].set(HostBehavior::Silent);
     let mut client = world.client();
     let answers = request_all(&mut client, 16, 2400);
     let silent: Vec<String> = world.caches[0]
@@ -64,7 +64,7 @@
     let world = World::with(2, |config| {
         config["settings"]["allowed"]["may_duplicate"] = false.into()
     });
-    world.caches[0].set(Manner::Silent);
+    world.caches[0].set(HostBehavior::Silent);
     let mut client = world.client();
     let answers = request_all(&mut client, 16, 2400);
     for n in 0..16 {
@@ -83,7 +83,7 @@
 fn a_response_behind_a_stray_one_is_still_used() {
     let world = World::start(1);
     for host in world.hosts() {
-        host.set(Manner::Extra);
+        host.set(HostBehavior::Extra);
     }
     for n in 0..6 {
         assert!(served(&world.request("page", &key(n), 900, b""), &key(n)));
@@ -98,7 +98,7 @@
 fn connections_that_die_while_idle_fail_no_write_and_move_no_object() {
     let world = World::start(2);
     for host in world.hosts() {
-        host.set(Manner::Once);
+        host.set(HostBehavior::Once);
     }
     for _ in 0..8 {
         assert!(matches!(
@@ -121,7 +121,7 @@
 fn with_few_descriptors_for_hosts_every_request_still_gets_its_answer() {
     let world = World::with(1, |config| config["limits"]["sockets"] = 42.into()); // 4 for hosts
     for host in world.hosts() {
-        host.set(Manner::Late(50));
+        host.set(HostBehavior::Late(50));
     }
     let mut client = world.client();
     let answers = request_all(&mut client, 24, 1500);
@@ -135,7 +135,7 @@
 #[test]
 fn a_cancelled_request_gets_no_answer_and_its_late_response_is_dropped() {
     let world = World::start(1);
-    world.caches[0].set(Manner::Late(400));
+    world.caches[0].set(HostBehavior::Late(400));
     let mut client = world.client();
     let call = client.request("page", KEY, 2400, b"").unwrap();
     wait_for("handed off", || !world.caches[0].heard("want").is_empty());
@@ -144,7 +144,7 @@
         !world.caches[0].heard("never_mind").is_empty()
     });
     assert!(client.quiet_for(Duration::from_millis(600)));
-    world.caches[0].set(Manner::Serve);
+    world.caches[0].set(HostBehavior::Serve);
     for n in 0..4 {
         client.request("page", &key(n), 2000, b"").unwrap();
         assert!(served(&client.answer().unwrap(), &key(n)));
@@ -173,7 +173,7 @@
 #[test]
 fn a_client_that_closes_has_its_requests_cancelled() {
     let world = World::start(1);
-    world.caches[0].set(Manner::Silent);
+    world.caches[0].set(HostBehavior::Silent);
     let mut client = world.client();
     client.request("page", KEY, 2400, b"").unwrap();
     wait_for("handed off", || !world.caches[0].heard("want").is_empty());
--- a/crates/flaxdeck-dispatcher/tests/limits_and_log.rs
+++ b/crates/flaxdeck-dispatcher/tests/limits_and_log.rs
@@ -16,7 +16,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use flaxdeck_toy::{Answer, Client, Manner};
+use flaxdeck_toy::{Answer, Client, HostBehavior};
 use serde_json::Value;
 use world::{CONFIG, KEY, World, command, key, listening, read_request, request_all, served};
 
@@ -25,7 +25,7 @@
 fn requests_of_small_objects_fit_where_large_ones_would_not() {
     let world = World::with(1, |config| config["limits"]["memory_mb"] = 5.into());
     for host in world.hosts() {
-        host.set(Manner::Late(300));
+        host.set(HostBehavior::Late(300));
     }
     let mut client = world.client();
     let answers = request_all(&mut client, 30, 2400);
@@ -36,7 +36,7 @@
 fn requests_beyond_the_memory_limit_are_rejected() {
     let world = World::with(1, |config| config["limits"]["memory_mb"] = 0.5.into());
     for host in world.hosts() {
-        host.set(Manner::Late(300));
+        host.set(HostBehavior::Late(300));
     }
     let mut client = world.client();
     let answers = request_all(&mut client, 20, 2400);
--- a/crates/flaxdeck-dispatcher/tests/requests.rs
+++ b/crates/flaxdeck-dispatcher/tests/requests.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use flaxdeck_toy::{Answer, Client, Manner, request_message};
+use flaxdeck_toy::{Answer, Client, HostBehavior, request_message};
 use world::{KEY, World, error_text, key, served, wait_for};
 
 #[test]
@@ -66,7 +66,7 @@
 #[test]
 fn a_client_whose_copy_is_current_gets_no_bytes() {
     let world = World::start(1);
-    world.caches[0].set(Manner::Unchanged("4be0c1927d55a6f3"));
+    world.caches[0].set(HostBehavior::Unchanged("4be0c1927d55a6f3"));
     let fields = [
         ("id", "9b1f03aa5c7e2d41"),
         ("wait", "2500"),
@@ -99,7 +99,7 @@
     for named in ["4be0c1927d55a6f4", "", "%%", "4be0c1927d55a6f3x"] {
         let world = World::start(1);
         for cache in &world.caches {
-            cache.set(Manner::Unchanged(named));
+            cache.set(HostBehavior::Unchanged(named));
         }
         let fields = [
             ("id", "9b1f03aa5c7e2d41"),
@@ -129,14 +129,14 @@
 #[test]
 fn an_at_most_once_request_is_retried_or_rejected_only_if_nothing_ran() {
     let rows = [
-        (Manner::Say("full"), true),
-        (Manner::Say("absent"), true),
-        (Manner::Say("moot"), true),
-        (Manner::Say("failed"), false),
-        (Manner::Break, false),
-        (Manner::BreakInAnswer, false),
-        (Manner::Garble, false),
-        (Manner::Silent, false),
+        (HostBehavior::Say("full"), true),
+        (HostBehavior::Say("absent"), true),
+        (HostBehavior::Say("moot"), true),
+        (HostBehavior::Say("failed"), false),
+        (HostBehavior::Break, false),
+        (HostBehavior::BreakInAnswer, false),
+        (HostBehavior::Garble, false),
+        (HostBehavior::Silent, false),
     ];
     for (manner, again) in rows {
         let world = World::start(1);
@@ -170,7 +170,7 @@
 #[test]
 fn a_request_under_the_id_of_an_open_one_reaches_no_host() {
     let world = World::start(1);
-    world.origin.set(Manner::Late(300));
+    world.origin.set(HostBehavior::Late(300));
     let fields = |key| {
         [
             ("id", "9b1f03aa5c7e2d41"),
@@ -233,16 +233,16 @@
 fn whatever_hosts_do_each_request_gets_one_answer_in_time_and_no_write_runs_twice() {
     let world = World::start(2);
     let manners = [
-        Manner::Serve,
-        Manner::Late(30),
-        Manner::Say("full"),
-        Manner::Say("failed"),
-        Manner::Say("absent"),
-        Manner::Say("moot"),
-        Manner::Break,
-        Manner::BreakInAnswer,
-        Manner::Silent,
-        Manner::Garble,
+        HostBehavior::Serve,
+        HostBehavior::Late(30),
+        HostBehavior::Say("full"),
+        HostBehavior::Say("failed"),
+        HostBehavior::Say("absent"),
+        HostBehavior::Say("moot"),
+        HostBehavior::Break,
+        HostBehavior::BreakInAnswer,
+        HostBehavior::Silent,
+        HostBehavior::Garble,
     ];
     for round in 0..20usize {
         let manner = |at: usize| manners[(round * 7 + at * 3 + round / 10) % manners.len()];
@@ -265,7 +265,7 @@
             .iter()
             .filter(|(line, _)| line.contains(&write))
             .count();
-        let proof = matches!(manner(3), Manner::Say("full" | "absent" | "moot"));
+        let proof = matches!(manner(3), HostBehavior::Say("full" | "absent" | "moot"));
         assert!(
             proof || runs <= 1,
             "round {round}: sent {runs} times to an origin that may have run it"
@@ -282,7 +282,7 @@
         class["key_scope"] = "all".into();
         class["memory_span_ms"] = 2500.into();
     });
-    world.origin.set(Manner::Say("full"));
+    world.origin.set(HostBehavior::Say("full"));
     let mark = "6ba245bd25e372d4b65f22998597a9da";
     let fields = [
         ("id", "9b1f03aa5c7e2d41"),
@@ -296,7 +296,7 @@
         .send(&request_message(1, "submit", &fields, b"a form"))
         .unwrap();
     wait_for("attempts", || world.origin.heard("want").len() > 1);
-    world.origin.set(Manner::Serve);
+    world.origin.set(HostBehavior::Serve);
     assert!(matches!(client.answer().unwrap(), Answer::Served { body, .. } if body == b"a form"));
     let heard = world.origin.heard("want");
     assert!(
--- a/crates/flaxdeck-dispatcher/tests/shutdown.rs
+++ b/crates/flaxdeck-dispatcher/tests/shutdown.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use flaxdeck_toy::{Client, Manner};
+use flaxdeck_toy::{Client, HostBehavior};
 use world::{KEY, World, error_text, key, served, wait_for};
 
 #[test]
@@ -34,7 +34,7 @@
 #[test]
 fn sigterm_leaves_no_request_unanswered() {
     let mut world = World::start(1);
-    world.caches[0].set(Manner::Late(600));
+    world.caches[0].set(HostBehavior::Late(600));
     let mut early = world.client();
     early.request("page", KEY, 2400, b"").unwrap();
     wait_for("handed off", || !world.caches[0].heard("want").is_empty());
@@ -51,7 +51,7 @@
 fn sigterm_shortens_deadlines_that_would_outlast_the_process() {
     let mut world = World::start(1);
     for host in world.hosts() {
-        host.set(Manner::Silent);
+        host.set(HostBehavior::Silent);
     }
     let mut client = world.client();
     client.request("clip", KEY, 30_000, b"").unwrap();
@@ -75,7 +75,7 @@
         }
     });
     for host in world.hosts() {
-        host.set(Manner::Silent);
+        host.set(HostBehavior::Silent);
     }
     let mut client = world.client();
     client.request("clip", KEY, 30_000, b"").unwrap();
@@ -96,7 +96,7 @@
     let mut world = World::with(1, |config| {
         config["settings"]["allowed"]["cancel"] = false.into()
     });
-    world.caches[0].set(Manner::Silent);
+    world.caches[0].set(HostBehavior::Silent);
     let mut client = world.client();
     let call = client.request("clip", KEY, 30_000, b"").unwrap();
     wait_for("handed off", || !world.caches[0].heard("want").is_empty());
--- a/examples/toy/src/host.rs
+++ b/examples/toy/src/host.rs
@@ -12,7 +12,7 @@
 
 /// How a host answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
+pub enum HostBehavior {
     /// Serves normally.
     Serve,
     /// Answers with this word in place of `data`: `absent`, `full`, `failed` or `moot`.
@@ -55,7 +55,7 @@
     cached: HashSet<String>,
     received: Vec<ReceivedLine>,
     connections: Vec<TcpStream>,
-    manner: Option<Manner>,
+    manner: Option<HostBehavior>,
     down: bool,
 }
 
@@ -109,7 +109,7 @@
     }
 
     /// Sets how it answers.
-    pub fn set(&self, manner: Manner) {
+    pub fn set(&self, manner: HostBehavior) {
         self.lock().manner = Some(manner);
     }
 
@@ -160,7 +160,7 @@
                 requests += 1;
                 body = read_body(&mut input, words.last().copied())?;
             }
-            if requests > 1 && self.lock().manner == Some(Manner::Once) {
+            if requests > 1 && self.lock().manner == Some(HostBehavior::Once) {
                 return output.shutdown(Shutdown::Both);
             }
             self.lock().received.push(ReceivedLine {
@@ -175,7 +175,7 @@
                         return output.shutdown(Shutdown::Both);
                     }
                 }
-                ["there", tag] if self.lock().manner != Some(Manner::Silent) => {
+                ["there", tag] if self.lock().manner != Some(HostBehavior::Silent) => {
                     output.write_all(format!("{tag} well - 0\r\n\r\n").as_bytes())?;
                 }
                 _ => {}
@@ -199,7 +199,7 @@
         };
         let value = |name: &str| field(name).map_or("", |(_, value)| value);
         let object = format!("{}.{}", value("key"), value("part"));
-        let manner = self.lock().manner.unwrap_or(Manner::Serve);
+        let manner = self.lock().manner.unwrap_or(HostBehavior::Serve);
         let body = if request_body.is_empty() {
             body_of(&object)
         } else {
@@ -224,31 +224,31 @@
             output.write_all(&[head.as_bytes(), body, LINE_END].concat())
         };
         match manner {
-            Manner::Serve | Manner::Once => send("data", &answer_fields, &body, id)?,
-            Manner::Unchanged(_) if value("holds").is_empty() => {
+            HostBehavior::Serve | HostBehavior::Once => send("data", &answer_fields, &body, id)?,
+            HostBehavior::Unchanged(_) if value("holds").is_empty() => {
                 send("data", &answer_fields, &body, id)?
             }
-            Manner::Unchanged("") => send("unchanged", source, &[], id)?,
-            Manner::Unchanged(tag) => {
+            HostBehavior::Unchanged("") => send("unchanged", source, &[], id)?,
+            HostBehavior::Unchanged(tag) => {
                 send("unchanged", &format!("version={tag},{source}"), &[], id)?
             }
-            Manner::Say(word) => send(word, "-", &[], id)?,
-            Manner::Late(ms) => {
+            HostBehavior::Say(word) => send(word, "-", &[], id)?,
+            HostBehavior::Late(ms) => {
                 std::thread::sleep(Duration::from_millis(ms));
                 send("data", &answer_fields, &body, id)?;
             }
-            Manner::Extra => {
+            HostBehavior::Extra => {
                 send("data", &answer_fields, &body, "0123456789abcdef")?;
                 send("data", &answer_fields, &body, id)?;
                 send("data", &answer_fields, &body, id)?;
             }
-            Manner::Silent => {}
-            Manner::Break => return Ok(false),
-            Manner::BreakInAnswer => {
+            HostBehavior::Silent => {}
+            HostBehavior::Break => return Ok(false),
+            HostBehavior::BreakInAnswer => {
                 output.write_all(format!("{id} data {answer_fields} 1000\r\nhalf").as_bytes())?;
                 return Ok(false);
             }
-            Manner::Garble => output.write_all(b"\xff\xfe what is this\r\n")?,
+            HostBehavior::Garble => output.write_all(b"\xff\xfe what is this\r\n")?,
         }
         Ok(true)
     }
--- a/examples/toy/src/lib.rs
+++ b/examples/toy/src/lib.rs
@@ -7,4 +7,4 @@
 
 pub use client::{Answer, Client, request_message};
 pub use coordinator::Coordinator;
-pub use host::{Host, Manner, body_of};
+pub use host::{Host, HostBehavior, body_of};
