--- a/examples/toy/src/host.rs
+++ b/examples/toy/src/host.rs
@@ -55,7 +55,7 @@
     cached: HashSet<String>,
     received: Vec<ReceivedLine>,
     connections: Vec<TcpStream>,
-    manner: Option<HostBehavior>,
+    behavior: Option<HostBehavior>,
     down: bool,
 }
 
@@ -109,8 +109,8 @@
     }
 
     /// Sets how it answers.
-    pub fn set(&self, manner: HostBehavior) {
-        self.lock().manner = Some(manner);
+    pub fn set(&self, behavior: HostBehavior) {
+        self.lock().behavior = Some(behavior);
     }
 
     /// Returns the received lines that start with a word, in order, each with its body.
@@ -160,7 +160,7 @@
                 requests += 1;
                 body = read_body(&mut input, words.last().copied())?;
             }
-            if requests > 1 && self.lock().manner == Some(HostBehavior::Once) {
+            if requests > 1 && self.lock().behavior == Some(HostBehavior::Once) {
                 return output.shutdown(Shutdown::Both);
             }
             self.lock().received.push(ReceivedLine {
@@ -175,7 +175,7 @@
                         return output.shutdown(Shutdown::Both);
                     }
                 }
-                ["there", tag] if self.lock().manner != Some(HostBehavior::Silent) => {
+                ["there", tag] if self.lock().behavior != Some(HostBehavior::Silent) => {
                     output.write_all(format!("{tag} well - 0\r\n\r\n").as_bytes())?;
                 }
                 _ => {}
@@ -199,7 +199,7 @@
         };
         let value = |name: &str| field(name).map_or("", |(_, value)| value);
         let object = format!("{}.{}", value("key"), value("part"));
-        let manner = self.lock().manner.unwrap_or(HostBehavior::Serve);
+        let behavior = self.lock().behavior.unwrap_or(HostBehavior::Serve);
         let body = if request_body.is_empty() {
             body_of(&object)
         } else {
@@ -223,7 +223,7 @@
             let head = format!("{id} {word} {fields} {}\r\n", body.len());
             output.write_all(&[head.as_bytes(), body, LINE_END].concat())
         };
-        match manner {
+        match behavior {
             HostBehavior::Serve | HostBehavior::Once => send("data", &answer_fields, &body, id)?,
             HostBehavior::Unchanged(_) if value("holds").is_empty() => {
                 send("data", &answer_fields, &body, id)?
