--- a/crates/flaxdeck-dispatcher/tests/client_connections.rs
+++ b/crates/flaxdeck-dispatcher/tests/client_connections.rs
@@ -174,7 +174,7 @@
     // more writes arrive all the time, there are unread messages at the moment when an answer begins to wait.
     let write_and_read_late = |mut client: Client| {
         thread::spawn(move || {
-            let mut reader = client.again().unwrap();
+            let mut reader = client.try_clone().unwrap();
             let writer = thread::spawn(move || {
                 (0..250)
                     .filter(|_| client.request("submit", KEY, 2900, &[7; 40_000]).is_ok())
--- a/crates/flaxdeck-dispatcher/tests/coordinator_events.rs
+++ b/crates/flaxdeck-dispatcher/tests/coordinator_events.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use flaxdeck_toy::{Coordinator, Manner};
+use flaxdeck_toy::{Coordinator, HostBehavior};
 use serde_json::Value;
 use world::{KEY, World, key, served, unused_address, wait_for};
 
@@ -36,13 +36,13 @@
     let mut world = World::start(2);
     let draining = world.caches[0].clone();
     assert!(!world.receives_nothing(&draining));
-    world.coordinator.hang_up();
+    world.coordinator.close_connections();
     world.coordinator.change(&draining, 1, 0, 0);
     wait_for(
         "a drain published without a connection takes effect",
         || world.receives_nothing(&draining),
     );
-    world.coordinator.lose_one();
+    world.coordinator.skip_number();
     world.coordinator.change(&draining, 0, 0, 0);
     wait_for(
         "the end of the drain, published after a gap, takes effect",
@@ -57,7 +57,7 @@
     let draining = world.caches[0].clone();
     world.coordinator.change(&draining, 0, 0, 0); // the last message
     thread::sleep(Duration::from_millis(100));
-    world.coordinator.stop();
+    world.coordinator.go_silent();
     let stopped = Instant::now();
     world.coordinator.change(&draining, 1, 0, 0);
     assert!(!world.receives_nothing(&draining));
@@ -78,7 +78,7 @@
     assert!(!world.receives_nothing(&draining));
     world.coordinator.change(&draining, 1, 0, 0);
     wait_for("event 2 takes effect", || world.receives_nothing(&draining));
-    world.caches[1].set(Manner::Late(600));
+    world.caches[1].set(HostBehavior::Late(600));
     let mut client = world.client();
     client.request("page", KEY, 2400, b"").unwrap();
     let mut config: Value = serde_json::from_str(&world.config).unwrap();
--- a/crates/flaxdeck-dispatcher/tests/departures.rs
+++ b/crates/flaxdeck-dispatcher/tests/departures.rs
@@ -14,7 +14,7 @@
 use std::thread;
 use std::time::Duration;
 
-use flaxdeck_toy::{Answer, Client, Manner};
+use flaxdeck_toy::{Answer, Client, HostBehavior};
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
 use world::{
@@ -73,7 +73,7 @@
         } = self;
         match departure {
             Departure::Close | Departure::Reset => return None,
-            Departure::HalfClose => client.shut().unwrap(),
+            Departure::HalfClose => client.shutdown_write().unwrap(),
             Departure::Cancel => client.cancel(call).unwrap(),
         }
         Some(client)
@@ -178,7 +178,7 @@
 #[test]
 fn no_attempt_follows_a_rejected_one_whose_client_has_left() {
     let world = World::start(1);
-    world.origin.set(Manner::Say("full"));
+    world.origin.set(HostBehavior::Say("full"));
     let (departing, remaining) = (
         departing_clients(&world, "submit"),
         Requester::request(Departure::Close, world.client(), "submit", 1),
@@ -198,7 +198,7 @@
 fn no_hedged_request_is_sent_for_a_client_that_has_left() {
     let world = World::with_config(2, set_slow_transfers);
     for cache in &world.caches {
-        cache.set(Manner::Silent);
+        cache.set(HostBehavior::Silent);
     }
     let (departing, remaining) = (
         departing_clients(&world, "page"),
@@ -258,7 +258,7 @@
     const UNREAD: usize = 20;
     let world = World::with_config(2, set_slow_transfers);
     for cache in &world.caches {
-        cache.set(Manner::Silent);
+        cache.set(HostBehavior::Silent);
     }
     let writers = ALL_DEPARTURES
         .into_iter()
@@ -298,7 +298,7 @@
         config["limits"]["memory_mb"] = 0.7.into();
     });
     for host in world.hosts() {
-        host.set(Manner::Silent);
+        host.set(HostBehavior::Silent);
     }
     let mut filler = world.client();
     filler.request("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of a memory of 48,000 bytes
@@ -373,7 +373,7 @@
     const TRIES: usize = 20;
     let world = World::with_config(1, |config| config["limits"]["memory_mb"] = 0.7.into());
     for n in 1..=TRIES {
-        world.origin.set(Manner::Silent);
+        world.origin.set(HostBehavior::Silent);
         let mut filler = world.client();
         let call = filler
             .request("submit", &key(n as u32), 2400, &[7; 40_000])
@@ -381,7 +381,7 @@
         wait_for("a write holds most of the memory", || {
             attempt_count(&world, &key(n as u32)) > 0
         });
-        world.origin.set(Manner::Serve);
+        world.origin.set(HostBehavior::Serve);
         let stalls = Stalls::start(&world);
         let mut writer = world.client();
         writer.request("submit", KEY, 2400, &[7; 40_000]).unwrap();
--- a/crates/flaxdeck-dispatcher/tests/descriptors.rs
+++ b/crates/flaxdeck-dispatcher/tests/descriptors.rs
@@ -15,7 +15,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use flaxdeck_toy::{Answer, Client, Coordinator, Manner};
+use flaxdeck_toy::{Answer, Client, Coordinator, HostBehavior};
 use socket2::{Domain, Socket, Type};
 use world::{Stalls, World, key, served, wait_for};
 
@@ -74,7 +74,7 @@
 /// served. Its connection may be closed to make room while no request is open on it.
 fn start_busy_client(world: &World, stop: &Arc<AtomicBool>) -> JoinHandle<usize> {
     for cache in &world.caches {
-        cache.set(Manner::Late(200));
+        cache.set(HostBehavior::Late(200));
     }
     let (address, stop) = (world.address, stop.clone());
     thread::spawn(move || {
--- a/crates/flaxdeck-dispatcher/tests/endings.rs
+++ b/crates/flaxdeck-dispatcher/tests/endings.rs
@@ -15,7 +15,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use flaxdeck_toy::{Answer, Client, Manner, request_message};
+use flaxdeck_toy::{Answer, Client, HostBehavior, request_message};
 use socket2::{Domain, Socket, Type};
 use world::{
     KEY, MAX_CANCEL_DELAY, Stalls, World, attempt_in_flight, cache_with_full_backlog, key,
@@ -94,7 +94,7 @@
     });
     let mut client = connect_with_small_buffer(world.address);
     write_without_reading(&world, &mut client, 20);
-    let mut sender = client.again().unwrap();
+    let mut sender = client.try_clone().unwrap();
     let sender = thread::spawn(move || while sender.send(&IGNORED_MESSAGE.repeat(500)).is_ok() {});
     world.terminate();
     read_all_answers(&mut client, 20);
@@ -147,7 +147,7 @@
 #[test]
 fn signals_that_come_together_shut_the_process_down_once() {
     let mut world = World::start(1);
-    world.caches[0].set(Manner::Late(500));
+    world.caches[0].set(HostBehavior::Late(500));
     let mut client = world.client();
     client.request("page", KEY, 2400, b"").unwrap();
     wait_for("the request is at the cache", || {
@@ -167,7 +167,7 @@
     let mut world = World::with_config(1, |config| {
         config["coordinator"] = unused.to_string().into()
     });
-    world.caches[0].set(Manner::Late(500));
+    world.caches[0].set(HostBehavior::Late(500));
     let mut client = world.client();
     client.request("page", KEY, 2400, b"").unwrap();
     wait_for("the request is at the cache", || {
@@ -185,7 +185,7 @@
     let (mut client, n) = attempt_in_flight(&world, 0);
     // More answers than the connection takes, so that some wait in the process, with rejections behind them.
     let writes = 700;
-    let mut writer = client.again().unwrap();
+    let mut writer = client.try_clone().unwrap();
     let written = thread::spawn(move || {
         for _ in 0..writes {
             let _ = writer.request("submit", KEY, 2400, &[7; 40_000]); // the connection may be closed meanwhile
@@ -219,7 +219,7 @@
     let (world, cache_host, _) =
         cache_with_full_backlog(|config| config["limits"]["memory_mb"] = 0.7.into());
     let (mut client, n) = attempt_in_flight(&world, 0);
-    world.origin.set(Manner::Silent);
+    world.origin.set(HostBehavior::Silent);
     let mut filler = world.client();
     filler.request("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of a memory of 48,000 bytes
     wait_for("the write that fills the memory is at the origin", || {
@@ -288,7 +288,7 @@
 fn a_client_that_half_closes_or_resets_has_its_requests_cancelled() {
     for resets in [false, true] {
         let world = World::start(1);
-        world.caches[0].set(Manner::Silent);
+        world.caches[0].set(HostBehavior::Silent);
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         if resets {
             socket.set_linger(Some(Duration::ZERO)).unwrap();
@@ -300,7 +300,7 @@
             !world.caches[0].heard("want").is_empty()
         });
         if !resets {
-            client.shut().unwrap();
+            client.shutdown_write().unwrap();
             assert!(client.ended());
         }
         drop(client);
@@ -308,7 +308,7 @@
         wait_for("the attempt is cancelled at the cache", || {
             !world.caches[0].heard("never_mind").is_empty()
         });
-        world.caches[0].set(Manner::Serve);
+        world.caches[0].set(HostBehavior::Serve);
         assert!(
             served(&world.request("page", &key(1), 2000, b""), &key(1)),
             "another client is not served"
--- a/crates/flaxdeck-dispatcher/tests/fleet/mod.rs
+++ b/crates/flaxdeck-dispatcher/tests/fleet/mod.rs
@@ -129,7 +129,7 @@
                 due = Instant::now();
                 continue;
             };
-            let (mut reader, served) = (client.again().unwrap(), served.clone());
+            let (mut reader, served) = (client.try_clone().unwrap(), served.clone());
             let reader = thread::spawn(move || {
                 while let Ok(answer) = reader.answer() {
                     let is_served = matches!(answer, Answer::Served { .. });
@@ -156,7 +156,7 @@
                     break;
                 }
             }
-            let _ = client.shut(); // the dispatcher may have closed the connection already
+            let _ = client.shutdown_write(); // the dispatcher may have closed the connection already
             let _ = reader.join();
         }
     })
--- a/crates/flaxdeck-dispatcher/tests/mass_restart.rs
+++ b/crates/flaxdeck-dispatcher/tests/mass_restart.rs
@@ -143,7 +143,7 @@
         dispatcher.kill();
     }
     // The dispatchers miss this event, and can get it from the coordinator only.
-    coordinator.answers_few(MAX_CONCURRENT_CALLS, CALL_DURATION);
+    coordinator.limit_calls(MAX_CONCURRENT_CALLS, CALL_DURATION);
     coordinator.change(&caches[0], 1, 0, 0);
     let started = Instant::now();
     for dispatcher in &mut dispatchers {
