--- a/crates/flaxdeck-scale/src/charts.rs
+++ b/crates/flaxdeck-scale/src/charts.rs
@@ -1,4 +1,4 @@
-//! Charts of measured points with the lines fitted to them, as SVG.
+//! Draws charts of the measured points and the lines fitted to them, as SVG.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -16,17 +16,17 @@
 use crate::fit::{NO_FAULT, fit, valid_measurements};
 use crate::measurement::{Distribution, Measurement, Metric, Role};
 
-/// Pixels of a chart, across and down.
+/// Width and height of a chart in pixels.
 const SIZE: (u32, u32) = (760, 460);
 const FONT: &str = "sans-serif";
-/// Pixels of the title's letters.
+/// Font size of the title in pixels.
 const TITLE_SIZE: i32 = 18;
-/// Pixels of a point's radius.
+/// Radius of a point in pixels.
 const POINT_RADIUS: u32 = 4;
-/// Room above the largest value.
+/// Length of an axis relative to the largest value on it.
 const HEADROOM: f64 = 1.1;
 
-/// One chart: metrics of a role, all kinds together, over one driver.
+/// One chart: the sum of some metrics of a role, over all message kinds, plotted against one driver.
 struct Chart {
     file: &'static str,
     title: &'static str,
@@ -83,7 +83,7 @@
     },
 ];
 
-/// A measured point: the driver and the value of one run, all kinds together.
+/// A measured point: the size of one run and its value, summed over all message kinds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Point {
     size: Size,
@@ -93,20 +93,20 @@
 type Plot<'area, 'text> =
     ChartContext<'area, SVGBackend<'text>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// The points of one distribution.
+/// The measured points of one distribution.
 struct PointSeries {
     distribution: Distribution,
     points: Vec<Point>,
 }
 
-/// The largest values of a chart's axes.
+/// The upper ends of a chart's axes.
 #[derive(Clone, Copy)]
 struct Extent {
     right: f64,
     top: f64,
 }
 
-/// Draws all charts that the measurements have points for; gives the files written.
+/// Draws all charts for which the measurements have points and returns the files written.
 ///
 /// # Errors
 ///
@@ -124,11 +124,11 @@
     Ok(written)
 }
 
-/// File and title of the charts that there are, where these lines were fitted.
+/// Returns file and title of each chart that has points in the measurements behind these lines.
 pub fn titles(lines: &[Line]) -> Vec<(&'static str, &'static str)> {
     let has_points = |chart: &&Chart| {
         let own = |line: &Line| {
-            line.series.fault == NO_FAULT && chart.shows(line.series.role, line.series.metric)
+            line.series.fault == NO_FAULT && chart.includes(line.series.role, line.series.metric)
         };
         lines.iter().any(own)
     };
@@ -140,11 +140,11 @@
 }
 
 impl Chart {
-    fn shows(&self, role: Role, metric: Metric) -> bool {
+    fn includes(&self, role: Role, metric: Metric) -> bool {
         role == self.role && self.metrics.contains(&metric)
     }
 
-    /// False if there is nothing to draw.
+    /// Writes the chart to a file. Returns false, and writes nothing, if there are no points.
     fn draw(
         &self,
         measurements: &[&Measurement],
@@ -175,12 +175,12 @@
         Ok(true)
     }
 
-    /// Points of runs without a fault.
+    /// Returns the points of runs without a fault.
     fn points(&self, measurements: &[&Measurement], distribution: Distribution) -> Vec<Point> {
         let own = measurements.iter().filter(|row| {
             row.fault == NO_FAULT
                 && row.distribution == distribution
-                && self.shows(row.role, row.metric)
+                && self.includes(row.role, row.metric)
         });
         let mut sums: Vec<(&str, Point)> = Vec::new();
         for row in own {
@@ -253,7 +253,7 @@
         Ok(())
     }
 
-    /// The points of one distribution, with the line fitted to them.
+    /// Draws the points of one distribution and the line fitted to them.
     fn draw_points(
         &self,
         chart: &mut Plot<'_, '_>,
@@ -276,14 +276,15 @@
         drawn
             .label(name(*distribution))
             .legend(move |at| Circle::new(at, POINT_RADIUS, color.filled()));
-        if let Some(ends) = self.fitted(lines, *distribution, points) {
+        if let Some(ends) = self.fitted_line(lines, *distribution, points) {
             chart.draw_series(LineSeries::new(ends, color))?;
         }
         Ok(())
     }
 
-    /// The fitted line over the driver, the others at the size of the largest point.
-    fn fitted(
+    /// Returns both ends of the fitted line over the chart's driver, with the other drivers at the largest measured
+    /// size. `None` unless all lines of the chart are slopes.
+    fn fitted_line(
         &self,
         lines: &[Line],
         distribution: Distribution,
@@ -293,7 +294,7 @@
             let series = &line.series;
             series.fault == NO_FAULT
                 && series.distribution == distribution
-                && self.shows(series.role, series.metric)
+                && self.includes(series.role, series.metric)
         };
         let own: Vec<&Line> = lines.iter().filter(own).collect();
         if own.is_empty() || own.iter().any(|line| line.evidence != Evidence::Slope) {
@@ -303,14 +304,14 @@
         let drivers = points.iter().map(|point| self.driver.driver(&point.size));
         let ends = [0.0, drivers.fold(0.0, f64::max)];
         let at = |driver: f64| {
-            let size = self.at(driver, largest);
+            let size = self.with_driver(driver, largest);
             (driver, own.iter().map(|line| line.predict(&size)).sum())
         };
         Some(ends.map(at).to_vec())
     }
 
-    /// The size with another value of the chart's driver.
-    fn at(&self, driver: f64, size: Size) -> Size {
+    /// Returns a size with the chart's driver set to `driver`.
+    fn with_driver(&self, driver: f64, size: Size) -> Size {
         match self.driver {
             Term::Constant => size,
             Term::Forwarders => Size {
--- a/crates/flaxdeck-scale/src/files.rs
+++ b/crates/flaxdeck-scale/src/files.rs
@@ -1,4 +1,4 @@
-//! Tables on disk: the measurements of the runs and the lines fitted to them, as CSV.
+//! Reads and writes CSV files: the measurements of runs and the lines fitted to them.
 
 use std::path::{Path, PathBuf};
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// The text of a file.
+/// Reads the text of a file.
 ///
 /// # Errors
 ///
@@ -33,11 +33,12 @@
     std::fs::read_to_string(path).map_err(file_error(path))
 }
 
-/// All rows of a CSV file whose first line names the columns.
+/// Reads all rows of a CSV file whose first line names the columns.
 ///
 /// # Errors
 ///
-/// [`CapacityError::File`] if it can't be read, [`CapacityError::Table`] if a row is not of that form.
+/// [`CapacityError::File`] if it can't be read, [`CapacityError::Table`] if a row does not match the columns of
+/// `T`.
 pub fn read_table<T: DeserializeOwned>(path: &Path) -> Result<Vec<T>, CapacityError> {
     let text = read_text(path)?;
     let mut reader = csv::Reader::from_reader(text.as_bytes());
@@ -45,11 +46,11 @@
     rows.map_err(table_error(path))
 }
 
-/// Rows as CSV text, with the names of the columns first.
+/// Formats rows as CSV text, with the column names in the first line.
 ///
 /// # Errors
 ///
-/// If a row can't be put into CSV.
+/// If a row can't be written as CSV.
 pub fn table_text<T: Serialize>(rows: &[T]) -> Result<String, csv::Error> {
     let mut text = Vec::new();
     let mut writer = csv::Writer::from_writer(&mut text);
@@ -65,14 +66,14 @@
 ///
 /// # Errors
 ///
-/// [`CapacityError::Table`] if a row can't be put into CSV, [`CapacityError::File`] if the file can't be written.
+/// [`CapacityError::Table`] if a row can't be written as CSV, [`CapacityError::File`] if the file can't be written.
 pub fn write_table<T: Serialize>(path: &Path, rows: &[T]) -> Result<(), CapacityError> {
     let text = table_text(rows).map_err(table_error(path))?;
     std::fs::write(path, text).map_err(file_error(path))
 }
 
-/// The CSV files of a folder, by name.
-fn tables_within(folder: &Path) -> Result<Vec<PathBuf>, CapacityError> {
+/// Returns the CSV files of a folder, sorted by name.
+fn csv_files(folder: &Path) -> Result<Vec<PathBuf>, CapacityError> {
     let entries = std::fs::read_dir(folder).map_err(file_error(folder))?;
     let mut paths = Vec::new();
     for entry in entries {
@@ -85,14 +86,14 @@
     Ok(paths)
 }
 
-/// The measurements of all runs in a folder, file by file.
+/// Reads the measurements of all runs in a folder, in the order of the file names.
 ///
 /// # Errors
 ///
-/// As [`read_table`], and if the folder can't be read.
+/// The errors of [`read_table`], and [`CapacityError::File`] if the folder can't be read.
 pub fn read_runs(folder: &Path) -> Result<Vec<Measurement>, CapacityError> {
     let mut measurements = Vec::new();
-    for path in tables_within(folder)? {
+    for path in csv_files(folder)? {
         measurements.extend(read_table::<Measurement>(&path)?);
     }
     Ok(measurements)
--- a/crates/flaxdeck-scale/src/measurement.rs
+++ b/crates/flaxdeck-scale/src/measurement.rs
@@ -1,21 +1,23 @@
-//! One measured figure of one run, a row of `docs/capacity/runs/*.csv`.
+//! A measurement: one measured value of one run, a row of `docs/capacity/runs/*.csv`.
 
 use serde::{Deserialize, Serialize};
 
-/// The name of the runs that measure decisions by themselves (`examples/decisions.rs`).
+/// Name of the runs that measure only routing decisions (`examples/decisions.rs`).
 pub const DECISIONS_RUN: &str = "decisions";
 
-/// How events reach the forwarders of a run.
+/// How events are distributed to the forwarders of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Distribution {
-    /// Every planner and the coordinator tell every event to every forwarder.
+    /// Every planner and the coordinator send every event to every forwarder.
     EachEvent,
-    /// One planner tells batches with purge digests; the coordinator is asked only where no planner is heard.
+    /// One planner sends batches with purge digests; a forwarder polls the coordinator only while it has no contact to
+    /// a planner.
     Digest,
 }
 
-/// Whose figure it is. Figures of several processes or forwarders of a role are means of one, unless the metric says so.
+/// The role that was measured. A figure of several processes or forwarders is the mean of one, unless the metric says
+/// otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -23,67 +25,70 @@
     Coordinator,
     /// A planner.
     Planner,
-    /// A forwarder under load.
+    /// A real forwarder under request load.
     RealForwarder,
-    /// The control side of a forwarder.
+    /// A hollow forwarder: the control side of a forwarder, without the request path.
     HollowForwarder,
-    /// A forwarder's decision engine by itself, measured apart from the runs (`examples/decisions.rs`).
+    /// The decision engine of a forwarder alone, measured separately from the runs (`examples/decisions.rs`).
     Dispatcher,
 }
 
-/// What is measured, with its unit.
+/// What is measured; each metric has one unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Metric {
-    /// Bytes a second, of message bodies with their framing and seal; `kind` names the message.
+    /// Bytes received a second, of message bodies with their framing and authentication tag; `kind` names the message.
     BytesInPerS,
-    /// As [`Metric::BytesInPerS`], sent.
+    /// Like [`Metric::BytesInPerS`], for bytes sent.
     BytesOutPerS,
-    /// Messages a second that came in; `kind` names the message.
+    /// Messages received a second; `kind` names the message.
     MessagesInPerS,
-    /// As [`Metric::MessagesInPerS`], sent.
+    /// Like [`Metric::MessagesInPerS`], for messages sent.
     MessagesOutPerS,
-    /// Bytes a second of a connection's IP and TCP headers both ways, from the segments counted or estimated.
+    /// Bytes a second of IP and TCP headers in both directions, from a counted or estimated number of segments.
     HeaderBytesPerS,
-    /// Processor time of the process over the time of the run, in cores.
+    /// Processor time of the process divided by the length of the window, in cores.
     Cores,
-    /// Processor time a message handled, in microseconds.
+    /// Processor time per message handled, in microseconds.
     MicrosPerMessage,
-    /// Resident memory at the end, in bytes: of a process for real programs, of one forwarder for hollow ones.
+    /// Resident memory at the end of the window, in bytes: of the process for real programs, per forwarder for hollow
+    /// ones.
     ResidentBytes,
-    /// Descriptors open at the end.
+    /// Number of open file descriptors at the end of the window.
     Descriptors,
-    /// From when the coordinator held an event to when it was in force at a forwarder, in milliseconds.
+    /// Median time from when the coordinator has an event until the event is in force at a forwarder, in milliseconds.
     DelayMedianMs,
-    /// The 99th percentile of the same.
+    /// 99th percentile of the same delay.
     DelayP99Ms,
-    /// The worst of the same.
+    /// Maximum of the same delay.
     DelayWorstMs,
-    /// Events over all forwarders of the role and the whole run.
+    /// Number of events that had to come into force, over all forwarders of the role.
     EventsExpected,
     /// Events that never came into force.
     EventsLost,
-    /// Events that a whole list covered which came in place of all that was known; copies from before are in doubt.
+    /// Events replaced by a full endpoint list, which supersedes everything known before; cached copies older than the
+    /// list are in doubt, as the forwarder may have missed purges.
     EventsReplaced,
-    /// Events that came into force twice.
+    /// Events that came into force again after they already had.
     EventsDoubled,
-    /// Events that came into force after a later one.
+    /// Events that came into force after a later one, and log entries that match no event of the coordinator.
     EventsOutOfOrder,
-    /// The share of the whole machine's processor time that nobody used over the window, once a run, with the
-    /// coordinator's rows. Where it is near 0 processes waited for each other, and no figure of cost or delay counts.
+    /// Share of the machine's processor time that was idle over the window, recorded once a run with the coordinator's
+    /// rows. Near 0, processes waited for each other, and figures of cost and delay are invalid.
     MachineIdleShare,
-    /// The share of the requests at real forwarders that were answered in time.
+    /// Share of the requests at real forwarders that were served in time.
     ServedShare,
-    /// The 99th percentile of the time of an answer of real forwarders.
+    /// 99th percentile of the response time of real forwarders, in milliseconds.
     ServiceP99Ms,
-    /// Violations of the rules by real forwarders; `kind` names the rule.
+    /// Number of rule violations by real forwarders; `kind` names the rule.
     RulesBroken,
-    /// Processor time of all decisions about one request, in microseconds; `kind` tells what stands beside.
+    /// Processor time of all decisions about one request, in microseconds; `kind` gives the numbers of hosts and
+    /// purges.
     DecisionMicros,
 }
 
 impl Metric {
-    /// Whether it depends on how much of the machine the run had to itself.
+    /// Whether the metric depends on how busy the machine was with other work.
     pub fn is_cost_or_delay(self) -> bool {
         matches!(
             self,
@@ -97,7 +102,7 @@
         )
     }
 
-    /// The unit that its values are counted in.
+    /// Returns the unit of the values.
     pub fn unit(self) -> &'static str {
         match self {
             Metric::BytesInPerS | Metric::BytesOutPerS | Metric::HeaderBytesPerS => "bytes/s",
@@ -118,31 +123,31 @@
     }
 }
 
-/// A row.
+/// One measured value, with the run it belongs to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Measurement {
-    /// Names the run: file, seed and repetition.
+    /// Name of the run: scale file and seed.
     pub run: String,
-    /// What the run's chance was drawn from.
+    /// Seed of the run's random numbers.
     pub seed: u64,
-    /// How events reached the forwarders.
+    /// How events were distributed to the forwarders.
     pub distribution: Distribution,
-    /// Hollow forwarders of the run.
+    /// Number of hollow forwarders.
     pub hollow_forwarders: u32,
-    /// Hosts of the coordinator's list, without those that real forwarders serve.
+    /// Number of hosts in the coordinator's endpoint list, without those used by the real forwarders.
     pub hosts: u32,
-    /// Purges a second of the coordinator's schedule.
+    /// Purges a second in the coordinator's schedule.
     pub purges_per_s: f64,
-    /// Planners of the run.
+    /// Number of planners.
     pub planners: u32,
-    /// `none`, or the fault as the scale file names it.
+    /// `none`, or the fault as named in the scale file.
     pub fault: String,
-    /// Whose figure it is.
+    /// The role that was measured.
     pub role: Role,
     /// What was measured.
     pub metric: Metric,
-    /// The kind of message where the metric has kinds; else empty.
+    /// The kind of message if the metric has kinds; otherwise empty.
     pub kind: String,
-    /// The figure, in the metric's unit.
+    /// The value, in the metric's unit.
     pub value: f64,
 }
--- a/crates/flaxdeck-scale/src/report.rs
+++ b/crates/flaxdeck-scale/src/report.rs
@@ -1,4 +1,4 @@
-//! From what was read of the processes and logged by forwarders to rows of results.
+//! Turns the resource usage and counters of processes, and the deliveries logged by forwarders, into rows of results.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -9,8 +9,8 @@
 use crate::scenario::Point;
 use crate::usage::{Counters, Usage};
 
-/// Bytes of the IP and TCP headers (with time stamps) of a segment. Each message is taken to go in a segment of its
-/// own and to be acknowledged by another: an estimate, and an upper bound while messages are shorter than a segment.
+/// Bytes of the IP and TCP headers (with time stamps) of a segment. The estimate assumes that each message takes one
+/// segment and one more for the acknowledgement, which is an upper bound while messages are shorter than a segment.
 const HEADER_BYTES: f64 = 52.0;
 const SEGMENTS_PER_MESSAGE: f64 = 2.0;
 
@@ -24,7 +24,7 @@
     "deliveries",
 ];
 
-/// What is counted of each kind of message, by the endings of the counters' names.
+/// The metrics of each kind of message, with the suffix of the counter's name.
 const TRAFFIC_COUNTERS: [(Metric, &str); 4] = [
     (Metric::BytesInPerS, "bytes_in"),
     (Metric::BytesOutPerS, "bytes_out"),
@@ -32,41 +32,41 @@
     (Metric::MessagesOutPerS, "messages_out"),
 ];
 
-/// What all rows of a run have in common.
+/// The fields that all rows of a run have in common.
 #[derive(Clone, Debug)]
 pub struct RunHeader {
-    /// The scale file's name and the seed.
+    /// Name of the run: the scale file's name and the seed.
     pub name: String,
-    /// What the run's chance was drawn from.
+    /// Seed of the run's random numbers.
     pub seed: u64,
-    /// How events reached the forwarders.
+    /// How events were distributed to the forwarders.
     pub distribution: Distribution,
-    /// Its size and rates.
+    /// Size and rates of the run.
     pub point: Point,
-    /// `none`, or the fault as the scale file names it.
+    /// `none`, or the fault as named in the scale file.
     pub fault: String,
 }
 
-/// One process over the window.
+/// Usage and counters of one process over the measurement window.
 #[derive(Clone, Debug)]
 pub struct ProcessWindow {
-    /// What it is.
+    /// Role of the process.
     pub role: Role,
-    /// Hollow forwarders in it; 1 for any other process.
+    /// Number of hollow forwarders in the process; 1 for any other process.
     pub instances: u32,
-    /// The window's length.
+    /// Length of the window.
     pub seconds: f64,
-    /// What it had taken at the window's beginning, ...
+    /// Resource usage at the start of the window.
     pub usage_before: Usage,
-    /// ... and at its end.
+    /// Resource usage at the end of the window.
     pub usage_after: Usage,
-    /// Its counters at the window's beginning, ...
+    /// Counters at the start of the window.
     pub counters_before: Counters,
-    /// ... and at its end.
+    /// Counters at the end of the window.
     pub counters_after: Counters,
 }
 
-/// Rows of one run.
+/// Collects the rows of one run.
 pub struct RunRows {
     header: RunHeader,
     /// The rows so far.
@@ -74,7 +74,7 @@
 }
 
 impl RunRows {
-    /// No rows yet.
+    /// Creates an empty collection.
     pub fn new(header: RunHeader) -> RunRows {
         RunRows {
             header,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Adds a row; `kind` names the kind of message where the metric has kinds.
+    /// Adds a row; `kind` names the kind of message if the metric has kinds, and is empty otherwise.
     pub fn add(&mut self, role: Role, metric: Metric, kind: &str, value: f64) {
         let header = &self.header;
         self.rows.push(Measurement {
@@ -101,7 +101,7 @@
         });
     }
 
-    /// What all processes of one role took and moved, as the mean of one instance.
+    /// Adds the traffic and resource usage of all processes of one role, as the mean of one instance.
     pub fn add_role(&mut self, role: Role, processes: &[ProcessWindow]) {
         let processes: Vec<&ProcessWindow> = processes
             .iter()
@@ -132,7 +132,7 @@
         self.add(role, Metric::Descriptors, "", descriptors);
     }
 
-    /// Bytes and messages of each kind; gives the messages of all kinds together, a second.
+    /// Adds the bytes and messages of each kind, and returns the messages a second of all kinds together.
     fn add_traffic(&mut self, role: Role, rates: &BTreeMap<String, f64>) -> f64 {
         let mut messages = 0.0;
         for kind in MESSAGE_KINDS {
@@ -150,7 +150,8 @@
         messages
     }
 
-    /// What became of events at the forwarders of one role.
+    /// Adds the delays of events at the forwarders of one role, and the numbers of events lost, replaced, duplicated
+    /// and out of order.
     pub fn add_delivery(&mut self, role: Role, outcome: &DeliveryOutcome) {
         let ms = |us: u64| us as f64 / 1000.0;
         let delays = &outcome.delays;
@@ -176,7 +177,7 @@
         }
     }
 
-    /// The value of one metric over all its kinds; none if there is no such row.
+    /// Returns the sum of one metric over all its kinds; `None` if there is no such row.
     pub fn sum(&self, role: Role, metric: Metric) -> Option<f64> {
         let values = self
             .rows
@@ -186,12 +187,12 @@
     }
 }
 
-/// The mean rate a second of each counter over all instances.
+/// Returns the rate of each counter a second, as the mean of one instance.
 fn counter_rates(processes: &[&ProcessWindow], instances: f64) -> BTreeMap<String, f64> {
     let mut rates: BTreeMap<String, f64> = BTreeMap::new();
     for process in processes {
-        let grown = &process.counters_after;
-        for (name, rate) in grown.per_second_since(&process.counters_before) {
+        let after = &process.counters_after;
+        for (name, rate) in after.per_second_since(&process.counters_before) {
             *rates.entry(name).or_default() += rate / instances;
         }
     }
@@ -202,7 +203,8 @@
 ///
 /// # Errors
 ///
-/// [`RunError::File`] if the folder can't be made or the file can't be written, [`RunError::Csv`] if a row can't.
+/// [`RunError::File`] if the folder can't be created or the file can't be written, [`RunError::Csv`] if a row can't be
+/// written as CSV.
 pub fn write(path: &Path, rows: &[Measurement]) -> Result<(), RunError> {
     if let Some(folder) = path.parent() {
         std::fs::create_dir_all(folder).map_err(RunError::file(path))?;
