--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -37,7 +37,7 @@
     let target =
         target::read(&file, &text).map_err(flaxdeck_scale::error::CapacityError::Target)?;
     let mut rows = Vec::new();
-    for hosts in [target.hosts_a_region().round(), target.hosts] {
+    for hosts in [target.hosts_per_region().round(), target.hosts] {
         for purges_per_s in [0.0, target.purges_per_s] {
             for seed in 1..=RUNS {
                 let value = decision_micros(&target, hosts as u64, purges_per_s, seed);
@@ -104,7 +104,7 @@
     engine.list(at(0.0), ListKind::Full, listed(hosts));
     let mut purges = Schedule::new(purges_per_s);
     let mut ticks = Schedule::new(1.0);
-    let each_ms = 1e3 / target.requests_each_per_s();
+    let each_ms = 1e3 / target.mean_requests_per_s();
     // As many purges are known as ever: those of the time in which they settle.
     let mut now_ms = settles_ms;
     let mut spent = 0.0;
--- a/crates/flaxdeck-scale/src/capacity.rs
+++ b/crates/flaxdeck-scale/src/capacity.rs
@@ -1,5 +1,5 @@
-//! The capacity page: what the control plane takes at the size of the target, computed from fitted lines, the target's file
-//! and the code's own bounds. No figure of it is typed.
+//! The capacity page: the resources that the control plane needs at the target size. Every figure on it is computed
+//! from the fitted lines, the target file and the limits in the code; none is written by hand.
 
 pub mod estimate;
 pub mod events;
--- a/crates/flaxdeck-scale/src/capacity/estimate.rs
+++ b/crates/flaxdeck-scale/src/capacity/estimate.rs
@@ -1,56 +1,62 @@
-//! What the fitted lines say of a size: a value, and how it is known.
+//! Estimates of a metric at a given size from the fitted lines, each with its provenance.
 
 use std::fmt;
 
 use super::figures::{count, figure};
 use crate::fit::NO_FAULT;
 use crate::fit::line::{Evidence, Line};
-use crate::fit::nature::{Nature, Size, Term, nature};
+use crate::fit::nature::{Model, Size, Term, model};
 use crate::measurement::{Distribution, Metric, Role};
 
-/// How a value is known.
+/// How a value was obtained. Its `Display` text is the column "known" of the page.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Known {
-    /// Measured at that size, not drawn out.
+pub enum Provenance {
+    /// Measured at one size and not extrapolated.
     Measured {
-        /// The size.
+        /// The size of the measurement.
         at: Size,
     },
-    /// Measured at that size only, though it grows with drivers that are larger elsewhere: a least value there.
-    MeasuredBelow {
-        /// The size.
+    /// Measured only at a size with smaller drivers than the requested one. The metric grows with them, so the value is
+    /// a lower bound.
+    MeasuredAtSmallerSize {
+        /// The size of the measurement.
         at: Size,
     },
-    /// Measured apart from any size of the fleet.
-    MeasuredApart,
-    /// Read off a line that is drawn out by that factor.
+    /// Measured separately from the runs of a fleet, so no fleet size applies.
+    MeasuredSeparately,
+    /// Read from a fitted line, extrapolated by a factor.
     Slope {
-        /// The driver at the size over the largest one measured, the worst of all terms.
+        /// The driver at the requested size divided by the largest value measured; the maximum over all terms.
         factor: f64,
-        /// Drivers that were held elsewhere than at the size, with their value.
+        /// Drivers that were not varied enough for a slope and stayed below the requested size, with their largest
+        /// value.
         unvaried: Vec<(Term, f64)>,
-        /// A part of it was only measured, at that size.
-        partly_at: Option<Size>,
+        /// The size at which a part of a sum was measured without a slope, if there is such a part.
+        partly_measured_at: Option<Size>,
     },
-    /// No run shows it.
+    /// No run measured it.
     NotShown,
 }
 
-impl Known {
-    /// Whether drivers were smaller than at the size, so that the value there is this one or more.
-    pub fn is_least(&self) -> bool {
+impl Provenance {
+    /// Whether a driver was smaller in the runs than at the requested size, so that the value is a lower bound.
+    pub fn is_lower_bound(&self) -> bool {
         match self {
-            Known::MeasuredBelow { .. } => true,
-            Known::Slope { unvaried, .. } => !unvaried.is_empty(),
-            Known::Measured { .. } | Known::MeasuredApart | Known::NotShown => false,
+            Provenance::MeasuredAtSmallerSize { .. } => true,
+            Provenance::Slope { unvaried, .. } => !unvaried.is_empty(),
+            Provenance::Measured { .. } | Provenance::MeasuredSeparately | Provenance::NotShown => {
+                false
+            }
         }
     }
 
-    /// The size at which something was measured that is not drawn out.
+    /// The size of a measurement that was not extrapolated.
     fn measured_at(&self) -> Option<Size> {
         match self {
-            Known::Measured { at } | Known::MeasuredBelow { at } => Some(*at),
-            Known::MeasuredApart | Known::Slope { .. } | Known::NotShown => None,
+            Provenance::Measured { at } | Provenance::MeasuredAtSmallerSize { at } => Some(*at),
+            Provenance::MeasuredSeparately | Provenance::Slope { .. } | Provenance::NotShown => {
+                None
+            }
         }
     }
 }
@@ -64,48 +70,50 @@
     format!("{forwarders} forwarders, {hosts} hosts, {purges} purges/s")
 }
 
-impl fmt::Display for Known {
+impl fmt::Display for Provenance {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Known::Measured { at } => write!(out, "measured at {}", size_text(at)),
-            Known::MeasuredBelow { at } => write!(out, "measured at {} only", size_text(at)),
-            Known::MeasuredApart => write!(out, "measured"),
-            Known::Slope {
+            Provenance::Measured { at } => write!(out, "measured at {}", size_text(at)),
+            Provenance::MeasuredAtSmallerSize { at } => {
+                write!(out, "measured at {} only", size_text(at))
+            }
+            Provenance::MeasuredSeparately => write!(out, "measured"),
+            Provenance::Slope {
                 factor,
                 unvaried,
-                partly_at,
+                partly_measured_at,
             } => {
                 write!(out, "slope x {}", figure(*factor))?;
                 for (term, at) in unvaried {
                     write!(out, ", {} held at {}", term.name(), figure(*at))?;
                 }
-                match partly_at {
+                match partly_measured_at {
                     Some(at) => write!(out, ", a part measured at {}", size_text(at)),
                     None => Ok(()),
                 }
             }
-            Known::NotShown => write!(out, "not shown"),
+            Provenance::NotShown => write!(out, "not shown"),
         }
     }
 }
 
-/// A value at a size.
+/// The value of a metric at a size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Estimate {
-    /// The value; none where it is not shown.
+    /// The value; `None` if no run measured it.
     pub value: Option<f64>,
-    /// How it is known.
-    pub known: Known,
+    /// How the value was obtained.
+    pub provenance: Provenance,
 }
 
 impl Estimate {
-    /// Nothing is known.
+    /// No run measured the value.
     pub const NOT_SHOWN: Estimate = Estimate {
         value: None,
-        known: Known::NotShown,
+        provenance: Provenance::NotShown,
     };
 
-    /// The same, counted otherwise.
+    /// Applies a conversion to the value and keeps the provenance.
     pub fn map(self, change: impl FnOnce(f64) -> f64) -> Estimate {
         Estimate {
             value: self.value.map(change),
@@ -114,105 +122,105 @@
     }
 }
 
-/// What one line says of a size.
+/// Returns the estimate that one line gives at a size.
 pub fn estimate(line: &Line, size: &Size) -> Estimate {
     match line.evidence {
         Evidence::Measured => {
-            let known = match nature(line.series.role, line.series.metric) {
-                Nature::Line(terms) if is_below(line.at, size, terms) => {
-                    Known::MeasuredBelow { at: line.at }
+            let provenance = match model(line.series.role, line.series.metric) {
+                Model::Line(terms) if is_smaller(line.at, size, terms) => {
+                    Provenance::MeasuredAtSmallerSize { at: line.at }
                 }
-                _ => Known::Measured { at: line.at },
+                _ => Provenance::Measured { at: line.at },
             };
             Estimate {
                 value: Some(line.value),
-                known,
+                provenance,
             }
         }
         Evidence::Slope => {
             let unvaried = line
                 .unvaried_terms(size)
                 .iter()
-                .map(|term| (term.term, term.most))
+                .map(|term| (term.term, term.max))
                 .collect();
-            let known = Known::Slope {
+            let provenance = Provenance::Slope {
                 factor: line.factor(size),
                 unvaried,
-                partly_at: None,
+                partly_measured_at: None,
             };
             Estimate {
                 value: Some(line.predict(size)),
-                known,
+                provenance,
             }
         }
     }
 }
 
-/// Whether one of the drivers is smaller at one size than at another.
-fn is_below(one: Size, other: &Size, terms: &[Term]) -> bool {
+/// Whether the driver of any term is smaller at `one` than at `other`.
+fn is_smaller(one: Size, other: &Size, terms: &[Term]) -> bool {
     terms
         .iter()
         .any(|term| term.driver(&one) < term.driver(other))
 }
 
-/// The sum of what several lines say of a size, known as well as the least known of them.
+/// Returns the sum of the estimates of several lines at a size, with the weakest provenance among them.
 pub fn total<'a>(lines: impl IntoIterator<Item = &'a Line>, size: &Size) -> Estimate {
     let estimates = lines.into_iter().map(|line| estimate(line, size));
-    estimates.reduce(plus).unwrap_or(Estimate::NOT_SHOWN)
+    estimates.reduce(add).unwrap_or(Estimate::NOT_SHOWN)
 }
 
-/// Two estimates together.
-pub fn plus(one: Estimate, other: Estimate) -> Estimate {
+/// Adds two estimates; the sum has no value if either has none.
+pub fn add(one: Estimate, other: Estimate) -> Estimate {
     let value = one.value.zip(other.value).map(|(one, other)| one + other);
     Estimate {
         value,
-        known: least_known(one.known, other.known),
+        provenance: weaker_provenance(one.provenance, other.provenance),
     }
 }
 
-/// The less known of two, with what both have of slopes and measurements.
-fn least_known(one: Known, other: Known) -> Known {
+/// Returns the weaker provenance of two, with the details of both slopes or measurements merged.
+fn weaker_provenance(one: Provenance, other: Provenance) -> Provenance {
     match (one, other) {
-        (Known::NotShown, _) | (_, Known::NotShown) => Known::NotShown,
-        (Known::MeasuredApart, other) | (other, Known::MeasuredApart) => other,
+        (Provenance::NotShown, _) | (_, Provenance::NotShown) => Provenance::NotShown,
+        (Provenance::MeasuredSeparately, other) | (other, Provenance::MeasuredSeparately) => other,
         (
-            Known::Slope {
+            Provenance::Slope {
                 factor,
                 unvaried,
-                partly_at,
+                partly_measured_at,
             },
             other,
         )
         | (
             other,
-            Known::Slope {
+            Provenance::Slope {
                 factor,
                 unvaried,
-                partly_at,
+                partly_measured_at,
             },
-        ) => slope_with(factor, unvaried, partly_at, other),
-        (one, other) => less_measured(&one, &other),
+        ) => combine_slope(factor, unvaried, partly_measured_at, other),
+        (one, other) => combine_measured(&one, &other),
     }
 }
 
-/// A slope together with another slope, or with what was only measured.
-fn slope_with(
+/// Merges a slope with another slope, or with a value that was only measured.
+fn combine_slope(
     factor: f64,
     mut unvaried: Vec<(Term, f64)>,
-    partly_at: Option<Size>,
-    other: Known,
-) -> Known {
+    partly_measured_at: Option<Size>,
+    other: Provenance,
+) -> Provenance {
     let other_at = other.measured_at();
-    let Known::Slope {
+    let Provenance::Slope {
         factor: other_factor,
         unvaried: other_unvaried,
-        partly_at: other_partly_at,
+        partly_measured_at: other_partly_measured_at,
     } = other
     else {
-        return Known::Slope {
+        return Provenance::Slope {
             factor,
             unvaried,
-            partly_at: smallest([partly_at, other_at]),
+            partly_measured_at: smallest([partly_measured_at, other_at]),
         };
     };
     for term in other_unvaried {
@@ -220,19 +228,23 @@
             unvaried.push(term);
         }
     }
-    Known::Slope {
+    Provenance::Slope {
         factor: factor.max(other_factor),
         unvaried,
-        partly_at: smallest([partly_at, other_partly_at]),
+        partly_measured_at: smallest([partly_measured_at, other_partly_measured_at]),
     }
 }
 
-fn less_measured(one: &Known, other: &Known) -> Known {
-    let is_below = |known: &Known| matches!(known, Known::MeasuredBelow { .. });
+/// Merges the provenance of two measured values: the smaller size, and a lower bound if either is one.
+fn combine_measured(one: &Provenance, other: &Provenance) -> Provenance {
+    let is_lower_bound =
+        |provenance: &Provenance| matches!(provenance, Provenance::MeasuredAtSmallerSize { .. });
     match smallest([one.measured_at(), other.measured_at()]) {
-        Some(at) if is_below(one) || is_below(other) => Known::MeasuredBelow { at },
-        Some(at) => Known::Measured { at },
-        None => Known::NotShown,
+        Some(at) if is_lower_bound(one) || is_lower_bound(other) => {
+            Provenance::MeasuredAtSmallerSize { at }
+        }
+        Some(at) => Provenance::Measured { at },
+        None => Provenance::NotShown,
     }
 }
 
@@ -248,24 +260,24 @@
     }
 }
 
-/// The fitted lines, by what they tell.
+/// The fitted lines, looked up by distribution, role and metric.
 #[derive(Clone, Copy)]
 pub struct Lines<'a> {
     lines: &'a [Line],
     planners: u32,
 }
 
-/// A kind that stands for all kinds together, where a run tells that, too.
+/// Message kinds that stand for all kinds together, where a run records such a total.
 const ALL_KINDS: &[&str] = &["", "all", "total"];
 
 impl<'a> Lines<'a> {
-    /// Goes by runs whose number of planners is nearest to that one.
+    /// Creates a lookup that uses, for each metric, the runs whose number of planners is nearest to `planners`.
     pub fn new(lines: &'a [Line], planners: u32) -> Lines<'a> {
         Lines { lines, planners }
     }
 
-    /// The lines of a metric without faults, one for each kind of message. A line of all kinds together is left out where
-    /// there are lines by kind.
+    /// Returns the lines of a metric from runs without a fault, one for each kind of message. A line for all kinds
+    /// together is omitted if there are lines by kind.
     pub fn by_kind(&self, distribution: Distribution, role: Role, metric: Metric) -> Vec<&'a Line> {
         let fits = |line: &&Line| {
             let series = &line.series;
@@ -275,27 +287,32 @@
         let all: Vec<&Line> = self.lines.iter().filter(fits).collect();
         let numbers = all.iter().map(|line| line.series.planners);
         let nearest = numbers.min_by_key(|planners| planners.abs_diff(self.planners));
-        let few = all
+        let nearest_lines = all
             .into_iter()
             .filter(|line| Some(line.series.planners) == nearest);
-        let (whole, kinds): (Vec<&Line>, Vec<&Line>) =
-            few.partition(|line| ALL_KINDS.contains(&line.series.kind.as_str()));
-        if kinds.is_empty() { whole } else { kinds }
+        let (totals, kinds): (Vec<&Line>, Vec<&Line>) =
+            nearest_lines.partition(|line| ALL_KINDS.contains(&line.series.kind.as_str()));
+        if kinds.is_empty() { totals } else { kinds }
     }
 
-    /// The only line of a metric without kinds.
-    pub fn one(&self, distribution: Distribution, role: Role, metric: Metric) -> Option<&'a Line> {
+    /// Returns the line of a metric that has no message kinds.
+    pub fn single(
+        &self,
+        distribution: Distribution,
+        role: Role,
+        metric: Metric,
+    ) -> Option<&'a Line> {
         self.by_kind(distribution, role, metric).into_iter().next()
     }
 
-    /// The lines of runs with a fault.
+    /// Returns the lines of runs with a fault.
     pub fn with_faults(&self) -> impl Iterator<Item = &'a Line> + Clone + use<'a> {
         self.lines
             .iter()
             .filter(|line| line.series.fault != NO_FAULT)
     }
 
-    /// All kinds of some metrics together, at a size.
+    /// Returns the sum of some metrics over all message kinds at a size.
     pub fn total(
         &self,
         distribution: Distribution,
@@ -309,7 +326,7 @@
         total(lines, size)
     }
 
-    /// Names of all runs, sorted, each once.
+    /// Returns the names of all runs, sorted and without duplicates.
     pub fn runs(&self) -> Vec<String> {
         let mut runs: Vec<String> = self
             .lines
--- a/crates/flaxdeck-scale/src/capacity/events.rs
+++ b/crates/flaxdeck-scale/src/capacity/events.rs
@@ -1,59 +1,65 @@
-//! Rows beside the ordinary day: what the target names, its size, and the faults of runs that show something of it. What
-//! reading tells of each stands in the page's template.
+//! Exceptional situations that the target file names (a rack or zone that restarts, a purge storm, ...): the size of
+//! each, and the faults of runs that show a part of it. What follows from reading the code is written in the page's
+//! template.
 
-use super::figures::{count, figure, span};
+use super::figures::{count, duration, figure};
 use crate::target::Target;
 
-/// Something that happens beside the ordinary day.
+/// An exceptional situation for the fleet, a row of a table of the page.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// By which the template knows it.
+    /// The key by which the template selects its text.
     pub key: &'static str,
     /// Its name on the page.
     pub name: &'static str,
-    /// How large it is, in words.
+    /// Its size as text.
     pub size: String,
-    /// Faults of runs, by their words in a scale file, that show a part of it.
+    /// The faults, as named in scale files, of the runs that show a part of it.
     pub faults: &'static [&'static str],
 }
 
-/// Faults of runs in which dispatchers return.
-const RETURNING: &[&str] = &["region-restarted"];
-/// Faults of runs in which dispatchers are cut off from a part of the control plane.
-const ISOLATING: &[&str] = &["link-cut", "coordinator-silent"];
+/// Faults of runs in which dispatchers restart.
+const DISPATCHER_RESTARTS: &[&str] = &["region-restarted"];
+/// Faults of runs in which dispatchers lose contact with a part of the control plane.
+const LINK_FAILURES: &[&str] = &["link-cut", "coordinator-silent"];
 
-/// All of them, the smallest first.
+/// Returns all events of the target, the smallest first.
 pub fn events(target: &Target) -> Vec<Event> {
     let dispatchers = |number: f64| format!("{} dispatchers", count(number));
     let zone = format!(
         "{}, {} hosts",
-        dispatchers(target.dispatchers_a_zone()),
-        count(target.hosts_a_zone())
+        dispatchers(target.dispatchers_per_zone()),
+        count(target.hosts_per_zone())
     );
     let rolling = format!(
         "{} in {}, {} a second",
         dispatchers(target.restarts_per_day),
-        span(target.rolling_within_s),
+        duration(target.rolling_within_s),
         figure(target.rolling_per_s())
     );
     let storm = format!(
         "{} purges a second for {}",
         count(target.storm_per_s()),
-        span(target.storm_s)
+        duration(target.storm_s)
     );
     let cut_off = format!(
         "{} for {}",
-        dispatchers(target.dispatchers_a_region()),
-        span(target.cut_off_s)
+        dispatchers(target.dispatchers_per_region()),
+        duration(target.cut_off_s)
     );
     let rack = dispatchers(target.rack_dispatchers);
-    let region = dispatchers(target.dispatchers_a_region());
+    let region = dispatchers(target.dispatchers_per_region());
     vec![
-        event("rack", "a rack returns at once", rack, RETURNING),
-        event("zone", "a zone returns at once", zone, RETURNING),
-        event("region", "a region returns at once", region, RETURNING),
+        event("rack", "a rack returns at once", rack, DISPATCHER_RESTARTS),
+        event("zone", "a zone returns at once", zone, DISPATCHER_RESTARTS),
+        event(
+            "region",
+            "a region returns at once",
+            region,
+            DISPATCHER_RESTARTS,
+        ),
         event("rolling", "a rolling restart", rolling, &[]),
-        event("cut-off", "a region is cut off", cut_off, ISOLATING),
+        event("cut-off", "a region is cut off", cut_off, LINK_FAILURES),
         event("storm", "a purge storm", storm, &["purge-storm"]),
     ]
 }
--- a/crates/flaxdeck-scale/src/capacity/faults.rs
+++ b/crates/flaxdeck-scale/src/capacity/faults.rs
@@ -1,4 +1,4 @@
-//! What runs with a fault came to, beside the runs without it.
+//! Results of runs with a fault, each next to the result of its twin, the runs without the fault.
 
 use std::collections::BTreeSet;
 
@@ -7,31 +7,31 @@
 use crate::fit::nature::Size;
 use crate::measurement::{Distribution, Metric, Role};
 
-/// A run's fault under one distribution.
+/// The results for one fault under one distribution.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultRun {
-    /// The fault, as the scale file names it.
+    /// The fault, as named in the scale file.
     pub fault: String,
-    /// How events reached the forwarders.
+    /// How events were distributed to the forwarders.
     pub distribution: Distribution,
-    /// The largest size at which it was measured.
+    /// The largest size at which the fault was measured.
     pub at: Size,
-    /// What was measured.
+    /// The measured figures.
     pub figures: Vec<FaultFigure>,
 }
 
-/// A figure of the forwarders, and that of the twin without the fault.
+/// A figure of the forwarders, with that of the twin without the fault.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultFigure {
-    /// What it is.
+    /// The figure's name on the page.
     pub name: &'static str,
-    /// With the fault.
+    /// The value with the fault.
     pub value: f64,
-    /// Without the fault, where that was measured.
+    /// The value without the fault, if it was measured.
     pub twin: Option<f64>,
 }
 
-/// A figure of a run with a fault that the page names.
+/// Which metric of which role the page lists for runs with a fault, and under which name.
 struct FigureDefinition {
     metric: Metric,
     role: Role,
@@ -74,7 +74,7 @@
     figure_of(Metric::RulesBroken, Role::RealForwarder, "rules broken"),
 ];
 
-/// Each fault under each distribution, as it was measured at the largest size.
+/// Returns the results of each fault under each distribution, measured at the largest size.
 pub fn fault_runs<'a>(lines: impl Iterator<Item = &'a Line> + Clone) -> Vec<FaultRun> {
     let names: BTreeSet<(String, Distribution)> = lines
         .clone()
@@ -113,7 +113,7 @@
 }
 
 impl FaultRun {
-    /// All figures in one line, each with its twin's.
+    /// Returns all figures as one line of text, each with its twin's.
     pub fn summary(&self) -> String {
         let one = |measured: &FaultFigure| {
             let twin = measured.twin.map_or("twin not shown".to_owned(), |twin| {
--- a/crates/flaxdeck-scale/src/capacity/figures.rs
+++ b/crates/flaxdeck-scale/src/capacity/figures.rs
@@ -1,7 +1,7 @@
-//! How figures are written on the page.
+//! Formatting of figures on the page and in charts.
 
-/// Groups of three digits, from the right.
-fn grouped(digits: &str) -> String {
+/// Separates digits with commas into groups of three, from the right.
+fn group_digits(digits: &str) -> String {
     let mut out = String::new();
     for (at, digit) in digits.chars().enumerate() {
         if at > 0 && (digits.len() - at).is_multiple_of(3) {
@@ -12,9 +12,9 @@
     out
 }
 
-/// A count, whole.
+/// Formats a value rounded to an integer, with digit groups.
 pub fn count(value: f64) -> String {
-    let digits = grouped(&format!("{:.0}", value.abs()));
+    let digits = group_digits(&format!("{:.0}", value.abs()));
     if value <= -0.5 {
         format!("-{digits}")
     } else {
@@ -22,7 +22,7 @@
     }
 }
 
-/// A figure with three significant digits.
+/// Formats a value with three significant digits.
 pub fn figure(value: f64) -> String {
     let size = value.abs();
     if size == 0.0 {
@@ -42,8 +42,8 @@
     }
 }
 
-/// Seconds as milliseconds, seconds, minutes or hours.
-pub fn span(seconds: f64) -> String {
+/// Formats a number of seconds in milliseconds, seconds, minutes or hours, whichever suits its size.
+pub fn duration(seconds: f64) -> String {
     match seconds {
         short if short < 1.0 => format!("{} ms", figure(short * 1e3)),
         short if short < 120.0 => format!("{} s", figure(short)),
--- a/crates/flaxdeck-scale/src/capacity/page/cells.rs
+++ b/crates/flaxdeck-scale/src/capacity/page/cells.rs
@@ -1,4 +1,4 @@
-//! Rows of the page's tables as texts.
+//! Rows of the page's tables, with every cell formatted as text.
 
 use serde::Serialize;
 
@@ -33,7 +33,7 @@
     known: String,
 }
 
-/// A value with its unit; what is counted in whole things is written whole.
+/// Formats a value with its unit; countable units are written as integers.
 fn with_unit(value: f64, unit: &str) -> String {
     match unit {
         "descriptors" | "events" | "machines" => format!("{} {unit}", count(value)),
@@ -62,20 +62,24 @@
 }
 
 fn estimate_cells(row: &Row, at: usize) -> EstimateCells {
-    let Estimate { value, known } = &row.estimates[at];
-    let least = if known.is_least() { "at least " } else { "" };
+    let Estimate { value, provenance } = &row.estimates[at];
+    let prefix = if provenance.is_lower_bound() {
+        "at least "
+    } else {
+        ""
+    };
     let ratio = match (row.ratios()[at], row.is_over(at)) {
-        (Some(ratio), true) => format!("**{least}{} over**", figure(ratio)),
-        (Some(ratio), false) => format!("{least}{}", figure(ratio)),
+        (Some(ratio), true) => format!("**{prefix}{} over**", figure(ratio)),
+        (Some(ratio), false) => format!("{prefix}{}", figure(ratio)),
         (None, true) => "**over**".into(),
         (None, false) => "-".into(),
     };
     EstimateCells {
         value: value.map_or("-".into(), |value| {
-            format!("{least}{}", with_unit(value, row.unit))
+            format!("{prefix}{}", with_unit(value, row.unit))
         }),
         ratio,
-        known: known.to_string(),
+        known: provenance.to_string(),
     }
 }
 
@@ -94,8 +98,8 @@
     }
 }
 
-/// Rows over their budget, by the largest factor first.
-pub(super) fn over(roles: &[RoleRows]) -> Vec<OverCells> {
+/// Returns the rows over their budget, the largest ratio first.
+pub(super) fn over_budget(roles: &[RoleRows]) -> Vec<OverCells> {
     let mut found: Vec<(f64, OverCells)> = Vec::new();
     for role in roles {
         for row in &role.rows {
@@ -104,7 +108,7 @@
                     continue;
                 }
                 let ratio = row.ratios()[at];
-                let least = if row.estimates[at].known.is_least() {
+                let prefix = if row.estimates[at].provenance.is_lower_bound() {
                     "at least "
                 } else {
                     ""
@@ -114,7 +118,7 @@
                     what: row.what.clone(),
                     distribution: distribution_name(distribution),
                     ratio: ratio.map_or("none is allowed".into(), |ratio| {
-                        format!("{least}{}", figure(ratio))
+                        format!("{prefix}{}", figure(ratio))
                     }),
                 };
                 found.push((ratio.unwrap_or(f64::INFINITY), cells));
@@ -157,7 +161,7 @@
         bytes_each,
         kept: state.kept.clone(),
         bound: match &state.bound {
-            Some(bound) => format!("{}, {}", count(bound.most), bound.name),
+            Some(bound) => format!("{}, {}", count(bound.max), bound.name),
             None => "none".into(),
         },
         ratio: match ratio {
@@ -222,7 +226,7 @@
 pub(super) fn idle_percent(basis: Basis, distribution: Distribution) -> String {
     let line = basis
         .lines
-        .one(distribution, Role::Coordinator, Metric::MachineIdleShare);
+        .single(distribution, Role::Coordinator, Metric::MachineIdleShare);
     line.map_or(NOT_SHOWN.to_owned(), |line| {
         format!("{} %", figure(100.0 * line.value))
     })
@@ -245,7 +249,7 @@
     command: String,
 }
 
-/// Runs are named by their file and seed, `name-seed`: one entry for a file, with its seeds.
+/// Groups runs by scale file: their names have the form `name-seed`, and each name gets one entry that lists its seeds.
 pub(super) fn run_cells(runs: &[String]) -> Vec<RunCells> {
     let mut cells: Vec<RunCells> = Vec::new();
     for run in runs {
@@ -262,7 +266,7 @@
     cells
 }
 
-/// The one command by which the runs of a name are repeated.
+/// Returns the command that repeats the runs of a name.
 fn command(name: &str) -> String {
     if name == DECISIONS_RUN {
         let example = "cargo run --release -p flaxdeck-scale --example decisions";
--- a/crates/flaxdeck-scale/src/capacity/rows.rs
+++ b/crates/flaxdeck-scale/src/capacity/rows.rs
@@ -1,4 +1,4 @@
-//! What each role carries at the size of the target, beside its budget.
+//! The load of each role at the target size, compared with its budget.
 
 mod dispatcher;
 mod servers;
@@ -7,35 +7,35 @@
 use crate::measurement::{Distribution, Metric};
 use crate::target::Target;
 
-/// Both distributions, in the order in which they stand side by side.
+/// Both distributions, in the order of their columns on the page.
 pub const DISTRIBUTIONS: [Distribution; 2] = [Distribution::EachEvent, Distribution::Digest];
 
-/// The bytes of all connections both ways, with the headers below them.
+/// Bytes of all connections in both directions, including TCP and IP headers.
 const BYTES: &[Metric] = &[
     Metric::BytesInPerS,
     Metric::BytesOutPerS,
     Metric::HeaderBytesPerS,
 ];
-/// Messages of all connections both ways.
+/// Messages of all connections in both directions.
 const MESSAGES: &[Metric] = &[Metric::MessagesInPerS, Metric::MessagesOutPerS];
 
 /// One figure of a role under both distributions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// What it is a figure of.
+    /// What the figure measures.
     pub what: String,
     /// The unit of the values and the budget.
     pub unit: &'static str,
-    /// What the target allows; none where it says nothing.
+    /// The most that the target allows; `None` if it sets no budget.
     pub budget: Option<f64>,
-    /// In the order of [`DISTRIBUTIONS`].
+    /// One estimate for each distribution, in the order of [`DISTRIBUTIONS`].
     pub estimates: [Estimate; 2],
-    /// What brings the figure about.
+    /// The mechanism that causes the load.
     pub mechanism: &'static str,
 }
 
 impl Row {
-    /// Value over budget, one for each distribution.
+    /// Returns the value divided by the budget, for each distribution. `None` without a value or a budget above zero.
     pub fn ratios(&self) -> [Option<f64>; 2] {
         let ratio = |estimate: &Estimate| {
             Some(estimate.value? / self.budget.filter(|budget| *budget > 0.0)?)
@@ -43,19 +43,20 @@
         [ratio(&self.estimates[0]), ratio(&self.estimates[1])]
     }
 
-    /// Whether a distribution's value is over the budget; where the budget is none at all, whether there is any.
+    /// Whether the value of the distribution with index `at` is over the budget. With a budget of zero, any value above
+    /// zero is.
     pub fn is_over(&self, at: usize) -> bool {
         let value = self.estimates[at].value.unwrap_or(0.0);
         self.budget.is_some_and(|budget| value > budget)
     }
 
-    /// The worse of the two ratios; below all ratios where there is none.
+    /// Returns the larger of the two ratios as a sort key; -1 if there is none.
     fn weight(&self) -> f64 {
         self.ratios().into_iter().flatten().fold(-1.0, f64::max)
     }
 }
 
-/// A role with its rows, the one over its budget by most first.
+/// A role with its rows, the largest ratio to the budget first.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoleRows {
     /// The role's name on the page.
@@ -64,19 +65,19 @@
     pub rows: Vec<Row>,
 }
 
-/// Everything that rows are computed from.
+/// The inputs from which rows are computed.
 #[derive(Clone, Copy)]
 pub struct Basis<'a> {
     /// The fitted lines.
     pub lines: Lines<'a>,
-    /// The size that the page is for.
+    /// The size for which the page is computed.
     pub target: &'a Target,
 }
 
-/// The rows of all roles.
+/// Returns the rows of all roles.
 pub fn roles(basis: Basis) -> Vec<RoleRows> {
     let target = basis.target;
-    let (whole, group) = (target.size(), target.size_of_a_group());
+    let (whole, group) = (target.size(), target.size_per_planner());
     let roles = vec![
         RoleRows {
             title: "Dispatcher (forwarder)".into(),
@@ -102,14 +103,14 @@
     roles.into_iter().map(sorted).collect()
 }
 
-/// Rows without a ratio keep their order, behind all others.
+/// Sorts the rows of a role by their ratio to the budget; rows without a ratio come last and keep their order.
 fn sorted(mut role: RoleRows) -> RoleRows {
     role.rows
         .sort_by(|one, other| other.weight().total_cmp(&one.weight()));
     role
 }
 
-/// An estimate under each distribution.
-fn both(of: impl Fn(Distribution) -> Estimate) -> [Estimate; 2] {
+/// Computes an estimate for each of [`DISTRIBUTIONS`].
+fn per_distribution(of: impl Fn(Distribution) -> Estimate) -> [Estimate; 2] {
     DISTRIBUTIONS.map(of)
 }
--- a/crates/flaxdeck-scale/src/capacity/rows/dispatcher.rs
+++ b/crates/flaxdeck-scale/src/capacity/rows/dispatcher.rs
@@ -1,20 +1,22 @@
-//! What a dispatcher carries: control of its own, delays of events, and the service beside.
+//! The load of a dispatcher: control traffic and resources, delays of events, and the service of its requests
+//! meanwhile.
 
-use super::{BYTES, Basis, DISTRIBUTIONS, MESSAGES, Row, both};
-use crate::capacity::estimate::{Estimate, Known, estimate};
+use super::{BYTES, Basis, DISTRIBUTIONS, MESSAGES, Row, per_distribution};
+use crate::capacity::estimate::{Estimate, Provenance, estimate};
 use crate::fit::line::Line;
 use crate::fit::nature::Size;
 use crate::measurement::{Metric, Role};
 
-/// The bytes of all connections both ways without headers, which are estimated by the number of messages.
+/// Bytes of all connections in both directions, without TCP and IP headers (which are estimated from the number of
+/// messages).
 const BODIES: &[Metric] = &[Metric::BytesInPerS, Metric::BytesOutPerS];
-const BY_EVENTS: &str =
+const EVENTS_MECHANISM: &str =
     "each event from each planner and the coordinator; digest: batches from one planner";
-const BY_REPORTS: &str = "reports and guidance with each planner";
-const BY_CONTROL: &str =
+const REPORTS_MECHANISM: &str = "reports and guidance with each planner";
+const CONTROL_MECHANISM: &str =
     "the control side of a forwarder: guide, feed, store of purges and endpoints";
 
-/// All figures of a dispatcher.
+/// Returns all rows of a dispatcher.
 pub(super) fn rows(basis: Basis) -> Vec<Row> {
     let mut rows = traffic(basis);
     rows.extend(resources(basis));
@@ -26,10 +28,10 @@
     rows
 }
 
-/// All kinds of some metrics together, at the size of the target.
+/// Returns the sum of some metrics over all message kinds at the target size.
 fn total(basis: Basis, metrics: &[Metric]) -> [Estimate; 2] {
     let size = basis.target.size();
-    both(|distribution| {
+    per_distribution(|distribution| {
         let role = Role::HollowForwarder;
         basis.lines.total(distribution, role, metrics, &size)
     })
@@ -41,7 +43,7 @@
         unit,
         budget,
         estimates: total(basis, metrics),
-        mechanism: BY_EVENTS,
+        mechanism: EVENTS_MECHANISM,
     };
     let bytes = Some(basis.target.budget_bytes_per_s);
     vec![
@@ -76,14 +78,14 @@
             "cores",
             Some(target.budget_cores),
             Metric::Cores,
-            BY_CONTROL,
+            CONTROL_MECHANISM,
         ),
         row(
             "resident memory",
             "bytes",
             Some(target.budget_memory_bytes()),
             Metric::ResidentBytes,
-            BY_CONTROL,
+            CONTROL_MECHANISM,
         ),
         row(
             "descriptors",
@@ -95,7 +97,7 @@
     ]
 }
 
-/// The bytes of each kind of message, as a part of the budget of all.
+/// Returns the bytes of each kind of message, compared with the budget for all kinds together.
 fn kinds(basis: Basis, role: Role, size: &Size) -> Vec<Row> {
     let parts = [
         ("in", Metric::BytesInPerS),
@@ -119,7 +121,7 @@
                 what: format!("of these: {what}"),
                 unit: "bytes/s",
                 budget: Some(basis.target.budget_bytes_per_s),
-                estimates: both(of_kind),
+                estimates: per_distribution(of_kind),
                 mechanism: mechanism(&kind),
             });
         }
@@ -137,11 +139,11 @@
     names
 }
 
-/// What carries a kind of message.
+/// Returns the mechanism that causes messages of a kind.
 fn mechanism(kind: &str) -> &'static str {
     match kind {
         "feed" => "the coordinator's own frames",
-        "reports" | "guidance" => BY_REPORTS,
+        "reports" | "guidance" => REPORTS_MECHANISM,
         "subscriptions" | "deliveries" => "batches with digests, from one planner",
         "greetings" => "the first message of a connection",
         _ => "headers of the segments, estimated by messages",
@@ -154,7 +156,7 @@
         what: what.to_owned(),
         unit: "ms",
         budget,
-        estimates: both(|distribution| {
+        estimates: per_distribution(|distribution| {
             basis.lines.total(
                 distribution,
                 Role::HollowForwarder,
@@ -162,7 +164,7 @@
                 &basis.target.size(),
             )
         }),
-        mechanism: BY_EVENTS,
+        mechanism: EVENTS_MECHANISM,
     };
     vec![
         delay(
@@ -183,15 +185,17 @@
     ]
 }
 
-/// Events that did not come as they should, over all runs without a fault.
+/// Returns the numbers of events lost, duplicated, reordered or replaced, over all runs without a fault.
 fn events(basis: Basis) -> Vec<Row> {
     let row = |what: &str, metric, budget| Row {
         what: what.to_owned(),
         unit: "events",
         budget,
-        estimates: both(|distribution| {
-            let line = basis.lines.one(distribution, Role::HollowForwarder, metric);
-            line.map_or(Estimate::NOT_SHOWN, most_of_all)
+        estimates: per_distribution(|distribution| {
+            let line = basis
+                .lines
+                .single(distribution, Role::HollowForwarder, metric);
+            line.map_or(Estimate::NOT_SHOWN, largest_value)
         }),
         mechanism: "numbers and hashes of the coordinator's events",
     };
@@ -211,21 +215,21 @@
     ]
 }
 
-/// The largest value of all points of a line, wherever it was measured.
-fn most_of_all(line: &Line) -> Estimate {
+/// Returns the largest value of all points of a line, whatever the size at which it was measured.
+fn largest_value(line: &Line) -> Estimate {
     Estimate {
         value: Some(line.largest),
-        known: Known::Measured { at: line.at },
+        provenance: Provenance::Measured { at: line.at },
     }
 }
 
-/// What became of requests at real forwarders beside the hollow ones, in runs without a fault.
+/// Returns the quality of service of the real forwarders that ran next to the hollow ones, in runs without a fault.
 fn service(basis: Basis) -> Vec<Row> {
     let row = |what: &str, unit, budget, metric| Row {
         what: what.to_owned(),
         unit,
         budget,
-        estimates: both(|distribution| {
+        estimates: per_distribution(|distribution| {
             basis.lines.total(
                 distribution,
                 Role::RealForwarder,
@@ -257,7 +261,7 @@
     ]
 }
 
-/// What decisions about requests take, which is not control but shares the core.
+/// Returns the processor time of routing decisions, which are not control traffic but run on the same core.
 fn decisions(basis: Basis) -> Vec<Row> {
     let mut rows = Vec::new();
     for kind in kind_names(basis, Role::Dispatcher, Metric::DecisionMicros) {
@@ -268,22 +272,22 @@
             let line = found.into_iter().find(|line| line.series.kind == kind);
             line.map_or(Estimate::NOT_SHOWN, |line| Estimate {
                 value: Some(line.value),
-                known: Known::MeasuredApart,
+                provenance: Provenance::MeasuredSeparately,
             })
         };
-        let rate = basis.target.requests_each_per_s();
+        let rate = basis.target.mean_requests_per_s();
         rows.push(Row {
             what: format!("decisions at the mean rate of requests ({kind})"),
             unit: "cores",
             budget: Some(1.0),
-            estimates: both(|distribution| micros(distribution).map(|micros| micros * 1e-6 * rate)),
+            estimates: per_distribution(|distribution| micros(distribution).map(|micros| micros * 1e-6 * rate)),
             mechanism: "the decision engine, which looks through the hosts listed and the purges not settled",
         });
         rows.push(Row {
             what: format!("the decisions of one request ({kind})"),
             unit: "us",
             budget: None,
-            estimates: both(micros),
+            estimates: per_distribution(micros),
             mechanism: "the same",
         });
     }
--- a/crates/flaxdeck-scale/src/capacity/rows/servers.rs
+++ b/crates/flaxdeck-scale/src/capacity/rows/servers.rs
@@ -1,14 +1,15 @@
-//! What planners, the coordinator and the machines set aside carry.
+//! The load of planners, the coordinator and the machines reserved for control.
 
 use flaxdeck_planner::MAX_CONNECTIONS;
 
-use super::{BYTES, Basis, MESSAGES, Row, both};
+use super::{BYTES, Basis, MESSAGES, Row, per_distribution};
 use crate::capacity::estimate::{Estimate, estimate};
 use crate::fit::line::Evidence;
 use crate::fit::nature::Size;
 use crate::measurement::{Distribution, Metric, Role};
 
-/// A planner at a number of dispatchers that are connected to it. Its program is one thread, so one core is all it has.
+/// Returns the rows of a planner with `size.forwarders` dispatchers connected. A planner runs on one thread, so its
+/// budget is one core.
 pub(super) fn planner(basis: Basis, size: &Size) -> Vec<Row> {
     let mut rows = server(
         basis,
@@ -29,18 +30,19 @@
         what: "processor time a message".into(),
         unit: "us",
         budget: None,
-        estimates: both(a_message),
+        estimates: per_distribution(a_message),
         mechanism: "reports in, guidance, events or batches out",
     });
     rows
 }
 
-/// The coordinator, which has no budget.
+/// Returns the rows of the coordinator, which has no budget.
 pub(super) fn coordinator(basis: Basis) -> Vec<Row> {
     server(basis, Role::Coordinator, &basis.target.size(), None, None)
 }
 
-const BY_SERVING: &str = "each event to each dispatcher; digest: batches to those that subscribe";
+const SERVER_MECHANISM: &str =
+    "each event to each dispatcher; digest: batches to those that subscribe";
 
 fn server(
     basis: Basis,
@@ -53,8 +55,10 @@
         what: what.to_owned(),
         unit,
         budget,
-        estimates: both(|distribution| basis.lines.total(distribution, role, metrics, size)),
-        mechanism: BY_SERVING,
+        estimates: per_distribution(|distribution| {
+            basis.lines.total(distribution, role, metrics, size)
+        }),
+        mechanism: SERVER_MECHANISM,
     };
     vec![
         row("processor time", "cores", cores, &[Metric::Cores]),
@@ -77,7 +81,8 @@
     ]
 }
 
-/// All machines set aside, each with one planner, the fleet divided between them.
+/// Returns the rows of all machines reserved for control, each with one planner, with the dispatchers divided between
+/// them.
 pub(super) fn machines(basis: Basis) -> Vec<Row> {
     let machines = Some(basis.target.machines);
     let all = |metrics| all_planners(basis, metrics);
@@ -86,7 +91,7 @@
             "machines needed, one core and as many connections as the code allows each",
             "machines",
             machines,
-            both(|distribution| machines_needed(basis, distribution)),
+            per_distribution(|distribution| machines_needed(basis, distribution)),
         ),
         machine_row(
             "processor time of all planners",
@@ -115,10 +120,10 @@
     ]
 }
 
-/// What one planner takes at the size of its part of the fleet, times the machines.
+/// Returns the load of one planner with its part of the fleet, multiplied by the number of machines.
 fn all_planners(basis: Basis, metrics: &[Metric]) -> [Estimate; 2] {
-    let size = basis.target.size_of_a_group();
-    both(|distribution| {
+    let size = basis.target.size_per_planner();
+    per_distribution(|distribution| {
         let role = Role::Planner;
         let one = basis.lines.total(distribution, role, metrics, &size);
         one.map(|one| one * basis.target.machines)
@@ -140,9 +145,13 @@
     }
 }
 
-/// How many machines serve the fleet if each planner takes on dispatchers until its one core or its connections are full.
+/// Returns the number of machines needed if each planner accepts dispatchers until its one core or its connection limit
+/// is exhausted.
 fn machines_needed(basis: Basis, distribution: Distribution) -> Estimate {
-    let Some(line) = basis.lines.one(distribution, Role::Planner, Metric::Cores) else {
+    let Some(line) = basis
+        .lines
+        .single(distribution, Role::Planner, Metric::Cores)
+    else {
         return Estimate::NOT_SHOWN;
     };
     if line.evidence != Evidence::Slope {
@@ -159,13 +168,13 @@
         return Estimate::NOT_SHOWN;
     }
     let served = ((1.0 - idle) / each).min(MAX_CONNECTIONS as f64);
-    let needed = (target.dispatchers * target.planners_each / served).ceil();
-    let at_that = Size {
+    let needed = (target.dispatchers * target.planners_per_dispatcher / served).ceil();
+    let served_size = Size {
         forwarders: served,
         ..target.size()
     };
     Estimate {
         value: Some(needed),
-        known: estimate(line, &at_that).known,
+        provenance: estimate(line, &served_size).provenance,
     }
 }
--- a/crates/flaxdeck-scale/src/capacity/state.rs
+++ b/crates/flaxdeck-scale/src/capacity/state.rs
@@ -1,4 +1,4 @@
-//! What is kept by each role: entries at the size of the target, bytes each, how long, and the bound in the code.
+//! The state that each role keeps: entries at the target size, bytes per entry, retention, and the limit in the code.
 
 mod encoded;
 mod planner;
@@ -8,53 +8,53 @@
 use flaxdeck_plan::{MAX_PLANNERS, Plan};
 use flaxdeck_recovery::stored_state;
 
-use super::figures::{figure, span};
+use super::figures::{duration, figure};
 use super::rows::{Basis, DISTRIBUTIONS};
 use crate::fit::line::Line;
 use crate::fit::nature::Term;
 use crate::measurement::{Metric, Role};
 
-/// What is kept of one kind.
+/// One kind of state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct State {
-    /// Who keeps it.
+    /// The role that keeps it.
     pub role: &'static str,
-    /// What is kept.
+    /// What an entry is.
     pub what: &'static str,
-    /// Entries that the target asks for.
+    /// Number of entries at the target size.
     pub needed: f64,
-    /// The most that the code keeps; none where it has no bound.
+    /// The limit in the code; `None` if there is none.
     pub bound: Option<Bound>,
-    /// How large an entry is.
+    /// Size of an entry.
     pub bytes_each: Bytes,
-    /// For how long, in words.
+    /// For how long an entry is kept, as text.
     pub kept: String,
 }
 
-/// A bound of the code, with where it stands.
+/// A limit in the code, with the place of its definition.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bound {
-    /// Entries at most.
-    pub most: f64,
-    /// The constant, with its file.
+    /// The largest number of entries.
+    pub max: f64,
+    /// The name of the constant and its file.
     pub name: &'static str,
 }
 
 /// Bytes of one entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Bytes {
-    /// What each further one adds to resident memory, by the slope; one for each distribution.
+    /// The growth of resident memory per entry, from the fitted slope; one value for each of [`DISTRIBUTIONS`].
     BySlope([Option<f64>; 2]),
-    /// As it is written to a file: encoded when the page is computed.
+    /// The length of an entry as written to a file, measured by encoding one while the page is computed.
     Encoded(f64),
-    /// No run shows it.
+    /// No run measured it.
     NotShown,
 }
 
 impl State {
-    /// Entries needed over the bound.
+    /// Returns the needed entries divided by the limit.
     pub fn ratio(&self) -> Option<f64> {
-        Some(self.needed / self.bound.as_ref()?.most)
+        Some(self.needed / self.bound.as_ref()?.max)
     }
 }
 
@@ -63,7 +63,7 @@
 const BATCH: &str = "a batch or snapshot (digest)";
 const STORE: &str = "an operator's store (state folder of one dispatcher)";
 
-/// What all roles keep, role by role, the fullest bound of a role first.
+/// Returns the state of all roles, grouped by role, the largest part of a limit first.
 pub fn states(basis: Basis) -> Vec<State> {
     let mut states = dispatcher(basis);
     states.extend(planner::planner(basis));
@@ -80,29 +80,31 @@
     states
 }
 
-/// How long a number of entries reaches at a rate.
-fn reach(entries: usize, per_s: f64) -> String {
-    span(entries as f64 / per_s)
+/// Formats the time that a number of entries covers at a rate of `per_s` entries a second.
+fn time_covered(entries: usize, per_s: f64) -> String {
+    duration(entries as f64 / per_s)
 }
 
-/// A plan that says as little as it may, so that the rest has its defaults.
-const LEAST_PLAN: &str =
+/// The smallest valid plan file, so that all optional settings have their defaults.
+const MINIMAL_PLAN: &str =
     "(plan (key-file \"k\") (planners (planner (name p) (listen \"127.0.0.1:1\"))))";
 
-/// The defaults of the operators' plan file.
+/// Returns a plan with the defaults of the operators' plan file.
 pub fn default_plan() -> Option<Plan> {
-    flaxdeck_plan::read("default", LEAST_PLAN).ok()
+    flaxdeck_plan::read("default", MINIMAL_PLAN).ok()
 }
 
-/// Reports a second by the plan file's default, each of which brings one message back.
+/// Returns the reports a second by the plan file's default. Each report is answered with one message.
 fn reports_per_s() -> f64 {
     default_plan().map_or(f64::NAN, |plan| 1e3 / f64::from(plan.report_every_ms))
 }
 
-/// What each further unit of a driver adds to resident memory.
+/// Returns the growth of resident memory per unit of a driver.
 fn memory(basis: Basis, role: Role, term: Term) -> Bytes {
     let coefficient = |distribution| {
-        let line: Option<&Line> = basis.lines.one(distribution, role, Metric::ResidentBytes);
+        let line: Option<&Line> = basis
+            .lines
+            .single(distribution, role, Metric::ResidentBytes);
         line.and_then(|line| line.coefficient(term))
     };
     match DISTRIBUTIONS.map(coefficient) {
@@ -131,7 +133,7 @@
             bytes_each: Bytes::NotShown,
             kept: format!(
                 "{}, if they settle within what the target allows",
-                span(target.purge_within_s)
+                duration(target.purge_within_s)
             ),
         },
         State {
@@ -139,7 +141,7 @@
             what: "events told in messages between reports, each second",
             needed: events,
             bound: Some(Bound {
-                most: MAX_EVENTS as f64 * reports_per_s(),
+                max: MAX_EVENTS as f64 * reports_per_s(),
                 name: "`MAX_EVENTS` in `crates/flaxdeck-control/src/messages.rs`, times reports a second",
             }),
             bytes_each: Bytes::NotShown,
@@ -150,7 +152,7 @@
             what: "planners of one plan file, if it named all machines",
             needed: target.machines,
             bound: Some(Bound {
-                most: MAX_PLANNERS as f64,
+                max: MAX_PLANNERS as f64,
                 name: "`MAX_PLANNERS` in `crates/flaxdeck-plan/src/lib.rs`",
             }),
             bytes_each: Bytes::NotShown,
@@ -159,7 +161,7 @@
     ]
 }
 
-/// What one message with a digest holds, if it reaches as far back as a purge may take.
+/// Returns the events in one batch or snapshot that covers the time in which a purge has to complete.
 fn batches(basis: Basis) -> Vec<State> {
     let target = basis.target;
     let row = |what, per_s: f64, bound| State {
@@ -171,11 +173,11 @@
         kept: "not kept".into(),
     };
     let purges = || Bound {
-        most: f64::from(MAX_PURGES),
+        max: f64::from(MAX_PURGES),
         name: "`MAX_PURGES` in `crates/flaxdeck-distribution/src/messages.rs`",
     };
     let others = Bound {
-        most: MAX_FULL_EVENTS as f64,
+        max: MAX_FULL_EVENTS as f64,
         name: "`MAX_FULL_EVENTS` in `crates/flaxdeck-distribution/src/messages.rs`",
     };
     vec![
@@ -200,10 +202,10 @@
         what,
         needed: per_s * target.purge_within_s,
         bound: Some(Bound {
-            most: stored_state::MAX_PURGES as f64,
+            max: stored_state::MAX_PURGES as f64,
             name: "`MAX_PURGES` in `crates/flaxdeck-recovery/src/stored_state.rs`",
         }),
-        bytes_each: Bytes::Encoded(encoded::per_purge()),
+        bytes_each: Bytes::Encoded(encoded::bytes_per_purge()),
         kept: "until they have settled; past the bound copies from before count as purged".into(),
     };
     vec![
@@ -212,7 +214,7 @@
             what: "hosts listed",
             needed: target.hosts,
             bound: None,
-            bytes_each: Bytes::Encoded(encoded::per_host()),
+            bytes_each: Bytes::Encoded(encoded::bytes_per_host()),
             kept: "while listed".into(),
         },
         purges("purges, as far back as one may take", target.purges_per_s),
@@ -225,10 +227,10 @@
             what: "records in its log, each second",
             needed: target.events_per_s(),
             bound: None,
-            bytes_each: Bytes::Encoded(encoded::per_record()),
+            bytes_each: Bytes::Encoded(encoded::bytes_per_log_record()),
             kept: format!(
                 "until the next whole state; {} bytes a second",
-                figure(target.events_per_s() * encoded::per_record())
+                figure(target.events_per_s() * encoded::bytes_per_log_record())
             ),
         },
     ]
--- a/crates/flaxdeck-scale/src/capacity/state/encoded.rs
+++ b/crates/flaxdeck-scale/src/capacity/state/encoded.rs
@@ -1,16 +1,16 @@
-//! Bytes of entries as they are written to a file: encoded when the page is computed.
+//! Sizes of stored entries in bytes, measured by encoding sample entries while the page is computed.
 
 use flaxdeck_recovery::EventPosition;
 use flaxdeck_recovery::stored_state::{
     self, StateChange, StoredEndpoint, StoredPurge, StoredState,
 };
 
-/// Numbers as large as those of real events, whose encoding is as long as theirs.
-const LARGE: u64 = u64::MAX / 3;
-/// Milliseconds of Unix time of these years.
-const SOME_TIME: u64 = 1_900_000_000_000;
+/// A number as large as real hashes and event numbers, so that its encoding is as long as theirs.
+const SAMPLE_NUMBER: u64 = u64::MAX / 3;
+/// A present-day Unix time in milliseconds, so that its encoding has a realistic length.
+const SAMPLE_TIME_MS: u64 = 1_900_000_000_000;
 
-fn some_line() -> StoredEndpoint {
+fn sample_endpoint() -> StoredEndpoint {
     StoredEndpoint {
         host: "s-00000000".into(),
         address: ([10, 0, 0, 1], 7_000).into(),
@@ -19,15 +19,15 @@
         cell: 0,
         role: 0,
         health: 0,
-        started: SOME_TIME,
+        started: SAMPLE_TIME_MS,
     }
 }
 
-fn some_purge() -> StoredPurge {
+fn sample_purge() -> StoredPurge {
     StoredPurge {
-        object: Some(LARGE),
+        object: Some(SAMPLE_NUMBER),
         group: 0,
-        made: SOME_TIME,
+        made: SAMPLE_TIME_MS,
     }
 }
 
@@ -35,29 +35,29 @@
     stored_state::encode(state).len() as f64
 }
 
-/// Bytes of a host of the list.
-pub(super) fn per_host() -> f64 {
+/// Returns the bytes of one endpoint of the endpoint list.
+pub(super) fn bytes_per_host() -> f64 {
     encoded(&StoredState {
-        endpoints: vec![some_line()],
+        endpoints: vec![sample_endpoint()],
         ..StoredState::default()
     }) - encoded(&StoredState::default())
 }
 
-/// Bytes of a purge.
-pub(super) fn per_purge() -> f64 {
+/// Returns the bytes of one purge.
+pub(super) fn bytes_per_purge() -> f64 {
     encoded(&StoredState {
-        purges: vec![some_purge()],
+        purges: vec![sample_purge()],
         ..StoredState::default()
     }) - encoded(&StoredState::default())
 }
 
-/// Bytes of a purge as a record of the log.
-pub(super) fn per_record() -> f64 {
+/// Returns the bytes of a log record of one purge.
+pub(super) fn bytes_per_log_record() -> f64 {
     encoded(&StateChange::Purged(
         EventPosition {
-            number: LARGE,
-            hash: LARGE,
+            number: SAMPLE_NUMBER,
+            hash: SAMPLE_NUMBER,
         },
-        some_purge(),
+        sample_purge(),
     ))
 }
--- a/crates/flaxdeck-scale/src/capacity/state/planner.rs
+++ b/crates/flaxdeck-scale/src/capacity/state/planner.rs
@@ -1,39 +1,39 @@
-//! What a planner keeps.
+//! The state of a planner.
 
 use flaxdeck_control::planner::{FORWARDER_TIMEOUT, MAX_FORWARDERS, MAX_POOLS, MAX_RELAYED_EVENTS};
 use flaxdeck_planner::MAX_CONNECTIONS;
 
-use super::{Bound, Bytes, PLANNER, State, memory, reach};
-use crate::capacity::figures::span;
+use super::{Bound, Bytes, PLANNER, State, memory, time_covered};
+use crate::capacity::figures::duration;
 use crate::capacity::rows::Basis;
 use crate::fit::nature::Term;
 use crate::measurement::Role;
 
-/// What a planner keeps.
+/// Returns all state of a planner.
 pub(super) fn planner(basis: Basis) -> Vec<State> {
-    let mut states = members_heard(basis);
+    let mut states = connected_dispatchers(basis);
     states.extend(relayed_events(basis));
     states.extend(hosts(basis));
     states
 }
 
-fn members_heard(basis: Basis) -> Vec<State> {
+fn connected_dispatchers(basis: Basis) -> Vec<State> {
     let target = basis.target;
-    let forgotten = span(FORWARDER_TIMEOUT.ms() / 1e3);
+    let forgotten = duration(FORWARDER_TIMEOUT.ms() / 1e3);
     vec![
         State {
             role: PLANNER,
             what: "dispatchers heard, if it hears every one",
             needed: target.dispatchers,
-            bound: Some(max_members()),
+            bound: Some(forwarder_bound()),
             bytes_each: memory(basis, Role::Planner, Term::Forwarders),
             kept: format!("{forgotten} after its last report"),
         },
         State {
             role: PLANNER,
             what: "dispatchers heard, where the fleet is divided",
-            needed: target.dispatchers_a_planner(),
-            bound: Some(max_members()),
+            needed: target.dispatchers_per_planner(),
+            bound: Some(forwarder_bound()),
             bytes_each: memory(basis, Role::Planner, Term::Forwarders),
             kept: format!("{forgotten} after its last report"),
         },
@@ -42,7 +42,7 @@
             what: "connections, if it hears every one",
             needed: target.dispatchers,
             bound: Some(Bound {
-                most: MAX_CONNECTIONS as f64,
+                max: MAX_CONNECTIONS as f64,
                 name: "`MAX_CONNECTIONS` in `crates/flaxdeck-planner/src/lib.rs`",
             }),
             bytes_each: Bytes::NotShown,
@@ -51,18 +51,18 @@
     ]
 }
 
-/// Events to pass on, as far back as a purge may take.
+/// Returns the relayed events that cover the time in which a purge has to complete.
 fn relayed_events(basis: Basis) -> Vec<State> {
     let target = basis.target;
     let state = |what, events_per_s: f64| State {
         role: PLANNER,
         what,
         needed: events_per_s * target.purge_within_s,
-        bound: Some(max_log()),
+        bound: Some(relay_log_bound()),
         bytes_each: Bytes::NotShown,
         kept: format!(
             "by their count, which reaches {} back",
-            reach(MAX_RELAYED_EVENTS, events_per_s)
+            time_covered(MAX_RELAYED_EVENTS, events_per_s)
         ),
     };
     vec![
@@ -93,7 +93,7 @@
             what: "lives of cold hosts, if all were cold",
             needed: target.hosts,
             bound: Some(Bound {
-                most: MAX_POOLS as f64,
+                max: MAX_POOLS as f64,
                 name: "`MAX_POOLS` in `crates/flaxdeck-control/src/planner.rs`",
             }),
             bytes_each: Bytes::NotShown,
@@ -102,16 +102,16 @@
     ]
 }
 
-fn max_members() -> Bound {
+fn forwarder_bound() -> Bound {
     Bound {
-        most: MAX_FORWARDERS as f64,
+        max: MAX_FORWARDERS as f64,
         name: "`MAX_FORWARDERS` in `crates/flaxdeck-control/src/planner.rs`",
     }
 }
 
-fn max_log() -> Bound {
+fn relay_log_bound() -> Bound {
     Bound {
-        most: MAX_RELAYED_EVENTS as f64,
+        max: MAX_RELAYED_EVENTS as f64,
         name: "`MAX_RELAYED_EVENTS` in `crates/flaxdeck-control/src/planner/relay_log.rs`",
     }
 }
--- a/crates/flaxdeck-scale/src/fit.rs
+++ b/crates/flaxdeck-scale/src/fit.rs
@@ -1,5 +1,5 @@
-//! Lines fitted to the measurements of runs of several sizes. Each (distribution, fault, planners, role, metric, kind) is
-//! fitted by itself over the drivers that the metric goes with by its nature.
+//! Fits lines to the measurements of runs of several sizes. Each series (distribution, fault, planners, role, metric,
+//! kind) is fitted separately over the drivers on which its metric depends.
 
 pub mod least_squares;
 pub mod line;
@@ -10,23 +10,25 @@
 use crate::measurement::{Distribution, Measurement, Metric, Role};
 use least_squares::{Solution, least_squares};
 use line::{Evidence, FittedTerm, Line, Series};
-use nature::{Nature, Size, Term, nature};
+use nature::{Model, Size, Term, model};
 
-/// Sizes of a driver from which on it has a slope: two would fit any line exactly.
+/// Least number of different values of a driver for a slope. A line through two values always fits exactly, so it shows
+/// nothing.
 pub const MIN_SIZES: u32 = 3;
-/// The fault of runs without one: only these have slopes.
+/// The value of `fault` in runs without a fault. Only these runs have slopes.
 pub const NO_FAULT: &str = "none";
 
-/// Cores of a planner or coordinator from which on its one thread is full. It then tells several events in one message, and
-/// what it sends and takes is less than it was asked for.
-pub const FULL_CORES: f64 = 0.9;
-/// Idle share of the machine below which processes wait for each other, so that no figure of cost or delay counts.
-pub const FULL_IDLE: f64 = 0.05;
-/// Under [`Distribution::EachEvent`] each event comes in a message of its own from each planner and the coordinator. With
-/// fewer messages than this share of that, several went in one, and bytes and messages are less than was asked for.
-pub const CROWDED_SHARE: f64 = 0.97;
+/// Processor use, in cores, from which on the single thread of a planner or coordinator counts as saturated. It then
+/// puts several events into one message, and its traffic and load are below what the run's rates ask for.
+pub const SATURATED_CORES: f64 = 0.9;
+/// Idle share of the machine below which processes wait for each other, so that figures of cost and delay are invalid.
+pub const MIN_IDLE_SHARE: f64 = 0.05;
+/// Under [`Distribution::EachEvent`] each planner and the coordinator send one message per event. If fewer than this
+/// share of these messages arrive, several events were sent in one, and bytes and messages are below what the run's
+/// rates ask for.
+pub const BATCHED_SHARE: f64 = 0.97;
 
-/// The lines of all series of the measurements, in their order.
+/// Returns the lines of all series of the measurements, in the order of the series.
 pub fn fit(measurements: &[Measurement]) -> Vec<Line> {
     let exclusions = Exclusions::of(measurements);
     let mut groups: BTreeMap<Series, Vec<&Measurement>> = BTreeMap::new();
@@ -43,16 +45,17 @@
     groups.iter().map(line).collect()
 }
 
-/// The measurements that are valid: figures of cost and delay only of runs that the machine had room for.
+/// Returns the valid measurements: finite values, and figures of cost and delay only from runs on a machine that was
+/// not fully busy.
 pub fn valid_measurements(measurements: &[Measurement]) -> Vec<&Measurement> {
     let exclusions = Exclusions::of(measurements);
     measurements
         .iter()
-        .filter(|row| row.value.is_finite() && !exclusions.hides(row))
+        .filter(|row| row.value.is_finite() && !exclusions.invalidates(row))
         .collect()
 }
 
-/// One run at one size.
+/// Identifies one run at one size; the role, metric and kind of its series are fixed placeholders.
 type RunKey = (String, Series, [u64; 3]);
 
 fn run_key(row: &Measurement) -> RunKey {
@@ -74,16 +77,16 @@
     )
 }
 
-/// Runs whose figures don't count, or not for all metrics.
+/// Runs whose figures are invalid or excluded from slopes.
 struct Exclusions {
-    /// The machine was full: figures of cost and delay don't count at all.
+    /// Runs on a fully busy machine: their figures of cost and delay are invalid.
     busy: BTreeSet<RunKey>,
-    /// The thread of a planner or the coordinator was full, or several events went in one message: no line is fitted
-    /// through them.
-    full: BTreeSet<RunKey>,
-    /// Real forwarders under load took part, which the number of forwarders does not count: no line of a planner or the
-    /// coordinator is fitted through them.
-    with_real: BTreeSet<RunKey>,
+    /// Runs in which the thread of a planner or the coordinator was saturated, or several events were sent in one
+    /// message: excluded from slopes.
+    saturated: BTreeSet<RunKey>,
+    /// Runs with real forwarders under load, which the number of forwarders does not include: excluded from slopes of
+    /// planners and the coordinator.
+    with_real_forwarders: BTreeSet<RunKey>,
 }
 
 fn is_server(role: Role) -> bool {
@@ -99,38 +102,40 @@
                 .map(run_key)
                 .collect()
         };
-        let is_busy =
-            |row: &Measurement| row.metric == Metric::MachineIdleShare && row.value < FULL_IDLE;
-        let is_full = |row: &Measurement| {
-            row.metric == Metric::Cores && is_server(row.role) && row.value >= FULL_CORES
+        let is_busy = |row: &Measurement| {
+            row.metric == Metric::MachineIdleShare && row.value < MIN_IDLE_SHARE
         };
-        let mut full = keys_where(&is_full);
-        full.extend(crowded(measurements));
+        let is_saturated = |row: &Measurement| {
+            row.metric == Metric::Cores && is_server(row.role) && row.value >= SATURATED_CORES
+        };
+        let mut saturated = keys_where(&is_saturated);
+        saturated.extend(batched_runs(measurements));
         Exclusions {
             busy: keys_where(&is_busy),
-            full,
-            with_real: keys_where(&|row| row.role == Role::RealForwarder),
+            saturated,
+            with_real_forwarders: keys_where(&|row| row.role == Role::RealForwarder),
         }
     }
 
-    /// Whether a row is not to be believed at all.
-    fn hides(&self, row: &Measurement) -> bool {
+    /// Whether a row is invalid: a cost or delay measured on a fully busy machine.
+    fn invalidates(&self, row: &Measurement) -> bool {
         row.metric.is_cost_or_delay() && self.busy.contains(&run_key(row))
     }
 
-    /// Whether no line is to be fitted through a row.
+    /// Whether a row is excluded from fitting a line.
     fn excludes_from_slopes(&self, row: &Measurement) -> bool {
         let key = run_key(row);
-        self.full.contains(&key) || (is_server(row.role) && self.with_real.contains(&key))
+        self.saturated.contains(&key)
+            || (is_server(row.role) && self.with_real_forwarders.contains(&key))
     }
 }
 
-/// Runs in which several events went in one message to a hollow forwarder.
-fn crowded(measurements: &[Measurement]) -> BTreeSet<RunKey> {
+/// Returns the runs in which several events were sent to a hollow forwarder in one message.
+fn batched_runs(measurements: &[Measurement]) -> BTreeSet<RunKey> {
     let mut received: BTreeMap<RunKey, f64> = BTreeMap::new();
     let mut published: BTreeMap<RunKey, f64> = BTreeMap::new();
     for row in measurements {
-        // A report is answered with guidance, which has no event if there is none.
+        // Each report is answered with guidance, also without an event to send, so as many messages are subtracted.
         let sign = match (row.metric, row.kind.as_str()) {
             (Metric::MessagesInPerS, "feed" | "guidance") => 1.0,
             (Metric::MessagesOutPerS, "reports") => -1.0,
@@ -141,13 +146,13 @@
             published.insert(run_key(row), f64::from(row.planners + 1) * row.purges_per_s);
         }
     }
-    let is_crowded = |(key, received): (RunKey, f64)| {
-        (received < CROWDED_SHARE * published[&key]).then_some(key)
+    let is_batched = |(key, received): (RunKey, f64)| {
+        (received < BATCHED_SHARE * published[&key]).then_some(key)
     };
-    received.into_iter().filter_map(is_crowded).collect()
+    received.into_iter().filter_map(is_batched).collect()
 }
 
-/// What was measured without a fault where a line with one was.
+/// Returns the value of runs without a fault at the size of a line with a fault; `None` for a line without a fault.
 fn twin(line: &Line, groups: &BTreeMap<Series, Vec<&Measurement>>) -> Option<f64> {
     if line.series.fault == NO_FAULT {
         return None;
@@ -156,21 +161,21 @@
         fault: NO_FAULT.to_owned(),
         ..line.series.clone()
     })?;
-    let there: Vec<&Measurement> = rows
+    let at_size: Vec<&Measurement> = rows
         .iter()
         .copied()
         .filter(|row| Size::of(row) == line.at)
         .collect();
-    (!there.is_empty()).then(|| summed_up(&line.series, &there))
+    (!at_size.is_empty()).then(|| aggregate(&line.series, &at_size))
 }
 
-/// One value for several points.
-fn summed_up(series: &Series, rows: &[&Measurement]) -> f64 {
+/// Combines the values of several rows into one, as the metric's model defines it.
+fn aggregate(series: &Series, rows: &[&Measurement]) -> f64 {
     let values = rows.iter().map(|row| row.value);
-    match nature(series.role, series.metric) {
-        Nature::Line(_) | Nature::Mean => values.sum::<f64>() / rows.len() as f64,
-        Nature::Max => values.fold(f64::NEG_INFINITY, f64::max),
-        Nature::Min => values.fold(f64::INFINITY, f64::min),
+    match model(series.role, series.metric) {
+        Model::Line(_) | Model::Mean => values.sum::<f64>() / rows.len() as f64,
+        Model::Max => values.fold(f64::NEG_INFINITY, f64::max),
+        Model::Min => values.fold(f64::INFINITY, f64::min),
     }
 }
 
@@ -186,8 +191,8 @@
 }
 
 fn fit_series(series: Series, rows: &[&Measurement], exclusions: &Exclusions) -> Line {
-    let terms = match nature(series.role, series.metric) {
-        Nature::Line(terms) if series.fault == NO_FAULT => terms,
+    let terms = match model(series.role, series.metric) {
+        Model::Line(terms) if series.fault == NO_FAULT => terms,
         _ => return measured(series, rows),
     };
     let included: Vec<&Measurement> = rows
@@ -219,7 +224,7 @@
     value: f64,
 }
 
-/// How far a term's driver was varied.
+/// Returns the range over which a term's driver was varied, without a coefficient.
 fn range(term: Term, points: &[Point]) -> FittedTerm {
     let drivers: Vec<f64> = points
         .iter()
@@ -229,15 +234,15 @@
     FittedTerm {
         term,
         coefficient: None,
-        least: drivers.iter().copied().fold(f64::INFINITY, f64::min),
-        most: drivers.iter().copied().fold(f64::NEG_INFINITY, f64::max),
+        min: drivers.iter().copied().fold(f64::INFINITY, f64::min),
+        max: drivers.iter().copied().fold(f64::NEG_INFINITY, f64::max),
         sizes: sizes.len() as u32,
     }
 }
 
-/// Fits a constant and as many of the terms as the points bear. None if the main one, which comes first, has too few sizes.
-/// A term whose coefficient comes out below zero is left out: more of a driver costs no less, so it is noise, and would
-/// flatter what is drawn out.
+/// Fits a constant and as many of the terms as the points allow. Returns `None` if the main term, which comes first,
+/// has too few sizes. A term with a negative coefficient is removed: more of a driver never costs less, so the
+/// coefficient is noise and would make extrapolated values too low.
 fn fit_terms(
     terms: &[Term],
     ranges: &[FittedTerm],
@@ -257,7 +262,7 @@
                 Some(at) => drop(fitted.remove(at)),
                 None => return Some((fitted, solution)),
             },
-            // The last one can't be told from those before it.
+            // Too few points, or the columns are linearly dependent: retry without the last term.
             None => drop(fitted.pop()),
         }
     }
@@ -274,7 +279,7 @@
     least_squares(&rows, &values)
 }
 
-/// The place of the most negative coefficient beside the constant's.
+/// Returns the index of the most negative coefficient, ignoring the constant's.
 fn most_negative(solution: &Solution) -> Option<usize> {
     let negative = solution
         .coefficients
@@ -301,8 +306,8 @@
     let constant = FittedTerm {
         term: Term::Constant,
         coefficient: coefficient(Term::Constant),
-        least: 1.0,
-        most: 1.0,
+        min: 1.0,
+        max: 1.0,
         sizes: 1,
     };
     let with_coefficient = |range: &FittedTerm| FittedTerm {
@@ -320,17 +325,17 @@
     }
 }
 
-/// What was measured at the largest size, without a slope.
+/// Returns a line without a slope: the value measured at the largest size.
 fn measured(series: Series, rows: &[&Measurement]) -> Line {
     let sizes = rows.iter().map(|row| Size::of(row));
     let at = sizes.max_by(Size::order).unwrap_or_default();
-    let there: Vec<&Measurement> = rows
+    let at_size: Vec<&Measurement> = rows
         .iter()
         .copied()
         .filter(|row| Size::of(row) == at)
         .collect();
-    let value = summed_up(&series, &there);
-    let squares: f64 = there.iter().map(|row| (row.value - value).powi(2)).sum();
+    let value = aggregate(&series, &at_size);
+    let squares: f64 = at_size.iter().map(|row| (row.value - value).powi(2)).sum();
     let runs: BTreeSet<String> = rows.iter().map(|row| row.run.clone()).collect();
     Line {
         series,
@@ -338,7 +343,7 @@
         terms: Vec::new(),
         points: rows.len() as u32,
         excluded_points: 0,
-        residual: (squares / there.len() as f64).sqrt(),
+        residual: (squares / at_size.len() as f64).sqrt(),
         largest: rows
             .iter()
             .map(|row| row.value)
--- a/crates/flaxdeck-scale/src/fit/least_squares.rs
+++ b/crates/flaxdeck-scale/src/fit/least_squares.rs
@@ -1,19 +1,20 @@
-//! Least squares of a few columns by the normal equations.
+//! Linear least squares for a small number of columns, solved by the normal equations.
 
-/// Part of its column's own square below which a pivot counts as zero: then columns depend on each other.
+/// A pivot below this fraction of its column's squared norm counts as zero: the columns are linearly dependent.
 const SINGULAR: f64 = 1e-9;
 
-/// Coefficients that fit best, and how far off they are.
+/// The best-fitting coefficients and their residual.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Solution {
-    /// One for each column.
+    /// One coefficient for each column.
     pub coefficients: Vec<f64>,
-    /// Root of the mean square of the residuals, in the unit of the values.
+    /// Root mean square of the residuals, in the unit of the values.
     pub residual: f64,
 }
 
-/// The coefficients of the columns that bring the sum of the rows nearest to the values. None if there are fewer rows than
-/// columns, or if the columns depend on each other. `rows[i][j]` is column `j` of point `i`.
+/// Returns the coefficients that minimize the squared differences between the weighted sums of the rows and the values.
+/// Returns `None` if there are fewer rows than columns, or if the columns are linearly dependent. `rows[i][j]` is
+/// column `j` of point `i`.
 pub fn least_squares(rows: &[Vec<f64>], values: &[f64]) -> Option<Solution> {
     let width = rows.first()?.len();
     if rows.len() < width || rows.len() != values.len() {
@@ -35,7 +36,7 @@
     })
 }
 
-/// The value that coefficients give for a row.
+/// Returns the value that the coefficients predict for a row.
 pub fn predict(row: &[f64], coefficients: &[f64]) -> f64 {
     row.iter()
         .zip(coefficients)
@@ -43,14 +44,15 @@
         .sum()
 }
 
-/// The largest of each column, by which it is divided so that columns of different units weigh alike.
+/// Returns the largest absolute value of each column. Columns are divided by it so that different units weigh alike.
+/// `None` if a column is all zero.
 fn column_scales(rows: &[Vec<f64>], width: usize) -> Option<Vec<f64>> {
     let largest = |column: usize| rows.iter().map(|row| row[column].abs()).fold(0.0, f64::max);
     let scales: Vec<f64> = (0..width).map(largest).collect();
     scales.iter().all(|scale| *scale > 0.0).then_some(scales)
 }
 
-/// The matrix of the normal equations, with the right side as its last column.
+/// Returns the augmented matrix of the normal equations; the last column is the right-hand side.
 fn normal_equations(rows: &[Vec<f64>], values: &[f64], scales: &[f64]) -> Vec<Vec<f64>> {
     let width = scales.len();
     let mut equations = vec![vec![0.0; width + 1]; width];
@@ -69,8 +71,8 @@
     equations
 }
 
-/// Gauss's elimination. The matrix is symmetric and, where columns are independent, positive definite, so the pivots on the
-/// diagonal will do.
+/// Gaussian elimination. The matrix is symmetric and, if the columns are independent, positive definite, so the
+/// diagonal elements serve as pivots without row exchanges. Returns `None` if a pivot is zero.
 fn eliminate(equations: &mut [Vec<f64>]) -> Option<()> {
     let squares: Vec<f64> = equations
         .iter()
--- a/crates/flaxdeck-scale/src/fit/line.rs
+++ b/crates/flaxdeck-scale/src/fit/line.rs
@@ -1,4 +1,4 @@
-//! A fitted line, or what was measured where no line could be: the rows of `docs/capacity/slopes.csv`.
+//! A fitted line, or the measured value where no line could be fitted, and the rows of `docs/capacity/slopes.csv`.
 
 use std::collections::BTreeMap;
 
@@ -7,83 +7,85 @@
 use super::nature::{Size, Term};
 use crate::measurement::{Distribution, Metric, Role};
 
-/// Whose figures are fitted together.
+/// Identifies the measurements that are fitted together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Series {
-    /// How events reached the forwarders.
+    /// How events were distributed to the forwarders.
     pub distribution: Distribution,
     /// `none`, or the fault of the runs.
     pub fault: String,
-    /// Planners of the runs.
+    /// Number of planners of the runs.
     pub planners: u32,
-    /// Whose figures they are.
+    /// The role that was measured.
     pub role: Role,
     /// What was measured.
     pub metric: Metric,
-    /// The kind of message where the metric has kinds; else empty.
+    /// The kind of message if the metric has kinds; otherwise empty.
     pub kind: String,
 }
 
-/// How a line is known.
+/// Whether a line was fitted or only measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Evidence {
-    /// Fitted over three sizes or more of its main driver.
+    /// Fitted over three or more values of its main driver.
     Slope,
-    /// Measured at some sizes, too few to draw it out.
+    /// Measured at too few sizes for a fit.
     Measured,
 }
 
-/// One term of a line over the sizes measured.
+/// One term of a line, with the range of its driver in the measurements.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FittedTerm {
     /// The term.
     pub term: Term,
-    /// None where the driver was not varied enough, can't be told from another one, or does less than the noise.
+    /// `None` if the driver was not varied enough, can't be separated from another driver, or has less effect than the
+    /// noise.
     pub coefficient: Option<f64>,
-    /// The least value of its driver that was measured.
-    pub least: f64,
-    /// The largest value of its driver that was measured.
-    pub most: f64,
-    /// How many different values of the driver were measured.
+    /// The smallest measured value of its driver.
+    pub min: f64,
+    /// The largest measured value of its driver.
+    pub max: f64,
+    /// The number of different values of the driver that were measured.
     pub sizes: u32,
 }
 
-/// A fitted line, with what was measured at the largest size.
+/// A fitted line, with the value measured at the largest size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// Whose figures were fitted.
+    /// The series that was fitted.
     pub series: Series,
-    /// How the line is known.
+    /// Whether the line was fitted or only measured.
     pub evidence: Evidence,
-    /// The constant first; empty where only what was measured is told.
+    /// The terms, the constant first; empty if the line was only measured.
     pub terms: Vec<FittedTerm>,
-    /// Points that were measured.
+    /// Number of points used.
     pub points: u32,
-    /// Points left out: a thread or the machine was full in their runs, or real forwarders took part uncounted.
+    /// Number of points excluded from the fit because of a saturated thread, several events in one message, or real
+    /// forwarders that are not included in the number of forwarders.
     pub excluded_points: u32,
-    /// Root mean square of the residuals; of the points at the largest size where there is no slope.
+    /// Root mean square of the residuals; without a slope, of the deviations of the points at the largest size.
     pub residual: f64,
     /// The largest value of all points.
     pub largest: f64,
     /// The largest size measured.
     pub at: Size,
-    /// The value there.
+    /// The value at the largest size.
     pub value: f64,
-    /// Of runs with a fault: the value of those without it at that size.
+    /// For runs with a fault: the value of the runs without it at the same size.
     pub twin: Option<f64>,
     /// Names of the runs, sorted.
     pub runs: Vec<String>,
 }
 
 impl Line {
-    /// The value that the line gives at a size.
+    /// Returns the value of the line at a size, at least 0.
     pub fn predict(&self, size: &Size) -> f64 {
         let part = |term: &FittedTerm| term.coefficient.unwrap_or(0.0) * term.term.driver(size);
         self.terms.iter().map(part).sum::<f64>().max(0.0)
     }
 
-    /// What each further unit of a driver adds.
+    /// Returns the coefficient of a term: the growth of the value per unit of its driver.
     pub fn coefficient(&self, term: Term) -> Option<f64> {
         self.terms
             .iter()
@@ -91,21 +93,21 @@
             .and_then(|fitted| fitted.coefficient)
     }
 
-    /// By how much the line is drawn out at a size: the driver there over the largest one measured, the worst of all
-    /// terms that were varied, at least 1.
+    /// Returns the extrapolation factor at a size: the driver at that size divided by the largest one measured, the
+    /// maximum over all varied terms, at least 1.
     pub fn factor(&self, size: &Size) -> f64 {
         let varied = self
             .terms
             .iter()
-            .filter(|term| term.sizes >= super::MIN_SIZES && term.most > 0.0);
+            .filter(|term| term.sizes >= super::MIN_SIZES && term.max > 0.0);
         varied
-            .map(|term| term.term.driver(size) / term.most)
+            .map(|term| term.term.driver(size) / term.max)
             .fold(1.0, f64::max)
     }
 
-    /// Drivers that belong to the metric and were held at one size or two, below that size.
+    /// Returns the terms whose driver was measured at fewer than [`super::MIN_SIZES`] values, all of them below `size`.
     pub fn unvaried_terms(&self, size: &Size) -> Vec<&FittedTerm> {
-        let is_below = |term: &&FittedTerm| term.most < term.term.driver(size);
+        let is_below = |term: &&FittedTerm| term.max < term.term.driver(size);
         let unvaried = self
             .terms
             .iter()
@@ -117,7 +119,7 @@
     }
 }
 
-/// A row of `slopes.csv`: one term of a line, with what belongs to the whole line repeated beside it.
+/// A row of `slopes.csv`: one term of a line; the fields of the line itself are repeated in each of its rows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SlopeRow {
     /// As in [`Series`].
@@ -134,29 +136,29 @@
     pub kind: String,
     /// As in [`Line`].
     pub evidence: Evidence,
-    /// None in the only row of what was measured and not fitted.
+    /// `None` in the single row of a line that was only measured.
     pub term: Option<Term>,
     /// As in [`FittedTerm`].
     pub coefficient: Option<f64>,
-    /// What the coefficient is counted in.
+    /// The unit of the coefficient.
     pub unit: String,
-    /// The least value of the term's driver.
+    /// The smallest value of the term's driver.
     pub driver_least: Option<f64>,
     /// The largest value of the term's driver.
     pub driver_most: Option<f64>,
-    /// Different values of the term's driver.
+    /// The number of different values of the term's driver.
     pub driver_sizes: Option<u32>,
     /// As in [`Line`].
     pub points: u32,
-    /// As in [`Line`].
+    /// [`Line::excluded_points`].
     pub left_out: u32,
     /// As in [`Line`].
     pub residual: f64,
     /// As in [`Line`].
     pub largest: f64,
-    /// Forwarders at the largest size.
+    /// Number of forwarders at the largest size.
     pub at_forwarders: f64,
-    /// Hosts at the largest size.
+    /// Number of hosts at the largest size.
     pub at_hosts: f64,
     /// Purges a second at the largest size.
     pub at_purges_per_s: f64,
@@ -164,11 +166,11 @@
     pub value: f64,
     /// As in [`Line`].
     pub twin: Option<f64>,
-    /// Separated by `;`.
+    /// Names of the runs, separated by `;`.
     pub runs: String,
 }
 
-/// Significant digits that figures are written with.
+/// Number of significant digits of written figures.
 const DIGITS: i32 = 6;
 
 fn rounded(value: f64) -> f64 {
@@ -191,7 +193,7 @@
     }
 }
 
-/// The rows of a line.
+/// Returns the rows of a line: one for each term, or a single row without a term.
 pub fn rows(line: &Line) -> Vec<SlopeRow> {
     if line.terms.is_empty() {
         return vec![row(line, None)];
@@ -215,8 +217,8 @@
         term: term.map(|term| term.term),
         coefficient: term.and_then(|term| term.coefficient).map(rounded),
         unit: unit(series.metric, term.map(|term| term.term)),
-        driver_least: term.map(|term| term.least),
-        driver_most: term.map(|term| term.most),
+        driver_least: term.map(|term| term.min),
+        driver_most: term.map(|term| term.max),
         driver_sizes: term.map(|term| term.sizes),
         points: line.points,
         left_out: line.excluded_points,
@@ -231,7 +233,7 @@
     }
 }
 
-/// The lines that rows tell, in the order of their series.
+/// Rebuilds the lines from their rows, in the order of their series.
 pub fn lines(rows: &[SlopeRow]) -> Vec<Line> {
     let mut lines: BTreeMap<Series, Line> = BTreeMap::new();
     for row in rows {
@@ -280,12 +282,12 @@
 }
 
 fn fitted_term(row: &SlopeRow) -> Option<FittedTerm> {
-    let (least, most, sizes) = (row.driver_least?, row.driver_most?, row.driver_sizes?);
+    let (min, max, sizes) = (row.driver_least?, row.driver_most?, row.driver_sizes?);
     Some(FittedTerm {
         term: row.term?,
         coefficient: row.coefficient,
-        least,
-        most,
+        min,
+        max,
         sizes,
     })
 }
--- a/crates/flaxdeck-scale/src/fit/nature.rs
+++ b/crates/flaxdeck-scale/src/fit/nature.rs
@@ -1,23 +1,23 @@
-//! What each metric goes with, by its nature: the terms of the line that is fitted to it, or how its points are summed up
-//! where a line would say nothing.
+//! The model of each metric: the terms of the line that is fitted to it, or how its points are aggregated if no line is
+//! meaningful.
 
 use serde::{Deserialize, Serialize};
 
 use crate::measurement::{Measurement, Metric, Role};
 
-/// The sizes at which something is measured or foretold.
+/// The size at which a metric is measured or predicted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Size {
-    /// Hollow forwarders, or dispatchers.
+    /// Number of hollow forwarders or dispatchers.
     pub forwarders: f64,
-    /// Hosts listed.
+    /// Number of hosts in the endpoint list.
     pub hosts: f64,
     /// Purges a second.
     pub purges: f64,
 }
 
 impl Size {
-    /// The size at which a row was measured.
+    /// Returns the size at which a row was measured.
     pub fn of(row: &Measurement) -> Size {
         Size {
             forwarders: f64::from(row.hollow_forwarders),
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Orders sizes by what they ask of a control plane: purges told to forwarders, then forwarders, then hosts.
+    /// Orders sizes by their load on the control plane: purges delivered to forwarders, then forwarders, then hosts.
     pub fn order(&self, other: &Size) -> std::cmp::Ordering {
         let key = |size: &Size| [size.forwarders * size.purges, size.forwarders, size.hosts];
         key(self)
@@ -39,20 +39,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Term {
-    /// What there is without any driver.
+    /// The part that depends on no driver.
     Constant,
-    /// For each forwarder.
+    /// Proportional to the number of forwarders.
     Forwarders,
-    /// For each host listed.
+    /// Proportional to the number of hosts in the endpoint list.
     Hosts,
-    /// For each purge a second.
+    /// Proportional to the purges a second.
     Purges,
-    /// For each purge a second told to each forwarder.
+    /// Proportional to the purges a second times the number of forwarders that receive them.
     ForwarderPurges,
 }
 
 impl Term {
-    /// The term's driver at a size.
+    /// Returns the value of the term's driver at a size.
     pub fn driver(self, size: &Size) -> f64 {
         match self {
             Term::Constant => 1.0,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The driver's name on the page and in charts.
+    /// Returns the driver's name on the page and in charts.
     pub fn name(self) -> &'static str {
         match self {
             Term::Constant => "constant",
@@ -75,33 +75,33 @@
     }
 }
 
-/// How the points of a metric are summed up.
+/// How the points of a metric are fitted or aggregated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Nature {
-    /// A line over these terms beside a constant, the main one first.
+pub enum Model {
+    /// A line over a constant and these terms, the main term first.
     Line(&'static [Term]),
-    /// The mean at the largest size.
+    /// The mean of the points at the largest size.
     Mean,
-    /// The largest at the largest size.
+    /// The maximum of the points at the largest size.
     Max,
-    /// The least at the largest size.
+    /// The minimum of the points at the largest size.
     Min,
 }
 
-/// What a metric of a role goes with.
-pub fn nature(role: Role, metric: Metric) -> Nature {
+/// Returns the model of a metric of a role.
+pub fn model(role: Role, metric: Metric) -> Model {
     match metric {
         Metric::DelayMedianMs
         | Metric::MicrosPerMessage
         | Metric::DecisionMicros
-        | Metric::EventsExpected => Nature::Mean,
-        Metric::DelayP99Ms | Metric::DelayWorstMs | Metric::ServiceP99Ms => Nature::Max,
+        | Metric::EventsExpected => Model::Mean,
+        Metric::DelayP99Ms | Metric::DelayWorstMs | Metric::ServiceP99Ms => Model::Max,
         Metric::EventsLost
         | Metric::EventsDoubled
         | Metric::EventsOutOfOrder
         | Metric::EventsReplaced
-        | Metric::RulesBroken => Nature::Max,
-        Metric::ServedShare | Metric::MachineIdleShare => Nature::Min,
+        | Metric::RulesBroken => Model::Max,
+        Metric::ServedShare | Metric::MachineIdleShare => Model::Min,
         Metric::BytesInPerS
         | Metric::BytesOutPerS
         | Metric::MessagesInPerS
@@ -113,27 +113,27 @@
     }
 }
 
-fn rate(role: Role) -> Nature {
+fn rate(role: Role) -> Model {
     match role {
         Role::Coordinator | Role::Planner => {
-            Nature::Line(&[Term::ForwarderPurges, Term::Forwarders])
+            Model::Line(&[Term::ForwarderPurges, Term::Forwarders])
         }
-        Role::RealForwarder | Role::HollowForwarder => Nature::Line(&[Term::Purges, Term::Hosts]),
-        Role::Dispatcher => Nature::Mean,
+        Role::RealForwarder | Role::HollowForwarder => Model::Line(&[Term::Purges, Term::Hosts]),
+        Role::Dispatcher => Model::Mean,
     }
 }
 
-fn memory(role: Role) -> Nature {
+fn memory(role: Role) -> Model {
     match role {
-        Role::Coordinator | Role::Planner => Nature::Line(&[Term::Forwarders, Term::Hosts]),
-        Role::RealForwarder | Role::HollowForwarder => Nature::Line(&[Term::Hosts, Term::Purges]),
-        Role::Dispatcher => Nature::Mean,
+        Role::Coordinator | Role::Planner => Model::Line(&[Term::Forwarders, Term::Hosts]),
+        Role::RealForwarder | Role::HollowForwarder => Model::Line(&[Term::Hosts, Term::Purges]),
+        Role::Dispatcher => Model::Mean,
     }
 }
 
-fn descriptors(role: Role) -> Nature {
+fn descriptors(role: Role) -> Model {
     match role {
-        Role::Coordinator | Role::Planner => Nature::Line(&[Term::Forwarders]),
-        Role::RealForwarder | Role::HollowForwarder | Role::Dispatcher => Nature::Max,
+        Role::Coordinator | Role::Planner => Model::Line(&[Term::Forwarders]),
+        Role::RealForwarder | Role::HollowForwarder | Role::Dispatcher => Model::Max,
     }
 }
--- a/crates/flaxdeck-scale/src/target.rs
+++ b/crates/flaxdeck-scale/src/target.rs
@@ -1,72 +1,74 @@
-//! The size that the control plane is designed for, read from an operator's file in S-expressions
-//! (`docs/capacity/target.plan`), with the means that follow from it.
+//! The target: the fleet size and load for which the control plane is designed, read from an operator's file in
+//! S-expressions (`docs/capacity/target.plan`), and the averages computed from it.
 
 use flaxdeck_plan::Fault;
 use flaxdeck_plan::form::{Faults, Form, only, root};
 
 use crate::fit::nature::Size;
 
-const SECONDS_A_DAY: f64 = 86_400.0;
-const BYTES_A_MB: f64 = 1e6;
+const SECONDS_PER_DAY: f64 = 86_400.0;
+const BYTES_PER_MB: f64 = 1e6;
 
-/// What the file says. All of it has to be there: a default would be a figure that nobody wrote down.
+/// The contents of the target file. Every field is required: a default would put a figure on the page that nobody
+/// specified.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Target {
-    /// Dispatchers of the whole fleet.
+    /// Number of dispatchers in the fleet.
     pub dispatchers: f64,
-    /// Sites that they stand in.
+    /// Number of sites with dispatchers.
     pub sites: f64,
-    /// Cache hosts.
+    /// Number of cache hosts.
     pub hosts: f64,
-    /// Regions.
+    /// Number of regions.
     pub regions: f64,
-    /// Zones.
+    /// Number of zones.
     pub zones: f64,
-    /// Requests a second over the whole fleet at the peak.
+    /// Requests a second of the whole fleet at the peak.
     pub requests_per_s: f64,
     /// Terabits a second to clients at the peak.
     pub tbit_per_s: f64,
-    /// Objects that are asked for.
+    /// Number of different objects requested.
     pub objects: f64,
     /// Purges a second on an ordinary day.
     pub purges_per_s: f64,
-    /// Seconds within which a purge is done everywhere.
+    /// Seconds within which a purge has to be complete on all hosts.
     pub purge_within_s: f64,
-    /// Changes of configuration.
+    /// Changes of configuration a day.
     pub changes_per_day: f64,
-    /// Seconds within which a change is in force everywhere.
+    /// Seconds within which a change of configuration has to be in force at all dispatchers.
     pub change_within_s: f64,
-    /// The fraction of a core of one dispatcher for all control.
+    /// Budget of one dispatcher for all control: processor time, in cores.
     pub budget_cores: f64,
-    /// Megabytes of one dispatcher for all control.
+    /// Budget of one dispatcher for all control: memory, in megabytes.
     pub budget_memory_mb: f64,
-    /// Bytes a second of one dispatcher for all control, both ways.
+    /// Budget of one dispatcher for all control: bytes a second in both directions together.
     pub budget_bytes_per_s: f64,
-    /// Machines set aside for control.
+    /// Number of machines reserved for control.
     pub machines: f64,
-    /// Planners that each dispatcher converses with where the fleet is divided between the machines.
-    pub planners_each: f64,
-    /// Machines that fail.
+    /// Number of planners that each dispatcher is connected to if the fleet is divided between the machines.
+    pub planners_per_dispatcher: f64,
+    /// Machines that fail in a day.
     pub failures_per_day: f64,
-    /// Dispatchers that are restarted.
+    /// Dispatchers that are restarted in a day.
     pub restarts_per_day: f64,
-    /// Racks that are lost.
+    /// Racks that fail in a week.
     pub racks_per_week: f64,
-    /// Zones that are lost.
+    /// Zones that fail in a month.
     pub zones_per_month: f64,
-    /// Dispatchers of a rack.
+    /// Number of dispatchers in a rack.
     pub rack_dispatchers: f64,
-    /// Seconds in which a day's restarts come in a rolling restart.
+    /// Seconds within which a rolling restart performs a day's restarts.
     pub rolling_within_s: f64,
     /// Seconds for which a region is cut off.
     pub cut_off_s: f64,
-    /// Times the usual rate of purges in a storm.
-    pub storm_times: f64,
-    /// Seconds that a storm lasts.
+    /// Rate of purges in a purge storm, as a multiple of the ordinary rate.
+    pub storm_factor: f64,
+    /// Duration of a purge storm in seconds.
     pub storm_s: f64,
 }
 
-/// A number of the file: the form it stands in, its word, its bounds and its place.
+/// A number in the file: the path of its enclosing forms, its keyword, its bounds, and the field of [`Target`] that it
+/// sets.
 struct Field {
     form: &'static [&'static str],
     word: &'static str,
@@ -147,7 +149,7 @@
         &["planners"],
         "each-dispatcher",
         (1.0, 64.0),
-        |target, value| target.planners_each = value,
+        |target, value| target.planners_per_dispatcher = value,
     ),
     field(&["failures"], "machines-per-day", RATE, |target, value| {
         target.failures_per_day = value
@@ -183,7 +185,7 @@
         &["events", "purge-storm"],
         "times",
         (1.0, 1e6),
-        |target, value| target.storm_times = value,
+        |target, value| target.storm_factor = value,
     ),
     field(
         &["events", "purge-storm"],
@@ -193,11 +195,11 @@
     ),
 ];
 
-/// Reads a file's text; `file` is the name that faults bear.
+/// Parses the text of a target file; `file` is the file name used in fault messages.
 ///
 /// # Errors
 ///
-/// All faults of the file, each with its place.
+/// Returns all faults of the file, each with its position.
 pub fn read(file: &str, text: &str) -> Result<Target, Vec<Fault>> {
     let mut faults = Faults::of(file);
     let mut target = Target::default();
@@ -207,9 +209,9 @@
     faults.or(target)
 }
 
-/// Fills in what stands in a form that is reached by `path`.
+/// Reads the fields and nested forms of the form at `path` into `target`.
 fn fill(target: &mut Target, form: &Form, path: &[&'static str], faults: &mut Faults) {
-    let inner = inner_forms(path);
+    let inner = nested_forms(path);
     let fields: Vec<&Field> = FIELDS.iter().filter(|field| field.form == path).collect();
     let words: Vec<&str> = inner
         .iter()
@@ -225,20 +227,20 @@
                     (field.set)(target, value);
                 }
             }
-            None => missing(form, field.word, faults),
+            None => report_missing(form, field.word, faults),
         }
     }
     for word in inner {
         let within: Vec<&'static str> = path.iter().copied().chain([word]).collect();
         match only(&mut forms, word, faults) {
             Some(form) => fill(target, &form, &within, faults),
-            None => missing(form, word, faults),
+            None => report_missing(form, word, faults),
         }
     }
 }
 
-/// The words of forms that stand directly within a path, each once.
-fn inner_forms(path: &[&'static str]) -> Vec<&'static str> {
+/// Returns the keywords of the forms nested directly in the form at `path`, each once.
+fn nested_forms(path: &[&'static str]) -> Vec<&'static str> {
     let within = FIELDS.iter().filter(|field| field.form.starts_with(path));
     let mut words: Vec<&'static str> = within
         .filter_map(|field| field.form.get(path.len()).copied())
@@ -247,84 +249,84 @@
     words
 }
 
-fn missing(form: &Form, word: &str, faults: &mut Faults) {
+fn report_missing(form: &Form, word: &str, faults: &mut Faults) {
     let what = format!("{word} is missing in ({} ...)", form.word);
     faults.add(
         form.place,
         what,
-        "the page would have no figure for it",
+        "every field of the target file is required; there are no defaults",
         format!("add ({word} ...)"),
     );
 }
 
-/// What follows from the file.
+/// Figures computed from the file.
 impl Target {
-    /// Changes and purges together, which share the coordinator's numbering.
+    /// Returns the events a second: purges and changes of configuration, which share the coordinator's numbering.
     pub fn events_per_s(&self) -> f64 {
         self.purges_per_s + self.changes_per_s()
     }
 
-    /// Changes of configuration a second.
+    /// Returns the changes of configuration a second.
     pub fn changes_per_s(&self) -> f64 {
-        self.changes_per_day / SECONDS_A_DAY
+        self.changes_per_day / SECONDS_PER_DAY
     }
 
-    /// Seconds between two changes of configuration.
-    pub fn change_each_s(&self) -> f64 {
-        SECONDS_A_DAY / self.changes_per_day
+    /// Returns the mean number of seconds between two changes of configuration.
+    pub fn change_interval_s(&self) -> f64 {
+        SECONDS_PER_DAY / self.changes_per_day
     }
 
-    /// Requests a second of one dispatcher, on average at the peak.
-    pub fn requests_each_per_s(&self) -> f64 {
+    /// Returns the mean number of requests a second of one dispatcher at the peak.
+    pub fn mean_requests_per_s(&self) -> f64 {
         self.requests_per_s / self.dispatchers
     }
 
-    /// Dispatchers of one site.
-    pub fn dispatchers_a_site(&self) -> f64 {
+    /// Returns the mean number of dispatchers in a site.
+    pub fn dispatchers_per_site(&self) -> f64 {
         self.dispatchers / self.sites
     }
 
-    /// Dispatchers of one region.
-    pub fn dispatchers_a_region(&self) -> f64 {
+    /// Returns the mean number of dispatchers in a region.
+    pub fn dispatchers_per_region(&self) -> f64 {
         self.dispatchers / self.regions
     }
 
-    /// Dispatchers of one zone.
-    pub fn dispatchers_a_zone(&self) -> f64 {
+    /// Returns the mean number of dispatchers in a zone.
+    pub fn dispatchers_per_zone(&self) -> f64 {
         self.dispatchers / self.zones
     }
 
-    /// Cache hosts of one region.
-    pub fn hosts_a_region(&self) -> f64 {
+    /// Returns the mean number of cache hosts in a region.
+    pub fn hosts_per_region(&self) -> f64 {
         self.hosts / self.regions
     }
 
-    /// Cache hosts of one zone.
-    pub fn hosts_a_zone(&self) -> f64 {
+    /// Returns the mean number of cache hosts in a zone.
+    pub fn hosts_per_zone(&self) -> f64 {
         self.hosts / self.zones
     }
 
-    /// Purges a second in a storm.
+    /// Returns the purges a second in a purge storm.
     pub fn storm_per_s(&self) -> f64 {
-        self.purges_per_s * self.storm_times
+        self.purges_per_s * self.storm_factor
     }
 
-    /// Restarts a second in a rolling restart.
+    /// Returns the restarts a second in a rolling restart.
     pub fn rolling_per_s(&self) -> f64 {
         self.restarts_per_day / self.rolling_within_s
     }
 
-    /// Bytes of memory of one dispatcher for all control.
+    /// Returns the memory budget of one dispatcher for all control, in bytes.
     pub fn budget_memory_bytes(&self) -> f64 {
-        self.budget_memory_mb * BYTES_A_MB
+        self.budget_memory_mb * BYTES_PER_MB
     }
 
-    /// Dispatchers that converse with one planner where the fleet is divided between the machines.
-    pub fn dispatchers_a_planner(&self) -> f64 {
-        (self.dispatchers * self.planners_each / self.machines).ceil()
+    /// Returns the number of dispatchers connected to one planner if the fleet is divided between the machines.
+    pub fn dispatchers_per_planner(&self) -> f64 {
+        (self.dispatchers * self.planners_per_dispatcher / self.machines).ceil()
     }
 
-    /// The size at which a line is read off where every planner hears every dispatcher.
+    /// Returns the size at which lines are evaluated if every dispatcher reports to every planner.
     pub fn size(&self) -> Size {
         Size {
             forwarders: self.dispatchers,
@@ -333,10 +335,10 @@
         }
     }
 
-    /// The same where the fleet is divided between the machines.
-    pub fn size_of_a_group(&self) -> Size {
+    /// Returns the size as seen by one planner if the fleet is divided between the machines.
+    pub fn size_per_planner(&self) -> Size {
         Size {
-            forwarders: self.dispatchers_a_planner(),
+            forwarders: self.dispatchers_per_planner(),
             ..self.size()
         }
     }
--- a/crates/flaxdeck-scale/tests/capacity.rs
+++ b/crates/flaxdeck-scale/tests/capacity.rs
@@ -8,32 +8,32 @@
 
 mod made_up_capacity;
 
-use flaxdeck_scale::capacity::estimate::{Known, Lines};
+use flaxdeck_scale::capacity::estimate::{Lines, Provenance};
 use flaxdeck_scale::capacity::page::page;
 use flaxdeck_scale::capacity::rows::{Basis, RoleRows, Row};
 use flaxdeck_scale::capacity::state::states;
 use flaxdeck_scale::fit::fit;
 use flaxdeck_scale::measurement::{Measurement, Metric, Role};
 
-use made_up_capacity::{made, near, row, slopes, the_target, with_roles};
+use made_up_capacity::{assert_near, committed_target, made_up_rows, row, slopes, with_roles};
 
 #[test]
 fn all_control_of_a_dispatcher_is_the_sum_of_its_kinds_over_its_budget() {
-    with_roles(&made(), |roles| {
+    with_roles(&made_up_rows(), |roles| {
         let row = row(roles, "Dispatcher", "all control");
-        near(row.estimates[0].value, 80.0 * 330.0 + 1_000.0);
-        near(row.ratios()[0], 27_400.0 / 2_000.0);
+        assert_near(row.estimates[0].value, 80.0 * 330.0 + 1_000.0);
+        assert_near(row.ratios()[0], 27_400.0 / 2_000.0);
         assert!(row.is_over(0));
-        near(row.estimates[1].value, 3.0 * 330.0 + 400.0);
-        near(row.ratios()[1], 1_390.0 / 2_000.0);
+        assert_near(row.estimates[1].value, 3.0 * 330.0 + 400.0);
+        assert_near(row.ratios()[1], 1_390.0 / 2_000.0);
         assert!(!row.is_over(1));
-        let known = Known::Slope {
+        let provenance = Provenance::Slope {
             factor: 1.0,
             unvaried: vec![],
-            partly_at: None,
+            partly_measured_at: None,
         };
         assert_eq!(
-            row.estimates[0].known, known,
+            row.estimates[0].provenance, provenance,
             "purges and hosts were measured at the target's own sizes"
         );
     });
@@ -41,13 +41,13 @@
 
 #[test]
 fn memory_is_read_off_the_slope() {
-    with_roles(&made(), |roles| {
+    with_roles(&made_up_rows(), |roles| {
         let row = row(roles, "Dispatcher", "resident memory");
-        near(row.estimates[0].value, 1e6 + 500.0 * 3_500.0);
-        near(row.ratios()[0], 2.75e6 / 64e6);
+        assert_near(row.estimates[0].value, 1e6 + 500.0 * 3_500.0);
+        assert_near(row.ratios()[0], 2.75e6 / 64e6);
         assert_eq!(
-            row.estimates[1].known,
-            Known::NotShown,
+            row.estimates[1].provenance,
+            Provenance::NotShown,
             "nobody measured it under digests"
         );
     });
@@ -55,38 +55,38 @@
 
 #[test]
 fn a_planner_is_drawn_out_by_the_factor_of_its_dispatchers() {
-    with_roles(&made(), |roles| {
+    with_roles(&made_up_rows(), |roles| {
         let whole = row(roles, "Planner that hears", "processor time");
-        near(
+        assert_near(
             whole.estimates[0].value,
             0.01 + 14_000.0 * (330.0 * 1e-6 + 1e-5),
         );
-        let known = Known::Slope {
+        let provenance = Provenance::Slope {
             factor: 14.0,
             unvaried: vec![],
-            partly_at: None,
+            partly_measured_at: None,
         };
-        assert_eq!(whole.estimates[0].known, known);
+        assert_eq!(whole.estimates[0].provenance, provenance);
         assert!(whole.is_over(0), "over the one core that its thread has");
         let group = row(roles, "Planner where", "processor time");
-        near(
+        assert_near(
             group.estimates[0].value,
             0.01 + 1_167.0 * (330.0 * 1e-6 + 1e-5),
         );
         assert!(!group.is_over(0));
         let descriptors = row(roles, "Planner that hears", "descriptors");
-        near(descriptors.ratios()[0], 14_020.0 / 4_096.0);
+        assert_near(descriptors.ratios()[0], 14_020.0 / 4_096.0);
     });
 }
 
 #[test]
 fn machines_needed_follow_from_what_one_core_serves() {
-    with_roles(&made(), |roles| {
+    with_roles(&made_up_rows(), |roles| {
         let row = row(roles, "The machines", "machines needed");
         let served: f64 = (1.0 - 0.01) / (330.0 * 1e-6 + 1e-5);
-        near(row.estimates[0].value, (28_000.0 / served).ceil());
+        assert_near(row.estimates[0].value, (28_000.0 / served).ceil());
         let all = row_of_cores(roles);
-        near(
+        assert_near(
             all.estimates[0].value,
             24.0 * (0.01 + 1_167.0 * (330.0 * 1e-6 + 1e-5)),
         );
@@ -99,33 +99,36 @@
 
 #[test]
 fn a_delay_is_not_drawn_out() {
-    with_roles(&made(), |roles| {
+    with_roles(&made_up_rows(), |roles| {
         let row = row(roles, "Dispatcher", "an event until");
-        near(row.estimates[0].value, 1_000.0);
+        assert_near(row.estimates[0].value, 1_000.0);
         assert!(
-            matches!(row.estimates[0].known, Known::Measured { at } if at.forwarders == 1_000.0)
+            matches!(row.estimates[0].provenance, Provenance::Measured { at } if at.forwarders == 1_000.0)
         );
     });
 }
 
 #[test]
 fn what_was_measured_below_the_target_is_a_least_value() {
-    let mut rows = made();
+    let mut rows = made_up_rows();
     rows.retain(|row| row.metric != Metric::Descriptors || row.hollow_forwarders == 1_000);
     with_roles(&rows, |roles| {
         let whole = row(roles, "Planner that hears", "descriptors");
         assert!(
-            matches!(whole.estimates[0].known, Known::MeasuredBelow { .. }),
+            matches!(
+                whole.estimates[0].provenance,
+                Provenance::MeasuredAtSmallerSize { .. }
+            ),
             "{whole:?}"
         );
     });
-    let page = page(&slopes(&rows), &the_target()).expect("it can be made");
+    let page = page(&slopes(&rows), &committed_target()).expect("it can be made");
     assert!(page.contains("| at least 1,020 descriptors | at least 0.249 | measured at 1,000 forwarders, 3,500 hosts, 330 purges/s only |"));
 }
 
 #[test]
 fn runs_with_other_planners_are_not_added_up() {
-    let mut rows = made();
+    let mut rows = made_up_rows();
     let others = rows.clone().into_iter().flat_map(|row| {
         [1, 4].map(|planners| Measurement {
             planners,
@@ -135,14 +138,14 @@
     });
     rows.extend(others.collect::<Vec<_>>());
     with_roles(&rows, |roles| {
-        near(
+        assert_near(
             row(roles, "Dispatcher", "all control").estimates[0].value,
             27_400.0,
         );
     });
     rows.retain(|row| row.planners != 2);
     with_roles(&rows, |roles| {
-        near(
+        assert_near(
             row(roles, "Dispatcher", "all control").estimates[0].value,
             3.0 * 27_400.0,
         );
@@ -151,7 +154,7 @@
 
 #[test]
 fn rows_of_a_role_are_sorted_by_their_part_of_the_budget() {
-    with_roles(&made(), |roles| {
+    with_roles(&made_up_rows(), |roles| {
         for role in roles {
             let weights: Vec<f64> = role
                 .rows
@@ -169,7 +172,7 @@
 
 #[test]
 fn one_lost_event_is_over_a_budget_of_none() {
-    let mut rows = made();
+    let mut rows = made_up_rows();
     let lost = |value| Measurement {
         role: Role::HollowForwarder,
         metric: Metric::EventsLost,
@@ -193,7 +196,7 @@
 
 #[test]
 fn state_is_held_against_the_bounds_of_the_code() {
-    let (target, lines) = (the_target(), fit(&made()));
+    let (target, lines) = (committed_target(), fit(&made_up_rows()));
     let states = states(Basis {
         lines: Lines::new(&lines, 2),
         target: &target,
@@ -210,7 +213,7 @@
             .filter(|state| state.what.starts_with(what))
             .find_map(|state| state.ratio())
     };
-    near(ratio("dispatchers heard, if"), 14_000.0 / 4_096.0);
+    assert_near(ratio("dispatchers heard, if"), 14_000.0 / 4_096.0);
     let in_store = |what: &str| {
         let in_store = states
             .iter()
@@ -219,19 +222,19 @@
             .filter(|state| state.what == what)
             .find_map(|state| state.ratio())
     };
-    near(
+    assert_near(
         in_store("purges, as far back as one may take"),
         330.0 * 6.8 / 32_768.0,
     );
-    near(
+    assert_near(
         in_store("purges, as far back as one may take, in a purge storm"),
         3_300.0 * 6.8 / 32_768.0,
     );
-    near(
+    assert_near(
         of_role("a batch", "purges, as far back as one may take, in"),
         3_300.0 * 6.8 / 4_096.0,
     );
-    near(
+    assert_near(
         ratio("events told in messages"),
         (330.0 + 82_000.0 / 86_400.0) / 320.0,
     );
--- a/crates/flaxdeck-scale/tests/capacity_page.rs
+++ b/crates/flaxdeck-scale/tests/capacity_page.rs
@@ -10,21 +10,21 @@
 
 use std::path::{Path, PathBuf};
 
-use flaxdeck_scale::capacity::estimate::Known;
-use flaxdeck_scale::capacity::figures::{count, figure, span};
+use flaxdeck_scale::capacity::estimate::Provenance;
+use flaxdeck_scale::capacity::figures::{count, duration, figure};
 use flaxdeck_scale::capacity::page::page;
 use flaxdeck_scale::fit::fit;
 use flaxdeck_scale::fit::line::{SlopeRow, lines, rows};
 use flaxdeck_scale::measurement::{DECISIONS_RUN, Measurement, Metric, Role};
 use flaxdeck_scale::{charts, files};
 
-use made_up_capacity::{made, near, row, slopes, the_target, with_roles};
+use made_up_capacity::{assert_near, committed_target, made_up_rows, row, slopes, with_roles};
 
 const TEMPLATE: &str = include_str!("../src/capacity/page.md.j2");
 
 #[test]
 fn the_page_marks_what_is_over_and_says_what_is_not_shown() {
-    let page = page(&slopes(&made()), &the_target()).expect("it can be made");
+    let page = page(&slopes(&made_up_rows()), &committed_target()).expect("it can be made");
     assert!(page.contains(
         "| all control, both ways, with headers (estimated) | 2,000 bytes/s | 27,400 bytes/s | **13.7 over** |"
     ));
@@ -43,7 +43,7 @@
 
 #[test]
 fn the_page_without_runs_shows_nothing() {
-    let page = page(&[], &the_target()).expect("it can be made");
+    let page = page(&[], &committed_target()).expect("it can be made");
     assert!(page.contains("Nothing, of what is shown."));
     assert!(page.contains("None yet."));
     let over: Vec<&str> = page
@@ -118,14 +118,14 @@
     assert_eq!(count(14_000.0), "14,000");
     assert_eq!(count(930.0), "930");
     assert_eq!(
-        [0.45, 6.8, 3_600.0, 86_400.0].map(span),
+        [0.45, 6.8, 3_600.0, 86_400.0].map(duration),
         ["450 ms", "6.8 s", "60 min", "24 h"]
     );
 }
 
 #[test]
 fn decisions_share_the_core_at_the_mean_rate_of_requests() {
-    let mut rows = made();
+    let mut rows = made_up_rows();
     rows.push(Measurement {
         run: "decisions-1".into(),
         role: Role::Dispatcher,
@@ -136,11 +136,11 @@
     });
     with_roles(&rows, |roles| {
         let row = row(roles, "Dispatcher", "decisions at the mean rate");
-        near(row.estimates[0].value, 1_100e-6 * 13e6 / 14_000.0);
+        assert_near(row.estimates[0].value, 1_100e-6 * 13e6 / 14_000.0);
         assert!(row.is_over(0));
-        assert_eq!(row.estimates[0].known, Known::MeasuredApart);
+        assert_eq!(row.estimates[0].provenance, Provenance::MeasuredSeparately);
     });
-    let page = page(&slopes(&rows), &the_target()).expect("it can be made");
+    let page = page(&slopes(&rows), &committed_target()).expect("it can be made");
     assert!(
         page.contains("--example decisions -- docs/capacity/target.plan"),
         "they have a command of their own"
@@ -203,7 +203,7 @@
                 "the chart of {title} is there"
             );
         }
-        let computed = page(&rows, &the_target()).expect("it can be made");
+        let computed = page(&rows, &committed_target()).expect("it can be made");
         let committed = files::read_text(&page_file).expect("it can be read");
         assert!(
             computed == committed,
--- a/crates/flaxdeck-scale/tests/charts.rs
+++ b/crates/flaxdeck-scale/tests/charts.rs
@@ -35,7 +35,7 @@
     }
 }
 
-fn made() -> Vec<Measurement> {
+fn made_up_rows() -> Vec<Measurement> {
     let mut rows = Vec::new();
     for purges in [33.0, 100.0, 330.0] {
         for (distribution, bytes) in [(Distribution::EachEvent, 90.0), (Distribution::Digest, 3.0)]
@@ -78,7 +78,7 @@
 #[test]
 fn charts_hold_points_of_both_distributions_and_their_lines() {
     let folder = Folder::create("both");
-    let written = charts::draw(&made(), &folder.0).expect("they can be drawn");
+    let written = charts::draw(&made_up_rows(), &folder.0).expect("they can be drawn");
     let names: Vec<String> = written
         .iter()
         .filter_map(|path| path.file_name())
@@ -89,7 +89,7 @@
         ["dispatcher-bytes.svg", "planner-cores.svg", "delays.svg"],
         "what nobody measured is not drawn"
     );
-    let titled: Vec<&str> = charts::titles(&fit(&made()))
+    let titled: Vec<&str> = charts::titles(&fit(&made_up_rows()))
         .into_iter()
         .map(|(file, _)| file)
         .collect();
@@ -108,7 +108,7 @@
 #[test]
 fn costs_and_delays_of_a_full_machine_are_not_drawn() {
     let folder = Folder::create("busy");
-    let mut rows = made();
+    let mut rows = made_up_rows();
     let idle = |(distribution, purges)| {
         row(
             distribution,
@@ -133,7 +133,7 @@
 fn a_chart_is_the_same_each_time() {
     let folder = Folder::create("same");
     let read = || {
-        let written = charts::draw(&made(), &folder.0).expect("they can be drawn");
+        let written = charts::draw(&made_up_rows(), &folder.0).expect("they can be drawn");
         written
             .iter()
             .map(|path| std::fs::read_to_string(path).expect("it is there"))
@@ -144,8 +144,8 @@
 
 #[test]
 fn a_folder_that_is_not_there_is_told() {
-    let error =
-        charts::draw(&made(), &PathBuf::from("no/such/folder")).expect_err("it is not there");
+    let error = charts::draw(&made_up_rows(), &PathBuf::from("no/such/folder"))
+        .expect_err("it is not there");
     assert!(
         error
             .to_string()
--- a/crates/flaxdeck-scale/tests/delivery.rs
+++ b/crates/flaxdeck-scale/tests/delivery.rs
@@ -14,7 +14,7 @@
         .collect()
 }
 
-fn note(after: Option<u32>, upto: u32, at_us: u64) -> LogEntry {
+fn entry(after: Option<u32>, upto: u32, at_us: u64) -> LogEntry {
     LogEntry {
         forwarder: 7,
         after,
@@ -25,11 +25,11 @@
 }
 
 /// Judges notes of one forwarder over events 3 to 10; what it knew at first was event 1.
-fn judged(notes: &[LogEntry], killed: bool) -> DeliveryOutcome {
+fn outcome_of(entries: &[LogEntry], killed: bool) -> DeliveryOutcome {
     let events = events();
     let mut checker = DeliveryChecker::new(&events, 2_500, 11_000);
-    checker.add(&note(None, 1, 1_100));
-    notes.iter().for_each(|note| checker.add(note));
+    checker.add(&entry(None, 1, 1_100));
+    entries.iter().for_each(|entry| checker.add(entry));
     if killed {
         checker.killed(0..8);
     }
@@ -59,13 +59,13 @@
 #[test]
 fn events_that_come_one_by_one_or_in_batches_are_all_counted_with_their_delays() {
     let singly: Vec<LogEntry> = (2..=10)
-        .map(|upto| note(Some(upto - 1), upto, 1_000 * u64::from(upto) + 300))
+        .map(|upto| entry(Some(upto - 1), upto, 1_000 * u64::from(upto) + 300))
         .collect();
-    let outcome = judged(&singly, false);
+    let outcome = outcome_of(&singly, false);
     assert_eq!(counts(&outcome), [8, 0, 0, 0, 0, 0]);
     assert_eq!((outcome.delays.len(), outcome.delays.max()), (8, 300));
-    let batches = [note(Some(1), 6, 6_200), note(Some(6), 10, 10_200)];
-    let outcome = judged(&batches, false);
+    let batches = [entry(Some(1), 6, 6_200), entry(Some(6), 10, 10_200)];
+    let outcome = outcome_of(&batches, false);
     assert_eq!(counts(&outcome), [8, 0, 0, 0, 0, 0]);
     // The oldest of the first batch that belongs to the window waited for three others.
     assert_eq!((outcome.delays.len(), outcome.delays.min()), (8, 200));
@@ -78,39 +78,39 @@
 
 #[test]
 fn a_gap_and_a_missing_end_are_lost() {
-    let outcome = judged(&[note(Some(1), 4, 4_100), note(Some(6), 8, 8_100)], false);
+    let outcome = outcome_of(&[entry(Some(1), 4, 4_100), entry(Some(6), 8, 8_100)], false);
     assert_eq!(counts(&outcome), [8, 4, 0, 0, 0, 0], "5, 6, 9 and 10");
-    let outcome = judged(&[], false);
+    let outcome = outcome_of(&[], false);
     assert_eq!(counts(&outcome), [8, 8, 0, 0, 0, 0]);
 }
 
 #[test]
 fn one_that_comes_again_is_doubled_and_one_that_comes_late_is_out_of_order() {
-    let notes = [
-        note(Some(1), 4, 4_100),
-        note(Some(5), 10, 10_100),
-        note(Some(4), 5, 10_200),
+    let entries = [
+        entry(Some(1), 4, 4_100),
+        entry(Some(5), 10, 10_100),
+        entry(Some(4), 5, 10_200),
     ];
-    assert_eq!(counts(&judged(&notes, false)), [8, 0, 0, 1, 0, 0]);
-    let notes = [note(Some(1), 10, 10_100), note(Some(8), 10, 10_200)];
-    assert_eq!(counts(&judged(&notes, false)), [8, 0, 2, 0, 0, 0]);
+    assert_eq!(counts(&outcome_of(&entries, false)), [8, 0, 0, 1, 0, 0]);
+    let entries = [entry(Some(1), 10, 10_100), entry(Some(8), 10, 10_200)];
+    assert_eq!(counts(&outcome_of(&entries, false)), [8, 0, 2, 0, 0, 0]);
 }
 
 #[test]
 fn a_whole_list_in_place_of_events_replaces_them() {
-    let notes = [
-        note(Some(1), 4, 4_100),
-        note(None, 8, 8_100),
-        note(Some(8), 10, 10_100),
+    let entries = [
+        entry(Some(1), 4, 4_100),
+        entry(None, 8, 8_100),
+        entry(Some(8), 10, 10_100),
     ];
-    assert_eq!(counts(&judged(&notes, false)), [8, 0, 0, 0, 4, 0]);
+    assert_eq!(counts(&outcome_of(&entries, false)), [8, 0, 0, 0, 4, 0]);
 }
 
 #[test]
 fn what_follows_a_kill_is_nobodys_loss() {
-    let outcome = judged(&[note(Some(1), 6, 6_100)], true);
+    let outcome = outcome_of(&[entry(Some(1), 6, 6_100)], true);
     assert_eq!(counts(&outcome), [4, 0, 0, 0, 0, 0]);
-    let outcome = judged(&[note(Some(1), 3, 3_100), note(Some(4), 6, 6_100)], true);
+    let outcome = outcome_of(&[entry(Some(1), 3, 3_100), entry(Some(4), 6, 6_100)], true);
     assert_eq!(counts(&outcome), [4, 1, 0, 0, 0, 0], "a gap before it is");
 }
 
--- a/crates/flaxdeck-scale/tests/fit.rs
+++ b/crates/flaxdeck-scale/tests/fit.rs
@@ -13,7 +13,7 @@
 use flaxdeck_scale::fit::nature::{Size, Term};
 use flaxdeck_scale::measurement::{Measurement, Metric, Role};
 
-use made_up_runs::{made, near, row, the_line};
+use made_up_runs::{assert_near, noisy_rows, row, single_line};
 
 #[test]
 fn an_exact_plane_is_found_exactly() {
@@ -25,9 +25,9 @@
         .map(|row| 7.0 + 3.0 * row[1] + 2e-5 * row[2])
         .collect();
     let solution = least_squares(&rows, &values).expect("the columns are independent");
-    near(solution.coefficients[0], 7.0, 1e-9);
-    near(solution.coefficients[1], 3.0, 1e-9);
-    near(solution.coefficients[2], 2e-5, 1e-9);
+    assert_near(solution.coefficients[0], 7.0, 1e-9);
+    assert_near(solution.coefficients[1], 3.0, 1e-9);
+    assert_near(solution.coefficients[2], 2e-5, 1e-9);
     assert!(
         solution.residual < 1e-9,
         "nothing is left over: {}",
@@ -52,15 +52,19 @@
 #[test]
 fn known_coefficients_of_a_forwarder_are_recovered_from_noise() {
     let truth = |size: &Size| 400.0 + 88.0 * size.purges + 0.25 * size.hosts;
-    let line = the_line(&made(Role::HollowForwarder, Metric::BytesInPerS, truth));
+    let line = single_line(&noisy_rows(
+        Role::HollowForwarder,
+        Metric::BytesInPerS,
+        truth,
+    ));
     assert_eq!(line.evidence, Evidence::Slope);
     assert_eq!(line.points, 54);
-    near(
+    assert_near(
         line.coefficient(Term::Purges).expect("it was varied"),
         88.0,
         0.01,
     );
-    near(
+    assert_near(
         line.coefficient(Term::Hosts).expect("it was varied"),
         0.25,
         0.2,
@@ -75,7 +79,7 @@
         hosts: 3_500.0,
         purges: 660.0,
     };
-    near(line.predict(&target), truth(&target), 0.02);
+    assert_near(line.predict(&target), truth(&target), 0.02);
     assert_eq!(
         line.factor(&target),
         2.0,
@@ -87,14 +91,14 @@
 #[test]
 fn known_coefficients_of_a_planner_are_recovered_from_noise() {
     let truth = |size: &Size| 0.01 + 2e-6 * size.forwarders * size.purges + 4e-5 * size.forwarders;
-    let line = the_line(&made(Role::Planner, Metric::Cores, truth));
-    near(
+    let line = single_line(&noisy_rows(Role::Planner, Metric::Cores, truth));
+    assert_near(
         line.coefficient(Term::ForwarderPurges)
             .expect("it was varied"),
         2e-6,
         0.02,
     );
-    near(
+    assert_near(
         line.coefficient(Term::Forwarders).expect("it was varied"),
         4e-5,
         0.25,
@@ -104,15 +108,19 @@
         hosts: 3_500.0,
         purges: 330.0,
     };
-    near(line.predict(&target), truth(&target), 0.03);
+    assert_near(line.predict(&target), truth(&target), 0.03);
     assert_eq!(line.factor(&target), 14.0);
 }
 
 #[test]
 fn memory_goes_with_hosts() {
     let truth = |size: &Size| 900_000.0 + 410.0 * size.hosts;
-    let line = the_line(&made(Role::HollowForwarder, Metric::ResidentBytes, truth));
-    near(
+    let line = single_line(&noisy_rows(
+        Role::HollowForwarder,
+        Metric::ResidentBytes,
+        truth,
+    ));
+    assert_near(
         line.coefficient(Term::Hosts).expect("it was varied"),
         410.0,
         0.1,
@@ -122,7 +130,7 @@
         hosts: 3_500.0,
         purges: 330.0,
     };
-    near(line.predict(&target), truth(&target), 0.02);
+    assert_near(line.predict(&target), truth(&target), 0.02);
 }
 
 #[test]
@@ -138,7 +146,7 @@
             )
         })
         .collect();
-    let line = the_line(&rows);
+    let line = single_line(&rows);
     assert_eq!(line.evidence, Evidence::Measured);
     assert_eq!(line.coefficient(Term::Purges), None);
     assert_eq!(
@@ -161,9 +169,9 @@
             )
         })
         .collect();
-    let line = the_line(&rows);
+    let line = single_line(&rows);
     assert_eq!(line.evidence, Evidence::Slope);
-    near(
+    assert_near(
         line.coefficient(Term::Purges)
             .expect("the main driver stays"),
         90.0,
@@ -189,7 +197,7 @@
             )
         })
         .collect();
-    let line = the_line(&rows);
+    let line = single_line(&rows);
     let unvaried = line.unvaried_terms(&Size {
         forwarders: 14_000.0,
         hosts: 3_500.0,
@@ -198,7 +206,7 @@
     assert_eq!(
         unvaried
             .iter()
-            .map(|term| (term.term, term.most))
+            .map(|term| (term.term, term.max))
             .collect::<Vec<_>>(),
         [(Term::Hosts, 100.0)]
     );
@@ -215,14 +223,18 @@
 #[test]
 fn a_slope_below_zero_is_noise() {
     let truth = |size: &Size| 5_000.0 + 90.0 * size.purges - 0.5 * size.hosts;
-    let line = the_line(&made(Role::HollowForwarder, Metric::BytesInPerS, truth));
+    let line = single_line(&noisy_rows(
+        Role::HollowForwarder,
+        Metric::BytesInPerS,
+        truth,
+    ));
     assert_eq!(line.coefficient(Term::Hosts), None);
     assert!(line.coefficient(Term::Purges).is_some());
 }
 
 #[test]
 fn what_does_not_go_with_its_driver_is_a_constant() {
-    let line = the_line(&made(
+    let line = single_line(&noisy_rows(
         Role::HollowForwarder,
         Metric::MessagesInPerS,
         |size| 5.0 - 1e-4 * size.purges,
@@ -233,7 +245,7 @@
         hosts: 3_500.0,
         purges: 3_300.0,
     };
-    near(line.predict(&target), 5.0, 0.02);
+    assert_near(line.predict(&target), 5.0, 0.02);
     assert_eq!(
         line.factor(&target),
         10.0,
--- a/crates/flaxdeck-scale/tests/fit_series.rs
+++ b/crates/flaxdeck-scale/tests/fit_series.rs
@@ -14,7 +14,7 @@
 use flaxdeck_scale::fit::{NO_FAULT, fit};
 use flaxdeck_scale::measurement::{Distribution, Measurement, Metric, Role};
 
-use made_up_runs::{made, near, row, the_line};
+use made_up_runs::{assert_near, noisy_rows, row, single_line};
 
 #[test]
 fn a_fault_stands_beside_its_twin() {
@@ -71,7 +71,7 @@
         (300, 100, 330.0),
         250.0,
     ));
-    let line = the_line(&rows);
+    let line = single_line(&rows);
     assert_eq!(line.evidence, Evidence::Measured);
     assert_eq!((line.value, line.largest), (420.0, 900.0));
     assert_eq!(
@@ -135,7 +135,7 @@
         hosts: 100.0,
         purges: 33.0,
     };
-    near(bytes.predict(&size), 1_200.0, 1e-6);
+    assert_near(bytes.predict(&size), 1_200.0, 1e-6);
     assert_eq!(
         bytes.factor(&size),
         2.0,
@@ -273,18 +273,20 @@
         ),
         row(Role::Planner, Metric::Descriptors, (100, 100, 33.0), 104.0),
     ];
-    let line = the_line(&rows);
+    let line = single_line(&rows);
     assert_eq!((line.points, line.value), (1, 104.0));
 }
 
 #[test]
 fn slopes_are_the_same_after_the_table() {
-    let mut rows = made(Role::Planner, Metric::Cores, |size| {
+    let mut rows = noisy_rows(Role::Planner, Metric::Cores, |size| {
         0.01 + 2e-6 * size.forwarders * size.purges
     });
-    rows.extend(made(Role::HollowForwarder, Metric::DelayWorstMs, |size| {
-        size.purges
-    }));
+    rows.extend(noisy_rows(
+        Role::HollowForwarder,
+        Metric::DelayWorstMs,
+        |size| size.purges,
+    ));
     let lines = fit(&rows);
     let table: Vec<SlopeRow> = lines.iter().flat_map(line::rows).collect();
     let text = files::table_text(&table).expect("it can be written");
--- a/crates/flaxdeck-scale/tests/made_up_capacity/mod.rs
+++ b/crates/flaxdeck-scale/tests/made_up_capacity/mod.rs
@@ -1,4 +1,4 @@
-//! Made-up slopes and the committed target, for tests of the capacity page.
+//! RowBuilder-up slopes and the committed target, for tests of the capacity page.
 
 #![allow(dead_code, reason = "each test file uses some of it")]
 
@@ -12,16 +12,16 @@
 const TARGET: &str = include_str!("../../../../docs/capacity/target.plan");
 
 /// The committed target.
-pub(crate) fn the_target() -> Target {
+pub(crate) fn committed_target() -> Target {
     target::read("target.plan", TARGET).expect("it has no faults")
 }
 
 /// Rows that are made up.
-struct Made {
+struct RowBuilder {
     rows: Vec<Measurement>,
 }
 
-impl Made {
+impl RowBuilder {
     /// One metric over three sizes of each driver, as that function tells.
     fn metric(
         &mut self,
@@ -59,67 +59,67 @@
 }
 
 /// A forwarder that hears 80 bytes a purge under each event and 3 by digests, beside reports that don't change.
-pub(crate) fn made() -> Vec<Measurement> {
+pub(crate) fn made_up_rows() -> Vec<Measurement> {
     use Distribution::{Digest, EachEvent};
-    let mut made = Made { rows: Vec::new() };
+    let mut builder = RowBuilder { rows: Vec::new() };
     let hollow = Role::HollowForwarder;
-    made.metric(
+    builder.metric(
         EachEvent,
         hollow,
         Metric::BytesInPerS,
         "feed",
         |_, _, purges| 80.0 * purges,
     );
-    made.metric(
+    builder.metric(
         EachEvent,
         hollow,
         Metric::BytesOutPerS,
         "reports",
         |_, _, _| 1_000.0,
     );
-    made.metric(
+    builder.metric(
         Digest,
         hollow,
         Metric::BytesInPerS,
         "deliveries",
         |_, _, purges| 3.0 * purges,
     );
-    made.metric(
+    builder.metric(
         Digest,
         hollow,
         Metric::BytesOutPerS,
         "reports",
         |_, _, _| 400.0,
     );
-    made.metric(
+    builder.metric(
         EachEvent,
         hollow,
         Metric::ResidentBytes,
         "",
         |_, hosts, _| 1e6 + 500.0 * hosts,
     );
-    made.metric(
+    builder.metric(
         EachEvent,
         hollow,
         Metric::DelayWorstMs,
         "",
         |forwarders, _, _| forwarders,
     );
-    made.metric(
+    builder.metric(
         EachEvent,
         Role::Planner,
         Metric::Cores,
         "",
         |forwarders, _, purges| 0.01 + forwarders * (purges * 1e-6 + 1e-5),
     );
-    made.metric(
+    builder.metric(
         EachEvent,
         Role::Planner,
         Metric::Descriptors,
         "",
         |forwarders, _, _| 20.0 + forwarders,
     );
-    made.rows
+    builder.rows
 }
 
 /// The rows of all roles, for these measurements.
@@ -127,7 +127,7 @@
     measurements: &[Measurement],
     look: impl FnOnce(&[RoleRows]) -> T,
 ) -> T {
-    let (target, lines): (Target, Vec<Line>) = (the_target(), fit(measurements));
+    let (target, lines): (Target, Vec<Line>) = (committed_target(), fit(measurements));
     look(&roles(Basis {
         lines: Lines::new(&lines, 2),
         target: &target,
@@ -147,7 +147,7 @@
 }
 
 /// Fails unless there is a value, and it is the truth.
-pub(crate) fn near(found: Option<f64>, truth: f64) {
+pub(crate) fn assert_near(found: Option<f64>, truth: f64) {
     let found = found.expect("there is a value");
     assert!(
         (found - truth).abs() <= 1e-6 * truth.abs(),
--- a/crates/flaxdeck-scale/tests/made_up_runs/mod.rs
+++ b/crates/flaxdeck-scale/tests/made_up_runs/mod.rs
@@ -45,7 +45,11 @@
 }
 
 /// Noisy rows of a metric whose truth is known, at all sizes.
-pub(crate) fn made(role: Role, metric: Metric, truth: impl Fn(&Size) -> f64) -> Vec<Measurement> {
+pub(crate) fn noisy_rows(
+    role: Role,
+    metric: Metric,
+    truth: impl Fn(&Size) -> f64,
+) -> Vec<Measurement> {
     let noisy = |(at, size): (usize, (u32, u32, f64))| {
         let plain = row(role, metric, size, 0.0);
         let value = truth(&Size::of(&plain)) * (1.0 + noise(at));
@@ -55,14 +59,14 @@
 }
 
 /// The only line of the rows.
-pub(crate) fn the_line(rows: &[Measurement]) -> Line {
+pub(crate) fn single_line(rows: &[Measurement]) -> Line {
     let mut lines = fit(rows);
     assert_eq!(lines.len(), 1, "one series");
     lines.remove(0)
 }
 
 /// Fails unless a value is within a part of the truth.
-pub(crate) fn near(found: f64, truth: f64, part: f64) {
+pub(crate) fn assert_near(found: f64, truth: f64, part: f64) {
     assert!(
         (found - truth).abs() <= part * truth.abs(),
         "{found} is not within {part} of {truth}"
--- a/crates/flaxdeck-scale/tests/target.rs
+++ b/crates/flaxdeck-scale/tests/target.rs
@@ -26,14 +26,14 @@
 fn means_follow_from_what_is_written() {
     let target = committed();
     let rounded = |value: f64| value.round();
-    assert_eq!(rounded(target.requests_each_per_s()), 929.0);
-    assert_eq!(rounded(target.dispatchers_a_site()), 15.0);
-    assert_eq!(rounded(target.dispatchers_a_region()), 318.0);
-    assert_eq!(rounded(target.hosts_a_region()), 80.0);
-    assert_eq!(rounded(target.dispatchers_a_zone()), 147.0);
-    assert_eq!(rounded(target.hosts_a_zone()), 37.0);
-    assert_eq!(rounded(100.0 * target.change_each_s()), 105.0);
-    assert_eq!(target.dispatchers_a_planner(), 1_167.0);
+    assert_eq!(rounded(target.mean_requests_per_s()), 929.0);
+    assert_eq!(rounded(target.dispatchers_per_site()), 15.0);
+    assert_eq!(rounded(target.dispatchers_per_region()), 318.0);
+    assert_eq!(rounded(target.hosts_per_region()), 80.0);
+    assert_eq!(rounded(target.dispatchers_per_zone()), 147.0);
+    assert_eq!(rounded(target.hosts_per_zone()), 37.0);
+    assert_eq!(rounded(100.0 * target.change_interval_s()), 105.0);
+    assert_eq!(target.dispatchers_per_planner(), 1_167.0);
     assert_eq!(target.storm_per_s(), 3_300.0);
     assert_eq!(target.budget_memory_bytes(), 64_000_000.0);
 }
