--- a/crates/flaxdeck-scale/tests/capacity.rs
+++ b/crates/flaxdeck-scale/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! What the capacity page is computed from: rows and states over made-up slopes.
+//! Rows and state entries of the capacity page, computed from synthetic slopes.
 
 #![allow(
     clippy::unwrap_used,
@@ -18,7 +18,7 @@
 use made_up_capacity::{assert_near, committed_target, made_up_rows, row, slopes, with_roles};
 
 #[test]
-fn all_control_of_a_dispatcher_is_the_sum_of_its_kinds_over_its_budget() {
+fn dispatcher_control_traffic_is_the_sum_over_message_kinds_compared_with_the_budget() {
     with_roles(&made_up_rows(), |roles| {
         let row = row(roles, "Dispatcher", "all control");
         assert_near(row.estimates[0].value, 80.0 * 330.0 + 1_000.0);
@@ -34,13 +34,13 @@
         };
         assert_eq!(
             row.estimates[0].provenance, provenance,
-            "purges and hosts were measured at the target's own sizes"
+            "the target's purge rate and number of hosts were measured, so the factor is 1"
         );
     });
 }
 
 #[test]
-fn memory_is_read_off_the_slope() {
+fn memory_is_estimated_from_the_fitted_slope() {
     with_roles(&made_up_rows(), |roles| {
         let row = row(roles, "Dispatcher", "resident memory");
         assert_near(row.estimates[0].value, 1e6 + 500.0 * 3_500.0);
@@ -48,13 +48,13 @@
         assert_eq!(
             row.estimates[1].provenance,
             Provenance::NotShown,
-            "nobody measured it under digests"
+            "no row measures memory under the digest distribution"
         );
     });
 }
 
 #[test]
-fn a_planner_is_drawn_out_by_the_factor_of_its_dispatchers() {
+fn planner_load_is_extrapolated_by_the_number_of_dispatchers() {
     with_roles(&made_up_rows(), |roles| {
         let whole = row(roles, "Planner that hears", "processor time");
         assert_near(
@@ -67,7 +67,7 @@
             partly_measured_at: None,
         };
         assert_eq!(whole.estimates[0].provenance, provenance);
-        assert!(whole.is_over(0), "over the one core that its thread has");
+        assert!(whole.is_over(0), "the budget of a planner is one core");
         let group = row(roles, "Planner where", "processor time");
         assert_near(
             group.estimates[0].value,
@@ -80,25 +80,25 @@
 }
 
 #[test]
-fn machines_needed_follow_from_what_one_core_serves() {
+fn machines_needed_is_the_fleet_divided_by_the_dispatchers_that_one_core_serves() {
     with_roles(&made_up_rows(), |roles| {
         let row = row(roles, "The machines", "machines needed");
         let served: f64 = (1.0 - 0.01) / (330.0 * 1e-6 + 1e-5);
         assert_near(row.estimates[0].value, (28_000.0 / served).ceil());
-        let all = row_of_cores(roles);
+        let cores = cores_row(roles);
         assert_near(
-            all.estimates[0].value,
+            cores.estimates[0].value,
             24.0 * (0.01 + 1_167.0 * (330.0 * 1e-6 + 1e-5)),
         );
     });
 }
 
-fn row_of_cores(roles: &[RoleRows]) -> &Row {
+fn cores_row(roles: &[RoleRows]) -> &Row {
     row(roles, "The machines", "processor time")
 }
 
 #[test]
-fn a_delay_is_not_drawn_out() {
+fn delays_are_not_extrapolated() {
     with_roles(&made_up_rows(), |roles| {
         let row = row(roles, "Dispatcher", "an event until");
         assert_near(row.estimates[0].value, 1_000.0);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn what_was_measured_below_the_target_is_a_least_value() {
+fn values_measured_below_the_target_size_are_lower_bounds() {
     let mut rows = made_up_rows();
     rows.retain(|row| row.metric != Metric::Descriptors || row.hollow_forwarders == 1_000);
     with_roles(&rows, |roles| {
@@ -122,12 +122,12 @@
             "{whole:?}"
         );
     });
-    let page = page(&slopes(&rows), &committed_target()).expect("it can be made");
+    let page = page(&slopes(&rows), &committed_target()).expect("the page is rendered");
     assert!(page.contains("| at least 1,020 descriptors | at least 0.249 | measured at 1,000 forwarders, 3,500 hosts, 330 purges/s only |"));
 }
 
 #[test]
-fn runs_with_other_planners_are_not_added_up() {
+fn runs_with_different_numbers_of_planners_are_not_summed() {
     let mut rows = made_up_rows();
     let others = rows.clone().into_iter().flat_map(|row| {
         [1, 4].map(|planners| Measurement {
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn rows_of_a_role_are_sorted_by_their_part_of_the_budget() {
+fn rows_of_a_role_are_sorted_by_budget_ratio() {
     with_roles(&made_up_rows(), |roles| {
         for role in roles {
             let weights: Vec<f64> = role
@@ -163,7 +163,7 @@
                 .collect();
             assert!(
                 weights.is_sorted_by(|one, other| one >= other),
-                "{}: {weights:?}",
+                "rows of {} are not sorted by ratio: {weights:?}",
                 role.title
             );
         }
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn one_lost_event_is_over_a_budget_of_none() {
+fn any_lost_event_exceeds_a_budget_of_zero() {
     let mut rows = made_up_rows();
     let lost = |value| Measurement {
         role: Role::HollowForwarder,
@@ -189,13 +189,19 @@
     rows.extend([none, some]);
     with_roles(&rows, |roles| {
         let row = row(roles, "Dispatcher", "lost");
-        assert!(row.is_over(0), "though it was lost at a smaller size");
-        assert!(!row.is_over(1), "not shown is not over");
+        assert!(
+            row.is_over(0),
+            "events lost at a smaller size than the largest count as well"
+        );
+        assert!(
+            !row.is_over(1),
+            "a value that no run measured is not over budget"
+        );
     });
 }
 
 #[test]
-fn state_is_held_against_the_bounds_of_the_code() {
+fn state_entries_are_compared_with_the_limits_in_the_code() {
     let (target, lines) = (committed_target(), fit(&made_up_rows()));
     let states = states(Basis {
         lines: Lines::new(&lines, 2),
--- a/crates/flaxdeck-scale/tests/capacity_page.rs
+++ b/crates/flaxdeck-scale/tests/capacity_page.rs
@@ -1,4 +1,5 @@
-//! The capacity page: its marks, that no figure of it is typed, and that the committed one is current.
+//! The rendered capacity page: marks for values over budget, no figures typed into the template, and committed files
+//! that match what the commands print.
 
 #![allow(
     clippy::unwrap_used,
@@ -23,27 +24,27 @@
 const TEMPLATE: &str = include_str!("../src/capacity/page.md.j2");
 
 #[test]
-fn the_page_marks_what_is_over_and_says_what_is_not_shown() {
-    let page = page(&slopes(&made_up_rows()), &committed_target()).expect("it can be made");
+fn the_page_marks_values_over_budget_and_values_not_shown() {
+    let page = page(&slopes(&made_up_rows()), &committed_target()).expect("the page is rendered");
     assert!(page.contains(
         "| all control, both ways, with headers (estimated) | 2,000 bytes/s | 27,400 bytes/s | **13.7 over** |"
     ));
     assert!(page.contains("| 1,390 bytes/s | 0.695 |"), "{page}");
     assert!(
         page.contains("| **13.7** |"),
-        "it stands among what is over"
+        "the row is missing in the table of values over budget"
     );
     assert!(page.contains("not shown"));
     let run = "| made | 1 | `flaxdeck scale scale/made.scale --out docs/capacity/runs/made.csv` |";
     assert!(
         page.contains(run),
-        "runs are named with their seeds and their command"
+        "the table of runs lacks the run with its seed and command"
     );
 }
 
 #[test]
-fn the_page_without_runs_shows_nothing() {
-    let page = page(&[], &committed_target()).expect("it can be made");
+fn the_page_without_runs_shows_no_values() {
+    let page = page(&[], &committed_target()).expect("the page is rendered");
     assert!(page.contains("Nothing, of what is shown."));
     assert!(page.contains("None yet."));
     let over: Vec<&str> = page
@@ -52,12 +53,12 @@
         .collect();
     assert!(
         over.iter().all(|line| line.contains("`MAX_")),
-        "only bounds of the code are over: {over:?}"
+        "without runs only limits in the code can be exceeded: {over:?}"
     );
 }
 
-/// What stands in the template outside of fields and tags.
-fn plain_words(template: &str) -> String {
+/// Returns the text of a template without its `{{ }}` fields and `{% %}` tags.
+fn literal_text(template: &str) -> String {
     let mut out = String::new();
     let mut rest = template;
     while let Some(at) = rest.find("{{").into_iter().chain(rest.find("{%")).min() {
@@ -76,19 +77,23 @@
 }
 
 #[test]
-fn no_figure_is_typed_into_the_template() {
-    let words = plain_words(TEMPLATE);
-    assert!(words.contains("How to read it"));
-    let typed: Vec<&str> = words
+fn the_template_contains_no_digits() {
+    let text = literal_text(TEMPLATE);
+    assert!(text.contains("How to read it"));
+    let typed: Vec<&str> = text
         .lines()
         .filter(|line| line.chars().any(|letter| letter.is_ascii_digit()))
         .collect();
-    assert_eq!(typed, Vec::<&str>::new());
+    assert_eq!(
+        typed,
+        Vec::<&str>::new(),
+        "these lines of the template contain digits"
+    );
 }
 
 #[test]
-fn figures_have_three_digits() {
-    let written: Vec<String> = [
+fn figures_are_formatted_with_three_significant_digits() {
+    let formatted: Vec<String> = [
         0.0,
         0.000_123_45,
         0.02,
@@ -102,7 +107,7 @@
     .map(figure)
     .to_vec();
     assert_eq!(
-        written,
+        formatted,
         [
             "0",
             "0.000123",
@@ -124,7 +129,7 @@
 }
 
 #[test]
-fn decisions_share_the_core_at_the_mean_rate_of_requests() {
+fn decisions_cost_is_computed_at_the_mean_request_rate() {
     let mut rows = made_up_rows();
     rows.push(Measurement {
         run: "decisions-1".into(),
@@ -140,14 +145,14 @@
         assert!(row.is_over(0));
         assert_eq!(row.estimates[0].provenance, Provenance::MeasuredSeparately);
     });
-    let page = page(&slopes(&rows), &committed_target()).expect("it can be made");
+    let page = page(&slopes(&rows), &committed_target()).expect("the page is rendered");
     assert!(
         page.contains("--example decisions -- docs/capacity/target.plan"),
-        "they have a command of their own"
+        "the runs of decisions have their own command"
     );
 }
 
-fn beside_docs(path: &str) -> PathBuf {
+fn docs_path(path: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../docs")
         .join(path)
@@ -155,59 +160,54 @@
 
 #[test]
 fn the_committed_slopes_are_fitted_to_the_committed_runs() {
-    let (runs, slopes) = (
-        beside_docs("capacity/runs"),
-        beside_docs("capacity/slopes.csv"),
-    );
+    let (runs, slopes) = (docs_path("capacity/runs"), docs_path("capacity/slopes.csv"));
     assert_eq!(
         runs.exists(),
         slopes.exists(),
-        "runs and slopes stand together"
+        "either both or neither of runs and slopes are committed"
     );
     if runs.exists() {
-        let measurements = files::read_runs(&runs).expect("they can be read");
+        let measurements = files::read_runs(&runs).expect("the committed runs are read");
         let rows: Vec<SlopeRow> = fit(&measurements).iter().flat_map(rows).collect();
-        let fitted = files::table_text(&rows).expect("it can be written");
-        let committed = files::read_text(&slopes).expect("it can be read");
+        let fitted = files::table_text(&rows).expect("the slopes are written as CSV");
+        let committed = files::read_text(&slopes).expect("the committed slopes are read");
         assert!(
             fitted == committed,
-            "write them anew: flaxdeck capacity fit docs/capacity/runs docs/capacity/slopes.csv"
+            "slopes.csv is outdated; regenerate it: flaxdeck capacity fit docs/capacity/runs docs/capacity/slopes.csv"
         );
     }
 }
 
 #[test]
 fn the_committed_page_is_what_the_command_prints() {
-    let (page_file, slopes) = (
-        beside_docs("CAPACITY.md"),
-        beside_docs("capacity/slopes.csv"),
-    );
+    let (page_file, slopes) = (docs_path("CAPACITY.md"), docs_path("capacity/slopes.csv"));
     assert_eq!(
         page_file.exists(),
         slopes.exists(),
-        "the page and its slopes stand together"
+        "either both or neither of the page and its slopes are committed"
     );
     if page_file.exists() {
-        let rows: Vec<SlopeRow> = files::read_table(&slopes).expect("it can be read");
+        let rows: Vec<SlopeRow> =
+            files::read_table(&slopes).expect("the committed slopes are read");
         for run in rows.iter().flat_map(|row| row.runs.split(';')) {
             let name = run.rsplit_once('-').map_or(run, |(name, _)| name);
-            let file = beside_docs(&format!("../scale/{name}.scale"));
+            let file = docs_path(&format!("../scale/{name}.scale"));
             assert!(
                 name == DECISIONS_RUN || file.exists(),
-                "{run} can be repeated: there is a scale file for it"
+                "run {run} can't be repeated: there is no scale file for it"
             );
         }
         for (file, title) in charts::titles(&lines(&rows)) {
             assert!(
-                beside_docs("capacity").join(file).exists(),
-                "the chart of {title} is there"
+                docs_path("capacity").join(file).exists(),
+                "the chart file of {title:?} is missing"
             );
         }
-        let computed = page(&rows, &committed_target()).expect("it can be made");
-        let committed = files::read_text(&page_file).expect("it can be read");
+        let computed = page(&rows, &committed_target()).expect("the page is rendered");
+        let committed = files::read_text(&page_file).expect("the committed page is read");
         assert!(
             computed == committed,
-            "write it anew, by the command that it names itself"
+            "CAPACITY.md is outdated; regenerate it with the command given on the page"
         );
     }
 }
--- a/crates/flaxdeck-scale/tests/charts.rs
+++ b/crates/flaxdeck-scale/tests/charts.rs
@@ -1,4 +1,4 @@
-//! Charts over made-up measurements.
+//! Charts drawn from synthetic measurements.
 
 #![allow(
     clippy::unwrap_used,
@@ -57,14 +57,14 @@
     rows
 }
 
-/// A folder that goes with the test.
+/// A temporary folder that is deleted when the test ends.
 struct Folder(PathBuf);
 
 impl Folder {
     fn create(name: &str) -> Folder {
         let path =
             std::env::temp_dir().join(format!("flaxdeck-charts-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder can be made");
+        std::fs::create_dir_all(&path).expect("the temporary folder is created");
         Folder(path)
     }
 }
@@ -76,9 +76,9 @@
 }
 
 #[test]
-fn charts_hold_points_of_both_distributions_and_their_lines() {
+fn charts_show_points_and_lines_of_both_distributions() {
     let folder = Folder::create("both");
-    let written = charts::draw(&made_up_rows(), &folder.0).expect("they can be drawn");
+    let written = charts::draw(&made_up_rows(), &folder.0).expect("the charts are drawn");
     let names: Vec<String> = written
         .iter()
         .filter_map(|path| path.file_name())
@@ -87,26 +87,29 @@
     assert_eq!(
         names,
         ["dispatcher-bytes.svg", "planner-cores.svg", "delays.svg"],
-        "what nobody measured is not drawn"
+        "charts without measurements are not drawn"
     );
     let titled: Vec<&str> = charts::titles(&fit(&made_up_rows()))
         .into_iter()
         .map(|(file, _)| file)
         .collect();
-    assert_eq!(titled, names, "and the page names the same");
-    let text = std::fs::read_to_string(&written[0]).expect("it can be read");
+    assert_eq!(
+        titled, names,
+        "`titles`, which the page uses, lists the charts that were drawn"
+    );
+    let text = std::fs::read_to_string(&written[0]).expect("the chart is read");
     assert!(text.starts_with("<svg") && text.trim_end().ends_with("</svg>"));
     assert_eq!(
         text.matches("<circle").count(),
         6 + 2,
-        "a point a run and the two of the legend"
+        "one circle for each run and two in the legend"
     );
     assert!(text.contains("each event") && text.contains("digest"));
     assert!(text.contains("purges a second"));
 }
 
 #[test]
-fn costs_and_delays_of_a_full_machine_are_not_drawn() {
+fn costs_and_delays_from_a_fully_busy_machine_are_not_drawn() {
     let folder = Folder::create("busy");
     let mut rows = made_up_rows();
     let idle = |(distribution, purges)| {
@@ -125,27 +128,27 @@
         ]
     });
     rows.extend(runs.into_iter().flatten().map(idle));
-    let written = charts::draw(&rows, &folder.0).expect("they can be drawn");
+    let written = charts::draw(&rows, &folder.0).expect("the charts are drawn");
     assert_eq!(written, [folder.0.join("dispatcher-bytes.svg")]);
 }
 
 #[test]
-fn a_chart_is_the_same_each_time() {
+fn drawing_twice_gives_identical_charts() {
     let folder = Folder::create("same");
     let read = || {
-        let written = charts::draw(&made_up_rows(), &folder.0).expect("they can be drawn");
+        let written = charts::draw(&made_up_rows(), &folder.0).expect("the charts are drawn");
         written
             .iter()
-            .map(|path| std::fs::read_to_string(path).expect("it is there"))
+            .map(|path| std::fs::read_to_string(path).expect("the chart is read"))
             .collect::<Vec<_>>()
     };
     assert_eq!(read(), read());
 }
 
 #[test]
-fn a_folder_that_is_not_there_is_told() {
+fn a_missing_folder_is_reported_with_the_path_of_the_chart() {
     let error = charts::draw(&made_up_rows(), &PathBuf::from("no/such/folder"))
-        .expect_err("it is not there");
+        .expect_err("the folder does not exist");
     assert!(
         error
             .to_string()
--- a/crates/flaxdeck-scale/tests/delivery.rs
+++ b/crates/flaxdeck-scale/tests/delivery.rs
@@ -1,9 +1,9 @@
-//! What the checker makes of notes: delays, and events lost, doubled, out of order or replaced.
+//! The delivery checker over log entries: delays, and events lost, duplicated, out of order or replaced.
 
 use flaxdeck_scale::delivery::{DeliveryChecker, DeliveryOutcome, PublishedEvent};
 use flaxdeck_scale::in_force_log::LogEntry;
 
-/// Events 1 to 10, each a millisecond after the one before; the number is its own hash.
+/// Returns events 1 to 10, one a millisecond; the hash of each equals its number.
 fn events() -> Vec<PublishedEvent> {
     (1..=10)
         .map(|number| PublishedEvent {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Judges notes of one forwarder over events 3 to 10; what it knew at first was event 1.
+/// Checks the entries of one forwarder over events 3 to 10. The forwarder starts with a full list up to event 1.
 fn outcome_of(entries: &[LogEntry], killed: bool) -> DeliveryOutcome {
     let events = events();
     let mut checker = DeliveryChecker::new(&events, 2_500, 11_000);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn events_that_come_one_by_one_or_in_batches_are_all_counted_with_their_delays() {
+fn single_and_batched_events_are_counted_with_their_delays() {
     let singly: Vec<LogEntry> = (2..=10)
         .map(|upto| entry(Some(upto - 1), upto, 1_000 * u64::from(upto) + 300))
         .collect();
@@ -67,7 +67,7 @@
     let batches = [entry(Some(1), 6, 6_200), entry(Some(6), 10, 10_200)];
     let outcome = outcome_of(&batches, false);
     assert_eq!(counts(&outcome), [8, 0, 0, 0, 0, 0]);
-    // The oldest of the first batch that belongs to the window waited for three others.
+    // Event 3, the oldest in the window, came into force in a batch that ends with event 6, three milliseconds younger.
     assert_eq!((outcome.delays.len(), outcome.delays.min()), (8, 200));
     assert!(
         outcome.delays.equivalent(outcome.delays.max(), 3_200),
@@ -77,15 +77,19 @@
 }
 
 #[test]
-fn a_gap_and_a_missing_end_are_lost() {
+fn gaps_and_missing_last_events_are_lost() {
     let outcome = outcome_of(&[entry(Some(1), 4, 4_100), entry(Some(6), 8, 8_100)], false);
-    assert_eq!(counts(&outcome), [8, 4, 0, 0, 0, 0], "5, 6, 9 and 10");
+    assert_eq!(
+        counts(&outcome),
+        [8, 4, 0, 0, 0, 0],
+        "events 5, 6, 9 and 10 are lost"
+    );
     let outcome = outcome_of(&[], false);
     assert_eq!(counts(&outcome), [8, 8, 0, 0, 0, 0]);
 }
 
 #[test]
-fn one_that_comes_again_is_doubled_and_one_that_comes_late_is_out_of_order() {
+fn repeated_events_are_doubled_and_late_events_are_out_of_order() {
     let entries = [
         entry(Some(1), 4, 4_100),
         entry(Some(5), 10, 10_100),
@@ -97,7 +101,7 @@
 }
 
 #[test]
-fn a_whole_list_in_place_of_events_replaces_them() {
+fn a_full_list_replaces_the_events_that_it_covers() {
     let entries = [
         entry(Some(1), 4, 4_100),
         entry(None, 8, 8_100),
@@ -107,15 +111,19 @@
 }
 
 #[test]
-fn what_follows_a_kill_is_nobodys_loss() {
+fn events_after_a_deliberate_kill_are_not_lost() {
     let outcome = outcome_of(&[entry(Some(1), 6, 6_100)], true);
     assert_eq!(counts(&outcome), [4, 0, 0, 0, 0, 0]);
     let outcome = outcome_of(&[entry(Some(1), 3, 3_100), entry(Some(4), 6, 6_100)], true);
-    assert_eq!(counts(&outcome), [4, 1, 0, 0, 0, 0], "a gap before it is");
+    assert_eq!(
+        counts(&outcome),
+        [4, 1, 0, 0, 0, 0],
+        "a gap before the kill is lost"
+    );
 }
 
 #[test]
-fn a_numbering_that_begins_anew_is_told_apart_by_the_hashes() {
+fn a_restarted_numbering_is_distinguished_by_the_hashes() {
     let mut events = events();
     events.extend((1..=4).map(|number| PublishedEvent {
         number,
@@ -123,7 +131,7 @@
         at_us: 11_000 + 1_000 * number,
     }));
     let mut checker = DeliveryChecker::new(&events, 0, 20_000);
-    let mut take = |after, upto, hash, at_us| {
+    let mut add_entry = |after, upto, hash, at_us| {
         checker.add(&LogEntry {
             forwarder: 7,
             after,
@@ -132,15 +140,15 @@
             at_us,
         })
     };
-    take(None, 1, 1, 1_000);
-    take(Some(1), 10, 10, 10_100);
-    take(None, 1, 101, 12_500);
-    take(Some(1), 4, 104, 15_200);
-    take(Some(4), 5, 999, 15_300);
+    add_entry(None, 1, 1, 1_000);
+    add_entry(Some(1), 10, 10, 10_100);
+    add_entry(None, 1, 101, 12_500);
+    add_entry(Some(1), 4, 104, 15_200);
+    add_entry(Some(4), 5, 999, 15_300);
     let outcome = checker.outcome();
     assert_eq!(
         counts(&outcome),
         [14, 0, 0, 0, 1, 1],
-        "the list replaced itself, 5 was never event"
+        "the full list after the restart replaces its own event; event 5 with hash 999 is unknown"
     );
 }
--- a/crates/flaxdeck-scale/tests/files.rs
+++ b/crates/flaxdeck-scale/tests/files.rs
@@ -1,4 +1,4 @@
-//! Scale files: what they say, what is refused with its place, and sizes over a bound.
+//! Scale files: their contents, faults reported with their position, and sizes over a limit of the machine.
 
 #![allow(
     clippy::unwrap_used,
@@ -20,24 +20,24 @@
 }
 
 #[test]
-fn every_file_that_comes_with_the_program_is_good_and_fits() {
+fn all_committed_scale_files_are_valid_and_within_the_limits() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scale");
     let mut files = 0;
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         let text = std::fs::read_to_string(&path).unwrap();
-        let scenario =
-            read(&path.to_string_lossy(), &text).unwrap_or_else(|faults| panic!("{faults:?}"));
+        let scenario = read(&path.to_string_lossy(), &text)
+            .unwrap_or_else(|faults| panic!("{}: {faults:?}", path.display()));
         for point in &scenario.points {
             assert_eq!(check(point), Ok(()), "{}: {point:?}", path.display());
         }
         files += 1;
     }
-    assert!(files > 0);
+    assert!(files > 0, "no scale files in {folder}");
 }
 
 #[test]
-fn points_change_what_the_base_says() {
+fn points_override_sizes_and_rates_of_the_file() {
     let text = "(scale (name \"a\") (seed 5) (runs 2) (sizes (hollow 300) (hosts 1000)) (rates (purges 33))
         (distribution digest) (times (window-s 12)) (fault (kind planner-hung) (at-s 3) (lasts-s 4))
         (point (purges 100)) (point (hollow 1000) (processes 5)))";
@@ -70,8 +70,8 @@
 }
 
 #[test]
-fn each_faulty_file_is_refused_with_the_place_and_the_reason() {
-    // The @ marks where the fault is.
+fn invalid_files_are_rejected_with_position_and_reason() {
+    // `@` marks the expected position of the fault and is removed before parsing.
     for (rest, what) in [
         (" @(sises (hollow 3)))", "write sizes"),
         (" (sizes (hollow @0)))", "it is a number from 1 to"),
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_size_over_a_bound_is_told_with_the_bound() {
+fn a_size_over_a_limit_is_rejected_with_the_exceeded_limit() {
     let point = Point {
         hollow: 100,
         processes: 2,
--- a/crates/flaxdeck-scale/tests/fit.rs
+++ b/crates/flaxdeck-scale/tests/fit.rs
@@ -1,4 +1,4 @@
-//! Lines fitted to made-up measurements: known truths are recovered, and noise is no slope.
+//! Lines fitted to synthetic measurements: known coefficients are recovered, and noise gives no slope.
 
 #![allow(
     clippy::unwrap_used,
@@ -16,7 +16,7 @@
 use made_up_runs::{assert_near, noisy_rows, row, single_line};
 
 #[test]
-fn an_exact_plane_is_found_exactly() {
+fn least_squares_recovers_an_exact_plane() {
     let rows: Vec<Vec<f64>> = (0..12)
         .map(|n| vec![1.0, f64::from(n % 4), f64::from(n / 4) * 1e5])
         .collect();
@@ -30,13 +30,13 @@
     assert_near(solution.coefficients[2], 2e-5, 1e-9);
     assert!(
         solution.residual < 1e-9,
-        "nothing is left over: {}",
+        "the residual of an exact plane is not near 0: {}",
         solution.residual
     );
 }
 
 #[test]
-fn columns_that_depend_on_each_other_have_no_solution() {
+fn linearly_dependent_columns_have_no_solution() {
     let rows: Vec<Vec<f64>> = (0..6)
         .map(|n| vec![1.0, f64::from(n), 5.0 * f64::from(n)])
         .collect();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn known_coefficients_of_a_forwarder_are_recovered_from_noise() {
+fn forwarder_coefficients_are_recovered_from_noisy_rows() {
     let truth = |size: &Size| 400.0 + 88.0 * size.purges + 0.25 * size.hosts;
     let line = single_line(&noisy_rows(
         Role::HollowForwarder,
@@ -60,18 +60,20 @@
     assert_eq!(line.evidence, Evidence::Slope);
     assert_eq!(line.points, 54);
     assert_near(
-        line.coefficient(Term::Purges).expect("it was varied"),
+        line.coefficient(Term::Purges)
+            .expect("the driver was varied"),
         88.0,
         0.01,
     );
     assert_near(
-        line.coefficient(Term::Hosts).expect("it was varied"),
+        line.coefficient(Term::Hosts)
+            .expect("the driver was varied"),
         0.25,
         0.2,
     );
     assert!(
         line.residual > 0.0 && line.residual < 300.0,
-        "of values up to 30,000: {}",
+        "residual of values up to 30,000 is not between 0 and 300: {}",
         line.residual
     );
     let target = Size {
@@ -83,23 +85,24 @@
     assert_eq!(
         line.factor(&target),
         2.0,
-        "twice the purges that were measured"
+        "the target has twice the measured purge rate"
     );
     assert!(line.unvaried_terms(&target).is_empty());
 }
 
 #[test]
-fn known_coefficients_of_a_planner_are_recovered_from_noise() {
+fn planner_coefficients_are_recovered_from_noisy_rows() {
     let truth = |size: &Size| 0.01 + 2e-6 * size.forwarders * size.purges + 4e-5 * size.forwarders;
     let line = single_line(&noisy_rows(Role::Planner, Metric::Cores, truth));
     assert_near(
         line.coefficient(Term::ForwarderPurges)
-            .expect("it was varied"),
+            .expect("the driver was varied"),
         2e-6,
         0.02,
     );
     assert_near(
-        line.coefficient(Term::Forwarders).expect("it was varied"),
+        line.coefficient(Term::Forwarders)
+            .expect("the driver was varied"),
         4e-5,
         0.25,
     );
@@ -113,7 +116,7 @@
 }
 
 #[test]
-fn memory_goes_with_hosts() {
+fn memory_of_a_forwarder_grows_with_hosts() {
     let truth = |size: &Size| 900_000.0 + 410.0 * size.hosts;
     let line = single_line(&noisy_rows(
         Role::HollowForwarder,
@@ -121,7 +124,8 @@
         truth,
     ));
     assert_near(
-        line.coefficient(Term::Hosts).expect("it was varied"),
+        line.coefficient(Term::Hosts)
+            .expect("the driver was varied"),
         410.0,
         0.1,
     );
@@ -134,7 +138,7 @@
 }
 
 #[test]
-fn two_sizes_are_no_slope() {
+fn two_sizes_give_no_slope() {
     let rows: Vec<Measurement> = [(100, 100, 33.0), (100, 100, 330.0), (100, 100, 330.0)]
         .iter()
         .map(|size| {
@@ -152,12 +156,12 @@
     assert_eq!(
         (line.at.purges, line.value),
         (330.0, 29_700.0),
-        "what was measured at the largest size is told"
+        "the line has the value measured at the largest size"
     );
 }
 
 #[test]
-fn three_points_do_not_bear_two_coefficients_and_a_residual() {
+fn three_points_are_too_few_for_a_constant_and_two_slopes() {
     let rows: Vec<Measurement> = [(100, 100, 33.0), (100, 1_000, 100.0), (100, 3_500, 330.0)]
         .iter()
         .map(|size| {
@@ -173,19 +177,19 @@
     assert_eq!(line.evidence, Evidence::Slope);
     assert_near(
         line.coefficient(Term::Purges)
-            .expect("the main driver stays"),
+            .expect("the main term is kept"),
         90.0,
         1e-6,
     );
     assert_eq!(
         line.coefficient(Term::Hosts),
         None,
-        "three points, three columns: nothing would be left over"
+        "three points determine three coefficients exactly, without a residual"
     );
 }
 
 #[test]
-fn a_driver_that_was_not_varied_is_named() {
+fn unvaried_drivers_are_reported() {
     let rows: Vec<Measurement> = [33.0, 33.0, 100.0, 100.0, 330.0, 330.0]
         .iter()
         .map(|purges| {
@@ -221,7 +225,7 @@
 }
 
 #[test]
-fn a_slope_below_zero_is_noise() {
+fn a_term_with_a_negative_coefficient_is_removed() {
     let truth = |size: &Size| 5_000.0 + 90.0 * size.purges - 0.5 * size.hosts;
     let line = single_line(&noisy_rows(
         Role::HollowForwarder,
@@ -233,7 +237,7 @@
 }
 
 #[test]
-fn what_does_not_go_with_its_driver_is_a_constant() {
+fn a_metric_that_does_not_grow_with_its_driver_is_constant() {
     let line = single_line(&noisy_rows(
         Role::HollowForwarder,
         Metric::MessagesInPerS,
@@ -249,6 +253,6 @@
     assert_eq!(
         line.factor(&target),
         10.0,
-        "that it does not grow is drawn out, too"
+        "the constant is extrapolated by the same factor"
     );
 }
--- a/crates/flaxdeck-scale/tests/fit_series.rs
+++ b/crates/flaxdeck-scale/tests/fit_series.rs
@@ -1,4 +1,4 @@
-//! Which measurements are fitted together, and which are left out.
+//! Which measurements form a series, and which are invalid or excluded from slopes.
 
 #![allow(
     clippy::unwrap_used,
@@ -17,7 +17,7 @@
 use made_up_runs::{assert_near, noisy_rows, row, single_line};
 
 #[test]
-fn a_fault_stands_beside_its_twin() {
+fn a_line_with_a_fault_has_the_value_of_its_twin() {
     let plain = row(
         Role::HollowForwarder,
         Metric::DelayWorstMs,
@@ -39,12 +39,12 @@
     let line = lines
         .iter()
         .find(|line| line.series.fault != NO_FAULT)
-        .expect("it is a series");
+        .expect("the series has a line");
     assert_eq!((line.value, line.twin), (1_400.0, Some(80.0)));
 }
 
 #[test]
-fn delay_is_the_worst_at_the_largest_size() {
+fn worst_delay_is_the_maximum_at_the_largest_size() {
     let mut rows = vec![
         row(
             Role::HollowForwarder,
@@ -85,13 +85,13 @@
 }
 
 #[test]
-fn runs_with_a_fault_and_other_planners_are_series_of_their_own() {
+fn faults_distributions_and_numbers_of_planners_form_separate_series() {
     let plain = row(Role::Planner, Metric::Cores, (100, 100, 33.0), 0.1);
     let faulty = Measurement {
         fault: "planner-killed".into(),
         ..plain.clone()
     };
-    let alone = Measurement {
+    let one_planner = Measurement {
         planners: 1,
         ..plain.clone()
     };
@@ -99,14 +99,14 @@
         distribution: Distribution::Digest,
         ..plain.clone()
     };
-    assert_eq!(fit(&[plain, faulty, alone, digest]).len(), 4);
+    assert_eq!(fit(&[plain, faulty, one_planner, digest]).len(), 4);
 }
 
 #[test]
-fn runs_with_a_full_thread_are_left_out_of_slopes() {
+fn runs_with_a_saturated_thread_are_excluded_from_slopes() {
     let mut rows = Vec::new();
     for (forwarders, cores) in [(100, 0.2), (300, 0.4), (600, 0.7), (1_000, 0.98)] {
-        // At 1,000 it sends another amount than it was asked for.
+        // At 1,000 forwarders the planner is saturated, and its bytes no longer follow the line.
         let bytes = if cores > 0.9 { 500.0 } else { 1.0 } * f64::from(forwarders);
         rows.push(row(
             Role::Planner,
@@ -125,7 +125,7 @@
     let bytes = lines
         .iter()
         .find(|line| line.series.metric == Metric::BytesOutPerS)
-        .expect("it is a series");
+        .expect("the series has a line");
     assert_eq!(
         (bytes.evidence, bytes.points, bytes.excluded_points),
         (Evidence::Slope, 3, 1)
@@ -139,12 +139,12 @@
     assert_eq!(
         bytes.factor(&size),
         2.0,
-        "drawn out from 600, where it was measured unhindered"
+        "extrapolated from 600 forwarders, the largest size without saturation"
     );
 }
 
 #[test]
-fn costs_and_delays_of_a_full_machine_do_not_count() {
+fn costs_and_delays_from_a_fully_busy_machine_are_invalid() {
     let mut rows = Vec::new();
     for (purges, idle) in [(33.0, 0.6), (100.0, 0.5), (200.0, 0.2), (330.0, 0.01)] {
         let mut add = |role, metric, value| rows.push(row(role, metric, (100, 100, purges), value));
@@ -158,37 +158,37 @@
         lines
             .iter()
             .find(|line| line.series.metric == metric)
-            .expect("it is a series")
+            .expect("the series has a line")
     };
     assert_eq!(
         line(Metric::BytesInPerS).points,
         4,
-        "bytes count, as nothing shows that they are too few"
+        "bytes don't depend on the load of the machine and stay valid"
     );
     assert_eq!(line(Metric::Cores).points, 3);
     assert_eq!(
         line(Metric::DelayWorstMs).value,
         200.0,
-        "at the largest size at which it counts"
+        "the largest size with a valid delay"
     );
     assert_eq!(
         line(Metric::MachineIdleShare).value,
         0.01,
-        "the share itself is told"
+        "the idle share itself stays valid"
     );
     rows.retain(|row| row.purges_per_s == 330.0);
     assert!(
         fit(&rows)
             .iter()
             .all(|line| !line.series.metric.is_cost_or_delay()),
-        "none is left to show"
+        "a figure of cost or delay from a fully busy machine was fitted"
     );
 }
 
 #[test]
-fn runs_in_which_several_events_went_in_one_message_are_left_out_of_slopes() {
+fn runs_with_several_events_in_one_message_are_excluded_from_slopes() {
     let mut rows = Vec::new();
-    // Of what two planners and the coordinator tell at 330 a second a quarter came in messages of its own.
+    // At 330 purges a second only a quarter as many messages arrive as two planners and the coordinator send events.
     for (purges, share) in [(0.0, 1.0), (33.0, 1.0), (100.0, 0.98), (330.0, 0.25)] {
         let mut add = |metric, kind: &str, value| {
             let plain = row(Role::HollowForwarder, metric, (100, 100, purges), value);
@@ -210,7 +210,7 @@
     let bytes = lines
         .iter()
         .find(|line| line.series.metric == Metric::BytesInPerS)
-        .expect("it is a series");
+        .expect("the series has a line");
     assert_eq!(
         (bytes.evidence, bytes.points, bytes.excluded_points),
         (Evidence::Slope, 3, 1)
@@ -222,12 +222,12 @@
     let lines = fit(&digests);
     assert!(
         lines.iter().all(|line| line.excluded_points == 0),
-        "batches hold several by their nature"
+        "digest batches contain several events by design and are not excluded"
     );
 }
 
 #[test]
-fn runs_with_real_forwarders_are_left_out_of_planners_slopes() {
+fn runs_with_real_forwarders_are_excluded_from_planner_slopes() {
     let mut rows = Vec::new();
     for forwarders in [100, 300, 600, 1_000] {
         let bytes = if forwarders == 600 {
@@ -255,7 +255,7 @@
         let line = lines
             .iter()
             .find(|line| line.series.role == role)
-            .expect("it is a series");
+            .expect("the series has a line");
         (line.points, line.excluded_points)
     };
     assert_eq!(points(Role::Planner), (3, 1));
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn figures_that_are_no_numbers_are_left_out() {
+fn values_that_are_not_numbers_are_ignored() {
     let rows = [
         row(
             Role::Planner,
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn slopes_are_the_same_after_the_table() {
+fn slopes_survive_a_round_trip_through_csv() {
     let mut rows = noisy_rows(Role::Planner, Metric::Cores, |size| {
         0.01 + 2e-6 * size.forwarders * size.purges
     });
@@ -289,12 +289,12 @@
     ));
     let lines = fit(&rows);
     let table: Vec<SlopeRow> = lines.iter().flat_map(line::rows).collect();
-    let text = files::table_text(&table).expect("it can be written");
+    let text = files::table_text(&table).expect("the table is written as CSV");
     let mut reader = csv::Reader::from_reader(text.as_bytes());
     let read: Vec<SlopeRow> = reader
         .deserialize()
         .collect::<Result<_, _>>()
-        .expect("it can be read");
+        .expect("the table is read");
     assert_eq!(read, table);
     let again: Vec<SlopeRow> = line::lines(&read).iter().flat_map(line::rows).collect();
     assert_eq!(again, table);
--- a/crates/flaxdeck-scale/tests/made_up_capacity/mod.rs
+++ b/crates/flaxdeck-scale/tests/made_up_capacity/mod.rs
@@ -1,6 +1,6 @@
-//! RowBuilder-up slopes and the committed target, for tests of the capacity page.
+//! Synthetic slopes and the committed target, for tests of the capacity page.
 
-#![allow(dead_code, reason = "each test file uses some of it")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 use flaxdeck_scale::capacity::estimate::Lines;
 use flaxdeck_scale::capacity::rows::{Basis, RoleRows, Row, roles};
@@ -11,18 +11,19 @@
 
 const TARGET: &str = include_str!("../../../../docs/capacity/target.plan");
 
-/// The committed target.
+/// Reads the committed target file.
 pub(crate) fn committed_target() -> Target {
-    target::read("target.plan", TARGET).expect("it has no faults")
+    target::read("target.plan", TARGET).expect("the committed target file has no faults")
 }
 
-/// Rows that are made up.
+/// Builds synthetic measurements.
 struct RowBuilder {
     rows: Vec<Measurement>,
 }
 
 impl RowBuilder {
-    /// One metric over three sizes of each driver, as that function tells.
+    /// Adds the rows of one metric over three sizes of each driver; `value` computes it from forwarders, hosts and
+    /// purges.
     fn metric(
         &mut self,
         distribution: Distribution,
@@ -58,7 +59,8 @@
     }
 }
 
-/// A forwarder that hears 80 bytes a purge under each event and 3 by digests, beside reports that don't change.
+/// Returns rows of a planner, and of a forwarder that receives 80 bytes a purge under `EachEvent` and 3 under `Digest`
+/// and sends reports at a constant rate.
 pub(crate) fn made_up_rows() -> Vec<Measurement> {
     use Distribution::{Digest, EachEvent};
     let mut builder = RowBuilder { rows: Vec::new() };
@@ -122,7 +124,7 @@
     builder.rows
 }
 
-/// The rows of all roles, for these measurements.
+/// Passes the rows of all roles, computed from the measurements, to `look`.
 pub(crate) fn with_roles<T>(
     measurements: &[Measurement],
     look: impl FnOnce(&[RoleRows]) -> T,
@@ -134,28 +136,28 @@
     }))
 }
 
-/// A row by the beginnings of its role and its name.
+/// Finds a row by the start of its role's title and the start of its own name.
 pub(crate) fn row<'a>(roles: &'a [RoleRows], title: &str, what: &str) -> &'a Row {
     let role = roles
         .iter()
         .find(|role| role.title.starts_with(title))
-        .expect("the role stands there");
+        .expect("the page has this role");
     role.rows
         .iter()
         .find(|row| row.what.starts_with(what))
-        .expect("the row stands there")
+        .expect("the role has this row")
 }
 
-/// Fails unless there is a value, and it is the truth.
+/// Asserts that there is a value and that it equals the expected one up to rounding.
 pub(crate) fn assert_near(found: Option<f64>, truth: f64) {
-    let found = found.expect("there is a value");
+    let found = found.expect("the estimate has a value");
     assert!(
         (found - truth).abs() <= 1e-6 * truth.abs(),
-        "{found} is not {truth}"
+        "the value is {found}, expected {truth}"
     );
 }
 
-/// The rows of the lines fitted to these measurements.
+/// Returns the table rows of the lines fitted to the measurements.
 pub(crate) fn slopes(measurements: &[Measurement]) -> Vec<SlopeRow> {
     fit(measurements).iter().flat_map(rows).collect()
 }
--- a/crates/flaxdeck-scale/tests/made_up_runs/mod.rs
+++ b/crates/flaxdeck-scale/tests/made_up_runs/mod.rs
@@ -1,13 +1,13 @@
-//! Made-up measurements, for tests of the fitted lines.
+//! Synthetic measurements, for tests of the fitted lines.
 
-#![allow(dead_code, reason = "each test file uses some of it")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 use flaxdeck_scale::fit::line::Line;
 use flaxdeck_scale::fit::nature::Size;
 use flaxdeck_scale::fit::{NO_FAULT, fit};
 use flaxdeck_scale::measurement::{Distribution, Measurement, Metric, Role};
 
-/// A made-up row at a size.
+/// Returns a row at a size of forwarders, hosts and purges a second.
 pub(crate) fn row(role: Role, metric: Metric, size: (u32, u32, f64), value: f64) -> Measurement {
     let (hollow_forwarders, hosts, purges_per_s) = size;
     Measurement {
@@ -26,12 +26,12 @@
     }
 }
 
-/// Noise that is the same at each run: within a part of the value, its mean near zero.
+/// Returns deterministic relative noise between -1 % and 1 %, with a mean near zero.
 pub(crate) fn noise(at: usize) -> f64 {
     ((at as f64 * 0.618_034).fract() - 0.5) * 0.02
 }
 
-/// Sizes varied one at a time and together, each twice.
+/// Returns all combinations of three values of each driver, each twice.
 pub(crate) fn sizes() -> Vec<(u32, u32, f64)> {
     let mut sizes = Vec::new();
     for forwarders in [100, 300, 1_000] {
@@ -44,7 +44,7 @@
     sizes
 }
 
-/// Noisy rows of a metric whose truth is known, at all sizes.
+/// Returns noisy rows of a metric at all [`sizes`]; `truth` computes the value without noise.
 pub(crate) fn noisy_rows(
     role: Role,
     metric: Metric,
@@ -58,17 +58,21 @@
     sizes().into_iter().enumerate().map(noisy).collect()
 }
 
-/// The only line of the rows.
+/// Fits the rows, which have to form a single series, and returns its line.
 pub(crate) fn single_line(rows: &[Measurement]) -> Line {
     let mut lines = fit(rows);
-    assert_eq!(lines.len(), 1, "one series");
+    assert_eq!(
+        lines.len(),
+        1,
+        "the rows form more than one series, or none"
+    );
     lines.remove(0)
 }
 
-/// Fails unless a value is within a part of the truth.
+/// Asserts that a value deviates from the expected one by at most the fraction `part`.
 pub(crate) fn assert_near(found: f64, truth: f64, part: f64) {
     assert!(
         (found - truth).abs() <= part * truth.abs(),
-        "{found} is not within {part} of {truth}"
+        "the value is {found}, expected {truth} within a fraction of {part}"
     );
 }
--- a/crates/flaxdeck-scale/tests/recorded_files.rs
+++ b/crates/flaxdeck-scale/tests/recorded_files.rs
@@ -1,5 +1,5 @@
-//! Files of earlier revisions that have to stay readable: the recorded runs of the capacity page, the scale files and
-//! the sites of the plays, with a digest of each as revision 45b174f had it.
+//! Files of earlier revisions have to stay readable: the recorded runs of the capacity page, the scale files and the
+//! site files. The fixture holds a digest of each file as of revision 45b174f.
 
 #![allow(
     clippy::unwrap_used,
@@ -17,7 +17,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The files of these folders by their paths from the repository's root, each with a digest of its bytes.
+/// Lists the recorded files by their paths from the repository's root, each with a digest of its bytes.
 fn digests() -> String {
     let mut lines = Vec::new();
     for (folder, extension) in [
@@ -28,14 +28,14 @@
         ("scale", "scale"),
     ] {
         for entry in std::fs::read_dir(root().join(folder)).expect(folder) {
-            let path = entry.expect("a file").path();
+            let path = entry.expect("the folder is listed").path();
             if path.extension().is_none_or(|found| found != extension) {
                 continue;
             }
-            let bytes = std::fs::read(&path).expect("a file that can be read");
+            let bytes = std::fs::read(&path).expect("the file is read");
             let name = path
                 .file_name()
-                .expect("a name")
+                .expect("the path has a file name")
                 .to_string_lossy()
                 .into_owned();
             lines.push(format!("{folder}/{name} {:016x}", fnv(&bytes)));
@@ -45,7 +45,7 @@
     lines.join("\n") + "\n"
 }
 
-/// FNV-1a of 64 bits.
+/// Computes the 64-bit FNV-1a hash.
 fn fnv(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x100_0000_01b3)
@@ -54,37 +54,44 @@
 
 fn assert_recorded(name: &str, text: &str) {
     let path = format!("{}/tests/fixtures/{name}", env!("CARGO_MANIFEST_DIR"));
-    let recorded = std::fs::read_to_string(path).expect("a recorded file");
-    assert_eq!(recorded, text, "{name}");
+    let recorded = std::fs::read_to_string(path).expect("the fixture is read");
+    assert_eq!(
+        recorded, text,
+        "the contents differ from the fixture {name}"
+    );
 }
 
 #[test]
-fn files_of_operators_and_recorded_runs_are_those_of_the_record() {
+fn operator_files_and_recorded_runs_match_the_recorded_digests() {
     assert_recorded("files.digests", &digests());
 }
 
 #[test]
-fn recorded_runs_are_read_and_written_without_a_changed_byte() {
+fn recorded_runs_survive_a_round_trip_byte_for_byte() {
     let folder = root().join("docs/capacity/runs");
     let mut files = 0;
-    for entry in std::fs::read_dir(folder).expect("the recorded runs") {
-        let path = entry.expect("a file").path();
-        let rows: Vec<Measurement> = read_table(&path).expect("a table of measurements");
-        let text = std::fs::read_to_string(&path).expect("a text");
+    for entry in std::fs::read_dir(folder).expect("the folder of recorded runs is listed") {
+        let path = entry.expect("the folder is listed").path();
+        let rows: Vec<Measurement> =
+            read_table(&path).expect("the file is a table of measurements");
+        let text = std::fs::read_to_string(&path).expect("the file is read as text");
         assert!(
-            table_text(&rows).expect("a table") == text,
-            "{} is written otherwise",
+            table_text(&rows).expect("the rows are written as CSV") == text,
+            "{} differs after reading and writing it",
             path.display()
         );
         files += 1;
     }
-    assert!(files > 10, "{files} recorded runs");
+    assert!(
+        files > 10,
+        "found only {files} recorded runs, expected more than 10"
+    );
 }
 
 #[test]
-fn a_scale_file_keeps_its_meaning() {
+fn a_scale_file_is_parsed_to_the_recorded_values() {
     let text = include_str!("fixtures/planner-killed.scale");
-    let scenario = read("planner-killed.scale", text).expect("a scale file");
+    let scenario = read("planner-killed.scale", text).expect("the fixture is a valid scale file");
     let point = &scenario.points[0];
     let sizes = [
         f64::from(point.hollow),
@@ -100,7 +107,7 @@
         scenario.times.window_s,
         scenario.times.drain_s,
     ];
-    let fault = scenario.fault.expect("a fault");
+    let fault = scenario.fault.expect("the scale file has a fault");
     let summary = format!(
         "{} seed {} runs {} points {}\nsizes {sizes:?}\ntimes {times:?}\nreports {} {:?}\nfault {} at {} lasts {}\n",
         scenario.name,
--- a/crates/flaxdeck-scale/tests/target.rs
+++ b/crates/flaxdeck-scale/tests/target.rs
@@ -1,4 +1,4 @@
-//! The target's file: faults with their places, and the means that follow from it.
+//! The target file: faults reported with their positions, and averages computed from its fields.
 
 #![allow(
     clippy::unwrap_used,
@@ -10,21 +10,21 @@
 
 const FILE: &str = include_str!("../../../docs/capacity/target.plan");
 
-fn committed() -> Target {
-    target::read("target.plan", FILE).expect("it has no faults")
+fn committed_target() -> Target {
+    target::read("target.plan", FILE).expect("the committed target file has no faults")
 }
 
-/// The faults of the committed file with something in it replaced, as lines.
+/// Returns the faults, as text, of the committed file with `old` replaced by `new`.
 fn faults_with(old: &str, new: &str) -> Vec<String> {
-    assert!(FILE.contains(old), "the file holds {old}");
-    let faults =
-        target::read("target.plan", &FILE.replace(old, new)).expect_err("there is a fault");
+    assert!(FILE.contains(old), "the target file does not contain {old}");
+    let faults = target::read("target.plan", &FILE.replace(old, new))
+        .expect_err("the changed file has a fault");
     faults.iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn means_follow_from_what_is_written() {
-    let target = committed();
+fn averages_are_computed_from_the_fields() {
+    let target = committed_target();
     let rounded = |value: f64| value.round();
     assert_eq!(rounded(target.mean_requests_per_s()), 929.0);
     assert_eq!(rounded(target.dispatchers_per_site()), 15.0);
@@ -39,12 +39,12 @@
 }
 
 #[test]
-fn a_misspelt_word_is_told_with_its_place_and_the_nearest_one() {
+fn a_misspelt_keyword_is_reported_with_position_and_suggestion() {
     let faults = faults_with("(regions 44)", "(region 44)");
     assert_eq!(
         faults.len(),
         2,
-        "it is not known, and the right one is missing: {faults:?}"
+        "expected one fault for the unknown keyword and one for the missing field: {faults:?}"
     );
     assert!(
         faults[0].starts_with("target.plan:4:3: regions is missing in (fleet ...)"),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_number_out_of_its_bounds_is_told_with_its_place() {
+fn a_number_out_of_bounds_is_reported_with_its_position() {
     let faults = faults_with("(core-share 0.02)", "(core-share 2)");
     assert_eq!(faults.len(), 1);
     assert!(
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn what_is_left_out_has_no_default() {
+fn missing_fields_have_no_default() {
     let faults = faults_with("(purge-storm (times 10) (for-s 10))", "");
     assert_eq!(faults.len(), 1);
     assert!(
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn what_stands_twice_is_a_fault() {
+fn duplicate_fields_are_rejected() {
     let faults = faults_with("(sites 930)", "(sites 930) (sites 931)");
     assert_eq!(faults.len(), 1);
     assert!(
@@ -88,8 +88,9 @@
 }
 
 #[test]
-fn a_file_that_is_no_form_is_told() {
-    let faults = target::read("target.plan", "(target (fleet").expect_err("it is cut off");
+fn an_unterminated_form_is_reported_with_its_position() {
+    let faults =
+        target::read("target.plan", "(target (fleet").expect_err("the form is unterminated");
     assert!(
         faults[0].to_string().starts_with("target.plan:1:"),
         "{}",
