--- a/crates/flaxdeck-scale/src/capacity/faults.rs
+++ b/crates/flaxdeck-scale/src/capacity/faults.rs
@@ -81,10 +81,10 @@
         .map(|line| (line.series.fault.clone(), line.series.distribution))
         .collect();
     let run = |(fault, distribution): (String, Distribution)| {
-        let own = lines
+        let matching = lines
             .clone()
             .filter(|line| line.series.fault == fault && line.series.distribution == distribution);
-        fault_run(fault.clone(), distribution, &own.collect::<Vec<_>>())
+        fault_run(fault.clone(), distribution, &matching.collect::<Vec<_>>())
     };
     names.into_iter().map(run).collect()
 }
--- a/crates/flaxdeck-scale/src/capacity/rows.rs
+++ b/crates/flaxdeck-scale/src/capacity/rows.rs
@@ -77,7 +77,7 @@
 /// Returns the rows of all roles.
 pub fn roles(basis: Basis) -> Vec<RoleRows> {
     let target = basis.target;
-    let (whole, group) = (target.size(), target.size_per_planner());
+    let (fleet_size, planner_size) = (target.size(), target.size_per_planner());
     let roles = vec![
         RoleRows {
             title: "Dispatcher (forwarder)".into(),
@@ -85,11 +85,11 @@
         },
         RoleRows {
             title: "Planner that hears every dispatcher".into(),
-            rows: servers::planner(basis, &whole),
+            rows: servers::planner(basis, &fleet_size),
         },
         RoleRows {
             title: "Planner where the fleet is divided between the machines".into(),
-            rows: servers::planner(basis, &group),
+            rows: servers::planner(basis, &planner_size),
         },
         RoleRows {
             title: "Coordinator (a stand-in's figures)".into(),
--- a/crates/flaxdeck-scale/src/capacity/rows/servers.rs
+++ b/crates/flaxdeck-scale/src/capacity/rows/servers.rs
@@ -18,7 +18,7 @@
         Some(1.0),
         Some(MAX_CONNECTIONS as f64),
     );
-    let a_message = |distribution| {
+    let micros_per_message = |distribution| {
         basis.lines.total(
             distribution,
             Role::Planner,
@@ -30,7 +30,7 @@
         what: "processor time a message".into(),
         unit: "us",
         budget: None,
-        estimates: per_distribution(a_message),
+        estimates: per_distribution(micros_per_message),
         mechanism: "reports in, guidance, events or batches out",
     });
     rows
@@ -85,7 +85,7 @@
 /// them.
 pub(super) fn machines(basis: Basis) -> Vec<Row> {
     let machines = Some(basis.target.machines);
-    let all = |metrics| all_planners(basis, metrics);
+    let of_all_planners = |metrics| all_planners(basis, metrics);
     vec![
         machine_row(
             "machines needed, one core and as many connections as the code allows each",
@@ -97,25 +97,25 @@
             "processor time of all planners",
             "cores",
             machines,
-            all(&[Metric::Cores]),
+            of_all_planners(&[Metric::Cores]),
         ),
         machine_row(
             "bytes of all planners, both ways, with headers",
             "bytes/s",
             None,
-            all(BYTES),
+            of_all_planners(BYTES),
         ),
         machine_row(
             "messages of all planners",
             "messages/s",
             None,
-            all(MESSAGES),
+            of_all_planners(MESSAGES),
         ),
         machine_row(
             "resident memory of all planners",
             "bytes",
             None,
-            all(&[Metric::ResidentBytes]),
+            of_all_planners(&[Metric::ResidentBytes]),
         ),
     ]
 }
@@ -125,8 +125,8 @@
     let size = basis.target.size_per_planner();
     per_distribution(|distribution| {
         let role = Role::Planner;
-        let one = basis.lines.total(distribution, role, metrics, &size);
-        one.map(|one| one * basis.target.machines)
+        let planner = basis.lines.total(distribution, role, metrics, &size);
+        planner.map(|value| value * basis.target.machines)
     })
 }
 
@@ -158,16 +158,16 @@
         return Estimate::NOT_SHOWN;
     }
     let target = basis.target;
-    let none = Size {
+    let no_dispatchers = Size {
         forwarders: 0.0,
         ..target.size()
     };
-    let idle = line.predict(&none);
-    let each = (line.predict(&target.size()) - idle) / target.dispatchers;
-    if each <= 0.0 || idle >= 1.0 {
+    let base_cores = line.predict(&no_dispatchers);
+    let cores_per_dispatcher = (line.predict(&target.size()) - base_cores) / target.dispatchers;
+    if cores_per_dispatcher <= 0.0 || base_cores >= 1.0 {
         return Estimate::NOT_SHOWN;
     }
-    let served = ((1.0 - idle) / each).min(MAX_CONNECTIONS as f64);
+    let served = ((1.0 - base_cores) / cores_per_dispatcher).min(MAX_CONNECTIONS as f64);
     let needed = (target.dispatchers * target.planners_per_dispatcher / served).ceil();
     let served_size = Size {
         forwarders: served,
--- a/crates/flaxdeck-scale/src/capacity/state/planner.rs
+++ b/crates/flaxdeck-scale/src/capacity/state/planner.rs
@@ -19,7 +19,7 @@
 
 fn connected_dispatchers(basis: Basis) -> Vec<State> {
     let target = basis.target;
-    let forgotten = duration(FORWARDER_TIMEOUT.ms() / 1e3);
+    let retention = duration(FORWARDER_TIMEOUT.ms() / 1e3);
     vec![
         State {
             role: PLANNER,
@@ -27,7 +27,7 @@
             needed: target.dispatchers,
             bound: Some(forwarder_bound()),
             bytes_each: memory(basis, Role::Planner, Term::Forwarders),
-            kept: format!("{forgotten} after its last report"),
+            kept: format!("{retention} after its last report"),
         },
         State {
             role: PLANNER,
@@ -35,7 +35,7 @@
             needed: target.dispatchers_per_planner(),
             bound: Some(forwarder_bound()),
             bytes_each: memory(basis, Role::Planner, Term::Forwarders),
-            kept: format!("{forgotten} after its last report"),
+            kept: format!("{retention} after its last report"),
         },
         State {
             role: PLANNER,
--- a/crates/flaxdeck-scale/src/charts.rs
+++ b/crates/flaxdeck-scale/src/charts.rs
@@ -127,10 +127,10 @@
 /// Returns file and title of each chart that has points in the measurements behind these lines.
 pub fn titles(lines: &[Line]) -> Vec<(&'static str, &'static str)> {
     let has_points = |chart: &&Chart| {
-        let own = |line: &Line| {
+        let is_plotted = |line: &Line| {
             line.series.fault == NO_FAULT && chart.includes(line.series.role, line.series.metric)
         };
-        lines.iter().any(own)
+        lines.iter().any(is_plotted)
     };
     CHARTS
         .iter()
@@ -177,13 +177,13 @@
 
     /// Returns the points of runs without a fault.
     fn points(&self, measurements: &[&Measurement], distribution: Distribution) -> Vec<Point> {
-        let own = measurements.iter().filter(|row| {
+        let rows = measurements.iter().filter(|row| {
             row.fault == NO_FAULT
                 && row.distribution == distribution
                 && self.includes(row.role, row.metric)
         });
         let mut sums: Vec<(&str, Point)> = Vec::new();
-        for row in own {
+        for row in rows {
             let size = Size::of(row);
             match sums
                 .iter_mut()
@@ -290,14 +290,14 @@
         distribution: Distribution,
         points: &[Point],
     ) -> Option<Vec<(f64, f64)>> {
-        let own = |line: &&Line| {
+        let is_plotted = |line: &&Line| {
             let series = &line.series;
             series.fault == NO_FAULT
                 && series.distribution == distribution
                 && self.includes(series.role, series.metric)
         };
-        let own: Vec<&Line> = lines.iter().filter(own).collect();
-        if own.is_empty() || own.iter().any(|line| line.evidence != Evidence::Slope) {
+        let fitted: Vec<&Line> = lines.iter().filter(is_plotted).collect();
+        if fitted.is_empty() || fitted.iter().any(|line| line.evidence != Evidence::Slope) {
             return None;
         }
         let largest = points.iter().map(|point| point.size).max_by(Size::order)?;
@@ -305,7 +305,7 @@
         let ends = [0.0, drivers.fold(0.0, f64::max)];
         let at = |driver: f64| {
             let size = self.with_driver(driver, largest);
-            (driver, own.iter().map(|line| line.predict(&size)).sum())
+            (driver, fitted.iter().map(|line| line.predict(&size)).sum())
         };
         Some(ends.map(at).to_vec())
     }
--- a/crates/flaxdeck-scale/src/fit.rs
+++ b/crates/flaxdeck-scale/src/fit.rs
@@ -64,7 +64,7 @@
         hosts,
         purges,
     } = Size::of(row);
-    let of_all = Series {
+    let run_series = Series {
         role: Role::Planner,
         metric: Metric::Cores,
         kind: String::new(),
@@ -72,7 +72,7 @@
     };
     (
         row.run.clone(),
-        of_all,
+        run_series,
         [forwarders, hosts, purges].map(f64::to_bits),
     )
 }
--- a/crates/flaxdeck-scale/src/measurement.rs
+++ b/crates/flaxdeck-scale/src/measurement.rs
@@ -11,8 +11,8 @@
 pub enum Distribution {
     /// Every planner and the coordinator send every event to every forwarder.
     EachEvent,
-    /// One planner sends batches with purge digests; a forwarder polls the coordinator only while it has no contact to
-    /// a planner.
+    /// One planner sends batches with purge digests; a forwarder requests events from the coordinator only while
+    /// it has no contact with a planner.
     Digest,
 }
 
