--- a/crates/flaxdeck-scale/src/capacity/events.rs
+++ b/crates/flaxdeck-scale/src/capacity/events.rs
@@ -19,9 +19,9 @@
 }
 
 /// Faults of runs in which dispatchers restart.
-const DISPATCHER_RESTARTS: &[&str] = &["region-restarted"];
+const RESTART_FAULTS: &[&str] = &["region-restarted"];
 /// Faults of runs in which dispatchers lose contact with a part of the control plane.
-const LINK_FAILURES: &[&str] = &["link-cut", "coordinator-silent"];
+const CONTACT_LOSS_FAULTS: &[&str] = &["link-cut", "coordinator-silent"];
 
 /// Returns all events of the target, the smallest first.
 pub fn events(target: &Target) -> Vec<Event> {
@@ -50,16 +50,16 @@
     let rack = dispatchers(target.rack_dispatchers);
     let region = dispatchers(target.dispatchers_per_region());
     vec![
-        event("rack", "a rack returns at once", rack, DISPATCHER_RESTARTS),
-        event("zone", "a zone returns at once", zone, DISPATCHER_RESTARTS),
+        event("rack", "a rack returns at once", rack, RESTART_FAULTS),
+        event("zone", "a zone returns at once", zone, RESTART_FAULTS),
+        event("region", "a region returns at once", region, RESTART_FAULTS),
+        event("rolling", "a rolling restart", rolling, &[]),
         event(
-            "region",
-            "a region returns at once",
-            region,
-            DISPATCHER_RESTARTS,
+            "cut-off",
+            "a region is cut off",
+            cut_off,
+            CONTACT_LOSS_FAULTS,
         ),
-        event("rolling", "a rolling restart", rolling, &[]),
-        event("cut-off", "a region is cut off", cut_off, LINK_FAILURES),
         event("storm", "a purge storm", storm, &["purge-storm"]),
     ]
 }
