--- a/crates/flaxdeck-scale/examples/decisions.rs
+++ b/crates/flaxdeck-scale/examples/decisions.rs
@@ -1,5 +1,6 @@
-//! What all decisions about one request take, with the hosts of the whole fleet and of one region listed, with and without
-//! the target's purges beside: rows of the runs' form, measured apart from them. On a quiet machine:
+//! Measures the time that all decisions about one request take, with the hosts of one region and of the whole fleet in
+//! the endpoint list, and with and without the target's rate of purges. Prints result rows in the form of the scale
+//! runs, which measure no decisions. On an otherwise idle machine:
 //!
 //!     cargo run --release -p flaxdeck-scale --example decisions -- docs/capacity/target.plan > docs/capacity/runs/decisions.csv
 
@@ -18,21 +19,25 @@
 use flaxdeck_scale::measurement::{DECISIONS_RUN, Distribution, Measurement, Metric, Role};
 use flaxdeck_scale::target::{self, Target};
 
-/// Each point is measured so often, each time with another seed.
+/// Number of runs of each point, each with a seed of its own.
 const RUNS: u64 = 3;
-/// Requests whose decisions are timed in one run, after those that warm it up.
-const TIMED: u64 = 2_000;
-const WARM_UP: u64 = 200;
-/// Requests go round so many objects.
+/// Number of requests per run whose decisions are timed.
+const TIMED_REQUESTS: u64 = 2_000;
+/// Number of requests before the timed ones, for warm-up.
+const WARM_UP_REQUESTS: u64 = 200;
+/// Number of objects that the requests cycle through.
 const OBJECTS: u64 = 1_000;
-/// Purged objects have numbers from here on, so that no request is for one of them.
-const PURGED_FROM: u64 = 1_000_000;
-/// Every so many hosts one is a parent, and one is cold.
-const A_PARENT_EVERY: u64 = 10;
-const A_COLD_ONE_EVERY: u64 = 20;
+/// Numbers of purged objects start above this one, so that no request is for one of them.
+const PURGED_OBJECTS_START: u64 = 1_000_000;
+/// One in this many hosts is a parent.
+const HOSTS_PER_PARENT: u64 = 10;
+/// One in this many hosts is cold.
+const HOSTS_PER_COLD_HOST: u64 = 20;
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let file = std::env::args().nth(1).ok_or("name the target's file")?;
+    let file = std::env::args()
+        .nth(1)
+        .ok_or("missing argument: the path of the target file")?;
     let text = files::read_text(Path::new(&file))?;
     let target =
         target::read(&file, &text).map_err(flaxdeck_scale::error::CapacityError::Target)?;
@@ -66,7 +71,7 @@
     }
 }
 
-/// Something that happens so many times a second.
+/// Events at a constant rate.
 struct Schedule {
     every_ms: f64,
     next_ms: f64,
@@ -83,7 +88,7 @@
         }
     }
 
-    /// The number of the next one, if it is due by then.
+    /// Returns the number of the next event, counted from 1, if it is due by `now_ms`.
     fn due(&mut self, now_ms: f64) -> Option<u64> {
         (self.next_ms <= now_ms).then(|| {
             self.next_ms += self.every_ms;
@@ -97,24 +102,25 @@
     Time::at_ms(1_000_000.0 + ms)
 }
 
-/// The mean over requests at the mean rate of a dispatcher, from arrival to end, every one a hit.
+/// Returns the mean time in microseconds of all decisions about a request, from its arrival to the end of its attempts.
+/// Requests arrive at the mean rate of a dispatcher, and every one is a hit.
 fn decision_micros(target: &Target, hosts: u64, purges_per_s: f64, seed: u64) -> f64 {
     let settles_ms = 1e3 * target.purge_within_s;
     let (mut engine, _) = DecisionEngine::start(at(0.0), seed, terms(settles_ms));
-    engine.list(at(0.0), ListKind::Full, listed(hosts));
+    engine.list(at(0.0), ListKind::Full, endpoints(hosts));
     let mut purges = Schedule::new(purges_per_s);
     let mut ticks = Schedule::new(1.0);
     let each_ms = 1e3 / target.requests_each_per_s();
-    // As many purges are known as ever: those of the time in which they settle.
+    // Starts one purge grace after 0, so that the first requests find as many unsettled purges as all later ones.
     let mut now_ms = settles_ms;
-    let mut spent = 0.0;
-    for request in 0..WARM_UP + TIMED {
+    let mut spent_s = 0.0;
+    for request in 0..WARM_UP_REQUESTS + TIMED_REQUESTS {
         now_ms += each_ms;
         while let Some(number) = purges.due(now_ms) {
             let made = at(purges.next_ms - purges.every_ms);
             engine.purge(
                 at(now_ms),
-                Some(ObjectId(PURGED_FROM + number)),
+                Some(ObjectId(PURGED_OBJECTS_START + number)),
                 GroupId(1),
                 made,
             );
@@ -122,13 +128,17 @@
         while ticks.due(now_ms).is_some() {
             engine.wake(at(now_ms));
         }
-        let took = timed_request(&mut engine, at(now_ms), request);
-        spent += if request >= WARM_UP { took } else { 0.0 };
+        let elapsed_s = timed_request(&mut engine, at(now_ms), request);
+        spent_s += if request >= WARM_UP_REQUESTS {
+            elapsed_s
+        } else {
+            0.0
+        };
     }
-    spent * 1e6 / TIMED as f64
+    spent_s * 1e6 / TIMED_REQUESTS as f64
 }
 
-/// Seconds that the decisions of one request take.
+/// Returns the time in seconds of all decisions about one request.
 fn timed_request(engine: &mut DecisionEngine, now: Time, number: u64) -> f64 {
     let request = Request {
         id: RequestId(number),
@@ -162,15 +172,15 @@
     }
 }
 
-fn listed(hosts: u64) -> Vec<Endpoint> {
+fn endpoints(hosts: u64) -> Vec<Endpoint> {
     let line = |number: u64| Endpoint {
         host: HostId(format!("s-{number:08x}").into()),
         weight: 5.0,
-        zone: Some(ZoneId(usize::from(number.is_multiple_of(A_PARENT_EVERY)))),
+        zone: Some(ZoneId(usize::from(number.is_multiple_of(HOSTS_PER_PARENT)))),
         cell: CellId(0),
         role: role(number),
         health: Health::InService,
-        started: number.is_multiple_of(A_COLD_ONE_EVERY).then(|| at(0.0)),
+        started: number.is_multiple_of(HOSTS_PER_COLD_HOST).then(|| at(0.0)),
     };
     (0..hosts).map(line).collect()
 }
@@ -178,12 +188,12 @@
 fn role(number: u64) -> HostRole {
     match number {
         0 => HostRole::Origin,
-        parent if parent.is_multiple_of(A_PARENT_EVERY) => HostRole::Parent,
+        parent if parent.is_multiple_of(HOSTS_PER_PARENT) => HostRole::Parent,
         _ => HostRole::Cache,
     }
 }
 
-/// Those of `flaxdeck-control`'s example `size`, but for the time in which a purge settles.
+/// Returns the terms of `flaxdeck-control`'s example `size`, except for the purge grace.
 fn terms(settles_ms: f64) -> DeploymentTerms {
     let class = RequestClass {
         objective: Span::from_ms(500),
--- a/crates/flaxdeck-scale/src/bounds.rs
+++ b/crates/flaxdeck-scale/src/bounds.rs
@@ -1,46 +1,46 @@
-//! What a run may take of the machine, checked before anything starts.
+//! Limits on the resources that a run may use, checked before any process starts.
 
 use std::fmt;
 
 use crate::scenario::Point;
 
-/// Bytes of memory over all processes.
-pub const MAX_MEMORY: u64 = 10_000_000_000;
-/// Processes of one run.
+/// Maximum memory of all processes of a run together, in bytes.
+pub const MAX_MEMORY_BYTES: u64 = 10_000_000_000;
+/// Maximum number of processes of a run.
 pub const MAX_PROCESSES: u64 = 200;
-/// Descriptors of one process.
+/// Maximum number of open file descriptors of one process.
 pub const MAX_DESCRIPTORS: u64 = 20_000;
 
-/// Resident memory of one process with nothing in it, rounded up from measured runs, ...
+/// Estimated resident memory of a process without forwarders, rounded up from measured runs.
 const PROCESS_BYTES: u64 = 16_000_000;
-/// ... of one hollow forwarder, ...
+/// Estimated resident memory of one hollow forwarder without its endpoint list.
 const FORWARDER_BYTES: u64 = 500_000;
-/// ... and of one host of its list.
+/// Estimated resident memory of one host in the endpoint list of a hollow forwarder.
 const HOST_BYTES: u64 = 1_200;
-/// Of the parent, the coordinator's ring and the planners' logs together.
+/// Estimated memory of the parent process, the coordinator's buffered frames and the planners' event logs together.
 const OTHER_BYTES: u64 = 400_000_000;
-/// Descriptors of a process beside its connections.
-const OWN_DESCRIPTORS: u64 = 32;
+/// Descriptors of a process other than those of its connections.
+const BASE_DESCRIPTORS: u64 = 32;
 
-/// A bound that a point would go over.
+/// A bound that a point would exceed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BoundExceeded {
-    /// Which bound.
+    /// The bound that would be exceeded.
     pub bound: Bound,
-    /// What the point would take, in the bound's unit.
+    /// The estimated use of the point, in the unit of the bound.
     pub needed: u64,
-    /// The bound.
+    /// The maximum, in the unit of the bound.
     pub max: u64,
 }
 
-/// What a run may take at most.
+/// A resource whose use by a run is bounded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bound {
-    /// Bytes of memory over all processes.
+    /// Memory of all processes together, in bytes.
     Memory,
-    /// Processes of the run.
+    /// Number of processes of the run.
     Processes,
-    /// Descriptors of one process.
+    /// Number of open file descriptors of one process.
     Descriptors,
 }
 
@@ -53,37 +53,38 @@
             Bound::Memory => {
                 write!(
                     out,
-                    "some {needed} bytes of memory, the bound is {max} over all processes"
+                    "about {needed} bytes of memory; the bound is {max} over all processes"
                 )
             }
-            Bound::Processes => write!(out, "{needed} processes, the bound is {max}"),
+            Bound::Processes => write!(out, "{needed} processes; the bound is {max}"),
             Bound::Descriptors => write!(
                 out,
-                "{needed} descriptors in one process, the bound is {max}"
+                "{needed} descriptors in one process; the bound is {max}"
             ),
         }
     }
 }
 
-/// Whether a point fits.
+/// Checks that a point stays within all bounds.
 ///
 /// # Errors
 ///
-/// The first bound that it would go over.
+/// The first bound that the point would exceed.
 pub fn check(point: &Point) -> Result<(), BoundExceeded> {
     let hollow = u64::from(point.hollow);
     let hosts = u64::from(point.hosts);
-    // The coordinator, the planners, the hollow processes, the real forwarders, and this one.
+    // The two others are the coordinator and this process.
     let processes = u64::from(point.processes + point.planners + point.real) + 2;
     let memory =
         processes * PROCESS_BYTES + hollow * (FORWARDER_BYTES + hosts * HOST_BYTES) + OTHER_BYTES;
+    // Each hollow forwarder connects to every planner and to the coordinator.
     let connections = u64::from(point.planners) + 1;
     let in_hollow = hollow.div_ceil(u64::from(point.processes.max(1))) * connections;
-    let descriptors = in_hollow.max(hollow + u64::from(point.real)) + OWN_DESCRIPTORS;
+    let descriptors = in_hollow.max(hollow + u64::from(point.real)) + BASE_DESCRIPTORS;
     let checks = [
         (Bound::Processes, processes, MAX_PROCESSES),
         (Bound::Descriptors, descriptors, MAX_DESCRIPTORS),
-        (Bound::Memory, memory, MAX_MEMORY),
+        (Bound::Memory, memory, MAX_MEMORY_BYTES),
     ];
     for (bound, needed, max) in checks {
         if needed > max {
--- a/crates/flaxdeck-scale/src/cluster.rs
+++ b/crates/flaxdeck-scale/src/cluster.rs
@@ -1,5 +1,5 @@
-//! All processes of one run, and what is done with them: `start` starts them, `window` measures, `faults` has things go
-//! wrong; here they are ended, and what forwarders logged is checked.
+//! All processes of one run: `start` starts them, `window` measures them and `faults` injects faults; this module ends
+//! them and checks the forwarders' logs.
 
 mod faults;
 mod start;
@@ -21,14 +21,14 @@
 use crate::service::Service;
 pub(crate) use window::Window;
 
-/// A folder of the run's own files, gone with it unless it is kept.
+/// A temporary folder for the files of a run, removed on drop unless it is kept.
 pub(crate) struct RunFolder {
     path: PathBuf,
     is_kept: bool,
 }
 
 impl RunFolder {
-    /// Makes a new one; one that is kept outlasts the run.
+    /// Creates a new folder; with `is_kept`, it is not removed after the run.
     pub(crate) fn create(is_kept: bool) -> Result<RunFolder, RunError> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -46,50 +46,51 @@
 impl Drop for RunFolder {
     fn drop(&mut self) {
         if !self.is_kept {
-            // A folder that stays behind does no harm.
+            // A leftover folder in the temporary directory is harmless.
             let _ = fs::remove_dir_all(&self.path);
         }
     }
 }
 
-/// What a group of hollow forwarders logs, and their numbers.
+/// The log file of a process of hollow forwarders, with the range of their numbers.
 struct HollowLog {
     path: PathBuf,
     first: u32,
     count: u32,
 }
 
-/// A process of hollow forwarders, one after another if it is restarted.
+/// A process of hollow forwarders.
 struct HollowProcess {
     process: Process,
     log: HollowLog,
-    /// Forwarders that know a list and are connected to all planners.
+    /// The number of its forwarders, as last reported, that have an endpoint list and are connected to all planners.
     current: u32,
 }
 
-/// A started instance with where it listens.
+/// A process with the address at which it listens.
 struct Server {
     process: Process,
     address: SocketAddr,
 }
 
-/// The processes of one run, all ended when it is dropped.
+/// The processes of one run; all of them are killed on drop.
 pub(crate) struct Cluster<'a> {
     options: &'a RunOptions<'a>,
     folder: &'a Path,
     coordinator: Server,
     planners: Vec<Server>,
     hollow: Vec<HollowProcess>,
-    /// Logs of hollow forwarders that were killed.
-    killed: Vec<HollowLog>,
+    /// Logs of processes of hollow forwarders that a fault has killed.
+    killed_logs: Vec<HollowLog>,
     real: Vec<Server>,
-    /// What the real forwarders serve, if there are any, ...
+    /// The hosts and clients of the real forwarders; `None` if the point has no real forwarders.
     pub(crate) service: Option<Service>,
-    /// ... and when the next purge of one of its objects is due.
+    /// When the next purge of one of the service's objects is due; `None` while no such purges are made.
     next_purge: Option<Instant>,
-    /// Between the first process of hollow forwarders and the first planner, where a run or its twin cuts it.
+    /// The proxy between the first process of hollow forwarders and the first planner, if the scale file's fault is a
+    /// cut link (in the twin too).
     link: Option<Proxy>,
-    /// The first number that no hollow forwarder has had.
+    /// The number of the next hollow forwarder; numbers are never reused within a run.
     next_hollow: u32,
 }
 
@@ -98,7 +99,7 @@
 }
 
 impl Cluster<'_> {
-    /// All processes as they run now, without those that were killed.
+    /// Returns all current processes, without those that were killed and replaced.
     pub(crate) fn processes(&self) -> impl Iterator<Item = &Process> {
         let hollow = self.hollow.iter().map(|hollow| &hollow.process);
         let planners = self.planners.iter().map(|planner| &planner.process);
@@ -110,7 +111,7 @@
             .chain(real)
     }
 
-    /// Ends all processes and checks what was logged.
+    /// Ends all processes and checks the delivery of events from the forwarders' logs.
     pub(crate) async fn end(mut self, window: &Window) -> Result<DeliveryOutcome, RunError> {
         for hollow in &mut self.hollow {
             hollow.process.end().await?;
@@ -121,7 +122,7 @@
         self.coordinator.process.end().await?;
         let events = read_events(&self.folder.join("events.txt"))?;
         let mut checker = DeliveryChecker::new(&events, window.from_us, window.until_us);
-        for log in &self.killed {
+        for log in &self.killed_logs {
             check_log(&mut checker, log)?;
             checker.killed(log.first..log.first + log.count);
         }
--- a/crates/flaxdeck-scale/src/cluster/faults.rs
+++ b/crates/flaxdeck-scale/src/cluster/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a run.
+//! Injects the fault of a run.
 
 use std::fs;
 use std::time::Duration;
@@ -13,15 +13,15 @@
 use crate::messages::{CoordinatorOrder, CoordinatorReply};
 use crate::scenario::{Fault, FaultKind};
 
-/// Slow readers run for so long, ...
-const SLOW_RUNS: Duration = Duration::from_millis(200);
-/// ... and then stand still for so long.
-const SLOW_STOPS: Duration = Duration::from_millis(800);
-/// By how much purges come more often in a storm.
-const STORM_FACTOR: f64 = 10.0;
+/// How long slow readers run in each cycle.
+const SLOW_READER_RUNNING: Duration = Duration::from_millis(200);
+/// How long slow readers are stopped in each cycle.
+const SLOW_READER_STOPPED: Duration = Duration::from_millis(800);
+/// The factor by which the purge rate rises during a purge storm.
+const PURGE_STORM_FACTOR: f64 = 10.0;
 
 impl Cluster<'_> {
-    /// Has a fault happen now and end at that time.
+    /// Injects a fault now; a fault with a duration is undone at `until`.
     pub(super) async fn inject(&mut self, fault: Fault, until: Instant) -> Result<(), RunError> {
         match fault.kind {
             FaultKind::PlannerKilled => self.kill_planner(until).await,
@@ -44,7 +44,7 @@
 
     async fn kill_planner(&mut self, until: Instant) -> Result<(), RunError> {
         self.planners[0].process.kill().await;
-        self.pass_until(until).await?;
+        self.wait_until(until).await?;
         let address = self.planners[0].address;
         self.planners[0].process = self.start_planner(0, address).await?.process;
         Ok(())
@@ -52,18 +52,18 @@
 
     async fn hang_planner(&mut self, until: Instant) -> Result<(), RunError> {
         self.planners[0].process.signal(Signal::STOP);
-        self.pass_until(until).await?;
+        self.wait_until(until).await?;
         self.planners[0].process.signal(Signal::CONT);
         Ok(())
     }
 
-    /// What a silent coordinator would have announced counts as announced only some seconds later, by the platform's
-    /// page: no purge that clients could notice is made meanwhile.
+    /// Silences the coordinator. By the platform's documentation, what it would have announced meanwhile counts as
+    /// announced only some seconds later, so no object that clients request is purged during the silence.
     async fn silence_coordinator(&mut self, until: Instant) -> Result<(), RunError> {
         let next_purge = self.next_purge.take();
         self.order_coordinator(CoordinatorOrder::Silent(true))
             .await?;
-        self.pass_until(until).await?;
+        self.wait_until(until).await?;
         self.order_coordinator(CoordinatorOrder::Silent(false))
             .await?;
         self.next_purge = next_purge.map(|_| until);
@@ -72,7 +72,7 @@
 
     async fn cut_link(&mut self, until: Instant) -> Result<(), RunError> {
         self.set_link(LinkState::Cut);
-        self.pass_until(until).await?;
+        self.wait_until(until).await?;
         self.set_link(LinkState::Up);
         Ok(())
     }
@@ -86,22 +86,25 @@
     async fn slow_readers(&mut self, until: Instant) -> Result<(), RunError> {
         while Instant::now() < until {
             self.hollow[0].process.signal(Signal::STOP);
-            self.pass_until(Instant::now() + SLOW_STOPS).await?;
+            self.wait_until(Instant::now() + SLOW_READER_STOPPED)
+                .await?;
             self.hollow[0].process.signal(Signal::CONT);
-            self.pass_until(Instant::now() + SLOW_RUNS).await?;
+            self.wait_until(Instant::now() + SLOW_READER_RUNNING)
+                .await?;
         }
         Ok(())
     }
 
     async fn purge_storm(&mut self, until: Instant) -> Result<(), RunError> {
-        self.order_coordinator(CoordinatorOrder::PurgeRateTimes(STORM_FACTOR))
+        self.order_coordinator(CoordinatorOrder::PurgeRateTimes(PURGE_STORM_FACTOR))
             .await?;
-        self.pass_until(until).await?;
+        self.wait_until(until).await?;
         self.order_coordinator(CoordinatorOrder::PurgeRateTimes(1.0))
             .await
     }
 
-    /// Kills all hollow forwarders of the first process and starts as many at once, from a configuration of now.
+    /// Kills the first process of hollow forwarders and immediately starts one with as many forwarders, from a
+    /// configuration with the coordinator's current state.
     async fn restart_hollow_process(&mut self) -> Result<(), RunError> {
         let path = self.folder.join("known.json");
         self.order_coordinator(CoordinatorOrder::WriteKnown(path.clone()))
@@ -109,8 +112,8 @@
         match self.coordinator.process.reply().await? {
             CoordinatorReply::Written => {}
             _ => {
-                let said = "something else than that its file is written";
-                return Err(RunError::CoordinatorReply(said.to_owned()));
+                let mismatch = "a reply other than Written to the order WriteKnown";
+                return Err(RunError::CoordinatorReply(mismatch.to_owned()));
             }
         }
         let text = fs::read_to_string(&path).map_err(RunError::file(&path))?;
@@ -121,8 +124,8 @@
         self.hollow[0].process.kill().await;
         let count = self.hollow[0].log.count;
         let restarted = self.start_hollow_process(count, "restart.json", "first.plan")?;
-        let earlier = std::mem::replace(&mut self.hollow[0], restarted);
-        self.killed.push(earlier.log);
+        let killed = std::mem::replace(&mut self.hollow[0], restarted);
+        self.killed_logs.push(killed.log);
         Ok(())
     }
 }
--- a/crates/flaxdeck-scale/src/cluster/start.rs
+++ b/crates/flaxdeck-scale/src/cluster/start.rs
@@ -1,4 +1,4 @@
-//! Starts the processes of a run, each from files that are written for it.
+//! Starts the processes of a run, each with files written for it.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -20,20 +20,21 @@
 use crate::scenario::{FaultKind, Point};
 use crate::service::{Service, layout};
 
-/// How long a process may take until it listens.
+/// How long a process may take to listen after its start.
 const LISTEN_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long all forwarders may take until they are current.
+/// How long the hollow forwarders may take until all have an endpoint list and are connected to all planners.
 const CURRENT_TIMEOUT: Duration = Duration::from_secs(90);
-/// Between looks whether a process listens.
-const POLL: Duration = Duration::from_millis(20);
-/// Sets the seeds of real forwarders apart from those of hollow ones.
+/// How often a process's log is checked for its listening address.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Distinguishes the seeds of real forwarders from those of hollow ones.
 const REAL_SEED_MASK: u64 = 0x4ea1 << 48;
-/// Between reports of forwarders that hear of events by digests, while they have nothing urgent to tell.
+/// Milliseconds between the reports of a forwarder that receives events by digest, while it has nothing urgent to
+/// report.
 const DIGEST_IDLE_MS: u32 = 1_500;
-/// The shared key of a run's own instances, which listen on loopback only.
+/// The shared key of all instances of a run, which listen on loopback only.
 const KEY: &str = "3f1c0e5d9a7b42688e4d1b2a3c5f6d7e8c9b0a1f2e3d4c5b6a79887a96b5c4d3";
 
-/// The files of one process.
+/// The files of one process, named `NAME.ENDING` in the folder of the run.
 struct ProcessFiles<'a> {
     folder: &'a Path,
     name: String,
@@ -44,14 +45,15 @@
         self.folder.join(format!("{}.{ending}", self.name))
     }
 
-    /// Starts the process that these files are of.
+    /// Starts the process that these files belong to.
     fn start(&self, kind: ProcessKind, command: Command) -> Result<Process, ProcessError> {
         Process::start(kind, command, self.path("counters"), self.path("log"))
     }
 }
 
 impl<'a> Cluster<'a> {
-    /// Starts everything and waits until all forwarders are current.
+    /// Starts all processes and waits until all hollow forwarders have an endpoint list and are connected to all
+    /// planners.
     pub(crate) async fn start(
         options: &'a RunOptions<'a>,
         folder: &'a Path,
@@ -70,7 +72,7 @@
             coordinator,
             planners: Vec::new(),
             hollow: Vec::new(),
-            killed: Vec::new(),
+            killed_logs: Vec::new(),
             real: Vec::new(),
             service,
             next_purge: None,
@@ -88,9 +90,8 @@
     }
 
     async fn start_planners(&mut self) -> Result<(), RunError> {
-        let nothing_known = json!({"index": 0, "updates": []});
-        let configuration =
-            self.configuration(nothing_known, platform_settings(&self.options.point));
+        let no_events = json!({"index": 0, "updates": []});
+        let configuration = self.configuration(no_events, platform_settings(&self.options.point));
         let path = self.folder.join("config.json");
         write_file(&path, &configuration.to_string())?;
         for index in 0..self.options.point.planners as usize {
@@ -100,7 +101,8 @@
         Ok(())
     }
 
-    /// The connections of the first process to the first planner may go over a link that can be cut.
+    /// Starts the processes of hollow forwarders. If the fault of the scale file is a cut link, the first process
+    /// connects to the first planner through a proxy that can be cut, in runs without the fault too.
     fn start_hollow_processes(&mut self) -> Result<(), RunError> {
         let mut addresses: Vec<SocketAddr> = self
             .planners
@@ -157,7 +159,7 @@
         Ok(Server { process, address })
     }
 
-    /// The configuration of an instance that knows these events.
+    /// Returns the configuration of an instance that starts with these known events.
     pub(super) fn configuration(&self, known: Value, settings: Value) -> Value {
         json!({
             "listen": "127.0.0.1:0",
@@ -174,11 +176,11 @@
             format!("(planner (name p{index}) (listen \"{address}\"))")
         };
         let forms: Vec<String> = planners.iter().enumerate().map(form).collect();
-        let every = self.options.scenario.report_every_ms;
+        let interval_ms = self.options.scenario.report_every_ms;
         let (reports, events) = match self.options.scenario.distribution {
-            Distribution::EachEvent => (format!("(every-ms {every})"), "(by each-event)"),
+            Distribution::EachEvent => (format!("(every-ms {interval_ms})"), "(by each-event)"),
             Distribution::Digest => (
-                format!("(every-ms {every}) (idle-ms {DIGEST_IDLE_MS})"),
+                format!("(every-ms {interval_ms}) (idle-ms {DIGEST_IDLE_MS})"),
                 "(by digest) (batch-ms 1000)",
             ),
         };
@@ -264,7 +266,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// The platform's settings for all forwarders of a point.
+/// Returns the platform's settings for the number of forwarders of a point.
 pub(super) fn platform_settings(point: &Point) -> Value {
     let forwarders = (point.hollow + point.real) as usize;
     settings(&layout(forwarders))
@@ -281,7 +283,7 @@
     };
     let unchanging = own_hosts.len();
     let orders = CoordinatorOrders {
-        hosts: [own_hosts, hosts::generated(options.point.hosts)].concat(),
+        hosts: [own_hosts, hosts::generate(options.point.hosts)].concat(),
         unchanging,
         purges_per_s: options.point.purges_per_s,
         host_changes_per_s: options.point.host_changes_per_s,
@@ -299,12 +301,12 @@
     match reply.map_err(|_| RunError::CoordinatorListen)?? {
         CoordinatorReply::Listening(address) => Ok(Server { process, address }),
         other => Err(RunError::CoordinatorReply(format!(
-            "{other:?} before it listened"
+            "{other:?} instead of Listening"
         ))),
     }
 }
 
-/// Where a process listens, by its log.
+/// Waits until a process listens and returns its address, which is read from its log.
 async fn wait_until_listening(process: &Process) -> Result<SocketAddr, ProcessError> {
     let started = Instant::now();
     while started.elapsed() < LISTEN_TIMEOUT {
@@ -312,7 +314,7 @@
         if let Some(address) = listening_address(&text) {
             return Ok(address);
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
     Err(ProcessError::NotListening {
         process: process.kind,
--- a/crates/flaxdeck-scale/src/coordinator.rs
+++ b/crates/flaxdeck-scale/src/coordinator.rs
@@ -1,6 +1,7 @@
-//! The stand-in coordinator as a process of its own: numbered frames to whoever asks from a number on, a frame without
-//! an event in each silent second, and events on an open-loop schedule. Frames are kept in a ring, so that a
-//! connection costs no more than what is new.
+//! The stand-in coordinator, which runs as a separate process. It publishes events on an open-loop schedule and sends
+//! them as numbered frames to each connection, from the number on that the client names, and a heartbeat frame after
+//! each second without events. Frames are buffered in a bounded queue shared by all connections, so that a connection
+//! costs no more than sending what is new to it.
 
 mod schedule;
 mod state;
@@ -21,12 +22,12 @@
 use crate::delivery::write_events;
 use crate::error::RunError;
 use crate::messages::{CoordinatorOrder, CoordinatorOrders, CoordinatorReply};
-use crate::processes::{Input, say};
+use crate::processes::{Input, write_message};
 use schedule::Schedule;
 use state::{Batch, FrameKind, State, frame};
 
-/// Without events for so long, a frame without one says that the coordinator is there.
-const HEARTBEAT: Duration = Duration::from_secs(1);
+/// How long a connection goes without events before a heartbeat is sent.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 type Shared = Rc<RefCell<State>>;
 
@@ -34,7 +35,7 @@
 ///
 /// # Errors
 ///
-/// If it can't listen, the settings have a fault, or a file can't be written.
+/// If the coordinator can't listen, the settings are invalid, or a file can't be written.
 pub fn run(orders: CoordinatorOrders) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -52,13 +53,13 @@
     let state: Shared = Rc::new(RefCell::new(state));
     counters_file::spawn(orders.counters);
     spawn_local(accept(state.clone(), listener));
-    say(&CoordinatorReply::Listening(address));
+    write_message(&CoordinatorReply::Listening(address));
     let mut schedule = Schedule::new(orders.seed, orders.purges_per_s, orders.host_changes_per_s);
     loop {
         let due = schedule.next_due();
         tokio::select! {
             order = input.next() => match order {
-                Some(order) => obey(&state, &mut schedule, order)?,
+                Some(order) => apply_order(&state, &mut schedule, order)?,
                 None => break,
             },
             () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
@@ -70,14 +71,18 @@
     write_events(&orders.events, state.published()).map_err(RunError::WriteEvents)
 }
 
-fn obey(state: &Shared, schedule: &mut Schedule, order: CoordinatorOrder) -> Result<(), RunError> {
+fn apply_order(
+    state: &Shared,
+    schedule: &mut Schedule,
+    order: CoordinatorOrder,
+) -> Result<(), RunError> {
     let mut state = state.borrow_mut();
     match order {
         CoordinatorOrder::Begin => schedule.begin(),
         CoordinatorOrder::Stop => {
             schedule.stop();
             let last = state.last();
-            say(&CoordinatorReply::Stopped { last });
+            write_message(&CoordinatorReply::Stopped { last });
         }
         CoordinatorOrder::PurgeRateTimes(factor) => schedule.set_purge_factor(factor),
         CoordinatorOrder::Silent(silent) => state.set_silent(silent),
@@ -86,7 +91,7 @@
         CoordinatorOrder::WriteKnown(path) => {
             let known = state.known_events().to_string();
             std::fs::write(&path, known).map_err(RunError::file(&path))?;
-            say(&CoordinatorReply::Written);
+            write_message(&CoordinatorReply::Written);
         }
     }
     Ok(())
@@ -101,7 +106,8 @@
     }
 }
 
-/// Serves one connection until it ends; whoever closes it has what he wants.
+/// Sends events to one connection until it fails or the coordinator restarts. The caller ignores errors: the client may
+/// close its connection at any time.
 async fn send_events(state: Shared, mut stream: TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut status = state.borrow().subscribe();
@@ -117,14 +123,14 @@
             return Ok(());
         }
         if now.silent {
-            // The sender lives as long as the state.
+            // Can't fail: the state, which owns the sender, outlives the connection.
             let _ = status.changed().await;
         } else if now.last != after {
             let batch = state.borrow().batch_after(after);
             after = batch.last;
             count_sent(&batch);
             stream.write_all(&batch.bytes).await?;
-        } else if timeout(HEARTBEAT, status.changed()).await.is_err() {
+        } else if timeout(HEARTBEAT_INTERVAL, status.changed()).await.is_err() {
             let heartbeat = Batch {
                 bytes: frame(after, FrameKind::Heartbeat, &[]).to_vec(),
                 frames: 1,
@@ -136,7 +142,7 @@
     }
 }
 
-/// Counts each frame, and the bytes of all with the last.
+/// Counts each frame of a batch as one message; the bytes of all frames are counted with the last one.
 fn count_sent(batch: &Batch) {
     let counters = [Counter::feed_messages_out, Counter::feed_bytes_out];
     for _ in 1..batch.frames {
--- a/crates/flaxdeck-scale/src/coordinator/schedule.rs
+++ b/crates/flaxdeck-scale/src/coordinator/schedule.rs
@@ -1,4 +1,4 @@
-//! When events happen, whatever becomes of those before.
+//! An open-loop schedule of events: an event's time does not depend on the delivery of earlier ones.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use super::state::State;
 
-/// One kind of event, at random times of a mean rate.
+/// Random arrival times of one kind of event, with exponentially distributed gaps.
 struct Arrivals {
     per_s: f64,
     factor: f64,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Draws when the next one after that time comes.
+    /// Draws the time of the next event after a time; none at a rate of 0.
     fn draw_next(&mut self, after: Instant, rng: &mut Pcg64Mcg) {
         let per_s = self.per_s * self.factor;
         let gap_s = -(1.0 - rng.random::<f64>()).ln() / per_s;
@@ -32,7 +32,7 @@
     }
 }
 
-/// Purges and changes of hosts, by an open loop.
+/// The schedule of purges and host changes.
 pub(super) struct Schedule {
     rng: Pcg64Mcg,
     purges: Arrivals,
@@ -40,7 +40,7 @@
 }
 
 impl Schedule {
-    /// A schedule that has not begun.
+    /// Creates a schedule without events until [`Schedule::begin`] is called.
     pub(super) fn new(seed: u64, purges_per_s: f64, changes_per_s: f64) -> Schedule {
         Schedule {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -60,7 +60,7 @@
         self.changes.next = None;
     }
 
-    /// Purges come so many times as often, from the one after next on.
+    /// Multiplies the purge rate by a factor; the next purge, whose time is already drawn, is not moved.
     pub(super) fn set_purge_factor(&mut self, factor: f64) {
         self.purges.factor = factor;
     }
@@ -70,7 +70,7 @@
         times.into_iter().flatten().min()
     }
 
-    /// Publishes all that is due.
+    /// Publishes all events that are due.
     pub(super) fn publish_due(&mut self, state: &mut State) {
         let now = Instant::now();
         while let Some(at) = self.purges.next.filter(|at| *at <= now) {
--- a/crates/flaxdeck-scale/src/coordinator/state.rs
+++ b/crates/flaxdeck-scale/src/coordinator/state.rs
@@ -1,4 +1,4 @@
-//! What the stand-in coordinator knows: hosts, frames, and what connections wait for.
+//! The state of the stand-in coordinator: hosts, buffered frames, and the status that connections watch.
 
 use std::collections::VecDeque;
 use std::ops::Range;
@@ -17,14 +17,14 @@
 use crate::messages::CoordinatorOrders;
 use crate::monotonic;
 
-/// Frames that are kept; who asks for earlier ones gets the whole list.
+/// Maximum number of buffered frames; a client that needs earlier ones gets the full list.
 const MAX_FRAMES: usize = 1 << 16;
-/// Bytes that one connection writes at a time.
+/// Size at which a batch of frames for one connection ends, in bytes.
 const MAX_BATCH_BYTES: usize = 64 * 1024;
-/// Where a frame's kind stands, after its length and number.
+/// Offset of the kind in a frame, after its length and number.
 const KIND_OFFSET: usize = 12;
 
-/// The kinds of frames, by their numbers on the wire.
+/// The kinds of frames, with their numbers on the wire.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum FrameKind {
     Heartbeat = 0,
@@ -33,7 +33,7 @@
     Purge = 3,
 }
 
-/// A frame: its length, its number, its kind, and what it holds.
+/// Encodes a frame: its length, number, kind and payload.
 pub(super) fn frame(number: u64, kind: FrameKind, payload: &[u8]) -> Bytes {
     let length = (size_of::<u64>() + size_of::<u8>() + payload.len()) as u32;
     let mut frame = length.to_be_bytes().to_vec();
@@ -43,18 +43,18 @@
     frame.into()
 }
 
-/// What connections wait for: it changes with each event and each order.
+/// The status that connections watch; it changes with each event and with orders to be silent or to restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Status {
-    /// Counts its starts: connections of an earlier one end.
+    /// The number of starts so far; connections to an earlier incarnation are closed.
     pub(super) incarnation: u32,
     /// The number of the last event.
     pub(super) last: u64,
-    /// It says nothing, with its connections open.
+    /// Whether it sends nothing, neither events nor heartbeats, while its connections stay open.
     pub(super) silent: bool,
 }
 
-/// Frames for one connection.
+/// Encoded frames to be sent to one connection.
 pub(super) struct Batch {
     pub(super) bytes: Vec<u8>,
     pub(super) frames: usize,
@@ -62,25 +62,26 @@
     pub(super) last: u64,
 }
 
-/// What the stand-in coordinator knows.
+/// The state of the stand-in coordinator.
 pub(super) struct State {
     hosts: Vec<Host>,
-    /// So many of the first hosts never change.
+    /// The number of hosts, at the beginning of `hosts`, that never change.
     unchanging: usize,
     names: Names,
-    /// The settings' names of zones and of kinds.
+    /// The names of zones in the settings.
     zones: Vec<String>,
+    /// The names of host kinds in the settings.
     kinds: Vec<String>,
-    /// The number of the first frame that is kept.
+    /// The number of the first buffered frame.
     first: u64,
     frames: VecDeque<Bytes>,
-    /// All events since the start of the process.
+    /// All events since the start of the process, over all incarnations.
     published: Vec<PublishedEvent>,
     status: watch::Sender<Status>,
 }
 
 impl State {
-    /// Starts with the list of the orders as event 1.
+    /// Creates the state with the endpoint list of the orders as event 1.
     pub(super) fn new(orders: &CoordinatorOrders) -> Result<State, RunError> {
         let fields = Fields::of(&orders.settings, "settings").map_err(RunError::settings)?;
         let (_, names) = flaxdeck_terms::read(&fields).map_err(RunError::settings)?;
@@ -103,17 +104,17 @@
         self.status.subscribe()
     }
 
-    /// All events since the start of the process, in all numberings.
+    /// Returns all events since the start of the process, in all numberings.
     pub(super) fn published(&self) -> &[PublishedEvent] {
         &self.published
     }
 
-    /// The number of the last event.
+    /// Returns the number of the last event.
     pub(super) fn last(&self) -> u64 {
         self.first + self.frames.len() as u64 - 1
     }
 
-    /// The hosts that may change, by their indices.
+    /// Returns the indices of the hosts that may change; never an empty range, so that one can be drawn.
     pub(super) fn changing_hosts(&self) -> Range<usize> {
         self.unchanging..self.hosts.len().max(self.unchanging + 1)
     }
@@ -122,7 +123,7 @@
         self.status.send_modify(|status| status.silent = silent);
     }
 
-    /// Starts anew with the list as it stands for event 1; connections of before end.
+    /// Starts a new incarnation with the current list as event 1; existing connections are closed.
     pub(super) fn restart(&mut self) {
         self.frames.clear();
         self.first = 1;
@@ -156,7 +157,7 @@
         self.status.send_modify(|status| status.last = number);
     }
 
-    /// All copies of an object made before now are out of date.
+    /// Publishes a purge of all copies of an object that were made before now.
     pub(super) fn purge(&mut self, object: u64) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
         let unix_ms = unix.unwrap_or_default().as_millis() as u64;
@@ -164,7 +165,7 @@
         self.publish(FrameKind::Purge, &payload);
     }
 
-    /// A host begins to drain, or is back in service.
+    /// Toggles a host between in service and draining, and publishes the change.
     pub(super) fn change_host(&mut self, index: usize) {
         let Some(host) = self.hosts.get_mut(index) else {
             return;
@@ -174,7 +175,8 @@
         self.publish(FrameKind::HostChange, &entry);
     }
 
-    /// What follows that number, up to a bound of bytes; to who asks for what is not kept, the whole list as it stands.
+    /// Returns the frames after a number, up to a size limit; the current full list if these frames are not buffered or
+    /// the number is unknown.
     pub(super) fn batch_after(&self, after: u64) -> Batch {
         let last = self.last();
         if after > last || after + 1 < self.first {
@@ -201,8 +203,8 @@
         batch
     }
 
-    /// What a configuration written now tells of events: the list, and the last event by itself, which proves the
-    /// numbering.
+    /// Returns the known events of a configuration written now: the full list, and the last event separately, which
+    /// identifies the numbering.
     pub(super) fn known_events(&self) -> Value {
         let rows: Vec<Value> = self.listed().map(|host| self.list_row(host)).collect();
         let last = self.last();
@@ -219,7 +221,7 @@
         host.list_row(&self.zones, &self.kinds)
     }
 
-    /// A purge or a change of a host as a configuration tells it; none of a whole list.
+    /// Converts a purge or a host change to its form in a configuration; `None` for a full list.
     fn event_as_json(&self, frame: &Bytes, number: u64) -> Option<Value> {
         let payload = &frame[KIND_OFFSET + 1..];
         let kind = frame[KIND_OFFSET];
--- a/crates/flaxdeck-scale/src/delivery.rs
+++ b/crates/flaxdeck-scale/src/delivery.rs
@@ -1,5 +1,5 @@
-//! Whether every event reached every forwarder: what the logs of all forwarders come to beside the coordinator's own
-//! events. Delays, and events that were lost, doubled or out of order.
+//! Checks that every event reached every forwarder: compares the logs of all forwarders with the events that the
+//! coordinator published, and yields delays and the numbers of events that were lost, doubled or out of order.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fs;
@@ -11,23 +11,23 @@
 use crate::error::RunError;
 use crate::in_force_log::LogEntry;
 
-/// The longest delay that is told apart, in microseconds.
+/// The longest delay that the histogram distinguishes, in microseconds; longer ones are recorded as this one.
 const MAX_DELAY_US: u64 = 600_000_000;
-/// Significant digits of delays.
+/// Significant digits of the delays in the histogram.
 const DELAY_DIGITS: u8 = 3;
 
 /// An event as the coordinator published it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PublishedEvent {
-    /// Its number in the coordinator's numbering of then.
+    /// Its number in the numbering that was current when it was published.
     pub number: u64,
-    /// The hash of all events up to it.
+    /// The hash of its content.
     pub hash: u64,
-    /// When, in microseconds of the monotonic clock.
+    /// When it was published, in microseconds of the monotonic clock.
     pub at_us: u64,
 }
 
-/// Writes events as text, one a line.
+/// Writes events as text, one per line.
 ///
 /// # Errors
 ///
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// [`RunError::File`] if the file can't be read, [`RunError::EventList`] if a line is no event.
+/// [`RunError::File`] if the file can't be read, [`RunError::EventList`] if a line can't be parsed.
 pub fn read_events(path: &Path) -> Result<Vec<PublishedEvent>, RunError> {
     let text = fs::read_to_string(path).map_err(RunError::file(path))?;
     let events: Option<Vec<PublishedEvent>> = text.lines().map(parse_event).collect();
@@ -60,48 +60,55 @@
     })
 }
 
-/// What became of the events of a window at all forwarders.
+/// The delivery of the events of a window to all forwarders.
 #[derive(Clone, Debug)]
 pub struct DeliveryOutcome {
-    /// Events times forwarders that were to have them in force.
+    /// Deliveries that were expected: the sum, over all forwarders, of the events that had to come into force.
     pub expected: u64,
-    /// Events that a forwarder never had in force.
+    /// Events that never came into force at a forwarder.
     pub lost: u64,
-    /// Events that came into force again.
+    /// Events that came into force at a forwarder where they already were.
     pub doubled: u64,
     /// Events that came into force after a later one.
     pub out_of_order: u64,
-    /// Of those lost: covered by a whole list in whose place copies are doubted, or known at a restart.
+    /// Events that a forwarder skipped because a full list that includes them replaced what it knew; not counted as
+    /// lost. Cached copies from before are in doubt then, as purges may be among these events.
     pub replaced: u64,
-    /// Log entries of events that the coordinator never published.
+    /// Log entries that match no published event, and events logged by a forwarder before its first full list.
     pub unknown: u64,
-    /// Microseconds from the coordinator to in force.
+    /// Microseconds from publication to the event's coming into force.
     pub delays: Histogram<u64>,
 }
 
-/// One forwarder's position in the coordinator's events, counted from 0 over all its numberings.
+/// One forwarder's position in the coordinator's events, as indices counted from 0 over all numberings.
 struct Position {
+    /// The time of its first full list, in microseconds of the monotonic clock.
     started_us: u64,
+    /// The last event that came into force.
     last: usize,
+    /// Earlier events that have not come into force.
     missing: BTreeSet<usize>,
-    /// It was killed on purpose, so that nothing after its last entry is owed.
+    /// Whether a fault of the run killed it, so that no event after its last entry is expected.
     was_killed: bool,
 }
 
-/// Checks log entries, forwarder by forwarder in the order of time.
+/// Checks log entries, which have to be added in the order of time for each forwarder.
 pub struct DeliveryChecker<'a> {
     events: &'a [PublishedEvent],
-    /// The events of the window, by their indices.
+    /// The indices of the events of the window.
     window: Range<usize>,
-    /// Indices by number and the low half of the hash.
+    /// Event indices by number and the low half of the hash.
     indices: HashMap<(u32, u32), usize>,
+    /// Event indices by number, one for each numbering that reached it, in ascending order.
     indices_by_number: HashMap<u32, Vec<usize>>,
+    /// Positions by forwarder number.
     positions: BTreeMap<u32, Position>,
     outcome: DeliveryOutcome,
 }
 
 impl<'a> DeliveryChecker<'a> {
-    /// Over all events that the coordinator published, judging those published within the window of time.
+    /// Creates a checker that knows all events that the coordinator published, and judges the delivery of those
+    /// published from `from_us` up to `until_us`.
     ///
     /// # Panics
     ///
@@ -138,8 +145,8 @@
         }
     }
 
-    /// The index of an entry's last event; of a whole list that was given out under a number, the last event that had it
-    /// by then.
+    /// Returns the index of an entry's last event. A full list that a client gets in place of missing events has a hash
+    /// of its own; it is matched to the latest event published before the entry with the same number.
     fn index_of(&self, entry: &LogEntry) -> Option<usize> {
         if let Some(index) = self.indices.get(&(entry.upto, entry.hash)) {
             return Some(*index);
@@ -159,32 +166,33 @@
             return;
         };
         let Some(after) = entry.after else {
-            return self.full_list(entry, upto);
+            return self.apply_full_list(entry, upto);
         };
         let count = entry.upto.saturating_sub(after) as usize;
         let first = (upto + 1).saturating_sub(count);
         for index in first..=upto {
-            self.in_force(entry, index);
+            self.apply_event(entry, index);
         }
     }
 
-    /// A whole list came in place of what was known.
-    fn full_list(&mut self, entry: &LogEntry, upto: usize) {
+    /// Moves the forwarder's position to the last event of a full list, and counts the events skipped.
+    fn apply_full_list(&mut self, entry: &LogEntry, upto: usize) {
         let position = self.positions.entry(entry.forwarder);
-        let known = position.or_insert_with(|| Position {
+        let position = position.or_insert_with(|| Position {
             started_us: entry.at_us,
             last: upto,
             missing: BTreeSet::new(),
             was_killed: false,
         });
-        let next = known.last + 1;
+        let next = position.last + 1;
         let skipped = next..(upto + 1).max(next);
         let in_window = skipped.filter(|index| self.window.contains(index));
         self.outcome.replaced += in_window.count() as u64;
-        known.last = known.last.max(upto);
+        position.last = position.last.max(upto);
     }
 
-    fn in_force(&mut self, entry: &LogEntry, index: usize) {
+    /// Moves the forwarder's position to an event that came into force, and records its delay.
+    fn apply_event(&mut self, entry: &LogEntry, index: usize) {
         let Some(position) = self.positions.get_mut(&entry.forwarder) else {
             self.outcome.unknown += 1;
             return;
@@ -205,14 +213,14 @@
         }
     }
 
-    /// These forwarders were killed on purpose: what followed their last entries is not lost by anybody.
+    /// Marks forwarders as killed by a fault of the run: events after their last entries do not count as lost.
     pub fn killed(&mut self, forwarders: Range<u32>) {
         for (_, position) in self.positions.range_mut(forwarders) {
             position.was_killed = true;
         }
     }
 
-    /// All entries are in.
+    /// Returns the outcome, once all entries have been added.
     pub fn outcome(mut self) -> DeliveryOutcome {
         for position in self.positions.values() {
             let expected = self.expected_events(position);
@@ -225,13 +233,13 @@
         self.outcome
     }
 
-    /// The events of the window that a forwarder was to have in force.
+    /// Returns the events of the window that had to come into force at a forwarder.
     fn expected_events(&self, position: &Position) -> Range<usize> {
         let started_us = position.started_us;
-        let known = self
+        let first = self
             .events
             .partition_point(|event| event.at_us < started_us);
-        let from = known.max(self.window.start);
+        let from = first.max(self.window.start);
         let until = if position.was_killed {
             self.window.end.min(position.last + 1)
         } else {
--- a/crates/flaxdeck-scale/src/error.rs
+++ b/crates/flaxdeck-scale/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a run failed, or why a capacity page, its slopes or its charts could not be made.
+//! Errors of runs and of their processes, and errors of capacity pages with their slopes and charts.
 
 use std::fmt::Display;
 use std::io;
@@ -13,160 +13,160 @@
 /// Why a run of a scale file failed.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// A process has no asynchronous runtime.
-    #[error("no runtime: {0}")]
+    /// The asynchronous runtime of a process can't be started.
+    #[error("can't start the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
     /// The stand-in coordinator can't listen on loopback.
-    #[error("cannot listen: {0}")]
+    #[error("the stand-in coordinator can't listen on loopback: {0}")]
     Listen(#[source] io::Error),
-    /// The link that may be cut can't listen.
-    #[error("no wire: {0}")]
+    /// The proxy for the link that may be cut can't listen.
+    #[error("the proxy in front of the first planner can't listen on loopback: {0}")]
     Proxy(#[source] io::Error),
-    /// The log of what came into force can't be made.
-    #[error("no notes: {0}")]
+    /// The log of events in force can't be created.
+    #[error("can't create the log of events in force: {0}")]
     CreateLog(#[source] io::Error),
-    /// The log of what came into force can't be written.
-    #[error("notes can't be written: {0}")]
+    /// The log of events in force can't be written.
+    #[error("can't write the log of events in force: {0}")]
     WriteLog(#[source] io::Error),
-    /// The coordinator's events can't be written.
-    #[error("events can't be written: {0}")]
+    /// The file of the coordinator's events can't be written.
+    #[error("can't write the file of published events: {0}")]
     WriteEvents(#[source] io::Error),
     /// A file or folder of the run can't be read or written.
     #[error("{}: {source}", path.display())]
     File {
         /// The file or folder.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A file is not JSON, or not of the form that it should have.
-    #[error("{}: {source}", path.display())]
+    /// A file is not JSON of the expected form.
+    #[error("{}: not JSON of the expected form: {source}", path.display())]
     Json {
         /// The file.
         path: PathBuf,
-        /// What the parser said.
+        /// The error of the parser.
         source: serde_json::Error,
     },
-    /// Rows of results can't be written.
-    #[error("{}: {source}", path.display())]
+    /// Result rows can't be written.
+    #[error("{}: can't write result rows: {source}", path.display())]
     Csv {
         /// The file.
         path: PathBuf,
-        /// What the writer said.
+        /// The error of the writer.
         source: csv::Error,
     },
-    /// The file of the coordinator's events has a line that is none.
-    #[error("{}: not a list of events", path.display())]
+    /// The file of the coordinator's events has a line that can't be parsed.
+    #[error("{}: a line is not an event of the form NUMBER HASH MICROSECONDS", path.display())]
     EventList {
         /// The file.
         path: PathBuf,
     },
-    /// A message or a file can't be put into JSON.
-    #[error("{0}")]
+    /// The orders for a process can't be encoded as JSON.
+    #[error("can't encode the orders for a process as JSON: {0}")]
     Encode(#[source] serde_json::Error),
-    /// What the coordinator wrote of known events is no JSON.
-    #[error("known events: {0}")]
+    /// The file of known events that the coordinator wrote is not JSON.
+    #[error("the coordinator's file of known events is not JSON: {0}")]
     KnownEvents(#[source] serde_json::Error),
-    /// The platform's settings have a fault.
-    #[error("{0}")]
+    /// The platform's settings are invalid.
+    #[error("invalid platform settings: {0}")]
     Settings(String),
     /// A hollow forwarder did not start.
-    #[error("{0}")]
+    #[error("a hollow forwarder did not start: {0}")]
     HollowForwarder(String),
-    /// The emulator's world did not start.
+    /// The emulated hosts did not start.
     #[error(transparent)]
     World(#[from] EmulatorError),
     /// A process of the run failed.
     #[error(transparent)]
     Process(#[from] ProcessError),
     /// The stand-in coordinator did not listen in time.
-    #[error("the coordinator did not listen in time")]
+    #[error("the stand-in coordinator did not listen in time")]
     CoordinatorListen,
-    /// The stand-in coordinator said something else than what it should.
-    #[error("the coordinator said {0}")]
+    /// The stand-in coordinator sent an unexpected reply.
+    #[error("the stand-in coordinator sent {0}")]
     CoordinatorReply(String),
-    /// Some forwarders had no list, or not all planners, in time.
-    #[error("not all forwarders were current in time")]
+    /// Some hollow forwarders did not have an endpoint list and connections to all planners in time.
+    #[error("not all hollow forwarders got an endpoint list and connected to all planners in time")]
     NotCurrent,
 }
 
 /// Why a process of a run failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// It can't be started.
+    /// The process can't be started.
     #[error("{process:?} can't be started: {source}")]
     Spawn {
-        /// Which process.
+        /// The process.
         process: ProcessKind,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// It had no id when it was started.
-    #[error("a process that has ended at once")]
+    /// The process had no id when it was started.
+    #[error("a process ended immediately after its start")]
     EndedAtOnce,
-    /// Its standard input is closed.
-    #[error("a process that has ended")]
+    /// The standard input of the process is closed already.
+    #[error("can't send an order to a process whose standard input is closed")]
     InputClosed,
-    /// It has no standard output to read.
-    #[error("a process without output")]
+    /// The standard output of the process is not piped.
+    #[error("can't read replies of a process whose standard output is not piped")]
     NoOutput,
-    /// An order can't be written to it.
-    #[error("{process:?} takes no order: {source}")]
+    /// An order can't be written to the process.
+    #[error("can't send an order to {process:?}: {source}")]
     Order {
-        /// Which process.
+        /// The process.
         process: ProcessKind,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Its standard output can't be read.
-    #[error("{0}")]
+    /// The standard output of the process can't be read.
+    #[error("can't read the standard output of a process: {0}")]
     Output(#[source] io::Error),
-    /// It has ended where a reply was expected.
-    #[error("{process:?} has ended: {log}")]
+    /// The process closed its standard output where a reply was expected.
+    #[error("{process:?} ended before it replied: {log}")]
     Ended {
-        /// Which process.
+        /// The process.
         process: ProcessKind,
         /// The last lines of its log.
         log: String,
     },
-    /// It said something that is no reply.
-    #[error("{process:?} said {line:?}: {source}")]
+    /// The process wrote a line that is not a valid reply.
+    #[error("{process:?} sent an invalid reply {line:?}: {source}")]
     Reply {
-        /// Which process.
+        /// The process.
         process: ProcessKind,
-        /// What it said.
+        /// The line.
         line: String,
-        /// What the parser said.
+        /// The error of the parser.
         source: serde_json::Error,
     },
-    /// It ended with a failure.
+    /// The process ended with a failure.
     #[error("{process:?} ended with {status}: {log}")]
     Failed {
-        /// Which process.
+        /// The process.
         process: ProcessKind,
-        /// How it ended.
+        /// Its exit status.
         status: ExitStatus,
         /// The last lines of its log.
         log: String,
     },
-    /// Its end can't be waited for.
-    #[error("{process:?}: {source}")]
+    /// Waiting for the end of the process failed.
+    #[error("can't wait for the end of {process:?}: {source}")]
     Wait {
-        /// Which process.
+        /// The process.
         process: ProcessKind,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// It did not end in time.
+    /// The process did not end in time after its standard input was closed.
     #[error("{process:?} did not end in time and was killed")]
     Killed {
-        /// Which process.
+        /// The process.
         process: ProcessKind,
     },
-    /// It did not listen in time.
+    /// The process did not listen in time.
     #[error("{process:?} did not listen in time: {log}")]
     NotListening {
-        /// Which process.
+        /// The process.
         process: ProcessKind,
         /// The last lines of its log.
         log: String,
@@ -174,19 +174,19 @@
 }
 
 impl RunError {
-    /// An error of a file, by its path.
+    /// Returns a function that makes an I/O error of a file or folder.
     pub(crate) fn file(path: &Path) -> impl FnOnce(io::Error) -> RunError {
         let path = path.to_owned();
         move |source| RunError::File { path, source }
     }
 
-    /// An error of what a file holds, by its path.
+    /// Returns a function that makes an error of a file's JSON.
     pub(crate) fn json(path: &Path) -> impl FnOnce(serde_json::Error) -> RunError {
         let path = path.to_owned();
         move |source| RunError::Json { path, source }
     }
 
-    /// An error of a table, by its path.
+    /// Returns a function that makes an error of a table.
     pub(crate) fn csv(path: &Path) -> impl Fn(csv::Error) -> RunError {
         let path = path.to_owned();
         move |source| RunError::Csv {
@@ -195,13 +195,13 @@
         }
     }
 
-    /// A fault in the platform's settings.
+    /// Makes an error of the platform's settings.
     pub(crate) fn settings(fault: impl Display) -> RunError {
         RunError::Settings(fault.to_string())
     }
 }
 
-/// Why a capacity page, its slopes or its charts could not be made.
+/// Why a capacity page, its slopes or its charts could not be produced.
 #[derive(Debug, thiserror::Error)]
 pub enum CapacityError {
     /// A file or a folder can't be read or written.
@@ -209,34 +209,34 @@
     File {
         /// The file or folder.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A table does not hold what its columns promise.
+    /// A table can't be written, or its columns or values are not as expected.
     #[error("{}: not a table of this form: {source}", path.display())]
     Table {
         /// The file.
         path: PathBuf,
-        /// What the reader or writer said.
+        /// The error of the reader or writer.
         source: csv::Error,
     },
-    /// The target file has faults, each with its place.
+    /// The target file is invalid; each fault bears its place.
     #[error("{}", fault_lines(.0))]
     Target(Vec<Fault>),
-    /// The page's template can't be filled in.
-    #[error("the page's template: {0:#}")]
+    /// The template of the page can't be rendered.
+    #[error("can't render the template of the capacity page: {0:#}")]
     Template(#[source] minijinja::Error),
     /// A chart can't be drawn.
-    #[error("{}: can't be drawn: {cause}", path.display())]
+    #[error("{}: can't draw the chart: {cause}", path.display())]
     Chart {
         /// The file.
         path: PathBuf,
-        /// What the drawing library said.
+        /// The error of the drawing library.
         cause: String,
     },
 }
 
-/// Faults of a file, one a line.
+/// Formats the faults of a file, one per line.
 fn fault_lines(faults: &[Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
     lines.join("\n")
--- a/crates/flaxdeck-scale/src/hollow.rs
+++ b/crates/flaxdeck-scale/src/hollow.rs
@@ -1,4 +1,4 @@
-//! A process of hollow forwarders: each the real control side of a forwarder, and nothing of its request path.
+//! A process of hollow forwarders, each of which has the real control plane of a forwarder and no request path.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -16,16 +16,16 @@
 use crate::messages::{HollowOrders, HollowReply};
 use crate::processes::{self, Input};
 
-/// Between the starts of two forwarders of one process, so that their connections don't come all at once.
+/// The interval between the starts of two forwarders of one process, so that they don't all connect at once.
 const START_INTERVAL: Duration = Duration::from_millis(4);
-/// Between looks how many are current.
-const POLL: Duration = Duration::from_millis(100);
-/// A forwarder's number stands above this bit of its seed.
-const SEED_NUMBER_BITS: u32 = 16;
+/// How often the number of current forwarders is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The left shift by which a forwarder's number is mixed into its seed.
+const SEED_NUMBER_SHIFT: u32 = 16;
 
 type SharedLog = Rc<RefCell<InForceLog>>;
 
-/// A started forwarder, with the number of planners of its plan.
+/// A started forwarder with the number of planners in its plan.
 struct Started {
     forwarder: HollowForwarder,
     planners: usize,
@@ -37,8 +37,8 @@
     }
 }
 
-/// Runs until standard input closes. `options` tells each forwarder, by the name that it stands for, what its plan
-/// says.
+/// Runs the forwarders until standard input closes. `options` returns the options of a forwarder, as its plan sets
+/// them, by its name.
 ///
 /// # Errors
 ///
@@ -63,25 +63,25 @@
     let log = InForceLog::create(&orders.in_force).map_err(RunError::CreateLog)?;
     let log: SharedLog = Rc::new(RefCell::new(log));
     counters_file::spawn(orders.counters.clone());
-    let with_events = Rc::new(Cell::new(0));
+    let forwarders_with_events = Rc::new(Cell::new(0));
     let mut forwarders = Vec::new();
     for number in orders.first..orders.first + orders.count {
         let options = options(&format!("hollow-{number}"));
-        let listener = listener(number, log.clone(), with_events.clone());
-        let configuration = seeded(&configuration, orders.seed, number);
+        let listener = log_events(number, log.clone(), forwarders_with_events.clone());
+        let configuration = with_own_seed(&configuration, orders.seed, number);
         forwarders.push(start_forwarder(&configuration, options, number, listener)?);
         sleep(START_INTERVAL).await;
     }
-    let mut ticks = interval(POLL);
+    let mut ticks = interval(POLL_INTERVAL);
     let mut reported = 0;
     loop {
         tokio::select! {
             order = input.next() => if order.is_none() { break },
             _ = ticks.tick() => {
-                let connected = forwarders.iter().filter(|one| one.is_connected()).count();
-                let current = connected.min(with_events.get()) as u32;
+                let connected = forwarders.iter().filter(|forwarder| forwarder.is_connected()).count();
+                let current = connected.min(forwarders_with_events.get()) as u32;
                 if current != reported {
-                    processes::say(&HollowReply::Current(current));
+                    processes::write_message(&HollowReply::Current(current));
                     reported = current;
                 }
             }
@@ -90,9 +90,9 @@
     log.borrow_mut().flush().map_err(RunError::WriteLog)
 }
 
-/// The configuration of one forwarder, whose seed is its own.
-fn seeded(configuration: &Value, seed: u64, number: u32) -> Value {
-    let seed = seed ^ u64::from(number) << SEED_NUMBER_BITS;
+/// Returns the configuration of one forwarder, with a seed of its own.
+fn with_own_seed(configuration: &Value, seed: u64, number: u32) -> Value {
+    let seed = seed ^ u64::from(number) << SEED_NUMBER_SHIFT;
     let mut configuration = configuration.clone();
     configuration["seed"] = format!("{seed:016x}").into();
     configuration
@@ -123,15 +123,22 @@
     serde_json::from_slice(&text).map_err(RunError::json(path))
 }
 
-/// Logs what comes into force at one forwarder, and counts it among those with events at the first of it.
-fn listener(number: u32, entries: SharedLog, with_events: Rc<Cell<usize>>) -> EventListener {
+/// Returns a listener that logs which events come into force at one forwarder; the first time, it also adds the
+/// forwarder to the number of those with events.
+fn log_events(
+    number: u32,
+    log: SharedLog,
+    forwarders_with_events: Rc<Cell<usize>>,
+) -> EventListener {
     let is_first = Cell::new(true);
     Box::new(move |in_force| {
         if is_first.replace(false) {
-            with_events.set(with_events.get() + 1);
+            forwarders_with_events.set(forwarders_with_events.get() + 1);
         }
-        if let Err(error) = entries.borrow_mut().write(number, in_force) {
-            log::error!("a note can't be written: {error}");
+        if let Err(error) = log.borrow_mut().write(number, in_force) {
+            log::error!(
+                "can't write an entry of hollow forwarder {number} to the log of events in force: {error}"
+            );
         }
     })
 }
--- a/crates/flaxdeck-scale/src/hosts.rs
+++ b/crates/flaxdeck-scale/src/hosts.rs
@@ -1,45 +1,46 @@
-//! Hosts of the coordinator's list: generated ones, and their form in frames and in configurations.
+//! Hosts of the coordinator's endpoint list: generates hosts, and encodes them for frames and configurations.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// One host of the list.
+/// One host of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// The number in its id.
+    /// The number in its id, `s-` followed by 8 hexadecimal digits.
     pub id: u32,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddrV4,
-    /// 0 in service, 1 draining, 2 gone.
+    /// Its state: 0 is in service, 1 draining, 2 gone.
     pub state: u8,
     /// Its index in the settings' list of zones.
     pub zone: u8,
     /// Its index in the settings' list of kinds.
     pub kind: u8,
-    /// Its block, or cell.
+    /// The number of its block, which is its cell.
     pub block: u16,
-    /// In thousandths.
+    /// Its weight, in thousandths.
     pub weight: u32,
-    /// In milliseconds of Unix time; 0 for long past.
+    /// When it started, in milliseconds of Unix time; 0 for a time long past.
     pub started_ms: u64,
 }
 
-/// The first id of generated hosts, clear of those that the emulator gives its own.
+/// The first id of generated hosts, chosen so that none coincides with an id of the emulator's hosts.
 const FIRST_ID: u32 = 0x0010_0000;
-/// The state of hosts that are not listed.
+/// The first state in which a host is not listed.
 const GONE: u8 = 2;
-/// The discard port: nobody is meant to be called there.
+/// The port of generated hosts: the discard port, as no connection to them is intended.
 const PORT: u16 = 9;
-/// Indices in the settings' lists: caches of a zone in which no forwarder of a run is, as most of a long list are.
+/// The index of the zone of generated hosts. No forwarder of a run is in it, as with most hosts of a long list.
 const ZONE: u8 = 1;
+/// The index of the kind of generated hosts: caches.
 const KIND: u8 = 0;
-/// In thousandths.
+/// The weight of generated hosts, in thousandths.
 const WEIGHT: u32 = 12_000;
 
-/// So many caches of another zone, with addresses of loopback at which nobody listens.
-pub fn generated(count: u32) -> Vec<Host> {
+/// Generates `count` caches of a zone without forwarders, with loopback addresses at which nothing listens.
+pub fn generate(count: u32) -> Vec<Host> {
     let host = |n: u32| {
         let [.., high, low] = n.to_be_bytes();
         let address = SocketAddrV4::new(Ipv4Addr::new(127, 77, high, low), PORT);
@@ -58,12 +59,12 @@
 }
 
 impl Host {
-    /// Whether it is listed: in service, or draining.
+    /// Returns whether the host is listed, that is in service or draining.
     pub fn is_listed(&self) -> bool {
         self.state < GONE
     }
 
-    /// The host as frames hold it.
+    /// Encodes the host as in frames.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = self.id.to_be_bytes().to_vec();
         bytes.extend(self.address.ip().octets());
@@ -75,7 +76,7 @@
         bytes
     }
 
-    /// The host as configurations hold it, with the settings' names of zones and kinds.
+    /// Encodes the host as in configurations, with the names of zones and kinds from the settings.
     pub fn list_row(&self, zones: &[String], kinds: &[String]) -> Value {
         let health = ["Ready", "Terminating", "Gone"][usize::from(self.state.min(GONE))];
         json!({
--- a/crates/flaxdeck-scale/src/in_force_log.rs
+++ b/crates/flaxdeck-scale/src/in_force_log.rs
@@ -1,4 +1,4 @@
-//! The file in which hollow forwarders log when events came into force: fixed records, in the order of their times.
+//! The file in which hollow forwarders log when events came into force: records of a fixed size, in the order of time.
 
 use std::fs::File;
 use std::io::{self, BufReader, BufWriter, Read, Write};
@@ -8,43 +8,44 @@
 
 use crate::monotonic;
 
-/// Bytes of a record.
+/// Size of a record, in bytes.
 const RECORD_BYTES: usize = 24;
-/// Stands for the event before the first where a whole list came in place of what was known.
+/// The value of `after` in the record of a full list that replaced what was known.
 const FULL_LIST: u32 = u32::MAX;
-/// Bytes that are buffered before they are written.
+/// Size of the write buffer, in bytes.
 const BUFFER_BYTES: usize = 64 * 1024;
 
-/// One record.
+/// One record of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogEntry {
     /// The forwarder's number.
     pub forwarder: u32,
-    /// The event before the first that came into force; none for a whole list in place of what was known.
+    /// The number of the event before the first that came into force; `None` for a full list that replaced what was
+    /// known.
     pub after: Option<u32>,
-    /// The last event that came into force.
+    /// The number of the last event that came into force.
     pub upto: u32,
     /// The low half of the hash of the last event.
     pub hash: u32,
-    /// When, in microseconds of the monotonic clock.
+    /// When they came into force, in microseconds of the monotonic clock.
     pub at_us: u64,
 }
 
-/// Writes entries; what is buffered is written when it is flushed.
+/// Writes entries through a buffer, which has to be flushed at the end.
 pub struct InForceLog(BufWriter<File>);
 
 impl InForceLog {
-    /// Makes the file.
+    /// Creates the file.
     ///
     /// # Errors
     ///
-    /// If it can't be made.
+    /// If the file can't be created.
     pub fn create(path: &Path) -> io::Result<InForceLog> {
         let file = File::create(path)?;
         Ok(InForceLog(BufWriter::with_capacity(BUFFER_BYTES, file)))
     }
 
-    /// Logs what has just come into force at that forwarder.
+    /// Logs which events have just come into force at a forwarder.
     ///
     /// # Errors
     ///
@@ -64,7 +65,7 @@
         self.0.write_all(&entry.to_bytes())
     }
 
-    /// Writes what is buffered.
+    /// Writes the buffered entries to the file.
     ///
     /// # Errors
     ///
@@ -101,7 +102,7 @@
     }
 }
 
-/// Reads all whole entries of a file.
+/// Reads all complete entries of a file, and passes each to a function.
 ///
 /// # Errors
 ///
@@ -112,7 +113,7 @@
     loop {
         match file.read_exact(&mut bytes) {
             Ok(()) => each(LogEntry::from_bytes(&bytes)),
-            // A process that was killed may have left a part of one.
+            // A process that was killed may have left an incomplete entry at the end.
             Err(error) if error.kind() == io::ErrorKind::UnexpectedEof => return Ok(()),
             Err(error) => return Err(error),
         }
--- a/crates/flaxdeck-scale/src/lib.rs
+++ b/crates/flaxdeck-scale/src/lib.rs
@@ -1,11 +1,13 @@
-//! What the control plane costs at size: hollow forwarders, each with the real control side and nothing of the request
-//! path, beside real programs on loopback; slopes from runs of several sizes; the capacity page computed from them.
+//! Measures what the control plane costs at scale: runs hollow forwarders, each with the real control plane of a
+//! forwarder and without its request path, together with real programs on loopback; fits slopes to the results of runs
+//! of several sizes; and computes the capacity page from these slopes.
 //!
-//! - [`scenario::read`] reads a scale file, [`bounds::check`] refuses a size that the machine doesn't bear, and [`run::play`]
-//!   plays one run of it: processes of [`hollow`] forwarders, the stand-in [`coordinator`] and real planners.
-//! - [`delivery`] checks that every event reached every forwarder; [`report`] makes rows of results.
+//! - [`scenario::read`] reads a scale file, [`bounds::check`] rejects a size that exceeds the limits of the machine,
+//!   and [`run::play`] executes one run of it: processes of [`hollow`] forwarders, the stand-in [`coordinator`] and
+//!   real planners.
+//! - [`delivery`] checks that every event reached every forwarder; [`report`] converts the measurements to result rows.
 //! - [`fit::fit`] fits lines to the rows of runs of several sizes, [`charts::draw`] draws them, and
-//!   [`capacity::page::page`] prints the page for a [`target`].
+//!   [`capacity::page::page`] renders the page for a [`target`].
 //!
 //! ```
 //! use flaxdeck_scale::{bounds, scenario};
--- a/crates/flaxdeck-scale/src/messages.rs
+++ b/crates/flaxdeck-scale/src/messages.rs
@@ -1,5 +1,5 @@
-//! What the run orders its processes and what they reply: JSON, one message a line, over their standard input and
-//! output; and the file of orders that each is started with.
+//! The messages between the run and its processes: orders over a process's standard input and replies over its standard
+//! output, as JSON, one per line; and the JSON file of orders that each process is started with.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,85 +8,85 @@
 
 use crate::hosts::Host;
 
-/// What a process of hollow forwarders is started with.
+/// The file of orders that a process of hollow forwarders is started with.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HollowOrders {
-    /// The number of its first forwarder; numbers of one run are never used again.
+    /// The number of its first forwarder; numbers are never reused within a run.
     pub first: u32,
-    /// So many forwarders.
+    /// The number of forwarders.
     pub count: u32,
-    /// The file with the platform's configuration.
+    /// The file that holds the platform's configuration.
     pub configuration: PathBuf,
-    /// The file with the operator's plan.
+    /// The file that holds the operator's plan.
     pub plan: PathBuf,
-    /// Where counters are written.
+    /// The file to which counters are written.
     pub counters: PathBuf,
-    /// Where it is logged what came into force when.
+    /// The file in which it is logged when events came into force.
     pub in_force: PathBuf,
-    /// What the forwarders' seeds are made from.
+    /// The seed from which the forwarders' seeds are derived.
     pub seed: u64,
 }
 
-/// What a process of hollow forwarders replies. It ends when its standard input closes.
+/// A reply of a process of hollow forwarders. The process ends when its standard input closes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HollowReply {
-    /// So many forwarders know a list and are connected to all planners.
+    /// The number of forwarders that have an endpoint list and are connected to all planners.
     Current(u32),
 }
 
-/// What the stand-in coordinator is started with.
+/// The file of orders that the stand-in coordinator is started with.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CoordinatorOrders {
-    /// Its list at the start.
+    /// Its endpoint list at the start.
     pub hosts: Vec<Host>,
-    /// So many of the first of them never change.
+    /// The number of hosts, at the beginning of `hosts`, that never change.
     pub unchanging: usize,
-    /// Purges a second of its schedule.
+    /// The rate of scheduled purges, per second.
     pub purges_per_s: f64,
-    /// Hosts a second that begin to drain or are back in service.
+    /// The rate of scheduled host changes, per second: a host begins to drain or is back in service.
     pub host_changes_per_s: f64,
-    /// What its schedule is drawn from.
+    /// The seed of its schedule.
     pub seed: u64,
-    /// The platform's settings, by whose names of zones and kinds its frames are read.
+    /// The platform's settings, which name the zones and kinds that its frames refer to.
     pub settings: serde_json::Value,
-    /// Where counters are written.
+    /// The file to which counters are written.
     pub counters: PathBuf,
-    /// Where all events are written at the end.
+    /// The file to which all events are written at the end.
     pub events: PathBuf,
 }
 
-/// What the stand-in coordinator is ordered while it runs. It writes its events and ends when its standard input closes.
+/// An order to the running stand-in coordinator. When its standard input closes, it writes its events and ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CoordinatorOrder {
-    /// Events begin to happen by the schedule.
+    /// Starts the schedule of events.
     Begin,
-    /// No further events happen by the schedule.
+    /// Stops the schedule of events.
     Stop,
-    /// Purges happen so many times as often as the orders say.
+    /// Sets the rate of scheduled purges to that of the file of orders times a factor.
     PurgeRateTimes(f64),
-    /// It says nothing more, with its connections open, or speaks again.
+    /// `true` makes it send nothing, with its connections open; `false` makes it send again.
     Silent(bool),
-    /// It starts anew: its list is event 1 again, and its connections end.
+    /// Starts a new numbering with the current list as event 1, and closes all connections.
     Forget,
-    /// One purge at once, beside the schedule.
+    /// Publishes one purge at once, in addition to the schedule.
     Purge {
         /// The object's number.
         object: u64,
     },
-    /// What a configuration written now would tell of events, into that file.
+    /// Writes the known events of a configuration made now to a file.
     WriteKnown(PathBuf),
 }
 
-/// What the stand-in coordinator replies.
+/// A reply of the stand-in coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CoordinatorReply {
-    /// It listens there.
+    /// It listens at this address.
     Listening(SocketAddr),
-    /// The file of [`CoordinatorOrder::WriteKnown`] is written.
+    /// The file of [`CoordinatorOrder::WriteKnown`] has been written.
     Written,
-    /// The schedule has stopped after that event.
+    /// The schedule has stopped.
     Stopped {
-        /// The event's number.
+        /// The number of the last event.
         last: u64,
     },
 }
--- a/crates/flaxdeck-scale/src/options.rs
+++ b/crates/flaxdeck-scale/src/options.rs
@@ -1,42 +1,42 @@
-//! What a run is, beside its scale file.
+//! The options of a run, and the message totals in its result.
 
 use std::path::Path;
 
 use crate::scenario::{Fault, Point, Scenario};
 
-/// One run of one point of a scale file.
+/// The options of one run of one point of a scale file.
 #[derive(Clone, Debug)]
 pub struct RunOptions<'a> {
-    /// What the scale file says.
+    /// The content of the scale file.
     pub scenario: &'a Scenario,
     /// The run's size and rates.
     pub point: Point,
-    /// What the run's chance is drawn from.
+    /// The seed of the run's random choices.
     pub seed: u64,
-    /// What goes wrong; none in a twin.
+    /// The fault to inject; `None` in a twin.
     pub fault: Option<Fault>,
-    /// The run's own files, with the logs of its processes, are left where they are.
+    /// Whether the run's temporary files, with the logs of its processes, are kept.
     pub keeps_files: bool,
-    /// The program `flaxdeck`.
+    /// The path of the program `flaxdeck`.
     pub binary: &'a Path,
 }
 
-/// Messages and bytes of one kind, on one side of all connections.
+/// The messages of one kind that one side of all connections has counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MessageCount {
-    /// Messages.
+    /// The number of messages.
     pub messages: u64,
-    /// Bytes of their bodies with framing.
+    /// The size of their bodies with framing, in bytes.
     pub bytes: u64,
 }
 
-/// What both sides of all connections counted of one kind of message since the start.
+/// The messages of one kind that both sides of all connections have counted since the start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MessageTotals {
     /// The kind of message.
     pub kind: &'static str,
-    /// As those counted who sent them.
+    /// As counted by the senders.
     pub sent: MessageCount,
-    /// As those counted who received them.
+    /// As counted by the receivers.
     pub received: MessageCount,
 }
--- a/crates/flaxdeck-scale/src/processes.rs
+++ b/crates/flaxdeck-scale/src/processes.rs
@@ -1,5 +1,5 @@
-//! The processes of a run: each is started with a file of orders, ends when its standard input closes, and is killed
-//! by the system should the run itself be killed.
+//! The processes of a run: each is started with a file of orders or a configuration, ends when its standard input
+//! closes, and is killed by the system if the process that executes the run is killed.
 
 use std::fs::File;
 use std::io::{BufRead, Write};
@@ -19,18 +19,18 @@
 
 use crate::error::ProcessError;
 
-/// How long a process may take to end by itself once its standard input is closed.
+/// How long a process may take to end after its standard input is closed, before it is killed.
 const END_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Lines of a log that errors quote.
-const LAST_LINES: usize = 3;
+/// Number of log lines that an error quotes.
+const QUOTED_LOG_LINES: usize = 3;
 
-/// Has this process end with the one that started it: when standard input closes, or by the system, also while it is
-/// stopped by a signal.
+/// Makes this process end together with its parent: it exits when its standard input closes, and the system kills it
+/// when its parent dies, even while a signal has stopped it.
 pub fn end_with_parent() {
     die_with_parent();
     thread::spawn(|| {
-        // Whatever is read, the end of the input is what matters.
+        // Discards the input; only its end matters.
         let mut input = std::io::stdin().lock();
         let _ = std::io::copy(&mut input, &mut std::io::sink());
         std::process::exit(0);
@@ -39,18 +39,18 @@
 
 fn die_with_parent() {
     if let Err(error) = set_parent_process_death_signal(Some(Signal::KILL)) {
-        log::warn!("the system will not end this process with its parent: {error}");
+        log::warn!("can't have the system kill this process when its parent dies: {error}");
     }
 }
 
-/// What comes over standard input, a message a line.
+/// Messages from standard input, one per line.
 pub struct Input<T> {
     lines: UnboundedReceiver<String>,
     message: PhantomData<T>,
 }
 
 impl<T: DeserializeOwned> Input<T> {
-    /// Begins to read; the process ends with its parent from now on.
+    /// Starts to read standard input; from now on, the system kills this process when its parent dies.
     pub fn start() -> Input<T> {
         die_with_parent();
         let (sender, lines) = unbounded_channel();
@@ -68,48 +68,49 @@
         }
     }
 
-    /// The next message; none once standard input is closed. One that can't be read is told of and passed over.
+    /// Returns the next message; `None` once standard input is closed. A line that can't be parsed is logged and
+    /// skipped.
     pub async fn next(&mut self) -> Option<T> {
         loop {
             let line = self.lines.recv().await?;
             match serde_json::from_str(&line) {
                 Ok(message) => return Some(message),
-                Err(error) => log::error!("an order that can't be read: {error}"),
+                Err(error) => log::error!("skipped an invalid order {line:?}: {error}"),
             }
         }
     }
 }
 
-/// Writes a message to standard output, a line.
-pub fn say(message: &impl Serialize) {
+/// Writes a message to standard output as one line.
+pub fn write_message(message: &impl Serialize) {
     let line = serde_json::to_string(message).unwrap_or_default();
     let mut out = std::io::stdout().lock();
-    // The parent may have gone.
+    // Fails if the parent has ended; the end of standard input then ends this process too.
     let _ = writeln!(out, "{line}").and_then(|()| out.flush());
 }
 
-/// Which process of a run it is.
+/// Identifies a process of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessKind {
     /// The stand-in coordinator.
     Coordinator,
-    /// The planner of that index.
+    /// A planner, by its index.
     Planner(usize),
-    /// So many hollow forwarders.
+    /// A process of hollow forwarders, by their number.
     Hollow(u32),
-    /// The real forwarder of that index.
+    /// A real forwarder, by its index.
     RealForwarder(usize),
 }
 
-/// A process that this run started, and ends.
+/// A process that the run has started; it is killed on drop.
 pub struct Process {
     /// Which process of the run it is.
     pub kind: ProcessKind,
-    /// Its id in the system.
+    /// Its process id.
     pub id: u32,
-    /// The file that it writes its counters to.
+    /// The file to which it writes its counters.
     pub counters: PathBuf,
-    /// The file with its log.
+    /// The file that receives its standard error, which is its log.
     pub log: PathBuf,
     child: Child,
     input: Option<ChildStdin>,
@@ -117,11 +118,12 @@
 }
 
 impl Process {
-    /// Starts a command whose log goes to that file.
+    /// Starts a command, with its standard error written to the file `log`.
     ///
     /// # Errors
     ///
-    /// [`ProcessError::Spawn`] if the log can't be made or the program can't be started, [`ProcessError::EndedAtOnce`].
+    /// [`ProcessError::Spawn`] if the log can't be created or the program can't be started,
+    /// [`ProcessError::EndedAtOnce`] if the process has no id.
     pub fn start(
         kind: ProcessKind,
         mut command: Command,
@@ -158,11 +160,12 @@
         })
     }
 
-    /// Gives it an order.
+    /// Sends an order to the process.
     ///
     /// # Errors
     ///
-    /// [`ProcessError::InputClosed`], or [`ProcessError::Order`] if the order can't be written.
+    /// [`ProcessError::InputClosed`] if its standard input is closed, [`ProcessError::Order`] if the order can't be
+    /// written.
     pub async fn order(&mut self, order: &impl Serialize) -> Result<(), ProcessError> {
         let process = self.kind;
         let order_error = |source| ProcessError::Order { process, source };
@@ -172,11 +175,12 @@
         written.map_err(order_error)
     }
 
-    /// Its next reply. May be dropped and called again without loss.
+    /// Waits for the next reply. Cancel-safe: if the future is dropped, no reply is lost.
     ///
     /// # Errors
     ///
-    /// [`ProcessError::Ended`] if it has ended, [`ProcessError::Reply`] if it said something else.
+    /// [`ProcessError::NoOutput`] or [`ProcessError::Output`] if its standard output can't be read,
+    /// [`ProcessError::Ended`] if it has ended, [`ProcessError::Reply`] if the line is not a valid reply.
     pub async fn reply<T: DeserializeOwned>(&mut self) -> Result<T, ProcessError> {
         let output = self.output.as_mut().ok_or(ProcessError::NoOutput)?;
         let line = output.next_line().await.map_err(ProcessError::Output)?;
@@ -193,25 +197,26 @@
         })
     }
 
-    /// Sends it a signal, by its id.
+    /// Sends a signal to the process; a failure is logged.
     pub fn signal(&self, signal: Signal) {
         let id = i32::try_from(self.id).ok().and_then(Pid::from_raw);
         if let Some(Err(error)) = id.map(|id| kill_process(id, signal)) {
-            log::warn!("{:?} can't be signalled: {error}", self.kind);
+            log::warn!("can't send {signal:?} to {:?}: {error}", self.kind);
         }
     }
 
-    /// Kills it without a word.
+    /// Kills the process and waits until it has ended.
     pub async fn kill(&mut self) {
-        // It may have ended by itself.
+        // Fails if the process has already ended.
         let _ = self.child.kill().await;
     }
 
-    /// Closes its standard input and waits until it has ended.
+    /// Closes the standard input of the process and waits until it has ended.
     ///
     /// # Errors
     ///
-    /// [`ProcessError::Failed`] if it ended with a failure, [`ProcessError::Killed`] if it did not end in time.
+    /// [`ProcessError::Failed`] if it ended with a failure, [`ProcessError::Wait`] if waiting failed,
+    /// [`ProcessError::Killed`] if it did not end in time and was killed.
     pub async fn end(&mut self) -> Result<(), ProcessError> {
         let process = self.kind;
         drop(self.input.take());
@@ -231,9 +236,9 @@
     }
 }
 
-/// The last lines of a log, in one line.
+/// Returns the last lines of a log, joined to one line.
 pub fn last_lines(log: &Path) -> String {
     let text = std::fs::read_to_string(log).unwrap_or_default();
     let lines: Vec<&str> = text.lines().collect();
-    lines[lines.len().saturating_sub(LAST_LINES)..].join(" | ")
+    lines[lines.len().saturating_sub(QUOTED_LOG_LINES)..].join(" | ")
 }
--- a/crates/flaxdeck-scale/src/run.rs
+++ b/crates/flaxdeck-scale/src/run.rs
@@ -1,4 +1,5 @@
-//! One run of one point: starts all processes, waits until they are current, measures over a window, ends them.
+//! Executes one run of one point: starts all processes, waits until the forwarders are current, measures over a window,
+//! and ends the processes.
 
 use crate::cluster::{Cluster, RunFolder};
 use crate::error::RunError;
@@ -7,31 +8,32 @@
 use crate::report::{RunHeader, RunRows};
 use crate::service::{Service, ServiceOutcome};
 
-/// The roles that rows are made for, in their order.
+/// The roles that get result rows, in the order of the rows.
 const ROLES: [Role; 4] = [
     Role::Coordinator,
     Role::Planner,
     Role::RealForwarder,
     Role::HollowForwarder,
 ];
-/// The rules are numbered from 1 to this.
+/// The number of rules by which the service is judged; they are numbered from 1.
 const RULES: u8 = 5;
 
-/// What one run gave.
+/// The result of one run.
 pub struct RunResult {
-    /// Its rows of results.
+    /// The result rows.
     pub rows: RunRows,
-    /// What both sides of all connections counted, by kind.
+    /// The messages that both sides of all connections have counted, by kind.
     pub message_totals: Vec<MessageTotals>,
-    /// Ids of all processes that it started, in case somebody wants to see that they have gone.
+    /// Ids of the processes at the end of the run, so that a caller can check that all have ended.
     pub processes: Vec<u32>,
 }
 
-/// Plays one run; all that it started has ended when it returns, also when it is dropped before.
+/// Executes one run. All processes that it started have ended when it returns; if the future is dropped, they are
+/// killed.
 ///
 /// # Errors
 ///
-/// If a process doesn't start, doesn't do what it is ordered, or fails, or a file of the run can't be read or written.
+/// If a process doesn't start, doesn't carry out an order, or fails, or a file of the run can't be read or written.
 pub async fn play(
     options: &RunOptions<'_>,
     progress: &dyn Fn(&str),
@@ -64,7 +66,7 @@
     })
 }
 
-/// What all rows of a run have in common.
+/// Returns the values that all rows of a run have in common.
 fn header(options: &RunOptions<'_>) -> RunHeader {
     let scenario = options.scenario;
     RunHeader {
--- a/crates/flaxdeck-scale/src/scenario.rs
+++ b/crates/flaxdeck-scale/src/scenario.rs
@@ -1,5 +1,5 @@
-//! The scale file: sizes, rates, times, the way of distribution and a fault, in S-expressions. A file with a fault in
-//! its words starts nothing.
+//! Reads scale files: sizes, rates, times, the distribution of events and a fault to inject, in S-expressions. An
+//! invalid file is rejected as a whole, so that it starts no run.
 
 use flaxdeck_plan::form::{Faults, Form, only, root};
 use flaxdeck_plan::{Fault as FileFault, Place};
@@ -9,40 +9,41 @@
 /// The size and the rates of one run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// Hollow forwarders.
+    /// The number of hollow forwarders.
     pub hollow: u32,
-    /// The processes that they are divided between.
+    /// The number of processes that the hollow forwarders are divided between.
     pub processes: u32,
-    /// Lines of the coordinator's list.
+    /// The number of generated hosts in the coordinator's endpoint list.
     pub hosts: u32,
-    /// Planners.
+    /// The number of planners.
     pub planners: u32,
-    /// Real forwarders under load.
+    /// The number of real forwarders, which serve load.
     pub real: u32,
-    /// Purges a second.
+    /// Purges per second.
     pub purges_per_s: f64,
-    /// Hosts a second that begin to drain or are back in service.
+    /// Host changes per second: a host begins to drain or is back in service.
     pub host_changes_per_s: f64,
 }
 
-/// What goes wrong in a run.
+/// The kinds of faults that a run can inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// The first planner is killed, and started again when the fault is over.
+    /// The first planner is killed, and restarted at the end of the fault.
     PlannerKilled,
-    /// The first planner stands still with its connections open.
+    /// The first planner is stopped by a signal, with its connections open.
     PlannerHung,
-    /// All hollow forwarders of one process are killed and started again at once.
+    /// All hollow forwarders of the first process are killed, and as many are started at once.
     RegionRestarted,
-    /// The coordinator starts anew and numbers from 1.
+    /// The coordinator starts a new numbering, from 1 on.
     CoordinatorForgets,
-    /// The coordinator says nothing, with its connections open.
+    /// The coordinator sends nothing, with its connections open.
     CoordinatorSilent,
-    /// All connections between the hollow forwarders of one process and the first planner are cut, and refused.
+    /// All connections between the hollow forwarders of the first process and the first planner are cut, and new ones
+    /// are refused.
     LinkCut,
-    /// The hollow forwarders of one process run for a fifth of each second only.
+    /// The hollow forwarders of the first process run for only a fifth of each second.
     SlowReaders,
-    /// Purges come ten times as often.
+    /// The rate of purges is ten times as high.
     PurgeStorm,
 }
 
@@ -58,7 +59,7 @@
         (FaultKind::PurgeStorm, "purge-storm"),
     ];
 
-    /// Its word in a scale file.
+    /// Returns its name in a scale file.
     pub fn word(self) -> &'static str {
         FaultKind::ALL
             .iter()
@@ -67,10 +68,10 @@
     }
 }
 
-/// When something goes wrong, in seconds from the start of the window.
+/// A fault to inject, with times in seconds from the start of the window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// What goes wrong.
+    /// The kind of fault.
     pub kind: FaultKind,
     /// When it begins.
     pub at_s: f64,
@@ -81,24 +82,24 @@
 /// How long the parts of a run last, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Times {
-    /// Events happen and nothing is measured yet.
+    /// Time with events and load, before the measurement.
     pub settle_s: f64,
-    /// Figures are taken.
+    /// The measurement window.
     pub window_s: f64,
-    /// No event happens any more, and late ones may come.
+    /// Time without new events, in which late ones arrive.
     pub drain_s: f64,
 }
 
-/// What a scale file says, with the defaults where it says nothing.
+/// The content of a scale file, with defaults for what it leaves out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// What rows of results bear.
+    /// The name in the result rows.
     pub name: String,
-    /// The first run's seed.
+    /// The seed of the first run.
     pub seed: u64,
-    /// Runs of each point, each with a seed of its own.
+    /// The number of runs of each point, each with a seed of its own.
     pub runs: u32,
-    /// Sizes and rates, each with runs of its own.
+    /// The points, that is sizes and rates, each with runs of its own.
     pub points: Vec<Point>,
     /// How long the parts of a run last.
     pub times: Times,
@@ -106,11 +107,12 @@
     pub report_every_ms: u32,
     /// How events reach the forwarders.
     pub distribution: Distribution,
-    /// What goes wrong in the runs with a fault; none if there are none.
+    /// The fault of the runs with a fault; `None` if there are no such runs.
     pub fault: Option<Fault>,
 }
 
-const TOP: &[&str] = &[
+/// The forms of a scale file.
+const SCENARIO_FORMS: &[&str] = &[
     "name",
     "seed",
     "runs",
@@ -122,12 +124,14 @@
     "distribution",
     "fault",
 ];
-const SIZES: &[&str] = &["hollow", "processes", "hosts", "planners", "real"];
-const RATES: &[&str] = &["purges", "host-changes"];
-/// Hollow forwarders of a process, unless the file says how many processes there are.
+/// The forms of `sizes`.
+const SIZE_FORMS: &[&str] = &["hollow", "processes", "hosts", "planners", "real"];
+/// The forms of `rates`.
+const RATE_FORMS: &[&str] = &["purges", "host-changes"];
+/// Number of hollow forwarders per process, unless the file sets the number of processes.
 const FORWARDERS_PER_PROCESS: u32 = 100;
 
-/// Reads a file's text; `file` is the name that faults bear.
+/// Parses the text of a scale file; `file` is the name to report in faults.
 ///
 /// # Errors
 ///
@@ -149,58 +153,64 @@
         fault: None,
     };
     root(text, "scale", &mut faults, |form, faults| {
-        fill(&mut scenario, form, faults)
+        read_scenario(&mut scenario, form, faults)
     });
     faults.or(scenario)
 }
 
-/// Takes a form that has one number within bounds; what stands already if there is none.
-fn number(forms: &mut Vec<Form>, word: &str, bounds: [f64; 2], faults: &mut Faults) -> Option<f64> {
+/// Takes the form of that word from `forms` and returns its number; `None` if there is no such form. A number out of
+/// bounds is a fault.
+fn take_number(
+    forms: &mut Vec<Form>,
+    word: &str,
+    bounds: [f64; 2],
+    faults: &mut Faults,
+) -> Option<f64> {
     only(forms, word, faults)?.number(bounds[0], bounds[1], faults)
 }
 
-fn fill(scenario: &mut Scenario, root: &Form, faults: &mut Faults) {
-    let mut forms = root.forms(TOP, faults);
+fn read_scenario(scenario: &mut Scenario, root: &Form, faults: &mut Faults) {
+    let mut forms = root.forms(SCENARIO_FORMS, faults);
     match only(&mut forms, "name", faults) {
         Some(form) => scenario.name = form.text(faults).map(|(text, _)| text).unwrap_or_default(),
-        None => missing(
+        None => add_missing(
             root.place,
             "name",
-            "rows of results bear it",
+            "result rows contain it",
             "add (name \"hollow\")",
             faults,
         ),
     }
-    if let Some(seed) = number(&mut forms, "seed", [0.0, 1e9], faults) {
+    if let Some(seed) = take_number(&mut forms, "seed", [0.0, 1e9], faults) {
         scenario.seed = seed as u64;
     }
-    if let Some(runs) = number(&mut forms, "runs", [1.0, 20.0], faults) {
+    if let Some(runs) = take_number(&mut forms, "runs", [1.0, 20.0], faults) {
         scenario.runs = runs as u32;
     }
-    if let Some(every) = number(&mut forms, "reports-ms", [20.0, 5_000.0], faults) {
+    if let Some(every) = take_number(&mut forms, "reports-ms", [20.0, 5_000.0], faults) {
         scenario.report_every_ms = every as u32;
     }
     if let Some(form) = only(&mut forms, "distribution", faults) {
-        scenario.distribution = distribution(&form, faults);
+        scenario.distribution = read_distribution(&form, faults);
     }
     if let Some(form) = only(&mut forms, "times", faults) {
-        times(&mut scenario.times, &form, faults);
+        read_times(&mut scenario.times, &form, faults);
     }
-    let base = base_point(&mut forms, faults);
-    scenario.fault =
-        only(&mut forms, "fault", faults).and_then(|form| fault(scenario.times, &form, faults));
-    scenario.points = points(base, &forms, faults);
+    let base = read_base_point(&mut forms, faults);
+    scenario.fault = only(&mut forms, "fault", faults)
+        .and_then(|form| read_fault(scenario.times, &form, faults));
+    scenario.points = read_points(base, &forms, faults);
 }
 
-fn distribution(form: &Form, faults: &mut Faults) -> Distribution {
+fn read_distribution(form: &Form, faults: &mut Faults) -> Distribution {
     match form.choice(&["each-event", "digest"], faults) {
         Some("digest") => Distribution::Digest,
         _ => Distribution::EachEvent,
     }
 }
 
-/// The sizes and rates that all points have where they say nothing themselves.
-fn base_point(forms: &mut Vec<Form>, faults: &mut Faults) -> Point {
+/// Reads the sizes and rates of all points that don't set their own.
+fn read_base_point(forms: &mut Vec<Form>, faults: &mut Faults) -> Point {
     let mut base = Point {
         hollow: 100,
         processes: 0,
@@ -211,23 +221,23 @@
         host_changes_per_s: 1.0,
     };
     if let Some(form) = only(forms, "sizes", faults) {
-        sizes(&mut base, &mut form.forms(SIZES, faults), faults);
+        read_sizes(&mut base, &mut form.forms(SIZE_FORMS, faults), faults);
     }
     if let Some(form) = only(forms, "rates", faults) {
-        rates(&mut base, &mut form.forms(RATES, faults), faults);
+        read_rates(&mut base, &mut form.forms(RATE_FORMS, faults), faults);
     }
     base
 }
 
-/// The points of the file; the base itself if it has none.
-fn points(base: Point, forms: &[Form], faults: &mut Faults) -> Vec<Point> {
+/// Reads the points of the file; without any, the base is the only point.
+fn read_points(base: Point, forms: &[Form], faults: &mut Faults) -> Vec<Point> {
     let mut points = Vec::new();
-    let known: Vec<&str> = [SIZES, RATES].concat();
+    let known: Vec<&str> = [SIZE_FORMS, RATE_FORMS].concat();
     for form in forms.iter().filter(|form| form.word == "point") {
         let mut inner = form.forms(&known, faults);
         let mut point = base;
-        sizes(&mut point, &mut inner, faults);
-        rates(&mut point, &mut inner, faults);
+        read_sizes(&mut point, &mut inner, faults);
+        read_rates(&mut point, &mut inner, faults);
         points.push(point);
     }
     if points.is_empty() {
@@ -241,17 +251,17 @@
     points
 }
 
-fn missing(place: Place, word: &str, why: &str, mend: &str, faults: &mut Faults) {
-    faults.add(place, format!("{word} is missing"), why, mend);
+fn add_missing(place: Place, word: &str, why: &str, remedy: &str, faults: &mut Faults) {
+    faults.add(place, format!("{word} is missing"), why, remedy);
 }
 
-fn sizes(point: &mut Point, forms: &mut Vec<Form>, faults: &mut Faults) {
+fn read_sizes(point: &mut Point, forms: &mut Vec<Form>, faults: &mut Faults) {
     let mut take = |word: &str, max: f64, into: &mut u32, min: f64| {
-        if let Some(value) = number(forms, word, [min, max], faults) {
+        if let Some(value) = take_number(forms, word, [min, max], faults) {
             *into = value as u32;
         }
     };
-    // Whether a size fits is told by `bounds`, with the bound named.
+    // Whether the machine can hold a size is checked by `bounds`, which names the bound.
     take("hollow", 1e6, &mut point.hollow, 1.0);
     take("processes", 1e6, &mut point.processes, 1.0);
     take("hosts", 30_000.0, &mut point.hosts, 1.0);
@@ -264,9 +274,9 @@
     take("real", 100.0, &mut point.real, 0.0);
 }
 
-fn rates(point: &mut Point, forms: &mut Vec<Form>, faults: &mut Faults) {
+fn read_rates(point: &mut Point, forms: &mut Vec<Form>, faults: &mut Faults) {
     let mut take = |word: &str, into: &mut f64| {
-        if let Some(value) = number(forms, word, [0.0, 10_000.0], faults) {
+        if let Some(value) = take_number(forms, word, [0.0, 10_000.0], faults) {
             *into = value;
         }
     };
@@ -274,10 +284,10 @@
     take("host-changes", &mut point.host_changes_per_s);
 }
 
-fn times(times: &mut Times, form: &Form, faults: &mut Faults) {
+fn read_times(times: &mut Times, form: &Form, faults: &mut Faults) {
     let mut inner = form.forms(&["settle-s", "window-s", "drain-s"], faults);
     let mut take = |word: &str, min: f64, into: &mut f64| {
-        if let Some(value) = number(&mut inner, word, [min, 120.0], faults) {
+        if let Some(value) = take_number(&mut inner, word, [min, 120.0], faults) {
             *into = value;
         }
     };
@@ -286,23 +296,24 @@
     take("drain-s", 1.0, &mut times.drain_s);
 }
 
-fn fault(times: Times, form: &Form, faults: &mut Faults) -> Option<Fault> {
+fn read_fault(times: Times, form: &Form, faults: &mut Faults) -> Option<Fault> {
     let mut inner = form.forms(&["kind", "at-s", "lasts-s"], faults);
     let words = FaultKind::ALL.map(|(_, word)| word);
     let Some(kind) = only(&mut inner, "kind", faults) else {
-        missing(
+        add_missing(
             form.place,
             "kind",
-            "nothing would go wrong",
+            "no fault would be injected",
             "add (kind planner-killed)",
             faults,
         );
         return None;
     };
     let word = kind.choice(&words, faults);
-    let at_s = number(&mut inner, "at-s", [0.0, 120.0], faults).unwrap_or(times.window_s / 3.0);
+    let at_s =
+        take_number(&mut inner, "at-s", [0.0, 120.0], faults).unwrap_or(times.window_s / 3.0);
     let lasts_s =
-        number(&mut inner, "lasts-s", [0.0, 120.0], faults).unwrap_or(times.window_s / 3.0);
+        take_number(&mut inner, "lasts-s", [0.0, 120.0], faults).unwrap_or(times.window_s / 3.0);
     if at_s + lasts_s > times.window_s {
         let what = format!(
             "a fault from {at_s} s for {lasts_s} s in a window of {} s",
--- a/crates/flaxdeck-scale/src/service.rs
+++ b/crates/flaxdeck-scale/src/service.rs
@@ -1,5 +1,6 @@
-//! Real forwarders under open-loop load before the emulator's hosts, beside the hollow ones, whose list is the stand-in
-//! coordinator's. What clients, hosts and purges were seen to do is judged by the rules.
+//! The service of real forwarders, which run beside the hollow ones: emulated hosts behind them, which are also in the
+//! stand-in coordinator's endpoint list, and clients that send open-loop load. The recorded behaviour of clients, hosts
+//! and purges is judged by the rules.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -14,51 +15,52 @@
 use crate::error::RunError;
 use crate::hosts::Host;
 
-/// Milliseconds within which a purge has to be done everywhere, as in `docs/capacity/target.plan`.
+/// Milliseconds within which a purge has to take effect everywhere, as in `docs/capacity/target.plan`.
 const PURGE_GRACE_MS: f64 = 6_800.0;
-/// Requests a second at each real forwarder: two thirds of what the hosts of the usual world bear for three.
+/// Requests per second at each real forwarder: two thirds of what the hosts of the default layout can serve for three
+/// forwarders.
 const REQUESTS_PER_S: f64 = 70.0;
-/// Objects that clients ask for, ...
+/// Number of objects that clients request.
 const OBJECTS: u64 = 2_000;
-/// ... the power of the rank by which their popularity falls, ...
+/// The exponent of the rank by which the popularity of objects falls.
 const POPULARITY_EXPONENT: f64 = 0.8;
-/// ... and the fraction of requests that are writes.
+/// The fraction of requests that are writes.
 const WRITE_FRACTION: f64 = 0.02;
-/// Milliseconds that clients wait for an answer.
+/// Milliseconds that clients wait for a response.
 const CLIENT_TIMEOUT_MS: u64 = 2_500;
-/// Purges a second of objects that clients ask for, beside the run's rate; only the most popular ones are purged.
+/// Purges per second of objects that clients request, in addition to the run's rate of purges.
 pub const PURGES_PER_S: f64 = 5.0;
-/// Objects that are purged, by their popularity.
+/// Number of objects that may be purged: the most popular ones.
 const PURGED_RANKS: u64 = 50;
 
-/// Indices in the settings' list of zones: the forwarders' own, ...
-const HERE: u8 = 0;
-/// ... and that of parents and the origin.
-const HUB: u8 = 1;
+/// The index of the forwarders' and caches' zone in the settings.
+const FORWARDER_ZONE: u8 = 0;
+/// The index of the zone of parents and the origin in the settings.
+const PARENT_ZONE: u8 = 1;
 
-/// What came of the load.
+/// The outcome of the load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceOutcome {
     /// Requests that clients sent.
     pub requests: u64,
-    /// The fraction answered in full and in time.
+    /// The fraction of requests that were served in full and in time.
     pub served_fraction: f64,
-    /// Milliseconds within which 99 of 100 answers came.
+    /// The 99th percentile of the latency of responses, in milliseconds.
     pub p99_ms: f64,
-    /// Violations by the number of the rule.
+    /// The number of violations, by the number of the rule.
     pub violations: BTreeMap<u8, u64>,
 }
 
-/// The emulator's world and the load on the real forwarders before it.
+/// The emulator's hosts, and the clients that send load to the real forwarders in front of them.
 pub struct Service {
-    /// None only while it is being dropped.
+    /// `None` only during drop.
     world: Option<World>,
     layout: Layout,
     clients: Option<Clients>,
     rng: Pcg64Mcg,
 }
 
-/// The world of a run with so many forwarders: as usual, but for the purges' grace.
+/// Returns the emulator's layout for a number of forwarders: the default layout with the purge grace of the target.
 pub fn layout(forwarders: usize) -> Layout {
     Layout {
         forwarders,
@@ -67,15 +69,16 @@
     }
 }
 
-fn listed(host: &ListedHost) -> Option<Host> {
+/// Converts a host of the emulator to a host of the coordinator's list.
+fn list_entry(host: &ListedHost) -> Option<Host> {
     let SocketAddr::V4(address) = host.address else {
         return None;
     };
     let id = u32::from_str_radix(host.id.strip_prefix("s-")?, 16).ok()?;
     let (zone, kind) = match host.kind {
-        HostKind::Cache => (HERE, 0),
-        HostKind::Parent => (HUB, 1),
-        HostKind::Origin => (HUB, 2),
+        HostKind::Cache => (FORWARDER_ZONE, 0),
+        HostKind::Parent => (PARENT_ZONE, 1),
+        HostKind::Origin => (PARENT_ZONE, 2),
     };
     let address: SocketAddrV4 = address;
     let weight = (host.slots * 1000.0) as u32;
@@ -92,7 +95,7 @@
 }
 
 impl Service {
-    /// Starts hosts for so many real forwarders.
+    /// Starts the hosts for a number of real forwarders.
     ///
     /// # Errors
     ///
@@ -108,17 +111,19 @@
         })
     }
 
-    #[allow(clippy::expect_used, reason = "only drop takes the world away")]
+    #[allow(clippy::expect_used, reason = "only drop takes the world")]
     fn world(&self) -> &World {
-        self.world.as_ref().expect("there until it is dropped")
+        self.world
+            .as_ref()
+            .expect("the world is present until drop")
     }
 
-    /// Its hosts, for the coordinator's list.
+    /// Returns the hosts for the coordinator's endpoint list.
     pub fn hosts(&self) -> Vec<Host> {
         self.world()
             .listed_hosts()
             .iter()
-            .filter_map(listed)
+            .filter_map(list_entry)
             .collect()
     }
 
@@ -127,8 +132,8 @@
         flaxdeck_emulator::settings(&self.layout)
     }
 
-    /// Has clients ask from now on, for so long.
-    pub fn load(&mut self, forwarders: &[SocketAddr], seconds: f64, seed: u64) {
+    /// Starts clients that send requests for a number of seconds.
+    pub fn start_load(&mut self, forwarders: &[SocketAddr], seconds: f64, seed: u64) {
         let now = self.world().now();
         let load = Load {
             seed,
@@ -144,19 +149,20 @@
         self.clients = Some(self.world().clients(forwarders, &load));
     }
 
-    /// Draws an object that clients ask for; it counts as purged from now on.
-    pub fn purge(&mut self) -> u64 {
+    /// Draws one of the most popular objects and records that it is purged now. Returns the object, whose purge the
+    /// caller has to order.
+    pub fn purge_random_object(&mut self) -> u64 {
         let object = object_of_rank(self.rng.random_range(0..PURGED_RANKS));
         self.world().record_purge(&format!("{object:016x}"));
         object
     }
 
-    /// Whether all clients have had their answers.
+    /// Returns whether no request of the clients is pending.
     pub fn is_done(&self) -> bool {
         self.clients.as_ref().is_none_or(Clients::is_done)
     }
 
-    /// What came of it so far.
+    /// Returns the outcome so far.
     pub fn outcome(&self) -> ServiceOutcome {
         let verdict = self.world().verdict();
         let mut violations = BTreeMap::new();
@@ -171,7 +177,7 @@
         }
     }
 
-    /// Not a number without answers.
+    /// Returns the 99th percentile of latencies in milliseconds; NaN without responses.
     fn p99_ms(&self) -> f64 {
         let statistics = self.clients.as_ref().map(Clients::statistics);
         let mut latencies = statistics.unwrap_or_default().latencies_ms;
@@ -183,14 +189,14 @@
 
 impl Drop for Service {
     fn drop(&mut self) {
-        // A world ends its own runtime, which must not be done on a thread that runs another.
+        // Dropping the world shuts down its runtime, which is not allowed on a thread that runs another runtime.
         let world = self.world.take();
-        // A panic in there has been printed already.
+        // A panic of that thread has already been printed.
         let _ = thread::spawn(move || drop(world)).join();
     }
 }
 
-/// Between two purges of objects that clients ask for.
-pub fn between_purges() -> Duration {
+/// Returns the interval between two purges of objects that clients request.
+pub fn purge_interval() -> Duration {
     Duration::from_secs_f64(1.0 / PURGES_PER_S)
 }
--- a/crates/flaxdeck-scale/src/usage.rs
+++ b/crates/flaxdeck-scale/src/usage.rs
@@ -1,27 +1,28 @@
-//! What the system tells of a process: processor time, resident memory, descriptors; and its own counters.
+//! Resource usage of processes, as `/proc` reports it (processor time, resident memory, descriptors), and the counters
+//! that each process writes to a file.
 
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::Path;
 
-/// Ticks of processor time a second, as `/proc` counts them on Linux.
+/// Clock ticks per second, the unit of processor time in `/proc` on Linux.
 const TICKS_PER_S: f64 = 100.0;
 
-/// What a process has taken so far.
+/// The resource usage of a process so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Processor time since its start, in seconds.
+    /// Processor time since the start of the process, in seconds.
     pub cpu_s: f64,
-    /// Resident memory.
+    /// Resident memory, in bytes.
     pub resident_bytes: u64,
-    /// Open descriptors.
+    /// Number of open file descriptors.
     pub descriptors: u64,
 }
 
-/// Reads what a process has taken; none once it has ended.
-pub fn of(process: u32) -> Option<Usage> {
+/// Reads the resource usage of a process; `None` once it has ended.
+pub fn read_process_usage(process: u32) -> Option<Usage> {
     let stat = fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
-    // Fields after the name in brackets begin with the third.
+    // The name in brackets is the second field, so index 0 is the third; 11 and 12 are user and system time.
     let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
     let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
     let status = fs::read_to_string(format!("/proc/{process}/status")).ok()?;
@@ -37,17 +38,17 @@
     })
 }
 
-/// Processor time of the whole machine since its start, in ticks.
+/// Processor time of the whole machine since its start, in clock ticks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MachineTime {
-    /// Of all kinds.
+    /// Total time, idle time included.
     pub all: u64,
-    /// What nobody used, or what was waited for disks.
+    /// Idle time, including time waiting for disks.
     pub idle: u64,
 }
 
-/// Reads the processor time of the machine; none where the system does not tell.
-pub fn machine() -> Option<MachineTime> {
+/// Reads the processor time of the machine; `None` where the system does not report it.
+pub fn read_machine_time() -> Option<MachineTime> {
     let stat = fs::read_to_string("/proc/stat").ok()?;
     let fields = stat
         .lines()
@@ -55,23 +56,24 @@
         .strip_prefix("cpu ")?
         .split_whitespace();
     let ticks: Vec<u64> = fields.map_while(|field| field.parse().ok()).collect();
-    // Idle, and waiting for disks, stand fourth and fifth; guests, who come last, are counted in the first two.
+    // Idle time and time waiting for disks are the fourth and fifth fields; the last two, guest time, are left out of
+    // the sum because the first two already include it.
     Some(MachineTime {
         all: ticks.iter().take(8).sum(),
         idle: ticks.get(3)? + ticks.get(4)?,
     })
 }
 
-/// One line of a file of counters.
+/// One line of a counters file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counters {
-    /// Microseconds since the process started.
+    /// Microseconds since the process began to write its counters.
     pub elapsed_us: u64,
-    /// Each counter by its name.
+    /// The value of each counter, by name.
     pub values: BTreeMap<String, u64>,
 }
 
-/// The last whole line of a file that a process writes its counters to; none before the first.
+/// Returns the last complete line of a process's counters file; `None` before the first line is complete.
 pub fn last_counters(path: &Path) -> Option<Counters> {
     let text = fs::read_to_string(path).ok()?;
     let line = text[..text.rfind('\n')?].lines().next_back()?;
@@ -81,7 +83,7 @@
 }
 
 impl Counters {
-    /// How much each counter has grown a second since an earlier line.
+    /// Returns the rate per second at which each counter has grown since an earlier line.
     pub fn per_second_since(&self, earlier: &Counters) -> BTreeMap<String, f64> {
         let seconds = self.elapsed_us.saturating_sub(earlier.elapsed_us) as f64 / 1e6;
         let rate = |(name, value): (&String, &u64)| {
