--- a/crates/flaxdeck-scale/src/cluster/faults.rs
+++ b/crates/flaxdeck-scale/src/cluster/faults.rs
@@ -39,7 +39,7 @@
         &mut self,
         order: CoordinatorOrder,
     ) -> Result<(), RunError> {
-        Ok(self.coordinator.process.order(&order).await?)
+        Ok(self.coordinator.process.send_order(&order).await?)
     }
 
     async fn kill_planner(&mut self, until: Instant) -> Result<(), RunError> {
@@ -51,9 +51,9 @@
     }
 
     async fn hang_planner(&mut self, until: Instant) -> Result<(), RunError> {
-        self.planners[0].process.signal(Signal::STOP);
+        self.planners[0].process.send_signal(Signal::STOP);
         self.wait_until(until).await?;
-        self.planners[0].process.signal(Signal::CONT);
+        self.planners[0].process.send_signal(Signal::CONT);
         Ok(())
     }
 
@@ -85,10 +85,10 @@
 
     async fn slow_readers(&mut self, until: Instant) -> Result<(), RunError> {
         while Instant::now() < until {
-            self.hollow[0].process.signal(Signal::STOP);
+            self.hollow[0].process.send_signal(Signal::STOP);
             self.wait_until(Instant::now() + SLOW_READER_STOPPED)
                 .await?;
-            self.hollow[0].process.signal(Signal::CONT);
+            self.hollow[0].process.send_signal(Signal::CONT);
             self.wait_until(Instant::now() + SLOW_READER_RUNNING)
                 .await?;
         }
@@ -109,7 +109,7 @@
         let path = self.folder.join("known.json");
         self.order_coordinator(CoordinatorOrder::WriteKnown(path.clone()))
             .await?;
-        match self.coordinator.process.reply().await? {
+        match self.coordinator.process.read_reply().await? {
             CoordinatorReply::Written => {}
             _ => {
                 let mismatch = "a reply other than Written to the order WriteKnown";
--- a/crates/flaxdeck-scale/src/cluster/start.rs
+++ b/crates/flaxdeck-scale/src/cluster/start.rs
@@ -249,7 +249,7 @@
             let mut current = 0;
             for hollow in &mut self.hollow {
                 while hollow.current < hollow.log.count {
-                    let HollowReply::Current(now) = hollow.process.reply().await?;
+                    let HollowReply::Current(now) = hollow.process.read_reply().await?;
                     hollow.current = now;
                     progress(&format!("{} forwarders current", current + now));
                 }
@@ -297,7 +297,7 @@
     let mut command = Command::new(options.binary);
     command.arg("scale-coordinator").arg(files.path("json"));
     let mut process = files.start(ProcessKind::Coordinator, command)?;
-    let reply = timeout(LISTEN_TIMEOUT, process.reply()).await;
+    let reply = timeout(LISTEN_TIMEOUT, process.read_reply()).await;
     match reply.map_err(|_| RunError::CoordinatorListen)?? {
         CoordinatorReply::Listening(address) => Ok(Server { process, address }),
         other => Err(RunError::CoordinatorReply(format!(
--- a/crates/flaxdeck-scale/src/cluster/window.rs
+++ b/crates/flaxdeck-scale/src/cluster/window.rs
@@ -116,7 +116,7 @@
 
     async fn stop_events(&mut self) -> Result<(), RunError> {
         self.order_coordinator(CoordinatorOrder::Stop).await?;
-        match self.coordinator.process.reply().await? {
+        match self.coordinator.process.read_reply().await? {
             CoordinatorReply::Stopped { .. } => Ok(()),
             _ => {
                 let mismatch = "a reply other than Stopped to the order Stop";
--- a/crates/flaxdeck-scale/src/processes.rs
+++ b/crates/flaxdeck-scale/src/processes.rs
@@ -28,7 +28,7 @@
 /// Makes this process end together with its parent: it exits when its standard input closes, and the system kills it
 /// when its parent dies, even while a signal has stopped it.
 pub fn end_with_parent() {
-    die_with_parent();
+    request_kill_on_parent_death();
     thread::spawn(|| {
         // Discards the input; only its end matters.
         let mut input = std::io::stdin().lock();
@@ -37,7 +37,7 @@
     });
 }
 
-fn die_with_parent() {
+fn request_kill_on_parent_death() {
     if let Err(error) = set_parent_process_death_signal(Some(Signal::KILL)) {
         log::warn!("can't have the system kill this process when its parent dies: {error}");
     }
@@ -52,7 +52,7 @@
 impl<T: DeserializeOwned> Input<T> {
     /// Starts to read standard input; from now on, the system kills this process when its parent dies.
     pub fn start() -> Input<T> {
-        die_with_parent();
+        request_kill_on_parent_death();
         let (sender, lines) = unbounded_channel();
         thread::spawn(move || {
             let read = std::io::stdin().lock().lines().map_while(Result::ok);
@@ -166,7 +166,7 @@
     ///
     /// [`ProcessError::InputClosed`] if its standard input is closed, [`ProcessError::Order`] if the order can't be
     /// written.
-    pub async fn order(&mut self, order: &impl Serialize) -> Result<(), ProcessError> {
+    pub async fn send_order(&mut self, order: &impl Serialize) -> Result<(), ProcessError> {
         let process = self.kind;
         let order_error = |source| ProcessError::Order { process, source };
         let line = serde_json::to_string(order).map_err(|error| order_error(error.into()))? + "\n";
@@ -175,13 +175,13 @@
         written.map_err(order_error)
     }
 
-    /// Waits for the next reply. Cancel-safe: if the future is dropped, no reply is lost.
+    /// Waits for and reads the next reply. Cancel-safe: if the future is dropped, no reply is lost.
     ///
     /// # Errors
     ///
     /// [`ProcessError::NoOutput`] or [`ProcessError::Output`] if its standard output can't be read,
     /// [`ProcessError::Ended`] if it has ended, [`ProcessError::Reply`] if the line is not a valid reply.
-    pub async fn reply<T: DeserializeOwned>(&mut self) -> Result<T, ProcessError> {
+    pub async fn read_reply<T: DeserializeOwned>(&mut self) -> Result<T, ProcessError> {
         let output = self.output.as_mut().ok_or(ProcessError::NoOutput)?;
         let line = output.next_line().await.map_err(ProcessError::Output)?;
         let Some(line) = line else {
@@ -198,7 +198,7 @@
     }
 
     /// Sends a signal to the process; a failure is logged.
-    pub fn signal(&self, signal: Signal) {
+    pub fn send_signal(&self, signal: Signal) {
         let id = i32::try_from(self.id).ok().and_then(Pid::from_raw);
         if let Some(Err(error)) = id.map(|id| kill_process(id, signal)) {
             log::warn!("can't send {signal:?} to {:?}: {error}", self.kind);
