--- a/crates/flaxdeck-dispatcher/src/control.rs
+++ b/crates/flaxdeck-dispatcher/src/control.rs
@@ -72,7 +72,7 @@
 ) -> Rc<Router> {
     let Configuration {
         mut watch,
-        known: mut configured_events,
+        mut configured_events,
         terms,
         names,
         connection_terms,
--- a/crates/flaxdeck-dispatcher/src/program/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/program/mod.rs
@@ -110,7 +110,7 @@
     let settings = configuration.settings.clone();
     let cannot_listen = |source: io::Error| RunError::Listen { address, source };
     // Bound before the control side starts: while an earlier process still listens at the address, this one must not
-    // speak to planners in its name.
+    // act as the same forwarder towards planners.
     let bound = BoundAddress::bind(address).map_err(cannot_listen)?;
     let counters = control_client
         .as_ref()
@@ -173,7 +173,7 @@
     router.shut_down();
 }
 
-/// Waits for [`MIN_SHUTDOWN`] at least, and on until nothing is left to be answered or that time has come.
+/// Waits for at least [`MIN_SHUTDOWN`], and then until nothing is left to be answered, or until the given time.
 async fn wait_until_idle(router: &Router, clock: Clock, until: Time) {
     let started = Instant::now();
     let mut idle_checks = 0;
@@ -209,7 +209,11 @@
             }
         };
         if later.address != self.address {
-            log::warn!("another address to listen at takes effect at the next start");
+            log::warn!(
+                "another address to listen at takes effect at the next start: {}, now {}",
+                later.address,
+                self.address
+            );
         }
         // The events of a configuration refer to names of its settings by index. With other settings the indices may
         // differ from the running ones, so only events that the coordinator sends are applied then.
@@ -219,12 +223,13 @@
         }
         count(Counter::reloads);
         log::info!("configuration read again, {:?}", later.bounds);
-        let known = if has_same_settings {
-            later.known
+        let configured_events = if has_same_settings {
+            later.configured_events
         } else {
             Vec::new()
         };
-        self.router.reload(later.bounds, later.watch, known);
+        self.router
+            .reload(later.bounds, later.watch, configured_events);
     }
 }
 
--- a/crates/flaxdeck-dispatcher/src/program/start.rs
+++ b/crates/flaxdeck-dispatcher/src/program/start.rs
@@ -25,7 +25,7 @@
     /// The watch of the coordinator's events, which starts after the last event that the configuration holds.
     pub watch: Watch,
     /// The events that the configuration holds.
-    pub known: NumberedEvents,
+    pub configured_events: NumberedEvents,
     /// The parameters of the decision engine.
     pub terms: DeploymentTerms,
     /// The names that the settings define.
@@ -90,15 +90,16 @@
     let (terms, names) = flaxdeck_terms::read(&settings).map_err(ConfigurationError::Settings)?;
     let names = Rc::new(names);
     let known = fields.inner("known")?;
-    let (watch, known) = Watch::start(coordinator, &known, names.clone(), trusts_numbers, seed)
-        .map_err(|error| ConfigurationError::Known(error.into()))?;
+    let (watch, configured_events) =
+        Watch::start(coordinator, &known, names.clone(), trusts_numbers, seed)
+            .map_err(|error| ConfigurationError::Known(error.into()))?;
     let bounds = parse_limits(&fields.inner("limits")?)?;
     let connection_terms =
         ConnectionTerms::read(&settings).map_err(ConfigurationError::Settings)?;
     Ok(Configuration {
         address,
         watch,
-        known,
+        configured_events,
         terms,
         names,
         connection_terms,
--- a/crates/flaxdeck-dispatcher/src/routing/clients.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/clients.rs
@@ -231,8 +231,8 @@
         let bytes = router.request_bytes.try_acquire_many(request.body.len());
         match bytes.filter(|_| is_within_limit && slot.is_some()) {
             Some(bytes) => {
-                let reply = connection.responder(call, slot);
-                requests.insert(call, router.start_request(request, reply, bytes));
+                let responder = connection.responder(call, slot);
+                requests.insert(call, router.start_request(request, responder, bytes));
             }
             None => reject_for_capacity(router, connection, call),
         }
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/coordinator_clock.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/coordinator_clock.rs
@@ -48,19 +48,19 @@
     }
 
     /// Converts the start times of endpoints to the local clock.
-    pub(super) fn localize_endpoints(&self, endpoints: &mut [Endpoint]) {
+    pub(super) fn endpoints_to_local(&self, endpoints: &mut [Endpoint]) {
         self.offset.borrow().endpoints_to_local(endpoints);
     }
 
     /// Converts the start times of observed hosts to the coordinator's clock.
-    pub(super) fn delocalize_observations(&self, observations: &mut [Observation]) {
+    pub(super) fn observations_to_coordinator(&self, observations: &mut [Observation]) {
         self.offset
             .borrow()
             .observations_to_coordinator(observations);
     }
 
     /// Converts the start times in quotas to the local clock.
-    pub(super) fn localize_quotas(&self, hints: &mut PeerHints) {
+    pub(super) fn quotas_to_local(&self, hints: &mut PeerHints) {
         let offset = self.offset.borrow();
         let quotas = hints
             .hints
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/guidance.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/guidance.rs
@@ -29,7 +29,7 @@
             .map(|at| router.clock.instant(at) + TIMER_MARGIN);
         tokio::select! {
             () = sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => client.update_hints(&router),
-            () = client.session.hints_changed() => {}
+            () = client.session.schedule_changed() => {}
         }
     }
 }
@@ -39,12 +39,12 @@
     pub(super) fn update_hints(&self, router: &Router) {
         let now = router.clock.now();
         let mut hints = self.session.hints(now);
-        self.coordinator_clock.localize_quotas(&mut hints);
+        self.coordinator_clock.quotas_to_local(&mut hints);
         if let Some(change) = self.session.update_freshness(now) {
             self.log_freshness(&change);
         }
         router.report(Input::PeerHints(hints));
-        self.session.hints_sent();
+        self.session.notify_schedule_changed();
     }
 
     fn log_freshness(&self, change: &FreshnessChange) {
@@ -91,9 +91,9 @@
                 Err(malformed) => {
                     count(Counter::events_unreadable);
                     log::warn!(
-                        "an event relayed by planner {} can't be decoded: {}",
-                        planner.0,
-                        malformed
+                        "event {} relayed by planner {} can't be decoded: {malformed}",
+                        relayed.position.number,
+                        planner.0
                     );
                     return;
                 }
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/mod.rs
@@ -194,8 +194,8 @@
     }
 
     /// Converts the start times of endpoints to the local clock.
-    pub(super) fn localize_endpoints(&self, endpoints: &mut [Endpoint]) {
-        self.coordinator_clock.localize_endpoints(endpoints);
+    pub(super) fn endpoints_to_local(&self, endpoints: &mut [Endpoint]) {
+        self.coordinator_clock.endpoints_to_local(endpoints);
     }
 
     /// Marks all events from now on as live: the configuration's events have been applied.
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/purges.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/purges.rs
@@ -15,7 +15,7 @@
     index: RefCell<PurgeIndex>,
     /// Objects whose purge was reported, with the time from which it counts.
     reported: RefCell<BTreeMap<ObjectId, Time>>,
-    /// The overflow of the index that was last returned to the caller, by the time of the last purge dropped.
+    /// The last value of [`PurgeIndex::incomplete_before`] for which `add` returned true.
     last_overflow: Cell<Option<Time>>,
     settles: Span,
 }
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/reporting.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/reporting.rs
@@ -44,7 +44,7 @@
     pub(super) fn observations(&self, router: &Router) -> Vec<Observation> {
         let mut observations = router.engine.borrow().observations(router.clock.now());
         self.coordinator_clock
-            .delocalize_observations(&mut observations);
+            .observations_to_coordinator(&mut observations);
         observations
     }
 
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/session.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/session.rs
@@ -23,8 +23,8 @@
     state: RefCell<ForwarderSession>,
     /// The freshness when the hints were last reported to the decision engine.
     freshness: Cell<Freshness>,
-    /// Notified when the time of the hints' next change may be another.
-    hints_changed: Notify,
+    /// Notified when the next time at which the hints change by themselves may be another.
+    schedule_changed: Notify,
 }
 
 impl Session {
@@ -33,12 +33,12 @@
         Session {
             state: RefCell::new(state),
             freshness: Cell::new(Freshness::Standalone),
-            hints_changed: Notify::new(),
+            schedule_changed: Notify::new(),
         }
     }
 
-    /// Notes that a connection to a planner was opened: whoever speaks first on it counts as the planner's present run,
-    /// even with an older epoch.
+    /// Notes that a connection to a planner was opened: the run that sends the first message on it counts as the
+    /// planner's present run, even if its epoch is older.
     pub(super) fn connection_opened(&self, planner: PlannerId) {
         self.state.borrow_mut().connection_opened(planner);
     }
@@ -84,7 +84,7 @@
         state.require_lending_permit(now);
     }
 
-    /// Returns until when a permit to lend is needed, if one is.
+    /// Returns until when a permit to lend is needed, if one has to be requested.
     pub(super) fn requested_lending_permit(&self, now: Time) -> Option<Time> {
         self.state.borrow_mut().requested_lending_permit(now)
     }
@@ -119,7 +119,7 @@
             .is_report_due(now, planner, observations)
     }
 
-    /// Writes the report to that planner. It has to be sent at once, since quota that it lends is not used here from
+    /// Creates the report to that planner. It has to be sent at once, since quota that it lends is not used here from
     /// now on.
     pub(super) fn report(
         &self,
@@ -161,14 +161,14 @@
         })
     }
 
-    /// Notes that the hints were reported to the decision engine, so the time of their next change may be another.
-    pub(super) fn hints_sent(&self) {
-        self.hints_changed.notify_one();
+    /// Notifies the waiting task that the next time at which the hints change by themselves may be another.
+    pub(super) fn notify_schedule_changed(&self) {
+        self.schedule_changed.notify_one();
     }
 
-    /// Waits until [`Session::hints_sent`] is called.
-    pub(super) async fn hints_changed(&self) {
-        self.hints_changed.notified().await;
+    /// Waits until [`Session::notify_schedule_changed`] is called.
+    pub(super) async fn schedule_changed(&self) {
+        self.schedule_changed.notified().await;
     }
 
     /// Returns the next time at which the hints change by themselves.
--- a/crates/flaxdeck-dispatcher/src/routing/control_client/subscription.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/control_client/subscription.rs
@@ -168,7 +168,8 @@
         self.schedule_changed.notified().await;
     }
 
-    /// Notes that a snapshot was applied, so that all unsettled purges are known.
+    /// Notes that a snapshot was applied, so that all unsettled purges are known. Has the watch close a connection to
+    /// the coordinator, which was opened at another position; it reconnects if the coordinator is needed.
     pub(super) fn snapshot_applied(&self) {
         self.knows_unsettled.set(true);
         self.coordinator_need_changed.notify_one();
--- a/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/coordinator.rs
@@ -7,7 +7,7 @@
 
 use super::Router;
 
-/// What a reloaded configuration says of the coordinator.
+/// The coordinator of a reloaded configuration, and the events that the configuration holds.
 pub(super) struct PendingReload {
     watch: Watch,
     configured_events: NumberedEvents,
@@ -22,7 +22,8 @@
         loop {
             tokio::select! {
                 needed = self.coordinator_need_changed() => {
-                    // Closes the present connection first: events from planners may have replaced what it asked for.
+                    // Closes the present connection first: the position that it was opened at may be outdated, as
+                    // planners deliver events too.
                     watch.set_paused(true);
                     watch.set_paused(!needed);
                 }
--- a/crates/flaxdeck-dispatcher/src/routing/events.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/events.rs
@@ -103,7 +103,7 @@
     /// Reports endpoints to the decision engine, with their start times converted to the local clock.
     pub(super) fn report_endpoints(&self, list_kind: ListKind, mut endpoints: Vec<Endpoint>) {
         if let Some(client) = self.control_client.get() {
-            client.localize_endpoints(&mut endpoints);
+            client.endpoints_to_local(&mut endpoints);
         }
         self.report(Input::EndpointList(list_kind, endpoints));
     }
@@ -130,7 +130,8 @@
 
     /// Applies a full list that replaces everything known, because the coordinator's numbering does not continue the
     /// known one. Nothing confirms what happened in the missed period, if there is one: endpoints that were known to be
-    /// withdrawn stay withdrawn, and copies that a missed purge may concern are not served.
+    /// withdrawn stay withdrawn, and copies that a missed purge may concern are not served. Does nothing without a
+    /// control client: without planners, the watch trusts the coordinator's numbers and returns no such list.
     pub(super) fn replace_list(
         &self,
         position: EventPosition,
@@ -164,7 +165,7 @@
         count(Counter::hosts_doubted);
     }
     let copies = doubted_before.map_or("are not doubted".into(), |from| {
-        format!("from before {:.0} are doubted", from.ms())
+        format!("from before {:.0} ms are doubted", from.ms())
     });
     log::error!(
         "the coordinator's numbering is another, event {}: its list is taken anew, {withheld} hosts stay withdrawn in \
--- a/crates/flaxdeck-dispatcher/src/routing/mod.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/mod.rs
@@ -216,8 +216,8 @@
         self.engine.borrow_mut().pick(request)
     }
 
-    /// Returns what an attempt may ask for if it is sent now; none if it may not be sent any more.
-    fn clear(&self, request: RequestId, index: AttemptIndex) -> Option<Clearance> {
+    /// Returns the terms on which an attempt may be sent now; none if it may not be sent any more.
+    fn clear_attempt(&self, request: RequestId, index: AttemptIndex) -> Option<Clearance> {
         self.engine
             .borrow_mut()
             .clear_attempt(self.clock.now(), request, index)
--- a/crates/flaxdeck-dispatcher/src/routing/persistence/restore.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/persistence/restore.rs
@@ -44,12 +44,12 @@
     let Some(stored) = stored_state(directory, &found) else {
         return PreviousState::default();
     };
-    let now = CurrentFacts {
+    let facts = CurrentFacts {
         uptime: uptime(),
         configured_event: configured,
         startup_wait: lease_wait,
     };
-    let previous = previous_state(clock, restored_state::validate(stored, now));
+    let previous = previous_state(clock, restored_state::validate(stored, facts));
     let took = started.elapsed().as_secs_f64() * 1000.0;
     log::info!(
         "stored state of generation {} read and validated in {took:.1} ms",
@@ -73,7 +73,10 @@
     let found = inspect(&mut folder);
     if let Some(damage) = &found.damage {
         count(Counter::state_damaged);
-        log::warn!("the state is read up to its damage, {damage}");
+        log::warn!(
+            "the state is read up to its damage, {damage} (directory {})",
+            directory.folder.display()
+        );
     }
     Some(found)
 }
--- a/crates/flaxdeck-dispatcher/src/routing/requests.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/requests.rs
@@ -48,7 +48,7 @@
     _bytes: Permit,
     entry: Rc<OpenRequest>,
     /// None once the request is answered or its client has left.
-    reply: Option<Responder>,
+    responder: Option<Responder>,
     /// The attempts that have not ended.
     running: Vec<RunningAttempt>,
     tasks: JoinSet<EndedAttempt>,
@@ -59,7 +59,7 @@
     pub(super) fn start_request(
         self: &Rc<Router>,
         client_request: Box<ClientRequest>,
-        reply: Responder,
+        responder: Responder,
         bytes: Permit,
     ) -> RequestId {
         let id = self.requests.next_id();
@@ -87,7 +87,7 @@
             client_request: Rc::from(client_request),
             _bytes: bytes,
             entry,
-            reply: Some(reply),
+            responder: Some(responder),
             running: Vec::new(),
             tasks: JoinSet::new(),
         };
@@ -99,11 +99,11 @@
 impl RequestTask {
     async fn run(mut self) {
         loop {
-            if self.entry.client_left.get() && self.reply.take().is_some() {
+            if self.entry.client_left.get() && self.responder.take().is_some() {
                 self.handle_client_left();
             }
             self.run_steps();
-            if self.reply.is_none() && self.running.is_empty() {
+            if self.responder.is_none() && self.running.is_empty() {
                 break;
             }
             tokio::select! {
@@ -150,7 +150,7 @@
 
     /// Answers the request. No other place does, so that each request is answered at most once.
     fn answer(&mut self, answer: Answer, bytes: Option<Permit>) {
-        let Some(reply) = self.reply.take() else {
+        let Some(responder) = self.responder.take() else {
             return assert_invariant(false, "a request is answered only once");
         };
         count(match &answer {
@@ -159,7 +159,7 @@
             Answer::Rejected(_) => Counter::rejected,
             Answer::Failed => Counter::failed,
         });
-        reply.send(answer, bytes);
+        responder.send(answer, bytes);
         self.router.requests.close(self.id);
     }
 
@@ -177,7 +177,7 @@
 
     fn start_attempt(&mut self, index: AttemptIndex, attempt: Attempt) {
         assert_invariant(
-            self.reply.is_some(),
+            self.responder.is_some(),
             "no attempt starts for a request that is answered or whose client has left",
         );
         count(Counter::attempts);
@@ -226,7 +226,7 @@
         attempt.task.abort();
         // The aborted task returns no result, so the end of the attempt is reported here. Otherwise an open request
         // would wait for it for ever.
-        if self.reply.is_some() {
+        if self.responder.is_some() {
             self.report_attempt_end(attempt, HostReply::without_body(AttemptOutcome::Cancelled));
         }
     }
@@ -246,7 +246,7 @@
                 ..(*self.client_request).clone()
             });
         }
-        if reply.outcome == AttemptOutcome::Answered && self.reply.is_some() {
+        if reply.outcome == AttemptOutcome::Answered && self.responder.is_some() {
             let answer = if reply.unchanged {
                 Answer::Unchanged
             } else {
@@ -271,7 +271,7 @@
             host: attempt.host,
             outcome: reply.outcome,
             took: Span::of_ms(attempt.started.elapsed().as_secs_f64() * 1000.0),
-            closed: self.reply.is_none(),
+            closed: self.responder.is_none(),
             fill: reply.fill,
             waited: reply.waited,
             report: reply.report,
@@ -315,7 +315,7 @@
     /// Returns the options of the attempt if it is sent now, and by when its last byte has to be written; none if it
     /// may not be sent any more.
     fn clear(&self) -> Option<ClearedAttempt<'_>> {
-        let Clearance { oldest, sent_by } = self.router.clear(self.request, self.index)?;
+        let Clearance { oldest, sent_by } = self.router.clear_attempt(self.request, self.index)?;
         let remaining = self.until.checked_duration_since(Instant::now())?;
         let attempt = &self.attempt;
         let options = AttemptOptions {
