--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -46,7 +46,7 @@
 /// How a cache obtained its answer, or why it could not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FillOutcome {
-    /// The answer says nothing about it.
+    /// The answer does not tell how it was obtained.
     Nothing,
     /// The host had a copy.
     Hit,
@@ -121,7 +121,7 @@
     pub only_held: bool,
     /// The greatest age of a copy that may be used; `None` for the class's fresh time.
     pub oldest: Option<Span>,
-    /// Whether it must not be sent on a connection that has been idle, as such a connection may be dead unnoticed.
+    /// Whether it must not be sent on a connection that has been idle, as such a connection may have ended unnoticed.
     pub fresh: bool,
     /// The rank at which the cache keeps the object, 1 to 3; 0 for not at all.
     pub keep: u8,
--- a/src/decision/completed_attempt.rs
+++ b/src/decision/completed_attempt.rs
@@ -56,7 +56,7 @@
         )
     }
 
-    /// Whether the host has responded in any way, rejections included.
+    /// Whether the host has responded in any way: by an answer, a rejection, or the end of the connection.
     pub(super) fn host_responded(&self) -> bool {
         !matches!(
             self.ended.outcome,
--- a/src/decision/completion.rs
+++ b/src/decision/completion.rs
@@ -125,7 +125,7 @@
                 host.record_report(self.now, ended.report);
             }
             host.release();
-            // Any response, even that a fill has failed, shows that a host is not silent.
+            // Any response shows that a host is not silent, even if it reports a failed fill.
             if is_host && completed.host_responded() {
                 host.last_response = self.now;
                 host.silent_attempts = 0;
--- a/src/decision/constants.rs
+++ b/src/decision/constants.rs
@@ -138,7 +138,8 @@
 pub(super) const JITTER: std::ops::Range<f64> = 0.9..1.1;
 /// Time between cleanups. They only free memory, so once a second is enough.
 pub(super) const CLEANUP_INTERVAL: Span = Span::from_ms(1000);
-/// How long an object counts as requested recently: several lifetimes of a copy in a cache.
+/// How long an object counts as requested recently after its last attempt, and how long after a latency objective it is
+/// remembered for retries: several lifetimes of a copy in a cache.
 pub(super) const OBJECT_MEMORY: Span = Span::from_ms(60_000);
 
 // Cached copies.
--- a/src/decision/dispatch.rs
+++ b/src/decision/dispatch.rs
@@ -82,7 +82,7 @@
         // An attempt that can be neither cancelled nor hedged when overdue has to end by its own time-out.
         let ends_itself = idempotent && !self.terms.may_duplicate && !self.terms.may_cancel;
         let left = state.deadline_left(self.now);
-        let oldest = self.max_copy_age(request, class, route.is_hit_only());
+        let oldest = self.max_copy_age(request, class, route.without_fill());
         Attempt {
             request: request.id,
             host: route.host.clone(),
--- a/src/decision/freshness.rs
+++ b/src/decision/freshness.rs
@@ -26,7 +26,7 @@
         &self,
         request: &Request,
         class: &ClassStatistics,
-        hit_only: bool,
+        without_fill: bool,
     ) -> Option<Span> {
         let since_purge = self
             .purges
@@ -38,7 +38,7 @@
             })
             .min();
         let fresh = class.terms.fresh;
-        let grace = if hit_only {
+        let grace = if without_fill {
             class.terms.stale_grace
         } else {
             Span::ZERO
--- a/src/decision/link.rs
+++ b/src/decision/link.rs
@@ -44,8 +44,8 @@
     /// Guards against a full link, where fills outlast their requests and every miss is answered late: while it is full
     /// only hits are requested, and known misses are rejected, large ones first.
     pub(super) fn link_admits(&self, state: &RequestState, class_mean_ms: f64) -> bool {
-        // Among requests of unknown size a few large ones carry most of the bytes. They are held to a lower limit, and
-        // their class's mean stands for their size.
+        // Among requests of unknown size a few large ones carry most of the bytes. All of them are held to a lower
+        // limit, and their class's mean stands for their size.
         let mean_ms = if state.request.size_kb.is_some() {
             class_mean_ms
         } else {
--- a/src/decision/measurements.rs
+++ b/src/decision/measurements.rs
@@ -126,7 +126,7 @@
     }
 
     /// Records how much longer than its transfer time a cache's answer took: as a slowdown of the cache for a hit, of
-    /// the source for a fill.
+    /// the source for a fill, or of the origin if the source fetched the object there.
     pub(super) fn record_slowdowns(&mut self, completed: &CompletedAttempt) {
         let ended = &completed.ended;
         if !completed.through_cache || ended.outcome != AttemptOutcome::Answered {
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -93,7 +93,7 @@
     hosts: BTreeMap<HostId, Host>,
     requests: BTreeMap<RequestId, RequestState>,
     purges: Vec<Purge>,
-    /// When each object was last requested.
+    /// When an attempt for each object was last sent.
     recent_objects: BTreeMap<ObjectId, Time>,
     /// The latency objectives of requests that were given up, which hold for the clients' retries as well.
     promised_objectives: BTreeMap<ObjectPart, Time>,
--- a/src/decision/route_selection.rs
+++ b/src/decision/route_selection.rs
@@ -11,14 +11,14 @@
 /// The host and the source of an attempt.
 pub(super) struct Route {
     pub(super) host: HostId,
-    /// Equal to `host` if only a hit is requested.
+    /// Equal to `host` if no miss is filled: only a hit is requested, or the request goes to its source directly.
     pub(super) source: HostId,
-    /// The source may answer only from its cache.
+    /// Whether the source may answer only from its cache.
     pub(super) only_held: bool,
 }
 
 impl Route {
-    pub(super) fn is_hit_only(&self) -> bool {
+    pub(super) fn without_fill(&self) -> bool {
         self.source == self.host
     }
 }
@@ -26,9 +26,9 @@
 /// The limits on the source of a request.
 struct SourceLimits<'a> {
     state: &'a RequestState,
-    /// The requests of the class run at the origin only.
+    /// Whether the requests of the class run at the origin only.
     goes_through: bool,
-    /// The request's object may not be fetched from the origin now.
+    /// Whether the request's object may not be fetched from the origin now.
     origin_closed: bool,
 }
 
--- a/src/decision/rules.rs
+++ b/src/decision/rules.rs
@@ -61,7 +61,7 @@
         let now = self.now;
         self.next_cleanup = now + CLEANUP_INTERVAL;
         self.recent_objects
-            .retain(|_, asked| now.since(*asked) < OBJECT_MEMORY);
+            .retain(|_, sent| now.since(*sent) < OBJECT_MEMORY);
         self.promised_objectives
             .retain(|_, objective| now.since(*objective) < OBJECT_MEMORY);
         let purge_lifetime = self.terms.purge_settles + CLEANUP_INTERVAL;
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -110,8 +110,8 @@
     /// Decides whether a host may be sent work of a cost in ms; a warm host always may.
     ///
     /// Guards against a cold host being overloaded by all dispatchers together: each keeps to its quota of the work
-    /// that the slowest rise allows within any window. At a cache, an attempt without a fill is charged the class's
-    /// mean as well.
+    /// that the slowest rise allows within any window. A cache is charged the class's mean for an attempt without a
+    /// fill, too.
     pub(super) fn fits_slow_start(&self, host: &Host, cost: f64) -> bool {
         let fraction = self.capacity_over_window(host, self.now);
         if fraction >= 1.0 || host.is(Role::Origin) {
--- a/src/decision/state.rs
+++ b/src/decision/state.rs
@@ -20,7 +20,7 @@
     pub(super) reputation: f64,
     /// The earliest time of its next trial while it is ejected.
     pub(super) next_trial: Time,
-    /// When it last answered an attempt.
+    /// When it last responded to an attempt, or was first listed.
     pub(super) last_response: Time,
     /// Attempts found overdue since it last answered, up to the number that proves it silent.
     pub(super) silent_attempts: u32,
@@ -181,7 +181,7 @@
         std::iter::once(first).chain((first != second).then_some(second))
     }
 
-    /// Whether only a hit is requested: the host has no source other than itself.
+    /// Whether no miss is filled: only a hit is requested, or the request goes to its source directly.
     pub(super) fn without_fill(&self) -> bool {
         self.source == self.host
     }
@@ -196,7 +196,7 @@
 /// A request that has no final answer yet.
 pub(super) struct RequestState {
     pub(super) request: Request,
-    /// Milliseconds that a cache at full pace takes to send the answer.
+    /// Milliseconds that a cache takes to send the answer at full speed.
     pub(super) transfer_ms: f64,
     /// When its answer is due by the latency objective.
     pub(super) objective: Time,
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -63,7 +63,7 @@
     pub measurements: SourceMeasurements,
     /// When the latest sample among the measurements was taken.
     pub measured_at: Option<Time>,
-    /// When the last of several dispatchers failed there, if none has succeeded since.
+    /// The time of the latest failure there, if several dispatchers have failed there since any last succeeded.
     pub down_at: Option<Time>,
     /// When any dispatcher last succeeded there.
     pub last_success: Option<Time>,
--- a/src/polled.rs
+++ b/src/polled.rs
@@ -114,8 +114,8 @@
         self.enqueue_all(decisions)
     }
 
-    /// Applies what is due by now; returns the requests that have a step to pick. To be called at the time that `due`
-    /// returns, or a little later.
+    /// Wakes the decision engine if that is due by now; returns the requests that have a step to pick. To be called at
+    /// the time that `due` returns, or a little later.
     pub fn tick(&mut self, now: Time) -> Vec<RequestId> {
         if self.due().is_none_or(|due| due > now) {
             return Vec::new();
