--- a/crates/flaxdeck-control/src/error.rs
+++ b/crates/flaxdeck-control/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of messages between forwarders and planners that are rejected.
+//! Why messages between forwarders and planners are rejected.
 
 use flaxdeck::Time;
 
@@ -45,10 +45,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidMessage {
     /// The configuration has no planner of that index.
-    #[error("unknown planner {0}")]
+    #[error("the configuration has no planner with index {0}")]
     UnknownPlanner(u32),
     /// One of its lists is longer than allowed.
-    #[error("list of {length} entries, at most {most} are allowed")]
+    #[error("a list has {length} entries, at most {most} are allowed")]
     TooManyEntries {
         /// The length of the first such list.
         length: usize,
@@ -57,7 +57,7 @@
     },
     /// It comes from a new forwarder, and the planner already tracks the maximum number of forwarders.
     #[error(
-        "report of a new forwarder, but {0} forwarders are tracked already, which is the limit"
+        "report of a new forwarder, but {0} forwarders are tracked already, the maximum number"
     )]
     TooManyForwarders(usize),
     /// It echoes a stamp that lies in the future.
@@ -69,7 +69,7 @@
         now: Time,
     },
     /// The measurements or the window of a rating are out of range.
-    #[error("measurements or window of a rating are out of range")]
+    #[error("the measurements or the window of a rating are out of range")]
     Rating,
     /// The utilization of a link is out of range.
     #[error("link utilization {0} is out of range")]
--- a/crates/flaxdeck-control/src/membership.rs
+++ b/crates/flaxdeck-control/src/membership.rs
@@ -29,6 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PlannerStatus {
     id: PlannerId,
+    /// The run that sent the last accepted message; zero if there was none.
     epoch: Epoch,
     /// The number of the last message accepted from that run.
     last_number: u64,
--- a/crates/flaxdeck-control/src/messages.rs
+++ b/crates/flaxdeck-control/src/messages.rs
@@ -162,7 +162,7 @@
 /// A forwarder's report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Writer, addressee and time.
+    /// Sender, recipient, number and time.
     pub envelope: Envelope,
     /// The forwarder's slot.
     pub slot: SlotId,
@@ -236,12 +236,12 @@
 /// A planner's guidance.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Guidance {
-    /// Writer, addressee and time.
+    /// Sender, recipient, number and time.
     pub envelope: Envelope,
     /// Time since the planner last received a message from the coordinator.
     pub coordinator_ago_ms: Option<u32>,
-    /// How long deposits that an earlier run in this forwarder's slot lent to this planner may still be outstanding.
-    /// Absent if the planner does not know, because it started too recently or does not track the slot.
+    /// How long deposits that any run in this forwarder's slot lent to this planner may still be outstanding. Absent if
+    /// the planner does not know, because it started too recently or does not track the slot.
     pub outstanding_ms: Option<u32>,
     /// The last event known to the planner; absent while the planner can't tell whether that is the coordinator's last.
     pub coordinator_position: Option<EventPosition>,
--- a/crates/flaxdeck-control/src/planner.rs
+++ b/crates/flaxdeck-control/src/planner.rs
@@ -1,7 +1,8 @@
 //! The planner's side of its sessions with forwarders: takes in their reports and the coordinator's events, and returns
 //! guidance.
 //!
-//! A planner takes no part in decisions about single requests. If one is lost, no other process has to wait for it.
+//! A planner takes no part in decisions about single requests. If a planner is lost, no other process has to wait for
+//! it.
 
 mod guidance;
 mod relay_log;
@@ -190,7 +191,7 @@
     }
 
     /// Empties the log of events to relay and lets it start after `position`. Called at the start, and when the
-    /// coordinator turns out to have a new numbering, in which events relayed earlier have no place.
+    /// coordinator turns out to have a new numbering, to which the events relayed earlier do not belong.
     pub fn restart_log_at(&mut self, position: EventPosition) {
         self.relay_log = RelayLog::starting_at(position);
     }
--- a/crates/flaxdeck-control/src/quota_pool.rs
+++ b/crates/flaxdeck-control/src/quota_pool.rs
@@ -74,8 +74,8 @@
         };
     }
 
-    /// Records a forwarder's deposit. `echoed` is this planner's own stamp that the forwarder echoed, which is the
-    /// earliest time at which it can have lent. A deposit that is reported repeatedly counts once.
+    /// Records a forwarder's deposit. `echoed` is this planner's own stamp that the forwarder echoed: the forwarder
+    /// cannot have lent earlier. A deposit that is reported repeatedly counts once.
     pub fn add_deposit(
         &mut self,
         lease_terms: LeaseTerms,
