--- a/crates/flaxdeck-recovery/src/numbering.rs
+++ b/crates/flaxdeck-recovery/src/numbering.rs
@@ -307,7 +307,8 @@
             self.confirmed_at = Some(now);
             return EventAction::Skip;
         }
-        // If all events were already requested, the coordinator has no list yet. An early retry would not help either.
+        // If this connection already requested all events, the coordinator has no list yet. Reconnecting without a
+        // pause would not help then.
         self.requests_all = true;
         self.connection = None;
         EventAction::Reconnect(ReconnectReason::Nothing)
--- a/crates/flaxdeck-recovery/src/numbering/peers.rs
+++ b/crates/flaxdeck-recovery/src/numbering/peers.rs
@@ -18,7 +18,9 @@
             return false;
         }
         self.apply(now, position);
-        self.confirmed_at = Some(now); // more than the configuration is known: the peer follows the coordinator
+        // The peer follows the coordinator, so this instance now knows more than its configuration. If the numbering
+        // changes later, events may have been missed since now.
+        self.confirmed_at = Some(now);
         if self.is_proven() && !self.trusts_numbers {
             self.awaited.get_or_insert(AwaitedEvents {
                 first: position.number,
--- a/crates/flaxdeck-recovery/src/numbering/recent_events.rs
+++ b/crates/flaxdeck-recovery/src/numbering/recent_events.rs
@@ -12,15 +12,15 @@
 /// Number of events that are kept however old they are: a coordinator that was restored from a backup may send them
 /// again.
 const MIN_RECENT_EVENTS: usize = 256;
-/// Maximum number of events that are kept. A connection that sends an event before them has to request all events, and
-/// copies are unconfirmed then.
+/// Maximum number of events that are kept. If the first event of a connection is older than these, it can't be
+/// compared: the next connection requests all events, and copies are unconfirmed then.
 pub const MAX_RECENT_EVENTS: usize = 65_536;
 
 #[derive(Clone, Copy)]
 struct AppliedEvent {
     hash: u64,
     /// When this was last the newest event: the time at which the next event was applied, or its own for the newest.
-    /// Only the newest is requested by a connection, so the age that counts begins there.
+    /// Retention is measured from then, as a connection requests the event that is newest when it opens.
     newest_at: Time,
 }
 
--- a/crates/flaxdeck-recovery/src/stored_state.rs
+++ b/crates/flaxdeck-recovery/src/stored_state.rs
@@ -125,7 +125,7 @@
     pub purges: Vec<StoredPurge>,
     /// Ratings of cache hosts.
     pub ratings: Vec<StoredRating>,
-    /// Time by which all granted leases have ended; absent if none was ever granted.
+    /// Time until which quota that this instance lent may be outstanding; absent if it was never permitted to lend.
     pub lent_until: Option<Uptime>,
 }
 
@@ -138,7 +138,7 @@
     FullList(EventPosition, Vec<StoredEndpoint>),
     /// An event with a purge.
     Purged(EventPosition, StoredPurge),
-    /// Leases may be granted that end by this time.
+    /// The instance may lend quota until this time, but not beyond it.
     LendingPermit(Uptime),
 }
 
