--- a/crates/flaxdeck-distribution/src/event_log.rs
+++ b/crates/flaxdeck-distribution/src/event_log.rs
@@ -132,7 +132,7 @@
     /// The position that the first entry follows.
     base: EventPosition,
     entries: VecDeque<Entry>,
-    /// The urgent ones among the entries.
+    /// The urgent events among the entries.
     urgent: VecDeque<UrgentEvent>,
     bytes: usize,
     /// All events received after this time are retained.
--- a/crates/flaxdeck-distribution/src/lib.rs
+++ b/crates/flaxdeck-distribution/src/lib.rs
@@ -1,8 +1,7 @@
 //! Distribution of the coordinator's numbered events to every forwarder, each through one planner.
 //!
-//! State machines without I/O, clocks or tasks: they take messages and the current time, and return messages and
-//! timers.
-//! `docs/distribution.md` gives the reasons and the figures.
+//! State machines without I/O, clocks or tasks: they take messages and the current time, and return messages and the
+//! times at which they are due. `docs/distribution.md` gives the reasons and the figures.
 //!
 //! - [`messages`]: the messages about events between a forwarder and a planner.
 //! - [`fingerprint`] and [`digest`]: short hashes of purged objects and their encoding.
--- a/crates/flaxdeck-distribution/src/subscriber/deliveries.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/deliveries.rs
@@ -217,7 +217,7 @@
         };
         let is_newer = self
             .position_changed_at
-            .is_none_or(|moved| coordinator_heard_at > moved + COORDINATOR_SKEW);
+            .is_none_or(|changed_at| coordinator_heard_at > changed_at + COORDINATOR_SKEW);
         if !is_newer {
             return stale;
         }
--- a/crates/flaxdeck-distribution/src/subscriber/error.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/error.rs
@@ -14,7 +14,7 @@
     #[error("planner {} is not connected", .0.0)]
     NotConnected(PlannerNumber),
     /// The delivery is malformed or contradicts itself.
-    #[error("the delivery is malformed or contradicts itself")]
+    #[error("invalid delivery: {0}")]
     Invalid(#[from] InvalidDelivery),
     /// The batch follows a later position than the one here, so events between the two are missing.
     #[error("the batch follows event {}, but event {} is the last one that is known", .after.number, .position.number)]
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum InvalidDelivery {
     /// The purge digest cannot be decoded.
-    #[error("the purge digest cannot be decoded")]
+    #[error("the purges cannot be decoded: {0}")]
     Digest(#[from] InvalidDigest),
     /// It contains more full events than allowed.
     #[error("the delivery contains {0} full events, at most {MAX_FULL_EVENTS} are allowed")]
--- a/crates/flaxdeck-distribution/src/subscriber/planner.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/planner.rs
@@ -44,7 +44,8 @@
     pub(super) echoed_send_time: Option<Time>,
 }
 
-/// Returns whether two requests differ by no more than the position. The followed planner keeps track of that itself.
+/// Returns whether two requests differ at most in the position. A planner that sends events advances the position
+/// itself, so a request that differs only in that need not be sent.
 pub(super) fn is_same_kind(left: Subscription, right: Subscription) -> bool {
     std::mem::discriminant(&left) == std::mem::discriminant(&right)
 }
