--- a/crates/flaxdeck-channel/src/authenticated.rs
+++ b/crates/flaxdeck-channel/src/authenticated.rs
@@ -224,8 +224,8 @@
 }
 
 impl FrameSigner {
-    /// Returns the frame of a message. Every call takes the next counter, so the frames have to be sent all, in this
-    /// order.
+    /// Returns the frame of a message. Every call takes the next counter, so all frames have to be sent, in the order
+    /// of the calls.
     ///
     /// # Errors
     ///
--- a/crates/flaxdeck-channel/src/connection.rs
+++ b/crates/flaxdeck-channel/src/connection.rs
@@ -26,7 +26,8 @@
 
 /// Time limit for connecting, and again for receiving the greeting after that.
 const GREETING_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Limit of queued messages: while so many wait to be written, the other side reads too slowly to be sent more.
+/// Maximum number of queued messages: while so many wait to be written, the other side reads too slowly to be sent
+/// more.
 const MAX_PENDING_MESSAGES: usize = 4;
 /// Time without a complete message from the other side after which the connection ends.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
@@ -190,7 +191,7 @@
             }
             Err(invalid) => {
                 let kind = message.kind();
-                log::error!("not sent: {kind:?}, {invalid}; closing the connection");
+                log::error!("cannot send a {kind:?} message: {invalid}; closing the connection");
                 self.outbound.close();
             }
         }
