--- a/crates/flaxdeck-planner/src/coordinator.rs
+++ b/crates/flaxdeck-planner/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! Following the coordinator.
+//! The task that follows the coordinator.
 
 use std::rc::Rc;
 
@@ -31,6 +31,6 @@
                 None
             }
         };
-        state.coordinator_alive(relayed, watch.is_current());
+        state.coordinator_heard(relayed, watch.is_current());
     }
 }
--- a/crates/flaxdeck-planner/src/events.rs
+++ b/crates/flaxdeck-planner/src/events.rs
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Restarts the event log at that position. Earlier events do not lead to it, so subscribers that are at one of them
-    /// have to be sent a snapshot.
+    /// Restarts the event log at that position. Earlier events do not lead to it, so subscribers that are at one of
+    /// them have to be sent a snapshot.
     pub(crate) fn restart_log_at(&mut self, now: Time, position: EventPosition) {
         self.publisher.restart_numbering(now, position);
     }
@@ -92,7 +92,7 @@
 
     /// Records that the coordinator sent an event or a heartbeat. `is_current` is true if all of its events have been
     /// received.
-    pub(crate) fn coordinator_alive(&mut self, now: Time, is_current: bool) {
+    pub(crate) fn coordinator_heard(&mut self, now: Time, is_current: bool) {
         self.publisher.coordinator_heard(now, is_current);
     }
 
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -18,7 +18,7 @@
 //! ```
 //! use flaxdeck_planner::{RunError, run};
 //!
-//! // Where there is a plan, the closure reads it and gives a `Start`.
+//! // Where there is a plan, the operator's configuration, the closure reads it and returns a `Start`.
 //! let ended = run(|| Err("there is no plan"));
 //! assert!(matches!(ended, Err(RunError::Start("there is no plan"))));
 //! ```
@@ -46,7 +46,7 @@
 
 /// Parameters of a planner.
 pub struct Start {
-    /// Name of the planner in the plan.
+    /// Name of the planner in the plan, the operator's configuration.
     pub name: String,
     /// Address to listen on for forwarders.
     pub listen: SocketAddr,
@@ -54,13 +54,13 @@
     pub key: Key,
     /// How long leases last.
     pub lease_terms: LeaseTerms,
-    /// Fraction of each warming host's capacity that this planner may grant besides what forwarders lend to it.
+    /// Fraction of each warming host's quota that this planner may grant besides what forwarders lend to it.
     pub own: QuotaFraction,
     /// How often subscribed forwarders are sent events.
     pub cadence: Cadence,
     /// Watch of the coordinator.
     pub watch: Watch,
-    /// Events of the configuration.
+    /// Events of the platform's configuration, applied before the coordinator sends any.
     pub known: NumberedEvents,
     /// File to which the counters are written regularly; none if they are not written.
     pub counters: Option<PathBuf>,
--- a/crates/flaxdeck-planner/src/state.rs
+++ b/crates/flaxdeck-planner/src/state.rs
@@ -121,13 +121,13 @@
 
     /// Records that the coordinator sent an event or a heartbeat, and relays an event to the connected forwarders.
     /// `is_current` is true if all of the coordinator's events have been received.
-    pub(crate) fn coordinator_alive(&self, event: Option<RelayedEvent>, is_current: bool) {
+    pub(crate) fn coordinator_heard(&self, event: Option<RelayedEvent>, is_current: bool) {
         let now = self.clock.now();
         let has_event = event.is_some();
         self.planner
             .borrow_mut()
             .coordinator_heard(now, event, is_current);
-        self.events.borrow_mut().coordinator_alive(now, is_current);
+        self.events.borrow_mut().coordinator_heard(now, is_current);
         if has_event {
             self.push_guidance();
         }
@@ -260,22 +260,22 @@
     /// Logs the sizes of the planner's state and its counters.
     pub(crate) fn log_status(&self) {
         let planner = self.planner.borrow();
-        let leases = planner.load(self.clock.now());
+        let planner_load = planner.load(self.clock.now());
         tracing::info!(
-            forwarders = leases.forwarders,
-            lives = leases.pools,
-            lent = leases.held,
-            out = leases.reserved,
+            forwarders = planner_load.forwarders,
+            lives = planner_load.pools,
+            lent = planner_load.held,
+            out = planner_load.reserved,
             refused = self.refused.get(),
             counters = ?planner.counters,
             "counted"
         );
-        let load = self.events.borrow().load();
+        let events_load = self.events.borrow().load();
         tracing::info!(
-            subscribers = load.subscribers,
-            kept = load.events,
-            bytes = load.bytes,
-            counters = ?load.counters,
+            subscribers = events_load.subscribers,
+            kept = events_load.events,
+            bytes = events_load.bytes,
+            counters = ?events_load.counters,
             "events"
         );
     }
