--- a/crates/flaxdeck-control/src/messages.rs
+++ b/crates/flaxdeck-control/src/messages.rs
@@ -213,14 +213,14 @@
     pub host: String,
     /// Mean of the forwarders' measurements, weighted towards recent ones.
     pub measurements: Measurements,
-    /// Age of the newest sample in the mean.
+    /// Age of the newest sample in the mean; [`u32::MAX`] if there is none.
     pub measured_ago_ms: u32,
     /// Age of the latest failure, if enough forwarders failed at the host since the last success of any forwarder; the
     /// host then counts as down.
     pub down_ago_ms: Option<u32>,
     /// Age of the last success of any forwarder.
     pub last_success_ago_ms: Option<u32>,
-    /// Maximum number of attempts that one forwarder should have in flight at the host while it is down or recovering.
+    /// Maximum number of attempts that one forwarder should have in flight at the host; absent unless the host is down.
     pub window: Option<u16>,
 }
 
--- a/crates/flaxdeck-control/src/ratings.rs
+++ b/crates/flaxdeck-control/src/ratings.rs
@@ -36,6 +36,7 @@
 struct DecayingMean {
     sum: f64,
     weight: f64,
+    /// Time of the newest sample, as of which `sum` and `weight` hold.
     newest: Time,
 }
 
@@ -206,8 +207,8 @@
         }
     }
 
-    /// Returns how many attempts each forwarder should have in flight while the host is down: an equal part of slightly
-    /// less than the current total.
+    /// Returns how many attempts each forwarder should have in flight while the host is down: an equal part of the
+    /// current total reduced by [`DOWN_CONCURRENCY_FACTOR`], and at least 1.
     fn advised_window(&self, now: Time) -> u16 {
         let recent = self
             .in_flight
