--- a/crates/flaxdeck-recovery/src/restored_state.rs
+++ b/crates/flaxdeck-recovery/src/restored_state.rs
@@ -159,8 +159,7 @@
             .filter_map(|rating| aged_rating(rating, age?))
             .collect();
         let reason = format!(
-            "{} of {count} are of a listed host that has not restarted and are recent enough; the first failed contact \
-             overrides them",
+            "{} of {count} are recent and of listed, unrestarted hosts; failed contacts override them",
             restored.len()
         );
         self.verdicts
