--- a/crates/flaxdeck-dispatcher/tests/client_connections.rs
+++ b/crates/flaxdeck-dispatcher/tests/client_connections.rs
@@ -58,7 +58,7 @@
             matches!(good.answer().unwrap(), Answer::Error { call: 9, word, .. } if word != "Backoff")
         );
     }
-    assert!(world.hosts().all(|host| host.heard("want").is_empty()));
+    assert!(world.hosts().all(|host| host.received("want").is_empty()));
     good.request("page", KEY, 2000, b"").unwrap();
     assert!(served(&good.answer().unwrap(), KEY));
 }
@@ -234,7 +234,7 @@
     let mut before = 0;
     wait_for("no further write reaches the origin", || {
         thread::sleep(Duration::from_millis(500));
-        let (last, now) = (before, world.origin.heard("want").len());
+        let (last, now) = (before, world.origin.received("want").len());
         before = now;
         last == now && now > 0
     });
--- a/crates/flaxdeck-dispatcher/tests/coordinator_events.rs
+++ b/crates/flaxdeck-dispatcher/tests/coordinator_events.rs
@@ -24,11 +24,11 @@
     wait_for("the drain takes effect", || {
         world.receives_nothing(&draining)
     });
-    let before = draining.heard("want").len();
+    let before = draining.received("want").len();
     for n in 0..32 {
         assert!(served(&world.request("page", &key(n), 2000, b""), &key(n)));
     }
-    assert_eq!(draining.heard("want").len(), before);
+    assert_eq!(draining.received("want").len(), before);
 }
 
 #[test]
@@ -119,7 +119,7 @@
         .coordinator
         .purge_object(u64::from_str_radix(KEY, 16).unwrap(), unix);
     let newer = |world: &World| {
-        let lines = world.caches[0].heard("want");
+        let lines = world.caches[0].received("want");
         lines
             .iter()
             .filter_map(|(line, _)| {
@@ -149,7 +149,7 @@
     drop(world.request("page", &key(9), 2000, b""));
     assert!(
         !world.caches[0]
-            .heard("want")
+            .received("want")
             .last()
             .unwrap()
             .0
--- a/crates/flaxdeck-dispatcher/tests/departures.rs
+++ b/crates/flaxdeck-dispatcher/tests/departures.rs
@@ -122,7 +122,7 @@
 
 /// Returns the number of attempts for an object that have reached any host.
 fn attempt_count(world: &World, key: &str) -> usize {
-    let wants = |host: &flaxdeck_toy::Host| host.heard("want");
+    let wants = |host: &flaxdeck_toy::Host| host.received("want");
     world
         .hosts()
         .flat_map(wants)
@@ -272,7 +272,7 @@
         });
     let writers: Vec<(u32, Departure, Client)> = writers.collect();
     wait_for("all writes are at the origin", || {
-        world.origin.heard("want").len() == UNREAD * ALL_DEPARTURES.len()
+        world.origin.received("want").len() == UNREAD * ALL_DEPARTURES.len()
     });
     let departing: Vec<Requester> = writers
         .into_iter()
@@ -303,7 +303,7 @@
     let mut filler = world.client();
     filler.request("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of a memory of 48,000 bytes
     wait_for("a write holds most of the memory", || {
-        !world.origin.heard("want").is_empty()
+        !world.origin.received("want").is_empty()
     });
     let mut departing = departing_clients(&world, "page");
     let remaining = Requester::request(Departure::Close, world.client(), "page", 1);
--- a/crates/flaxdeck-dispatcher/tests/endings.rs
+++ b/crates/flaxdeck-dispatcher/tests/endings.rs
@@ -49,7 +49,7 @@
         client.request("submit", KEY, 2400, &[7; 40_000]).unwrap();
     }
     wait_for("all writes are at the origin", || {
-        world.origin.heard("want").len() == writes
+        world.origin.received("want").len() == writes
     });
     thread::sleep(Duration::from_millis(100));
 }
@@ -123,7 +123,7 @@
     assert!(world.process.wait().unwrap().success());
     assert!(
         world.caches[0]
-            .heard("want")
+            .received("want")
             .iter()
             .all(|(line, _)| line.contains(KEY))
     );
@@ -151,7 +151,7 @@
     let mut client = world.client();
     client.request("page", KEY, 2400, b"").unwrap();
     wait_for("the request is at the cache", || {
-        !world.caches[0].heard("want").is_empty()
+        !world.caches[0].received("want").is_empty()
     });
     for name in ["HUP", "TERM", "HUP", "TERM"] {
         world.signal(name);
@@ -171,7 +171,7 @@
     let mut client = world.client();
     client.request("page", KEY, 2400, b"").unwrap();
     wait_for("the request is at the cache", || {
-        !world.caches[0].heard("want").is_empty()
+        !world.caches[0].received("want").is_empty()
     });
     world.terminate();
     assert!(served(&client.answer().unwrap(), KEY));
@@ -223,7 +223,7 @@
     let mut filler = world.client();
     filler.request("submit", KEY, 2400, &[7; 40_000]).unwrap(); // of a memory of 48,000 bytes
     wait_for("the write that fills the memory is at the origin", || {
-        !world.origin.heard("want").is_empty()
+        !world.origin.received("want").is_empty()
     });
     let mut stalls = Stalls::start_with_prober(&world);
     let sent = Instant::now();
@@ -297,7 +297,7 @@
         let mut client = Client::over(TcpStream::from(socket)).unwrap();
         client.request("page", KEY, 2400, b"").unwrap();
         wait_for("the request is at the cache", || {
-            !world.caches[0].heard("want").is_empty()
+            !world.caches[0].received("want").is_empty()
         });
         if !resets {
             client.shutdown_write().unwrap();
@@ -306,7 +306,7 @@
         drop(client);
         world.wait_for_log(&["left: "]);
         wait_for("the attempt is cancelled at the cache", || {
-            !world.caches[0].heard("never_mind").is_empty()
+            !world.caches[0].received("never_mind").is_empty()
         });
         world.caches[0].set(HostBehavior::Serve);
         assert!(
--- a/crates/flaxdeck-dispatcher/tests/hosts.rs
+++ b/crates/flaxdeck-dispatcher/tests/hosts.rs
@@ -46,7 +46,7 @@
     let mut client = world.client();
     let answers = request_all(&mut client, 16, 2400);
     let silent: Vec<String> = world.caches[0]
-        .heard("want")
+        .received("want")
         .into_iter()
         .map(|(line, _)| line)
         .collect();
@@ -61,7 +61,7 @@
         );
     }
     wait_for("an attempt is cancelled at the silent host", || {
-        !world.caches[0].heard("never_mind").is_empty()
+        !world.caches[0].received("never_mind").is_empty()
     });
 }
 
@@ -80,11 +80,11 @@
         );
     }
     assert!(
-        !world.caches[0].heard("want").is_empty(),
+        !world.caches[0].received("want").is_empty(),
         "none of the requests is sent to the silent host"
     );
     wait_for("an attempt is cancelled at the silent host", || {
-        !world.caches[0].heard("never_mind").is_empty()
+        !world.caches[0].received("never_mind").is_empty()
     });
 }
 
@@ -100,7 +100,7 @@
             matches!(world.request("submit", &key(n), 900, b"a form"), Answer::Served { body, .. } if body == b"a form")
         );
     }
-    assert_eq!(world.origin.heard("want").len(), 6);
+    assert_eq!(world.origin.received("want").len(), 6);
 }
 
 #[test]
@@ -116,11 +116,11 @@
         ));
         assert!(served(&world.request("page", KEY, 2000, b""), KEY));
     }
-    assert_eq!(world.origin.heard("want").len(), 8);
+    assert_eq!(world.origin.received("want").len(), 8);
     let mut requests_at_caches: Vec<usize> = world
         .caches
         .iter()
-        .map(|cache| cache.heard("want").len())
+        .map(|cache| cache.received("want").len())
         .collect();
     requests_at_caches.sort();
     assert_eq!(
@@ -152,11 +152,11 @@
     let mut client = world.client();
     let call = client.request("page", KEY, 2400, b"").unwrap();
     wait_for("the request is at the cache", || {
-        !world.caches[0].heard("want").is_empty()
+        !world.caches[0].received("want").is_empty()
     });
     client.cancel(call).unwrap();
     wait_for("the request is cancelled at the cache", || {
-        !world.caches[0].heard("never_mind").is_empty()
+        !world.caches[0].received("never_mind").is_empty()
     });
     assert!(client.quiet_for(Duration::from_millis(600)));
     world.caches[0].set(HostBehavior::Serve);
@@ -180,7 +180,7 @@
         .send(&(1..30).flat_map(request_and_cancel).collect::<Vec<u8>>())
         .unwrap();
     assert!(client.quiet_for(Duration::from_millis(200)));
-    assert!(world.caches[0].heard("want").is_empty());
+    assert!(world.caches[0].received("want").is_empty());
     client.request("page", KEY, 2000, b"").unwrap();
     assert!(served(&client.answer().unwrap(), KEY));
 }
@@ -192,10 +192,10 @@
     let mut client = world.client();
     client.request("page", KEY, 2400, b"").unwrap();
     wait_for("the request is at the cache", || {
-        !world.caches[0].heard("want").is_empty()
+        !world.caches[0].received("want").is_empty()
     });
     drop(client);
     wait_for("the request is cancelled at the cache", || {
-        !world.caches[0].heard("never_mind").is_empty()
+        !world.caches[0].received("never_mind").is_empty()
     });
 }
--- a/crates/flaxdeck-dispatcher/tests/requests.rs
+++ b/crates/flaxdeck-dispatcher/tests/requests.rs
@@ -22,7 +22,7 @@
     assert_eq!(client.answer().unwrap(), Answer::Alive { call: alive });
     let call = client.request("page", KEY, 2000, b"").unwrap();
     assert!(served(&client.answer().unwrap(), KEY));
-    let line = &world.caches[0].heard("want")[0].0;
+    let line = &world.caches[0].received("want")[0].0;
     for part in [
         &*format!("want {} ", client.id(call)),
         "class=page,",
@@ -87,7 +87,7 @@
         }
     );
     assert!(
-        world.caches[0].heard("want")[0]
+        world.caches[0].received("want")[0]
             .0
             .contains("holds=4be0c1927d55a6f3")
     );
@@ -119,7 +119,7 @@
         let received: Vec<String> = world
             .caches
             .iter()
-            .flat_map(|cache| cache.heard("want"))
+            .flat_map(|cache| cache.received("want"))
             .map(|(line, _)| line)
             .collect();
         assert!(
@@ -156,7 +156,7 @@
             if may_retry { "Backoff" } else { "Lost" },
             "the answer when the origin's manner is {manner:?}"
         );
-        let received = world.origin.heard("want");
+        let received = world.origin.received("want");
         assert_eq!(
             received.len() > 1,
             may_retry,
@@ -177,7 +177,7 @@
         "Backoff",
         "a request whose only host is dead is rejected, as it has not run"
     );
-    assert_eq!(world.origin.heard("want").len(), 1);
+    assert_eq!(world.origin.received("want").len(), 1);
 }
 
 #[test]
@@ -197,7 +197,7 @@
         .send(&request_message(1, "submit", &fields(KEY), b"a form"))
         .unwrap();
     wait_for("the first request is at the origin", || {
-        !world.origin.heard("want").is_empty()
+        !world.origin.received("want").is_empty()
     });
     second
         .send(&request_message(
@@ -209,7 +209,7 @@
         .unwrap();
     assert_eq!(error_text(second.answer().unwrap()), "Lost");
     assert!(matches!(first.answer().unwrap(), Answer::Served { body, .. } if body == b"a form"));
-    assert_eq!(world.origin.heard("want").len(), 1);
+    assert_eq!(world.origin.received("want").len(), 1);
     second
         .send(&request_message(2, "submit", &fields(KEY), b"a form"))
         .unwrap();
@@ -276,7 +276,7 @@
         let write = format!("class=submit,key={}", key(round as u32 * 8 + 7));
         let runs = world
             .origin
-            .heard("want")
+            .received("want")
             .iter()
             .filter(|(line, _)| line.contains(&write))
             .count();
@@ -311,11 +311,11 @@
         .send(&request_message(1, "submit", &fields, b"a form"))
         .unwrap();
     wait_for("the write is retried", || {
-        world.origin.heard("want").len() > 1
+        world.origin.received("want").len() > 1
     });
     world.origin.set(HostBehavior::Serve);
     assert!(matches!(client.answer().unwrap(), Answer::Served { body, .. } if body == b"a form"));
-    let received = world.origin.heard("want");
+    let received = world.origin.received("want");
     assert!(
         received
             .iter()
--- a/crates/flaxdeck-dispatcher/tests/shutdown.rs
+++ b/crates/flaxdeck-dispatcher/tests/shutdown.rs
@@ -38,7 +38,7 @@
     let mut early = world.client();
     early.request("page", KEY, 2400, b"").unwrap();
     wait_for("the request is at the cache", || {
-        !world.caches[0].heard("want").is_empty()
+        !world.caches[0].received("want").is_empty()
     });
     world.terminate();
     let mut late = world.client();
@@ -58,7 +58,7 @@
     let mut client = world.client();
     client.request("clip", KEY, 30_000, b"").unwrap();
     wait_for("the request is at the cache", || {
-        !world.caches[0].heard("want").is_empty()
+        !world.caches[0].received("want").is_empty()
     });
     let terminated = Instant::now();
     world.terminate();
@@ -88,7 +88,7 @@
     let mut client = world.client();
     client.request("clip", KEY, 30_000, b"").unwrap();
     wait_for("the request is at the cache", || {
-        !world.caches[0].heard("want").is_empty()
+        !world.caches[0].received("want").is_empty()
     });
     let terminated = Instant::now();
     world.terminate();
@@ -110,7 +110,7 @@
     let mut client = world.client();
     let call = client.request("clip", KEY, 30_000, b"").unwrap();
     wait_for("the request is at the cache", || {
-        !world.caches[0].heard("want").is_empty()
+        !world.caches[0].received("want").is_empty()
     });
     client.cancel(call).unwrap();
     assert!(client.quiet_for(Duration::from_millis(100)));
--- a/crates/flaxdeck-dispatcher/tests/world/mod.rs
+++ b/crates/flaxdeck-dispatcher/tests/world/mod.rs
@@ -258,11 +258,11 @@
 
     /// Whether a cache receives none of eight new requests, some of which it would normally get.
     pub(crate) fn receives_nothing(&self, cache: &Host) -> bool {
-        let before = cache.heard("want").len();
+        let before = cache.received("want").len();
         for n in 0..8 {
             drop(self.request("page", &key(n), 2000, b""));
         }
-        cache.heard("want").len() == before
+        cache.received("want").len() == before
     }
 }
 
--- a/examples/toy/src/host.rs
+++ b/examples/toy/src/host.rs
@@ -114,7 +114,7 @@
     }
 
     /// Returns the received lines that start with a word, in order, each with its body.
-    pub fn heard(&self, word: &str) -> Vec<(String, Vec<u8>)> {
+    pub fn received(&self, word: &str) -> Vec<(String, Vec<u8>)> {
         let state = self.lock();
         let lines = state.received.iter().filter(|line| line.starts_with(word));
         lines
