--- a/crates/flaxdeck-dispatcher/tests/departures.rs
+++ b/crates/flaxdeck-dispatcher/tests/departures.rs
@@ -91,7 +91,7 @@
         socket.set_recv_buffer_size(4096).unwrap();
     }
     socket.connect(&address.into()).unwrap();
-    Client::over(TcpStream::from(socket)).unwrap()
+    Client::from_stream(TcpStream::from(socket)).unwrap()
 }
 
 /// With [`set_slow_transfers`], a hedged request is due within this time after the first attempt if the host is silent.
--- a/crates/flaxdeck-dispatcher/tests/descriptors.rs
+++ b/crates/flaxdeck-dispatcher/tests/descriptors.rs
@@ -59,7 +59,7 @@
                 else {
                     break;
                 };
-                let mut client = Client::over(stream.try_clone().unwrap()).unwrap();
+                let mut client = Client::from_stream(stream.try_clone().unwrap()).unwrap();
                 if n.is_multiple_of(2) {
                     let _ = client.alive(); // it may have been closed already
                 }
--- a/crates/flaxdeck-dispatcher/tests/endings.rs
+++ b/crates/flaxdeck-dispatcher/tests/endings.rs
@@ -27,7 +27,7 @@
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
     socket.connect(&address.into()).unwrap();
-    Client::over(TcpStream::from(socket)).unwrap()
+    Client::from_stream(TcpStream::from(socket)).unwrap()
 }
 
 fn fields<'a>(id: &'a str, key: &'a str) -> [(&'a str, &'a str); 4] {
@@ -294,7 +294,7 @@
             socket.set_linger(Some(Duration::ZERO)).unwrap();
         }
         socket.connect(&world.address.into()).unwrap();
-        let mut client = Client::over(TcpStream::from(socket)).unwrap();
+        let mut client = Client::from_stream(TcpStream::from(socket)).unwrap();
         client.request("page", KEY, 2400, b"").unwrap();
         wait_for("the request is at the cache", || {
             !world.caches[0].received("want").is_empty()
--- a/examples/toy/src/client.rs
+++ b/examples/toy/src/client.rs
@@ -80,7 +80,7 @@
     ///
     /// If the connection fails or its options can't be set.
     pub fn connect(address: SocketAddr) -> io::Result<Client> {
-        Client::over(TcpStream::connect(address)?)
+        Client::from_stream(TcpStream::connect(address)?)
     }
 
     /// Creates a client on an established connection.
@@ -88,7 +88,7 @@
     /// # Errors
     ///
     /// If the connection's options can't be set.
-    pub fn over(stream: TcpStream) -> io::Result<Client> {
+    pub fn from_stream(stream: TcpStream) -> io::Result<Client> {
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(READ_TIMEOUT))?;
         Ok(Client { stream, next: 1 })
