--- a/crates/flaxdeck-dispatcher/tests/descriptors.rs
+++ b/crates/flaxdeck-dispatcher/tests/descriptors.rs
@@ -9,7 +9,7 @@
 
 mod world;
 
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::{self, JoinHandle};
@@ -129,7 +129,7 @@
 
         reserved.listen(64).unwrap();
         let (returned, stalls) = (Instant::now(), Stalls::start(&world));
-        let mut coordinator = Coordinator::on(TcpListener::from(reserved), 1 + n as u64).unwrap();
+        let mut coordinator = Coordinator::with_listener(reserved.into(), 1 + n as u64).unwrap();
         coordinator.change(&host, 1 - state as u8, 0, 0);
         let health = if state == 0 { "Draining" } else { "InService" };
         world.wait_for_log(&["told: ", &host.id, health]);
--- a/examples/toy/src/coordinator.rs
+++ b/examples/toy/src/coordinator.rs
@@ -86,7 +86,7 @@
     ///
     /// If it can't listen.
     pub fn start(address: &str, known: u64) -> io::Result<Coordinator> {
-        Coordinator::on(TcpListener::bind(address)?, known)
+        Coordinator::with_listener(TcpListener::bind(address)?, known)
     }
 
     /// Starts on an open listener, otherwise as [`Coordinator::start`].
@@ -94,7 +94,7 @@
     /// # Errors
     ///
     /// If the listener has no address.
-    pub fn on(listener: TcpListener, known: u64) -> io::Result<Coordinator> {
+    pub fn with_listener(listener: TcpListener, known: u64) -> io::Result<Coordinator> {
         let address = listener.local_addr()?;
         let shared: Arc<Shared> = Arc::default();
         let accepting = shared.clone();
