--- a/crates/flaxdeck-scale/src/cluster.rs
+++ b/crates/flaxdeck-scale/src/cluster.rs
@@ -124,7 +124,7 @@
         let mut checker = DeliveryChecker::new(&events, window.from_us, window.until_us);
         for log in &self.killed_logs {
             check_log(&mut checker, log)?;
-            checker.killed(log.first..log.first + log.count);
+            checker.mark_killed(log.first..log.first + log.count);
         }
         for hollow in &self.hollow {
             check_log(&mut checker, &hollow.log)?;
--- a/crates/flaxdeck-scale/src/delivery.rs
+++ b/crates/flaxdeck-scale/src/delivery.rs
@@ -214,7 +214,7 @@
     }
 
     /// Marks forwarders as killed by a fault of the run: events after their last entries do not count as lost.
-    pub fn killed(&mut self, forwarders: Range<u32>) {
+    pub fn mark_killed(&mut self, forwarders: Range<u32>) {
         for (_, position) in self.positions.range_mut(forwarders) {
             position.was_killed = true;
         }
--- a/crates/flaxdeck-scale/tests/delivery.rs
+++ b/crates/flaxdeck-scale/tests/delivery.rs
@@ -31,7 +31,7 @@
     checker.add(&entry(None, 1, 1_100));
     entries.iter().for_each(|entry| checker.add(entry));
     if killed {
-        checker.killed(0..8);
+        checker.mark_killed(0..8);
     }
     checker.outcome()
 }
