--- a/crates/flaxdeck-scale/src/measurement.rs
+++ b/crates/flaxdeck-scale/src/measurement.rs
@@ -66,8 +66,8 @@
     EventsExpected,
     /// Events that never came into force.
     EventsLost,
-    /// Events replaced by a full endpoint list, which supersedes everything known before; cached copies older than the
-    /// list are in doubt, as the forwarder may have missed purges.
+    /// Events that a forwarder skipped because a full list that includes them replaced what it knew; not counted as
+    /// lost. Cached copies from before are in doubt then, as purges may be among these events.
     EventsReplaced,
     /// Events that came into force again after they already had.
     EventsDoubled,
