--- a/crates/flaxdeck-scale/src/error.rs
+++ b/crates/flaxdeck-scale/src/error.rs
@@ -213,7 +213,7 @@
         source: io::Error,
     },
     /// A table can't be written, or its columns or values are not as expected.
-    #[error("{}: not a table of this form: {source}", path.display())]
+    #[error("{}: cannot read or write the rows as CSV: {source}", path.display())]
     Table {
         /// The file.
         path: PathBuf,
