--- a/crates/flaxdeck-cli/src/scale.rs
+++ b/crates/flaxdeck-cli/src/scale.rs
@@ -84,7 +84,7 @@
         .enable_all()
         .build();
     let runtime = runtime
-        .map_err(|error| ExitError::failed(format!("cannot start the async runtime: {error}")))?;
+        .map_err(|error| ExitError::failed(format!("cannot create the async runtime: {error}")))?;
     runtime.block_on(run_until_signal(play_all(arguments, &scenario, &planned)))
 }
 
--- a/crates/flaxdeck-emulator/src/error.rs
+++ b/crates/flaxdeck-emulator/src/error.rs
@@ -7,17 +7,17 @@
 /// An error of starting a world or a fleet, or of injecting a fault.
 #[derive(Debug, thiserror::Error)]
 pub enum EmulatorError {
-    /// The async runtime of the stand-ins can't be started.
-    #[error("failed to start the async runtime of the stand-ins: {0}")]
+    /// The async runtime of the stand-ins could not be created.
+    #[error("cannot create the async runtime of the stand-ins: {0}")]
     Runtime(#[source] io::Error),
     /// A stand-in can't listen on loopback.
-    #[error("a stand-in failed to listen on loopback: {0}")]
+    #[error("a stand-in cannot listen on loopback: {0}")]
     Listen(#[source] io::Error),
     /// A proxy can't listen on loopback.
-    #[error("a proxy failed to listen on loopback: {0}")]
+    #[error("a proxy cannot listen on loopback: {0}")]
     Proxy(#[source] io::Error),
     /// A restarted host can't listen at its earlier address.
-    #[error("a restarted host failed to listen at {address}: {source}")]
+    #[error("a restarted host cannot listen at {address}: {source}")]
     ListenAgain {
         /// The host's address.
         address: SocketAddr,
@@ -28,7 +28,7 @@
     #[error("unknown host id {0:?}")]
     UnknownHost(String),
     /// A file of the fleet can't be read or written.
-    #[error("failed to access {}: {source}", path.display())]
+    #[error("cannot access {}: {source}", path.display())]
     File {
         /// The file or folder.
         path: PathBuf,
@@ -44,7 +44,7 @@
         source: serde_json::Error,
     },
     /// A program can't be started.
-    #[error("failed to start {}: {source}", binary.display())]
+    #[error("cannot start {}: {source}", binary.display())]
     Spawn {
         /// The path of the program.
         binary: PathBuf,
--- a/crates/flaxdeck-planner/src/lib.rs
+++ b/crates/flaxdeck-planner/src/lib.rs
@@ -72,13 +72,13 @@
     /// The parameters could not be determined.
     #[error("{0}")]
     Start(E),
-    /// The runtime can't be created.
-    #[error("cannot create the runtime: {0}")]
+    /// The async runtime could not be created.
+    #[error("cannot create the async runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// The handlers of SIGTERM and SIGINT can't be installed.
-    #[error("cannot handle SIGTERM and SIGINT: {0}")]
+    /// The handlers of SIGTERM and SIGINT could not be installed.
+    #[error("cannot install the signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The planner can't listen at its address.
+    /// The listening socket could not be opened.
     #[error("cannot listen at {address}: {error}")]
     Listen {
         /// The configured address.
@@ -94,7 +94,7 @@
 ///
 /// # Errors
 ///
-/// If `start` fails, or the runtime, the signal handlers or the listener can't be created.
+/// If `start` fails, or the async runtime, the signal handlers or the listener can't be created.
 pub fn run<E>(start: impl FnOnce() -> Result<Start, E>) -> Result<(), RunError<E>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/flaxdeck-scale/src/error.rs
+++ b/crates/flaxdeck-scale/src/error.rs
@@ -13,23 +13,23 @@
 /// Why a run of a scale file failed.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The asynchronous runtime of a process can't be started.
-    #[error("can't start the asynchronous runtime: {0}")]
+    /// The async runtime of a process could not be created.
+    #[error("cannot create the async runtime: {0}")]
     Runtime(#[source] io::Error),
     /// The stand-in coordinator can't listen on loopback.
-    #[error("the stand-in coordinator can't listen on loopback: {0}")]
+    #[error("the stand-in coordinator cannot listen on loopback: {0}")]
     Listen(#[source] io::Error),
     /// The proxy for the link that may be cut can't listen.
-    #[error("the proxy in front of the first planner can't listen on loopback: {0}")]
+    #[error("the proxy in front of the first planner cannot listen on loopback: {0}")]
     Proxy(#[source] io::Error),
     /// The log of events in force can't be created.
-    #[error("can't create the log of events in force: {0}")]
+    #[error("cannot create the log of events in force: {0}")]
     CreateLog(#[source] io::Error),
     /// The log of events in force can't be written.
-    #[error("can't write the log of events in force: {0}")]
+    #[error("cannot write the log of events in force: {0}")]
     WriteLog(#[source] io::Error),
     /// The file of the coordinator's events can't be written.
-    #[error("can't write the file of published events: {0}")]
+    #[error("cannot write the file of published events: {0}")]
     WriteEvents(#[source] io::Error),
     /// A file or folder of the run can't be read or written.
     #[error("{}: {source}", path.display())]
@@ -48,7 +48,7 @@
         source: serde_json::Error,
     },
     /// Result rows can't be written.
-    #[error("{}: can't write result rows: {source}", path.display())]
+    #[error("{}: cannot write result rows: {source}", path.display())]
     Csv {
         /// The file.
         path: PathBuf,
@@ -62,7 +62,7 @@
         path: PathBuf,
     },
     /// The orders for a process can't be encoded as JSON.
-    #[error("can't encode the orders for a process as JSON: {0}")]
+    #[error("cannot encode the orders for a process as JSON: {0}")]
     Encode(#[source] serde_json::Error),
     /// The file of known events that the coordinator wrote is not JSON.
     #[error("the coordinator's file of known events is not JSON: {0}")]
@@ -94,7 +94,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
     /// The process can't be started.
-    #[error("{process:?} can't be started: {source}")]
+    #[error("{process:?} cannot be started: {source}")]
     Spawn {
         /// The process.
         process: ProcessKind,
@@ -105,13 +105,13 @@
     #[error("a process ended immediately after its start")]
     EndedAtOnce,
     /// The standard input of the process is closed already.
-    #[error("can't send an order to a process whose standard input is closed")]
+    #[error("cannot send an order to a process whose standard input is closed")]
     InputClosed,
     /// The standard output of the process is not piped.
-    #[error("can't read replies of a process whose standard output is not piped")]
+    #[error("cannot read replies of a process whose standard output is not piped")]
     NoOutput,
     /// An order can't be written to the process.
-    #[error("can't send an order to {process:?}: {source}")]
+    #[error("cannot send an order to {process:?}: {source}")]
     Order {
         /// The process.
         process: ProcessKind,
@@ -119,7 +119,7 @@
         source: io::Error,
     },
     /// The standard output of the process can't be read.
-    #[error("can't read the standard output of a process: {0}")]
+    #[error("cannot read the standard output of a process: {0}")]
     Output(#[source] io::Error),
     /// The process closed its standard output where a reply was expected.
     #[error("{process:?} ended before it replied: {log}")]
@@ -150,7 +150,7 @@
         log: String,
     },
     /// Waiting for the end of the process failed.
-    #[error("can't wait for the end of {process:?}: {source}")]
+    #[error("cannot wait for the end of {process:?}: {source}")]
     Wait {
         /// The process.
         process: ProcessKind,
@@ -224,10 +224,10 @@
     #[error("{}", fault_lines(.0))]
     Target(Vec<Fault>),
     /// The template of the page can't be rendered.
-    #[error("can't render the template of the capacity page: {0:#}")]
+    #[error("cannot render the template of the capacity page: {0:#}")]
     Template(#[source] minijinja::Error),
     /// A chart can't be drawn.
-    #[error("{}: can't draw the chart: {cause}", path.display())]
+    #[error("{}: cannot draw the chart: {cause}", path.display())]
     Chart {
         /// The file.
         path: PathBuf,
--- a/crates/flaxdeck-scale/src/hollow.rs
+++ b/crates/flaxdeck-scale/src/hollow.rs
@@ -137,7 +137,7 @@
         }
         if let Err(error) = log.borrow_mut().write(number, in_force) {
             log::error!(
-                "can't write an entry of hollow forwarder {number} to the log of events in force: {error}"
+                "cannot write an entry of hollow forwarder {number} to the log of events in force: {error}"
             );
         }
     })
--- a/crates/flaxdeck-scale/src/processes.rs
+++ b/crates/flaxdeck-scale/src/processes.rs
@@ -39,7 +39,7 @@
 
 fn request_kill_on_parent_death() {
     if let Err(error) = set_parent_process_death_signal(Some(Signal::KILL)) {
-        log::warn!("can't have the system kill this process when its parent dies: {error}");
+        log::warn!("cannot have the system kill this process when its parent dies: {error}");
     }
 }
 
@@ -201,7 +201,7 @@
     pub fn send_signal(&self, signal: Signal) {
         let id = i32::try_from(self.id).ok().and_then(Pid::from_raw);
         if let Some(Err(error)) = id.map(|id| kill_process(id, signal)) {
-            log::warn!("can't send {signal:?} to {:?}: {error}", self.kind);
+            log::warn!("cannot send {signal:?} to {:?}: {error}", self.kind);
         }
     }
 
--- a/examples/toy/src/main.rs
+++ b/examples/toy/src/main.rs
@@ -29,14 +29,14 @@
 }
 
 fn world(path: &str) -> Result<(), String> {
-    let text = std::fs::read(path).map_err(|error| format!("failed to read {path}: {error}"))?;
+    let text = std::fs::read(path).map_err(|error| format!("cannot read {path}: {error}"))?;
     let config: Value = serde_json::from_slice(&text)
         .map_err(|error| format!("invalid JSON in {path}: {error}"))?;
     let string = |value: &Value| value.as_str().unwrap_or_default().to_owned();
     let known = config["known"]["index"].as_u64().unwrap_or(0);
     let coordinator = string(&config["coordinator"]);
     let _coordinator = Coordinator::start(&coordinator, known)
-        .map_err(|error| format!("the coordinator failed to listen at {coordinator}: {error}"))?;
+        .map_err(|error| format!("the coordinator cannot listen at {coordinator}: {error}"))?;
     let updates = config["known"]["updates"]
         .as_array()
         .ok_or_else(|| format!("known.updates in {path} is missing or not a list"))?;
@@ -47,7 +47,7 @@
     {
         let (id, dial) = (string(&row["host"]), string(&row["dial"]));
         Host::start(&id, &dial)
-            .map_err(|error| format!("host {id} failed to listen at {dial}: {error}"))?;
+            .map_err(|error| format!("host {id} cannot listen at {dial}: {error}"))?;
         println!("{id}, a {}, at {dial}", string(&row["class"]));
     }
     println!("the coordinator at {coordinator}; end with ctrl-c");
@@ -61,11 +61,11 @@
         .parse()
         .map_err(|_| format!("invalid address {address:?}: expected IP:PORT"))?;
     let mut client = Client::connect(address)
-        .map_err(|error| format!("failed to connect to {address}: {error}"))?;
+        .map_err(|error| format!("cannot connect to {address}: {error}"))?;
     let body: &[u8] = if class == "submit" { b"a form" } else { b"" };
     client
         .request(class, key, TIMEOUT_MS, body)
-        .map_err(|error| format!("failed to send the request to {address}: {error}"))?;
+        .map_err(|error| format!("cannot send the request to {address}: {error}"))?;
     match client
         .answer()
         .map_err(|error| format!("no answer from {address}: {error}"))?
