--- a/crates/flaxdeck-channel/src/watch/protocol.rs
+++ b/crates/flaxdeck-channel/src/watch/protocol.rs
@@ -191,14 +191,14 @@
     }
 
     /// Records that the connection has ended, or that there is none. `is_incomplete` is true if the coordinator may
-    /// have had more events to send: the connection timed out, or the watch is paused.
+    /// have had more events to send: the connection timed out, or this side paused it while planners relay all events.
     pub fn disconnected(&mut self, is_incomplete: bool) {
         self.is_current = false;
         self.live_edge = LiveEdge::default();
         self.numbering.borrow_mut().connection_closed(is_incomplete);
     }
 
-    /// Records that the connection has to be closed for that reason, and returns the action to do so.
+    /// Records that the connection has to be closed for the given reason, and returns the action to do so.
     pub fn disconnect(&mut self, reason: Disconnect) -> Action {
         self.disconnected(reason.is_timeout());
         Action::Reconnect(reason)
--- a/crates/flaxdeck-recovery/src/numbering.rs
+++ b/crates/flaxdeck-recovery/src/numbering.rs
@@ -119,7 +119,7 @@
     }
 
     /// Records that the connection has ended. `is_incomplete` is true if the coordinator may have had more events to
-    /// send: the connection timed out, or this side paused it while peers relay events.
+    /// send: the connection timed out, or this side paused it while planners relay all events.
     pub fn connection_closed(&mut self, is_incomplete: bool) {
         self.may_be_hung = is_incomplete;
         if self
