--- a/crates/flaxdeck-cli/src/state.rs
+++ b/crates/flaxdeck-cli/src/state.rs
@@ -123,7 +123,7 @@
         inspection.instance, inspection.generation, inspection.records
     );
     for verdict in &inspection.verdicts {
-        let believed = if verdict.is_valid { "yes" } else { "no " };
-        println!("  {:<8} {believed}: {}", verdict.item, verdict.reason);
+        let answer = if verdict.is_valid { "yes" } else { "no " };
+        println!("  {:<8} {answer}: {}", verdict.item, verdict.reason);
     }
 }
--- a/crates/flaxdeck-control/src/quota_pool/promised_totals.rs
+++ b/crates/flaxdeck-control/src/quota_pool/promised_totals.rs
@@ -81,8 +81,9 @@
     pub fn prune(&mut self, now: Time) -> bool {
         self.advance(slot_of(now));
         // Rounds down to the start of the slot, because the totals are kept by whole slots.
-        let begun = slot_start(slot_of(now));
-        self.parties.retain(|_, schedule| !schedule.prune(begun));
+        let slot_begin = slot_start(slot_of(now));
+        self.parties
+            .retain(|_, schedule| !schedule.prune(slot_begin));
         self.parties.is_empty()
     }
 }
--- a/crates/flaxdeck-dispatcher/src/routing/events.rs
+++ b/crates/flaxdeck-dispatcher/src/routing/events.rs
@@ -144,26 +144,26 @@
         };
         let now = self.clock.now();
         let withheld = client.replace_endpoints(now, &mut endpoints, missed.is_some());
-        let doubted_before =
+        let copies_valid_from =
             missed.and_then(|missed| unconfirmed::copies_from(now, missed, self.purge_settles));
         if missed.is_some() {
-            log_replaced_list(position, withheld, doubted_before);
+            log_replaced_list(position, withheld, copies_valid_from);
         }
         let event = Event::Hosts(list_kind, endpoints);
         client.store_event(position, &event);
         self.apply(event);
-        if let Some(made) = doubted_before {
-            self.purge_all_copies(made);
+        if let Some(valid_from) = copies_valid_from {
+            self.purge_all_copies(valid_from);
         }
         self.notify_listener(AppliedEvents::FullList { upto: position });
     }
 }
 
-fn log_replaced_list(position: EventPosition, withheld: usize, doubted_before: Option<Time>) {
+fn log_replaced_list(position: EventPosition, withheld: usize, copies_valid_from: Option<Time>) {
     for _ in 0..withheld {
         count(Counter::hosts_doubted);
     }
-    let copies = doubted_before.map_or("are not doubted".into(), |from| {
+    let copies = copies_valid_from.map_or("are not doubted".into(), |from| {
         format!("from before {:.0} are doubted", from.ms())
     });
     log::error!(
--- a/crates/flaxdeck-distribution/src/publisher.rs
+++ b/crates/flaxdeck-distribution/src/publisher.rs
@@ -57,14 +57,14 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Wanted {
+enum NextUpdate {
     EventsAfter(EventPosition),
     Snapshot,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct SubscriberState {
-    wanted: Wanted,
+    next_update: NextUpdate,
     /// A request of the subscriber has not been answered yet.
     is_unanswered: bool,
     /// When it was last sent a message, or subscribed.
@@ -126,13 +126,13 @@
 
     /// Applies a forwarder's request to send events or to stop sending them. It is answered without delay.
     pub fn subscribe(&mut self, now: Time, id: SubscriberId, subscription: Subscription) {
-        let wanted = match subscription {
+        let next_update = match subscription {
             Subscription::None => return self.unsubscribe(id),
-            Subscription::After(position) => Wanted::EventsAfter(position),
-            Subscription::FromSnapshot => Wanted::Snapshot,
+            Subscription::After(position) => NextUpdate::EventsAfter(position),
+            Subscription::FromSnapshot => NextUpdate::Snapshot,
         };
         let subscriber = SubscriberState {
-            wanted,
+            next_update,
             is_unanswered: true,
             last_sent: now,
             reported_due_at: None,
--- a/crates/flaxdeck-distribution/src/publisher/schedule.rs
+++ b/crates/flaxdeck-distribution/src/publisher/schedule.rs
@@ -3,7 +3,7 @@
 use flaxdeck::{Span, Time};
 use flaxdeck_recovery::EventPosition;
 
-use super::{ABANDONED_LOG_RETENTION, Publisher, SubscriberId, SubscriberState, Wanted};
+use super::{ABANDONED_LOG_RETENTION, NextUpdate, Publisher, SubscriberId, SubscriberState};
 use crate::cadence::Cadence;
 use crate::event_log::PositionError;
 
@@ -81,9 +81,9 @@
 
     fn next_message(&self, now: Time, id: SubscriberId, subscriber: &SubscriberState) -> Time {
         let heartbeat = subscriber.last_sent + self.cadence.heartbeat_interval;
-        let known_position = match subscriber.wanted {
-            Wanted::EventsAfter(position) => self.check_position(position).map(|()| position),
-            Wanted::Snapshot => Err(PositionError::Unknown),
+        let known_position = match subscriber.next_update {
+            NextUpdate::EventsAfter(position) => self.check_position(position).map(|()| position),
+            NextUpdate::Snapshot => Err(PositionError::Unknown),
         };
         match known_position {
             Ok(position) => heartbeat.min(self.next_batch(id, subscriber, position)),
--- a/crates/flaxdeck-distribution/src/publisher/updates.rs
+++ b/crates/flaxdeck-distribution/src/publisher/updates.rs
@@ -4,7 +4,7 @@
 use flaxdeck_recovery::EventPosition;
 
 use super::schedule::CATCH_UP_INTERVAL;
-use super::{Publisher, SubscriberId, Wanted};
+use super::{NextUpdate, Publisher, SubscriberId};
 use crate::event_log::PositionError;
 use crate::messages::{Batch, Delivery, MAX_FULL_BYTES, PurgeDigest, Snapshot, Update};
 
@@ -17,14 +17,14 @@
         id: SubscriberId,
         encode_full_list: &mut dyn FnMut(u64) -> Vec<u8>,
     ) -> Option<Delivery> {
-        let wanted = self.subscribers.get(&id)?.wanted;
-        let update = match wanted {
-            Wanted::EventsAfter(position) => match self.batch_after(position) {
+        let next_update = self.subscribers.get(&id)?.next_update;
+        let update = match next_update {
+            NextUpdate::EventsAfter(position) => match self.batch_after(position) {
                 Ok(batch) => Update::Batch(batch),
                 Err(PositionError::Ahead) => self.behind(),
                 Err(PositionError::Unknown) => self.snapshot(now, encode_full_list),
             },
-            Wanted::Snapshot => self.snapshot(now, encode_full_list),
+            NextUpdate::Snapshot => self.snapshot(now, encode_full_list),
         };
         let position = match &update {
             Update::Batch(batch) => Some(batch.last),
@@ -35,7 +35,7 @@
         let is_complete = position == Some(self.log.last());
         let coordinator_ago_ms = self.coordinator_ago_ms(now).filter(|_| is_complete);
         let subscriber = self.subscribers.get_mut(&id)?;
-        subscriber.wanted = position.map_or(wanted, Wanted::EventsAfter);
+        subscriber.next_update = position.map_or(next_update, NextUpdate::EventsAfter);
         subscriber.is_unanswered = false;
         subscriber.last_sent = now;
         subscriber.reported_due_at = None;
--- a/crates/flaxdeck-distribution/src/subscriber/planner.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/planner.rs
@@ -30,7 +30,7 @@
     pub(super) connected_since: Option<Time>,
     pub(super) request: Option<Request>,
     /// Since when the planner has been asked for events.
-    pub(super) wanted_since: Option<Time>,
+    pub(super) requested_since: Option<Time>,
     /// When the current request is due to be sent again, if it is.
     pub(super) retry_at: Option<Time>,
     /// When it last made a useful delivery.
@@ -64,7 +64,7 @@
     pub(super) fn disconnected(&mut self) {
         self.connected_since = None;
         self.request = None;
-        self.wanted_since = None;
+        self.requested_since = None;
     }
 
     pub(super) fn is_connected(&self) -> bool {
@@ -99,35 +99,35 @@
         self.failures += 1;
     }
 
-    /// Returns whether the wanted subscription has to be sent now.
-    pub(super) fn is_request_due(&self, now: Time, wanted: Subscription) -> bool {
+    /// Returns whether the desired subscription has to be sent now.
+    pub(super) fn is_request_due(&self, now: Time, desired: Subscription) -> bool {
         let Some(request) = self.request else {
-            return wanted != Subscription::None;
+            return desired != Subscription::None;
         };
         let is_retry_due = self.retry_at.is_some_and(|at| now >= at);
-        let is_unanswered = wanted != Subscription::None
+        let is_unanswered = desired != Subscription::None
             && !request.is_answered
             && now.since(request.last_sent) >= RETRY_AFTER;
-        !is_same_kind(request.subscription, wanted) || is_retry_due || is_unanswered
+        !is_same_kind(request.subscription, desired) || is_retry_due || is_unanswered
     }
 
-    /// Records that the wanted subscription is sent now.
-    pub(super) fn record_request(&mut self, now: Time, wanted: Subscription) {
+    /// Records that the desired subscription is sent now.
+    pub(super) fn record_request(&mut self, now: Time, desired: Subscription) {
         // A delivery written after the first transmission may already answer a repeated request.
         let is_repeated =
-            |request: &Request| !request.is_answered && is_same_kind(request.subscription, wanted);
+            |request: &Request| !request.is_answered && is_same_kind(request.subscription, desired);
         let first_sent = self
             .request
             .filter(is_repeated)
             .map_or(now, |request| request.first_sent);
         self.request = Some(Request {
-            subscription: wanted,
+            subscription: desired,
             first_sent,
             last_sent: now,
             is_answered: false,
         });
-        let since = self.wanted_since.unwrap_or(now);
-        self.wanted_since = (wanted != Subscription::None).then_some(since);
+        let since = self.requested_since.unwrap_or(now);
+        self.requested_since = (desired != Subscription::None).then_some(since);
         self.retry_at = None;
     }
 }
--- a/crates/flaxdeck-distribution/src/subscriber/requests.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/requests.rs
@@ -14,11 +14,11 @@
         self.select_planner(now);
         let mut actions = Vec::new();
         for number in (0..self.planners.len() as u32).map(PlannerNumber) {
-            let wanted = self.subscription_for(number);
+            let desired = self.subscription_for(number);
             let planner = self.planner_mut(number);
-            if planner.is_connected() && planner.is_request_due(now, wanted) {
-                planner.record_request(now, wanted);
-                actions.push((number, wanted));
+            if planner.is_connected() && planner.is_request_due(now, desired) {
+                planner.record_request(now, desired);
+                actions.push((number, desired));
             }
         }
         actions
--- a/crates/flaxdeck-distribution/src/subscriber/selection.rs
+++ b/crates/flaxdeck-distribution/src/subscriber/selection.rs
@@ -36,7 +36,7 @@
 
     /// Returns when a planner that was asked for events counts as silent unless it makes a useful delivery.
     pub(super) fn silence_deadline(&self, planner: &Planner) -> Option<Time> {
-        let since = planner.wanted_since?;
+        let since = planner.requested_since?;
         let last_activity = planner
             .last_delivered
             .map_or(since, |delivered| delivered.max(since));
--- a/src/decision/clearance.rs
+++ b/src/decision/clearance.rs
@@ -31,24 +31,24 @@
         let sent_by = self.deduplicated_until(state).min(deadline) - self.answer_margin;
         for participant in attempt.participants() {
             let host = self.hosts.get_mut(participant)?;
-            let counted = host.in_service() && host.renew_charge(now, id, index);
-            if !self.still_accepts(&self.hosts[participant], counted) {
+            let is_charged = host.in_service() && host.renew_charge(now, id, index);
+            if !self.still_accepts(&self.hosts[participant], is_charged) {
                 return None;
             }
         }
         (now < sent_by).then_some(Clearance { oldest, sent_by })
     }
 
-    /// Decides whether a host may still take part in an attempt. `counted` tells whether the attempt is charged against
+    /// Decides whether a host may still take part in an attempt. `is_charged` is true if the attempt is charged against
     /// the host's slow start.
     ///
     /// Guards against a cold host that has restarted since the attempt was decided: the charge against its earlier
     /// process does not count for the new one.
-    fn still_accepts(&self, host: &Host, counted: bool) -> bool {
+    fn still_accepts(&self, host: &Host, is_charged: bool) -> bool {
         if !host.in_service() {
             return false;
         }
         let warm = self.capacity_over_window(host, self.now) >= 1.0;
-        warm || host.is(Role::Origin) || (counted && self.fits_slow_start(host, 0.0))
+        warm || host.is(Role::Origin) || (is_charged && self.fits_slow_start(host, 0.0))
     }
 }
