--- a/src/decision/source_selection.rs
+++ b/src/decision/source_selection.rs
@@ -24,13 +24,13 @@
     fn contains(&self, engine: &DecisionEngine, parent: &Host) -> bool {
         parent.usable()
             && !parent.beaten_by_origin(self.measure)
-            && self.keeps_object(engine, parent)
+            && self.is_fast_enough(engine, parent)
     }
 
     /// Whether a parent is not too slow for the object.
     ///
     /// Guards against parents that become slow: objects move off them one by one, as they move off a loaded cache.
-    fn keeps_object(&self, engine: &DecisionEngine, parent: &Host) -> bool {
+    fn is_fast_enough(&self, engine: &DecisionEngine, parent: &Host) -> bool {
         let factor = move_factor(parent, &self.state.request);
         parent.current_slowdown(engine.now) <= self.least_slowdown * FULL_LOAD * factor
     }
